--- /dev/null
+++ b/tests/golden/test_golden.py
@@ -0,0 +1,92 @@
+"""Wires, files and handed-over state keep their bytes, as an earlier version wrote them to `data/`."""
+
+import json
+
+import pytest
+from driver import EVERYBODY, settings
+from golden_samples import DATA, FLEET_SIZE, MARKS, SAMPLES, link_messages, membership, shape, trained_router
+
+from paddlequay.cluster.wire import Codec
+from paddlequay.discovery.membership import Membership, Rule
+from paddlequay.hierarchy.moves import MoveLimits, Moves
+from paddlequay.hierarchy.shape import Shape, ShapeLimits, delta_data, next_shape, read_delta, whole
+from paddlequay.interface import Inherited, MembersChanged
+from paddlequay.operation import Operation
+from paddlequay.policy import Router
+from paddlequay.protocol import twin
+from paddlequay.store.record import RecordError, decode
+
+
+def sample(name: str) -> str:
+    """The text of a sample file."""
+    return (DATA / name).read_text(encoding="utf-8")
+
+
+@pytest.mark.parametrize("name", SAMPLES)
+def test_what_is_written_equals_the_sample_byte_for_byte(name: str) -> None:
+    assert "".join(f"{line}\n" for line in SAMPLES[name]()) == sample(name)
+
+
+def test_link_messages_of_an_earlier_version_are_read_and_written_alike() -> None:
+    lines = sample("link.jsonl").encode().splitlines()
+    messages = [twin.unpack(line) for line in lines]
+    assert messages == link_messages()
+    assert [twin.pack(message) for message in messages] == [line + b"\n" for line in lines]
+
+
+def test_datagrams_of_an_earlier_version_are_read_and_written_alike() -> None:
+    codec = Codec("golden", FLEET_SIZE)
+    for line in sample("datagrams.jsonl").splitlines():
+        number, required, _, text = json.loads(line)
+        read = codec.read(bytes.fromhex(text))
+        assert [note.KIND for note in read.notes] == [number, number] and read.skipped == 0
+        assert codec.shapes[number].required == required
+        assert codec.pack(read.head, [codec.pack_note(note) for note in read.notes]).hex() == text
+
+
+def test_the_file_of_left_out_caches_is_read_and_written_alike(
+    tmp_path_factory: pytest.TempPathFactory,
+) -> None:
+    path = tmp_path_factory.mktemp("marks") / "marks.json"
+    path.write_text(sample("left_out.json"), encoding="utf-8")
+    operation = Operation(path)
+    operation.load()
+    assert operation.marks == {name: mark for name, mark in MARKS.items() if name != "drain"}
+    assert operation.kept() + "\n" == sample("left_out.json")
+
+
+def test_saved_members_are_read_and_written_alike() -> None:
+    data = json.loads(sample("saved_members.json"))
+    read = Membership((Rule("list"), Rule("kept", keep=60.0)))
+    read.recover(data, "kept", 20.0)
+    before = [change.box for change in membership().members.values()]
+    assert [change.box for change in read.members.values()] == before
+    assert read.snapshot() == data
+
+
+def test_a_saved_shape_is_read_and_written_alike() -> None:
+    body, head = sample("saved_shape.txt").splitlines()
+    data = json.loads(body)
+    read = next_shape(Shape(), read_delta(data["shape"], ShapeLimits()), ShapeLimits())
+    assert read == shape() and delta_data(whole(read)) == data["shape"]
+    moves = Moves("a", MoveLimits())
+    moves.restore(data["epochs"], 2.0)
+    assert moves.data() == data["epochs"]
+    record = head.encode() + b"\n" + body.encode()
+    assert decode(record, "shape", 1) == body.encode()
+    with pytest.raises(RecordError):
+        decode(record, "members", 1)
+
+
+def test_knowledge_of_an_earlier_version_is_taken_over_under_its_keys() -> None:
+    told = json.loads(sample("knowledge.json"))
+    router = Router(settings(), seed=2)
+    router.handle(MembersChanged(EVERYBODY, full=True), 100.0)
+    fresh = router.knowledge()
+    router.handle(Inherited(told), 100.0)
+    taken = router.knowledge()
+    assert taken.keys() == told.keys() == trained_router().knowledge().keys()
+    # A limit below the one that a start begins with is not taken over.
+    assert taken == {
+        name: max(value, fresh[name]) if name.startswith("limit ") else value for name, value in told.items()
+    }
