--- a/paddlequay/policy/members.py
+++ b/paddlequay/policy/members.py
@@ -33,11 +33,10 @@
                 left += self.drop(name)
         for entry in event.members:
             known = self.servers.get(entry.name)
+            back = known is not None and entry.state in (None, State.READY) and not known.ready
             if entry.state is State.GONE:
                 left += self.drop(entry.name)
-            elif known is None or (entry.started or 0) > (known.entry.started or 0) or (
-                entry.state in (None, State.READY) and not known.ready
-            ):
+            elif known is None or back or (entry.started or 0) > (known.entry.started or 0):
                 # Back from a drain it is as new: it has been restarted or is about to be used as if it were,
                 # and old failures would keep it skipped, old limits and copies unused or hoped for.
                 left += self.drop(entry.name)
