--- a/paddlequay/adapter.py
+++ b/paddlequay/adapter.py
@@ -294,7 +294,6 @@
         instance = self.routers[router]
         return [] if instance is None else [write_action(router, act) for act in instance.handle(event, now)]
 
-
     def shared(
         self, router: str, share: "SimShare", fields: Fields, entries: list[Member], now: float
     ) -> list[str]:
--- a/paddlequay/cluster/types.py
+++ b/paddlequay/cluster/types.py
@@ -168,14 +168,7 @@
 
 
 Local = (
-    PeerChanged
-    | SelfChanged
-    | LeaseTaken
-    | LeaseLost
-    | HolderSeen
-    | VerdictChanged
-    | Owned
-    | TableChanged
+    PeerChanged | SelfChanged | LeaseTaken | LeaseLost | HolderSeen | VerdictChanged | Owned | TableChanged
 )
 Action = Tell | Say | Local
 
--- a/paddlequay/exchange.py
+++ b/paddlequay/exchange.py
@@ -123,8 +123,15 @@
         self.held += len(ask.body)
         self.open[item.serial] = item
         request = Request(
-            item.serial, ask.class_name, left, ask.key, ask.part, ask.group,
-            tenant=ask.tenant, retry=ask.retry, fill=ask.fill,
+            item.serial,
+            ask.class_name,
+            left,
+            ask.key,
+            ask.part,
+            ask.group,
+            tenant=ask.tenant,
+            retry=ask.retry,
+            fill=ask.fill,
         )
         self.deliver(request)
         if item.serial in self.open:
--- a/tests/crossings/rig_caches.py
+++ b/tests/crossings/rig_caches.py
@@ -72,21 +72,31 @@
         self, folder: Path, kinds: tuple[RequestClass, ...], limits: Limits, **settings: Any
     ) -> None:
         told = Settings(
-            zone="here", classes=kinds, parent_kind="parent", origin_kind="origin", direct=True,
+            zone="here",
+            classes=kinds,
+            parent_kind="parent",
+            origin_kind="origin",
+            direct=True,
             **({"can_cancel": True} | settings),
         )
         self.counters, self.limits = Counters(), limits
         shares = Shares(limits)
         self.exchange = Exchange(
-            Router(told, 1), Operation(folder / "orders"), shares, limits,
-            LoopScheduler(asyncio.get_running_loop()), self.counters,
+            Router(told, 1),
+            Operation(folder / "orders"),
+            shares,
+            limits,
+            LoopScheduler(asyncio.get_running_loop()),
+            self.counters,
         )
         self.pool = Pool(self.exchange, shares, limits, self.counters)
         self.peers = {"box": Peer(), "aimag": Peer(), "store": Peer()}
         self.listed = {
             name: Listed(Member(name, zone, kind), self.peers[name].address)
             for name, zone, kind in (
-                ("box", "here", "box"), ("aimag", "hub", "parent"), ("store", "hub", "origin"),
+                ("box", "here", "box"),
+                ("aimag", "hub", "parent"),
+                ("store", "hub", "origin"),
             )
         }
         self.replies: list[Reply] = []
@@ -105,9 +115,7 @@
 
     def ask(self, id: str, kind: str = "video", ttl: float = 2.0, **also: Any) -> Open | None:
         key = sum(id.encode())
-        return self.exchange.ask(
-            Ask(id, kind, ttl, f"{key:016x}", key, 0, None, **also), self.replies.append
-        )
+        return self.exchange.ask(Ask(id, kind, ttl, f"{key:016x}", key, 0, None, **also), self.replies.append)
 
     async def until(self, check: Callable[[], Any], what: str) -> Any:
         """Let the loop run until a condition holds, and give what it found."""
@@ -160,8 +168,11 @@
 
 
 def play(
-    folder: Path, scene: Callable[[Rig], Any], kinds: tuple[RequestClass, ...] = KINDS,
-    limits: Limits | None = None, **settings: Any,
+    folder: Path,
+    scene: Callable[[Rig], Any],
+    kinds: tuple[RequestClass, ...] = KINDS,
+    limits: Limits | None = None,
+    **settings: Any,
 ) -> None:
     """Run a scene in an event loop of its own."""
 
--- a/tests/crossings/test_cache_descriptors.py
+++ b/tests/crossings/test_cache_descriptors.py
@@ -39,8 +39,11 @@
     p.publish()
     client.ask("alive")
     assert client.answer()[3][0] is True
-    until(lambda: (taken := [int(each) for each in os.listdir(f"/proc/{pid}/fd")])
-          and max(taken) == len(taken) - 1, "no gap among the descriptors")
+    until(
+        lambda: (taken := [int(each) for each in os.listdir(f"/proc/{pid}/fd")])
+        and max(taken) == len(taken) - 1,
+        "no gap among the descriptors",
+    )
 
 
 @pytest.mark.parametrize("method", ["video", "charge"])
@@ -95,6 +98,7 @@
     tmp_path: Path,
 ) -> None:
     """`Pool.warm` makes connections before the first request; a newer process has none to spare."""
+
     async def scene(rig: Rig) -> None:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         lowest = os.dup(0)
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -72,9 +72,7 @@
         assert isinstance(action, Fetch)
         return action
 
-    def end(
-        self, fetch: Fetch, outcome: Outcome, note: Note | None = None, attempt: int = 0
-    ) -> list[Action]:
+    def end(self, fetch: Fetch, outcome: Outcome, note: Note | None = None, attempt: int = 0) -> list[Action]:
         final = outcome is Outcome.SERVED
         took = (fetch.timeout or 0.05) if outcome is Outcome.TIMEOUT else 0.05
         event = AttemptEnded(fetch.request, attempt, fetch.target, outcome, took, final, note)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -174,9 +174,14 @@
     p.box.line()
     assert client.answer()[2][0] == "TryLater"
     until(lambda: p.counted("refused.tried.spent") == 1, "the refusal after an attempt is counted")
-    drained = [p.entry(name, party, kind, zone, lifecycle="terminating") for name, party, kind, zone in (
-        ("box-1", p.box, "box", "here"), ("parent-1", p.parent, "parent", "hub"),
-        ("origin-1", p.origin, "origin", "hub"))]
+    drained = [
+        p.entry(name, party, kind, zone, lifecycle="terminating")
+        for name, party, kind, zone in (
+            ("box-1", p.box, "box", "here"),
+            ("parent-1", p.parent, "parent", "hub"),
+            ("origin-1", p.origin, "origin", "hub"),
+        )
+    ]
     p.publish({"no": 2, "roster": {"reset": False, "instances": drained}})
 
     def refused_untried() -> bool:
--- a/tests/tier/rig_tier.py
+++ b/tests/tier/rig_tier.py
@@ -1,6 +1,5 @@
 """A tier's node as a process, with a feed, neighbours and askers on loopback."""
 
-
 import contextlib
 import json
 import socket
--- a/tests/tier/test_tier_feed.py
+++ b/tests/tier/test_tier_feed.py
@@ -1,6 +1,5 @@
 """A tier's feed that breaks, goes back or falls silent, and the shape that is kept meanwhile."""
 
-
 import socket
 
 import pytest
