--- a/paddlequay/__main__.py
+++ b/paddlequay/__main__.py
@@ -3,7 +3,7 @@
 import os
 import sys
 
-from paddlequay import signals
+from paddlequay.lifecycle import signals
 
 
 def main() -> int:
@@ -23,7 +23,7 @@
     # Tornado reads all of the system's certificates as it loads, a quarter of a start; there is no TLS here.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
     os.environ.setdefault("SSL_CERT_DIR", os.devnull)
-    from paddlequay.program import route  # only now: loading takes time, in which signals come as well
+    from paddlequay.programs.router import route  # only now: loading takes time, in which signals come as well
 
     return route()
 
--- a/paddlequay/adapter.py
+++ b/paddlequay/adapter.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, TextIO, TypeVar
 
-from paddlequay.interface import (
+from paddlequay.routing.interface import (
     Action,
     AttemptEnded,
     Cancel,
@@ -32,7 +32,7 @@
     TimerDue,
 )
 from paddlequay.policy import Router
-from paddlequay.settings import SettingsError, settings_from
+from paddlequay.config.settings import SettingsError, settings_from
 
 if TYPE_CHECKING:
     from paddlequay.simshare import SimShare
--- a/paddlequay/cli/discovery.py
+++ b/paddlequay/cli/discovery.py
@@ -32,7 +32,7 @@
     import dns.exception
     import dns.name
 
-    from paddlequay.counters import Counters
+    from paddlequay.observability.counters import Counters
     from paddlequay.discovery.resolver import Kind, Known, Resolver
     from paddlequay.discovery.srv import Follower, Service
     from paddlequay.net.dns import Driver
--- a/paddlequay/cli/main.py
+++ b/paddlequay/cli/main.py
@@ -9,7 +9,7 @@
 
 from paddlequay.cli.discovery import discovery
 from paddlequay.cli.lab import lab
-from paddlequay.config import ConfigError
+from paddlequay.config.loader import ConfigError
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
@@ -61,7 +61,7 @@
 @click.argument("file", type=click.Path(path_type=Path))
 def tier(file: Path) -> None:
     """Run a node in the middle of the hierarchy with the settings in FILE."""
-    from paddlequay import tier as program
+    from paddlequay.programs import tier as program
     from paddlequay.cli import logs
 
     logs.set_up()
--- a/paddlequay/cluster/evidence.py
+++ b/paddlequay/cluster/evidence.py
@@ -5,7 +5,7 @@
 """
 
 from paddlequay.cluster.types import Trouble
-from paddlequay.interface import Fetch, Note, Outcome
+from paddlequay.routing.interface import Fetch, Note, Outcome
 
 FILLS = (Note.FILLED, Note.FILLED_FROM_ORIGIN)
 Found = tuple[str, bool, Trouble | None]  # a member, whether it has served, and what is wrong with it
--- /dev/null
+++ b/paddlequay/config/__init__.py
@@ -0,0 +1,1 @@
+"""The configuration of a router: environment, JSON file, platform settings and the limits that follow."""
--- a/paddlequay/config.py
+++ b/paddlequay/config/loader.py
@@ -9,8 +9,8 @@
 from typing import Any, TypedDict
 from urllib.parse import quote
 
-from paddlequay.interface import Ramp, RequestClass, Settings
-from paddlequay.settings import check, settings_from
+from paddlequay.routing.interface import Ramp, RequestClass, Settings
+from paddlequay.config.settings import check, settings_from
 
 Address = tuple[str, int]
 
--- a/paddlequay/settings.py
+++ b/paddlequay/config/settings.py
@@ -2,7 +2,7 @@
 
 from typing import Any, TypeVar
 
-from paddlequay.interface import Effect, Ramp, RequestClass, Settings
+from paddlequay.routing.interface import Effect, Ramp, RequestClass, Settings
 
 T = TypeVar("T")
 EFFECTS = {"read_like": Effect.SAFE, "idempotency_key": Effect.KEYED, "non_idempotent": Effect.UNSAFE}
--- a/paddlequay/discovery/membership.py
+++ b/paddlequay/discovery/membership.py
@@ -26,7 +26,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from paddlequay.interface import State
+from paddlequay.routing.interface import State
 
 Address = tuple[str, int]
 
--- a/paddlequay/discovery/srv.py
+++ b/paddlequay/discovery/srv.py
@@ -20,7 +20,7 @@
 from paddlequay.discovery.answers import Name
 from paddlequay.discovery.membership import Address, Box
 from paddlequay.discovery.resolver import Kind, Known
-from paddlequay.interface import State
+from paddlequay.routing.interface import State
 
 TARGETS_MOST = 2000  # of one service
 ADDRESS_KINDS = (dns.rdatatype.A, dns.rdatatype.AAAA)
--- a/paddlequay/hierarchy/climb.py
+++ b/paddlequay/hierarchy/climb.py
@@ -13,7 +13,7 @@
 from paddlequay.hierarchy.node import Node
 from paddlequay.hierarchy.shape import Shape
 from paddlequay.hierarchy.trail import Trail
-from paddlequay.interface import (
+from paddlequay.routing.interface import (
     AttemptEnded,
     Fail,
     Fetch,
@@ -23,7 +23,7 @@
     Settings,
 )
 from paddlequay.policy import Router
-from paddlequay.records import Attempt, Open, Server
+from paddlequay.routing.state import Attempt, Open, Server
 
 NODE_KIND, STORE_KIND = "node", "store"
 LIMIT_FIRST = 200.0  # out at one member by all of a group: a node serves hundreds at once from memory
--- a/paddlequay/hierarchy/node.py
+++ b/paddlequay/hierarchy/node.py
@@ -28,7 +28,7 @@
     Want,
     Word,
 )
-from paddlequay.interface import Note
+from paddlequay.routing.interface import Note
 from paddlequay.placement.homes import arrival, digest, key_of, place, slot_of
 
 __all__ = ["Action", "Answer", "Claim", "Fill", "Got", "Meet", "Node", "NodeLimits", "Want", "Word"]
--- a/paddlequay/hierarchy/shape.py
+++ b/paddlequay/hierarchy/shape.py
@@ -15,7 +15,7 @@
 from types import MappingProxyType
 from typing import Any
 
-from paddlequay.interface import State
+from paddlequay.routing.interface import State
 
 NAME = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_-]{0,63}")
 STATES = {"in_service": State.READY, "terminating": State.DRAINING}
--- a/paddlequay/hierarchy/wants.py
+++ b/paddlequay/hierarchy/wants.py
@@ -7,7 +7,7 @@
 
 from paddlequay.hierarchy.copies import Copy, Place
 from paddlequay.hierarchy.trail import Trail
-from paddlequay.interface import Note
+from paddlequay.routing.interface import Note
 
 
 class Word(Enum):
--- a/paddlequay/lab/homes.py
+++ b/paddlequay/lab/homes.py
@@ -19,7 +19,7 @@
 # Run in the program that is measured, this one's or an earlier one's: names that both have.
 COST = """
 import json, random, sys, time
-from paddlequay.interface import *
+from paddlequay.routing.interface import *
 from paddlequay.adapter import Router
 
 edges, parents, count, seed = map(int, sys.argv[1:])
--- a/paddlequay/lab/placement.py
+++ b/paddlequay/lab/placement.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from paddlequay.interface import Member
+from paddlequay.routing.interface import Member
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.placement.checks import read_rules
 from paddlequay.placement.compile import compile_rules
--- a/paddlequay/lab/plaza.py
+++ b/paddlequay/lab/plaza.py
@@ -19,7 +19,7 @@
 import numpy as np
 
 from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, delta_data, difference, next_shape
-from paddlequay.interface import State
+from paddlequay.routing.interface import State
 from paddlequay.lab.load import KINDS, Load
 from paddlequay.lab.standins import Box, News, Store
 from paddlequay.protocol.bulletin import STATES
--- a/paddlequay/lab/sources.py
+++ b/paddlequay/lab/sources.py
@@ -17,7 +17,7 @@
 from paddlequay.discovery.answers import Question, query, read
 from paddlequay.discovery.membership import Box, Membership, Rule
 from paddlequay.discovery.resolver import Resolver, Send
-from paddlequay.interface import State
+from paddlequay.routing.interface import State
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.lab.dns import DnsServer
 from paddlequay.lab.load import Tally
--- /dev/null
+++ b/paddlequay/lifecycle/__init__.py
@@ -0,0 +1,1 @@
+"""Process life: signals, supervised tasks, overload protection and the orders of operators."""
--- a/paddlequay/background.py
+++ b/paddlequay/lifecycle/background.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from paddlequay.counters import Counters
+from paddlequay.observability.counters import Counters
 
 LOGGER = logging.getLogger(__name__)
 
--- a/paddlequay/load.py
+++ b/paddlequay/lifecycle/overload.py
@@ -2,7 +2,7 @@
 
 import random
 
-from paddlequay.config import Limits
+from paddlequay.config.loader import Limits
 
 
 class OwnLoad:
--- a/paddlequay/net/bulletin.py
+++ b/paddlequay/net/bulletin.py
@@ -5,11 +5,11 @@
 from dataclasses import replace
 from typing import Any
 
-from paddlequay import log
-from paddlequay.config import Address, Limits
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
-from paddlequay.interface import State
+from paddlequay.observability import log
+from paddlequay.config.loader import Address, Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import State
 from paddlequay.net.caches import Pool
 from paddlequay.net.lines import Line, LineFollower
 from paddlequay.protocol import bulletin as wire
--- a/paddlequay/net/cache_words.py
+++ b/paddlequay/net/cache_words.py
@@ -3,8 +3,8 @@
 import math
 from collections.abc import Mapping
 
-from paddlequay.asks import End, Order, Stamp
-from paddlequay.interface import Note, Outcome
+from paddlequay.requests.messages import End, Order, Stamp
+from paddlequay.routing.interface import Note, Outcome
 from paddlequay.protocol import caches as wire
 
 OUTCOMES = {
--- a/paddlequay/net/caches.py
+++ b/paddlequay/net/caches.py
@@ -5,17 +5,17 @@
 import logging
 from collections.abc import Iterable
 
-from paddlequay import log
-from paddlequay.asks import Attempt, End
-from paddlequay.config import Address, Limits
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
-from paddlequay.fleet.silence import Pace, Waits
-from paddlequay.interface import Outcome, State
+from paddlequay.observability import log
+from paddlequay.requests.messages import Attempt, End
+from paddlequay.config.loader import Address, Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.failure_detector import Pace, Waits
+from paddlequay.routing.interface import Outcome, State
 from paddlequay.net.connection import Connection
-from paddlequay.operation import OUT
+from paddlequay.lifecycle.operator_state import OUT
 from paddlequay.protocol.bulletin import Listed
-from paddlequay.shares import Shares
+from paddlequay.requests.quotas import Shares
 
 LOGGER = logging.getLogger(__name__)
 
--- a/paddlequay/net/channels.py
+++ b/paddlequay/net/channels.py
@@ -6,13 +6,13 @@
 
 from collections.abc import Callable, Sequence
 
-from paddlequay.asks import Ask, Attempt, Open, Reply, Verdict
+from paddlequay.requests.messages import Ask, Attempt, Open, Reply, Verdict
 from paddlequay.cluster.ahead import Ahead, channel_of
 from paddlequay.cluster.channels import Channels
 from paddlequay.cluster.types import Action, Name
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
-from paddlequay.interface import HeldBy, Note
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import HeldBy, Note
 from paddlequay.placement.homes import digest
 
 OUT_MOST = 256  # fills ahead that are out; past it the next read of their channel asks again
--- a/paddlequay/net/client_words.py
+++ b/paddlequay/net/client_words.py
@@ -4,9 +4,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from paddlequay.asks import Ask, Buffer, Reply, Verdict
-from paddlequay.config import Limits
-from paddlequay.interface import RequestClass
+from paddlequay.requests.messages import Ask, Buffer, Reply, Verdict
+from paddlequay.config.loader import Limits
+from paddlequay.routing.interface import RequestClass
 from paddlequay.protocol import clients as wire
 
 HEX = re.compile(r"[0-9a-f]{16}")
--- a/paddlequay/net/clients.py
+++ b/paddlequay/net/clients.py
@@ -8,15 +8,15 @@
 
 from tornado.iostream import IOStream
 
-from paddlequay.asks import Reply, Verdict
-from paddlequay.config import Limits
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
-from paddlequay.load import OwnLoad
-from paddlequay.net import door
+from paddlequay.requests.messages import Reply, Verdict
+from paddlequay.config.loader import Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.lifecycle.overload import OwnLoad
+from paddlequay.net import listener as door
 from paddlequay.net.session import Session
-from paddlequay.operation import DRAIN, Operation
-from paddlequay.shares import Shares
+from paddlequay.lifecycle.operator_state import DRAIN, Operation
+from paddlequay.requests.quotas import Shares
 
 CANDIDATES = 8  # asked for room in each state: thousands of connections are not searched for one
 
--- a/paddlequay/net/connection.py
+++ b/paddlequay/net/connection.py
@@ -9,9 +9,9 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from paddlequay import log
-from paddlequay.asks import Attempt, End
-from paddlequay.interface import Outcome
+from paddlequay.observability import log
+from paddlequay.requests.messages import Attempt, End
+from paddlequay.routing.interface import Outcome
 from paddlequay.net.cache_words import order_fields, read_end
 from paddlequay.protocol import caches as wire
 
--- a/paddlequay/net/console.py
+++ b/paddlequay/net/console.py
@@ -9,12 +9,12 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from paddlequay import log
-from paddlequay.background import Background
-from paddlequay.config import Limits
-from paddlequay.counters import Counters
-from paddlequay.net import door
-from paddlequay.operation import DRAIN, OUT, Mark, Operation, TooManyError
+from paddlequay.observability import log
+from paddlequay.lifecycle.background import Background
+from paddlequay.config.loader import Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.net import listener as door
+from paddlequay.lifecycle.operator_state import DRAIN, OUT, Mark, Operation, TooManyError
 from paddlequay.protocol import console as wire
 
 LOGGER = logging.getLogger(__name__)
--- a/paddlequay/net/dns.py
+++ b/paddlequay/net/dns.py
@@ -10,9 +10,9 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from paddlequay import log
-from paddlequay.background import Background
-from paddlequay.counters import Counters
+from paddlequay.observability import log
+from paddlequay.lifecycle.background import Background
+from paddlequay.observability.counters import Counters
 from paddlequay.discovery.answers import ANSWER_MOST
 from paddlequay.discovery.resolver import Action, Known, Resolver, Send
 
--- a/paddlequay/net/feed.py
+++ b/paddlequay/net/feed.py
@@ -3,9 +3,9 @@
 import logging
 from collections.abc import Callable
 
-from paddlequay import log
-from paddlequay.config import Address, Limits
-from paddlequay.counters import Counters
+from paddlequay.observability import log
+from paddlequay.config.loader import Address, Limits
+from paddlequay.observability.counters import Counters
 from paddlequay.hierarchy.shape import Shape, ShapeLimits, Shaper, Took
 from paddlequay.net.lines import PAUSE, Line, LineFollower
 from paddlequay.protocol import bulletin, feed
--- a/paddlequay/net/twin.py
+++ b/paddlequay/net/hot_restart.py
@@ -13,14 +13,14 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from paddlequay import log
-from paddlequay.background import Background
-from paddlequay.config import Limits
-from paddlequay.counters import Counters
-from paddlequay.net import door
-from paddlequay.operation import Mark, Operation
-from paddlequay.protocol import twin as wire
-from paddlequay.shares import Held, Shares
+from paddlequay.observability import log
+from paddlequay.lifecycle.background import Background
+from paddlequay.config.loader import Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.net import listener as door
+from paddlequay.lifecycle.operator_state import Mark, Operation
+from paddlequay.protocol import hot_restart as wire
+from paddlequay.requests.quotas import Held, Shares
 
 LOGGER = logging.getLogger(__name__)
 
--- a/paddlequay/net/leaves.py
+++ b/paddlequay/net/leaves.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from paddlequay.asks import Ask, Attempt, End, Open
+from paddlequay.requests.messages import Ask, Attempt, End, Open
 from paddlequay.cluster.limits import Limits, Ticket
 from paddlequay.cluster.settings import By, ClusterSettings, Mode
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
-from paddlequay.interface import Member, Note, Outcome
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import Member, Note, Outcome
 
 OUT_PAUSE = 0.3  # told a client whose request falls under a strict limit while this process has no share
 LEAVE_S = 0.1  # a leave that was not written on for so long is asked for anew
--- a/paddlequay/net/lines.py
+++ b/paddlequay/net/lines.py
@@ -19,9 +19,9 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from paddlequay import log
-from paddlequay.config import Address, Limits
-from paddlequay.counters import Counters
+from paddlequay.observability import log
+from paddlequay.config.loader import Address, Limits
+from paddlequay.observability.counters import Counters
 from paddlequay.protocol.bulletin import Heartbeat, MalformedError, Unusable, after
 
 LOGGER = logging.getLogger(__name__)
--- a/paddlequay/net/door.py
+++ b/paddlequay/net/listener.py
@@ -14,8 +14,8 @@
 
 from tornado.ioloop import IOLoop
 
-from paddlequay import log
-from paddlequay.config import Address
+from paddlequay.observability import log
+from paddlequay.config.loader import Address
 
 LOGGER = logging.getLogger(__name__)
 
--- a/paddlequay/net/members.py
+++ b/paddlequay/net/members.py
@@ -8,15 +8,15 @@
 from dataclasses import replace
 from pathlib import Path
 
-from paddlequay import log
-from paddlequay.background import Background
-from paddlequay.counters import Counters
+from paddlequay.observability import log
+from paddlequay.lifecycle.background import Background
+from paddlequay.observability.counters import Counters
 from paddlequay.discovery.answers import Name
 from paddlequay.discovery.membership import Box, Change, Membership, TooManyError
 from paddlequay.discovery.resolver import Kind, Known, Resolver
 from paddlequay.discovery.srv import Follower as ServiceFollower
-from paddlequay.exchange import Exchange
-from paddlequay.interface import Member, State
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import Member, State
 from paddlequay.net.bulletin import Follower, one_by_one
 from paddlequay.net.caches import Pool
 from paddlequay.net.dns import Driver
--- a/paddlequay/net/placing.py
+++ b/paddlequay/net/placing.py
@@ -11,16 +11,16 @@
 from dataclasses import replace
 from pathlib import Path
 
-from paddlequay import log
-from paddlequay.asks import Ask
+from paddlequay.observability import log
+from paddlequay.requests.messages import Ask
 from paddlequay.cluster.epochs import LEASE, mark
 from paddlequay.cluster.node import Node
 from paddlequay.cluster.tables import Tables
 from paddlequay.cluster.types import Action, TableChanged
-from paddlequay.config import ConfigError
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
-from paddlequay.interface import HeldBy, Member, Request, Settings, State
+from paddlequay.config.loader import ConfigError
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import HeldBy, Member, Request, Settings, State
 from paddlequay.placement.checks import read_rules_file
 from paddlequay.placement.compile import compile_rules
 from paddlequay.placement.following import Asked, Following, asked
@@ -28,7 +28,7 @@
 from paddlequay.placement.mover import BusyError, Mover, Placed
 from paddlequay.placement.rules import Rules
 from paddlequay.placement.table import Sheet, Table
-from paddlequay.records import Tier
+from paddlequay.routing.state import Tier
 
 LOGGER = logging.getLogger(__name__)
 
--- a/paddlequay/net/scheduler.py
+++ b/paddlequay/net/scheduler.py
@@ -4,7 +4,7 @@
 import time
 from collections.abc import Callable
 
-from paddlequay.asks import Timer
+from paddlequay.requests.messages import Timer
 
 
 class LoopScheduler:
--- a/paddlequay/net/session.py
+++ b/paddlequay/net/session.py
@@ -11,9 +11,9 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from paddlequay import log
-from paddlequay.asks import Ask, Open, Reply, Verdict
-from paddlequay.interface import Effect, Surrender
+from paddlequay.observability import log
+from paddlequay.requests.messages import Ask, Open, Reply, Verdict
+from paddlequay.routing.interface import Effect, Surrender
 from paddlequay.net.client_words import FieldError, read_ask, write_reply
 from paddlequay.net.unread import unread
 from paddlequay.protocol import clients as wire
--- a/paddlequay/net/sharing.py
+++ b/paddlequay/net/sharing.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import TYPE_CHECKING
 
-from paddlequay import log
-from paddlequay.asks import Attempt, End, Open
+from paddlequay.observability import log
+from paddlequay.requests.messages import Attempt, End, Open
 from paddlequay.cluster import evidence
 from paddlequay.cluster.node import News, Node
 from paddlequay.cluster.notes import Note as PeerNote
@@ -31,10 +31,10 @@
     VerdictChanged,
 )
 from paddlequay.cluster.wire import Head
-from paddlequay.config import Config, Peering
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
-from paddlequay.interface import FleetWord, Note, Outcome
+from paddlequay.config.loader import Config, Peering
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import FleetWord, Note, Outcome
 from paddlequay.net.leaves import Leaves
 from paddlequay.net.peers import Peers
 from paddlequay.placement.homes import digest
--- a/paddlequay/net/tier.py
+++ b/paddlequay/net/tier.py
@@ -10,19 +10,19 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from paddlequay import log
-from paddlequay.asks import Ask, Reply, Verdict
-from paddlequay.config import Limits
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
+from paddlequay.observability import log
+from paddlequay.requests.messages import Ask, Reply, Verdict
+from paddlequay.config.loader import Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
 from paddlequay.hierarchy.climb import Climber
 from paddlequay.hierarchy.copies import Copy
 from paddlequay.hierarchy.node import Action, Answer, Claim, Fill, Got, Meet, Node, Want, Word
 from paddlequay.hierarchy.shape import NAME
 from paddlequay.hierarchy.trail import Keyring, TrailError
-from paddlequay.interface import Member, Note, RequestClass
+from paddlequay.routing.interface import Member, Note, RequestClass
 from paddlequay.net.caches import Pool
-from paddlequay.net.door import on_connection
+from paddlequay.net.listener import on_connection
 from paddlequay.placement.homes import key_of
 from paddlequay.protocol import serving as wire
 from paddlequay.protocol.bulletin import Listed
--- /dev/null
+++ b/paddlequay/observability/__init__.py
@@ -0,0 +1,1 @@
+"""Log lines and counters."""
--- a/paddlequay/counters.py
+++ b/paddlequay/observability/counters.py
@@ -3,7 +3,7 @@
 import logging
 from collections import Counter
 
-from paddlequay import log
+from paddlequay.observability import log
 
 LOGGER = logging.getLogger(__name__)
 
--- a/paddlequay/placement/checks.py
+++ b/paddlequay/placement/checks.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable, Mapping
 from pathlib import Path
 
-from paddlequay.config import ConfigError
-from paddlequay.interface import Member
+from paddlequay.config.loader import ConfigError
+from paddlequay.routing.interface import Member
 from paddlequay.placement.grammar import BYTES_MOST, Place, source_of
 from paddlequay.placement.regions import (
     ANY,
--- a/paddlequay/placement/compile.py
+++ b/paddlequay/placement/compile.py
@@ -18,7 +18,7 @@
 import numpy as np
 import numpy.typing as npt
 
-from paddlequay.interface import Member
+from paddlequay.routing.interface import Member
 from paddlequay.placement.checks import check_list, check_members, fitting, thing, weight_of
 from paddlequay.placement.grammar import Place
 from paddlequay.placement.homes import LEAST_WEIGHT, arrival, digest
--- a/paddlequay/placement/following.py
+++ b/paddlequay/placement/following.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING, TypeVar
 
-from paddlequay.interface import Request
+from paddlequay.routing.interface import Request
 from paddlequay.placement.homes import SLOTS, Homes, always_whole, digest, place, slot_of
 
 if TYPE_CHECKING:
--- a/paddlequay/placement/homes.py
+++ b/paddlequay/placement/homes.py
@@ -18,7 +18,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from paddlequay.interface import Request
+from paddlequay.routing.interface import Request
 
 M = TypeVar("M")
 
--- a/paddlequay/policy/answers.py
+++ b/paddlequay/policy/answers.py
@@ -2,11 +2,11 @@
 
 import math
 
-from paddlequay.interface import Action, AttemptEnded, Note, Outcome
+from paddlequay.routing.interface import Action, AttemptEnded, Note, Outcome
 from paddlequay.policy.beliefs import Beliefs
 from paddlequay.policy.health import ALIVE_S
 from paddlequay.policy.limits import FILL_SHARE
-from paddlequay.records import Attempt, Open, Server, Tier
+from paddlequay.routing.state import Attempt, Open, Server, Tier
 
 WAITED_SHARE = 0.25  # of a filled answer's latency, waited for the source: then its lateness is the source's
 FILLS = (Note.FILLED, Note.FILLED_FROM_ORIGIN)
--- a/paddlequay/policy/attempts.py
+++ b/paddlequay/policy/attempts.py
@@ -2,9 +2,9 @@
 
 import math
 
-from paddlequay.interface import Effect, Fetch, Outcome, Repeat
+from paddlequay.routing.interface import Effect, Fetch, Outcome, Repeat
 from paddlequay.policy.beliefs import Beliefs
-from paddlequay.records import Attempt, Open, Server, Tier
+from paddlequay.routing.state import Attempt, Open, Server, Tier
 
 BUDGET_SHARE = 0.2  # further attempts as a share of first ones, so that a failing tier is not hit harder
 BUDGET_RESERVE = 20.0  # attempts saved up at most: covers the burst when one member dies
--- a/paddlequay/policy/beliefs.py
+++ b/paddlequay/policy/beliefs.py
@@ -1,15 +1,15 @@
 """All that a router believes, by the part that owns it: nobody else writes a part's state."""
 
-from paddlequay.fleet.link import Link
-from paddlequay.fleet.origin import Waits
-from paddlequay.fleet.room import Room
-from paddlequay.interface import Settings
+from paddlequay.routing.link_load import Link
+from paddlequay.routing.origin_load import Waits
+from paddlequay.routing.zone_load import Room
+from paddlequay.routing.interface import Settings
 from paddlequay.policy.health import Health, Recall
 from paddlequay.policy.hotness import Hotness
 from paddlequay.policy.latency import Latency
 from paddlequay.policy.limits import Limits
 from paddlequay.policy.members import Members
-from paddlequay.tables import Purges
+from paddlequay.routing.history import Purges
 
 
 class Beliefs:
--- a/paddlequay/policy/health.py
+++ b/paddlequay/policy/health.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable, Iterable
 
-from paddlequay.interface import Action, Log
-from paddlequay.records import Server
+from paddlequay.routing.interface import Action, Log
+from paddlequay.routing.state import Server
 
 SKIP_FAILURES = 3  # consecutive failures: one is chance, three in a row hardly ever
 TRIAL_DELAY_S = 5.0  # a skipped member gets one trial after this long
--- a/paddlequay/policy/hotness.py
+++ b/paddlequay/policy/hotness.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Mapping
 
-from paddlequay.interface import Request
-from paddlequay.records import Open, Seen, Server
-from paddlequay.tables import Reads
+from paddlequay.routing.interface import Request
+from paddlequay.routing.state import Open, Seen, Server
+from paddlequay.routing.history import Reads
 
 HOT_WINDOW_S = 10.0  # reads within this make an object hot; also how long an edge is believed to hold a copy
 HOT_READS = 1.0  # earlier reads needed: the second read within the window is the first sign of reuse
--- a/paddlequay/policy/ladder.py
+++ b/paddlequay/policy/ladder.py
@@ -3,12 +3,12 @@
 from collections.abc import Iterator
 from itertools import chain, islice
 
-from paddlequay.fleet.link import dear
-from paddlequay.interface import Cause
+from paddlequay.routing.link_load import dear
+from paddlequay.routing.interface import Cause
 from paddlequay.placement.homes import digest, place
 from paddlequay.policy.beliefs import Beliefs
 from paddlequay.policy.hotness import SPREAD_READS
-from paddlequay.records import Open, Server, Tier
+from paddlequay.routing.state import Open, Server, Tier
 
 Rung = tuple[Server, Server]  # target and source; the same one twice is a look at what it holds
 
--- a/paddlequay/policy/latency.py
+++ b/paddlequay/policy/latency.py
@@ -3,9 +3,9 @@
 import math
 from collections.abc import Mapping
 
-from paddlequay.interface import Effect, Request, Settings
-from paddlequay.records import Open
-from paddlequay.tables import LeastMean
+from paddlequay.routing.interface import Effect, Request, Settings
+from paddlequay.routing.state import Open
+from paddlequay.routing.history import LeastMean
 
 SLOW_SHARE = 0.02  # a time-out lies past the latency that all but this share of answers keep
 TIMEOUT_SLACK = 1.5  # room over that latency, so that a general slowing does not turn into cancelled work
--- a/paddlequay/policy/limits.py
+++ b/paddlequay/policy/limits.py
@@ -3,10 +3,10 @@
 import math
 from collections.abc import Iterable, Mapping
 
-from paddlequay.fleet.link import Link
-from paddlequay.fleet.room import Room
-from paddlequay.interface import Settings
-from paddlequay.records import Attempt, Open, Server, Tier
+from paddlequay.routing.link_load import Link
+from paddlequay.routing.zone_load import Room
+from paddlequay.routing.interface import Settings
+from paddlequay.routing.state import Attempt, Open, Server, Tier
 
 LIMIT_LEAST, LIMIT_MOST = 2.0, 1000.0  # out at a member by all routers, in mean requests
 # What an edge can bear, its first report tells within a second; parents, asked by edges, report to no router.
--- a/paddlequay/policy/members.py
+++ b/paddlequay/policy/members.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Mapping
 
-from paddlequay.fleet.cold import Cold
-from paddlequay.fleet.room import Room
-from paddlequay.interface import MembersChanged, Ramp, Settings, State
+from paddlequay.routing.slow_start import Cold
+from paddlequay.routing.zone_load import Room
+from paddlequay.routing.interface import MembersChanged, Ramp, Settings, State
 from paddlequay.placement.following import Following
 from paddlequay.placement.homes import Homes
 from paddlequay.policy.limits import FITS_LEAST, LIMIT_LEAST, LIMIT_MOST, LIMIT_START
-from paddlequay.records import Server, Tier
+from paddlequay.routing.state import Server, Tier
 
 
 class Members:
--- a/paddlequay/policy/refusals.py
+++ b/paddlequay/policy/refusals.py
@@ -2,8 +2,8 @@
 
 import random
 
-from paddlequay.interface import Action, Cause, Fail, Refuse
-from paddlequay.records import Open
+from paddlequay.routing.interface import Action, Cause, Fail, Refuse
+from paddlequay.routing.state import Open
 
 COME_BACK_S = (0.05, 0.15)  # at a limit places come free within tens of ms; spread, not to return as one
 
--- a/paddlequay/policy/router.py
+++ b/paddlequay/policy/router.py
@@ -3,14 +3,14 @@
 import random
 from collections.abc import Iterator
 
-from paddlequay import interface as say
+from paddlequay.routing import interface as say
 from paddlequay.policy.answers import Answers
 from paddlequay.policy.attempts import Attempts
 from paddlequay.policy.beliefs import Beliefs
 from paddlequay.policy.ladder import Ladder
 from paddlequay.policy.refusals import give_up
-from paddlequay.records import Open, Server, Tier
-from paddlequay.settings import check
+from paddlequay.routing.state import Open, Server, Tier
+from paddlequay.config.settings import check
 
 ASK_AGAIN_S = (0.5, 1.5)  # for the list, after a failed call: discovery may be what is overloaded
 
--- a/paddlequay/program.py
+++ b/paddlequay/programs/router.py
@@ -13,24 +13,25 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from paddlequay import log, signals
-from paddlequay.background import Background
-from paddlequay.config import Address, Config, ConfigError, read_config
-from paddlequay.counters import Counters
-from paddlequay.ending import end
-from paddlequay.exchange import Exchange
-from paddlequay.load import OwnLoad
-from paddlequay.net import door
+from paddlequay.lifecycle import signals
+from paddlequay.observability import log
+from paddlequay.lifecycle.background import Background
+from paddlequay.config.loader import Address, Config, ConfigError, read_config
+from paddlequay.observability.counters import Counters
+from paddlequay.programs.shutdown import end
+from paddlequay.requests.exchange import Exchange
+from paddlequay.lifecycle.overload import OwnLoad
+from paddlequay.net import listener as door
 from paddlequay.net.bulletin import Follower
 from paddlequay.net.caches import Pool
 from paddlequay.net.clients import Front
 from paddlequay.net.console import Console
 from paddlequay.net.scheduler import LoopScheduler
-from paddlequay.net.twin import Twin
-from paddlequay.operation import Operation
+from paddlequay.net.hot_restart import Twin
+from paddlequay.lifecycle.operator_state import Operation
 from paddlequay.policy import Router
 from paddlequay.protocol import bulletin
-from paddlequay.shares import Held, Shares
+from paddlequay.requests.quotas import Held, Shares
 
 if TYPE_CHECKING:
     from paddlequay.net.members import Members
--- a/paddlequay/ending.py
+++ b/paddlequay/programs/shutdown.py
@@ -3,10 +3,10 @@
 import asyncio
 import logging
 
-from paddlequay import log
-from paddlequay.config import Limits
+from paddlequay.observability import log
+from paddlequay.config.loader import Limits
 from paddlequay.net.clients import Front
-from paddlequay.net.twin import Twin
+from paddlequay.net.hot_restart import Twin
 
 LOGGER = logging.getLogger(__name__)
 
--- a/paddlequay/tier.py
+++ b/paddlequay/programs/tier.py
@@ -11,30 +11,30 @@
 from pathlib import Path
 from typing import Any
 
-from paddlequay import log
-from paddlequay.config import OWN_DESCRIPTORS, Address, ConfigError, Limits
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
+from paddlequay.observability import log
+from paddlequay.config.loader import OWN_DESCRIPTORS, Address, ConfigError, Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
 from paddlequay.hierarchy.climb import NODE_KIND, STORE_KIND, Climber, member, members_of
 from paddlequay.hierarchy.node import Node
 from paddlequay.hierarchy.shape import Shape, ShapeError, Shaper, delta_data, next_shape, read_delta, whole
 from paddlequay.hierarchy.trail import Keyring
-from paddlequay.interface import Settings
-from paddlequay.net import door
+from paddlequay.routing.interface import Settings
+from paddlequay.net import listener as door
 from paddlequay.net.caches import Pool
 from paddlequay.net.console import Console
 from paddlequay.net.feed import Feed
 from paddlequay.net.scheduler import LoopScheduler
 from paddlequay.net.tier import TierFront
-from paddlequay.operation import OUT, Mark, Operation
+from paddlequay.lifecycle.operator_state import OUT, Mark, Operation
 from paddlequay.protocol import bulletin
 from paddlequay.protocol.bulletin import Listed
 from paddlequay.schema.read import TierSettings, read_settings
-from paddlequay.shares import Shares
+from paddlequay.requests.quotas import Shares
 from paddlequay.store import files
 from paddlequay.store.record import RecordError
 
-LOGGER = logging.getLogger("paddlequay.tier")
+LOGGER = logging.getLogger("paddlequay.programs.tier")
 
 KIND, FORM = "shape", 1
 
--- a/paddlequay/protocol/bulletin.py
+++ b/paddlequay/protocol/bulletin.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from paddlequay.interface import Member, State
+from paddlequay.routing.interface import Member, State
 
 STATES = {"in_service": State.READY, "terminating": State.DRAINING, "terminated": State.GONE}
 NUMBER_MOST = 1 << 53  # JSON's whole numbers; one past all that follow would have these taken as had
--- a/paddlequay/protocol/twin.py
+++ b/paddlequay/protocol/hot_restart.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from paddlequay.operation import Mark, read_marks
-from paddlequay.shares import Held
+from paddlequay.lifecycle.operator_state import Mark, read_marks
+from paddlequay.requests.quotas import Held
 
 
 class MalformedError(ValueError):
--- a/paddlequay/exchange.py
+++ b/paddlequay/requests/exchange.py
@@ -9,8 +9,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from paddlequay import log
-from paddlequay.asks import (
+from paddlequay.observability import log
+from paddlequay.requests.messages import (
     NOTHING,
     Ask,
     Attempt,
@@ -23,10 +23,10 @@
     Verdict,
     Watch,
 )
-from paddlequay.bounds import Bounds
-from paddlequay.config import Limits
-from paddlequay.counters import Counters
-from paddlequay.interface import (
+from paddlequay.requests.write_checks import Bounds
+from paddlequay.config.loader import Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.routing.interface import (
     Action,
     AttemptEnded,
     Cancel,
@@ -48,9 +48,9 @@
     Surrender,
     TimerDue,
 )
-from paddlequay.operation import OUT, Operation
+from paddlequay.lifecycle.operator_state import OUT, Operation
 from paddlequay.policy import Router
-from paddlequay.shares import Shares
+from paddlequay.requests.quotas import Shares
 
 LOGGER = logging.getLogger(__name__)
 
--- a/paddlequay/asks.py
+++ b/paddlequay/requests/messages.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import Protocol
 
-from paddlequay.interface import Fetch, Member, Note, Outcome
+from paddlequay.routing.interface import Fetch, Member, Note, Outcome
 
 Buffer = bytes | bytearray | memoryview
 
--- a/paddlequay/shares.py
+++ b/paddlequay/requests/quotas.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from paddlequay.config import Limits
+from paddlequay.config.loader import Limits
 
 
 @dataclass(frozen=True, slots=True)
--- a/paddlequay/bounds.py
+++ b/paddlequay/requests/write_checks.py
@@ -4,10 +4,10 @@
 from collections import OrderedDict
 from dataclasses import replace
 
-from paddlequay.asks import Ask, Attempt, Scheduler
-from paddlequay.config import Limits
-from paddlequay.interface import Fetch, Member, RequestClass, State
-from paddlequay.operation import Operation
+from paddlequay.requests.messages import Ask, Attempt, Scheduler
+from paddlequay.config.loader import Limits
+from paddlequay.routing.interface import Fetch, Member, RequestClass, State
+from paddlequay.lifecycle.operator_state import Operation
 
 PURGES_MOST = 4096  # remembered by object or group, the latest: an hour's at one a second
 
--- a/paddlequay/tables.py
+++ b/paddlequay/routing/history.py
@@ -4,7 +4,7 @@
 from collections import OrderedDict
 from collections.abc import Hashable
 
-from paddlequay.records import Seen
+from paddlequay.routing.state import Seen
 
 OBJECTS_MOST, OBJECT_AGE_S = 20000, 30.0  # older reads weigh nothing: objects are new all day long
 PURGES_MOST = 5000
--- a/paddlequay/fleet/link.py
+++ b/paddlequay/routing/link_load.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from paddlequay.fleet.room import past
-from paddlequay.interface import RequestClass, Settings
+from paddlequay.routing.zone_load import past
+from paddlequay.routing.interface import RequestClass, Settings
 
 # Aims allow twice the sending time and a constant: three times as long is late by itself.
 SPAN = (1.0, 3.0)
--- a/paddlequay/fleet/origin.py
+++ b/paddlequay/routing/origin_load.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass
 
-from paddlequay.fleet.room import FRESH_S, past
+from paddlequay.routing.zone_load import FRESH_S, past
 
 MEMORY_S = 1.0  # of the mean wait: a jam builds up within a second or two
 SPAN = (0.5, 1.5)  # of the aim: what has waited so long is late with its sending time, or without it
--- a/paddlequay/fleet/cold.py
+++ b/paddlequay/routing/slow_start.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from paddlequay.interface import Ramp
+from paddlequay.routing.interface import Ramp
 
 PACE = 0.7  # of the rule's multiple: what a cold member is sent, as the load borne may near capacity
 WARM_LEAST = 0.75  # of the members count as bearing the load at least: where all are cold, none has shown it
--- a/paddlequay/records.py
+++ b/paddlequay/routing/state.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from paddlequay.fleet.cold import Bucket
-from paddlequay.interface import Member, Repeat, Request, RequestClass, State
+from paddlequay.routing.slow_start import Bucket
+from paddlequay.routing.interface import Member, Repeat, Request, RequestClass, State
 
 
 class Tier(Enum):
--- a/paddlequay/schema/read.py
+++ b/paddlequay/schema/read.py
@@ -6,12 +6,12 @@
 
 from google.protobuf import text_format
 
-from paddlequay.config import Address, ConfigError, address
+from paddlequay.config.loader import Address, ConfigError, address
 from paddlequay.hierarchy.moves import MoveLimits
 from paddlequay.hierarchy.node import NodeLimits
 from paddlequay.hierarchy.shape import NAME, ShapeLimits
 from paddlequay.hierarchy.trail import Key, Keyring, TrailError
-from paddlequay.interface import Effect, Ramp, RequestClass
+from paddlequay.routing.interface import Effect, Ramp, RequestClass
 from paddlequay.schema import paddlequay_pb2 as schema
 
 FILE_MOST = 1024 * 1024
--- a/paddlequay/schema/sources.py
+++ b/paddlequay/schema/sources.py
@@ -8,7 +8,7 @@
 import dns.exception
 import dns.name
 
-from paddlequay.config import Address, ConfigError, address
+from paddlequay.config.loader import Address, ConfigError, address
 from paddlequay.discovery.membership import Limits, Rule
 from paddlequay.discovery.srv import Service
 from paddlequay.schema import paddlequay_pb2 as schema
--- a/paddlequay/simshare.py
+++ b/paddlequay/simshare.py
@@ -11,8 +11,8 @@
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.simwire import Post, SimWire
 from paddlequay.cluster.types import NEVER, Action, Fleet, Name, VerdictChanged
-from paddlequay.interface import Action as Asked
-from paddlequay.interface import AttemptEnded, Fetch, FleetWord
+from paddlequay.routing.interface import Action as Asked
+from paddlequay.routing.interface import AttemptEnded, Fetch, FleetWord
 from paddlequay.placement.homes import digest
 from paddlequay.policy import Router
 
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -11,8 +11,8 @@
 from paddlequay.cluster.outbox import Outbox
 from paddlequay.cluster.types import NEVER, Bounds, Fleet, Peer, Tell, Urgency
 from paddlequay.cluster.wire import Codec, Head, Wire
-from paddlequay.config import Address
-from paddlequay.counters import Counters
+from paddlequay.config.loader import Address
+from paddlequay.observability.counters import Counters
 from paddlequay.net.peers import Peers
 
 LONGEST = 20.0  # seconds until a condition that does not come is a failure
--- a/tests/cluster/test_placing.py
+++ b/tests/cluster/test_placing.py
@@ -7,20 +7,20 @@
 
 import pytest
 
-from paddlequay.asks import Ask, Timer
+from paddlequay.requests.messages import Ask, Timer
 from paddlequay.cluster.node import Node
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import Action, Fleet, TableChanged
-from paddlequay.config import ConfigError, Limits
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
-from paddlequay.interface import Effect, Member, Request, RequestClass, Settings, State
+from paddlequay.config.loader import ConfigError, Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import Effect, Member, Request, RequestClass, Settings, State
 from paddlequay.net.placing import Placing
-from paddlequay.operation import Operation
+from paddlequay.lifecycle.operator_state import Operation
 from paddlequay.placement.following import asked
 from paddlequay.policy import Router
-from paddlequay.records import Tier
-from paddlequay.shares import Shares
+from paddlequay.routing.state import Tier
+from paddlequay.requests.quotas import Shares
 
 CLASSES = (RequestClass("video", aim=0.5, deadline=2.0, effect=Effect.SAFE),)
 SETTINGS = Settings("here", CLASSES, parent_kind="parent", origin_kind="origin", siblings="any", routers=1)
--- a/tests/crossings/rig_caches.py
+++ b/tests/crossings/rig_caches.py
@@ -10,18 +10,18 @@
 from pathlib import Path
 from typing import Any
 
-from paddlequay.asks import Ask, Open, Reply
-from paddlequay.config import Limits
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
-from paddlequay.interface import Effect, Member, RequestClass, Settings, State
+from paddlequay.requests.messages import Ask, Open, Reply
+from paddlequay.config.loader import Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import Effect, Member, RequestClass, Settings, State
 from paddlequay.net.caches import Pool
 from paddlequay.net.connection import Connection
 from paddlequay.net.scheduler import LoopScheduler
-from paddlequay.operation import Operation
+from paddlequay.lifecycle.operator_state import Operation
 from paddlequay.policy import Router
 from paddlequay.protocol.bulletin import Listed
-from paddlequay.shares import Shares
+from paddlequay.requests.quotas import Shares
 
 WAIT = 5.0
 KINDS = (
--- a/tests/crossings/rig_clients.py
+++ b/tests/crossings/rig_clients.py
@@ -17,19 +17,19 @@
 
 from test_watch import KINDS, MEMBERS, Side
 
-from paddlequay.asks import Attempt, End
-from paddlequay.config import Limits
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
-from paddlequay.interface import Outcome, Settings
-from paddlequay.load import OwnLoad
+from paddlequay.requests.messages import Attempt, End
+from paddlequay.config.loader import Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import Outcome, Settings
+from paddlequay.lifecycle.overload import OwnLoad
 from paddlequay.net.clients import Front
 from paddlequay.net.scheduler import LoopScheduler
 from paddlequay.net.session import Session
-from paddlequay.operation import Operation
+from paddlequay.lifecycle.operator_state import Operation
 from paddlequay.policy import Router
 from paddlequay.protocol import msgpack
-from paddlequay.shares import Shares
+from paddlequay.requests.quotas import Shares
 
 WAIT = 5.0
 SETTINGS = Settings(zone="here", classes=KINDS, parent_kind="parent", origin_kind="origin", direct=True)
--- a/tests/crossings/rig_cold.py
+++ b/tests/crossings/rig_cold.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from paddlequay.interface import (
+from paddlequay.routing.interface import (
     Action,
     AttemptEnded,
     Cancel,
--- a/tests/crossings/rig_list.py
+++ b/tests/crossings/rig_list.py
@@ -6,8 +6,8 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any, cast
 
-from paddlequay.config import Limits
-from paddlequay.counters import Counters
+from paddlequay.config.loader import Limits
+from paddlequay.observability.counters import Counters
 from paddlequay.net.bulletin import Follower
 from paddlequay.protocol.bulletin import Roster
 
--- a/tests/crossings/rig_ready.py
+++ b/tests/crossings/rig_ready.py
@@ -11,7 +11,7 @@
 
 from rig_ready_pipe import Clock, Pipe
 
-from paddlequay.interface import (
+from paddlequay.routing.interface import (
     Action,
     AttemptEnded,
     Cancel,
--- a/tests/crossings/rig_repeats.py
+++ b/tests/crossings/rig_repeats.py
@@ -4,14 +4,14 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from paddlequay.asks import Ask, Attempt, End, Order, Reply, Timer
-from paddlequay.config import Limits
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
-from paddlequay.interface import Effect, Member, Outcome, RequestClass, Settings, State
-from paddlequay.operation import Operation
+from paddlequay.requests.messages import Ask, Attempt, End, Order, Reply, Timer
+from paddlequay.config.loader import Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import Effect, Member, Outcome, RequestClass, Settings, State
+from paddlequay.lifecycle.operator_state import Operation
 from paddlequay.policy import Router
-from paddlequay.shares import Shares
+from paddlequay.requests.quotas import Shares
 
 DEADLINE = 2.0
 
--- a/tests/crossings/rig_settings.py
+++ b/tests/crossings/rig_settings.py
@@ -8,7 +8,7 @@
 
 from harness import SETTINGS
 
-from paddlequay.config import Config, read_config
+from paddlequay.config.loader import Config, read_config
 
 CLASSES: list[dict[str, Any]] = [
     {"name": "hold", "aim": 0.3, "deadline": 1, "idempotency": "idempotency_key", "window": 0.3},
--- a/tests/crossings/test_background.py
+++ b/tests/crossings/test_background.py
@@ -12,8 +12,8 @@
 from rig_end import asked, reply, served
 from test_descriptors import full, lower
 
-from paddlequay.background import PAUSE_LEAST, Background
-from paddlequay.counters import Counters
+from paddlequay.lifecycle.background import PAUSE_LEAST, Background
+from paddlequay.observability.counters import Counters
 
 
 def test_what_ends_is_told_once_and_begun_again_after_pauses(caplog: pytest.LogCaptureFixture) -> None:
@@ -64,7 +64,7 @@
 
 
 BEATS = """
-from paddlequay.load import OwnLoad
+from paddlequay.lifecycle.overload import OwnLoad
 real, beats = OwnLoad.beat, []
 def beat(self, now, cpu):
     beats.append(now)
--- a/tests/crossings/test_cache_connect.py
+++ b/tests/crossings/test_cache_connect.py
@@ -11,8 +11,8 @@
 import pytest
 from rig_caches import Peer, Rig, came, play
 
-from paddlequay.asks import Attempt
-from paddlequay.interface import State
+from paddlequay.requests.messages import Attempt
+from paddlequay.routing.interface import State
 
 
 async def under_way(rig: Rig, name: str = "box") -> None:
--- a/tests/crossings/test_cache_idle.py
+++ b/tests/crossings/test_cache_idle.py
@@ -8,7 +8,7 @@
 import pytest
 from rig_caches import Rig, came, play
 
-from paddlequay.asks import Verdict
+from paddlequay.requests.messages import Verdict
 
 
 def reset(connection: socket.socket) -> None:
--- a/tests/crossings/test_cache_silence.py
+++ b/tests/crossings/test_cache_silence.py
@@ -9,9 +9,9 @@
 from harness import WAIT, platform, until
 from rig_caches import Rig, play
 
-from paddlequay.asks import Verdict
-from paddlequay.config import Limits
-from paddlequay.interface import Effect, RequestClass
+from paddlequay.requests.messages import Verdict
+from paddlequay.config.loader import Limits
+from paddlequay.routing.interface import Effect, RequestClass
 
 
 def silent_for(rig: Rig, time: float) -> None:
--- a/tests/crossings/test_cache_words.py
+++ b/tests/crossings/test_cache_words.py
@@ -5,7 +5,7 @@
 import pytest
 from rig_caches import Rig, came, play
 
-from paddlequay.asks import Verdict
+from paddlequay.requests.messages import Verdict
 
 SEEN = "4be0c1927d55a6f3"
 
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -4,8 +4,8 @@
 
 from test_watch import ask, made
 
-from paddlequay.asks import End, Reply
-from paddlequay.interface import Outcome
+from paddlequay.requests.messages import End, Reply
+from paddlequay.routing.interface import Outcome
 
 
 def test_no_further_attempt_begins_for_a_client_that_left_before_the_first_one_s_end(tmp_path: Path) -> None:
--- a/tests/crossings/test_clients_answers.py
+++ b/tests/crossings/test_clients_answers.py
@@ -6,8 +6,8 @@
 import pytest
 from rig_clients import Rig, answers, arrived, call, cancel, out, play, reset, turns, until
 
-from paddlequay.asks import End
-from paddlequay.interface import Outcome
+from paddlequay.requests.messages import End
+from paddlequay.routing.interface import Outcome
 from paddlequay.protocol import msgpack
 
 
--- a/tests/crossings/test_clients_closing.py
+++ b/tests/crossings/test_clients_closing.py
@@ -9,8 +9,8 @@
 import pytest
 from rig_clients import WAIT, Rig, answers, arrived, call, play, turns, until
 
-from paddlequay.net.door import FULL_PAUSE
-from paddlequay.operation import DRAIN
+from paddlequay.net.listener import FULL_PAUSE
+from paddlequay.lifecycle.operator_state import DRAIN
 from paddlequay.protocol import msgpack
 
 
--- a/tests/crossings/test_clients_leaving.py
+++ b/tests/crossings/test_clients_leaving.py
@@ -12,8 +12,8 @@
 from harness import until as until_
 from rig_clients import Rig, answers, arrived, call, cancel, ended, out, play, reset, turns, until
 
-from paddlequay.asks import End
-from paddlequay.interface import Outcome
+from paddlequay.requests.messages import End
+from paddlequay.routing.interface import Outcome
 from paddlequay.protocol import msgpack
 
 LONG = 0.02  # longer than a client seen to be there is taken to be there still
--- a/tests/crossings/test_cold_fleet.py
+++ b/tests/crossings/test_cold_fleet.py
@@ -12,7 +12,7 @@
 import pytest
 from rig_cold import Fleet, Site, over
 
-from paddlequay.interface import Ramp, State
+from paddlequay.routing.interface import Ramp, State
 
 # Drawn from what settings may name: a slow and a fast start, one to three seconds, with reports and without.
 SITES = {
--- a/tests/crossings/test_configuration.py
+++ b/tests/crossings/test_configuration.py
@@ -16,8 +16,8 @@
 from harness import ROOT, SETTINGS, platform
 from rig_settings import CLASSES, FULL, SPOILT, WHOLE, changed, read
 
-from paddlequay.config import Config, ConfigError, Limits
-from paddlequay.interface import (
+from paddlequay.config.loader import Config, ConfigError, Limits
+from paddlequay.routing.interface import (
     AttemptEnded,
     Fail,
     Fetch,
--- a/tests/crossings/test_ending.py
+++ b/tests/crossings/test_ending.py
@@ -14,9 +14,9 @@
 from harness import WAIT, Client, Party, Platform, platform, until
 from rig_end import Restless, call, rows, served, short
 
-from paddlequay.config import limits_from
-from paddlequay.ending import end
-from paddlequay.settings import settings_from
+from paddlequay.config.loader import limits_from
+from paddlequay.programs.shutdown import end
+from paddlequay.config.settings import settings_from
 
 
 def serve(box: Party, sent_on: set[int]) -> None:
@@ -29,7 +29,7 @@
 
 GATE = """
 import time
-from paddlequay.exchange import Exchange
+from paddlequay.requests.exchange import Exchange
 real = Exchange.surrender
 def surrender(self):
     real(self)
--- a/tests/crossings/test_limits_told.py
+++ b/tests/crossings/test_limits_told.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 from rig_settings import FULL
 
-from paddlequay import config as told
-from paddlequay import ending
-from paddlequay.config import ConfigError, Limits, end_times, limits_from
-from paddlequay.settings import settings_from
+from paddlequay.config import loader as told
+from paddlequay.programs import shutdown as ending
+from paddlequay.config.loader import ConfigError, Limits, end_times, limits_from
+from paddlequay.config.settings import settings_from
 
 
 @settings(deadline=None, derandomize=True)
--- a/tests/crossings/test_list_members.py
+++ b/tests/crossings/test_list_members.py
@@ -10,11 +10,11 @@
 from rig_list import entry, roster
 from test_watch import made
 
-from paddlequay.counters import Counters
+from paddlequay.observability.counters import Counters
 from paddlequay.discovery.membership import Limits, Rule
 from paddlequay.discovery.resolver import Send
-from paddlequay.exchange import Exchange
-from paddlequay.interface import State
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import State
 from paddlequay.net import dns
 from paddlequay.net.bulletin import Follower
 from paddlequay.net.caches import Pool
--- a/tests/crossings/test_log_lines.py
+++ b/tests/crossings/test_log_lines.py
@@ -6,7 +6,7 @@
 import pytest
 from harness import platform
 
-from paddlequay.log import VALUE_MOST, KeyValueFormatter, quoted
+from paddlequay.observability.log import VALUE_MOST, KeyValueFormatter, quoted
 
 
 @pytest.mark.parametrize(
--- a/tests/crossings/test_own_failures.py
+++ b/tests/crossings/test_own_failures.py
@@ -5,8 +5,8 @@
 import pytest
 from rig_repeats import FEE, PAGE, Rig, entry
 
-from paddlequay.asks import Ask, Attempt, End, Reply, Verdict
-from paddlequay.interface import Action, Event, MembersChanged, Outcome, State
+from paddlequay.requests.messages import Ask, Attempt, End, Reply, Verdict
+from paddlequay.routing.interface import Action, Event, MembersChanged, Outcome, State
 
 
 class NobodyExpectsError(Exception):
--- a/tests/crossings/test_purges.py
+++ b/tests/crossings/test_purges.py
@@ -5,15 +5,15 @@
 import pytest
 from test_watch import Clock, Side
 
-from paddlequay.asks import Ask, Order
-from paddlequay.bounds import PURGES_MOST
-from paddlequay.config import Limits
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
-from paddlequay.interface import Effect, Member, RequestClass, Settings
-from paddlequay.operation import Operation
+from paddlequay.requests.messages import Ask, Order
+from paddlequay.requests.write_checks import PURGES_MOST
+from paddlequay.config.loader import Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import Effect, Member, RequestClass, Settings
+from paddlequay.lifecycle.operator_state import Operation
 from paddlequay.policy import Router
-from paddlequay.shares import Shares
+from paddlequay.requests.quotas import Shares
 
 KINDS = (
     RequestClass("video", aim=0.5, deadline=2.0, effect=Effect.SAFE),
--- a/tests/crossings/test_ready.py
+++ b/tests/crossings/test_ready.py
@@ -14,7 +14,7 @@
 import pytest
 from harness import ROOT, Client, platform
 
-from paddlequay.config import Limits
+from paddlequay.config.loader import Limits
 from paddlequay.lab.plaza import free_port
 from paddlequay.protocol import msgpack
 
@@ -219,7 +219,7 @@
 
 
 def test_routing_loads_nothing_that_only_other_modes_use() -> None:
-    told = "import sys, paddlequay.program; print(*sys.modules)"
+    told = "import sys, paddlequay.programs.router; print(*sys.modules)"
     out = subprocess.run([sys.executable, "-c", told], cwd=ROOT, capture_output=True, text=True, check=True)
     loaded = out.stdout.split()
     assert "paddlequay.net.clients" in loaded  # all that routing needs is among it
--- a/tests/crossings/test_repeats.py
+++ b/tests/crossings/test_repeats.py
@@ -5,8 +5,8 @@
 import pytest
 from rig_repeats import FEE, PAGE, Rig, entry, keyed
 
-from paddlequay.asks import Attempt, Verdict
-from paddlequay.interface import Member, Outcome, State
+from paddlequay.requests.messages import Attempt, Verdict
+from paddlequay.routing.interface import Member, Outcome, State
 
 
 def lost(rig: Rig, kind: str = "hold") -> Attempt:
--- a/tests/crossings/test_repeats_properties.py
+++ b/tests/crossings/test_repeats_properties.py
@@ -11,9 +11,9 @@
 import pytest
 from rig_repeats import DEADLINE, MEMBERS, Rig, Write, entry
 
-from paddlequay.asks import Attempt, Verdict
-from paddlequay.interface import Effect, Member, Outcome, RequestClass, State
-from paddlequay.operation import OUT
+from paddlequay.requests.messages import Attempt, Verdict
+from paddlequay.routing.interface import Effect, Member, Outcome, RequestClass, State
+from paddlequay.lifecycle.operator_state import OUT
 
 NEVER_RAN = {Outcome.REFUSED, Outcome.MISS, Outcome.NOT_SENT}  # what an answer proves: SHED, NONE and LATE
 ANSWERS = (Outcome.SERVED, Outcome.ERROR, Outcome.RESET, Outcome.REFUSED, Outcome.MISS, Outcome.NOT_SENT)
--- a/tests/crossings/test_sizes.py
+++ b/tests/crossings/test_sizes.py
@@ -14,12 +14,12 @@
 from hypothesis import strategies as st
 from rig_ready import Asked, Kind, World
 
-from paddlequay.fleet.link import dear
-from paddlequay.interface import AttemptEnded, Effect, Fetch, MembersChanged, Outcome, Request, RequestClass
+from paddlequay.routing.link_load import dear
+from paddlequay.routing.interface import AttemptEnded, Effect, Fetch, MembersChanged, Outcome, Request, RequestClass
 from paddlequay.policy import Router
 from paddlequay.policy.attempts import Attempts
 from paddlequay.policy.beliefs import Beliefs
-from paddlequay.records import Attempt, Open, Seen, Server, Tier
+from paddlequay.routing.state import Attempt, Open, Seen, Server, Tier
 
 FILM = RequestClass("film", 0.6, 6.0, Effect.SAFE, worth=2.0, aim_stretch=2.0, fresh=0.0)
 PAGE = RequestClass("page", 0.25, 2.5, Effect.SAFE, worth=1.0, aim_stretch=2.0, fresh=8.0, grace=20.0)
--- a/tests/crossings/test_time_out.py
+++ b/tests/crossings/test_time_out.py
@@ -5,9 +5,9 @@
 import pytest
 from rig_repeats import FEE, PAGE, Rig
 
-from paddlequay.asks import Attempt, End, Verdict
-from paddlequay.exchange import LOOK_FIRST
-from paddlequay.interface import Outcome, RequestClass
+from paddlequay.requests.messages import Attempt, End, Verdict
+from paddlequay.requests.exchange import LOOK_FIRST
+from paddlequay.routing.interface import Outcome, RequestClass
 
 
 def at_its_time(rig: Rig, kind: RequestClass) -> Attempt:
--- a/tests/crossings/test_twin_crossing.py
+++ b/tests/crossings/test_twin_crossing.py
@@ -8,11 +8,11 @@
 from harness import WAIT, platform
 from rig_end import asked, reply, served
 
-from paddlequay.config import Limits
-from paddlequay.counters import Counters
-from paddlequay.net.twin import Twin
-from paddlequay.operation import Operation
-from paddlequay.shares import Shares
+from paddlequay.config.loader import Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.net.hot_restart import Twin
+from paddlequay.lifecycle.operator_state import Operation
+from paddlequay.requests.quotas import Shares
 
 
 def made(folder: Path) -> Twin:
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,6 +1,6 @@
 """A router driven by scripted events: its list, its classes, and short ways to say what happens."""
 
-from paddlequay.interface import (
+from paddlequay.routing.interface import (
     Action,
     AttemptEnded,
     Effect,
--- a/tests/golden/golden_samples.py
+++ b/tests/golden/golden_samples.py
@@ -16,20 +16,21 @@
 from driver import EVERYBODY, settings
 from test_adapter import batch, provision, query
 
-from paddlequay.asks import Order, Reply, Stamp, Verdict
+from paddlequay.requests.messages import Order, Reply, Stamp, Verdict
 from paddlequay.cluster.notes import NOTES, Note
 from paddlequay.cluster.wire import Codec, Head
 from paddlequay.discovery.membership import Box, Membership, Rule
 from paddlequay.hierarchy.moves import MoveLimits, Moves
 from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, delta_data, next_shape, whole
-from paddlequay.interface import AttemptEnded, Fetch, MembersChanged, Outcome, Request, State
-from paddlequay.interface import Note as AnswerNote
+from paddlequay.routing.interface import AttemptEnded, Fetch, MembersChanged, Outcome, Request, State
+from paddlequay.routing.interface import Note as AnswerNote
 from paddlequay.net.cache_words import order_fields
 from paddlequay.net.client_words import write_reply
-from paddlequay.operation import Mark, Operation
+from paddlequay.lifecycle.operator_state import Mark, Operation
 from paddlequay.policy import Router
-from paddlequay.protocol import caches, clients, console, twin
-from paddlequay.shares import Held
+from paddlequay.protocol import caches, clients, console
+from paddlequay.protocol import hot_restart as twin
+from paddlequay.requests.quotas import Held
 from paddlequay.store.record import encode
 
 ROOT = Path(__file__).parent.parent.parent
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -10,10 +10,10 @@
 from paddlequay.discovery.membership import Membership, Rule
 from paddlequay.hierarchy.moves import MoveLimits, Moves
 from paddlequay.hierarchy.shape import Shape, ShapeLimits, delta_data, next_shape, read_delta, whole
-from paddlequay.interface import Inherited, MembersChanged
-from paddlequay.operation import Operation
+from paddlequay.routing.interface import Inherited, MembersChanged
+from paddlequay.lifecycle.operator_state import Operation
 from paddlequay.policy import Router
-from paddlequay.protocol import twin
+from paddlequay.protocol import hot_restart as twin
 from paddlequay.store.record import RecordError, decode
 
 
--- a/tests/placement/test_following.py
+++ b/tests/placement/test_following.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from paddlequay.interface import Member, Request
+from paddlequay.routing.interface import Member, Request
 from paddlequay.placement.checks import read_rules
 from paddlequay.placement.compile import compile_rules
 from paddlequay.placement.following import SHEETS_MOST, Asked, Following, asked
--- a/tests/placement/test_rules_compile.py
+++ b/tests/placement/test_rules_compile.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from paddlequay.config import ConfigError
-from paddlequay.interface import Member
+from paddlequay.config.loader import ConfigError
+from paddlequay.routing.interface import Member
 from paddlequay.placement import compile as compiler
 from paddlequay.placement.checks import read_rules
 from paddlequay.placement.compile import compile_rules
--- a/tests/placement/test_table.py
+++ b/tests/placement/test_table.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from paddlequay.interface import Member
+from paddlequay.routing.interface import Member
 from paddlequay.placement import table as tables
 from paddlequay.placement.checks import read_rules
 from paddlequay.placement.compile import compile_rules
--- a/tests/test_channel_front.py
+++ b/tests/test_channel_front.py
@@ -7,14 +7,14 @@
 import pytest
 from test_watch import Looker, Side, ask, made
 
-from paddlequay.asks import Attempt, End, Open, Reply, Stamp
+from paddlequay.requests.messages import Attempt, End, Open, Reply, Stamp
 from paddlequay.cluster.ahead import channel_of
 from paddlequay.cluster.channels import Channels
 from paddlequay.cluster.notes import Carried, Ready
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import Action, Bounds, Fleet, Peer, Tell
-from paddlequay.exchange import Exchange
-from paddlequay.interface import Note, Outcome
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import Note, Outcome
 from paddlequay.net.cache_words import order_fields
 from paddlequay.net.channels import ChannelFront
 from paddlequay.placement.homes import digest
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from paddlequay.fleet.cold import PACE, USED_LEAST, WHOLE, Bucket, Cold
-from paddlequay.interface import Ramp
+from paddlequay.routing.slow_start import PACE, USED_LEAST, WHOLE, Bucket, Cold
+from paddlequay.routing.interface import Ramp
 
 RAMP = Ramp(start=0.17, warm_after=15.0, multiple=2.5, window=2.0)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from paddlequay.interface import (
+from paddlequay.routing.interface import (
     AttemptEnded,
     ClientGone,
     Effect,
@@ -22,8 +22,8 @@
 from paddlequay.policy import Router
 from paddlequay.policy.health import SKIP_FAILURES, TRIAL_DELAY_S
 from paddlequay.policy.limits import LIMIT_CHANCE, LIMIT_START, REPORT_AGE_S
-from paddlequay.records import Tier
-from paddlequay.tables import OBJECT_AGE_S
+from paddlequay.routing.state import Tier
+from paddlequay.routing.history import OBJECT_AGE_S
 
 PAGES = RequestClass("pages", 0.3, 2.5, Effect.SAFE, aim_stretch=2.0, fresh=8.0, grace=30.0)
 WORK = 0.15  # as the module takes it to be before it has seen a size: each request costs 1
--- a/tests/test_leaves.py
+++ b/tests/test_leaves.py
@@ -5,12 +5,12 @@
 import pytest
 from test_watch import ask, made
 
-from paddlequay.asks import Attempt, End, Open
+from paddlequay.requests.messages import Attempt, End, Open
 from paddlequay.cluster.limits import Limits
 from paddlequay.cluster.settings import By, ClusterSettings, LimitRule, Mode
 from paddlequay.cluster.types import Bounds, Fleet
-from paddlequay.exchange import Exchange
-from paddlequay.interface import Note, Outcome
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import Note, Outcome
 from paddlequay.net.leaves import LEAVE_S, OUT_PAUSE, Leaves
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -7,10 +7,10 @@
 from harness import SETTINGS
 from test_policy_sizes import FITS, SIZED_PARENTS, sized
 
-from paddlequay.fleet.link import PAST_SPAN, SPAN, Link
-from paddlequay.interface import Fetch, Member, Outcome, Refuse, State
-from paddlequay.records import Tier
-from paddlequay.settings import settings_from
+from paddlequay.routing.link_load import PAST_SPAN, SPAN, Link
+from paddlequay.routing.interface import Fetch, Member, Outcome, Refuse, State
+from paddlequay.routing.state import Tier
+from paddlequay.config.settings import settings_from
 
 
 @pytest.mark.parametrize(("told", "fits"), [(8000.0, 4.0), (0.0, None), (None, None)])
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from paddlequay.config import Limits
-from paddlequay.load import OwnLoad
+from paddlequay.config.loader import Limits
+from paddlequay.lifecycle.overload import OwnLoad
 
 
 def test_a_full_core_sheds_more_at_each_beat_and_a_free_one_less_until_none() -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from paddlequay.discovery.membership import Box, Change, Limits, Membership, Rule, TooManyError
-from paddlequay.interface import State
+from paddlequay.routing.interface import State
 
 READY, DRAINING, GONE = State.READY, State.DRAINING, State.GONE
 RULES = (Rule("list", keep=60.0, silent=5.0), Rule("dns", keep=60.0, silent=5.0))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -12,7 +12,7 @@
 from paddlequay.hierarchy.node import Node as Tier
 from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, next_shape
 from paddlequay.hierarchy.trail import HOPS_MOST, TEXT_MOST, Key, Keyring, Trail, TrailError
-from paddlequay.interface import Note
+from paddlequay.routing.interface import Note
 from paddlequay.lab.search import first, random_run, small_worlds
 from paddlequay.lab.world import World
 
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -13,14 +13,14 @@
 import pytest
 from harness import WAIT, Client, Party, Platform, platform, told, until
 
-from paddlequay.config import Limits
-from paddlequay.counters import Counters
-from paddlequay.net.twin import Twin
-from paddlequay.operation import Mark, Operation
-from paddlequay.protocol import twin
+from paddlequay.config.loader import Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.net.hot_restart import Twin
+from paddlequay.lifecycle.operator_state import Mark, Operation
+from paddlequay.protocol import hot_restart as twin
 from paddlequay.protocol.console import Call, MalformedError, Reader
 from paddlequay.protocol.msgpack import pack
-from paddlequay.shares import Held, Shares
+from paddlequay.requests.quotas import Held, Shares
 
 
 @pytest.fixture
--- a/tests/test_origin.py
+++ b/tests/test_origin.py
@@ -3,9 +3,9 @@
 import pytest
 from driver import EDGES, ORIGIN, PARENTS, Driver
 
-from paddlequay.fleet.origin import MEMORY_S, SPAN, Waits
-from paddlequay.fleet.room import FRESH_S
-from paddlequay.interface import AttemptEnded, ClientGone, Fetch, Note, Outcome, Refuse
+from paddlequay.routing.origin_load import MEMORY_S, SPAN, Waits
+from paddlequay.routing.zone_load import FRESH_S
+from paddlequay.routing.interface import AttemptEnded, ClientGone, Fetch, Note, Outcome, Refuse
 
 
 def fill(driver: Driver, key: int, waited: float, note: Note = Note.FILLED_FROM_ORIGIN) -> Fetch:
--- a/tests/test_policy_attempts.py
+++ b/tests/test_policy_attempts.py
@@ -3,9 +3,9 @@
 import pytest
 from driver import Driver, fetches
 
-from paddlequay.interface import ClientGone, Fail, Fetch, Note, Outcome, Purged, Refuse
+from paddlequay.routing.interface import ClientGone, Fail, Fetch, Note, Outcome, Purged, Refuse
 from paddlequay.policy.attempts import BUDGET_RESERVE, BUDGET_SHARE
-from paddlequay.tables import PURGES_MOST
+from paddlequay.routing.history import PURGES_MOST
 
 
 def test_what_a_lost_connection_ended_is_sent_once_more_beyond_the_budget() -> None:
--- a/tests/test_policy_health.py
+++ b/tests/test_policy_health.py
@@ -3,7 +3,7 @@
 import pytest
 from driver import Driver, fetches
 
-from paddlequay.interface import Action, AttemptEnded, Cancel, FleetWord, Note, Outcome, Refuse
+from paddlequay.routing.interface import Action, AttemptEnded, Cancel, FleetWord, Note, Outcome, Refuse
 from paddlequay.policy.health import ALIVE_S, SAME_FAULT_S, SKIP_FAILURES, TRIAL_DELAY_S
 
 
--- a/tests/test_policy_ladder.py
+++ b/tests/test_policy_ladder.py
@@ -2,7 +2,7 @@
 
 from driver import EDGES, ORIGIN, PARENTS, Driver, fetches
 
-from paddlequay.interface import Fetch, Member, Note, Outcome, Refuse, State
+from paddlequay.routing.interface import Fetch, Member, Note, Outcome, Refuse, State
 from paddlequay.policy.hotness import HOT_WINDOW_S, RANK_LOW, RANK_TOP
 
 
--- a/tests/test_policy_limits.py
+++ b/tests/test_policy_limits.py
@@ -3,7 +3,7 @@
 import pytest
 from driver import EDGES, ORIGIN, Driver, fetches
 
-from paddlequay.interface import AttemptEnded, Fail, Note, Outcome, Refuse
+from paddlequay.routing.interface import AttemptEnded, Fail, Note, Outcome, Refuse
 
 
 @pytest.mark.parametrize("routers_here", [1, 200])
--- a/tests/test_policy_members.py
+++ b/tests/test_policy_members.py
@@ -5,7 +5,7 @@
 import pytest
 from driver import EDGES, ORIGIN, PARENTS, Driver, fetches, settings
 
-from paddlequay.interface import (
+from paddlequay.routing.interface import (
     AttemptEnded,
     ClientGone,
     Effect,
@@ -23,7 +23,7 @@
 )
 from paddlequay.policy import Router
 from paddlequay.policy.health import SAME_FAULT_S, SKIP_FAILURES
-from paddlequay.records import Tier
+from paddlequay.routing.state import Tier
 
 
 def test_a_draining_or_gone_member_is_neither_target_nor_source() -> None:
--- a/tests/test_policy_sizes.py
+++ b/tests/test_policy_sizes.py
@@ -6,9 +6,9 @@
 import pytest
 from driver import EDGES, EVERYBODY, ORIGIN, PARENTS, Driver
 
-from paddlequay.interface import AttemptEnded, Fetch, Member, Outcome, State
+from paddlequay.routing.interface import AttemptEnded, Fetch, Member, Outcome, State
 from paddlequay.policy.limits import FITS_LEAST, LIMIT_GROWTH, LIMIT_LEAST, LIMIT_MOST, LIMIT_START
-from paddlequay.records import Tier
+from paddlequay.routing.state import Tier
 
 FITS = 4.0
 SIZED_EDGES = tuple(Member(each.name, "here", "cache", 0, State.READY, FITS) for each in EDGES)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from paddlequay.interface import (
+from paddlequay.routing.interface import (
     Action,
     AttemptEnded,
     Cancel,
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from paddlequay.counters import Counters
+from paddlequay.observability.counters import Counters
 from paddlequay.discovery.answers import Meaning, Question, mixed, query, read
 from paddlequay.discovery.resolver import Known, Limits, Resolver, Send
 from paddlequay.discovery.srv import Follower, Service, TierLimits, box_id
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -10,10 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from paddlequay.fleet.room import EDGE_SPAN, FITS, FRESH_S, LEAN, LINK_SPAN, Room, past
-from paddlequay.interface import AttemptEnded, Fetch, Note, Outcome, Refuse
+from paddlequay.routing.zone_load import EDGE_SPAN, FITS, FRESH_S, LEAN, LINK_SPAN, Room, past
+from paddlequay.routing.interface import AttemptEnded, Fetch, Note, Outcome, Refuse
 from paddlequay.placement.homes import Homes, digest
-from paddlequay.records import Tier
+from paddlequay.routing.state import Tier
 
 IDLE = {"active": 2.0, "cpu": 0.2, "x1": 0.3}
 FULL_LINK = IDLE | {"x1": 2 * LINK_SPAN[1]}
--- a/tests/test_settings_drawn.py
+++ b/tests/test_settings_drawn.py
@@ -5,8 +5,8 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from paddlequay import interface as say
-from paddlequay.interface import Effect, Fetch, Member, Note, Outcome, Ramp, Refuse, State
+from paddlequay.routing import interface as say
+from paddlequay.routing.interface import Effect, Fetch, Member, Note, Outcome, Ramp, Refuse, State
 from paddlequay.policy import Router
 
 LEFT = 2.0
--- a/tests/test_settings_given.py
+++ b/tests/test_settings_given.py
@@ -5,7 +5,7 @@
 import pytest
 from driver import EDGES, KEYED, ORIGIN, SAFE, UNSAFE, Driver, fetches
 
-from paddlequay.interface import AttemptEnded, Member, Note, Outcome, State
+from paddlequay.routing.interface import AttemptEnded, Member, Note, Outcome, State
 
 ALLOWED = [("any", True), ("location", True), ("off", False), (None, False)]
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -20,7 +20,7 @@
     read_delta,
     whole,
 )
-from paddlequay.interface import State
+from paddlequay.routing.interface import State
 
 LIMITS = ShapeLimits()
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from paddlequay.fleet.silence import MEMORY, Pace, Waits
+from paddlequay.routing.failure_detector import MEMORY, Pace, Waits
 
 
 def test_few_large_requests_without_an_answer_are_no_silence_and_many_small_ones_are() -> None:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from paddlequay.asks import Ask, Attempt, End, Open, Reply, Timer, Verdict
-from paddlequay.config import Limits
-from paddlequay.counters import Counters
-from paddlequay.exchange import Exchange
-from paddlequay.interface import Effect, Member, Note, Outcome, RequestClass, Settings
-from paddlequay.operation import Operation
+from paddlequay.requests.messages import Ask, Attempt, End, Open, Reply, Timer, Verdict
+from paddlequay.config.loader import Limits
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import Effect, Member, Note, Outcome, RequestClass, Settings
+from paddlequay.lifecycle.operator_state import Operation
 from paddlequay.policy import Router
-from paddlequay.shares import Shares
+from paddlequay.requests.quotas import Shares
 
 KINDS = (
     RequestClass("video", aim=0.5, deadline=2.0, effect=Effect.SAFE),
--- a/tests/tier/test_terms.py
+++ b/tests/tier/test_terms.py
@@ -6,7 +6,7 @@
 from paddlequay.hierarchy.moves import MoveLimits
 from paddlequay.hierarchy.node import Answer, Fill, Node, NodeLimits, Want, Word
 from paddlequay.hierarchy.terms import Terms
-from paddlequay.interface import Effect, HeldBy, Note, RequestClass, Settings
+from paddlequay.routing.interface import Effect, HeldBy, Note, RequestClass, Settings
 from paddlequay.net.cache_words import read_end
 from paddlequay.net.tier import FieldError, read_channel
 from paddlequay.policy import Router
--- a/tests/tier/test_tier.py
+++ b/tests/tier/test_tier.py
@@ -248,7 +248,7 @@
 
 def test_the_router_loads_none_of_what_it_does_not_use() -> None:
     code = (
-        "import sys, paddlequay.__main__, paddlequay.program; "
+        "import sys, paddlequay.__main__, paddlequay.programs.router; "
         "print([m for m in ('click', 'google', 'numpy', 'matplotlib', 'structlog', 'hdrh', 'paddlequay.lab', "
         "'paddlequay.cli', 'paddlequay.schema', 'paddlequay.hierarchy.node') if m in sys.modules])"
     )
