--- a/paddlequay/__main__.py
+++ b/paddlequay/__main__.py
@@ -23,9 +23,10 @@
     # Tornado reads all of the system's certificates as it loads, a quarter of a start; there is no TLS here.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
     os.environ.setdefault("SSL_CERT_DIR", os.devnull)
-    from paddlequay.programs.router import route  # only now: loading takes time, in which signals come as well
+    # Only now: loading takes time, in which signals come as well.
+    from paddlequay.programs.router import run_router
 
-    return route()
+    return run_router()
 
 
 if __name__ == "__main__":
--- a/paddlequay/adapter.py
+++ b/paddlequay/adapter.py
@@ -8,50 +8,50 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, TextIO, TypeVar
 
+from paddlequay.config.settings import SettingsError, parse_settings
+from paddlequay.policy import Router
 from paddlequay.routing.interface import (
     Action,
     AttemptEnded,
     Cancel,
-    ClientGone,
+    ClientDisconnected,
     Event,
     Fail,
     Fetch,
-    Log,
+    LogMessage,
     Member,
     MembersChanged,
-    Note,
+    MemberState,
     Outcome,
     Purged,
-    Refuse,
+    Reject,
+    ReplyDetail,
     Request,
+    ResponseStarted,
+    RoutingSettings,
     SetTimer,
-    Settings,
-    Started,
-    State,
     Subscribe,
-    TimerDue,
+    TimerFired,
 )
-from paddlequay.policy import Router
-from paddlequay.config.settings import SettingsError, settings_from
 
 if TYPE_CHECKING:
     from paddlequay.simshare import SimShare
 
 T = TypeVar("T")
 CLUSTER = "cluster"  # the nonce of a cluster's alarms
-STATES = {"IN": State.READY, "LAME": State.DRAINING, "OUT": State.GONE}
+STATES = {"IN": MemberState.READY, "LAME": MemberState.DRAINING, "OUT": MemberState.REMOVED}
 OUTCOMES = {
     "served": Outcome.SERVED,
     "server_error": Outcome.ERROR,
-    "turned_away": Outcome.REFUSED,
+    "turned_away": Outcome.REJECTED,
     "no_answer": Outcome.TIMEOUT,
-    "no_connection": Outcome.UNREACHED,
+    "no_connection": Outcome.CONNECT_FAILED,
     "connection_lost": Outcome.RESET,
     "called_off": Outcome.CANCELLED,
     "not_sent": Outcome.NOT_SENT,
     "not_stored": Outcome.MISS,
 }
-NOTES = {str(note.value): note for note in Note}
+NOTES = {str(note.value): note for note in ReplyDetail}
 MODES = {  # (complete list, failed call)
     "update": (False, False),
     "replace": (True, False),
@@ -67,10 +67,10 @@
     router: str | None = None
 
 
-def read_settings(text: str) -> Settings:
+def read_settings(text: str) -> RoutingSettings:
     """The JSON object of `provision`."""
     try:
-        return settings_from(json.loads(text))
+        return parse_settings(json.loads(text))
     except json.JSONDecodeError as error:
         raise WireError(f"settings: expected a JSON object: {error}") from None
     except SettingsError as error:
@@ -139,7 +139,7 @@
 }
 
 
-def read_note(text: str) -> Note | None:
+def read_note(text: str) -> ReplyDetail | None:
     """0 and figures not known are no note."""
     int(text)
     return NOTES.get(text)
@@ -168,7 +168,7 @@
             return Request(
                 id=fields.need("rid", str),
                 class_name=fields.need("grade", str),
-                left=fields.need("timeBudget", number),
+                time_left=fields.need("timeBudget", number),
                 key=fields.maybe("item", int),
                 part=fields.maybe("piece", int),
                 group=fields.maybe("purgeGroup", int),
@@ -178,7 +178,7 @@
                 write=fields.maybe("update", flag),
             )
         case "head_received":
-            return Started(fields.need("rid", str), fields.need("try", int))
+            return ResponseStarted(fields.need("rid", str), fields.need("try", int))
         case "returned":
             return AttemptEnded(
                 request=fields.need("rid", str),
@@ -187,16 +187,16 @@
                 outcome=fields.need("result", OUTCOMES.__getitem__),
                 latency=fields.need("delaySeen", number),
                 final=bool(fields.maybe("last", flag)),
-                note=fields.maybe("info", read_note),
-                waited=fields.maybe("fillWait", number),
-                load=fields.maybe("feedback", load) or (),
+                detail=fields.maybe("info", read_note),
+                source_wait=fields.maybe("fillWait", number),
+                load_report=fields.maybe("feedback", load) or (),
             )
         case "withdrawn":
-            return ClientGone(fields.need("rid", str))
+            return ClientDisconnected(fields.need("rid", str))
         case "invalidated":
             return Purged(fields.need("age", number), fields.maybe("group", int), fields.maybe("item", int))
         case "alarm":
-            return TimerDue(fields.need("nonce", str))
+            return TimerFired(fields.need("nonce", str))
     return None
 
 
@@ -209,28 +209,28 @@
 
     match action:
         case Fetch():
-            bits = action.join + 2 * action.only_held + 8 * action.renew
+            bits = action.coalesce + 2 * action.only_if_cached + 8 * action.refresh
             return line(
                 "obtain",
                 rid=action.request,
                 cache=action.target,
                 feeder=action.source,
-                storeAs=action.keep,
+                storeAs=action.retention,
                 maxWait=action.timeout,
                 age=action.max_age,
                 opts=bits,
             )
         case Cancel():
             return line("revoke", rid=action.request, **{"try": action.attempt})
-        case Refuse():
-            return line("overload_reply", rid=action.request, retryIn=action.retry_in)
+        case Reject():
+            return line("overload_reply", rid=action.request, retryIn=action.retry_after)
         case Fail():
             return line("lose", rid=action.request)
         case SetTimer():
             return line("wake_at", offset=action.delay, nonce=action.token)
         case Subscribe():
             return line("follow", on=1)
-        case Log():
+        case LogMessage():
             return line("log", text=action.text)
 
 
@@ -317,9 +317,9 @@
             if isinstance(event, AttemptEnded):
                 events += share.ended(event, now)
             for act in actions:
-                if isinstance(act, Refuse | Fail):
+                if isinstance(act, Reject | Fail):
                     share.over(act.request)
-            if isinstance(event, ClientGone):
+            if isinstance(event, ClientDisconnected):
                 share.over(event.request)
         return reply + sent(router, share, now)
 
--- a/paddlequay/cli/discovery.py
+++ b/paddlequay/cli/discovery.py
@@ -32,10 +32,10 @@
     import dns.exception
     import dns.name
 
-    from paddlequay.observability.counters import Counters
     from paddlequay.discovery.resolver import Kind, Known, Resolver
     from paddlequay.discovery.srv import Follower, Service
     from paddlequay.net.dns import Driver
+    from paddlequay.observability.counters import Counters
 
     try:
         service = Follower(Service(dns.name.from_text(name), "box"))
--- a/paddlequay/cli/main.py
+++ b/paddlequay/cli/main.py
@@ -9,7 +9,7 @@
 
 from paddlequay.cli.discovery import discovery
 from paddlequay.cli.lab import lab
-from paddlequay.config.loader import ConfigError
+from paddlequay.errors import ConfigError
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
@@ -61,8 +61,8 @@
 @click.argument("file", type=click.Path(path_type=Path))
 def tier(file: Path) -> None:
     """Run a node in the middle of the hierarchy with the settings in FILE."""
-    from paddlequay.programs import tier as program
     from paddlequay.cli import logs
+    from paddlequay.programs import tier as program
 
     logs.set_up()
     gc.set_threshold(20_000, 20, 50)
--- a/paddlequay/cluster/evidence.py
+++ b/paddlequay/cluster/evidence.py
@@ -5,13 +5,15 @@
 """
 
 from paddlequay.cluster.types import Trouble
-from paddlequay.routing.interface import Fetch, Note, Outcome
+from paddlequay.routing.interface import Fetch, Outcome, ReplyDetail
 
-FILLS = (Note.FILLED, Note.FILLED_FROM_ORIGIN)
+FILLS = (ReplyDetail.FILLED, ReplyDetail.FILLED_FROM_ORIGIN)
 Found = tuple[str, bool, Trouble | None]  # a member, whether it has served, and what is wrong with it
 
 
-def found(fetch: Fetch, outcome: Outcome, note: Note | None, silent: bool, origin: str | None) -> list[Found]:
+def found(
+    fetch: Fetch, outcome: Outcome, note: ReplyDetail | None, silent: bool, origin: str | None
+) -> list[Found]:
     """What an attempt's end shows of its target, its source and the origin behind that one."""
     target, source = fetch.target, fetch.source
     fills = source != target
@@ -19,18 +21,18 @@
         shown: list[Found] = [(target, True, None)]
         if fills and note in FILLS:
             shown.append((source, True, None))
-        if note is Note.FILLED_FROM_ORIGIN and origin is not None and origin != source:
+        if note is ReplyDetail.FILLED_FROM_ORIGIN and origin is not None and origin != source:
             shown.append((origin, True, None))
         return shown
-    if note is Note.ORIGIN_FAILED:
+    if note is ReplyDetail.ORIGIN_FAILED:
         return [(origin, False, Trouble.FAILING)] if origin is not None else []
-    if note is Note.SOURCE_UNREACHED and fills:
+    if note is ReplyDetail.SOURCE_UNREACHABLE and fills:
         return [(target, True, None), (source, False, Trouble.SILENT)]
-    if note is Note.SOURCE_REFUSED and fills:
+    if note is ReplyDetail.SOURCE_REJECTED and fills:
         return [(target, True, None), (source, True, Trouble.FULL)]
     if outcome is Outcome.MISS:
         return [(target, True, None)]
-    if outcome is Outcome.UNREACHED or silent:
+    if outcome is Outcome.CONNECT_FAILED or silent:
         return [(target, False, Trouble.SILENT)]
     if outcome is Outcome.RESET:
         return [(target, False, Trouble.FAILING)]
--- a/paddlequay/config/settings.py
+++ b/paddlequay/config/settings.py
@@ -2,17 +2,21 @@
 
 from typing import Any, TypeVar
 
-from paddlequay.routing.interface import Effect, Ramp, RequestClass, Settings
+from paddlequay.routing.interface import Idempotency, RequestClass, RoutingSettings, SlowStart
 
 T = TypeVar("T")
-EFFECTS = {"read_like": Effect.SAFE, "idempotency_key": Effect.KEYED, "non_idempotent": Effect.UNSAFE}
+IDEMPOTENCY_WORDS = {
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.IDEMPOTENCY_KEY,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
+}
 
 
 class SettingsError(ValueError):
     """Settings that cannot be used, with the path of the field and what was expected there."""
 
 
-def settings_from(data: Any) -> Settings:
+def parse_settings(data: Any) -> RoutingSettings:
     """What the settings tell the decisions; keys not known are skipped."""
     if not isinstance(data, dict):
         raise SettingsError("settings: expected a JSON object")
@@ -42,24 +46,26 @@
         place = get(path, int)
         return None if place is None else at("kinds", place, str)
 
-    def effect(item: Any) -> Effect:
+    def effect(item: Any) -> Idempotency:
         word = need("idempotency", str, item)
-        if word not in EFFECTS:
-            raise SettingsError(f"settings: idempotency: expected one of {', '.join(EFFECTS)}, got {word!r}")
-        return EFFECTS[word]
+        if word not in IDEMPOTENCY_WORDS:
+            raise SettingsError(
+                f"settings: idempotency: expected one of {', '.join(IDEMPOTENCY_WORDS)}, got {word!r}"
+            )
+        return IDEMPOTENCY_WORDS[word]
 
     classes = tuple(
         RequestClass(
             name=need("name", str, item),
-            aim=need("aim", float, item),
+            latency_objective=need("aim", float, item),
             deadline=need("deadline", float, item),
-            effect=effect(item),
-            worth=get("worth", float, item),
-            aim_stretch=get("aimStretch", float, item),
-            repeat_group=get("dedupScope", str, item),
-            repeat_window=get("window", float, item),
-            fresh=at("extra.classFresh", place, float),
-            grace=at("extra.staleFor", place, float),
+            idempotency=effect(item),
+            priority_weight=get("worth", float, item),
+            objective_per_work=get("aimStretch", float, item),
+            dedup_scope=get("dedupScope", str, item),
+            dedup_window=get("window", float, item),
+            freshness_lifetime=at("extra.classFresh", place, float),
+            stale_if_error=at("extra.staleFor", place, float),
             uncacheable=at("extra.goesThrough", place, bool),
         )
         for place, item in enumerate(need("classes", list))
@@ -69,48 +75,48 @@
     zones = get("localities", list) or []
     here = zones.index(zone) if zone in zones else -1
     detail = get("extra.detail", str)
-    return Settings(
+    return RoutingSettings(
         zone=zone,
         classes=classes,
-        routers=get("groupSize", int),
-        routers_here=at("extra.countByZone", here, int),
+        router_count=get("groupSize", int),
+        zone_router_count=at("extra.countByZone", here, int),
         parent_kind=kind_name("extra.parentKind"),
         origin_kind=kind_name("extra.rootKind"),
-        siblings=get("extra.peersFill", str),
-        direct=get("extra.bypassAllowed", bool),
-        joins=get("extra.mergesFills", bool),
-        notes=None if detail is None else detail == "all",
+        sibling_fills=get("extra.peersFill", str),
+        bypass_allowed=get("extra.bypassAllowed", bool),
+        coalesces_fills=get("extra.mergesFills", bool),
+        detailed_replies=None if detail is None else detail == "all",
         flow_kb_per_s=get("extra.oneFlowKbPerS", float),
         link_kb_per_s=at("extra.inletKbPerS", here, float) or None,  # 0: not told
         weights=get("weights", str),
-        parallel=get("limits.parallelTries", bool),
+        parallel_attempts=get("limits.parallelTries", bool),
         can_cancel=get("limits.cancel", bool),
         max_attempts=get("limits.attemptsCap", int),
         max_retry_after=get("limits.maxRetryAfter", float) if get("limits.retryAfter", bool) else None,
-        must_ask=None if discovery is None else discovery == "subscribe",
-        ask_within=get("rules.askWithin", float),
-        cold_edge=Ramp(
+        must_subscribe=None if discovery is None else discovery == "subscribe",
+        subscribe_within=get("rules.askWithin", float),
+        edge_slow_start=SlowStart(
             get("rules.coldFrom", float),
             get("rules.cold", float),
             get("rules.fallMultiple", float),
             get("rules.fall", float),
         ),
-        cold_parent=Ramp(
+        parent_slow_start=SlowStart(
             get("extra.parentStartsAt", float),
             get("extra.parentCold", float),
             get("extra.parentBreaksAt", float),
             get("rules.fall", float),
         ),
-        purge_done=get("extra.clearedWithin", float),
+        purge_completion=get("extra.clearedWithin", float),
     )
 
 
-def check(settings: Settings) -> None:
+def check_settings(settings: RoutingSettings) -> None:
     """Settings that make no sense are refused with the field's name."""
     if not settings.classes:
         raise ValueError("settings: classes: expected at least one class")
-    if min(settings.routers or 0, settings.routers_here or 0) < 0:
+    if min(settings.router_count or 0, settings.zone_router_count or 0) < 0:
         raise ValueError("settings: routers: expected no count below 0")
     for kind in settings.classes:
-        if not (kind.aim > 0 and kind.deadline > 0):
+        if not (kind.latency_objective > 0 and kind.deadline > 0):
             raise ValueError(f"settings: {kind.name}: expected aim and deadline above 0, got {kind}")
--- a/paddlequay/discovery/membership.py
+++ b/paddlequay/discovery/membership.py
@@ -26,7 +26,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from paddlequay.routing.interface import State
+from paddlequay.routing.interface import MemberState
 
 Address = tuple[str, int]
 
@@ -45,7 +45,7 @@
     cell: int | None = None
     weight: float | None = None
     started: float | None = None
-    state: State = State.READY
+    state: MemberState = MemberState.READY
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +116,7 @@
     until: float = -math.inf
 
 
-def replace_state(word: Word, state: State) -> Word:
+def replace_state(word: Word, state: MemberState) -> Word:
     return Word(replace(word.box, state=state), word.source, word.at)
 
 
@@ -173,12 +173,12 @@
         known = source.words.get(box.id)
         # What one source says of an id may bind where others place it.
         touched.update(dict.fromkeys(self.places.get(box.id, ())))
-        if box.state is State.GONE:
+        if box.state is MemberState.REMOVED:
             # The end is remembered at the address that the source had told, or tells with it.
             at = known.box if known is not None else box
             if known is not None:
                 self.drop(known, source, touched)
-            self.end(key, Word(replace(at, state=State.GONE), source.rule.name, now))
+            self.end(key, Word(replace(at, state=MemberState.REMOVED), source.rule.name, now))
             touched[at.address] = None
             return
         ended = self.ended.get(key)
@@ -255,8 +255,8 @@
         """A word is over. A drain that its source no longer names was no return to work: it ends the box."""
         del source.words[word.box.id]
         self.take_off(word, touched)
-        if word.box.state is State.DRAINING:
-            self.end((word.source, word.box.id), replace_state(word, State.GONE))
+        if word.box.state is MemberState.DRAINING:
+            self.end((word.source, word.box.id), replace_state(word, MemberState.REMOVED))
 
     # --- what holds ---
 
@@ -290,7 +290,7 @@
             if before is not None and (change is None or change.box.id != before.box.id):
                 del self.members[address], self.names[before.box.id]
                 rule, why = self.reason(address, now) if change is None else (change.rule, change.why)
-                gone[before.box.id] = Change(replace(before.box, state=State.GONE), rule, why)
+                gone[before.box.id] = Change(replace(before.box, state=MemberState.REMOVED), rule, why)
                 self.flapped(address, now)
         come = []
         for address, change in after.items():
@@ -315,10 +315,10 @@
         first = adding[0]
         if self.shadowed(first, address):
             return None
-        out, rule, why = State.READY, "authority", f"{first.source} says so"
+        out, rule, why = MemberState.READY, "authority", f"{first.source} says so"
         for word in self.about(address, words):
-            if word.box.state is State.DRAINING:
-                out, rule, why = State.DRAINING, "drain", f"{word.source} drains {word.box.id}"
+            if word.box.state is MemberState.DRAINING:
+                out, rule, why = MemberState.DRAINING, "drain", f"{word.source} drains {word.box.id}"
         if next(self.ends_at(address, words), None) is not None:
             return None
         if address not in self.members:
@@ -468,7 +468,7 @@
         """
         try:
             boxes = [
-                Box(str(i), (str(h), int(p)), k, z, c, w, s, State(state))
+                Box(str(i), (str(h), int(p)), k, z, c, w, s, MemberState(state))
                 for i, h, p, k, z, c, w, s, state in data["members"]
             ]
         except (KeyError, TypeError, ValueError) as error:
--- a/paddlequay/discovery/srv.py
+++ b/paddlequay/discovery/srv.py
@@ -20,7 +20,7 @@
 from paddlequay.discovery.answers import Name
 from paddlequay.discovery.membership import Address, Box
 from paddlequay.discovery.resolver import Kind, Known
-from paddlequay.routing.interface import State
+from paddlequay.routing.interface import MemberState
 
 TARGETS_MOST = 2000  # of one service
 ADDRESS_KINDS = (dns.rdatatype.A, dns.rdatatype.AAAA)
@@ -227,7 +227,7 @@
             cell=int(cell) if cell.isdigit() and len(cell) < 7 else None,
             weight=weight,
             started=float(started) if started.isdigit() and len(started) < 12 else None,
-            state=State.READY,
+            state=MemberState.READY,
         )
 
 
--- a/paddlequay/hierarchy/climb.py
+++ b/paddlequay/hierarchy/climb.py
@@ -13,6 +13,7 @@
 from paddlequay.hierarchy.node import Node
 from paddlequay.hierarchy.shape import Shape
 from paddlequay.hierarchy.trail import Trail
+from paddlequay.policy import Router
 from paddlequay.routing.interface import (
     AttemptEnded,
     Fail,
@@ -20,14 +21,13 @@
     Member,
     MembersChanged,
     Outcome,
-    Settings,
+    RoutingSettings,
 )
-from paddlequay.policy import Router
-from paddlequay.routing.state import Attempt, Open, Server
+from paddlequay.routing.state import AttemptState, RequestState, Upstream
 
 NODE_KIND, STORE_KIND = "node", "store"
 LIMIT_FIRST = 200.0  # out at one member by all of a group: a node serves hundreds at once from memory
-LOST = (Outcome.UNREACHED, Outcome.RESET, Outcome.TIMEOUT)
+LOST = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
 
 
 def members_of(shape: Shape, own: str, group: str) -> Iterable[str]:
@@ -52,37 +52,37 @@
 class Climber(Router):
     """`policy.Router` with the rungs of a node in place of the plain ladder."""
 
-    def __init__(self, settings: Settings, seed: int, node: Node) -> None:
+    def __init__(self, settings: RoutingSettings, seed: int, node: Node) -> None:
         super().__init__(settings, seed)
         self.node = node
         self.now_on: dict[str, tuple[Rung, Trail]] = {}  # the rung that each request is on
         self.hints: dict[str, str] = {}
 
     def on_members(self, event: MembersChanged) -> None:
-        servers = self.know.members.servers
+        servers = self.state.members.upstreams
         before = set(servers)
         super().on_members(event)
         new = [server for name, server in servers.items() if name not in before]
-        self.know.limits.inherit(new, {f"limit {server.entry.name}": LIMIT_FIRST for server in new})
+        self.state.limits.inherit_state(new, {f"limit {server.member.name}": LIMIT_FIRST for server in new})
 
-    def spread(self) -> None:
+    def update_contention(self) -> None:
         """All of the group ask the same members."""
-        self.know.limits.spread(1, 1, 1, askers=max(1, len(self.node.moves.members)))
+        self.state.limits.set_contention(1, 1, 1, requesters=max(1, len(self.node.moves.members)))
 
-    def advance(self, item: Open) -> None:
+    def advance(self, item: RequestState) -> None:
         """The next rung that may be used now. What is busy sheds: handed on, it would be a second fill."""
-        name = item.request.id
-        number = item.request.fill
-        if number is None or (item.attempts and not self.attempts.may_repeat(item, self.now)):
-            return self.give_up(item, "spent")
+        name = item.received.id
+        number = item.received.fill
+        if number is None or (item.attempts and not self.attempts.may_retry(item, self.now)):
+            return self.give_up(item, "retries_exhausted")
         hint = self.hints.pop(name, "")
         while (step := self.node.step(number, hint)) is not None:
             hint = ""
             rung, _ = self.now_on[name] = step
-            server = self.know.members.servers.get(rung.target)
-            if server is None or not server.ready or not self.ladder.open_to(server, item, self.now):
+            server = self.state.members.upstreams.get(rung.target)
+            if server is None or not server.ready or not self.selector.is_open(server, item, self.now):
                 continue
-            if self.know.limits.busy(server, item, self.now):
+            if self.state.limits.is_busy(server, item, self.now):
                 if rung.held:
                     continue
                 return self.give_up(item, "edge_busy")
@@ -90,40 +90,40 @@
         self.actions.append(Fail(name))
         self.close(name)
 
-    def ask(self, item: Open, server: Server, rung: Rung) -> None:
+    def ask(self, item: RequestState, server: Upstream, rung: Rung) -> None:
         """One attempt; a node is allowed to fill by naming the store as the source, a look names none."""
-        self.attempts.begin(item, Attempt(server, server, self.now, False))
-        origins = self.know.members.origins
-        through = origins[0].entry.name if origins and not rung.store else rung.target
+        self.attempts.register(item, AttemptState(server, server, self.now, False))
+        origins = self.state.members.origins
+        through = origins[0].member.name if origins and not rung.store else rung.target
         self.actions.append(
             Fetch(
-                request=item.request.id,
+                request=item.received.id,
                 target=rung.target,
                 source=rung.target if rung.held else through,
-                keep=1,
-                timeout=self.know.latency.timeout(item, self.now),
+                retention=1,
+                timeout=self.attempts.timeout(item, self.now),
                 max_age=self.age(item),
-                join=True,
-                only_held=rung.held,
+                coalesce=True,
+                only_if_cached=rung.held,
             )
         )
 
-    def age(self, item: Open) -> float | None:
+    def age(self, item: RequestState) -> float | None:
         """The oldest copy that will do, in seconds; what was purged since the fill began counts."""
-        lease = self.node.leases.by_number.get(item.request.fill or 0)
+        lease = self.node.leases.by_number.get(item.received.fill or 0)
         floor = -math.inf
         if lease is not None:
             floor = max(lease.floor, self.node.purges.of_object(lease.place[0]))
         return max(0.001, self.now - floor) if floor > 0 else None
 
-    def on_ended(self, event: AttemptEnded) -> None:
-        item = self.open.get(event.request)
-        if item is not None and item.request.fill is not None:
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
+        item = self.requests.get(event.request)
+        if item is not None and item.received.fill is not None:
             if event.outcome in LOST:
-                self.node.unreached(item.request.fill, event.target)
-            if event.hint:
-                self.hints[event.request] = event.hint
-        super().on_ended(event)
+                self.node.unreached(item.received.fill, event.target)
+            if event.loop_hint:
+                self.hints[event.request] = event.loop_hint
+        super().on_attempt_ended(event)
 
     def close(self, request: str) -> None:
         self.now_on.pop(request, None)
--- a/paddlequay/hierarchy/node.py
+++ b/paddlequay/hierarchy/node.py
@@ -28,8 +28,8 @@
     Want,
     Word,
 )
-from paddlequay.routing.interface import Note
 from paddlequay.placement.homes import arrival, digest, key_of, place, slot_of
+from paddlequay.routing.interface import ReplyDetail
 
 __all__ = ["Action", "Answer", "Claim", "Fill", "Got", "Meet", "Node", "NodeLimits", "Want", "Word"]
 
@@ -336,7 +336,7 @@
         if want.over:
             return
         # Who joined may have time, or ways, that the first one had not.
-        helps = not got.refused and got.note is not Note.ORIGIN_FAILED and want.until > now + 0.05
+        helps = not got.refused and got.note is not ReplyDetail.ORIGIN_FAILED and want.until > now + 0.05
         if helps and want is not lease.joined[0] and want.fill and want.restarts < self.limits.restarts:
             want.restarts += 1
             return self.again(want, now)
--- a/paddlequay/hierarchy/shape.py
+++ b/paddlequay/hierarchy/shape.py
@@ -15,10 +15,10 @@
 from types import MappingProxyType
 from typing import Any
 
-from paddlequay.routing.interface import State
+from paddlequay.routing.interface import MemberState
 
 NAME = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_-]{0,63}")
-STATES = {"in_service": State.READY, "terminating": State.DRAINING}
+STATES = {"in_service": MemberState.READY, "terminating": MemberState.DRAINING}
 STATE_WORDS = {state: word for word, state in STATES.items()}
 
 
@@ -46,13 +46,13 @@
     group: str = "caches"
     parents: tuple[str, ...] = ()
     store: bool = False
-    state: State = State.READY
+    state: MemberState = MemberState.READY
     weight: float = 1.0
     started: float = 0.0
 
     @property
     def ready(self) -> bool:
-        return self.state is State.READY
+        return self.state is MemberState.READY
 
 
 @dataclass(frozen=True, slots=True)
@@ -301,7 +301,7 @@
         data["store"] = True
     else:
         data["parents"] = list(node.parents)
-    if node.state is not State.READY:
+    if node.state is not MemberState.READY:
         data["state"] = STATE_WORDS[node.state]
     if node.weight != 1.0:
         data["weight"] = node.weight
--- a/paddlequay/hierarchy/wants.py
+++ b/paddlequay/hierarchy/wants.py
@@ -7,7 +7,7 @@
 
 from paddlequay.hierarchy.copies import Copy, Place
 from paddlequay.hierarchy.trail import Trail
-from paddlequay.routing.interface import Note
+from paddlequay.routing.interface import ReplyDetail
 
 
 class Word(Enum):
@@ -111,17 +111,17 @@
     """How a fill ended: a copy, or why there is none."""
 
     copy: Copy | None = None
-    note: Note | None = None
+    note: ReplyDetail | None = None
     refused: bool = False
     from_store: bool = False
 
 
 Action = Answer | Fill | Meet
 FAILURES = {
-    Note.SOURCE_REFUSED: "UP_BUSY",
-    Note.SOURCE_UNREACHED: "UP_DOWN",
-    Note.SOURCE_LACKS: "UP_MISS",
-    Note.ORIGIN_FAILED: "ORIGIN_ERR",
+    ReplyDetail.SOURCE_REJECTED: "UP_BUSY",
+    ReplyDetail.SOURCE_UNREACHABLE: "UP_DOWN",
+    ReplyDetail.SOURCE_MISS: "UP_MISS",
+    ReplyDetail.ORIGIN_FAILED: "ORIGIN_ERR",
 }
 
 
--- a/paddlequay/lab/homes.py
+++ b/paddlequay/lab/homes.py
@@ -16,20 +16,25 @@
 from paddlequay.placement.homes import Homes, arrival, digest, slot_of
 
 SIZES = ((4, 3), (60, 20), (1000, 200))
-# Run in the program that is measured, this one's or an earlier one's: names that both have.
+# Run in the version that is measured, this one or an earlier one: arguments go by place, as names differ.
 COST = """
 import json, random, sys, time
-from paddlequay.routing.interface import *
+try:
+    from paddlequay.routing.interface import *
+    from paddlequay.routing.interface import Idempotency, MemberState, ReplyDetail, RoutingSettings
+except ModuleNotFoundError:
+    from paddlequay.interface import *
+    from paddlequay.interface import Effect as Idempotency, Note as ReplyDetail, Settings as RoutingSettings
+    from paddlequay.interface import State as MemberState
 from paddlequay.adapter import Router
 
 edges, parents, count, seed = map(int, sys.argv[1:])
-kinds = (RequestClass("v", 0.6, 3.0, Effect.SAFE),)
-router = Router(Settings("z", kinds, routers=4, routers_here=4, parent_kind="p", origin_kind="o",
-                         siblings="location", direct=True, joins=True, notes=True, can_cancel=True,
-                         max_attempts=6), 1)
-members = [Member(f"e{i}", "z", "b", 0, State.READY) for i in range(edges)]
-members += [Member(f"p{i}", "h", "p", 0, State.READY) for i in range(parents)]
-router.handle(MembersChanged((*members, Member("o", "h", "o", 0, State.READY)), True), 1.0)
+classes = (RequestClass("v", 0.6, 3.0, Idempotency("safe")),)
+router = Router(RoutingSettings("z", classes, 4, 4, "p", "o", "location", True, True, True, None, None, None,
+                                None, True, 6), 1)
+members = [Member(f"e{i}", "z", "b", 0, MemberState.READY) for i in range(edges)]
+members += [Member(f"p{i}", "h", "p", 0, MemberState.READY) for i in range(parents)]
+router.handle(MembersChanged((*members, Member("o", "h", "o", 0, MemberState.READY)), True), 1.0)
 rng = random.Random(seed)
 keys = [int(rng.paretovariate(0.8)) % 100000 * 0x9E3779B97F4A7C15 % (1 << 64) for _ in range(count)]
 now, halves = 1.0, []
@@ -38,7 +43,7 @@
     for i in range(half * count // 2, (half + 1) * count // 2):
         now += 0.005
         (fetch, *_) = router.handle(Request(f"q{i}", "v", 3.0, key=keys[i], part=i % 7), now)
-        router.handle(AttemptEnded(f"q{i}", 0, fetch.target, Outcome.SERVED, 0.1, True, Note.HIT), now)
+        router.handle(AttemptEnded(f"q{i}", 0, fetch.target, Outcome.SERVED, 0.1, True, ReplyDetail.HIT), now)
     halves.append((time.process_time() - began) / (count // 2) * 1e6)
 print(json.dumps(halves))
 """
--- a/paddlequay/lab/placement.py
+++ b/paddlequay/lab/placement.py
@@ -8,12 +8,12 @@
 
 import numpy as np
 
-from paddlequay.routing.interface import Member
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.placement.checks import read_rules
 from paddlequay.placement.compile import compile_rules
 from paddlequay.placement.homes import Homes, place
 from paddlequay.placement.table import Table
+from paddlequay.routing.interface import Member
 
 MEMBERS = 200
 COPIED = b"otherwise: 4096 shards by object and part; 3 copies over 2 zones."
--- a/paddlequay/lab/plaza.py
+++ b/paddlequay/lab/plaza.py
@@ -19,10 +19,10 @@
 import numpy as np
 
 from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, delta_data, difference, next_shape
-from paddlequay.routing.interface import State
 from paddlequay.lab.load import KINDS, Load
 from paddlequay.lab.standins import Box, News, Store
 from paddlequay.protocol.bulletin import STATES
+from paddlequay.routing.interface import MemberState
 
 ROOT = Path(__file__).parent.parent.parent
 STORE = "store-1"
@@ -302,7 +302,9 @@
         await self.start_tier(self.tiers[name])
         self.revived.append((time.time(), name))
         node = self.shape.nodes[name]
-        await self.change((replace(node, started=round(self.tiers[name].started, 3), state=State.READY),))
+        await self.change(
+            (replace(node, started=round(self.tiers[name].started, 3), state=MemberState.READY),)
+        )
 
     async def pages(self) -> dict[str, dict[str, Any]]:
         """What each tier's console tells of the hierarchy."""
--- a/paddlequay/lab/sources.py
+++ b/paddlequay/lab/sources.py
@@ -17,11 +17,11 @@
 from paddlequay.discovery.answers import Question, query, read
 from paddlequay.discovery.membership import Box, Membership, Rule
 from paddlequay.discovery.resolver import Resolver, Send
-from paddlequay.routing.interface import State
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.lab.dns import DnsServer
 from paddlequay.lab.load import Tally
 from paddlequay.lab.plaza import Plan, Plaza
+from paddlequay.routing.interface import MemberState
 
 SERVICE = "_box._tcp.plaza.example."
 TEXT = """discovery {
@@ -277,11 +277,15 @@
     costs = {}
     for size in (100, 2000, 20_000):
         made = Membership((Rule("list"), Rule("dns")))
-        boxes = [Box(f"b{n}", (f"10.0.{n // 250}.{n % 250}", 9), state=State.READY) for n in range(size)]
+        boxes = [
+            Box(f"b{n}", (f"10.0.{n // 250}.{n % 250}", 9), state=MemberState.READY) for n in range(size)
+        ]
         made.report("list", boxes, True, 0.0)
         times = []
         for turn in range(300):
-            some = [replace(box, state=(State.READY, State.DRAINING)[turn % 2]) for box in boxes[:10]]
+            some = [
+                replace(box, state=(MemberState.READY, MemberState.DRAINING)[turn % 2]) for box in boxes[:10]
+            ]
             began = time.perf_counter()
             made.report("list", some, False, 1.0 + turn)
             times.append((time.perf_counter() - began) * 1e6)
--- a/paddlequay/lifecycle/background.py
+++ b/paddlequay/lifecycle/background.py
@@ -13,10 +13,10 @@
 
 LOGGER = logging.getLogger(__name__)
 
-PAUSE_LEAST, PAUSE_MOST = 0.05, 1.0  # seconds before it begins again, twice as long after each early end
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0  # seconds before it begins again, twice as long after each early end
 
 
-class Background:
+class TaskSupervisor:
     """Owns tasks from their start to `stop`."""
 
     def __init__(self, counters: Counters) -> None:
@@ -27,12 +27,12 @@
         """Run until its own end."""
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
-        task.add_done_callback(lambda done: self.ended(name, done))
+        task.add_done_callback(lambda done: self.on_done(name, done))
         return task
 
-    def keep(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
+    def supervise(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
         """Run, and run again whenever it ends, until `stop`."""
-        self.spawn(name, self.kept(name, work))
+        self.spawn(name, self.run_supervised(name, work))
 
     async def stop(self) -> None:
         """Cancel all, and wait until they have ended."""
@@ -41,15 +41,15 @@
                 task.cancel()
             await asyncio.wait(self.tasks)
 
-    def ended(self, name: str, task: asyncio.Task[None]) -> None:
+    def on_done(self, name: str, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         error = None if task.cancelled() else task.exception()
         if error is not None:
-            self.tell(name, error)
+            self.report_failure(name, error)
 
-    async def kept(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
+    async def run_supervised(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
         loop, me = asyncio.get_running_loop(), asyncio.current_task()
-        pause = PAUSE_LEAST
+        pause = MIN_BACKOFF_S
         while True:
             began = loop.time()
             error: BaseException | None = None
@@ -61,11 +61,11 @@
                 error = cancelled  # of something it waited for, not of itself
             except Exception as raised:
                 error = raised
-            self.tell(name, error)
-            pause = PAUSE_LEAST if loop.time() - began > PAUSE_MOST else min(2 * pause, PAUSE_MOST)
+            self.report_failure(name, error)
+            pause = MIN_BACKOFF_S if loop.time() - began > MAX_BACKOFF_S else min(2 * pause, MAX_BACKOFF_S)
             await asyncio.sleep(pause)
 
-    def tell(self, name: str, error: BaseException | None) -> None:
+    def report_failure(self, name: str, error: BaseException | None) -> None:
         """Without an error it has ended by itself, which it must not."""
         if self.counters.add_once(f"background_errors.{name}"):
             why = type(error).__name__ if error is not None else "ended"
--- a/paddlequay/lifecycle/operator_state.py
+++ b/paddlequay/lifecycle/operator_state.py
@@ -15,108 +15,108 @@
 from typing import Any
 
 DRAIN = "drain"
-OUT = "out:"  # and the cache's id
-LISTED_MOST = 10_000
-MARKS_MOST = 1_000
+EJECTED_PREFIX = "out:"  # and the cache's id
+MAX_LISTED_IDS = 10_000
+MAX_OVERRIDES = 1_000
 
 
-class TooManyError(ValueError):
+class TooManyOverridesError(ValueError):
     """More orders than are kept."""
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
+class Override:
     """One order: given when (Unix nanoseconds), and whether it is on."""
 
-    at: int
-    on: bool
+    issued_ns: int
+    active: bool
 
 
-def read_marks(data: Any) -> dict[str, Mark]:
+def read_overrides(data: Any) -> dict[str, Override]:
     """Marks as they stand in the file and on the way to the other process; ValueError on anything else."""
-    if not isinstance(data, dict) or len(data) > MARKS_MOST:
+    if not isinstance(data, dict) or len(data) > MAX_OVERRIDES:
         raise ValueError("expected an object of orders")
     marks = {}
     for name, pair in data.items():
         match pair:
-            case [int(at), bool(on)] if name == DRAIN or name.startswith(OUT):
-                marks[name] = Mark(at, on)
+            case [int(at), bool(on)] if name == DRAIN or name.startswith(EJECTED_PREFIX):
+                marks[name] = Override(at, on)
             case _:
                 raise ValueError(f"an order that cannot be read: {name[:60]!r}")
     return marks
 
 
-class Operation:
+class OperatorState:
     """The operators' state, and who is told when it changes."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.marks: dict[str, Mark] = {}
-        self.left_out: set[str] = set()  # the caches whose mark is on: looked at before each write
-        self.listed: OrderedDict[str, None] = OrderedDict()  # ids that the list has ever named, the latest
-        self.changed: list[Callable[[str], None]] = []
+        self.overrides: dict[str, Override] = {}
+        self.ejected: set[str] = set()  # the caches whose mark is on: looked at before each write
+        self.known_ids: OrderedDict[str, None] = OrderedDict()  # ids that the list has ever named, the latest
+        self.on_change: list[Callable[[str], None]] = []
 
     @property
     def draining(self) -> bool:
-        return self.is_on(DRAIN)
+        return self.is_active(DRAIN)
 
-    def banned(self, cache: str) -> bool:
-        return cache in self.left_out
+    def is_ejected(self, cache: str) -> bool:
+        return cache in self.ejected
 
-    def is_on(self, name: str) -> bool:
-        mark = self.marks.get(name)
-        return mark is not None and mark.on
+    def is_active(self, name: str) -> bool:
+        mark = self.overrides.get(name)
+        return mark is not None and mark.active
 
     @property
-    def out(self) -> list[str]:
+    def ejected_ids(self) -> list[str]:
         """The caches that are left out."""
-        return sorted(self.left_out)
+        return sorted(self.ejected)
 
-    def saw(self, caches: Iterable[str]) -> None:
+    def record_listed(self, caches: Iterable[str]) -> None:
         """Ids that the list names: from now on they are known, also once they have gone."""
         for cache in caches:
-            self.listed[cache] = None
-            self.listed.move_to_end(cache)
-        while len(self.listed) > LISTED_MOST:
-            self.listed.popitem(last=False)
+            self.known_ids[cache] = None
+            self.known_ids.move_to_end(cache)
+        while len(self.known_ids) > MAX_LISTED_IDS:
+            self.known_ids.popitem(last=False)
 
-    def knows(self, cache: str) -> bool:
-        return cache in self.listed or OUT + cache in self.marks
+    def is_known(self, cache: str) -> bool:
+        return cache in self.known_ids or EJECTED_PREFIX + cache in self.overrides
 
-    def order(self, name: str, on: bool) -> Mark:
+    def set_override(self, name: str, on: bool) -> Override:
         """An order given to this process. A repeat is an order as well: it holds against any earlier one."""
-        if name not in self.marks and len(self.marks) >= MARKS_MOST:
-            for old in [each for each, mark in self.marks.items() if not mark.on][:1]:
-                del self.marks[old]
-            if len(self.marks) >= MARKS_MOST:
-                raise TooManyError(f"{MARKS_MOST} orders are kept, all of them in force")
-        before = self.marks.get(name)
-        mark = Mark(max(time.time_ns(), before.at + 1 if before else 0), on)
-        self.take(name, mark)
+        if name not in self.overrides and len(self.overrides) >= MAX_OVERRIDES:
+            for old in [each for each, mark in self.overrides.items() if not mark.active][:1]:
+                del self.overrides[old]
+            if len(self.overrides) >= MAX_OVERRIDES:
+                raise TooManyOverridesError(f"{MAX_OVERRIDES} orders are kept, all of them in force")
+        before = self.overrides.get(name)
+        mark = Override(max(time.time_ns(), before.issued_ns + 1 if before else 0), on)
+        self.apply(name, mark)
         return mark
 
-    def take(self, name: str, mark: Mark) -> None:
+    def apply(self, name: str, mark: Override) -> None:
         """An order from wherever; an earlier one than the one that is known changes nothing."""
-        before = self.marks.get(name)
-        if before is not None and before.at >= mark.at:
+        before = self.overrides.get(name)
+        if before is not None and before.issued_ns >= mark.issued_ns:
             return
-        self.marks[name] = mark
-        if name.startswith(OUT):
-            (self.left_out.add if mark.on else self.left_out.discard)(name.removeprefix(OUT))
-        if mark.on != (before is not None and before.on):
-            for tell in self.changed:
+        self.overrides[name] = mark
+        if name.startswith(EJECTED_PREFIX):
+            (self.ejected.add if mark.active else self.ejected.discard)(name.removeprefix(EJECTED_PREFIX))
+        if mark.active != (before is not None and before.active):
+            for tell in self.on_change:
                 tell(name)
 
-    def take_all(self, marks: Mapping[str, Mark]) -> None:
+    def apply_all(self, marks: Mapping[str, Override]) -> None:
         for name, mark in marks.items():
-            self.take(name, mark)
+            self.apply(name, mark)
 
-    def data(self) -> dict[str, list[Any]]:
-        return {name: [mark.at, mark.on] for name, mark in self.marks.items()}
+    def to_json(self) -> dict[str, list[Any]]:
+        return {name: [mark.issued_ns, mark.active] for name, mark in self.overrides.items()}
 
-    def kept(self) -> str:
+    def serialize_ejections(self) -> str:
         """What `write` keeps. A drain ends with the process, and lives on in the one that replaces it."""
-        return json.dumps({name: pair for name, pair in self.data().items() if name != DRAIN})
+        return json.dumps({name: pair for name, pair in self.to_json().items() if name != DRAIN})
 
     def write(self, kept: str) -> None:
         """All bans, whole or not at all: another process may start, and read, at any time. Raises OSError."""
@@ -127,4 +127,4 @@
     def load(self) -> None:
         """What an earlier process has saved. Raises OSError or ValueError where that cannot be read."""
         if self.path.exists():
-            self.take_all(read_marks(json.loads(self.path.read_text())))
+            self.apply_all(read_overrides(json.loads(self.path.read_text())))
--- a/paddlequay/lifecycle/overload.py
+++ b/paddlequay/lifecycle/overload.py
@@ -2,10 +2,10 @@
 
 import random
 
-from paddlequay.config.loader import Limits
+from paddlequay.config.limits import Limits
 
 
-class OwnLoad:
+class OverloadGuard:
     """Guards against a core that is full: then answers came after their time and purges were read too late.
 
     Refusing costs a fraction of serving, so part of the new requests is turned away, more at each busy beat.
@@ -14,24 +14,24 @@
     def __init__(self, limits: Limits, seed: int) -> None:
         self.limits = limits
         self.random = random.Random(seed)
-        self.share = 0.0
-        self.at: tuple[float, float] | None = None
+        self.shed_share = 0.0
+        self.last_sample: tuple[float, float] | None = None
 
-    def beat(self, now: float, cpu: float) -> bool:
+    def sample(self, now: float, cpu: float) -> bool:
         """Called every `limits.beat`: the clock, and the CPU time used so far. Whether it came in time."""
-        before, self.at = self.at, (now, cpu)
+        before, self.last_sample = self.last_sample, (now, cpu)
         if before is None or now <= before[0]:
             return True
         # Of the cores that the deployment grants, which may be a part of one: measured against a whole one, a
         # part that is full never showed.
-        busy = (cpu - before[1]) / (now - before[0]) > self.limits.busy_share * self.limits.cores
-        late = now - before[0] > self.limits.beat + self.limits.late_beat
+        busy = (cpu - before[1]) / (now - before[0]) > self.limits.max_cpu_share * self.limits.cores
+        late = now - before[0] > self.limits.heartbeat_interval + self.limits.max_heartbeat_delay
         # By the time that has passed: a core so full that beats come late would else be relieved the slower.
-        step = self.limits.shed_step * min(5.0, (now - before[0]) / self.limits.beat)
+        step = self.limits.shed_step * min(5.0, (now - before[0]) / self.limits.heartbeat_interval)
         step = step if busy or late else -step / 2
-        self.share = min(0.95, max(0.0, self.share + step))
+        self.shed_share = min(0.95, max(0.0, self.shed_share + step))
         return not late
 
-    def sheds(self) -> bool:
+    def should_shed(self) -> bool:
         """Whether a new request is turned away."""
-        return self.share > 0.0 and self.random.random() < self.share
+        return self.shed_share > 0.0 and self.random.random() < self.shed_share
--- a/paddlequay/lifecycle/signals.py
+++ b/paddlequay/lifecycle/signals.py
@@ -9,27 +9,27 @@
 import asyncio
 import signal
 
-ACTED_ON = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
-came: set[int] = set()
+HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
+pending: set[int] = set()
 
 
 def hold() -> None:
     """Have those that come wait for `let_through`."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, ACTED_ON)
-    for each in ACTED_ON:
-        signal.signal(each, lambda number, _: came.add(number))
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
+    for each in HANDLED:
+        signal.signal(each, lambda number, _: pending.add(number))
 
 
 def let_through() -> None:
     """All have their handlers in the loop: what has come meanwhile is acted on now."""
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, ACTED_ON)
-    while came:
-        signal.raise_signal(came.pop())
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED)
+    while pending:
+        signal.raise_signal(pending.pop())
 
 
 def end(loop: asyncio.AbstractEventLoop) -> None:
     """Act on none any more: closing the loop would bring their default actions back."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, ACTED_ON)
-    for each in ACTED_ON:
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
+    for each in HANDLED:
         loop.remove_signal_handler(each)
         signal.signal(each, signal.SIG_IGN)
--- a/paddlequay/net/bulletin.py
+++ b/paddlequay/net/bulletin.py
@@ -5,15 +5,16 @@
 from dataclasses import replace
 from typing import Any
 
-from paddlequay.observability import log
-from paddlequay.config.loader import Address, Limits
-from paddlequay.observability.counters import Counters
-from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import State
+from paddlequay.config.limits import Limits
+from paddlequay.config.values import Address
 from paddlequay.net.caches import Pool
 from paddlequay.net.lines import Line, LineFollower
+from paddlequay.observability import log
+from paddlequay.observability.counters import Counters
 from paddlequay.protocol import bulletin as wire
 from paddlequay.protocol.bulletin import Heartbeat, Listed, Recall, Roster, Unusable
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import MemberState
 
 LOGGER = logging.getLogger(__name__)
 
@@ -32,7 +33,7 @@
         self.on_alive: Callable[[], None] = lambda: None
 
     def reader(self) -> Line[Roster | Recall | Heartbeat | Unusable]:
-        return wire.Reader(self.limits.bulletin_line)
+        return wire.Reader(self.limits.max_bulletin_line)
 
     def start_from(self, known: Mapping[str, Any]) -> None:
         """The events that stand in the configuration; MalformedError where these cannot be used."""
@@ -51,7 +52,7 @@
 
     def take(self, event: Roster | Recall) -> None:
         if isinstance(event, Recall):
-            self.exchange.purged(event.key, event.group, event.issued)
+            self.exchange.record_purge(event.key, event.group, event.issued)
             self.counters.add("purges")
             return
         if event.unusable:
@@ -66,13 +67,13 @@
         names."""
         listed = (*item.listed, *self.drained(item.drained))
         self.pool.list_changed(listed, item.full)
-        self.exchange.list_changed(tuple(entry.member for entry in listed), item.full)
+        self.exchange.update_members(tuple(entry.member for entry in listed), item.full)
 
     def pass_over(self, event: Roster | Recall) -> None:
         if isinstance(event, Roster):
             listed = [*event.listed, *self.drained(event.drained)]
             if self.on_roster != self.direct:  # who comes is for the membership to say
-                listed = [entry for entry in listed if entry.member.state is not State.READY]
+                listed = [entry for entry in listed if entry.member.state is not MemberState.READY]
             one_by_one(self.pool, self.exchange, listed)
 
     def drained(self, names: Iterable[str]) -> Iterable[Listed]:
@@ -80,7 +81,7 @@
         for name in names:
             member, instance = self.exchange.members.get(name), self.pool.instances.get(name)
             if member is not None and instance is not None:
-                yield Listed(replace(member, state=State.DRAINING), instance.address)
+                yield Listed(replace(member, state=MemberState.DRAINING), instance.address)
 
 
 def one_by_one(pool: Pool, exchange: Exchange, listed: Iterable[Listed]) -> set[str]:
@@ -94,10 +95,10 @@
             pool.list_changed((entry,), False)
         except Exception:
             failed.add(entry.member.name)
-            if entry.member.state is State.READY:
+            if entry.member.state is MemberState.READY:
                 continue
         try:
-            exchange.list_changed((entry.member,), False)
+            exchange.update_members((entry.member,), False)
         except Exception:
             failed.add(entry.member.name)
     return failed
--- a/paddlequay/net/caches.py
+++ b/paddlequay/net/caches.py
@@ -5,17 +5,18 @@
 import logging
 from collections.abc import Iterable
 
+from paddlequay.config.limits import Limits
+from paddlequay.config.values import Address
+from paddlequay.lifecycle.operator_state import EJECTED_PREFIX
+from paddlequay.net.connection import Connection
 from paddlequay.observability import log
-from paddlequay.requests.messages import Attempt, End
-from paddlequay.config.loader import Address, Limits
 from paddlequay.observability.counters import Counters
-from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.failure_detector import Pace, Waits
-from paddlequay.routing.interface import Outcome, State
-from paddlequay.net.connection import Connection
-from paddlequay.lifecycle.operator_state import OUT
 from paddlequay.protocol.bulletin import Listed
-from paddlequay.requests.quotas import Shares
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.messages import AttemptResult, UpstreamAttempt
+from paddlequay.requests.quotas import ProcessQuotas
+from paddlequay.routing.failure_detector import LatencyDistribution, RelativeLatency
+from paddlequay.routing.interface import MemberState, Outcome
 
 LOGGER = logging.getLogger(__name__)
 
@@ -31,30 +32,30 @@
         self.connections: list[Connection] = []
         self.gone = False
         self.over = False  # started anew: nothing more is written by this run
-        self.pace = Pace()
+        self.pace = RelativeLatency()
 
-    def answer_took(self, attempt: Attempt, time: float) -> None:
-        self.pace.took(time)
-        self.pool.pace.took(time)
-        self.pool.waits.took(attempt.owner.ask.class_name, time)
+    def answer_took(self, attempt: UpstreamAttempt, time: float) -> None:
+        self.pace.record(time)
+        self.pool.pace.record(time)
+        self.pool.waits.record(attempt.pending.request.class_name, time)
 
-    def silence_of(self, attempts: list[Attempt], now: float) -> bool:
+    def silence_of(self, attempts: list[UpstreamAttempt], now: float) -> bool:
         """Whether so long a silence under these is no chance; in a jam of its own a member may be slower."""
-        ages = [(each.owner.ask.class_name, now - (each.written or now)) for each in attempts]
-        if max((age for _, age in ages), default=0.0) <= self.pool.limits.cache_silence:
+        ages = [(each.pending.request.class_name, now - (each.written_at or now)) for each in attempts]
+        if max((age for _, age in ages), default=0.0) <= self.pool.limits.silence_check_after:
             return False
-        return self.pool.waits.silent(ages, self.pace.over(self.pool.pace))
+        return self.pool.waits.is_unresponsive(ages, self.pace.ratio_to(self.pool.pace))
 
-    def start(self, attempt: Attempt) -> None:
+    def start(self, attempt: UpstreamAttempt) -> None:
         connection = None if self.gone else self.choose(attempt)
         if connection is None:
             self.pool.counters.add("no_connection_left")
-            return self.pool.exchange.end(attempt, End(Outcome.NOT_SENT))
+            return self.pool.exchange.end_attempt(attempt, AttemptResult(Outcome.NOT_SENT))
         connection.waiting.append(attempt)
         attempt.carrier = connection
         connection.write_waiting()
 
-    def choose(self, attempt: Attempt) -> Connection | None:
+    def choose(self, attempt: UpstreamAttempt) -> Connection | None:
         """The fullest connection that has few out, a new one, or the emptiest that takes it.
 
         One spoilt answer ends all that is out on its connection: with thirty requests on one and the others
@@ -65,14 +66,18 @@
         few_load, spare_load = -1, limits.cache_streams
         for connection in self.connections:  # one pass, as each attempt makes it
             load = connection.load
-            if few_load < load < limits.cache_share:
+            if few_load < load < limits.requests_per_connection:
                 if connection.takes(attempt):
                     few, few_load = connection, load
-            elif few is None and limits.cache_share <= load < spare_load and connection.takes(attempt):
+            elif (
+                few is None
+                and limits.requests_per_connection <= load < spare_load
+                and connection.takes(attempt)
+            ):
                 spare, spare_load = connection, load
         if few is not None:
             return few
-        if attempt.once and spare is None and len(self.connections) >= limits.cache_connections:
+        if attempt.never_resend and spare is None and len(self.connections) >= limits.cache_connections:
             for connection in [each for each in self.connections if each.idle][:1]:
                 self.forget(connection)
                 connection.stream.close()
@@ -110,9 +115,9 @@
         limits = self.pool.limits
         heard = max((connection.read_at for connection in self.connections), default=now)
         all_silent = False
-        if now - heard > limits.cache_silence:
+        if now - heard > limits.silence_check_after:
             since = [each for connection in self.connections for each in connection.unheard(heard)]
-            all_silent = len(since) >= limits.instance_unheard and self.silence_of(since, now)
+            all_silent = len(since) >= limits.instance_unanswered and self.silence_of(since, now)
         for connection in self.connections[:]:
             if connection.stalled(now):
                 cause = "stalled_answers"
@@ -122,7 +127,7 @@
                 cause = "answered_no_more"
             else:
                 continue
-            if not connection.stream.closed() and not connection.unread:
+            if not connection.stream.closed() and not connection.has_unread:
                 self.pool.counters.add(cause)
                 connection.stream.close()
 
@@ -135,7 +140,9 @@
         """
         limits = self.pool.limits
         for connection in [c for c in self.connections if c.idle]:
-            idle = now - connection.used > (limits.cache_fresh if connection.once else limits.cache_idle)
+            idle = now - connection.used > (
+                limits.max_reuse_idle if connection.once else limits.cache_idle_timeout
+            )
             if self.gone or idle or connection.silent:
                 connection.stream.close()
 
@@ -143,15 +150,15 @@
 class Pool:
     """All instances by name; carries attempts for the exchange."""
 
-    def __init__(self, exchange: Exchange, shares: Shares, limits: Limits, counters: Counters) -> None:
+    def __init__(self, exchange: Exchange, shares: ProcessQuotas, limits: Limits, counters: Counters) -> None:
         self.exchange, self.shares, self.limits, self.counters = exchange, shares, limits, counters
         self.instances: dict[str, Instance] = {}
         self.leaving: list[Instance] = []
-        self.waits = Waits(limits.cache_usual, exchange.router.kinds)
-        self.pace = Pace(memory=200.0)
+        self.waits = LatencyDistribution(limits.assumed_latency, exchange.router.classes)
+        self.pace = RelativeLatency(memory=200.0)
         self.tasks: set[asyncio.Task[None]] = set()
-        exchange.caches = self
-        exchange.operation.changed.append(self.ordered)
+        exchange.upstreams = self
+        exchange.operator_state.on_change.append(self.ordered)
 
     def now(self) -> float:
         return self.exchange.scheduler.monotonic()
@@ -170,7 +177,7 @@
                 self.leave(name)
         for entry in listed:
             known = self.instances.get(entry.member.name)
-            if entry.member.state is State.GONE:
+            if entry.member.state is MemberState.REMOVED:
                 self.leave(entry.member.name)
             elif known is None:
                 self.instances[entry.member.name] = Instance(self, entry)
@@ -186,14 +193,16 @@
         instance.gone, instance.over = True, at_once
         self.leaving.append(instance)
         for connection in instance.connections[:]:
-            if connection.idle or (at_once and not connection.unread):
+            if connection.idle or (at_once and not connection.has_unread):
                 connection.stream.close()
 
     def ordered(self, name: str) -> None:
         """Operators leave a cache out, or put it back: what is idle to it may lead nowhere any more."""
-        instance = self.instances.get(name.removeprefix(OUT)) if name.startswith(OUT) else None
+        instance = (
+            self.instances.get(name.removeprefix(EJECTED_PREFIX)) if name.startswith(EJECTED_PREFIX) else None
+        )
         for connection in instance.connections[:] if instance is not None else ():
-            if connection.idle or (connection.silent and not connection.unread):
+            if connection.idle or (connection.silent and not connection.has_unread):
                 connection.stream.close()
 
     def held(self) -> list[Connection]:
@@ -212,12 +221,12 @@
         """Close idle connections beyond the share, the longest idle first."""
         held = self.held()
         idle = sorted((c for c in held if c.idle), key=lambda connection: connection.used)
-        for connection in idle[: max(0, len(held) - self.shares.caches)]:
+        for connection in idle[: max(0, len(held) - self.shares.cache_connections)]:
             connection.stream.close()
 
     def has_room(self) -> bool:
         """Room for one more connection to any instance; the one that has been idle for longest makes it."""
-        return len(self.held()) < self.shares.caches or self.close_idle()
+        return len(self.held()) < self.shares.cache_connections or self.close_idle()
 
     def close_idle(self) -> bool:
         """Close the connection that has been idle for longest, if there is one."""
@@ -226,10 +235,10 @@
             min(idle, key=lambda connection: connection.used).stream.close()
         return bool(idle)
 
-    def start(self, attempt: Attempt) -> None:
+    def start(self, attempt: UpstreamAttempt) -> None:
         instance = self.instances.get(attempt.fetch.target)
         if instance is None:
-            return self.exchange.end(attempt, End(Outcome.NOT_SENT))
+            return self.exchange.end_attempt(attempt, AttemptResult(Outcome.NOT_SENT))
         instance.start(attempt)
 
     def watch(self) -> None:
--- a/paddlequay/net/channels.py
+++ b/paddlequay/net/channels.py
@@ -6,14 +6,20 @@
 
 from collections.abc import Callable, Sequence
 
-from paddlequay.requests.messages import Ask, Attempt, Open, Reply, Verdict
 from paddlequay.cluster.ahead import Ahead, channel_of
 from paddlequay.cluster.channels import Channels
 from paddlequay.cluster.types import Action, Name
 from paddlequay.observability.counters import Counters
-from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import HeldBy, Note
 from paddlequay.placement.homes import digest
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.messages import (
+    AnswerStatus,
+    ClientRequest,
+    FinalAnswer,
+    PendingRequest,
+    UpstreamAttempt,
+)
+from paddlequay.routing.interface import CopyReported, ReplyDetail
 
 OUT_MOST = 256  # fills ahead that are out; past it the next read of their channel asks again
 LOOK_S = 1.0  # between two walks through all members for a digest that is not known
@@ -40,66 +46,66 @@
 
     # --- as a watch ---
 
-    def asked(self, item: Open) -> None:
+    def admit(self, item: PendingRequest) -> None:
         """A client's request is about to be taken in: tell the decisions who holds its part, and count it."""
-        ask = item.ask
+        ask = item.request
         if ask.id in self.out or ask.part is None or ask.class_name not in self.channels.rule.classes:
             return
         now = self.clock()
-        box = self.channels.carried(channel_of(self.zone, ask.name), ask.part, now)
+        box = self.channels.carried(channel_of(self.zone, ask.object_name), ask.part, now)
         member = None if box is None else self.member(box)
         if member is not None:
             self.counters.add("channels.hints")
-            self.exchange.deliver(HeldBy(ask.key, ask.part, member))
-        for ahead in self.channels.asked(ask.name, ask.class_name, ask.part, now):
+            self.exchange.deliver(CopyReported(ask.key, ask.part, member))
+        for ahead in self.channels.asked(ask.object_name, ask.class_name, ask.part, now):
             # Not inside the client's own request, which goes first.
-            self.exchange.scheduler.later(0.0, lambda ahead=ahead: self.fill(ahead, ask))  # type: ignore[misc]
+            self.exchange.scheduler.call_later(0.0, lambda ahead=ahead: self.fill(ahead, ask))  # type: ignore[misc]
 
-    def writing(self, attempt: Attempt) -> Note | None:
+    def before_write(self, attempt: UpstreamAttempt) -> ReplyDetail | None:
         """An attempt is about to be written: a fill ahead only by who owns its channel at this moment."""
-        item = attempt.owner
-        ahead = self.out.get(item.ask.id)
+        item = attempt.pending
+        ahead = self.out.get(item.request.id)
         if ahead is None or self.channels.may_fill(ahead, self.clock()) is not None:
             return None
         self.counters.add("channels.too_late")
         self.channels.failed(ahead, self.clock())
         self.exchange.withdraw(item)  # no member is to blame, and nobody else is to be asked
-        return Note.OLD_TERM
+        return ReplyDetail.STALE_TERM
 
-    def over(self, item: Open) -> None:
-        self.out.pop(item.ask.id, None)
+    def request_ended(self, item: PendingRequest) -> None:
+        self.out.pop(item.request.id, None)
 
     # --- fills ahead ---
 
-    def fill(self, ahead: Ahead, like: Ask) -> None:
+    def fill(self, ahead: Ahead, like: ClientRequest) -> None:
         """Ask for a part in the way of any request; what comes back is kept by the box alone."""
         now = self.clock()
         if len(self.out) >= OUT_MOST or self.channels.may_fill(ahead, now) is None:
             return self.channels.failed(ahead, now)
         self.number += 1
         told = {"chan": f"{ahead.channel:x}", "term": f"{ahead.term:x}"}
-        ask = Ask(
+        ask = ClientRequest(
             id=f"ahead.{self.number:x}",
             class_name=ahead.kind,
-            ttl=self.exchange.router.kinds[ahead.kind].deadline,
-            name=ahead.name,
+            time_to_live=self.exchange.router.classes[ahead.kind].deadline,
+            object_name=ahead.name,
             key=like.key,
             part=ahead.part,
             group=like.group,
-            extra=lambda target: told,
+            extra_fields=lambda target: told,
         )
         self.out[ask.id] = ahead
         self.counters.add("channels.ahead")
-        if self.exchange.ask(ask, lambda reply: self.filled(ahead, reply)) is None:
+        if self.exchange.submit(ask, lambda reply: self.filled(ahead, reply)) is None:
             self.out.pop(ask.id, None)
 
-    def filled(self, ahead: Ahead, reply: Reply) -> None:
+    def filled(self, ahead: Ahead, reply: FinalAnswer) -> None:
         now = self.clock()
-        if reply.verdict is not Verdict.SERVED or not reply.source:
+        if reply.status is not AnswerStatus.SERVED or not reply.served_by:
             self.counters.add("channels.ahead_failed")
             return self.channels.failed(ahead, now)
-        self.boxes[digest(reply.source)] = reply.source
-        self.tell(self.channels.filled(ahead, digest(reply.source), now))
+        self.boxes[digest(reply.served_by)] = reply.served_by
+        self.tell(self.channels.filled(ahead, digest(reply.served_by), now))
 
     def member(self, box: Name) -> str | None:
         """The listed member of a digest."""
--- a/paddlequay/net/client_words.py
+++ b/paddlequay/net/client_words.py
@@ -4,10 +4,10 @@
 from collections.abc import Mapping
 from typing import Any
 
-from paddlequay.requests.messages import Ask, Buffer, Reply, Verdict
-from paddlequay.config.loader import Limits
-from paddlequay.routing.interface import RequestClass
+from paddlequay.config.limits import Limits
 from paddlequay.protocol import clients as wire
+from paddlequay.requests.messages import AnswerStatus, Buffer, ClientRequest, FinalAnswer
+from paddlequay.routing.interface import RequestClass
 
 HEX = re.compile(r"[0-9a-f]{16}")
 WHOLE = re.compile(r"[0-9]{1,9}")
@@ -39,7 +39,7 @@
     return int(text)
 
 
-def read_ask(call: wire.Call, kind: RequestClass, limits: Limits) -> Ask:
+def read_ask(call: wire.Call, kind: RequestClass, limits: Limits) -> ClientRequest:
     """A call's fields as a request in the exchange's terms.
 
     Nothing is passed on that a cache could not use or read: it would answer by an error, or close the
@@ -48,37 +48,37 @@
     fields = call.fields
     if not all(isinstance(name, str) and isinstance(value, str) for name, value in fields.items()):
         raise FieldError("fields are strings")
-    if len(call.body) > limits.client_body:
+    if len(call.body) > limits.max_client_body:
         raise FieldError("the body is longer than allowed")
     name = pick(fields, "row", HEX) or ""
-    ttl = number(fields, "ttl", int(1000 * limits.ttl_most * kind.deadline), needed=True)
+    ttl = number(fields, "ttl", int(1000 * limits.max_time_to_live * kind.deadline), needed=True)
     if not ttl:
         raise FieldError("field ttl leaves no time")
-    return Ask(
+    return ClientRequest(
         id=pick(fields, "call", HEX) or "",
         class_name=call.method,
-        ttl=ttl / 1000.0,
-        name=name,
+        time_to_live=ttl / 1000.0,
+        object_name=name,
         key=int(name, 16),
-        part=number(fields, "slice", limits.part_most),
-        group=number(fields, "set", limits.group_most),
+        part=number(fields, "slice", limits.max_part),
+        group=number(fields, "set", limits.max_group),
         body=call.body,
-        known=pick(fields, "seen", HEX, False),
-        dedupe=pick(fields, "dedupe", DEDUPE, False),
+        known_tag=pick(fields, "seen", HEX, False),
+        idempotency_key=pick(fields, "dedupe", DEDUPE, False),
         retry=pick(fields, "rep", MARK, False) == "1",
     )
 
 
-def write_reply(number: int, reply: Reply) -> tuple[Buffer, ...]:
+def write_reply(number: int, reply: FinalAnswer) -> tuple[Buffer, ...]:
     """The final answer to a call, in pieces."""
-    match reply.verdict:
-        case Verdict.SERVED:
+    match reply.status:
+        case AnswerStatus.SERVED:
             return wire.served_answer(number, reply.body, {})
-        case Verdict.UNCHANGED:
+        case AnswerStatus.NOT_MODIFIED:
             return wire.served_answer(number, b"", {"current": "1"})
-        case Verdict.REFUSED:
-            wait = reply.retry_in
+        case AnswerStatus.REJECTED:
+            wait = reply.retry_after
             fields = {} if wait is None else {"pushback": str(max(1, round(wait * 1000)))}
             return (wire.error_answer(number, wire.REFUSED, fields),)
-        case Verdict.FAILED:
+        case AnswerStatus.FAILED:
             return (wire.error_answer(number, wire.FAILED, {}),)
--- a/paddlequay/net/clients.py
+++ b/paddlequay/net/clients.py
@@ -8,15 +8,15 @@
 
 from tornado.iostream import IOStream
 
-from paddlequay.requests.messages import Reply, Verdict
-from paddlequay.config.loader import Limits
-from paddlequay.observability.counters import Counters
-from paddlequay.requests.exchange import Exchange
-from paddlequay.lifecycle.overload import OwnLoad
+from paddlequay.config.limits import Limits
+from paddlequay.lifecycle.operator_state import DRAIN, OperatorState
+from paddlequay.lifecycle.overload import OverloadGuard
 from paddlequay.net import listener as door
 from paddlequay.net.session import Session
-from paddlequay.lifecycle.operator_state import DRAIN, Operation
-from paddlequay.requests.quotas import Shares
+from paddlequay.observability.counters import Counters
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.messages import AnswerStatus, FinalAnswer
+from paddlequay.requests.quotas import ProcessQuotas
 
 CANDIDATES = 8  # asked for room in each state: thousands of connections are not searched for one
 
@@ -27,14 +27,14 @@
     def __init__(
         self,
         exchange: Exchange,
-        operation: Operation,
-        shares: Shares,
+        operation: OperatorState,
+        shares: ProcessQuotas,
         limits: Limits,
         counters: Counters,
-        load: OwnLoad,
+        load: OverloadGuard,
     ) -> None:
         self.operation = operation
-        operation.changed.append(self.ordered)
+        operation.on_change.append(self.ordered)
         self.exchange, self.shares, self.limits, self.counters = exchange, shares, limits, counters
         self.sessions: set[Session] = set()
         # Who waits with nothing owed, the longest first: before the first byte, with one piece of a message,
@@ -46,7 +46,7 @@
         self.idle: OrderedDict[Session, None] = OrderedDict()
         self.tasks: set[asyncio.Task[None]] = set()
         self.load = load
-        self.too_busy = Reply(Verdict.REFUSED, retry_in=limits.shed_pushback)
+        self.too_busy = FinalAnswer(AnswerStatus.REJECTED, retry_after=limits.shed_retry_after)
         self.unsent = 0
         self.queued = 0  # bytes of bodies of calls that are read and not made yet
         self.listener: socket.socket | None = None
@@ -59,19 +59,19 @@
         self.drained_at: float | None = None  # when operators had the router emptied
         self.shedding = False  # connections close at their next quiet moment
         self.turning_away = False  # and those that never have one are given one
-        self.elsewhere = Reply(Verdict.REFUSED, retry_in=limits.busy_pushback)
+        self.elsewhere = FinalAnswer(AnswerStatus.REJECTED, retry_after=limits.busy_retry_after)
 
     def now(self) -> float:
         return self.exchange.scheduler.monotonic()
 
     @property
     def most_unsent(self) -> float:
-        return self.limits.all_unsent * self.shares.part
+        return self.limits.max_unsent * self.shares.memory_share
 
     @property
     def most_queued(self) -> float:
         """A bound of its own beside that of the exchange, for who is held back or read ahead."""
-        return self.limits.held_bodies * self.shares.part / 2
+        return self.limits.max_body_bytes * self.shares.memory_share / 2
 
     def takes(self) -> bool:
         """What the platform is told that asks at the clients' address, where two processes are one router."""
@@ -87,7 +87,7 @@
 
     @property
     def left(self) -> str:
-        return f"{len(self.sessions)} connections, {len(self.exchange.open)} requests open"
+        return f"{len(self.sessions)} connections, {len(self.exchange.pending)} requests open"
 
     def empty(self) -> None:
         """At each beat: close what is quiet where connections are to go, and go on with a drain.
@@ -98,16 +98,16 @@
         self.shedding, self.turning_away = self.giving_way, self.hurrying
         if self.drained_at is not None:
             since, limits = self.now() - self.drained_at, self.limits
-            self.shedding = self.shedding or since >= limits.drain_accept
-            self.turning_away = self.turning_away or since >= limits.drain_refuse
-            if since >= limits.drain_surrender:
-                self.exchange.surrender()
+            self.shedding = self.shedding or since >= limits.drain_accept_time
+            self.turning_away = self.turning_away or since >= limits.drain_reject_after
+            if since >= limits.drain_abandon_after:
+                self.exchange.abandon_all()
         if self.shedding:
             for session in list(self.sessions):
                 if session.held:
                     session.make()
                 session.close_if_quiet()
-        if self.drained_at is not None and self.now() - self.drained_at >= self.limits.drain_close:
+        if self.drained_at is not None and self.now() - self.drained_at >= self.limits.drain_close_after:
             self.end_sessions("closed_by_drain")
 
     def end_sessions(self, cause: str) -> None:
@@ -161,18 +161,18 @@
 
     def places(self) -> int:
         """How many connections may be taken in this turn: where there is no room, one that is made."""
-        free = self.shares.clients - len(self.sessions)
-        return min(self.limits.accepts, free) if free > 0 else int(self.make_room())
+        free = self.shares.client_connections - len(self.sessions)
+        return min(self.limits.accepts_per_turn, free) if free > 0 else int(self.make_room())
 
     def accepted(self, connection: socket.socket) -> None:
         limits = self.limits
-        if len(self.sessions) >= self.shares.clients and not self.make_room():
+        if len(self.sessions) >= self.shares.client_connections and not self.make_room():
             self.counters.add("turned_away_connections")
             return connection.close()
         self.counters.add("client_connections")
         connection.setblocking(False)
         stream = IOStream(
-            connection, max_buffer_size=2 * limits.client_frame, read_chunk_size=limits.client_chunk
+            connection, max_buffer_size=2 * limits.max_client_frame, read_chunk_size=limits.client_read_size
         )
         stream.set_nodelay(True)
         session = Session(self, stream)
@@ -201,7 +201,7 @@
             (self.mute, 0.0, Session.close_unspoken),
             (self.begun, 0.0, Session.close_unspoken),
             (self.parting, 0.0, Session.close_parting),
-            (self.moving, self.limits.moving, Session.close_at_rest),
+            (self.moving, self.limits.recent_progress, Session.close_at_rest),
             (self.idle, 0.0, Session.close_at_rest),
             (self.moving, 0.0, Session.close_at_rest),
         )
@@ -230,12 +230,12 @@
             since = session.half
             if since is None and not session.spoken:
                 since = session.began
-            if session.unsent and now - session.moved > limits.client_stall:
+            if session.unsent and now - session.moved > limits.client_stall_timeout:
                 self.counters.add("slow_readers")
                 session.stream.close()
-            elif since is not None and now - since > limits.client_silent:
+            elif since is not None and now - since > limits.client_silence_timeout:
                 if session.at_rest():
                     self.counters.add("silent_clients")
                     session.end()  # the rest of its message may come yet
-            elif now - session.used > limits.client_idle and session.close_at_rest():
+            elif now - session.used > limits.client_idle_timeout and session.close_at_rest():
                 self.counters.add("closed_idle_clients")
--- a/paddlequay/net/connection.py
+++ b/paddlequay/net/connection.py
@@ -9,11 +9,11 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from paddlequay.observability import log
-from paddlequay.requests.messages import Attempt, End
-from paddlequay.routing.interface import Outcome
 from paddlequay.net.cache_words import order_fields, read_end
+from paddlequay.observability import log
 from paddlequay.protocol import caches as wire
+from paddlequay.requests.messages import AttemptResult, UpstreamAttempt
+from paddlequay.routing.interface import Outcome
 
 if TYPE_CHECKING:
     from paddlequay.net.caches import Instance, Pool
@@ -31,9 +31,9 @@
         self.pool, self.instance, self.limits = pool, instance, pool.limits
         family = socket.AF_INET6 if ":" in instance.address[0] else socket.AF_INET
         self.stream = IOStream(socket.socket(family, socket.SOCK_STREAM))
-        self.reader = wire.Reader(self.limits.cache_line, self.limits.cache_object)
-        self.waiting: deque[Attempt] = deque()
-        self.out: dict[str, Attempt] = {}
+        self.reader = wire.Reader(self.limits.max_cache_line, self.limits.max_object_size)
+        self.waiting: deque[UpstreamAttempt] = deque()
+        self.out: dict[str, UpstreamAttempt] = {}
         self.written: OrderedDict[str, None] = OrderedDict()  # ids, the latest `cache_ids` of them
         self.up = False
         self.silent = False
@@ -44,13 +44,13 @@
         self.answer_began = -math.inf  # the first byte of the answer that is coming
         self.coming: asyncio.Future[bytes] | None = None  # the read that is under way
 
-    def takes(self, attempt: Attempt) -> bool:
+    def takes(self, attempt: UpstreamAttempt) -> bool:
         """Room for it, on a connection that answers.
 
         An id that was written here never comes again on this connection: an answer to the first attempt may
         be on its way, late or for the second time, and nothing would tell it from the second's.
         """
-        if attempt.once and self.up and self.pool.now() - self.used > self.limits.cache_fresh:
+        if attempt.never_resend and self.up and self.pool.now() - self.used > self.limits.max_reuse_idle:
             return False  # a peer may be closing an idle one just now: that is a reset, and may have run
         if self.load >= self.limits.cache_streams or self.silent or self.stream.closed():
             return False
@@ -88,7 +88,7 @@
     async def read(self) -> None:
         reads = 0
         while True:
-            self.coming = asyncio.ensure_future(self.stream.read_bytes(self.limits.read_chunk, partial=True))
+            self.coming = asyncio.ensure_future(self.stream.read_bytes(self.limits.read_size, partial=True))
             try:
                 data = await self.coming
             except BaseException:
@@ -102,7 +102,7 @@
                 self.answer_began = self.heard
                 self.answered(answer)
             reads += 1
-            if len(data) == self.limits.read_chunk or reads % 4 == 0:
+            if len(data) == self.limits.read_size or reads % 4 == 0:
                 await asyncio.sleep(0)  # a read of what is there does not yield: others have a turn
 
     def lost(self) -> None:
@@ -112,13 +112,13 @@
         out, self.out = list(self.out.values()), {}
         waiting = self.take_waiting()
         for attempt in out:
-            self.pool.exchange.end(attempt, End(Outcome.RESET))
+            self.pool.exchange.end_attempt(attempt, AttemptResult(Outcome.RESET))
         # That a run is over, as the list tells, is no failure of whoever bears its name now.
-        unwritten = Outcome.NOT_SENT if self.instance.gone else Outcome.UNREACHED
+        unwritten = Outcome.NOT_SENT if self.instance.gone else Outcome.CONNECT_FAILED
         for attempt in waiting:
-            self.pool.exchange.end(attempt, End(unwritten))
+            self.pool.exchange.end_attempt(attempt, AttemptResult(unwritten))
 
-    def take_waiting(self) -> list[Attempt]:
+    def take_waiting(self) -> list[UpstreamAttempt]:
         waiting = list(self.waiting)
         self.waiting.clear()
         return waiting
@@ -133,7 +133,7 @@
             return b""
 
     @property
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether bytes have come that were not looked at yet, as after a late turn of the loop."""
         if self.stream.closed() or self.coming is None:
             return False
@@ -145,12 +145,12 @@
             if self.instance.gone:
                 # Its name may be back on the list, and would pass there, as another run at another address.
                 for attempt in self.take_waiting():
-                    self.pool.exchange.end(attempt, End(Outcome.NOT_SENT))
+                    self.pool.exchange.end_attempt(attempt, AttemptResult(Outcome.NOT_SENT))
                 return
-            if (self.waiting[0].once or not self.out) and self.peek() == b"":
+            if (self.waiting[0].never_resend or not self.out) and self.peek() == b"":
                 return self.ended_by_peer()
             attempt = self.waiting.popleft()
-            order = self.pool.exchange.order(attempt)
+            order = self.pool.exchange.prepare_write(attempt)
             if order is None:
                 continue
             line = wire.ask(order.id, order_fields(order), len(order.body))
@@ -160,12 +160,12 @@
                 self.waiting.appendleft(attempt)  # never written, and ends so
                 return
             self.out[attempt.id] = attempt
-            self.once = attempt.once and (self.once or not self.written)
+            self.once = attempt.never_resend and (self.once or not self.written)
             self.written[attempt.id] = None
-            if len(self.written) > self.limits.cache_ids:
+            if len(self.written) > self.limits.max_remembered_ids:
                 self.written.popitem(last=False)
             self.used = self.pool.now()
-            self.pool.exchange.written(attempt)
+            self.pool.exchange.mark_written(attempt)
 
     def ended_by_peer(self) -> None:
         """A peer's close has come that was not read yet: what waits was never written and goes elsewhere.
@@ -193,39 +193,44 @@
             # Read before it is taken off: what cannot be read ends the connection and all that is out on it,
             # this attempt too, which else would have waited for its time-out.
             end = read_end(answer)
-            known = attempt.owner.ask.known
-            if end.unchanged and (known is None or answer.fields.get("tag") != known):
+            known = attempt.pending.request.known_tag
+            if end.not_modified and (known is None or answer.fields.get("tag") != known):
                 raise wire.MalformedError("VALID that does not name the copy that was asked about")
             del self.out[answer.id]
             self.unasked = 0
-            if attempt.written is not None:
-                self.instance.answer_took(attempt, self.used - attempt.written)
+            if attempt.written_at is not None:
+                self.instance.answer_took(attempt, self.used - attempt.written_at)
             self.pool.counters.add("received_bytes", len(answer.body))
-            self.pool.exchange.end(attempt, end)
+            self.pool.exchange.end_attempt(attempt, end)
         else:
             # Given up, answered before, or never asked: whole and well-formed, it harms nothing else. Taken
             # as a spoilt connection, one such answer ended all good ones that were on their way.
             self.pool.counters.add("answers_not_asked")
             self.unasked += 1
-            if self.unasked > self.limits.cache_ids:
+            if self.unasked > self.limits.max_remembered_ids:
                 raise wire.MalformedError("answers without end that nobody asked for")
 
-    def abandon(self, attempt: Attempt) -> bool:
+    def abandon(self, attempt: UpstreamAttempt) -> bool:
         """Give an attempt up; and has nothing at all come since it was written?"""
-        quiet = attempt.written is not None and self.heard <= attempt.written
+        quiet = attempt.written_at is not None and self.heard <= attempt.written_at
         if self.out.get(attempt.id) is attempt:
             del self.out[attempt.id]
             # A machine that vanished leaves its connections open and says nothing on them: one that has
             # brought no byte since this attempt was written takes nothing new until it does.
             # Where its client gave less time than an answer may take, its time-out is no word on the machine.
-            now, kind = self.pool.now(), self.pool.exchange.router.kinds.get(attempt.owner.ask.class_name)
-            in_vain = now >= attempt.expires
-            in_vain = in_vain and (kind is None or attempt.expires - attempt.began >= kind.aim)
+            now, kind = (
+                self.pool.now(),
+                self.pool.exchange.router.classes.get(attempt.pending.request.class_name),
+            )
+            in_vain = now >= attempt.expires_at
+            in_vain = in_vain and (
+                kind is None or attempt.expires_at - attempt.started_at >= kind.latency_objective
+            )
             if in_vain and quiet:
                 self.silent = True
-            elif in_vain and attempt.written is not None:
+            elif in_vain and attempt.written_at is not None:
                 # At least so long: leaving out what was given up would make all waits look short in a jam.
-                self.pool.waits.took(attempt.owner.ask.class_name, now - attempt.written)
+                self.pool.waits.record(attempt.pending.request.class_name, now - attempt.written_at)
             # Whether or not the settings let the decisions cancel: until it is told, what is over here is out
             # there, and the next attempt would be a second copy beside it.
             if not self.stream.closed():
@@ -234,19 +239,21 @@
             self.waiting.remove(attempt)
         return quiet
 
-    def unheard(self, heard: float) -> list[Attempt]:
+    def unheard(self, heard: float) -> list[UpstreamAttempt]:
         """What is out and was written after the byte heard last."""
-        return [each for each in self.out.values() if each.written is not None and each.written >= heard]
+        return [
+            each for each in self.out.values() if each.written_at is not None and each.written_at >= heard
+        ]
 
     def dead(self, now: float) -> bool:
         """Whether what is out tells of silence: several written since the last byte, and long ago.
 
         Left to their time-outs, they were blamed on the sources of their fills, whose limits were cut for it.
         """
-        if now - self.heard <= self.limits.cache_silence:
+        if now - self.heard <= self.limits.silence_check_after:
             return False
         since = self.unheard(self.heard)
-        return len(since) >= self.limits.cache_unheard and self.instance.silence_of(since, now)
+        return len(since) >= self.limits.connection_unanswered and self.instance.silence_of(since, now)
 
     def stalled(self, now: float) -> bool:
         """Whether the answer that is coming has stopped, or comes too slowly to be waited for.
@@ -256,15 +263,15 @@
         for it. Else a byte now and then holds a connection with thirty requests on it until their time-outs.
         """
         took = now - self.answer_began
-        if not self.reader.begun or took <= self.limits.cache_stall:
+        if not self.reader.begun or took <= self.limits.cache_stall_timeout:
             return False
-        if now - self.heard > self.limits.cache_stall:
+        if now - self.heard > self.limits.cache_stall_timeout:
             return True
         share = self.reader.share
         rest = took / share - took if share else math.inf
         attempt = self.out.get(self.reader.answering or "")
-        left = 0.0 if attempt is None else attempt.expires - now
-        return rest > 2 * max(left, self.limits.cache_silence)
+        left = 0.0 if attempt is None else attempt.expires_at - now
+        return rest > 2 * max(left, self.limits.silence_check_after)
 
     @property
     def idle(self) -> bool:
--- a/paddlequay/net/console.py
+++ b/paddlequay/net/console.py
@@ -9,12 +9,18 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
+from paddlequay.config.limits import Limits
+from paddlequay.lifecycle.background import TaskSupervisor
+from paddlequay.lifecycle.operator_state import (
+    DRAIN,
+    EJECTED_PREFIX,
+    OperatorState,
+    Override,
+    TooManyOverridesError,
+)
+from paddlequay.net import listener as door
 from paddlequay.observability import log
-from paddlequay.lifecycle.background import Background
-from paddlequay.config.loader import Limits
 from paddlequay.observability.counters import Counters
-from paddlequay.net import listener as door
-from paddlequay.lifecycle.operator_state import DRAIN, OUT, Mark, Operation, TooManyError
 from paddlequay.protocol import console as wire
 
 LOGGER = logging.getLogger(__name__)
@@ -36,14 +42,14 @@
 class Twin(Protocol):
     """The other process of the same name, where there is one."""
 
-    async def confirm(self, name: str, mark: Mark) -> bool: ...
+    async def confirm(self, name: str, mark: Override) -> bool: ...
 
 
 class Console:
     """Asks the owners of what is asked for, gives them operators' orders, and says why."""
 
     def __init__(
-        self, operation: Operation, front: Front, twin: Twin, limits: Limits, counters: Counters
+        self, operation: OperatorState, front: Front, twin: Twin, limits: Limits, counters: Counters
     ) -> None:
         self.operation, self.front, self.twin = operation, front, twin
         self.limits, self.counters = limits, counters
@@ -52,14 +58,14 @@
         self.half: OrderedDict[IOStream, None] = OrderedDict()  # no whole call yet, the oldest first
         self.saving = asyncio.Lock()
         self.open = 0
-        self.background = Background(counters)
+        self.background = TaskSupervisor(counters)
 
     def listen(self, listener: socket.socket) -> None:
         listener.listen(64)
         door.on_connection(listener, self.accepted, lambda: self.limits.console_connections)
 
     def accepted(self, connection: socket.socket) -> None:
-        stream = IOStream(connection, max_buffer_size=2 * self.limits.console_head)
+        stream = IOStream(connection, max_buffer_size=2 * self.limits.max_console_head)
         if self.open >= self.limits.console_connections:
             # Who holds a connection without a whole call makes room for who has just come.
             if not self.half:
@@ -73,7 +79,7 @@
 
     async def serve(self, stream: IOStream) -> None:
         try:
-            async with asyncio.timeout(self.limits.console_longest):
+            async with asyncio.timeout(self.limits.console_timeout):
                 await self.call(stream)
         except TimeoutError:
             self.counters.add("console_half_calls")
@@ -88,17 +94,17 @@
             stream.close()
 
     async def call(self, stream: IOStream) -> None:
-        reader = wire.Reader(self.limits.console_head, self.limits.console_body)
+        reader = wire.Reader(self.limits.max_console_head, self.limits.max_console_body)
         call, allow = None, ""
         try:
-            async with asyncio.timeout(self.limits.console_half):
+            async with asyncio.timeout(self.limits.console_read_timeout):
                 while call is None:
-                    call = reader.feed(await stream.read_bytes(self.limits.console_head, partial=True))
+                    call = reader.feed(await stream.read_bytes(self.limits.max_console_head, partial=True))
             self.half.pop(stream, None)
             status, why, allow = await self.answer(call)
         except TimeoutError:
             self.counters.add("console_half_calls")
-            status, why = 408, f"no whole call within {self.limits.console_half:g} s"
+            status, why = 408, f"no whole call within {self.limits.console_read_timeout:g} s"
         except wire.MalformedError as error:
             status, why = 400, str(error)
         self.half.pop(stream, None)
@@ -109,7 +115,7 @@
         stream.socket.shutdown(socket.SHUT_WR)
         async with asyncio.timeout(self.limits.console_linger):
             for _ in range(16):
-                await stream.read_bytes(self.limits.read_chunk, partial=True)
+                await stream.read_bytes(self.limits.read_size, partial=True)
 
     async def answer(self, call: wire.Call) -> tuple[int, str, str]:
         """The status, why, and the methods that are allowed where this one is not."""
@@ -142,7 +148,7 @@
     async def save(self) -> None:
         """A disk may flush for longer than a beat of the loop, which would take itself for overloaded."""
         async with self.saving:
-            await asyncio.to_thread(self.operation.write, self.operation.kept())
+            await asyncio.to_thread(self.operation.write, self.operation.serialize_ejections())
 
     def ready(self) -> Answer:
         why = self.front.closed_for()
@@ -152,20 +158,20 @@
         """Empty the router, or put it back to work."""
         if not on and self.front.ending and not self.front.replaced:
             return 409, "this process is ending"
-        mark = self.operation.order(DRAIN, on)
+        mark = self.operation.set_override(DRAIN, on)
         if not await self.twin.confirm(DRAIN, mark):
             return 503, "obeyed here, but the other process has not confirmed it; call again"
         return 200, f"draining: {self.front.left}" if on else "taking clients"
 
     async def out(self, cache: str, on: bool) -> Answer:
         """Leave a cache out, or put it back: yes once the other process obeys and once it is saved."""
-        if not self.operation.knows(cache):
+        if not self.operation.is_known(cache):
             return 404, "no cache of that id was ever listed"
         try:
-            mark = self.operation.order(OUT + cache, on)
-        except TooManyError as error:
+            mark = self.operation.set_override(EJECTED_PREFIX + cache, on)
+        except TooManyOverridesError as error:
             return 409, str(error)
-        confirmed = await self.twin.confirm(OUT + cache, mark)
+        confirmed = await self.twin.confirm(EJECTED_PREFIX + cache, mark)
         try:
             # Goes on where the call's time is over: the next write must not meet this one's file half done.
             await asyncio.shield(asyncio.ensure_future(self.save()))
@@ -173,4 +179,7 @@
             return 503, f"obeyed, but not saved for the next process: {error.strerror}; call again"
         if not confirmed:
             return 503, "obeyed here, but the other process has not confirmed it; call again"
-        return 200, f"{'out' if on else 'back'}; left out now: {', '.join(self.operation.out) or 'none'}"
+        return (
+            200,
+            f"{'out' if on else 'back'}; left out now: {', '.join(self.operation.ejected_ids) or 'none'}",
+        )
--- a/paddlequay/net/dns.py
+++ b/paddlequay/net/dns.py
@@ -10,11 +10,11 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from paddlequay.observability import log
-from paddlequay.lifecycle.background import Background
-from paddlequay.observability.counters import Counters
 from paddlequay.discovery.answers import ANSWER_MOST
 from paddlequay.discovery.resolver import Action, Known, Resolver, Send
+from paddlequay.lifecycle.background import TaskSupervisor
+from paddlequay.observability import log
+from paddlequay.observability.counters import Counters
 
 LOGGER = logging.getLogger(__name__)
 
@@ -66,7 +66,7 @@
     ) -> None:
         self.resolver, self.counters, self.now, self.on_known = resolver, counters, now, on_known
         self.sockets: dict[int, Datagrams] = {}
-        self.background = Background(counters)
+        self.background = TaskSupervisor(counters)
         self.woken = asyncio.Event()
 
     def carry(self, actions: list[Action]) -> None:
--- a/paddlequay/net/feed.py
+++ b/paddlequay/net/feed.py
@@ -3,11 +3,12 @@
 import logging
 from collections.abc import Callable
 
-from paddlequay.observability import log
-from paddlequay.config.loader import Address, Limits
-from paddlequay.observability.counters import Counters
+from paddlequay.config.limits import Limits
+from paddlequay.config.values import Address
 from paddlequay.hierarchy.shape import Shape, ShapeLimits, Shaper, Took
 from paddlequay.net.lines import PAUSE, Line, LineFollower
+from paddlequay.observability import log
+from paddlequay.observability.counters import Counters
 from paddlequay.protocol import bulletin, feed
 from paddlequay.protocol.bulletin import Heartbeat, Unusable
 
@@ -49,7 +50,7 @@
         self.beside = Shaper(self.shape_limits) if self.shaper.shape.version else None
 
     def reader(self) -> Line[feed.Shaped | bulletin.Roster | bulletin.Recall | Heartbeat | Unusable]:
-        return feed.Reader(self.limits.bulletin_line, self.shape_limits)
+        return feed.Reader(self.limits.max_bulletin_line, self.shape_limits)
 
     def apply(self, news: feed.Shaped | bulletin.Roster | bulletin.Recall | Heartbeat | Unusable) -> None:
         """Take in one line's news. A feed whose numbers go back has begun anew: asked for everything."""
--- a/paddlequay/net/hot_restart.py
+++ b/paddlequay/net/hot_restart.py
@@ -13,164 +13,164 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
+from paddlequay.config.limits import Limits
+from paddlequay.lifecycle.background import TaskSupervisor
+from paddlequay.lifecycle.operator_state import OperatorState, Override
+from paddlequay.net import listener as door
 from paddlequay.observability import log
-from paddlequay.lifecycle.background import Background
-from paddlequay.config.loader import Limits
 from paddlequay.observability.counters import Counters
-from paddlequay.net import listener as door
-from paddlequay.lifecycle.operator_state import Mark, Operation
 from paddlequay.protocol import hot_restart as wire
-from paddlequay.requests.quotas import Held, Shares
+from paddlequay.requests.quotas import ProcessQuotas, QuotaInUse
 
 LOGGER = logging.getLogger(__name__)
 
 
-class Link:
+class ProcessLink:
     """One connection to an older or a newer process."""
 
-    def __init__(self, twin: "Twin", stream: IOStream) -> None:
-        self.twin, self.stream = twin, stream
-        self.reader = wire.Reader(twin.limits.twin_line)
-        self.known = asyncio.Event()  # the other's state has come, or the link has ended
-        self.ready = self.told = False
-        self.awaited: dict[int, asyncio.Future[bool]] = {}
+    def __init__(self, twin: "HotRestart", stream: IOStream) -> None:
+        self.owner, self.stream = twin, stream
+        self.parser = wire.LinkParser(twin.limits.max_link_line)
+        self.state_received = asyncio.Event()  # the other's state has come, or the link has ended
+        self.successor_ready = self.has_state = False
+        self.awaiting_confirmation: dict[int, asyncio.Future[bool]] = {}
 
     def send(self, message: wire.Message) -> None:
         if not self.stream.closed():
             # Its failure shows in `run`, which reads the same stream.
             self.stream.write(wire.pack(message)).add_done_callback(lambda done: done.exception())
 
-    async def confirm(self, name: str, mark: Mark) -> bool:
+    async def confirm(self, name: str, mark: Override) -> bool:
         """Whether the other process obeys an order; one that has ended sends nothing and so obeys it."""
         if self.stream.closed():
             return True
-        number = self.twin.numbers = self.twin.numbers + 1
-        done = self.awaited[number] = asyncio.get_running_loop().create_future()
-        self.send(wire.Order(number, name, mark))
+        number = self.owner.last_number = self.owner.last_number + 1
+        done = self.awaiting_confirmation[number] = asyncio.get_running_loop().create_future()
+        self.send(wire.OverrideMessage(number, name, mark))
         try:
-            return await asyncio.wait_for(done, self.twin.limits.confirm_longest)
+            return await asyncio.wait_for(done, self.owner.limits.confirm_timeout)
         except TimeoutError:
             return False
         finally:
-            del self.awaited[number]
+            del self.awaiting_confirmation[number]
 
     async def run(self) -> None:
         """Read until the end."""
-        operation = self.twin.operation
-        learned = self.twin.knowledge() if self is self.twin.newer else {}
-        self.send(wire.State(operation.marks, tuple(operation.listed), learned))
+        operation = self.owner.operator_state
+        learned = self.owner.export_state() if self is self.owner.successor else {}
+        self.send(wire.StateMessage(operation.overrides, tuple(operation.known_ids), learned))
         try:
             while True:
-                data = await self.stream.read_bytes(self.twin.limits.read_chunk, partial=True)
-                for message in self.reader.feed(data):
-                    self.heard(message)
+                data = await self.stream.read_bytes(self.owner.limits.read_size, partial=True)
+                for message in self.parser.feed(data):
+                    self.handle(message)
         except StreamClosedError:
             pass
         except wire.MalformedError as error:
-            log.event(LOGGER, logging.WARNING, "bad_twin_line", why=str(error))
+            log.event(LOGGER, logging.WARNING, "bad_link_line", why=str(error))
         except Exception:
             # The link ends, and what follows its end is done: else it would count as open for good.
-            self.twin.counters.add("twin_errors")
-            LOGGER.exception("twin_failed")
+            self.owner.counters.add("hot_restart_errors")
+            LOGGER.exception("hot_restart_failed")
         finally:
             self.stream.close()
-            self.known.set()
-            for done in self.awaited.values():
+            self.state_received.set()
+            for done in self.awaiting_confirmation.values():
                 if not done.done():
                     done.set_result(True)
 
-    def heard(self, message: wire.Message) -> None:
-        operation = self.twin.operation
+    def handle(self, message: wire.Message) -> None:
+        operation = self.owner.operator_state
         match message:
-            case wire.State():
-                self.told = True
-                operation.saw(message.listed)
-                operation.take_all(message.marks)
-                if self is self.twin.older:
-                    self.twin.on_knowledge(message.knowledge)
-                self.known.set()
-            case wire.Order():
-                operation.take(message.name, message.mark)
-                self.twin.counters.add("orders_from_twin")
-                self.twin.background.spawn("twin", self.pass_on(message))
-            case wire.Confirmed():
-                done = self.awaited.get(message.number)
+            case wire.StateMessage():
+                self.has_state = True
+                operation.record_listed(message.known_ids)
+                operation.apply_all(message.overrides)
+                if self is self.owner.predecessor:
+                    self.owner.on_inherited_state(message.state)
+                self.state_received.set()
+            case wire.OverrideMessage():
+                operation.apply(message.name, message.override)
+                self.owner.counters.add("overrides_from_other_process")
+                self.owner.background.spawn("twin", self.relay(message))
+            case wire.OverrideConfirmed():
+                done = self.awaiting_confirmation.get(message.number)
                 if done is not None and not done.done():
                     done.set_result(True)
-            case wire.Ready():
-                self.ready = True
-                self.twin.newer_ready()
-            case Held():
-                self.twin.shares.beside(message)
+            case wire.SuccessorReady():
+                self.successor_ready = True
+                self.owner.successor_ready()
+            case QuotaInUse():
+                self.owner.quotas.use_rest_of(message)
 
-    async def pass_on(self, order: wire.Order) -> None:
+    async def relay(self, order: wire.OverrideMessage) -> None:
         """Confirm an order once a third process, if there is one, obeys it as well."""
-        if await self.twin.confirm(order.name, order.mark, but=self):
-            self.send(wire.Confirmed(order.number))
+        if await self.owner.confirm(order.name, order.override, but=self):
+            self.send(wire.OverrideConfirmed(order.number))
 
 
-class Twin:
+class HotRestart:
     """Finds the older process at the start, and is found by a newer one later."""
 
     def __init__(
-        self, path: Path, operation: Operation, shares: Shares, limits: Limits, counters: Counters
+        self, path: Path, operation: OperatorState, shares: ProcessQuotas, limits: Limits, counters: Counters
     ) -> None:
-        self.path, self.operation, self.shares = path, operation, shares
+        self.path, self.operator_state, self.quotas = path, operation, shares
         self.limits, self.counters = limits, counters
-        self.older: Link | None = None
-        self.newer: Link | None = None
-        self.numbers = 0
-        self.held: Held | None = None
-        self.background = Background(counters)
+        self.predecessor: ProcessLink | None = None
+        self.successor: ProcessLink | None = None
+        self.last_number = 0
+        self.quota_given: QuotaInUse | None = None
+        self.background = TaskSupervisor(counters)
         self.closed = False
-        self.found = asyncio.Event()  # whether there is an older process is known
-        self.knowledge: Callable[[], dict[str, float]] = dict
-        self.on_knowledge: Callable[[dict[str, float]], None] = lambda learned: None
-        self.on_newer: Callable[[], None] = lambda: None
+        self.search_done = asyncio.Event()  # whether there is an older process is known
+        self.export_state: Callable[[], dict[str, float]] = dict
+        self.on_inherited_state: Callable[[dict[str, float]], None] = lambda learned: None
+        self.on_successor: Callable[[], None] = lambda: None
         self.on_replaced: Callable[[], None] = lambda: None
-        self.on_alone: Callable[[], None] = lambda: None
+        self.on_successor_gone: Callable[[], None] = lambda: None
         self.stop_listening: Callable[[], None] | None = None
         self.listener: socket.socket | None = None
 
     @property
     def replaced(self) -> bool:
         """Whether a newer process takes clients."""
-        return self.newer is not None and self.newer.ready
+        return self.successor is not None and self.successor.successor_ready
 
-    async def find(self) -> bool:
+    async def find_predecessor(self) -> bool:
         """Look for an older process and learn what it knows; then be found in its place."""
         now = asyncio.get_running_loop().time
-        until = now() + self.limits.twin_connect
-        while (link := await self.reach()) is not None:
-            self.older = link
-            self.background.spawn("twin", self.follow_older(link))
+        until = now() + self.limits.link_connect_timeout
+        while (link := await self.connect()) is not None:
+            self.predecessor = link
+            self.background.spawn("twin", self.follow_predecessor(link))
             try:
-                await asyncio.wait_for(link.known.wait(), self.limits.twin_connect)
+                await asyncio.wait_for(link.state_received.wait(), self.limits.link_connect_timeout)
             except TimeoutError:
-                log.event(LOGGER, logging.WARNING, "older_process_silent")
-            if link.told or not link.stream.closed() or now() >= until:
+                log.event(LOGGER, logging.WARNING, "predecessor_unresponsive")
+            if link.has_state or not link.stream.closed() or now() >= until:
                 break
             # Ended without a word: it is going, or has a newer one beside it, soon to be found in its place.
             await asyncio.sleep(0.02)
-        self.found.set()
+        self.search_done.set()
         self.listen()
-        return self.older is not None
+        return self.predecessor is not None
 
-    async def reach(self) -> Link | None:
+    async def connect(self) -> ProcessLink | None:
         """A link to whoever listens at the path."""
         stream = IOStream(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
         try:
-            await asyncio.wait_for(stream.connect(str(self.path)), self.limits.twin_connect)
+            await asyncio.wait_for(stream.connect(str(self.path)), self.limits.link_connect_timeout)
         except (TimeoutError, StreamClosedError, OSError):
             stream.close()
             return None
-        return Link(self, stream)
+        return ProcessLink(self, stream)
 
-    async def follow_older(self, link: Link) -> None:
+    async def follow_predecessor(self, link: ProcessLink) -> None:
         await link.run()
-        self.older = None
-        self.shares.alone()
-        log.event(LOGGER, logging.INFO, "older_process_ended")
+        self.predecessor = None
+        self.quotas.take_all()
+        log.event(LOGGER, logging.INFO, "predecessor_ended")
 
     def listen(self) -> None:
         """Be found at the path. Under a name of its own first: whoever connects there meets a listener."""
@@ -186,15 +186,15 @@
         except OSError as error:
             # Without it a newer process still starts, and takes over the bans from the file.
             listener.close()
-            log.event(LOGGER, logging.WARNING, "not_to_be_found", path=self.path, why=str(error))
+            log.event(LOGGER, logging.WARNING, "link_not_listening", path=self.path, why=str(error))
             return
         self.stop()
         self.listener = listener
         self.stop_listening = door.on_connection(listener, self.accepted, lambda: 4)
 
-    async def alone(self) -> None:
+    async def wait_until_alone(self) -> None:
         """Wait until the older process has ended."""
-        while self.older is not None:
+        while self.predecessor is not None:
             await asyncio.sleep(0.02)
 
     def stop(self) -> None:
@@ -204,54 +204,57 @@
             self.stop_listening = self.listener = None
 
     def accepted(self, connection: socket.socket) -> None:
-        if self.newer is not None:
+        if self.successor is not None:
             return connection.close()  # one at a time: that one is found in this one's place by now
-        self.newer = Link(self, IOStream(connection))
-        self.counters.add("newer_processes")
-        log.event(LOGGER, logging.INFO, "newer_process")
-        self.on_newer()
-        self.background.spawn("twin", self.follow_newer(self.newer))
+        self.successor = ProcessLink(self, IOStream(connection))
+        self.counters.add("successors")
+        log.event(LOGGER, logging.INFO, "successor_connected")
+        self.on_successor()
+        self.background.spawn("twin", self.follow_successor(self.successor))
 
-    async def follow_newer(self, link: Link) -> None:
+    async def follow_successor(self, link: ProcessLink) -> None:
         await link.run()
-        self.newer = self.held = None
-        self.shares.alone()
-        self.on_alone()
-        log.event(LOGGER, logging.INFO, "newer_process_ended")
+        self.successor = self.quota_given = None
+        self.quotas.take_all()
+        self.on_successor_gone()
+        log.event(LOGGER, logging.INFO, "successor_ended")
         if not self.closed:  # at its own end it must not take the place of the one that goes on
             self.listen()
 
-    def newer_ready(self) -> None:
+    def successor_ready(self) -> None:
         self.on_replaced()
-        log.event(LOGGER, logging.INFO, "newer_process_ready")
+        log.event(LOGGER, logging.INFO, "successor_ready")
 
-    def give(self, held: Held) -> None:
+    def give_quota(self, held: QuotaInUse) -> None:
         """As the older process: keep this much from now on, at most what was kept before, and say so."""
-        if self.newer is None:
+        if self.successor is None:
             return
-        if self.held is not None:
-            held = Held(min(held.clients, self.held.clients), min(held.caches, self.held.caches))
-        if held != self.held:
-            self.held = held
-            self.shares.give(held)
-            self.newer.send(held)
+        if self.quota_given is not None:
+            held = QuotaInUse(
+                min(held.client_connections, self.quota_given.client_connections),
+                min(held.cache_connections, self.quota_given.cache_connections),
+            )
+        if held != self.quota_given:
+            self.quota_given = held
+            self.quotas.limit_to(held)
+            self.successor.send(held)
 
-    async def confirm(self, name: str, mark: Mark, but: Link | None = None) -> bool:
+    async def confirm(self, name: str, mark: Override, but: ProcessLink | None = None) -> bool:
         """Whether every other process obeys an order; at a start it is first seen whether there is one."""
         try:
-            await asyncio.wait_for(self.found.wait(), self.limits.confirm_longest)
+            await asyncio.wait_for(self.search_done.wait(), self.limits.confirm_timeout)
         except TimeoutError:
             return False
-        links = [link for link in (self.older, self.newer) if link is not None and link is not but]
+        links = [link for link in (self.predecessor, self.successor) if link is not None and link is not but]
         return all(await asyncio.gather(*(link.confirm(name, mark) for link in links)))
 
-    def tell_ready(self) -> None:
-        if self.older is not None:
-            self.older.send(wire.Ready())
+    def announce_ready(self) -> None:
+        if self.predecessor is not None:
+            self.predecessor.send(wire.SuccessorReady())
 
     def close(self) -> None:
         self.closed = True
         self.stop()
-        for link in (self.older, self.newer):
+        for link in (self.predecessor, self.successor):
             if link is not None:
                 link.stream.close()
--- a/paddlequay/net/leaves.py
+++ b/paddlequay/net/leaves.py
@@ -6,16 +6,16 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from paddlequay.requests.messages import Ask, Attempt, End, Open
 from paddlequay.cluster.limits import Limits, Ticket
 from paddlequay.cluster.settings import By, ClusterSettings, Mode
 from paddlequay.observability.counters import Counters
 from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import Member, Note, Outcome
+from paddlequay.requests.messages import AttemptResult, ClientRequest, PendingRequest, UpstreamAttempt
+from paddlequay.routing.interface import Member, Outcome, ReplyDetail
 
 OUT_PAUSE = 0.3  # told a client whose request falls under a strict limit while this process has no share
 LEAVE_S = 0.1  # a leave that was not written on for so long is asked for anew
-IDLE = (Outcome.REFUSED, Outcome.UNREACHED, Outcome.NOT_SENT, Outcome.MISS)  # nothing ran
+IDLE = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.MISS)  # nothing ran
 
 What = list[tuple[By, str]]
 
@@ -41,7 +41,7 @@
         self.settings, self.exchange, self.counters, self.clock = settings, exchange, counters, clock
         self.limits: Limits | None = None
         self.requests: dict[str, Leave] = {}  # by serial
-        self.writes: dict[str, list[tuple[Attempt, Ticket]]] = {}  # the same, for what is out
+        self.writes: dict[str, list[tuple[UpstreamAttempt, Ticket]]] = {}  # the same, for what is out
         self.named = {by: {rule.match for rule in settings.limits if rule.by is by} - {"*"} for by in By}
 
     def joined(self, limits: Limits | None) -> None:
@@ -51,9 +51,9 @@
         for leave in self.requests.values():
             leave.ticket = None
 
-    def asked(self, item: Open, left: float) -> float | None:
+    def admit(self, item: PendingRequest, left: float) -> float | None:
         """A request is about to be taken in: None, or the seconds for which the client is to stay away."""
-        under = self.under(item.ask)
+        under = self.under(item.request)
         if self.limits is None:
             if self.strict(under):
                 return OUT_PAUSE
@@ -68,7 +68,7 @@
         return answer.retry_in
 
     @staticmethod
-    def under(ask: Ask) -> What:
+    def under(ask: ClientRequest) -> What:
         """What a request falls under."""
         under: What = [(By.CLASS, ask.class_name)]
         if ask.group is not None:
@@ -85,38 +85,38 @@
             for by, value in under
         )
 
-    def renewed(self, attempt: Attempt) -> bool:
+    def renewed(self, attempt: UpstreamAttempt) -> bool:
         """Whether the request's leave still stands for a write.
 
         One that was given longer ago than `LEAVE_S`, and on which nothing may have run, has to be given anew:
         a process that was stopped between, or waited for a connection, may not act on what it held.
         """
-        item, now = attempt.owner, self.clock()
+        item, now = attempt.pending, self.clock()
         leave = self.requests.get(item.serial)
         if leave is None or leave.used or (leave.ticket is not None and now - leave.at <= LEAVE_S):
             return True
         if self.limits is None:
-            return not self.strict(self.under(item.ask))
+            return not self.strict(self.under(item.request))
         if leave.ticket is not None:
             self.limits.done(leave.ticket, now)
         # For all that is left of the request, not of the attempt: it may go on after that.
-        answer = self.limits.admit_all(self.under(item.ask), now, item.deadline - now)
+        answer = self.limits.admit_all(self.under(item.request), now, item.deadline - now)
         leave.ticket, leave.at = (answer if isinstance(answer, Ticket) else None), now
         return leave.ticket is not None
 
-    def writing(self, attempt: Attempt, left: float) -> Note | None:
+    def before_write(self, attempt: UpstreamAttempt, left: float) -> ReplyDetail | None:
         """An attempt is about to be written: None, or the note under which it counts as refused."""
         if not self.renewed(attempt):
             self.counters.add("limit.too_late")
-            return Note.FILLS_FULL
+            return ReplyDetail.FILL_LIMIT
         fetch = attempt.fetch
         fills = fetch.source != fetch.target
         under = list(self.of(By.MEMBER, fetch.target))
         if fills:
             under += self.of(By.SOURCE, fetch.source)
-        elif fetch.target not in self.exchange.router.names_of_edges():
+        elif fetch.target not in self.exchange.router.edge_names():
             under = list(self.of(By.SOURCE, fetch.target))  # asked past the caches
-        refused = Note.SOURCE_REFUSED if fills else Note.FILLS_FULL
+        refused = ReplyDetail.SOURCE_REJECTED if fills else ReplyDetail.FILL_LIMIT
         if self.limits is None:
             return refused if self.strict(under) else None
         answer = self.limits.admit_all(under, self.clock(), left)
@@ -124,8 +124,8 @@
             self.counters.add(f"limit.refused.{answer.rule}")
             return refused
         if answer.limits:
-            self.writes.setdefault(attempt.owner.serial, []).append((attempt, answer))
-        leave = self.requests.get(attempt.owner.serial)
+            self.writes.setdefault(attempt.pending.serial, []).append((attempt, answer))
+        leave = self.requests.get(attempt.pending.serial)
         if leave is not None:
             leave.used = True
         return None
@@ -138,9 +138,9 @@
             if member.kind is not None and member.kind in self.named[by]:
                 yield by, member.kind
 
-    def ended(self, attempt: Attempt, end: End) -> None:
+    def attempt_ended(self, attempt: UpstreamAttempt, end: AttemptResult) -> None:
         """An attempt has ended, written or not."""
-        serial = attempt.owner.serial
+        serial = attempt.pending.serial
         leave = self.requests.get(serial)
         if leave is not None and end.outcome in IDLE:
             leave.used = False  # what comes next is the first that may run: by a leave that is young enough
@@ -150,7 +150,7 @@
                 del self.writes[serial][place]
                 return
 
-    def over(self, item: Open) -> None:
+    def request_ended(self, item: PendingRequest) -> None:
         """A request has its final answer, or its client has left."""
         leave = self.requests.pop(item.serial, None)
         if leave is not None and leave.ticket is not None:
--- a/paddlequay/net/lines.py
+++ b/paddlequay/net/lines.py
@@ -19,8 +19,9 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
+from paddlequay.config.limits import Limits
+from paddlequay.config.values import Address
 from paddlequay.observability import log
-from paddlequay.config.loader import Address, Limits
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.bulletin import Heartbeat, MalformedError, Unusable, after
 
@@ -203,7 +204,7 @@
         await watch.write(after(self.last))
         reader = self.reader()
         while True:
-            data = await watch.read_bytes(self.limits.read_chunk, partial=True)
+            data = await watch.read_bytes(self.limits.read_size, partial=True)
             turn = watch.read_at = now()
             for news in reader.feed(data):
                 self.apply(news)
--- a/paddlequay/net/listener.py
+++ b/paddlequay/net/listener.py
@@ -14,8 +14,8 @@
 
 from tornado.ioloop import IOLoop
 
+from paddlequay.config.values import Address
 from paddlequay.observability import log
-from paddlequay.config.loader import Address
 
 LOGGER = logging.getLogger(__name__)
 
@@ -118,4 +118,4 @@
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
     except OSError as error:
-        log.event(LOGGER, logging.WARNING, "not_steered", why=str(error))
+        log.event(LOGGER, logging.WARNING, "connections_not_steered", why=str(error))
--- a/paddlequay/net/members.py
+++ b/paddlequay/net/members.py
@@ -8,22 +8,22 @@
 from dataclasses import replace
 from pathlib import Path
 
-from paddlequay.observability import log
-from paddlequay.lifecycle.background import Background
-from paddlequay.observability.counters import Counters
 from paddlequay.discovery.answers import Name
 from paddlequay.discovery.membership import Box, Change, Membership, TooManyError
 from paddlequay.discovery.resolver import Kind, Known, Resolver
 from paddlequay.discovery.srv import Follower as ServiceFollower
-from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import Member, State
+from paddlequay.errors import RecordError
+from paddlequay.lifecycle.background import TaskSupervisor
 from paddlequay.net.bulletin import Follower, one_by_one
 from paddlequay.net.caches import Pool
 from paddlequay.net.dns import Driver
+from paddlequay.observability import log
+from paddlequay.observability.counters import Counters
 from paddlequay.protocol.bulletin import Listed, Roster
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import Member, MemberState
 from paddlequay.schema.sources import DiscoverySettings
 from paddlequay.store import files
-from paddlequay.store.record import RecordError
 
 LOGGER = logging.getLogger(__name__)
 
@@ -57,7 +57,7 @@
         self.dirty = False
         self.unsaved = False
         self.saved_at = self.reported = 0.0
-        self.background = Background(counters)
+        self.background = TaskSupervisor(counters)
         self.set_up()
         follower.on_roster = self.roster
         follower.on_alive = self.alive
@@ -65,7 +65,7 @@
 
     def now(self) -> float:
         """The decisions' clock: it never goes back, and stands on Unix time as start times do."""
-        return self.exchange.scheduler.monotonic() + self.exchange.offset
+        return self.exchange.scheduler.monotonic() + self.exchange.clock_offset
 
     def has(self, source: str) -> bool:
         return source in self.membership.sources
@@ -83,9 +83,9 @@
 
     def start(self) -> None:
         """Begin to ask and to keep time."""
-        self.background.keep("members", self.beating)
+        self.background.supervise("members", self.beating)
         if self.driver is not None:
-            self.background.keep("resolver", self.driver.run)
+            self.background.supervise("resolver", self.driver.run)
             self.follow()
 
     def stop(self) -> None:
@@ -114,7 +114,7 @@
         if not self.has("list"):
             return
         words = self.membership.sources["list"].words
-        drained = [replace(words[id].box, state=State.DRAINING) for id in item.drained if id in words]
+        drained = [replace(words[id].box, state=MemberState.DRAINING) for id in item.drained if id in words]
         self.report("list", [*map(box_of, item.listed), *drained], item.full)
 
     def alive(self) -> None:
@@ -190,7 +190,7 @@
         listed = tuple(map(listed_of, changes))
         try:
             self.pool.list_changed(listed, False)
-            self.exchange.list_changed(tuple(entry.member for entry in listed), False)
+            self.exchange.update_members(tuple(entry.member for entry in listed), False)
         except Exception:
             if self.counters.add_once("members_errors"):
                 LOGGER.exception("members_failed")
@@ -309,7 +309,7 @@
 
 
 def gone(box: Box) -> Box:
-    return replace(box, state=State.GONE)
+    return replace(box, state=MemberState.REMOVED)
 
 
 def box_of(listed: Listed) -> Box:
@@ -322,7 +322,7 @@
         member.cell,
         member.weight,
         member.started,
-        member.state or State.READY,
+        member.state or MemberState.READY,
     )
 
 
--- a/paddlequay/net/peers.py
+++ b/paddlequay/net/peers.py
@@ -13,12 +13,12 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol, cast
 
-from paddlequay.observability import log
 from paddlequay.cluster.notes import Note
 from paddlequay.cluster.outbox import Outbox, Packet
 from paddlequay.cluster.types import NEVER, Peer, Tell
 from paddlequay.cluster.wire import Head, Refusal, Wire
-from paddlequay.config.loader import Address
+from paddlequay.config.values import Address
+from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 
 LOGGER = logging.getLogger(__name__)
--- a/paddlequay/net/placing.py
+++ b/paddlequay/net/placing.py
@@ -11,16 +11,13 @@
 from dataclasses import replace
 from pathlib import Path
 
-from paddlequay.observability import log
-from paddlequay.requests.messages import Ask
 from paddlequay.cluster.epochs import LEASE, mark
 from paddlequay.cluster.node import Node
 from paddlequay.cluster.tables import Tables
 from paddlequay.cluster.types import Action, TableChanged
-from paddlequay.config.loader import ConfigError
+from paddlequay.errors import ConfigError
+from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
-from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import HeldBy, Member, Request, Settings, State
 from paddlequay.placement.checks import read_rules_file
 from paddlequay.placement.compile import compile_rules
 from paddlequay.placement.following import Asked, Following, asked
@@ -28,7 +25,10 @@
 from paddlequay.placement.mover import BusyError, Mover, Placed
 from paddlequay.placement.rules import Rules
 from paddlequay.placement.table import Sheet, Table
-from paddlequay.routing.state import Tier
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.messages import ClientRequest
+from paddlequay.routing.interface import CopyReported, Member, MemberState, Request, RoutingSettings
+from paddlequay.routing.state import CacheTier
 
 LOGGER = logging.getLogger(__name__)
 
@@ -57,7 +57,7 @@
     def __init__(
         self,
         path: Path,
-        settings: Settings,
+        settings: RoutingSettings,
         exchange: Exchange,
         counters: Counters,
         told: Told,
@@ -76,7 +76,7 @@
         self.next: Rules | None = None  # a new file, which is not compiled yet
         self.tasks: list[asyncio.Task[None]] = []
         self.compiling = asyncio.Lock()
-        homes = exchange.router.know.members.homes[Tier.EDGE]
+        homes = exchange.router.state.members.homes[CacheTier.EDGE]
         assert isinstance(homes, Following)
         homes.source = self.found
 
@@ -152,7 +152,7 @@
         members = [
             replace(each, started=None, state=None, weight=(each.weight or 1.0) if weighted else 1.0)
             for each in self.exchange.members.values()
-            if each.kind not in sources and each.state in (None, State.READY)
+            if each.kind not in sources and each.state in (None, MemberState.READY)
         ]
         return tuple(sorted(members, key=lambda each: each.name))
 
@@ -241,14 +241,14 @@
         table, found = mover.table, placed.found
         return table.sheets[found.rule, found.cell], placed
 
-    def asked(self, ask: Ask) -> None:
+    def asked(self, ask: ClientRequest) -> None:
         """A request is about to be decided on: who had its object before may hold it, which spares a fill."""
         if self.mover is None or not self.mover.turns or ask.key is None:
             return
         found = self.found(asked(request_of(ask)))
         if found is not None and found[1].former:
             self.counters.add("placement_former_named")
-            self.exchange.deliver(HeldBy(ask.key, ask.part, found[1].former[0]))
+            self.exchange.deliver(CopyReported(ask.key, ask.part, found[1].former[0]))
 
     # --- for operators ---
 
@@ -293,5 +293,5 @@
         )
 
 
-def request_of(ask: Ask) -> Request:
+def request_of(ask: ClientRequest) -> Request:
     return Request("", ask.class_name, 0.0, ask.key, ask.part, ask.group, tenant=ask.tenant)
--- a/paddlequay/net/scheduler.py
+++ b/paddlequay/net/scheduler.py
@@ -19,5 +19,5 @@
     def unix(self) -> float:
         return time.time()
 
-    def later(self, delay: float, call: Callable[[], None]) -> Timer:
+    def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
         return self.loop.call_later(delay, call)
--- a/paddlequay/net/session.py
+++ b/paddlequay/net/session.py
@@ -11,13 +11,13 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from paddlequay.observability import log
-from paddlequay.requests.messages import Ask, Open, Reply, Verdict
-from paddlequay.routing.interface import Effect, Surrender
 from paddlequay.net.client_words import FieldError, read_ask, write_reply
 from paddlequay.net.unread import unread
+from paddlequay.observability import log
 from paddlequay.protocol import clients as wire
 from paddlequay.protocol.msgpack import MalformedError
+from paddlequay.requests.messages import AnswerStatus, ClientRequest, FinalAnswer, PendingRequest
+from paddlequay.routing.interface import AbandonRequest, Idempotency
 
 if TYPE_CHECKING:
     from paddlequay.net.clients import Front
@@ -47,9 +47,11 @@
 
     def __init__(self, front: "Front", stream: IOStream) -> None:
         self.front, self.stream = front, stream
-        self.reader = wire.Reader(front.limits.client_frame)
-        self.queue: dict[int, tuple[Ask, float]] = {}  # calls that are not made yet, and when they were read
-        self.open: dict[int, Open | None] = {}
+        self.reader = wire.Reader(front.limits.max_client_frame)
+        self.queue: dict[
+            int, tuple[ClientRequest, float]
+        ] = {}  # calls that are not made yet, and when they were read
+        self.open: dict[int, PendingRequest | None] = {}
         self.unsent = 0
         self.moved = self.used = self.began = front.now()
         self.spoken = False  # whether a whole message has come
@@ -74,11 +76,11 @@
                 reads += 1
                 if not self.ended:
                     self.feed(data)
-                if self.turned >= limits.client_turned and self.paced >= PACE:
+                if self.turned >= limits.max_consecutive_rejections and self.paced >= PACE:
                     # Who is only turned away is read more slowly, which costs nobody else.
                     self.paced = 0
-                    await asyncio.sleep(limits.client_pause)
-                elif self.behind is not None and (len(data) >= limits.client_chunk or reads % 4 == 0):
+                    await asyncio.sleep(limits.rejection_pause)
+                elif self.behind is not None and (len(data) >= limits.client_read_size or reads % 4 == 0):
                     # A read of what is there does not yield: one client would keep the loop to itself.
                     await asyncio.sleep(0)
         except StreamClosedError:
@@ -98,7 +100,11 @@
         """The next bytes. Once nothing more has come, what was read before is made."""
         limits, stream = self.front.limits, self.stream
         # The rest of a long message comes in few pieces, calls by the chunk: others have their turn.
-        chunk = limits.client_frame if len(self.reader.rest) >= limits.client_chunk else limits.client_chunk
+        chunk = (
+            limits.max_client_frame
+            if len(self.reader.rest) >= limits.client_read_size
+            else limits.client_read_size
+        )
         stream.read_chunk_size = chunk
         self.coming = coming = asyncio.ensure_future(stream.read_bytes(chunk, partial=True))
         now = self.front.now()
@@ -112,7 +118,10 @@
             self.behind = now if self.behind is None else self.behind
             if now - self.behind > READ_AHEAD:
                 # A flood hides what was taken back: nothing begins for it, nor goes on.
-                flood = self.turned >= limits.client_turned and self.ahead > 2 * limits.client_streams
+                flood = (
+                    self.turned >= limits.max_consecutive_rejections
+                    and self.ahead > 2 * limits.client_streams
+                )
                 self.give_up() if flood else self.make()
         try:
             return await coming
@@ -179,12 +188,12 @@
         if number in self.open or number in self.queue:
             raise MalformedError("a message id that is open already")
         counters.add("requests")
-        if call.method not in self.front.exchange.router.kinds:
+        if call.method not in self.front.exchange.router.classes:
             counters.add("unknown_class")
             return self.reject(number, "unknown class")
-        kind = self.front.exchange.router.kinds[call.method]
-        if kind.effect is Effect.SAFE and self.front.load.sheds():
-            counters.add("refused.busy")
+        kind = self.front.exchange.router.classes[call.method]
+        if kind.idempotency is Idempotency.IDEMPOTENT and self.front.load.should_shed():
+            counters.add("rejected.busy")
             return self.answer(number, self.front.too_busy)
         try:
             ask = read_ask(call, kind, self.front.limits)
@@ -202,7 +211,7 @@
         self.queue[number] = ask, self.used
         self.front.queued += len(ask.body)
 
-    def unqueue(self, number: int) -> tuple[Ask, float] | None:
+    def unqueue(self, number: int) -> tuple[ClientRequest, float] | None:
         waited = self.queue.pop(number, None)
         if waited is not None:
             self.front.queued -= len(waited[0].body)
@@ -215,22 +224,22 @@
         for number in list(self.queue):
             if self.stream.closed():
                 return
-            self.held = self.unsent > front.limits.client_unsent / 2
+            self.held = self.unsent > front.limits.max_client_unsent / 2
             ask, came = self.queue[number]
-            left = ask.ttl - (now - came)
+            left = ask.time_to_live - (now - came)
             if front.turning_away or (self.held and front.shedding):
                 self.refuse(number, "emptying")
             elif not self.held:
                 self.unqueue(number)
-                ask.ttl = max(0.001, left)
+                ask.time_to_live = max(0.001, left)
                 self.begin(number, ask)
-            elif left <= front.limits.answer_margin + front.limits.sweep:
+            elif left <= front.limits.answer_margin + front.limits.sweep_interval:
                 self.refuse(number, "not_taken")
 
-    def begin(self, number: int, ask: Ask) -> None:
+    def begin(self, number: int, ask: ClientRequest) -> None:
         # The answer may come before `ask` returns: then the place is gone again and stays so.
         self.open[number] = None
-        item = self.front.exchange.ask(ask, partial(self.answer, number), partial(self.gone, number))
+        item = self.front.exchange.submit(ask, partial(self.answer, number), partial(self.gone, number))
         if number in self.open:
             self.open[number] = item
 
@@ -255,7 +264,7 @@
 
     def unread(self) -> bytes | None:
         """What has come and was not looked at, or the first of it; None where the client has gone."""
-        came, coming = unread(self.stream.socket, 2 * self.front.limits.client_chunk), self.coming
+        came, coming = unread(self.stream.socket, 2 * self.front.limits.client_read_size), self.coming
         if came is None or coming is None or not coming.done() or coming.cancelled() or coming.exception():
             return came
         return coming.result() + came
@@ -272,14 +281,14 @@
             self.refuse(number, "given_up")
         for item in list(self.open.values()):
             if item is not None:
-                self.front.counters.add("surrendered")
-                self.front.exchange.deliver(Surrender(item.serial))
+                self.front.counters.add("abandoned")
+                self.front.exchange.deliver(AbandonRequest(item.serial))
         self.withdraw()
 
     def refuse(self, number: int, cause: str) -> None:
         """Turn away what was not handed to the exchange."""
         self.unqueue(number)
-        self.front.counters.add(f"refused.{cause}")
+        self.front.counters.add(f"rejected.{cause}")
         self.answer(number, self.front.elsewhere)
 
     def reject(self, number: int, why: str) -> None:
@@ -287,9 +296,11 @@
         self.turned += 1
         self.send(wire.error_answer(number, wire.FAILED, {"why": why}))
 
-    def answer(self, number: int, reply: Reply) -> None:
+    def answer(self, number: int, reply: FinalAnswer) -> None:
         self.open.pop(number, None)
-        self.turned = 0 if reply.verdict in (Verdict.SERVED, Verdict.UNCHANGED) else self.turned + 1
+        self.turned = (
+            0 if reply.status in (AnswerStatus.SERVED, AnswerStatus.NOT_MODIFIED) else self.turned + 1
+        )
         self.send(*write_reply(number, reply))
 
     def send(self, *pieces: bytes | bytearray | memoryview) -> None:
@@ -301,7 +312,7 @@
         self.used = self.front.now()
         if not self.unsent:
             self.moved = self.used
-        if self.unsent + size > limits.client_unsent:
+        if self.unsent + size > limits.max_client_unsent:
             self.front.counters.add("slow_readers")
             return self.stream.close()
         if self.front.unsent + size > self.front.most_unsent:
@@ -334,7 +345,7 @@
         self.moved = self.front.now()
         if self.ended:
             return self.shut()
-        if self.held and self.unsent <= self.front.limits.client_unsent / 2:
+        if self.held and self.unsent <= self.front.limits.max_client_unsent / 2:
             self.held = False
             asyncio.get_running_loop().call_soon(self.make)
         if not self.unsent and not self.owed:
@@ -371,7 +382,7 @@
 
     def close_if_quiet(self) -> bool:
         """Close at a moment that costs nobody a request; who has just connected is about to ask."""
-        late_comer = not self.spoken and self.front.now() - self.began < self.front.limits.late_comer
+        late_comer = not self.spoken and self.front.now() - self.began < self.front.limits.new_connection_age
         if late_comer or self.reader.rest or not self.close_at_rest():
             return False
         self.front.counters.add("closed_quiet_clients")
--- a/paddlequay/net/sharing.py
+++ b/paddlequay/net/sharing.py
@@ -13,8 +13,6 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import TYPE_CHECKING
 
-from paddlequay.observability import log
-from paddlequay.requests.messages import Attempt, End, Open
 from paddlequay.cluster import evidence
 from paddlequay.cluster.node import News, Node
 from paddlequay.cluster.notes import Note as PeerNote
@@ -32,12 +30,14 @@
 )
 from paddlequay.cluster.wire import Head
 from paddlequay.config.loader import Config, Peering
-from paddlequay.observability.counters import Counters
-from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import FleetWord, Note, Outcome
 from paddlequay.net.leaves import Leaves
 from paddlequay.net.peers import Peers
+from paddlequay.observability import log
+from paddlequay.observability.counters import Counters
 from paddlequay.placement.homes import digest
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.messages import AttemptResult, PendingRequest, UpstreamAttempt
+from paddlequay.routing.interface import Outcome, OutlierReported, ReplyDetail
 
 if TYPE_CHECKING:
     from paddlequay.net.channels import ChannelFront
@@ -74,7 +74,7 @@
         self.loop = asyncio.get_running_loop()
         self.peering, self.seed = peering, config.seed
         self.fleet = Fleet(peering.me, len(peering.peers), acceptors, config.settings.zone)
-        self.longest = config.limits.ttl_most * max(kind.deadline for kind in config.settings.classes)
+        self.longest = config.limits.max_time_to_live * max(kind.deadline for kind in config.settings.classes)
         self.node: Node | None = None
         self.peers: Peers | None = None
         self.waiting: asyncio.Task[None] | None = None
@@ -198,13 +198,13 @@
 
     # --- the exchange's Watch ---
 
-    def asked(self, item: Open, left: float) -> float | None:
-        wait = self.leaves.asked(item, left)
+    def admit(self, item: PendingRequest, left: float) -> float | None:
+        wait = self.leaves.admit(item, left)
         with self.guarded():
             if wait is None and self.front is not None:
-                self.front.asked(item)
+                self.front.admit(item)
             if wait is None and self.placing is not None:
-                self.placing.asked(item.ask)
+                self.placing.asked(item.request)
             self.wake()
         return wait
 
@@ -217,32 +217,37 @@
             if self.counters.add_once("cluster.errors"):
                 LOGGER.exception("cluster_failed")
 
-    def writing(self, attempt: Attempt, left: float) -> Note | None:
+    def before_write(self, attempt: UpstreamAttempt, left: float) -> ReplyDetail | None:
         # Also after this process has left: a fill ahead that still waits is refused by its term.
-        note = self.front.writing(attempt) if self.front is not None else None
-        note = note or self.leaves.writing(attempt, left)
+        note = self.front.before_write(attempt) if self.front is not None else None
+        note = note or self.leaves.before_write(attempt, left)
         with self.guarded():
             self.wake()
         return note
 
-    def ended(self, attempt: Attempt, end: End) -> None:
+    def attempt_ended(self, attempt: UpstreamAttempt, end: AttemptResult) -> None:
         with self.guarded():
-            self.leaves.ended(attempt, end)
+            self.leaves.attempt_ended(attempt, end)
             self.evident(attempt, end)
 
-    def evident(self, attempt: Attempt, end: End) -> None:
+    def evident(self, attempt: UpstreamAttempt, end: AttemptResult) -> None:
         """What the end of an attempt is evidence of."""
-        if self.node is None or self.node.verdicts is None or attempt.written is None:
+        if self.node is None or self.node.verdicts is None or attempt.written_at is None:
             return
-        kind = self.exchange.router.kinds[attempt.owner.ask.class_name]
-        if end.outcome is Outcome.TIMEOUT and attempt.expires - attempt.began < kind.aim:
+        kind = self.exchange.router.classes[attempt.pending.request.class_name]
+        if (
+            end.outcome is Outcome.TIMEOUT
+            and attempt.expires_at - attempt.started_at < kind.latency_objective
+        ):
             return  # its client gave it less time than an answer may take
         verdicts = self.node.verdicts
-        origins = self.exchange.router.know.members.origins
-        origin = origins[0].entry.name if origins else None
+        origins = self.exchange.router.state.members.origins
+        origin = origins[0].member.name if origins else None
         now = self.loop.time()
         actions: list[Action] = []
-        for name, ok, trouble in evidence.found(attempt.fetch, end.outcome, end.note, end.silent, origin):
+        for name, ok, trouble in evidence.found(
+            attempt.fetch, end.outcome, end.detail, end.unresponsive, origin
+        ):
             member = self.exchange.members.get(name)
             if member is not None:
                 start = int((member.started or 0.0) * 1000)
@@ -251,11 +256,11 @@
             self.told(self.node.settle(actions, now))
         self.wake(bool(actions))
 
-    def over(self, item: Open) -> None:
+    def request_ended(self, item: PendingRequest) -> None:
         with self.guarded():
-            self.leaves.over(item)
+            self.leaves.request_ended(item)
             if self.front is not None:
-                self.front.over(item)
+                self.front.request_ended(item)
 
     def wake(self, now: bool = False) -> None:
         """What was asked may have to be told earlier than the timer is set for."""
@@ -282,7 +287,7 @@
         self.counters.add(f"cluster.word.{word.trouble.name.lower() if word.trouble else 'none'}")
         if verdicts.earlier_skip(word.subject, self.loop.time()):
             self.counters.add("cluster.words_passed_on")
-            self.exchange.deliver(FleetWord(name))
+            self.exchange.deliver(OutlierReported(name))
 
     def name(self, name: str) -> Name:
         """A member's digest, remembered so that words on it can be told apart."""
--- a/paddlequay/net/tier.py
+++ b/paddlequay/net/tier.py
@@ -10,23 +10,23 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from paddlequay.observability import log
-from paddlequay.requests.messages import Ask, Reply, Verdict
-from paddlequay.config.loader import Limits
-from paddlequay.observability.counters import Counters
-from paddlequay.requests.exchange import Exchange
+from paddlequay.config.limits import Limits
 from paddlequay.hierarchy.climb import Climber
 from paddlequay.hierarchy.copies import Copy
 from paddlequay.hierarchy.node import Action, Answer, Claim, Fill, Got, Meet, Node, Want, Word
 from paddlequay.hierarchy.shape import NAME
 from paddlequay.hierarchy.trail import Keyring, TrailError
-from paddlequay.routing.interface import Member, Note, RequestClass
 from paddlequay.net.caches import Pool
 from paddlequay.net.listener import on_connection
+from paddlequay.observability import log
+from paddlequay.observability.counters import Counters
 from paddlequay.placement.homes import key_of
 from paddlequay.protocol import serving as wire
 from paddlequay.protocol.bulletin import Listed
 from paddlequay.protocol.caches import Buffer, MalformedError
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.messages import AnswerStatus, ClientRequest, FinalAnswer
+from paddlequay.routing.interface import Member, ReplyDetail, RequestClass
 
 LOGGER = logging.getLogger(__name__)
 
@@ -74,7 +74,7 @@
 
     def __init__(self, front: "TierFront", stream: IOStream) -> None:
         self.front, self.stream, self.limits = front, stream, front.limits
-        self.reader = wire.Reader(self.limits.cache_line, self.limits.client_body)
+        self.reader = wire.Reader(self.limits.max_cache_line, self.limits.max_client_body)
         self.wants: dict[str, Want] = {}
         self.unsent = 0
         self.heard = front.now()
@@ -83,7 +83,7 @@
         self.stream.set_nodelay(True)
         try:
             while True:
-                data = await self.stream.read_bytes(self.limits.read_chunk, partial=True)
+                data = await self.stream.read_bytes(self.limits.read_size, partial=True)
                 self.heard = self.front.now()
                 for line in self.reader.feed(data):
                     self.take(line)
@@ -123,10 +123,10 @@
         front = self.front
         if line.id in self.wants:
             # Its answer could not be told from the first one's.
-            front.counters.add("refused.id_open")
+            front.counters.add("rejected.id_open")
             return self.write(line.id, "FAULT", {"detail": "ID_OPEN"})
         if len(self.wants) >= front.open_most:
-            front.counters.add("refused.too_many_open")
+            front.counters.add("rejected.too_many_open")
             return self.write(line.id, "SHED", {"detail": "NO_FILL"})
         try:
             want = front.want(self, line)
@@ -145,7 +145,7 @@
         """Write an answer; who takes nothing while much is unsent is closed."""
         if self.stream.closed():
             return
-        if self.unsent + len(body) > self.limits.client_unsent:
+        if self.unsent + len(body) > self.limits.max_client_unsent:
             self.front.counters.add("slow_readers")
             return self.stream.close()
         size = len(body)
@@ -181,7 +181,7 @@
     ) -> None:
         self.node, self.climber, self.exchange, self.pool = node, climber, exchange, pool
         self.keyring, self.limits, self.counters = keyring, limits, counters
-        self.classes: dict[str, RequestClass] = climber.kinds
+        self.classes: dict[str, RequestClass] = climber.classes
         self.sessions: OrderedDict[Session, None] = OrderedDict()
         self.tasks: set[asyncio.Task[None]] = set()
         self.open_most = 4096  # requests open on one connection: routers and boxes share few connections
@@ -204,7 +204,7 @@
     def listen(self, listener: socket.socket) -> None:
         listener.listen(1024)
         self.address = listener.getsockname()[:2]
-        self.stop_accepting = on_connection(listener, self.accepted, lambda: self.limits.accepts)
+        self.stop_accepting = on_connection(listener, self.accepted, lambda: self.limits.accepts_per_turn)
 
     def accepted(self, connection: socket.socket) -> None:
         if len(self.sessions) >= self.limits.client_connections:
@@ -225,8 +225,8 @@
         now = self.now()
         for session in list(self.sessions):
             quiet = now - session.heard
-            half = session.reader.begun and quiet > self.limits.client_stall
-            if half or (not session.wants and quiet > 2 * self.limits.cache_idle):
+            half = session.reader.begun and quiet > self.limits.client_stall_timeout
+            if half or (not session.wants and quiet > 2 * self.limits.cache_idle_timeout):
                 self.counters.add("stalled_askers" if half else "closed_idle_askers")
                 session.close()
             elif self.emptying and not session.wants and not session.unsent:
@@ -247,7 +247,7 @@
             raise FieldError(f"queue: {kind.name} passes no cache")
         now = self.unix()
         budget = (whole_number(fields, "budget", 3_600_000) or 0) / 1000.0 or kind.deadline
-        fresh = (whole_number(fields, "fresh", 10**14) or 0) / 1000.0 or (kind.fresh or 0.0)
+        fresh = (whole_number(fields, "fresh", 10**14) or 0) / 1000.0 or (kind.freshness_lifetime or 0.0)
         options = fields.get("opts", "").split("+")
         trail = None
         if "hops" in fields:
@@ -257,7 +257,7 @@
         return Want(
             token=(session, line.id),
             name=name,
-            part=whole_number(fields, "blk", self.limits.part_most),
+            part=whole_number(fields, "blk", self.limits.max_part),
             class_name=kind.name,
             floor=now - fresh if fresh else 0.0,
             until=now + budget,
@@ -269,7 +269,7 @@
             rank=min(3, whole_number(fields, "tier", 3) or 0),
             keep="nocopy" not in options,
             renew="renew" in options,
-            grace=(kind.grace or 0.0) if "renew" in options else 0.0,
+            grace=(kind.stale_if_error or 0.0) if "renew" in options else 0.0,
         )
 
     def carry(self, actions: list[Action]) -> None:
@@ -310,18 +310,18 @@
         self.fills_out += 1
         name, part = action.place
         id = f"{self.node.name}.{self.fill_ids:x}"
-        ask = Ask(
+        ask = ClientRequest(
             id=id,
             class_name=action.class_name,
-            ttl=action.longest,
-            name=name,
+            time_to_live=action.longest,
+            object_name=name,
             key=key_of(name),
             part=part,
             group=None,
             fill=action.number,
-            extra=lambda target: self.extra(action, id, target),
+            extra_fields=lambda target: self.extra(action, id, target),
         )
-        self.exchange.ask(ask, lambda reply: self.filled(action, reply))
+        self.exchange.submit(ask, lambda reply: self.filled(action, reply))
 
     def extra(self, action: Fill, id: str, target: str) -> Mapping[str, str]:
         """What a fill tells another node beside the order: its trail, and its claim. Nothing to a store."""
@@ -337,20 +337,20 @@
         told["hops"] = self.keyring.write(lease.trail, about(id, fields | told), self.unix())
         return told
 
-    def filled(self, action: Fill, reply: Reply) -> None:
+    def filled(self, action: Fill, reply: FinalAnswer) -> None:
         self.fills_out -= 1
-        got = Got(note=reply.note, refused=reply.verdict is Verdict.REFUSED)
-        if reply.verdict is Verdict.SERVED and reply.stamp is not None:
+        got = Got(note=reply.detail, refused=reply.status is AnswerStatus.REJECTED)
+        if reply.status is AnswerStatus.SERVED and reply.stamp is not None:
             stamp = reply.stamp
-            listed = self.node.shape.nodes.get(reply.source)
+            listed = self.node.shape.nodes.get(reply.served_by)
             got = Got(
-                Copy(reply.body, stamp.tag, stamp.minted, stamp.group),
+                Copy(reply.body, stamp.tag, stamp.issued_at, stamp.group),
                 from_store=listed is not None and listed.store,
             )
-        elif reply.verdict is Verdict.SERVED:
+        elif reply.status is AnswerStatus.SERVED:
             # No word on which copy it is: it could be from before any purge.
             self.counters.add("fills_without_stamp")
-            got = Got(note=Note.ORIGIN_FAILED)
+            got = Got(note=ReplyDetail.ORIGIN_FAILED)
         self.carry(self.node.ended(action.number, got, self.unix()))
 
     def meet(self, action: Meet) -> None:
@@ -358,19 +358,19 @@
         met = Member(action.name, None, "node", None, None, 1.0, self.unix())
         self.counters.add("met")
         self.pool.list_changed((Listed(met, action.address),), False)
-        self.exchange.list_changed((met,), False)
+        self.exchange.update_members((met,), False)
 
     # --- how it stands ---
 
     @property
     def emptying(self) -> bool:
-        return self.exchange.operation.draining or self.ending
+        return self.exchange.operator_state.draining or self.ending
 
     def closed_for(self) -> str:
         """Why nobody should come; empty where all may."""
         if self.ending:
             return "this process is ending"
-        if self.exchange.operation.draining:
+        if self.exchange.operator_state.draining:
             return f"draining: {self.left}"
         return f"starting: waits for {self.waiting_for}" if self.waiting_for else ""
 
--- a/paddlequay/placement/checks.py
+++ b/paddlequay/placement/checks.py
@@ -10,8 +10,7 @@
 from collections.abc import Iterable, Mapping
 from pathlib import Path
 
-from paddlequay.config.loader import ConfigError
-from paddlequay.routing.interface import Member
+from paddlequay.errors import ConfigError
 from paddlequay.placement.grammar import BYTES_MOST, Place, source_of
 from paddlequay.placement.regions import (
     ANY,
@@ -28,6 +27,7 @@
 )
 from paddlequay.placement.rules import ATTRIBUTES, WORK_MOST, Builder, Cell, Rule, Rules
 from paddlequay.placement.spoken import spoken
+from paddlequay.routing.interface import Member
 
 SHEETS_MOST = 1_024  # tables of shards: a rule has one, and one for each cell whose tenants it is for
 SHEETS_SHARDS_MOST = 262_144  # of all rules with all their cells; one rule has 65,536 at most
--- a/paddlequay/placement/compile.py
+++ b/paddlequay/placement/compile.py
@@ -18,13 +18,13 @@
 import numpy as np
 import numpy.typing as npt
 
-from paddlequay.routing.interface import Member
 from paddlequay.placement.checks import check_list, check_members, fitting, thing, weight_of
 from paddlequay.placement.grammar import Place
 from paddlequay.placement.homes import LEAST_WEIGHT, arrival, digest
 from paddlequay.placement.regions import TooMuchError, Work, holds
 from paddlequay.placement.rules import Cell, Rule, Rules
 from paddlequay.placement.table import Draw, Key, Sheet, Table
+from paddlequay.routing.interface import Member
 
 DRAWS_MOST = 1 << 26  # shards times members of all sheets: some 3 s of one core
 FITS_MOST = 4_000_000  # members tried against boxes of rules: some 2 s
--- a/paddlequay/placement/following.py
+++ b/paddlequay/placement/following.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING, TypeVar
 
-from paddlequay.routing.interface import Request
 from paddlequay.placement.homes import SLOTS, Homes, always_whole, digest, place, slot_of
+from paddlequay.routing.interface import Request
 
 if TYPE_CHECKING:
     from paddlequay.placement.mover import Placed
--- a/paddlequay/placement/grammar.py
+++ b/paddlequay/placement/grammar.py
@@ -11,7 +11,7 @@
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedToken
 from lark.lexer import PatternStr
 
-from paddlequay.config.loader import ConfigError
+from paddlequay.errors import ConfigError
 
 BYTES_MOST = 65_536  # of a file
 SHOWN = 100  # characters of a line in an error
--- a/paddlequay/placement/rules.py
+++ b/paddlequay/placement/rules.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-from paddlequay.config.loader import ConfigError
+from paddlequay.errors import ConfigError
 from paddlequay.placement.grammar import Place, Source
 from paddlequay.placement.regions import ANY, Box, Region, Some, Value, Work, both, boxed, less, meet, these
 from paddlequay.placement.spoken import (
--- a/paddlequay/policy/__init__.py
+++ b/paddlequay/policy/__init__.py
@@ -1,4 +1,4 @@
-"""Every decision of a router for a two-tier cache. Its types, events and actions: `paddlequay/interface.py`.
+"""Every decision of a router for a two-tier cache; its events and actions stand in `routing/interface.py`.
 
 The ordinary path stands in docs/design.md; all else here says what happens when that path fails."""
 
--- a/paddlequay/policy/members.py
+++ b/paddlequay/policy/members.py
@@ -1,83 +1,93 @@
-"""Who is there: the list as told, the views of it that requests use, and how warm members are."""
+"""The member directory: the list as received, the views that requests use, and how warm members are."""
 
 from collections.abc import Mapping
 
-from paddlequay.routing.slow_start import Cold
-from paddlequay.routing.zone_load import Room
-from paddlequay.routing.interface import MembersChanged, Ramp, Settings, State
 from paddlequay.placement.following import Following
 from paddlequay.placement.homes import Homes
-from paddlequay.policy.limits import FITS_LEAST, LIMIT_LEAST, LIMIT_MOST, LIMIT_START
-from paddlequay.routing.state import Server, Tier
+from paddlequay.routing.concurrency import INITIAL_LIMIT, MAX_LIMIT, MIN_LIMIT, MIN_LIMIT_PER_TRANSFER
+from paddlequay.routing.interface import Member, MembersChanged, MemberState, RoutingSettings, SlowStart
+from paddlequay.routing.slow_start import SlowStartLimiter
+from paddlequay.routing.state import CacheTier, Upstream
+from paddlequay.routing.zone_load import ZoneLoad
 
+EDGE, PARENT, ORIGIN = CacheTier.EDGE, CacheTier.PARENT, CacheTier.ORIGIN
 
-class Members:
+
+class MemberDirectory:
     """The members by name, and the homes of objects among those that may be used. Bounded by the list."""
 
-    def __init__(self, settings: Settings, room: Room) -> None:
-        self.settings, self.room = settings, room
-        self.tiers = {settings.origin_kind: Tier.ORIGIN, settings.parent_kind: Tier.PARENT, None: Tier.EDGE}
-        self.servers: dict[str, Server] = {}
-        self.homes: dict[Tier, Homes[Server]] = {Tier.EDGE: Following(), Tier.PARENT: Homes()}
-        ramps = {Tier.EDGE: settings.cold_edge, Tier.PARENT: settings.cold_parent, Tier.ORIGIN: Ramp()}
-        self.cold = {tier: Cold(ramp) for tier, ramp in ramps.items()}
-        self.origins: list[Server] = []
-        self.everywhere = 0  # edges that are ready, of all zones
+    def __init__(self, settings: RoutingSettings, zone_load: ZoneLoad) -> None:
+        self.settings, self.zone_load = settings, zone_load
+        self.tier_by_kind = {settings.origin_kind: ORIGIN, settings.parent_kind: PARENT, None: EDGE}
+        self.upstreams: dict[str, Upstream] = {}
+        self.homes: dict[CacheTier, Homes[Upstream]] = {EDGE: Following(), PARENT: Homes()}
+        starts = {EDGE: settings.edge_slow_start, PARENT: settings.parent_slow_start, ORIGIN: SlowStart()}
+        self.slow_start = {tier: SlowStartLimiter(start) for tier, start in starts.items()}
+        self.origins: list[Upstream] = []
+        self.ready_edge_count = 0  # edges that are ready, of all zones
 
-    def follow(self, event: MembersChanged, now: float) -> list[Server]:
-        """Follow the list, and tell who has left; what has left or drains is out of use at once."""
+    def update(self, event: MembersChanged, now: float) -> list[Upstream]:
+        """Follow the list, and say who has left; what has left or drains is out of use at once."""
         left = []
         if event.full:
-            listed = {entry.name for entry in event.members}
-            for name in [name for name in self.servers if name not in listed]:
-                left += self.drop(name)
-        for entry in event.members:
-            known = self.servers.get(entry.name)
-            back = known is not None and entry.state in (None, State.READY) and not known.ready
-            if entry.state is State.GONE:
-                left += self.drop(entry.name)
-            elif known is None or back or (entry.started or 0) > (known.entry.started or 0):
+            listed = {member.name for member in event.members}
+            for name in [name for name in self.upstreams if name not in listed]:
+                left += self.forget(name)
+        for member in event.members:
+            known = self.upstreams.get(member.name)
+            back = known is not None and member.state in (None, MemberState.READY) and not known.ready
+            if member.state is MemberState.REMOVED:
+                left += self.forget(member.name)
+            elif known is None or back or (member.started or 0) > (known.member.started or 0):
                 # Back from a drain it is as new: it has been restarted or is about to be used as if it were,
-                # and old failures would keep it skipped, old limits and copies unused or hoped for.
-                left += self.drop(entry.name)
-                tier = self.tiers.get(entry.kind, Tier.EDGE)
-                fits = max(0.0, entry.weight or 0.0) * (self.settings.sized and tier is not Tier.ORIGIN)
-                limit = min(LIMIT_MOST, max(LIMIT_LEAST, FITS_LEAST * fits)) if fits else LIMIT_START[tier]
-                self.servers[entry.name] = Server(entry, tier, now, fits=fits or None, limit=limit)
+                # and old failures would keep it ejected, old limits and copies unused or hoped for.
+                left += self.forget(member.name)
+                self.upstreams[member.name] = self.new_upstream(member, now)
             else:
-                known.entry = entry
+                known.member = member
         self.rebuild(now)
         return left
 
-    def drop(self, name: str) -> list[Server]:
-        """Forget a member that is gone or has started anew: neither its health nor its copies live on."""
-        self.room.forget(name)
-        return [self.servers.pop(name)] if name in self.servers else []
+    def new_upstream(self, member: Member, now: float) -> Upstream:
+        """A member of which nothing is known yet; its limit goes by its size, where that is given."""
+        tier = self.tier_by_kind.get(member.kind, EDGE)
+        sized = self.settings.weights_give_capacity and tier is not ORIGIN
+        capacity = max(0.0, member.weight or 0.0) * sized
+        by_size = min(MAX_LIMIT, max(MIN_LIMIT, MIN_LIMIT_PER_TRANSFER * capacity))
+        limit = by_size if capacity else INITIAL_LIMIT[tier]
+        return Upstream(member, tier, now, transfer_capacity=capacity or None, concurrency_limit=limit)
+
+    def forget(self, name: str) -> list[Upstream]:
+        """Forget a member that is removed or has restarted: neither its health nor its copies live on."""
+        self.zone_load.forget(name)
+        return [self.upstreams.pop(name)] if name in self.upstreams else []
 
-    def back_empty(self, server: Server, now: float) -> None:
-        """A member is believed to have started anew before the list says so."""
-        server.back_at = now
+    def mark_restarted(self, upstream: Upstream, now: float) -> None:
+        """A member is taken to have restarted before the list says so."""
+        upstream.presumed_restart_at = now
         self.rebuild(now)
 
     def rebuild(self, now: float) -> None:
-        """The views that requests use."""
-        ready = [server for server in self.servers.values() if server.ready]
-        everywhere = [server for server in ready if server.tier is Tier.EDGE]
-        edges = [server for server in everywhere if server.entry.zone in (None, self.settings.zone)]
-        parents = [server for server in ready if server.tier is Tier.PARENT]
+        """Make the views that requests use anew."""
+        ready = [upstream for upstream in self.upstreams.values() if upstream.ready]
+        all_edges = [upstream for upstream in ready if upstream.tier is EDGE]
+        edges = [upstream for upstream in all_edges if upstream.member.zone in (None, self.settings.zone)]
+        parents = [upstream for upstream in ready if upstream.tier is PARENT]
         weighted = self.settings.weights in ("nominal", "rough")
-        for tier, servers in ((Tier.EDGE, edges), (Tier.PARENT, parents)):
+        for tier, upstreams in ((EDGE, edges), (PARENT, parents)):
+            members = ((each.member, each) for each in upstreams)
             self.homes[tier].reset(
-                (each.entry.name, each, (each.entry.weight or 1.0) if weighted else 1.0) for each in servers
+                (member.name, each, (member.weight or 1.0) if weighted else 1.0) for member, each in members
             )
-            self.cold[tier].reset((server.started for server in servers), now)
-        self.origins = [server for server in ready if server.tier is Tier.ORIGIN]
-        self.everywhere = len(everywhere)
+            self.slow_start[tier].set_members((each.started for each in upstreams), now)
+        self.origins = [upstream for upstream in ready if upstream.tier is ORIGIN]
+        self.ready_edge_count = len(all_edges)
 
-    def share(self, server: Server, now: float) -> float:
+    def capacity_share(self, upstream: Upstream, now: float) -> float:
         """The share of its capacity that a member can give at least; 1 when warm."""
-        return self.cold[server.tier].share(server.started, now)
+        return self.slow_start[upstream.tier].capacity_share(upstream.started, now)
 
-    def inherit(self, told: Mapping[str, float]) -> None:
-        for cold, name in zip(self.cold.values(), ("edge_rate", "fill_rate"), strict=False):
-            cold.rate = told.get(name, cold.rate)
+    def inherit_state(self, state: Mapping[str, float]) -> None:
+        """Take over the load that a predecessor saw warm members bear."""
+        for limiter, name in zip(self.slow_start.values(), ("edge_rate", "fill_rate"), strict=False):
+            limiter.load_per_member = state.get(name, limiter.load_per_member)
--- a/paddlequay/programs/router.py
+++ b/paddlequay/programs/router.py
@@ -13,25 +13,27 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
+from paddlequay.config.loader import Config, read_config
+from paddlequay.config.values import Address
+from paddlequay.errors import ConfigError
 from paddlequay.lifecycle import signals
-from paddlequay.observability import log
-from paddlequay.lifecycle.background import Background
-from paddlequay.config.loader import Address, Config, ConfigError, read_config
-from paddlequay.observability.counters import Counters
-from paddlequay.programs.shutdown import end
-from paddlequay.requests.exchange import Exchange
-from paddlequay.lifecycle.overload import OwnLoad
+from paddlequay.lifecycle.background import TaskSupervisor
+from paddlequay.lifecycle.operator_state import OperatorState
+from paddlequay.lifecycle.overload import OverloadGuard
 from paddlequay.net import listener as door
 from paddlequay.net.bulletin import Follower
 from paddlequay.net.caches import Pool
 from paddlequay.net.clients import Front
 from paddlequay.net.console import Console
+from paddlequay.net.hot_restart import HotRestart
 from paddlequay.net.scheduler import LoopScheduler
-from paddlequay.net.hot_restart import Twin
-from paddlequay.lifecycle.operator_state import Operation
+from paddlequay.observability import log
+from paddlequay.observability.counters import Counters
 from paddlequay.policy import Router
+from paddlequay.programs.shutdown import shut_down
 from paddlequay.protocol import bulletin
-from paddlequay.requests.quotas import Held, Shares
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.quotas import ProcessQuotas, QuotaInUse
 
 if TYPE_CHECKING:
     from paddlequay.net.members import Members
@@ -40,7 +42,7 @@
 LOGGER = logging.getLogger("paddlequay.main")
 
 
-class Program:
+class RouterProgram:
     """All parts of one router."""
 
     def __init__(self, config: Config) -> None:
@@ -48,42 +50,58 @@
         self.config = config
         self.limits = config.limits
         self.counters = Counters()
-        self.background = Background(self.counters)
-        self.operation = Operation(config.file("json"))
+        self.background = TaskSupervisor(self.counters)
+        self.operator_state = OperatorState(config.file("json"))
         try:
-            self.operation.load()
+            self.operator_state.load()
         except (OSError, ValueError) as error:
-            log.event(LOGGER, logging.WARNING, "bans_unreadable", path=self.operation.path, why=str(error))
-        self.shares = Shares(self.limits)
+            log.event(
+                LOGGER, logging.WARNING, "overrides_unreadable", path=self.operator_state.path, why=str(error)
+            )
+        self.quotas = ProcessQuotas(self.limits)
         router = Router(config.settings, config.seed)
         scheduler = LoopScheduler(loop)
-        self.exchange = Exchange(router, self.operation, self.shares, self.limits, scheduler, self.counters)
-        self.pool = Pool(self.exchange, self.shares, self.limits, self.counters)
-        self.follower = Follower(config.bulletin, self.exchange, self.pool, self.limits, self.counters)
-        self.load = OwnLoad(self.limits, config.seed)
-        self.front = Front(self.exchange, self.operation, self.shares, self.limits, self.counters, self.load)
-        self.twin = Twin(config.file("sock"), self.operation, self.shares, self.limits, self.counters)
-        self.twin.knowledge, self.twin.on_knowledge = router.knowledge, self.exchange.inherit
-        self.twin.on_newer, self.twin.on_replaced = self.make_way, self.give_way
-        self.twin.on_alone = self.settle
-        self.console = Console(self.operation, self.front, self.twin, self.limits, self.counters)
-        self.members = self.discovery()
-        self.sharing = self.cluster()
+        self.exchange = Exchange(
+            router, self.operator_state, self.quotas, self.limits, scheduler, self.counters
+        )
+        self.pool = Pool(self.exchange, self.quotas, self.limits, self.counters)
+        self.endpoint_watch = Follower(config.bulletin, self.exchange, self.pool, self.limits, self.counters)
+        self.overload = OverloadGuard(self.limits, config.seed)
+        self.clients = Front(
+            self.exchange, self.operator_state, self.quotas, self.limits, self.counters, self.overload
+        )
+        self.hot_restart = HotRestart(
+            config.file("sock"), self.operator_state, self.quotas, self.limits, self.counters
+        )
+        self.hot_restart.export_state, self.hot_restart.on_inherited_state = (
+            router.export_state,
+            self.exchange.inherit_state,
+        )
+        self.hot_restart.on_successor, self.hot_restart.on_replaced = (
+            self.make_room_for_successor,
+            self.hand_over,
+        )
+        self.hot_restart.on_successor_gone = self.update_handover
+        self.console = Console(
+            self.operator_state, self.clients, self.hot_restart, self.limits, self.counters
+        )
+        self.members = self.make_members()
+        self.sharing = self.make_sharing()
         try:
-            self.follower.start_from(config.known)
+            self.endpoint_watch.start_from(config.known)
         except bulletin.MalformedError as error:
             raise ConfigError(f"known: {error}") from None
-        self.door = self.bind("listen", config.listen)
+        self.listener = self.bind("listen", config.listen)
         if config.console is not None:
             self.console.listen(self.bind("console", config.console))
         self.stop = asyncio.Event()
         for name in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(name, self.stop.set)
-        loop.add_signal_handler(signal.SIGUSR1, self.counters.print, "asked")
+        loop.add_signal_handler(signal.SIGUSR1, self.counters.print, "signal")
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         signals.let_through()
 
-    def discovery(self) -> "Members | None":
+    def make_members(self) -> "Members | None":
         """Other sources of members than the bulletin, where a settings file of the installation names
         them."""
         path = os.environ.get("PADDLEQUAY_DISCOVERY")
@@ -93,12 +111,14 @@
         from paddlequay.schema.sources import read_discovery
 
         settings = read_discovery(Path(path))
-        members = Members(settings, self.follower, self.exchange, self.pool, self.counters, self.config.name)
+        members = Members(
+            settings, self.endpoint_watch, self.exchange, self.pool, self.counters, self.config.name
+        )
         self.console.pages["members"] = members.page
         self.console.queries["members"] = members.explain
         return members
 
-    def cluster(self) -> "Sharing | None":
+    def make_sharing(self) -> "Sharing | None":
         """What the routers share, where a settings file of the installation says so and peers are allowed."""
         path = os.environ.get("PADDLEQUAY_CLUSTER")
         if not path:
@@ -115,7 +135,7 @@
             sharing = Sharing(settings, self.config.peering, self.config, self.exchange, self.counters)
         except ValueError as error:
             raise ConfigError(f"{path}: {error}") from None
-        self.exchange.watch = sharing
+        self.exchange.interceptor = sharing
         self.console.pages["cluster"] = lambda: page(sharing)
         if sharing.placing is not None:
             self.console.queries["placement"] = sharing.placing.explain
@@ -145,73 +165,73 @@
             self.counters.add("reloads_refused")
             return log.event(LOGGER, logging.WARNING, "reload_refused", why=str(error))
         self.counters.add("reloads")
-        self.follower.move(config.bulletin)
+        self.endpoint_watch.move(config.bulletin)
         host, port = config.bulletin
         log.event(LOGGER, logging.INFO, "reloaded", bulletin=f"{host}:{port}")
 
-    def give_way(self) -> None:
+    def hand_over(self) -> None:
         """Beside a newer process that takes clients: keep what there is, and have it become less."""
-        self.front.giving_way = True
+        self.clients.giving_way = True
         if self.sharing is not None:
             self.sharing.give_way()
-        self.twin.give(Held(len(self.front.sessions), len(self.pool.held())))
+        self.hot_restart.give_quota(QuotaInUse(len(self.clients.sessions), len(self.pool.held())))
 
-    def make_way(self) -> None:
+    def make_room_for_successor(self) -> None:
         """Beside a newer process that is not ready yet: leave it half of what is free."""
-        limits, held = self.limits, len(self.front.sessions)
-        caches = (limits.all_cache_connections - limits.own_descriptors) // 2
-        self.twin.give(Held((held + limits.client_connections + 1) // 2, max(4, caches)))
+        limits, held = self.limits, len(self.clients.sessions)
+        caches = (limits.all_cache_connections - limits.reserved_descriptors) // 2
+        self.hot_restart.give_quota(QuotaInUse((held + limits.client_connections + 1) // 2, max(4, caches)))
 
-    def settle(self) -> None:
+    def update_handover(self) -> None:
         """Whether clients' connections are to go. Asked at each beat, and at once where a newer process has
         died: who connects here until the next beat would be closed on."""
-        self.front.giving_way = self.front.closing or self.twin.replaced
-        self.front.empty()
-        if self.sharing is not None and not self.twin.replaced:
+        self.clients.giving_way = self.clients.closing or self.hot_restart.replaced
+        self.clients.empty()
+        if self.sharing is not None and not self.hot_restart.replaced:
             self.sharing.come_back()
 
-    async def sweeping(self) -> None:
+    async def sweep_periodically(self) -> None:
         """What is looked at now and then rather than at an event."""
         printed = time.monotonic()
         while True:
-            await asyncio.sleep(self.limits.sweep)
+            await asyncio.sleep(self.limits.sweep_interval)
             self.pool.sweep()
-            self.front.sweep()
-            if time.monotonic() - printed >= self.limits.counters_every:
+            self.clients.sweep()
+            if time.monotonic() - printed >= self.limits.counters_interval:
                 printed = time.monotonic()
                 self.counters.print("period")
 
-    async def beating(self) -> None:
+    async def heartbeat(self) -> None:
         while True:
-            self.settle()
-            if self.twin.replaced:
-                self.give_way()
+            self.update_handover()
+            if self.hot_restart.replaced:
+                self.hand_over()
             # After a late beat, what has come is not read yet: no silence can be told from that.
-            if self.load.beat(time.monotonic(), time.process_time()):
+            if self.overload.sample(time.monotonic(), time.process_time()):
                 self.pool.watch()
-            await asyncio.sleep(self.limits.beat)
+            await asyncio.sleep(self.limits.heartbeat_interval)
 
     async def take_over(self) -> None:
         """Begin to serve: at once, or beside an older process once this one knows and holds what it needs."""
         began = time.monotonic()
-        older = await self.twin.find()
+        older = await self.hot_restart.find_predecessor()
         if older:
             with contextlib.suppress(TimeoutError):
                 # Where the older one ends before, clients have nobody else.
-                async with asyncio.timeout(self.limits.warm_longest):
-                    await self.either(self.prepare(), self.twin.alone())
-        self.front.listen(self.door)
-        if self.twin.older is not None:
-            door.steer(self.door)
-            self.twin.tell_ready()
-        log.event(LOGGER, logging.INFO, "serving", beside_older=older, after=time.monotonic() - began)
+                async with asyncio.timeout(self.limits.warm_up_timeout):
+                    await self.first_of(self.prepare(), self.hot_restart.wait_until_alone())
+        self.clients.listen(self.listener)
+        if self.hot_restart.predecessor is not None:
+            door.steer(self.listener)
+            self.hot_restart.announce_ready()
+        log.event(LOGGER, logging.INFO, "serving", beside_predecessor=older, after=time.monotonic() - began)
 
     async def prepare(self) -> None:
         """Have a connection to each edge cache, and the bulletin's word that nothing is missing."""
-        await self.pool.warm(self.exchange.router.names_of_edges())
-        await self.follower.current.wait()
+        await self.pool.warm(self.exchange.router.edge_names())
+        await self.endpoint_watch.current.wait()
 
-    async def before_stop(self, work: Coroutine[Any, Any, None]) -> bool:
+    async def run_until_stop(self, work: Coroutine[Any, Any, None]) -> bool:
         """Whether this was done before the program is to stop; else it is given up. Raises what it raises."""
         task, stopped = asyncio.ensure_future(work), asyncio.ensure_future(self.stop.wait())
         try:
@@ -226,7 +246,7 @@
         task.result()
         return True
 
-    async def either(self, *work: Coroutine[Any, Any, None]) -> None:
+    async def first_of(self, *work: Coroutine[Any, Any, None]) -> None:
         """Wait for the first that is done; the others are given up."""
         tasks = [self.background.spawn("take_over", each) for each in work]
         try:
@@ -238,36 +258,36 @@
 
     async def run(self) -> None:
         """Serve until SIGTERM, then end in order."""
-        self.background.keep("follow", self.follower.follow)
-        self.background.keep("sweeping", self.sweeping)
-        self.background.keep("beating", self.beating)
+        self.background.supervise("follow", self.endpoint_watch.follow)
+        self.background.supervise("sweeping", self.sweep_periodically)
+        self.background.supervise("beating", self.heartbeat)
         limits = self.limits
         if self.members is not None:
             self.members.start()
         if self.sharing is not None:
             await self.sharing.start()
         log.event(LOGGER, logging.INFO, "started", cores=limits.cores, clients=limits.client_connections)
-        if await self.before_stop(self.take_over()):
+        if await self.run_until_stop(self.take_over()):
             await self.stop.wait()
         if self.sharing is not None:
             self.sharing.leave()
-        if self.front.listener is not None:  # else nothing was taken, and an older process goes on alone
-            await end(self.front, self.twin, self.limits)
+        if self.clients.listener is not None:  # else nothing was taken, and an older process goes on alone
+            await shut_down(self.clients, self.hot_restart, self.limits)
         await self.background.stop()
         if self.members is not None:
             self.members.stop()
         if self.sharing is not None:
             self.sharing.stop()
-        self.twin.close()
+        self.hot_restart.close()
         self.counters.print("exit")
         signals.end(asyncio.get_running_loop())
 
 
 async def serve(config: Config) -> None:
-    await Program(config).run()
+    await RouterProgram(config).run()
 
 
-def route() -> int:
+def run_router() -> int:
     """Run the router until its end; the exit code."""
     log.set_up()
     # Requests leave no cycles behind, and a full collection walks the decisions' table of objects: be rare.
--- a/paddlequay/programs/shutdown.py
+++ b/paddlequay/programs/shutdown.py
@@ -3,22 +3,22 @@
 import asyncio
 import logging
 
-from paddlequay.observability import log
-from paddlequay.config.loader import Limits
+from paddlequay.config.limits import Limits
 from paddlequay.net.clients import Front
-from paddlequay.net.hot_restart import Twin
+from paddlequay.net.hot_restart import HotRestart
+from paddlequay.observability import log
 
 LOGGER = logging.getLogger(__name__)
 
-# Seconds before all that is open is given up, at `limits.drain_longest`, which goes by the longest deadline:
-WAIT_NO_HALF = 1.0  # a message that is not whole is not waited for any more,
-REFUSE = 0.9  # and connections that are never quiet get nothing new done
+# Seconds before `limits.shutdown_timeout`, at which all that is open is abandoned:
+DROP_PARTIAL_BEFORE_END = 1.0  # a message that is not whole is not waited for any more,
+REJECT_BEFORE_END = 0.9  # and connections that are never quiet get nothing new done
 # After it, to the end: it may be killed 0.2 s after.
-LAST_WORDS = 0.15
-LINGERS = 0.05  # the least of that for the peers to end their side
+FLUSH_TIME = 0.15
+LINGER_TIME = 0.05  # the least of that for the peers to end their side
 
 
-async def end(front: Front, twin: Twin, limits: Limits) -> None:
+async def shut_down(front: Front, twin: HotRestart, limits: Limits) -> None:
     """End once all that was taken is answered.
 
     Beside a newer process, which takes what is new, connections close at their next quiet moment. Alone,
@@ -31,7 +31,7 @@
     began = now()
     exchange = front.exchange
     front.ending = True
-    log.event(LOGGER, logging.INFO, "ending", open=len(exchange.open), replaced=twin.replaced)
+    log.event(LOGGER, logging.INFO, "shutdown_started", open=len(exchange.pending), replaced=twin.replaced)
     while not twin.replaced and now() - began < limits.accept_after_term:
         await asyncio.sleep(0.01)
     front.replaced = twin.replaced
@@ -40,22 +40,22 @@
     while not twin.replaced and now() - began < limits.serve_after_term:
         await asyncio.sleep(0.01)
     front.closing = front.giving_way = True
-    while now() - began < limits.drain_longest:
-        front.hurrying = now() - began > limits.drain_longest - REFUSE
+    while now() - began < limits.shutdown_timeout:
+        front.hurrying = now() - began > limits.shutdown_timeout - REJECT_BEFORE_END
         front.empty()
-        patient = now() - began < limits.drain_longest - WAIT_NO_HALF
-        if not exchange.open and all(each.reader.rest and not patient for each in front.sessions):
+        patient = now() - began < limits.shutdown_timeout - DROP_PARTIAL_BEFORE_END
+        if not exchange.pending and all(each.reader.rest and not patient for each in front.sessions):
             break
         await asyncio.sleep(0.01)
     front.hurrying = True
     front.empty()
-    exchange.surrender()
-    over_by = began + limits.drain_longest + LAST_WORDS
+    exchange.abandon_all()
+    over_by = began + limits.shutdown_timeout + FLUSH_TIME
     left = len(front.sessions)
     while front.sessions and now() < over_by:
-        last = now() >= over_by - LINGERS
+        last = now() >= over_by - LINGER_TIME
         for session in list(front.sessions):
             if last or session.at_rest():
                 session.end()
         await asyncio.sleep(0.005)
-    log.event(LOGGER, logging.INFO, "ended", after=now() - began, connections=left)
+    log.event(LOGGER, logging.INFO, "shutdown_ended", after=now() - began, connections=left)
