--- a/paddlequay/programs/tier.py
+++ b/paddlequay/programs/tier.py
@@ -11,28 +11,29 @@
 from pathlib import Path
 from typing import Any
 
-from paddlequay.observability import log
-from paddlequay.config.loader import OWN_DESCRIPTORS, Address, ConfigError, Limits
-from paddlequay.observability.counters import Counters
-from paddlequay.requests.exchange import Exchange
+from paddlequay.config.limits import RESERVED_DESCRIPTORS, Limits
+from paddlequay.config.values import Address
+from paddlequay.errors import ConfigError, RecordError
 from paddlequay.hierarchy.climb import NODE_KIND, STORE_KIND, Climber, member, members_of
 from paddlequay.hierarchy.node import Node
 from paddlequay.hierarchy.shape import Shape, ShapeError, Shaper, delta_data, next_shape, read_delta, whole
 from paddlequay.hierarchy.trail import Keyring
-from paddlequay.routing.interface import Settings
+from paddlequay.lifecycle.operator_state import EJECTED_PREFIX, OperatorState, Override
 from paddlequay.net import listener as door
 from paddlequay.net.caches import Pool
 from paddlequay.net.console import Console
 from paddlequay.net.feed import Feed
 from paddlequay.net.scheduler import LoopScheduler
 from paddlequay.net.tier import TierFront
-from paddlequay.lifecycle.operator_state import OUT, Mark, Operation
+from paddlequay.observability import log
+from paddlequay.observability.counters import Counters
 from paddlequay.protocol import bulletin
 from paddlequay.protocol.bulletin import Listed
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.quotas import ProcessQuotas
+from paddlequay.routing.interface import RoutingSettings
 from paddlequay.schema.read import TierSettings, read_settings
-from paddlequay.requests.quotas import Shares
 from paddlequay.store import files
-from paddlequay.store.record import RecordError
 
 LOGGER = logging.getLogger("paddlequay.programs.tier")
 
@@ -42,7 +43,7 @@
 class Alone:
     """No other process of this name."""
 
-    async def confirm(self, name: str, mark: Mark) -> bool:
+    async def confirm(self, name: str, mark: Override) -> bool:
         return True
 
 
@@ -51,14 +52,16 @@
     askers = max(1, int(settings.sockets / 2) - 1)
     return Limits(
         client_connections=askers,
-        all_cache_connections=max(4, settings.sockets - askers - OWN_DESCRIPTORS),
+        all_cache_connections=max(4, settings.sockets - askers - RESERVED_DESCRIPTORS),
         cores=settings.cores,
-        open_requests=settings.node.fills,
-        held_bodies=1024 * 1024,
+        max_open_requests=settings.node.fills,
+        max_body_bytes=1024 * 1024,
         answer_margin=0.0,
-        attempts=32,
-        cache_silence=1.1 * sum(kind.aim for kind in settings.classes) / len(settings.classes),
-        drain_longest=min(3.0, max(kind.deadline for kind in settings.classes)) + 0.5,
+        max_attempts=32,
+        silence_check_after=1.1
+        * sum(kind.latency_objective for kind in settings.classes)
+        / len(settings.classes),
+        shutdown_timeout=min(3.0, max(kind.deadline for kind in settings.classes)) + 0.5,
     )
 
 
@@ -73,27 +76,27 @@
         self.scheduler = LoopScheduler(loop)
         self.began = self.scheduler.unix()
         folder = settings.folder
-        self.operation = Operation((folder or Path("/nonexistent")) / f"paddlequay-{settings.name}.json")
+        self.operation = OperatorState((folder or Path("/nonexistent")) / f"paddlequay-{settings.name}.json")
         self.node = Node(settings.name, settings.node, settings.moves, self.began, settings.group)
         self.climber = Climber(
-            Settings(
+            RoutingSettings(
                 zone="",
                 classes=settings.classes,
                 parent_kind=NODE_KIND,
                 origin_kind=STORE_KIND,
-                direct=True,
-                joins=True,
-                notes=True,
+                bypass_allowed=True,
+                coalesces_fills=True,
+                detailed_replies=True,
                 weights="nominal",
                 can_cancel=True,
-                max_attempts=self.limits.attempts,
-                cold_parent=settings.cold,
-                purge_done=settings.node.purge_memory,
+                max_attempts=self.limits.max_attempts,
+                parent_slow_start=settings.cold,
+                purge_completion=settings.node.purge_memory,
             ),
             int(self.began * 1e6),
             self.node,
         )
-        shares = Shares(self.limits)
+        shares = ProcessQuotas(self.limits)
         self.exchange = Exchange(
             self.climber, self.operation, shares, self.limits, self.scheduler, self.counters
         )
@@ -109,7 +112,7 @@
         )
         self.console = Console(self.operation, self.front, Alone(), self.limits, self.counters)
         self.console.pages["hierarchy"] = self.page
-        self.operation.changed.append(self.ordered)
+        self.operation.on_change.append(self.ordered)
         self.saved = folder / f"shape-{settings.name}" if folder is not None else None
         self.saving: asyncio.Task[None] | None = None
         self.unsaved = False
@@ -149,7 +152,7 @@
         names = list(members_of(shape, self.node.name, self.node.group))
         listed = tuple(Listed(member(shape, name), shape.nodes[name].address) for name in names)
         self.pool.list_changed(listed, True)
-        self.exchange.list_changed(tuple(entry.member for entry in listed), True)
+        self.exchange.update_members(tuple(entry.member for entry in listed), True)
         known = self.node.name in shape.nodes
         if not known:
             log.event(LOGGER, logging.WARNING, "not_in_the_shape", version=shape.version)
@@ -158,12 +161,12 @@
     def purged(self, item: bulletin.Recall) -> None:
         name = None if item.key is None else f"{item.key:016x}"
         self.node.purged(name, item.group, item.issued, self.scheduler.unix())
-        self.exchange.purged(item.key, item.group, item.issued)
+        self.exchange.record_purge(item.key, item.group, item.issued)
 
     def ordered(self, name: str) -> None:
         """Operators leave a node out, or put it back: no fill asks it, and no home is looked for there."""
-        if name.startswith(OUT):
-            self.node.barred = set(self.operation.out)
+        if name.startswith(EJECTED_PREFIX):
+            self.node.barred = set(self.operation.ejected_ids)
 
     # --- kept over a restart ---
 
@@ -173,7 +176,7 @@
             return
         with contextlib.suppress(OSError, ValueError):
             self.operation.load()
-        self.node.barred = set(self.operation.out)
+        self.node.barred = set(self.operation.ejected_ids)
         try:
             body = files.load(self.saved, KIND, FORM)
             if body is None:
@@ -268,17 +271,17 @@
     async def beating(self) -> None:
         before = (time.monotonic(), time.process_time())
         while True:
-            await asyncio.sleep(self.limits.beat)
+            await asyncio.sleep(self.limits.heartbeat_interval)
             now = (time.monotonic(), time.process_time())
             self.front.beat((now[1] - before[1]) / max(1e-9, now[0] - before[0]) / self.limits.cores)
-            late = now[0] - before[0] > self.limits.beat + self.limits.late_beat
+            late = now[0] - before[0] > self.limits.heartbeat_interval + self.limits.max_heartbeat_delay
             before = now
             if not late:
                 self.pool.watch()
 
     async def sweeping(self) -> None:
         while True:
-            await asyncio.sleep(self.limits.sweep)
+            await asyncio.sleep(self.limits.sweep_interval)
             self.pool.sweep()
             self.front.sweep()
 
@@ -303,19 +306,19 @@
         now = asyncio.get_running_loop().time
         began = now()
         self.front.ending = True
-        log.event(LOGGER, logging.INFO, "ending", open=self.node.waiting)
+        log.event(LOGGER, logging.INFO, "shutdown_started", open=self.node.waiting)
         self.front.stop_accepting()
         self.listener.close()
-        while now() - began < self.limits.drain_longest and (self.node.waiting or self.unsent):
+        while now() - began < self.limits.shutdown_timeout and (self.node.waiting or self.unsent):
             await asyncio.sleep(0.01)
-        self.exchange.surrender()
+        self.exchange.abandon_all()
         self.front.carry(self.node.tick(math.inf))
-        flushed_by = now() + self.limits.flush_longest
+        flushed_by = now() + self.limits.flush_timeout
         while self.unsent and now() < flushed_by:
             await asyncio.sleep(0.01)
         if self.saving is not None:
             await self.saving
-        log.event(LOGGER, logging.INFO, "ended", after=now() - began)
+        log.event(LOGGER, logging.INFO, "shutdown_ended", after=now() - began)
 
     @property
     def unsent(self) -> bool:
--- a/paddlequay/protocol/bulletin.py
+++ b/paddlequay/protocol/bulletin.py
@@ -6,9 +6,13 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from paddlequay.routing.interface import Member, State
+from paddlequay.routing.interface import Member, MemberState
 
-STATES = {"in_service": State.READY, "terminating": State.DRAINING, "terminated": State.GONE}
+STATES = {
+    "in_service": MemberState.READY,
+    "terminating": MemberState.DRAINING,
+    "terminated": MemberState.REMOVED,
+}
 NUMBER_MOST = 1 << 53  # JSON's whole numbers; one past all that follow would have these taken as had
 ID = re.compile(r"[!-+\--~]{1,200}")  # it is written to caches as a field's value: no space, no comma
 ADDRESS = re.compile(r"((?:0|[1-9][0-9]{0,2})(?:\.(?:0|[1-9][0-9]{0,2})){3}):([0-9]{1,5})")
@@ -116,7 +120,7 @@
     state = STATES.get(word) if isinstance(word, str) else None
     if state is None:
         raise MalformedError(f"lifecycle: {str(word)[:40]!r} is not known")
-    if state is State.GONE:
+    if state is MemberState.REMOVED:
         return Listed(Member(name=name, state=state), ("", 0))  # what has gone needs nothing else any more
     zone, kind, cell = item.get("zone"), item.get("machineType"), item.get("cell")
     # Looked at in one line each: a list of thousands is read in one turn of the loop.
--- a/paddlequay/protocol/hot_restart.py
+++ b/paddlequay/protocol/hot_restart.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from paddlequay.lifecycle.operator_state import Mark, read_marks
-from paddlequay.requests.quotas import Held
+from paddlequay.lifecycle.operator_state import Override, read_overrides
+from paddlequay.requests.quotas import QuotaInUse
 
 
 class MalformedError(ValueError):
@@ -15,52 +15,52 @@
 
 
 @dataclass(frozen=True, slots=True)
-class State:
+class StateMessage:
     """Orders and listed ids that the sender knows, and what it has learned: the first message, both ways."""
 
-    marks: dict[str, Mark]
-    listed: tuple[str, ...]
-    knowledge: dict[str, float]
+    overrides: dict[str, Override]
+    known_ids: tuple[str, ...]
+    state: dict[str, float]
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class OverrideMessage:
     """One order; it is to be confirmed by its number once it is obeyed."""
 
     number: int
     name: str
-    mark: Mark
+    override: Override
 
 
 @dataclass(frozen=True, slots=True)
-class Confirmed:
+class OverrideConfirmed:
     """The order of that number is obeyed."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ready:
+class SuccessorReady:
     """The newer process takes clients from now on."""
 
 
-Message = State | Order | Confirmed | Ready | Held
+Message = StateMessage | OverrideMessage | OverrideConfirmed | SuccessorReady | QuotaInUse
 
 
 def pack(message: Message) -> bytes:
     match message:
-        case State():
-            marks = {name: [mark.at, mark.on] for name, mark in message.marks.items()}
-            data: dict[str, Any] = {"state": marks, "listed": message.listed, "knowledge": message.knowledge}
-        case Order():
-            mark = message.mark
-            data = {"order": {message.name: [mark.at, mark.on]}, "number": message.number}
-        case Confirmed():
+        case StateMessage():
+            marks = {name: [mark.issued_ns, mark.active] for name, mark in message.overrides.items()}
+            data: dict[str, Any] = {"state": marks, "listed": message.known_ids, "knowledge": message.state}
+        case OverrideMessage():
+            mark = message.override
+            data = {"order": {message.name: [mark.issued_ns, mark.active]}, "number": message.number}
+        case OverrideConfirmed():
             data = {"confirmed": message.number}
-        case Ready():
+        case SuccessorReady():
             data = {"ready": True}
-        case Held():
-            data = {"clients": message.clients, "caches": message.caches}
+        case QuotaInUse():
+            data = {"clients": message.client_connections, "caches": message.cache_connections}
     return json.dumps(data, separators=(",", ":")).encode() + b"\n"
 
 
@@ -71,30 +71,30 @@
                 learned = {str(name): float(value) for name, value in knowledge.items()}
                 if not all(map(math.isfinite, learned.values())) or min(learned.values(), default=0) < 0:
                     raise MalformedError("knowledge that cannot be used")
-                return State(read_marks(marks), tuple(map(str, listed)), learned)
+                return StateMessage(read_overrides(marks), tuple(map(str, listed)), learned)
             case {"order": dict(order), "number": int(number)} if len(order) == 1:
-                ((name, mark),) = read_marks(order).items()
-                return Order(number, name, mark)
+                ((name, mark),) = read_overrides(order).items()
+                return OverrideMessage(number, name, mark)
             case {"confirmed": int(number)}:
-                return Confirmed(number)
+                return OverrideConfirmed(number)
             case {"ready": True}:
-                return Ready()
+                return SuccessorReady()
             case {"clients": int(clients), "caches": int(caches)}:
-                return Held(clients, caches)
+                return QuotaInUse(clients, caches)
     except (TypeError, ValueError) as error:
         raise MalformedError(str(error)) from None
     raise MalformedError(f"no message: {line[:80]!r}")
 
 
-class Reader:
+class LinkParser:
     """Takes bytes as they come and gives whole messages."""
 
     def __init__(self, most: int) -> None:
-        self.most = most
-        self.rest = b""
+        self.max_line = most
+        self.partial = b""
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        if len(self.rest) > self.most:
+        *lines, self.partial = (self.partial + data).split(b"\n")
+        if len(self.partial) > self.max_line:
             raise MalformedError("a line is longer than allowed")
         yield from map(unpack, lines)
--- a/paddlequay/requests/exchange.py
+++ b/paddlequay/requests/exchange.py
@@ -9,48 +9,48 @@
 from collections import deque
 from collections.abc import Callable
 
+from paddlequay.config.limits import Limits
+from paddlequay.lifecycle.operator_state import EJECTED_PREFIX, OperatorState
 from paddlequay.observability import log
+from paddlequay.observability.counters import Counters
+from paddlequay.policy import Router
 from paddlequay.requests.messages import (
-    NOTHING,
-    Ask,
-    Attempt,
-    Caches,
-    End,
-    Open,
-    Order,
-    Reply,
+    NO_FIELDS,
+    AnswerStatus,
+    AttemptResult,
+    ClientRequest,
+    FinalAnswer,
+    PendingRequest,
+    RequestInterceptor,
     Scheduler,
-    Verdict,
-    Watch,
+    UpstreamAttempt,
+    UpstreamPool,
+    UpstreamRequest,
 )
-from paddlequay.requests.write_checks import Bounds
-from paddlequay.config.loader import Limits
-from paddlequay.observability.counters import Counters
+from paddlequay.requests.quotas import ProcessQuotas
+from paddlequay.requests.write_checks import WriteChecks
 from paddlequay.routing.interface import (
+    AbandonRequest,
     Action,
     AttemptEnded,
     Cancel,
-    ClientGone,
-    Effect,
+    ClientDisconnected,
     Event,
     Fail,
     Fetch,
-    Inherited,
-    Log,
+    Idempotency,
+    LogMessage,
     Member,
     MembersChanged,
     Outcome,
     Purged,
-    Refuse,
+    Reject,
     Request,
     SetTimer,
+    StateInherited,
     Subscribe,
-    Surrender,
-    TimerDue,
+    TimerFired,
 )
-from paddlequay.lifecycle.operator_state import OUT, Operation
-from paddlequay.policy import Router
-from paddlequay.requests.quotas import Shares
 
 LOGGER = logging.getLogger(__name__)
 
@@ -63,207 +63,221 @@
     def __init__(
         self,
         router: Router,
-        operation: Operation,
-        shares: Shares,
+        operation: OperatorState,
+        shares: ProcessQuotas,
         limits: Limits,
         scheduler: Scheduler,
         counters: Counters,
     ) -> None:
         self.router = router
-        self.operation = operation
-        operation.changed.append(self.ordered)
-        self.shares = shares
+        self.operator_state = operation
+        operation.on_change.append(self.override_changed)
+        self.quotas = shares
         self.limits = limits
         self.scheduler = scheduler
         self.counters = counters
-        self.caches: Caches | None = None
-        self.watch: Watch | None = None
-        self.open: dict[str, Open] = {}
-        self.ids: set[str] = set()
-        self.held = 0  # bytes of bodies of open requests
-        self.bounds = Bounds(operation, limits, scheduler)
-        self.members = self.bounds.members
-        self.serials = 0
-        self.queue: deque[Event] = deque()
-        self.running = False
+        self.upstreams: UpstreamPool | None = None
+        self.interceptor: RequestInterceptor | None = None
+        self.pending: dict[str, PendingRequest] = {}
+        self.open_ids: set[str] = set()
+        self.body_bytes = 0  # bytes of bodies of open requests
+        self.write_checks = WriteChecks(operation, limits, scheduler)
+        self.members = self.write_checks.members
+        self.last_serial = 0
+        self.events: deque[Event] = deque()
+        self.delivering = False
         # One clock for the decisions: it never goes back, and list entries' Unix start times stand on it.
-        self.offset = scheduler.unix() - scheduler.monotonic()
+        self.clock_offset = scheduler.unix() - scheduler.monotonic()
 
     # --- from the front ---
 
-    def ask(
-        self, ask: Ask, reply: Callable[[Reply], None], gone: Callable[[], bool] | None = None
-    ) -> Open | None:
+    def submit(
+        self,
+        request: ClientRequest,
+        send_answer: Callable[[FinalAnswer], None],
+        client_disconnected: Callable[[], bool] | None = None,
+    ) -> PendingRequest | None:
         """Take a request; `reply` is called exactly once, unless `withdraw` comes first.
 
         `gone` is asked wherever something is about to be sent on, and must not call back.
         """
         now = self.scheduler.monotonic()
-        self.counters.add(f"asked.{ask.class_name}")
-        full = self.held + len(ask.body) > self.limits.held_bodies * self.shares.part
-        if full or len(self.open) >= self.limits.open_requests:
+        self.counters.add(f"received.{request.class_name}")
+        full = self.body_bytes + len(request.body) > self.limits.max_body_bytes * self.quotas.memory_share
+        if full or len(self.pending) >= self.limits.max_open_requests:
             # Bodies wait here for their caches: thirty-two of 48,000 bytes on each connection are more than a
             # small router has.
-            self.counters.add("refused.too_many_open")
-            reply(Reply(Verdict.REFUSED, retry_in=self.limits.busy_pushback))
+            self.counters.add("rejected.too_many_open")
+            send_answer(FinalAnswer(AnswerStatus.REJECTED, retry_after=self.limits.busy_retry_after))
             return None
-        if ask.id in self.ids:
+        if request.id in self.open_ids:
             # The first request's answer must not serve another object, nor a second one's end end the first.
-            self.counters.add("refused.id_open")
-            reply(Reply(Verdict.FAILED))
+            self.counters.add("rejected.id_open")
+            send_answer(FinalAnswer(AnswerStatus.FAILED))
             return None
-        self.serials += 1
-        left = ask.ttl - self.limits.answer_margin
-        item = Open(f"q{self.serials}", ask, reply, now, now + left, gone)
-        if self.watch is not None and (wait := self.watch.asked(item, left)) is not None:
-            self.counters.add("refused.fleet_limit")
-            reply(Reply(Verdict.REFUSED, retry_in=wait))
+        self.last_serial += 1
+        left = request.time_to_live - self.limits.answer_margin
+        item = PendingRequest(
+            f"q{self.last_serial}", request, send_answer, now, now + left, client_disconnected
+        )
+        if self.interceptor is not None and (wait := self.interceptor.admit(item, left)) is not None:
+            self.counters.add("rejected.fleet_limit")
+            send_answer(FinalAnswer(AnswerStatus.REJECTED, retry_after=wait))
             return None
-        self.ids.add(ask.id)
-        self.held += len(ask.body)
-        self.open[item.serial] = item
-        request = Request(
+        self.open_ids.add(request.id)
+        self.body_bytes += len(request.body)
+        self.pending[item.serial] = item
+        event = Request(
             item.serial,
-            ask.class_name,
+            request.class_name,
             left,
-            ask.key,
-            ask.part,
-            ask.group,
-            tenant=ask.tenant,
-            retry=ask.retry,
-            fill=ask.fill,
+            request.key,
+            request.part,
+            request.group,
+            tenant=request.tenant,
+            retry=request.retry,
+            fill=request.fill,
         )
-        self.deliver(request)
-        if item.serial in self.open:
+        self.deliver(event)
+        if item.serial in self.pending:
             # Whatever the decisions do, one final answer goes out before the client gives up.
-            item.guard = self.scheduler.later(max(0.0, left) + 0.004, lambda: self.overdue(item))
+            item.deadline_timer = self.scheduler.call_later(
+                max(0.0, left) + 0.004, lambda: self.fail_overdue(item)
+            )
         return item
 
-    def withdraw(self, item: Open) -> None:
+    def withdraw(self, item: PendingRequest) -> None:
         """The client no longer waits: nothing is owed, and what is out is given up."""
-        if item.serial in self.open:
+        if item.serial in self.pending:
             self.counters.add("withdrawn")
-            self.forget(item)
-            self.deliver(ClientGone(item.serial))
+            self.release(item)
+            self.deliver(ClientDisconnected(item.serial))
 
-    def left(self, item: Open) -> bool:
+    def drop_if_disconnected(self, item: PendingRequest) -> bool:
         """Whether its client has gone, which ends the request; asked where it would be sent on."""
-        if item.gone is None or not item.gone():
+        if item.client_disconnected is None or not item.client_disconnected():
             return False
         self.withdraw(item)
         return True
 
-    def overdue(self, item: Open) -> None:
-        if item.serial in self.open:
+    def fail_overdue(self, item: PendingRequest) -> None:
+        if item.serial in self.pending:
             self.counters.add("overdue")
-            self.finish(item, Reply(Verdict.FAILED))
-            self.deliver(ClientGone(item.serial))
+            self.answer(item, FinalAnswer(AnswerStatus.FAILED))
+            self.deliver(ClientDisconnected(item.serial))
 
-    def surrender(self) -> None:
+    def abandon_all(self) -> None:
         """Give all open requests their final answers now: the router is being emptied."""
-        for serial in list(self.open):
-            self.counters.add("surrendered")
-            self.deliver(Surrender(serial))
+        for serial in list(self.pending):
+            self.counters.add("abandoned")
+            self.deliver(AbandonRequest(serial))
 
-    def inherit(self, knowledge: dict[str, float]) -> None:
+    def inherit_state(self, knowledge: dict[str, float]) -> None:
         """What an older process of this router has learned."""
-        self.deliver(Inherited(knowledge))
+        self.deliver(StateInherited(knowledge))
 
     # --- from discovery ---
 
-    def list_changed(self, members: tuple[Member, ...], full: bool) -> None:
+    def update_members(self, members: tuple[Member, ...], full: bool) -> None:
         """The list, or changes to it; holds for all that is not written yet."""
-        self.bounds.listed(members, full)
-        self.deliver(MembersChanged(tuple(map(self.bounds.as_ordered, members)), full))
+        self.write_checks.update_members(members, full)
+        self.deliver(MembersChanged(tuple(map(self.write_checks.with_overrides, members)), full))
 
-    def ordered(self, name: str) -> None:
+    def override_changed(self, name: str) -> None:
         """Operators leave a cache out, or put it back: holds for all that is not written yet."""
-        member = self.members.get(name.removeprefix(OUT)) if name.startswith(OUT) else None
+        member = (
+            self.members.get(name.removeprefix(EJECTED_PREFIX)) if name.startswith(EJECTED_PREFIX) else None
+        )
         if member is not None:
-            self.deliver(MembersChanged((self.bounds.as_ordered(member),)))
+            self.deliver(MembersChanged((self.write_checks.with_overrides(member),)))
 
-    def purged(self, key: int | None, group: int | None, issued: float) -> None:
+    def record_purge(self, key: int | None, group: int | None, issued: float) -> None:
         """An object or a group was purged at `issued`, in Unix seconds."""
-        age = self.bounds.purged(key, group, issued)
+        age = self.write_checks.record_purge(key, group, issued)
         self.deliver(Purged(age, group, key))
 
     # --- from the caches' side ---
 
-    def order(self, attempt: Attempt) -> Order | None:
+    def prepare_write(self, attempt: UpstreamAttempt) -> UpstreamRequest | None:
         """What to write, asked at the moment of writing; None when it must not be written any more.
 
         A decision may be written late, after a connection came up or a socket took bytes again. What held
         when it was made is looked at once more: drains and new starts of target and source, the window and
         the group of a repeat, purges, and the time left.
         """
-        if attempt.over or self.left(attempt.owner):
+        if attempt.ended or self.drop_if_disconnected(attempt.pending):
             return None
-        item, fetch = attempt.owner, attempt.fetch
+        item, fetch = attempt.pending, attempt.fetch
         now = self.scheduler.monotonic()
-        left = attempt.expires - now
-        if left < self.limits.least_budget or not self.bounds.allow(attempt, now + self.offset):
+        left = attempt.expires_at - now
+        if left < self.limits.min_time_left or not self.write_checks.allows(attempt, now + self.clock_offset):
             self.counters.add("not_sent")
-            self.end(attempt, End(Outcome.NOT_SENT))
+            self.end_attempt(attempt, AttemptResult(Outcome.NOT_SENT))
             return None
         # The last word is asked last: what it lends is lent to what is written now.
-        if self.watch is not None and (note := self.watch.writing(attempt, left)) is not None:
+        if (
+            self.interceptor is not None
+            and (note := self.interceptor.before_write(attempt, left)) is not None
+        ):
             self.counters.add("not_sent.fleet_limit")
-            self.end(attempt, End(Outcome.REFUSED, note=note))
+            self.end_attempt(attempt, AttemptResult(Outcome.REJECTED, detail=note))
             return None
-        ask = item.ask
-        return Order(
+        ask = item.request
+        return UpstreamRequest(
             id=ask.id,
             class_name=ask.class_name,
-            name=ask.name,
+            object_name=ask.object_name,
             part=ask.part,
             body=ask.body,
-            known=ask.known,
-            dedupe=ask.dedupe,
-            budget=left,
+            known_tag=ask.known_tag,
+            idempotency_key=ask.idempotency_key,
+            time_left=left,
             source=None if fetch.source == fetch.target else fetch.source,
-            keep=fetch.keep,
-            max_age=self.bounds.max_age(ask, self.router.kinds[ask.class_name], fetch.max_age),
-            join=fetch.join,
-            only_held=fetch.only_held,
-            renew=fetch.renew,
-            extra=NOTHING if ask.extra is None else ask.extra(fetch.target),
+            retention=fetch.retention,
+            max_age=self.write_checks.max_age(ask, self.router.classes[ask.class_name], fetch.max_age),
+            coalesce=fetch.coalesce,
+            only_if_cached=fetch.only_if_cached,
+            refresh=fetch.refresh,
+            extra_fields=NO_FIELDS if ask.extra_fields is None else ask.extra_fields(fetch.target),
         )
 
-    def written(self, attempt: Attempt) -> None:
-        attempt.written = self.scheduler.monotonic()
+    def mark_written(self, attempt: UpstreamAttempt) -> None:
+        attempt.written_at = self.scheduler.monotonic()
         self.counters.add("sent")
 
-    def end(self, attempt: Attempt, end: End) -> None:
+    def end_attempt(self, attempt: UpstreamAttempt, end: AttemptResult) -> None:
         """An attempt's end; the first `SERVED` is the request's final answer."""
-        if attempt.over:
+        if attempt.ended:
             return
         now = self.scheduler.monotonic()
-        attempt.over = True
+        attempt.ended = True
         if attempt.timer is not None:
             attempt.timer.cancel()
-        item = attempt.owner
-        if self.watch is not None:
-            self.watch.ended(attempt, end)
+        item = attempt.pending
+        if self.interceptor is not None:
+            self.interceptor.attempt_ended(attempt, end)
         self.counters.add(f"ended.{end.outcome.value.replace(' ', '_')}")
-        final = end.outcome is Outcome.SERVED and item.serial in self.open
-        item.note = end.note
+        final = end.outcome is Outcome.SERVED and item.serial in self.pending
+        item.last_detail = end.detail
         if final:
-            verdict = Verdict.UNCHANGED if end.unchanged else Verdict.SERVED
-            reply = Reply(verdict, end.body, stamp=end.stamp, note=end.note, source=attempt.fetch.target)
-            self.finish(item, reply)
+            verdict = AnswerStatus.NOT_MODIFIED if end.not_modified else AnswerStatus.SERVED
+            reply = FinalAnswer(
+                verdict, end.body, stamp=end.stamp, detail=end.detail, served_by=attempt.fetch.target
+            )
+            self.answer(item, reply)
         self.deliver(
             AttemptEnded(
                 request=item.serial,
                 attempt=attempt.number,
                 target=attempt.fetch.target,
                 outcome=end.outcome,
-                latency=now - attempt.began,
+                latency=now - attempt.started_at,
                 final=final,
-                note=end.note,
-                waited=end.waited,
-                load=end.load,
-                silent=end.silent,
-                hint=end.hint,
+                detail=end.detail,
+                source_wait=end.source_wait,
+                load_report=end.load_report,
+                unresponsive=end.unresponsive,
+                loop_hint=end.loop_hint,
             )
         )
 
@@ -271,136 +285,153 @@
 
     def deliver(self, event: Event) -> None:
         """Hand an event to the decisions and carry out what they ask; events that follow wait their turn."""
-        self.queue.append(event)
-        if self.running:
+        self.events.append(event)
+        if self.delivering:
             return
-        self.running = True
+        self.delivering = True
         try:
-            while self.queue:
-                event = self.queue.popleft()
+            while self.events:
+                event = self.events.popleft()
                 try:
-                    actions = self.router.handle(event, self.scheduler.monotonic() + self.offset)
+                    actions = self.router.handle(event, self.scheduler.monotonic() + self.clock_offset)
                 except Exception:
-                    self.failed("decision", event)
-                    self.abort(event.id if isinstance(event, Request) else getattr(event, "request", ""))
+                    self.log_failure("decision", event)
+                    self.abort_request(
+                        event.id if isinstance(event, Request) else getattr(event, "request", "")
+                    )
                     continue
                 for action in actions:
                     # Each for itself: one event may concern many requests, as when a member leaves.
                     try:
-                        self.carry_out(action)
+                        self.execute(action)
                     except Exception:
-                        self.failed("action", action)
-                        self.abort(getattr(action, "request", ""))
+                        self.log_failure("action", action)
+                        self.abort_request(getattr(action, "request", ""))
         finally:
-            self.running = False
+            self.delivering = False
 
-    def failed(self, what: str, on: object) -> None:
+    def log_failure(self, what: str, on: object) -> None:
         """An error that is one request's own and never stops the program; the first of a kind is logged."""
         if self.counters.add_once(f"{what}_errors"):
             LOGGER.exception(f"{what}_failed", extra={"fields": {"on": type(on).__name__}})
 
-    def abort(self, serial: str) -> None:
+    def abort_request(self, serial: str) -> None:
         """Answer a request for which something failed, and give up what is out for it."""
-        item = self.open.get(serial)
+        item = self.pending.get(serial)
         if item is not None:
-            self.finish(item, Reply(Verdict.FAILED))
-            self.queue.append(ClientGone(item.serial))
+            self.answer(item, FinalAnswer(AnswerStatus.FAILED))
+            self.events.append(ClientDisconnected(item.serial))
 
-    def carry_out(self, action: Action) -> None:
+    def execute(self, action: Action) -> None:
         match action:
             case Fetch():
-                self.fetch(action)
+                self.start_attempt(action)
             case Cancel():
-                self.cancel(action)
-            case Refuse():
-                if action.request in self.open:
-                    item = self.open[action.request]
+                self.cancel_attempt(action)
+            case Reject():
+                if action.request in self.pending:
+                    item = self.pending[action.request]
                     # Never sent on is priced apart from given up after attempts: the fleet loses by both.
-                    self.counters.add(f"refused.{'tried' if item.attempts else 'untried'}.{action.cause}")
-                    self.finish(item, Reply(Verdict.REFUSED, retry_in=action.retry_in, note=item.note))
+                    self.counters.add(
+                        f"rejected.{'attempted' if item.attempts else 'unattempted'}.{action.cause}"
+                    )
+                    self.answer(
+                        item,
+                        FinalAnswer(
+                            AnswerStatus.REJECTED, retry_after=action.retry_after, detail=item.last_detail
+                        ),
+                    )
             case Fail():
-                if action.request in self.open:
-                    item = self.open[action.request]
-                    self.finish(item, Reply(Verdict.FAILED, note=item.note))
+                if action.request in self.pending:
+                    item = self.pending[action.request]
+                    self.answer(item, FinalAnswer(AnswerStatus.FAILED, detail=item.last_detail))
             case SetTimer():
                 token = action.token
-                self.scheduler.later(action.delay, lambda: self.deliver(TimerDue(token)))
+                self.scheduler.call_later(action.delay, lambda: self.deliver(TimerFired(token)))
             case Subscribe():
                 pass  # the bulletin is followed without asking
-            case Log():
+            case LogMessage():
                 log.event(LOGGER, logging.INFO, "decision", text=action.text)
 
-    def fetch(self, action: Fetch) -> None:
-        item = self.open.get(action.request)
-        if item is None or self.left(item):
+    def start_attempt(self, action: Fetch) -> None:
+        item = self.pending.get(action.request)
+        if item is None or self.drop_if_disconnected(item):
             return
         now = self.scheduler.monotonic()
         expires = item.deadline if not action.timeout else min(item.deadline, now + action.timeout)
-        attempt = Attempt(item, len(item.attempts), action, now, expires)
-        attempt.once = self.router.kinds[item.ask.class_name].effect is not Effect.SAFE
-        attempt.decided = self.bounds.chosen(action)
+        attempt = UpstreamAttempt(item, len(item.attempts), action, now, expires)
+        attempt.never_resend = (
+            self.router.classes[item.request.class_name].idempotency is not Idempotency.IDEMPOTENT
+        )
+        attempt.chosen_members = self.write_checks.chosen_members(action)
         item.attempts.append(attempt)
-        if len(item.attempts) > self.limits.attempts or expires <= now or self.caches is None:
-            return self.end(attempt, End(Outcome.NOT_SENT))
-        attempt.timer = self.scheduler.later(expires - now, lambda: self.expire(attempt))
+        if len(item.attempts) > self.limits.max_attempts or expires <= now or self.upstreams is None:
+            return self.end_attempt(attempt, AttemptResult(Outcome.NOT_SENT))
+        attempt.timer = self.scheduler.call_later(expires - now, lambda: self.expire_attempt(attempt))
         try:
-            self.caches.start(attempt)
+            self.upstreams.start(attempt)
         except Exception:
-            self.failed("start", attempt)  # such as no descriptor left for its connection
-            self.take_back(attempt)
+            self.log_failure("start", attempt)  # such as no descriptor left for its connection
+            self.abandon_attempt(attempt)
 
-    def expire(self, attempt: Attempt, last: bool = False) -> None:
+    def expire_attempt(self, attempt: UpstreamAttempt, last: bool = False) -> None:
         """Out of time: proved idle where never written, else it may have run. What has come is read first."""
-        if not attempt.over and not last and attempt.carrier is not None and attempt.carrier.unread:
-            attempt.timer = self.scheduler.later(LOOK_FIRST, lambda: self.expire(attempt, last=True))
-        elif not attempt.over:
-            ran = attempt.written is not None
-            silent = self.drop(attempt)
-            self.end(attempt, End(Outcome.TIMEOUT if ran else Outcome.NOT_SENT, silent=silent))
-
-    def cancel(self, action: Cancel) -> None:
-        item = self.open.get(action.request)
-        if item is None or action.attempt >= len(item.attempts) or item.attempts[action.attempt].over:
+        if not attempt.ended and not last and attempt.carrier is not None and attempt.carrier.has_unread:
+            attempt.timer = self.scheduler.call_later(
+                LOOK_FIRST, lambda: self.expire_attempt(attempt, last=True)
+            )
+        elif not attempt.ended:
+            ran = attempt.written_at is not None
+            silent = self.release_carrier(attempt)
+            self.end_attempt(
+                attempt, AttemptResult(Outcome.TIMEOUT if ran else Outcome.NOT_SENT, unresponsive=silent)
+            )
+
+    def cancel_attempt(self, action: Cancel) -> None:
+        item = self.pending.get(action.request)
+        if item is None or action.attempt >= len(item.attempts) or item.attempts[action.attempt].ended:
             return
-        self.take_back(item.attempts[action.attempt])
+        self.abandon_attempt(item.attempts[action.attempt])
 
-    def take_back(self, attempt: Attempt) -> None:
+    def abandon_attempt(self, attempt: UpstreamAttempt) -> None:
         """Give up an attempt by our own will: proved idle where it was never written."""
-        ran = attempt.written is not None
-        self.drop(attempt)
-        self.end(attempt, End(Outcome.CANCELLED if ran else Outcome.NOT_SENT))
+        ran = attempt.written_at is not None
+        self.release_carrier(attempt)
+        self.end_attempt(attempt, AttemptResult(Outcome.CANCELLED if ran else Outcome.NOT_SENT))
 
-    def drop(self, attempt: Attempt) -> bool:
+    def release_carrier(self, attempt: UpstreamAttempt) -> bool:
         """Have its carrier forget it, and was that silent since? Its end here does not hang on that."""
         try:
             return attempt.carrier is not None and attempt.carrier.abandon(attempt)
         except Exception:
-            self.failed("abandon", attempt)
+            self.log_failure("abandon", attempt)
             return False
 
-    def finish(self, item: Open, reply: Reply) -> None:
+    def answer(self, item: PendingRequest, reply: FinalAnswer) -> None:
         """The one final answer."""
-        self.forget(item)
-        self.counters.add(f"answered.{reply.verdict.value}")
+        self.release(item)
+        self.counters.add(f"answered.{reply.status.value}")
         try:
-            item.reply(reply)
+            item.send_answer(reply)
         except Exception:
-            self.failed("reply", reply)  # its client's affair: the decisions hear of the end all the same
+            self.log_failure(
+                "reply", reply
+            )  # its client's affair: the decisions hear of the end all the same
 
-    def forget(self, item: Open) -> None:
+    def release(self, item: PendingRequest) -> None:
         """The request is over; attempts that are still out are given up."""
-        del self.open[item.serial]
-        self.ids.discard(item.ask.id)
-        self.held -= len(item.ask.body)
-        if item.guard is not None:
-            item.guard.cancel()
+        del self.pending[item.serial]
+        self.open_ids.discard(item.request.id)
+        self.body_bytes -= len(item.request.body)
+        if item.deadline_timer is not None:
+            item.deadline_timer.cancel()
         for attempt in item.attempts:
-            if not attempt.over:
-                attempt.over = True
+            if not attempt.ended:
+                attempt.ended = True
                 if attempt.timer is not None:
                     attempt.timer.cancel()
-                self.drop(attempt)
+                self.release_carrier(attempt)
         # Attempts name their owner: without this, each request would wait for the cycle collector.
         item.attempts.clear()
-        if self.watch is not None:
-            self.watch.over(item)
+        if self.interceptor is not None:
+            self.interceptor.request_ended(item)
--- a/paddlequay/requests/messages.py
+++ b/paddlequay/requests/messages.py
@@ -8,98 +8,100 @@
 from enum import Enum
 from typing import Protocol
 
-from paddlequay.routing.interface import Fetch, Member, Note, Outcome
+from paddlequay.routing.interface import Fetch, Member, Outcome, ReplyDetail
 
 Buffer = bytes | bytearray | memoryview
 
 
-class Verdict(Enum):
+class AnswerStatus(Enum):
     """What a final answer says."""
 
     SERVED = "served"
-    UNCHANGED = "unchanged"  # the client's own copy is the one
-    REFUSED = "refused"
+    NOT_MODIFIED = "not_modified"  # the client's own copy is the one
+    REJECTED = "rejected"
     FAILED = "failed"
 
 
 @dataclass(frozen=True, slots=True)
-class Stamp:
+class CopyStamp:
     """Which copy an answer carries: its tag, the Unix second at which the origin gave it out, its group."""
 
     tag: str
-    minted: float
+    issued_at: float
     group: int | None = None
 
 
 @dataclass(slots=True)
-class Ask:
+class ClientRequest:
     """A client's request in no protocol's terms; `name` is the object as passed on, `key` its number."""
 
     id: str
     class_name: str
-    ttl: float
-    name: str
+    time_to_live: float
+    object_name: str
     key: int
     part: int | None
     group: int | None
     body: Buffer = b""
-    known: str | None = None
+    known_tag: str | None = None
     retry: bool = False
-    dedupe: str | None = None  # by which caches tell repeats of a keyed request; passed on as it is
+    idempotency_key: str | None = None  # by which caches tell repeats of a keyed request; passed on as it is
     tenant: str | None = None  # where the front tells it
     fill: int | None = None  # a fill of a node in the hierarchy: its number,
-    extra: Callable[[str], Mapping[str, str]] | None = None  # and what it tells a target beside the order
+    extra_fields: Callable[[str], Mapping[str, str]] | None = (
+        None  # and what it tells a target beside the order
+    )
 
 
 @dataclass(slots=True)
-class Reply:
+class FinalAnswer:
     """The final answer."""
 
-    verdict: Verdict
+    status: AnswerStatus
     body: Buffer = b""
-    retry_in: float | None = None
-    stamp: "Stamp | None" = None  # of the copy that was served
-    note: Note | None = None  # of the last attempt, where none was served
-    source: str = ""  # whose answer was served
+    retry_after: float | None = None
+    stamp: "CopyStamp | None" = None  # of the copy that was served
+    detail: ReplyDetail | None = None  # of the last attempt, where none was served
+    served_by: str = ""  # whose answer was served
 
 
 @dataclass(slots=True)
-class Order:
+class UpstreamRequest:
     """What an attempt tells its target, as it stands at the moment of writing."""
 
     id: str
     class_name: str
-    name: str
+    object_name: str
     part: int | None
     body: Buffer
-    known: str | None
-    dedupe: str | None
-    budget: float
+    known_tag: str | None
+    idempotency_key: str | None
+    time_left: float
     source: str | None
-    keep: int
+    retention: int
     max_age: float | None
-    join: bool
-    only_held: bool
-    renew: bool
-    extra: Mapping[str, str]
+    coalesce: bool
+    only_if_cached: bool
+    refresh: bool
+    extra_fields: Mapping[str, str]
 
 
 @dataclass(slots=True)
-class End:
+class AttemptResult:
     """How an attempt ended."""
 
     outcome: Outcome
     body: Buffer = b""
-    unchanged: bool = False
-    note: Note | None = None
-    waited: float | None = None
-    load: tuple[tuple[str, float], ...] = ()
-    silent: bool = False
-    stamp: Stamp | None = None
-    hint: str = ""
+    not_modified: bool = False
+    detail: ReplyDetail | None = None
+    source_wait: float | None = None
+    load_report: tuple[tuple[str, float], ...] = ()
+    unresponsive: bool = False
+    stamp: CopyStamp | None = None
+    loop_hint: str = ""
 
 
-NOTHING: Mapping[str, str] = {}
+NO_FIELDS: Mapping[str, str] = {}
 
 
 class Timer(Protocol):
@@ -113,80 +115,82 @@
 
     def monotonic(self) -> float: ...
     def unix(self) -> float: ...
-    def later(self, delay: float, call: Callable[[], None]) -> Timer: ...
+    def call_later(self, delay: float, call: Callable[[], None]) -> Timer: ...
 
 
-class Carrier(Protocol):
+class AttemptCarrier(Protocol):
     """What has taken charge of an attempt, such as a connection; says whether it was silent since."""
 
     @property
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether something has come that was not looked at yet."""
         ...
 
-    def abandon(self, attempt: "Attempt") -> bool: ...
+    def abandon(self, attempt: "UpstreamAttempt") -> bool: ...
 
 
-class Caches(Protocol):
+class UpstreamPool(Protocol):
     """The side that carries attempts to caches; it names itself or a part of it as their carrier."""
 
-    def start(self, attempt: "Attempt") -> None: ...
+    def start(self, attempt: "UpstreamAttempt") -> None: ...
 
 
-class Watch(Protocol):
+class RequestInterceptor(Protocol):
     """What looks on and may say no: what the fleet has decided together. Each call answers at once.
 
     Where it is absent the exchange goes its ordinary way.
     """
 
-    def asked(self, item: "Open", left: float) -> float | None:
+    def admit(self, item: "PendingRequest", left: float) -> float | None:
         """A request is about to be taken in: None, or the seconds for which the client is to stay away."""
         ...
 
-    def writing(self, attempt: "Attempt", left: float) -> Note | None:
+    def before_write(self, attempt: "UpstreamAttempt", left: float) -> ReplyDetail | None:
         """An attempt is about to be written: None, or the note under which it counts as refused."""
         ...
 
-    def ended(self, attempt: "Attempt", end: "End") -> None:
+    def attempt_ended(self, attempt: "UpstreamAttempt", end: "AttemptResult") -> None:
         """An attempt has ended, written or not."""
         ...
 
-    def over(self, item: "Open") -> None:
+    def request_ended(self, item: "PendingRequest") -> None:
         """A request that was taken in has its final answer, or its client has left."""
         ...
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class UpstreamAttempt:
     """One attempt: waiting to be written, out, or over."""
 
-    owner: "Open"
+    pending: "PendingRequest"
     number: int
     fetch: Fetch
-    began: float
-    expires: float
+    started_at: float
+    expires_at: float
     timer: Timer | None = None
-    carrier: Carrier | None = None
-    written: float | None = None
-    over: bool = False
-    once: bool = False  # what may have run is never sent again
-    decided: tuple[Member | None, ...] = ()  # target and source as listed when they were chosen
+    carrier: AttemptCarrier | None = None
+    written_at: float | None = None
+    ended: bool = False
+    never_resend: bool = False  # what may have run is never sent again
+    chosen_members: tuple[Member | None, ...] = ()  # target and source as listed when they were chosen
 
     @property
     def id(self) -> str:
-        return self.owner.ask.id
+        return self.pending.request.id
 
 
 @dataclass(slots=True, eq=False)
-class Open:
+class PendingRequest:
     """A request that is owed its final answer."""
 
     serial: str
-    ask: Ask
-    reply: Callable[[Reply], None]
-    taken: float
+    request: ClientRequest
+    send_answer: Callable[[FinalAnswer], None]
+    received_at: float
     deadline: float
-    gone: Callable[[], bool] | None = None  # whether its client has left, of which nobody may have told yet
-    guard: Timer | None = None
-    attempts: list[Attempt] = field(default_factory=list)
-    note: Note | None = None
+    client_disconnected: Callable[[], bool] | None = (
+        None  # whether its client has left, of which nobody may have told yet
+    )
+    deadline_timer: Timer | None = None
+    attempts: list[UpstreamAttempt] = field(default_factory=list)
+    last_detail: ReplyDetail | None = None
--- a/paddlequay/requests/quotas.py
+++ b/paddlequay/requests/quotas.py
@@ -2,18 +2,18 @@
 
 from dataclasses import dataclass
 
-from paddlequay.config.loader import Limits
+from paddlequay.config.limits import Limits
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class QuotaInUse:
     """What the other process may hold at the most: it takes no more than it has told."""
 
-    clients: int
-    caches: int
+    client_connections: int
+    cache_connections: int
 
 
-class Shares:
+class ProcessQuotas:
     """The one limit on descriptors and memory holds for both processes together.
 
     The older one tells what it keeps, which only shrinks; the newer one may use what that leaves.
@@ -21,22 +21,31 @@
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
-        self.clients = limits.client_connections
-        self.caches = limits.all_cache_connections
-        self.part = 1.0  # of the memory for unsent answers and waiting bodies
+        self.client_connections = limits.client_connections
+        self.cache_connections = limits.all_cache_connections
+        self.memory_share = 1.0  # of the memory for unsent answers and waiting bodies
 
-    def alone(self) -> None:
+    def take_all(self) -> None:
         """No other process any more."""
-        self.clients, self.caches = self.limits.client_connections, self.limits.all_cache_connections
-        self.part = 1.0
+        self.client_connections, self.cache_connections = (
+            self.limits.client_connections,
+            self.limits.all_cache_connections,
+        )
+        self.memory_share = 1.0
 
-    def give(self, held: Held) -> None:
+    def limit_to(self, held: QuotaInUse) -> None:
         """As the older process: keep this, and no more."""
-        self.clients, self.caches, self.part = held.clients, held.caches, 0.5
+        self.client_connections, self.cache_connections, self.memory_share = (
+            held.client_connections,
+            held.cache_connections,
+            0.5,
+        )
 
-    def beside(self, other: Held) -> None:
+    def use_rest_of(self, other: QuotaInUse) -> None:
         """As the newer process: use what the older one leaves."""
         limits = self.limits
-        self.clients = max(1, limits.client_connections - other.clients)
-        self.caches = max(4, limits.all_cache_connections - limits.own_descriptors - other.caches)
-        self.part = 0.5
+        self.client_connections = max(1, limits.client_connections - other.client_connections)
+        self.cache_connections = max(
+            4, limits.all_cache_connections - limits.reserved_descriptors - other.cache_connections
+        )
+        self.memory_share = 0.5
--- a/paddlequay/requests/write_checks.py
+++ b/paddlequay/requests/write_checks.py
@@ -4,50 +4,50 @@
 from collections import OrderedDict
 from dataclasses import replace
 
-from paddlequay.requests.messages import Ask, Attempt, Scheduler
-from paddlequay.config.loader import Limits
-from paddlequay.routing.interface import Fetch, Member, RequestClass, State
-from paddlequay.lifecycle.operator_state import Operation
+from paddlequay.config.limits import Limits
+from paddlequay.lifecycle.operator_state import OperatorState
+from paddlequay.requests.messages import ClientRequest, Scheduler, UpstreamAttempt
+from paddlequay.routing.interface import Fetch, Member, MemberState, RequestClass
 
-PURGES_MOST = 4096  # remembered by object or group, the latest: an hour's at one a second
+MAX_PURGES = 4096  # remembered by object or group, the latest: an hour's at one a second
 
 
-class Bounds:
+class WriteChecks:
     """Told of each change, and asked before each write. Bounded by the list and by `PURGES_MOST`."""
 
-    def __init__(self, operation: Operation, limits: Limits, scheduler: Scheduler) -> None:
-        self.operation = operation
+    def __init__(self, operation: OperatorState, limits: Limits, scheduler: Scheduler) -> None:
+        self.operator_state = operation
         self.limits = limits
         self.scheduler = scheduler
         self.members: dict[str, Member] = {}
-        self.purges: OrderedDict[tuple[str, int | None], float] = OrderedDict()
+        self.purged_at: OrderedDict[tuple[str, int | None], float] = OrderedDict()
 
-    def listed(self, members: tuple[Member, ...], full: bool) -> None:
+    def update_members(self, members: tuple[Member, ...], full: bool) -> None:
         """The list, or changes to it."""
-        self.operation.saw(member.name for member in members)
+        self.operator_state.record_listed(member.name for member in members)
         if full:
             self.members.clear()
         for member in members:
-            if member.state is State.GONE:
+            if member.state is MemberState.REMOVED:
                 self.members.pop(member.name, None)  # its name never comes again: kept, the table only grows
             else:
                 self.members[member.name] = member
 
-    def as_ordered(self, member: Member) -> Member:
+    def with_overrides(self, member: Member) -> Member:
         """A member as the decisions see it: what operators leave out drains, whatever the list says."""
-        if member.state is not State.GONE and self.operation.banned(member.name):
-            return replace(member, state=State.DRAINING)
+        if member.state is not MemberState.REMOVED and self.operator_state.is_ejected(member.name):
+            return replace(member, state=MemberState.DRAINING)
         return member
 
-    def purged(self, key: int | None, group: int | None, issued: float) -> float:
+    def record_purge(self, key: int | None, group: int | None, issued: float) -> float:
         """An object, or without `key` a group, was purged at `issued`, in Unix seconds; gives its age."""
         place = ("group", group) if key is None else ("key", key)
-        self.purges[place] = max(issued, self.purges.pop(place, -math.inf))
-        while len(self.purges) > PURGES_MOST:
-            self.purges.popitem(last=False)
+        self.purged_at[place] = max(issued, self.purged_at.pop(place, -math.inf))
+        while len(self.purged_at) > MAX_PURGES:
+            self.purged_at.popitem(last=False)
         return max(0.0, self.scheduler.unix() - issued)
 
-    def max_age(self, ask: Ask, kind: RequestClass, decided: float | None) -> float | None:
+    def max_age(self, ask: ClientRequest, kind: RequestClass, decided: float | None) -> float | None:
         """The age limit that was decided, else the class's own, made narrower by purges; seconds.
 
         Also long after all caches have had the time to drop older copies: one that hung meanwhile has not,
@@ -56,34 +56,39 @@
         if kind.uncacheable:
             return decided
         at = max(
-            self.purges.get(("key", ask.key), -math.inf), self.purges.get(("group", ask.group), -math.inf)
+            self.purged_at.get(("key", ask.key), -math.inf),
+            self.purged_at.get(("group", ask.group), -math.inf),
         )
         age = max(0.001, self.scheduler.unix() - at)
-        return decided if age >= (decided or kind.fresh or math.inf) else age
+        return decided if age >= (decided or kind.freshness_lifetime or math.inf) else age
 
-    def usable(self, name: str) -> bool:
+    def is_usable(self, name: str) -> bool:
         """Whether anything may be sent to a member, or filled from it."""
         member = self.members.get(name)
-        return member is not None and member.state in (None, State.READY) and not self.operation.banned(name)
+        return (
+            member is not None
+            and member.state in (None, MemberState.READY)
+            and not self.operator_state.is_ejected(name)
+        )
 
-    def chosen(self, fetch: Fetch) -> tuple[Member | None, ...]:
+    def chosen_members(self, fetch: Fetch) -> tuple[Member | None, ...]:
         """Target and source as listed now."""
         return self.members.get(fetch.target), self.members.get(fetch.source)
 
-    def allow(self, attempt: Attempt, now: float) -> bool:
+    def allows(self, attempt: UpstreamAttempt, now: float) -> bool:
         """Whether an attempt may still be written at `now`, in seconds of the decisions' clock.
 
         Target and source may be used, neither has started anew or moved since they were chosen, and what may
         run a second time is inside the window and the group of the first.
         """
         fetch = attempt.fetch
-        for then, name in zip(attempt.decided, (fetch.target, fetch.source), strict=True):
-            if then is None or not self.usable(name):
+        for then, name in zip(attempt.chosen_members, (fetch.target, fetch.source), strict=True):
+            if then is None or not self.is_usable(name):
                 return False
             listed = self.members[name]
             if (listed.started or 0) > (then.started or 0):
                 return False  # cold and empty now, and chosen as it was before
             if (listed.zone, listed.cell) != (then.zone, then.cell):
                 return False  # caches of other zones are not asked; repeats are bound to where the first ran
-        bound = fetch.repeat
-        return bound is None or (now < bound.until and bound.beside(self.members[fetch.target]))
+        bound = fetch.retry_bound
+        return bound is None or (now < bound.until and bound.covers(self.members[fetch.target]))
--- a/paddlequay/routing/interface.py
+++ b/paddlequay/routing/interface.py
@@ -10,20 +10,20 @@
 from typing import Literal
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What a repeat of a request does."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    IDEMPOTENCY_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"
 
 
-class State(Enum):
+class MemberState(Enum):
     """A member's place in its life, as the list tells it."""
 
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class Outcome(Enum):
@@ -31,30 +31,30 @@
 
     SERVED = "served"
     ERROR = "error"
-    REFUSED = "refused"
+    REJECTED = "rejected"
     TIMEOUT = "timeout"
-    UNREACHED = "unreached"
+    CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
     MISS = "miss"
 
 
-class Note(Enum):
+class ReplyDetail(Enum):
     """What an answer tells of the copy or of the fill that failed."""
 
     HIT = 1
     FILLED = 2
     FILLED_FROM_ORIGIN = 3
-    JOINED = 4
-    OLD_COPY = 5
-    SOURCE_REFUSED = 6
-    SOURCE_UNREACHED = 7
-    SOURCE_LACKS = 8
-    FILLS_FULL = 9
+    COALESCED = 4
+    STALE = 5
+    SOURCE_REJECTED = 6
+    SOURCE_UNREACHABLE = 7
+    SOURCE_MISS = 8
+    FILL_LIMIT = 9
     ORIGIN_FAILED = 10
-    LOOPED = 11  # the target stands in the way of the fill itself
-    OLD_TERM = 12  # a channel's later owner was seen: the one that asked for this is followed
+    FILL_LOOP = 11  # the target stands in the way of the fill itself
+    STALE_TERM = 12  # a channel's later owner was seen: the one that asked for this is followed
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,57 +62,57 @@
     """One class of requests; `fresh` 0 means that a copy is good until purged."""
 
     name: str
-    aim: float
+    latency_objective: float
     deadline: float
-    effect: Effect
-    worth: float | None = None
-    aim_stretch: float | None = None
-    repeat_group: str | None = None
-    repeat_window: float | None = None
-    fresh: float | None = None
-    grace: float | None = None
+    idempotency: Idempotency
+    priority_weight: float | None = None
+    objective_per_work: float | None = None
+    dedup_scope: str | None = None
+    dedup_window: float | None = None
+    freshness_lifetime: float | None = None
+    stale_if_error: float | None = None
     uncacheable: bool | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Ramp:
+class SlowStart:
     """A cold start: at `start` of full capacity, all of it after `warm_after`; falls at `multiple` of it."""
 
-    start: float | None = None
-    warm_after: float | None = None
-    multiple: float | None = None
-    window: float | None = None
+    initial_share: float | None = None
+    duration: float | None = None
+    overload_multiple: float | None = None
+    overload_window: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
+class RoutingSettings:
     """What a router is told when it starts."""
 
     zone: str
     classes: tuple[RequestClass, ...]
-    routers: int | None = None
-    routers_here: int | None = None
+    router_count: int | None = None
+    zone_router_count: int | None = None
     parent_kind: str | None = None
     origin_kind: str | None = None
-    siblings: str | None = None
-    direct: bool | None = None
-    joins: bool | None = None
-    notes: bool | None = None
+    sibling_fills: str | None = None
+    bypass_allowed: bool | None = None
+    coalesces_fills: bool | None = None
+    detailed_replies: bool | None = None
     flow_kb_per_s: float | None = None
     link_kb_per_s: float | None = None  # the link into the router's zone
     weights: str | None = None
-    parallel: bool | None = None
+    parallel_attempts: bool | None = None
     can_cancel: bool | None = None
     max_attempts: int | None = None
     max_retry_after: float | None = None
-    must_ask: bool | None = None
-    ask_within: float | None = None
-    cold_edge: Ramp = Ramp()
-    cold_parent: Ramp = Ramp()
-    purge_done: float | None = None
+    must_subscribe: bool | None = None
+    subscribe_within: float | None = None
+    edge_slow_start: SlowStart = SlowStart()
+    parent_slow_start: SlowStart = SlowStart()
+    purge_completion: float | None = None
 
     @property
-    def sized(self) -> bool:
+    def weights_give_capacity(self) -> bool:
         """Whether weights tell members' ways out, in transfers at `flow_kb_per_s`."""
         return self.weights in ("nominal", "rough") and bool(self.flow_kb_per_s)
 
@@ -125,7 +125,7 @@
     zone: str | None = None
     kind: str | None = None
     cell: int | None = None
-    state: State | None = None
+    state: MemberState | None = None
     weight: float | None = None
     started: float | None = None
 
@@ -145,7 +145,7 @@
 
     id: str
     class_name: str
-    left: float
+    time_left: float
     key: int | None = None
     part: int | None = None
     group: int | None = None
@@ -157,7 +157,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class ResponseStarted:
     """The answer of a streamed request has begun; the client owns the attempt from here on."""
 
     request: str
@@ -174,43 +174,43 @@
     outcome: Outcome
     latency: float
     final: bool = False
-    note: Note | None = None
-    waited: float | None = None
-    load: tuple[tuple[str, float], ...] = ()
-    silent: bool = False  # no byte came on its connection since it was written
-    hint: str = ""  # with `LOOPED`: whom the target waits for
+    detail: ReplyDetail | None = None
+    source_wait: float | None = None
+    load_report: tuple[tuple[str, float], ...] = ()
+    unresponsive: bool = False  # no byte came on its connection since it was written
+    loop_hint: str = ""  # with `LOOPED`: whom the target waits for
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
+class ClientDisconnected:
     """The client has left; nothing is owed any more."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
-class Surrender:
+class AbandonRequest:
     """The router is being emptied and has no more time for this request: its final answer is due now."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
-class Inherited:
+class StateInherited:
     """What an older process of the same router had learned, as `Router.knowledge` gave it."""
 
-    knowledge: Mapping[str, float]
+    state: Mapping[str, float]
 
 
 @dataclass(frozen=True, slots=True)
-class FleetWord:
+class OutlierReported:
     """Several routers have lately found a member failing or silent: a hint, fresh when it is handed in."""
 
     member: str
 
 
 @dataclass(frozen=True, slots=True)
-class HeldBy:
+class CopyReported:
     """A member was told to hold a part of an object: a hint, fresh when it is handed in."""
 
     key: int | None
@@ -228,7 +228,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimerDue:
+class TimerFired:
     """A timer that the router set is due."""
 
     token: str
@@ -237,20 +237,20 @@
 Event = (
     MembersChanged
     | Request
-    | Started
+    | ResponseStarted
     | AttemptEnded
-    | ClientGone
-    | Surrender
-    | Inherited
-    | FleetWord
-    | HeldBy
+    | ClientDisconnected
+    | AbandonRequest
+    | StateInherited
+    | OutlierReported
+    | CopyReported
     | Purged
-    | TimerDue
+    | TimerFired
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Repeat:
+class RetryBound:
     """What binds further attempts at a request of which one, at the member `ran`, may have run.
 
     They are written before `until`, in seconds of the decisions' clock (-inf: never), and at members that
@@ -258,16 +258,16 @@
     """
 
     until: float
-    group: str | None
-    ran: Member
+    scope: str | None
+    first_member: Member
 
-    def beside(self, member: Member) -> bool:
+    def covers(self, member: Member) -> bool:
         """Whether a member is of the group; one whose place is not told is of no group."""
-        if self.group == "zone":
-            return member.zone is not None and member.zone == self.ran.zone
-        if self.group == "cell":
-            return member.cell is not None and member.cell == self.ran.cell
-        return self.group == "all"
+        if self.scope == "zone":
+            return member.zone is not None and member.zone == self.first_member.zone
+        if self.scope == "cell":
+            return member.cell is not None and member.cell == self.first_member.cell
+        return self.scope == "all"
 
 
 @dataclass(frozen=True, slots=True)
@@ -277,13 +277,13 @@
     request: str
     target: str
     source: str
-    keep: int
+    retention: int
     timeout: float | None = None
     max_age: float | None = None
-    join: bool = False
-    only_held: bool = False
-    renew: bool = False
-    repeat: Repeat | None = None  # where an earlier attempt may have run and repeats are not free
+    coalesce: bool = False
+    only_if_cached: bool = False
+    refresh: bool = False
+    retry_bound: RetryBound | None = None  # where an earlier attempt may have run and repeats are not free
 
 
 @dataclass(frozen=True, slots=True)
@@ -296,16 +296,16 @@
 
 # Why the decisions turned a request away: repeats used up, all edges busy, no edge or source open,
 # no room for its fill in the plaza's link, surrender.
-Cause = Literal["spent", "edge_busy", "no_edge", "no_source", "link_full", "surrender"]
+RejectCause = Literal["retries_exhausted", "edge_busy", "no_edge", "no_source", "link_full", "abandoned"]
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: turned away, a repeat is harmless, best after `retry_in`."""
 
     request: str
-    retry_in: float | None = None
-    cause: Cause = "no_source"  # for counts only
+    retry_after: float | None = None
+    cause: RejectCause = "no_source"  # for counts only
 
 
 @dataclass(frozen=True, slots=True)
@@ -329,10 +329,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
+class LogMessage:
     """A line for the operators."""
 
     text: str
 
 
-Action = Fetch | Cancel | Refuse | Fail | SetTimer | Subscribe | Log
+Action = Fetch | Cancel | Reject | Fail | SetTimer | Subscribe | LogMessage
--- a/paddlequay/routing/origin_load.py
+++ b/paddlequay/routing/origin_load.py
@@ -10,39 +10,39 @@
 import math
 from dataclasses import dataclass
 
-from paddlequay.routing.zone_load import FRESH_S, past
+from paddlequay.routing.zone_load import MAX_REPORT_AGE_S, position_in_span
 
 MEMORY_S = 1.0  # of the mean wait: a jam builds up within a second or two
-SPAN = (0.5, 1.5)  # of the aim: what has waited so long is late with its sending time, or without it
+WAIT_SPAN = (0.5, 1.5)  # of the aim: what has waited so long is late with its sending time, or without it
 
 
 @dataclass(slots=True)
-class Waits:
+class OriginWait:
     """The mean wait of the fills that came from the origin lately, in seconds."""
 
     mean: float = 0.0
-    at: float = -math.inf
+    updated_at: float = -math.inf
 
-    def heard(self, waited: float, now: float) -> None:
+    def record(self, waited: float, now: float) -> None:
         """A fill came by way of the origin after a wait."""
-        self.mean += (waited - self.mean) * (1.0 - math.exp(-(now - self.at) / MEMORY_S))
-        self.at = now
+        self.mean += (waited - self.mean) * (1.0 - math.exp(-(now - self.updated_at) / MEMORY_S))
+        self.updated_at = now
 
-    def given_up(self, waited: float, now: float) -> None:
+    def record_abandoned(self, waited: float, now: float) -> None:
         """A fill was given up after so long, for no nearer reason: its wait would have been longer.
 
         Where only what came counted, nothing told of an origin that let nobody through any more; where this
         counted as a wait that had ended, impatient readers told that the origin had room.
         """
-        self.heard(max(waited, self.lately(now)), now)
+        self.record(max(waited, self.recent(now)), now)
 
-    def lately(self, now: float) -> float:
+    def recent(self, now: float) -> float:
         """The mean wait, faded by the time since anything was heard."""
-        return self.mean * math.exp(-(now - self.at) / FRESH_S)
+        return self.mean * math.exp(-(now - self.updated_at) / MAX_REPORT_AGE_S)
 
     def sheds(self, aim: float, luck: float, now: float) -> bool:
         """Whether a request with this aim, by its luck in [0, 1), is not to be fetched from the origin.
 
         What was heard fades, so that after a time in which nothing was sent there not all begin together.
         """
-        return luck < past(self.lately(now) / aim, SPAN)
+        return luck < position_in_span(self.recent(now) / aim, WAIT_SPAN)
--- a/paddlequay/routing/state.py
+++ b/paddlequay/routing/state.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from paddlequay.routing.slow_start import Bucket
-from paddlequay.routing.interface import Member, Repeat, Request, RequestClass, State
+from paddlequay.routing.interface import Member, MemberState, Request, RequestClass, RetryBound
+from paddlequay.routing.slow_start import TokenBucket
 
 
-class Tier(Enum):
+class CacheTier(Enum):
     """Where a member stands between clients and the store of everything."""
 
     EDGE = 0
@@ -20,119 +20,123 @@
 
 
 @dataclass(slots=True)
-class Server:
+class Upstream:
     """What the router knows and believes of one member of its list. Times are seconds of its clock."""
 
     # members.py
-    entry: Member
-    tier: Tier
-    since: float
-    back_at: float | None = None  # believed to have started anew then: the list has not said so yet
+    member: Member
+    tier: CacheTier
+    listed_at: float
+    presumed_restart_at: float | None = (
+        None  # believed to have started anew then: the list has not said so yet
+    )
     # health.py
     failures: int = 0
-    failed_at: float = -math.inf
-    skipped: bool = False
-    ok_at: float = -math.inf
-    trial_at: float = 0.0
-    trial: str | None = None
-    fits: float | None = None  # transfers at full pace that its way out bears, where that is told
+    last_failure_at: float = -math.inf
+    ejected: bool = False
+    last_success_at: float = -math.inf
+    probe_at: float = 0.0
+    probe_request: str | None = None
+    transfer_capacity: float | None = (
+        None  # transfers at full pace that its way out bears, where that is told
+    )
     # limits.py: work out there, and the limit of it, in mean requests
-    limit: float = 0.0
-    out: float = 0.0
-    late: float = 0.0
-    heard_at: float = -math.inf
-    cut_at: float = -math.inf
-    room_at: float = -math.inf
+    concurrency_limit: float = 0.0
+    in_flight: float = 0.0
+    late_share: float = 0.0
+    late_share_at: float = -math.inf
+    limit_cut_at: float = -math.inf
+    spare_capacity_at: float = -math.inf
     # cold.py, by whoever sends
-    bucket: Bucket = field(default_factory=Bucket)
+    slow_start_bucket: TokenBucket = field(default_factory=TokenBucket)
 
     @property
     def ready(self) -> bool:
         """False from the moment that the list says otherwise: drains are kept at once."""
-        return self.entry.state in (None, State.READY)
+        return self.member.state in (None, MemberState.READY)
 
     @property
     def started(self) -> float | None:
         """Its last start, as told or as believed."""
-        return self.entry.started if self.back_at is None else self.back_at
+        return self.member.started if self.presumed_restart_at is None else self.presumed_restart_at
 
 
 @dataclass(slots=True)
-class Seen:
+class ObjectState:
     """The aging memory of one part of an object: how often it was read, and who holds it (hotness.py)."""
 
     read_at: float
-    reads: float = 0.0
+    read_count: float = 0.0
     holders: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Attempt:
+class AttemptState:
     """One attempt that is out, or was (attempts.py)."""
 
-    target: Server
-    source: Server
-    sent: float
+    target: Upstream
+    source: Upstream
+    sent_at: float
     fills: bool
-    repeat: Repeat | None = None  # what binds further ones while this may have run
-    over: bool = False
+    retry_bound: RetryBound | None = None  # what binds further ones while this may have run
+    ended: bool = False
 
 
 @dataclass(slots=True)
-class Open:
+class RequestState:
     """A request that is owed its final answer; `work` and `cost` are seconds and mean requests."""
 
     # router.py, with `settle`
-    request: Request
-    kind: RequestClass
+    received: Request
+    request_class: RequestClass
     deadline: float
     work: float
     cost: float
-    luck: float
-    seen: Seen
-    hot: bool
+    sampling_draw: float
+    object_state: ObjectState
+    is_hot: bool
     streaming: bool = False
     # attempts.py
-    attempts: list[Attempt] = field(default_factory=list)
-    may_have_run: Attempt | None = None
+    attempts: list[AttemptState] = field(default_factory=list)
+    possibly_executed: AttemptState | None = None
     # answers.py
-    failed: list[str] = field(default_factory=list)
-    errors: int = 0
-    lost: bool = False
-    lacking: bool = False  # no source has it, or none can get at it
+    failed_members: list[str] = field(default_factory=list)
+    error_count: int = 0
+    connection_lost: bool = False
+    source_missed: bool = False  # no source has it, or none can get at it
     # attempts.py
-    poor: bool = False
+    retry_budget_spent: bool = False
     # ladder.py
     link_full: bool = False
-    held_only: bool = False
+    only_if_cached: bool = False
 
     @property
     def cacheable(self) -> bool:
-        return not (self.kind.uncacheable or self.request.write)
+        return not (self.request_class.uncacheable or self.received.write)
 
-    def settle(self, number: int) -> Attempt | None:
+    def settle(self, number: int) -> AttemptState | None:
         """The attempt of that number, over from now on; None if it was, or never began."""
-        if number >= len(self.attempts) or self.attempts[number].over:
+        if number >= len(self.attempts) or self.attempts[number].ended:
             return None
-        self.attempts[number].over = True
+        self.attempts[number].ended = True
         return self.attempts[number]
 
-    def same_group(self, server: Server) -> bool:
+    def in_dedup_scope(self, server: Upstream) -> bool:
         """Whether the server drops repeats of what may have run already, by the class's word."""
-        return self.repeat is None or self.repeat.beside(server.entry)
+        return self.retry_bound is None or self.retry_bound.covers(server.member)
 
     @property
-    def repeat(self) -> Repeat | None:
+    def retry_bound(self) -> RetryBound | None:
         """What binds a further attempt; None while none may have run, and where repeats are free."""
-        return None if self.may_have_run is None else self.may_have_run.repeat
+        return None if self.possibly_executed is None else self.possibly_executed.retry_bound
 
     @property
-    def waiting(self) -> Attempt | None:
+    def unanswered_attempt(self) -> AttemptState | None:
         """The attempt that is out, while nothing of its answer has come."""
         last = self.attempts[-1] if self.attempts and not self.streaming else None
-        return None if last is None or last.over else last
+        return None if last is None or last.ended else last
 
     @property
-    def unfillable(self) -> bool:
+    def fill_blocked(self) -> bool:
         """What its home holds may still do, but no source is asked again."""
-        return self.lacking or self.poor or self.link_full
+        return self.source_missed or self.retry_budget_spent or self.link_full
--- a/paddlequay/schema/read.py
+++ b/paddlequay/schema/read.py
@@ -6,12 +6,13 @@
 
 from google.protobuf import text_format
 
-from paddlequay.config.loader import Address, ConfigError, address
+from paddlequay.config.values import Address, address
+from paddlequay.errors import ConfigError
 from paddlequay.hierarchy.moves import MoveLimits
 from paddlequay.hierarchy.node import NodeLimits
 from paddlequay.hierarchy.shape import NAME, ShapeLimits
 from paddlequay.hierarchy.trail import Key, Keyring, TrailError
-from paddlequay.routing.interface import Effect, Ramp, RequestClass
+from paddlequay.routing.interface import Idempotency, RequestClass, SlowStart
 from paddlequay.schema import paddlequay_pb2 as schema
 
 FILE_MOST = 1024 * 1024
@@ -35,7 +36,7 @@
     moves: MoveLimits
     node: NodeLimits
     shape: ShapeLimits
-    cold: Ramp
+    cold: SlowStart
 
 
 class Lines:
@@ -123,7 +124,12 @@
                 raise lines.error(f"{at}.{name}", f"expected 0 or more, got {getattr(kind, name):g}")
         classes.append(
             RequestClass(
-                kind.name, kind.aim_s, kind.deadline_s, Effect.SAFE, fresh=kind.fresh_s, grace=kind.grace_s
+                kind.name,
+                kind.aim_s,
+                kind.deadline_s,
+                Idempotency.IDEMPOTENT,
+                freshness_lifetime=kind.fresh_s,
+                stale_if_error=kind.grace_s,
             )
         )
     keys = []
@@ -143,9 +149,9 @@
     cold, bounds, moves = tier.cold, tier.bounds, tier.moves
     if not 0 <= cold.start <= 1:
         raise lines.error("tier.cold.start", f"expected a share up to 1, got {cold.start:g}")
-    ramp = Ramp()
+    ramp = SlowStart()
     if tier.HasField("cold"):
-        ramp = Ramp(
+        ramp = SlowStart(
             positive(cold.start, "tier.cold.start", 0.1),
             positive(cold.warm_after_s, "tier.cold.warm_after_s", 20.0),
             positive(cold.multiple, "tier.cold.multiple", 2.0),
--- a/paddlequay/schema/sources.py
+++ b/paddlequay/schema/sources.py
@@ -8,9 +8,10 @@
 import dns.exception
 import dns.name
 
-from paddlequay.config.loader import Address, ConfigError, address
+from paddlequay.config.values import Address, address
 from paddlequay.discovery.membership import Limits, Rule
 from paddlequay.discovery.srv import Service
+from paddlequay.errors import ConfigError
 from paddlequay.schema import paddlequay_pb2 as schema
 from paddlequay.schema.read import Lines, parsed
 
--- a/paddlequay/simshare.py
+++ b/paddlequay/simshare.py
@@ -11,10 +11,10 @@
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.simwire import Post, SimWire
 from paddlequay.cluster.types import NEVER, Action, Fleet, Name, VerdictChanged
-from paddlequay.routing.interface import Action as Asked
-from paddlequay.routing.interface import AttemptEnded, Fetch, FleetWord
 from paddlequay.placement.homes import digest
 from paddlequay.policy import Router
+from paddlequay.routing.interface import Action as Asked
+from paddlequay.routing.interface import AttemptEnded, Fetch, OutlierReported
 
 LEAST = 0.002  # seconds to the next alarm at least, as batches come no closer
 FETCHES_MOST = 20_000  # attempts that are out
@@ -36,12 +36,12 @@
         self.names: dict[Name, str] = {}
         self.set = NEVER  # when the earliest alarm that was asked for is due
 
-    def note_from(self, sender: int, content: str, now: float) -> list[FleetWord]:
+    def note_from(self, sender: int, content: str, now: float) -> list[OutlierReported]:
         """A message of another instance."""
         heard = self.wire.note_from(sender, content)
         return [] if heard is None else self.told(self.node.hear(sender, heard.head, heard.notes, now), now)
 
-    def tick(self, now: float) -> list[FleetWord]:
+    def tick(self, now: float) -> list[OutlierReported]:
         """An alarm of the cluster's is due."""
         self.set = NEVER
         return self.told(self.node.tick(now), now)
@@ -55,20 +55,22 @@
                 if len(self.fetches) < FETCHES_MOST:
                     self.fetches[action.request, number] = action
 
-    def ended(self, event: AttemptEnded, now: float) -> list[FleetWord]:
+    def ended(self, event: AttemptEnded, now: float) -> list[OutlierReported]:
         """An attempt's end is evidence."""
         fetch = self.fetches.pop((event.request, event.attempt), None)
         if event.final:
             self.counts.pop(event.request, None)
-        verdicts, servers = self.node.verdicts, self.router.know.members.servers
+        verdicts, servers = self.node.verdicts, self.router.state.members.upstreams
         if fetch is None or verdicts is None:
             return []
-        origins = self.router.know.members.origins
-        origin = origins[0].entry.name if origins else None
+        origins = self.router.state.members.origins
+        origin = origins[0].member.name if origins else None
         actions: list[Action] = []
-        for name, ok, trouble in evidence.found(fetch, event.outcome, event.note, event.silent, origin):
+        for name, ok, trouble in evidence.found(
+            fetch, event.outcome, event.detail, event.unresponsive, origin
+        ):
             if name in servers:
-                entry = servers[name].entry
+                entry = servers[name].member
                 number = digest(name)
                 self.names[number] = name
                 start = int((entry.started or 0.0) * 1000)
@@ -79,15 +81,15 @@
         """A request has had its final answer: its attempts' numbers are free."""
         self.counts.pop(request, None)
 
-    def told(self, news: list[News], now: float) -> list[FleetWord]:
+    def told(self, news: list[News], now: float) -> list[OutlierReported]:
         verdicts, words = self.node.verdicts, []
         for each in news:
             if isinstance(each, VerdictChanged) and verdicts is not None:
                 if each.subject not in self.names:
-                    self.names = {digest(name): name for name in self.router.know.members.servers}
+                    self.names = {digest(name): name for name in self.router.state.members.upstreams}
                 name = self.names.get(each.subject)
                 if name is not None and verdicts.earlier_skip(each.subject, now):
-                    words.append(FleetWord(name))
+                    words.append(OutlierReported(name))
         return words
 
     def posts(self, now: float) -> list[Post]:
--- a/paddlequay/store/files.py
+++ b/paddlequay/store/files.py
@@ -8,7 +8,8 @@
 import os
 from pathlib import Path
 
-from paddlequay.store.record import RecordError, decode, encode
+from paddlequay.errors import RecordError
+from paddlequay.store.record import decode, encode
 
 MOST = 64 * 1024 * 1024
 
--- a/paddlequay/store/record.py
+++ b/paddlequay/store/record.py
@@ -9,14 +9,12 @@
 import hashlib
 import re
 
+from paddlequay.errors import RecordError
+
 HEAD = re.compile(rb"paddlequay ([a-z-]{1,32}) (\d{1,9}) (\d{1,15}) ([0-9a-f]{64})\n")
 HEAD_MOST = 160
 
 
-class RecordError(ValueError):
-    """Bytes that are no whole record of the kind and format asked for; one line that says why."""
-
-
 def encode(kind: str, form: int, body: bytes) -> bytes:
     """A record's bytes."""
     return f"paddlequay {kind} {form} {len(body)} {hashlib.sha256(body).hexdigest()}\n".encode() + body
--- a/tests/cluster/test_placing.py
+++ b/tests/cluster/test_placing.py
@@ -7,23 +7,33 @@
 
 import pytest
 
-from paddlequay.requests.messages import Ask, Timer
 from paddlequay.cluster.node import Node
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import Action, Fleet, TableChanged
-from paddlequay.config.loader import ConfigError, Limits
-from paddlequay.observability.counters import Counters
-from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import Effect, Member, Request, RequestClass, Settings, State
+from paddlequay.config.limits import Limits
+from paddlequay.errors import ConfigError
+from paddlequay.lifecycle.operator_state import OperatorState
 from paddlequay.net.placing import Placing
-from paddlequay.lifecycle.operator_state import Operation
+from paddlequay.observability.counters import Counters
 from paddlequay.placement.following import asked
 from paddlequay.policy import Router
-from paddlequay.routing.state import Tier
-from paddlequay.requests.quotas import Shares
-
-CLASSES = (RequestClass("video", aim=0.5, deadline=2.0, effect=Effect.SAFE),)
-SETTINGS = Settings("here", CLASSES, parent_kind="parent", origin_kind="origin", siblings="any", routers=1)
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.messages import ClientRequest, Timer
+from paddlequay.requests.quotas import ProcessQuotas
+from paddlequay.routing.interface import (
+    Idempotency,
+    Member,
+    MemberState,
+    Request,
+    RequestClass,
+    RoutingSettings,
+)
+from paddlequay.routing.state import CacheTier
+
+CLASSES = (RequestClass("video", latency_objective=0.5, deadline=2.0, idempotency=Idempotency.IDEMPOTENT),)
+SETTINGS = RoutingSettings(
+    "here", CLASSES, parent_kind="parent", origin_kind="origin", sibling_fills="any", router_count=1
+)
 RULES = """move at most 100 shards per second.
 rule all, precedence 1, for class video: 64 shards by object; pin shard 0 through 63 to member {}.
 """
@@ -44,7 +54,7 @@
     def unix(self) -> float:
         return 1000.0 + self.now
 
-    def later(self, delay: float, call: Callable[[], None]) -> Timer:
+    def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
         return NoTimer()
 
 
@@ -57,11 +67,11 @@
         limits, counters = Limits(), Counters()
         router = Router(SETTINGS, 1)
         self.exchange = Exchange(
-            router, Operation(folder / "o"), Shares(limits), limits, self.clock, counters
+            router, OperatorState(folder / "o"), ProcessQuotas(limits), limits, self.clock, counters
         )
         self.placing = Placing(self.path, SETTINGS, self.exchange, counters, self.told, self.clock.monotonic)
         self.counters = counters
-        self.exchange.list_changed(EDGES + OTHERS, True)
+        self.exchange.update_members(EDGES + OTHERS, True)
         self.node = self.join()
 
     def join(self) -> Node:
@@ -89,9 +99,9 @@
         self.run(seconds)
 
     def home(self, key: int) -> str | None:
-        homes = self.exchange.router.know.members.homes[Tier.EDGE]
+        homes = self.exchange.router.state.members.homes[CacheTier.EDGE]
         server = next(homes.order(asked(Request("q", "video", 1.0, key=key))), None)
-        return None if server is None else server.entry.name
+        return None if server is None else server.member.name
 
     def all_at(self, name: str) -> bool:
         return {self.home(key) for key in range(300)} == {name}
@@ -121,12 +131,12 @@
         await world.beat()
         own = world.placing.own
         assert own is not None and own.names == ("e0", "e1", "e2", "e3")
-        world.exchange.list_changed(
+        world.exchange.update_members(
             (Member("e1", "here", "box", started=50.0), Member("p2", "hub", "parent")), False
         )
         await world.beat()
         assert world.placing.own is own
-        world.exchange.list_changed((Member("e1", "here", "box", state=State.DRAINING),), False)
+        world.exchange.update_members((Member("e1", "here", "box", state=MemberState.DRAINING),), False)
         await world.beat()
         assert world.placing.own is not own and world.counters.counts["placement_compiled"] == 2
 
@@ -143,9 +153,9 @@
         assert {world.home(key) for key in range(300)} == {"e2", "e3"}  # most shards wait
         world.run(1.0)
         assert world.all_at("e3")
-        ask = Ask("x", "video", 1.0, "7", 7, None, None)
+        ask = ClientRequest("x", "video", 1.0, "7", 7, None, None)
         world.placing.asked(ask)
-        seen = world.exchange.router.know.hotness.table[7, None]
+        seen = world.exchange.router.state.hot_objects.objects[7, None]
         assert list(seen.holders) == ["e2"]
         assert world.counters.counts["placement_former_named"] == 1
         why = json.loads(world.placing.explain("class=video,key=7"))
@@ -213,7 +223,7 @@
 def test_tables_held_are_few_however_often_the_list_changes(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         for n in range(12):
-            world.exchange.list_changed((Member(f"x{n}", "here", "box"),), False)
+            world.exchange.update_members((Member(f"x{n}", "here", "box"),), False)
             await world.beat(0.6)
         assert len(world.placing.held) <= 6
 
--- a/tests/cluster/test_sharing_twin.py
+++ b/tests/cluster/test_sharing_twin.py
@@ -41,7 +41,7 @@
         newer = p.start()
         p.publish({"no": 1})
         p.ready()
-        p.logged("event=newer_process_ready")
+        p.logged("event=successor_ready")
         until(lambda: not shares(older) and shares(p.console), "the newer one has it")
         newer.kill()
         newer.wait(5.0)
--- a/tests/crossings/rig_caches.py
+++ b/tests/crossings/rig_caches.py
@@ -10,24 +10,37 @@
 from pathlib import Path
 from typing import Any
 
-from paddlequay.requests.messages import Ask, Open, Reply
-from paddlequay.config.loader import Limits
-from paddlequay.observability.counters import Counters
-from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import Effect, Member, RequestClass, Settings, State
+from paddlequay.config.limits import Limits
+from paddlequay.lifecycle.operator_state import OperatorState
 from paddlequay.net.caches import Pool
 from paddlequay.net.connection import Connection
 from paddlequay.net.scheduler import LoopScheduler
-from paddlequay.lifecycle.operator_state import Operation
+from paddlequay.observability.counters import Counters
 from paddlequay.policy import Router
 from paddlequay.protocol.bulletin import Listed
-from paddlequay.requests.quotas import Shares
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.messages import ClientRequest, FinalAnswer, PendingRequest
+from paddlequay.requests.quotas import ProcessQuotas
+from paddlequay.routing.interface import Idempotency, Member, MemberState, RequestClass, RoutingSettings
 
 WAIT = 5.0
 KINDS = (
-    RequestClass("video", aim=0.5, deadline=2.0, effect=Effect.SAFE),
-    RequestClass("charge", aim=0.5, deadline=2.0, effect=Effect.UNSAFE, uncacheable=True),
-    RequestClass("page", aim=0.5, deadline=2.0, effect=Effect.KEYED, repeat_group="all", repeat_window=1.0),
+    RequestClass("video", latency_objective=0.5, deadline=2.0, idempotency=Idempotency.IDEMPOTENT),
+    RequestClass(
+        "charge",
+        latency_objective=0.5,
+        deadline=2.0,
+        idempotency=Idempotency.NON_IDEMPOTENT,
+        uncacheable=True,
+    ),
+    RequestClass(
+        "page",
+        latency_objective=0.5,
+        deadline=2.0,
+        idempotency=Idempotency.IDEMPOTENCY_KEY,
+        dedup_scope="all",
+        dedup_window=1.0,
+    ),
 )
 
 
@@ -71,19 +84,19 @@
     def __init__(
         self, folder: Path, kinds: tuple[RequestClass, ...], limits: Limits, **settings: Any
     ) -> None:
-        told = Settings(
+        told = RoutingSettings(
             zone="here",
             classes=kinds,
             parent_kind="parent",
             origin_kind="origin",
-            direct=True,
+            bypass_allowed=True,
             **({"can_cancel": True} | settings),
         )
         self.counters, self.limits = Counters(), limits
-        shares = Shares(limits)
+        shares = ProcessQuotas(limits)
         self.exchange = Exchange(
             Router(told, 1),
-            Operation(folder / "orders"),
+            OperatorState(folder / "orders"),
             shares,
             limits,
             LoopScheduler(asyncio.get_running_loop()),
@@ -99,23 +112,25 @@
                 ("store", "hub", "origin"),
             )
         }
-        self.replies: list[Reply] = []
+        self.replies: list[FinalAnswer] = []
         self.change(*self.listed.values(), full=True)
 
     def change(self, *listed: Listed, full: bool = False) -> None:
         """News of the list, as the bulletin hands it on."""
         self.pool.list_changed(listed, full)
-        self.exchange.list_changed(tuple(each.member for each in listed), full)
+        self.exchange.update_members(tuple(each.member for each in listed), full)
 
     def entry(self, name: str, peer: Peer | None = None, **also: Any) -> Listed:
         """An entry changed in some respects."""
         old = self.listed[name].member
-        fields = {"zone": old.zone, "kind": old.kind, "state": State.READY} | also
+        fields = {"zone": old.zone, "kind": old.kind, "state": MemberState.READY} | also
         return Listed(Member(name, **fields), (peer or self.peers[name]).address)
 
-    def ask(self, id: str, kind: str = "video", ttl: float = 2.0, **also: Any) -> Open | None:
+    def ask(self, id: str, kind: str = "video", ttl: float = 2.0, **also: Any) -> PendingRequest | None:
         key = sum(id.encode())
-        return self.exchange.ask(Ask(id, kind, ttl, f"{key:016x}", key, 0, None, **also), self.replies.append)
+        return self.exchange.submit(
+            ClientRequest(id, kind, ttl, f"{key:016x}", key, 0, None, **also), self.replies.append
+        )
 
     async def until(self, check: Callable[[], Any], what: str) -> Any:
         """Let the loop run until a condition holds, and give what it found."""
--- a/tests/crossings/rig_clients.py
+++ b/tests/crossings/rig_clients.py
@@ -17,22 +17,24 @@
 
 from test_watch import KINDS, MEMBERS, Side
 
-from paddlequay.requests.messages import Attempt, End
-from paddlequay.config.loader import Limits
-from paddlequay.observability.counters import Counters
-from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import Outcome, Settings
-from paddlequay.lifecycle.overload import OwnLoad
+from paddlequay.config.limits import Limits
+from paddlequay.lifecycle.operator_state import OperatorState
+from paddlequay.lifecycle.overload import OverloadGuard
 from paddlequay.net.clients import Front
 from paddlequay.net.scheduler import LoopScheduler
 from paddlequay.net.session import Session
-from paddlequay.lifecycle.operator_state import Operation
+from paddlequay.observability.counters import Counters
 from paddlequay.policy import Router
 from paddlequay.protocol import msgpack
-from paddlequay.requests.quotas import Shares
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.messages import AttemptResult, UpstreamAttempt
+from paddlequay.requests.quotas import ProcessQuotas
+from paddlequay.routing.interface import Outcome, RoutingSettings
 
 WAIT = 5.0
-SETTINGS = Settings(zone="here", classes=KINDS, parent_kind="parent", origin_kind="origin", direct=True)
+SETTINGS = RoutingSettings(
+    zone="here", classes=KINDS, parent_kind="parent", origin_kind="origin", bypass_allowed=True
+)
 
 
 def call(number: int, id: int = 0, method: str = "video", body: bytes = b"", **also: str) -> bytes:
@@ -90,16 +92,16 @@
     def __init__(self, folder: Path, **limits: Any) -> None:
         self.limits = replace(Limits(), **limits)
         self.counters = Counters()
-        self.shares = Shares(self.limits)
-        operation = Operation(folder / "orders")
+        self.shares = ProcessQuotas(self.limits)
+        operation = OperatorState(folder / "orders")
         scheduler = LoopScheduler(asyncio.get_running_loop())
         self.exchange = Exchange(
             Router(SETTINGS, 1), operation, self.shares, self.limits, scheduler, self.counters
         )
         self.side = Side()
-        self.exchange.caches = self.side
-        self.exchange.list_changed(MEMBERS, full=True)
-        load = OwnLoad(self.limits, 1)
+        self.exchange.upstreams = self.side
+        self.exchange.update_members(MEMBERS, full=True)
+        load = OverloadGuard(self.limits, 1)
         self.front = Front(self.exchange, operation, self.shares, self.limits, self.counters, load)
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.clients: list[socket.socket] = []
@@ -134,11 +136,11 @@
         (session,) = self.front.sessions - before
         return session
 
-    def serve(self, attempt: Attempt, body: bytes = b"x") -> None:
-        order = self.exchange.order(attempt)
+    def serve(self, attempt: UpstreamAttempt, body: bytes = b"x") -> None:
+        order = self.exchange.prepare_write(attempt)
         assert order is not None
-        self.exchange.written(attempt)
-        self.exchange.end(attempt, End(Outcome.SERVED, body))
+        self.exchange.mark_written(attempt)
+        self.exchange.end_attempt(attempt, AttemptResult(Outcome.SERVED, body))
 
     @property
     def asked(self) -> list[str]:
@@ -186,7 +188,7 @@
         front = rig.front
         assert (front.unsent, front.queued, len(front.sessions)) == (0, 0, 0)
         assert not (front.mute or front.begun or front.moving or front.idle)
-        assert not rig.exchange.open and not rig.exchange.ids and rig.exchange.held == 0
+        assert not rig.exchange.pending and not rig.exchange.open_ids and rig.exchange.body_bytes == 0
 
     asyncio.run(run())
 
@@ -197,6 +199,6 @@
     client.close()
 
 
-def out(rig: Rig, attempt: Attempt) -> None:
-    assert rig.exchange.order(attempt) is not None
-    rig.exchange.written(attempt)
+def out(rig: Rig, attempt: UpstreamAttempt) -> None:
+    assert rig.exchange.prepare_write(attempt) is not None
+    rig.exchange.mark_written(attempt)
--- a/tests/crossings/rig_cold.py
+++ b/tests/crossings/rig_cold.py
@@ -12,27 +12,27 @@
 from dataclasses import dataclass, field
 from functools import partial
 
+from paddlequay.policy import Router
 from paddlequay.routing.interface import (
     Action,
     AttemptEnded,
     Cancel,
-    Effect,
     Event,
     Fetch,
+    Idempotency,
     Member,
     MembersChanged,
-    Note,
+    MemberState,
     Outcome,
-    Ramp,
-    Refuse,
+    Reject,
+    ReplyDetail,
     Request,
     RequestClass,
-    Settings,
-    State,
+    RoutingSettings,
+    SlowStart,
 )
-from paddlequay.policy import Router
 
-SOURCE_NOTES = (Note.SOURCE_REFUSED, Note.SOURCE_UNREACHED)
+SOURCE_NOTES = (ReplyDetail.SOURCE_REJECTED, ReplyDetail.SOURCE_UNREACHABLE)
 SLOTS = 8.0  # transfers that a cache takes, over those that fit its link at full pace
 USED = 0.6  # of the links, while nothing is cold
 REPORT_S = 0.5
@@ -51,9 +51,11 @@
 
 
 KINDS = (
-    Kind(RequestClass("films", 0.6, 3.0, Effect.SAFE, 2.0, 2.0), 5.0, 0.41),
-    Kind(RequestClass("pages", 0.25, 2.0, Effect.SAFE, 1.0, 2.0, fresh=8.0), 3.9, 0.07),
-    Kind(RequestClass("orders", 0.7, 3.0, Effect.UNSAFE, 3.0, uncacheable=True), 0.3, 0.02),
+    Kind(RequestClass("films", 0.6, 3.0, Idempotency.IDEMPOTENT, 2.0, 2.0), 5.0, 0.41),
+    Kind(
+        RequestClass("pages", 0.25, 2.0, Idempotency.IDEMPOTENT, 1.0, 2.0, freshness_lifetime=8.0), 3.9, 0.07
+    ),
+    Kind(RequestClass("orders", 0.7, 3.0, Idempotency.NON_IDEMPOTENT, 3.0, uncacheable=True), 0.3, 0.02),
 )
 MEAN = sum(kind.part * kind.work for kind in KINDS[:2]) / sum(kind.part for kind in KINDS[:2])
 
@@ -62,8 +64,8 @@
 class Site:
     """The numbers that matter of one site and one size of the fleet."""
 
-    edge: Ramp
-    parent: Ramp
+    edge: SlowStart
+    parent: SlowStart
     routers: int
     plazas: int = 1
     edges: int = 5  # of each plaza
@@ -82,7 +84,7 @@
     plaza: str
     kind: str
     capacity: float
-    ramp: Ramp
+    ramp: SlowStart
     started: float | None = None
     here: bool = True
     active: float = 0.0
@@ -98,11 +100,14 @@
     def share(self, now: float) -> float:
         """Of its capacity, by the settings' word."""
         ramp = self.ramp
-        if self.started is None or ramp.start is None or not ramp.warm_after:
+        if self.started is None or ramp.initial_share is None or not ramp.duration:
             return 1.0
-        return min(1.0, ramp.start + (1.0 - ramp.start) * max(0.0, now - self.started) / ramp.warm_after)
+        return min(
+            1.0,
+            ramp.initial_share + (1.0 - ramp.initial_share) * max(0.0, now - self.started) / ramp.duration,
+        )
 
-    def entry(self, state: State = State.READY) -> Member:
+    def entry(self, state: MemberState = MemberState.READY) -> Member:
         return Member(self.name, self.plaza, self.kind, 0, state, None, self.started)
 
     def slowness(self, now: float) -> float:
@@ -142,7 +147,7 @@
         self.now, self.serial, self.surge = 0.0, 0, surge
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.plazas = [f"plaza-{n}" for n in range(site.plazas)]
-        self.caches: dict[str, Cache] = {"origin": Cache("origin", "hub", "origin", 1e6, Ramp())}
+        self.caches: dict[str, Cache] = {"origin": Cache("origin", "hub", "origin", 1e6, SlowStart())}
         for plaza in self.plazas:
             for n in range(site.edges):
                 lean = 1.0 + site.unequal * (2.0 * n / max(1, site.edges - 1) - 1.0)
@@ -184,14 +189,27 @@
 
     # --- routers ---
 
-    def settings(self, node: Node) -> Settings:
+    def settings(self, node: Node) -> RoutingSettings:
         here = sum(each.plaza == node.plaza for each in self.nodes)
-        return Settings(
-            zone=node.plaza, classes=tuple(kind.told for kind in KINDS), routers=self.site.routers,
-            routers_here=here, parent_kind="parent", origin_kind="origin", siblings="location", direct=True,
-            joins=True, notes=self.site.tells == "all", flow_kb_per_s=5000.0, parallel=True, can_cancel=True,
-            max_attempts=6, cold_edge=self.site.edge, cold_parent=self.site.parent, purge_done=6.0,
-        )  # fmt: skip
+        return RoutingSettings(
+            zone=node.plaza,
+            classes=tuple(kind.told for kind in KINDS),
+            router_count=self.site.routers,
+            zone_router_count=here,
+            parent_kind="parent",
+            origin_kind="origin",
+            sibling_fills="location",
+            bypass_allowed=True,
+            coalesces_fills=True,
+            detailed_replies=self.site.tells == "all",
+            flow_kb_per_s=5000.0,
+            parallel_attempts=True,
+            can_cancel=True,
+            max_attempts=6,
+            edge_slow_start=self.site.edge,
+            parent_slow_start=self.site.parent,
+            purge_completion=6.0,
+        )
 
     def start(self, node: Node) -> None:
         """A process begins from nothing with the list as discovery had it last."""
@@ -220,7 +238,7 @@
         cache.here = False
         fresh = Cache(name, cache.plaza, cache.kind, cache.capacity, cache.ramp, self.now)
         self.put(fresh)
-        self.tell(cache.entry(State.GONE), fresh.entry())
+        self.tell(cache.entry(MemberState.REMOVED), fresh.entry())
 
     def restart(self, cache: Cache) -> None:
         """The same machine, started anew."""
@@ -260,7 +278,7 @@
         match action:
             case Fetch():
                 self.fetch(node, action)
-            case Refuse():
+            case Reject():
                 number, key, tries, _ = node.open.pop(action.request)
                 self.counts["refused"] += 1
                 if tries < 2 and self.chance.random() < 0.75:
@@ -274,7 +292,9 @@
     def knows(self, node: Node, cache: Cache) -> bool:
         """Whether a router was told of a cache's last start."""
         router = node.router
-        return router is not None and router.know.members.servers[cache.name].entry.started == cache.started
+        return (
+            router is not None and router.state.members.upstreams[cache.name].member.started == cache.started
+        )
 
     def size(self, key: int, kind: Kind) -> float:
         return kind.work * random.Random(key).lognormvariate(-0.32, 0.8)
@@ -288,44 +308,44 @@
         target, source = self.caches[fetch.target], self.caches[fetch.source]
         ends, began = node.ends, now
         uses, outcome, wait = [target], Outcome.SERVED, 0.005
-        note: Note | None = Note.HIT
+        note: ReplyDetail | None = ReplyDetail.HIT
         if target.here:
             target.sent.append((now, kind.work, self.knows(node, target)))
         if not target.here:
-            uses, outcome, note, wait = [], Outcome.UNREACHED, None, 0.4
+            uses, outcome, note, wait = [], Outcome.CONNECT_FAILED, None, 0.4
         elif target.full(now):
-            uses, outcome, note = [], Outcome.REFUSED, None
+            uses, outcome, note = [], Outcome.REJECTED, None
         elif target.kind == "origin":
             note = None
         elif kind.told.uncacheable or not target.holds(key, now):
-            note = Note.FILLED
-            if target is source or (fetch.only_held and not source.holds(key, now)):
+            note = ReplyDetail.FILLED
+            if target is source or (fetch.only_if_cached and not source.holds(key, now)):
                 uses, outcome, note = [], Outcome.MISS, None
-            elif fetch.join and target.filling.get(key, 0.0) > now and not kind.told.uncacheable:
-                note, wait = Note.JOINED, target.filling[key] - now
+            elif fetch.coalesce and target.filling.get(key, 0.0) > now and not kind.told.uncacheable:
+                note, wait = ReplyDetail.COALESCED, target.filling[key] - now
             else:
                 if source.here:
                     source.sent.append((now, kind.work, self.knows(node, source)))
                 wait += 0.01
                 if source.full(now) or not source.here:
-                    uses, outcome = [], Outcome.REFUSED
-                    note = Note.SOURCE_REFUSED if source.here else Note.SOURCE_UNREACHED
+                    uses, outcome = [], Outcome.REJECTED
+                    note = ReplyDetail.SOURCE_REJECTED if source.here else ReplyDetail.SOURCE_UNREACHABLE
                 else:
                     uses.append(source)
                     if not source.holds(key, now):
-                        wait, note = wait + 0.08, Note.FILLED_FROM_ORIGIN
+                        wait, note = wait + 0.08, ReplyDetail.FILLED_FROM_ORIGIN
                         source.held[key] = now
         took = wait + work * max((cache.slowness(now) for cache in uses), default=0.0)
         if outcome is Outcome.SERVED and target.kind != "origin":
-            target.hits += 0.05 * ((note is Note.HIT) - target.hits)
-            if note not in (Note.HIT, Note.JOINED):
+            target.hits += 0.05 * ((note is ReplyDetail.HIT) - target.hits)
+            if note not in (ReplyDetail.HIT, ReplyDetail.COALESCED):
                 target.filling[key] = now + took
         if fetch.timeout is not None and took > fetch.timeout:
             took, outcome, note = fetch.timeout, Outcome.TIMEOUT, None
         for cache in uses:
             cache.add(1.0, now)
         told, waited = self.told(note), None
-        if self.site.tells == "all" and note in (Note.FILLED, Note.FILLED_FROM_ORIGIN):
+        if self.site.tells == "all" and note in (ReplyDetail.FILLED, ReplyDetail.FILLED_FROM_ORIGIN):
             waited = wait
 
         def end(outcome: Outcome) -> None:
@@ -342,7 +362,7 @@
                 del node.open[fetch.request]
                 self.counts["served"] += 1
             load = self.load(target) if self.site.reports and target.kind == "cache" else ()
-            word = told if outcome is Outcome.SERVED or outcome is Outcome.REFUSED else None
+            word = told if outcome is Outcome.SERVED or outcome is Outcome.REJECTED else None
             event = AttemptEnded(
                 fetch.request, attempt, fetch.target, outcome, self.now - began, final, word, waited, load
             )
@@ -351,10 +371,10 @@
         ends[fetch.request, attempt] = end
         self.at(now + took, partial(end, outcome))
 
-    def told(self, note: Note | None) -> Note | None:
+    def told(self, note: ReplyDetail | None) -> ReplyDetail | None:
         """What an answer says of where its bytes came from, as far as settings tell notes."""
-        if self.site.tells == "hit" and note is Note.FILLED_FROM_ORIGIN:
-            return Note.FILLED
+        if self.site.tells == "hit" and note is ReplyDetail.FILLED_FROM_ORIGIN:
+            return ReplyDetail.FILLED
         known = self.site.tells == "all" or (self.site.tells == "hit" and note not in SOURCE_NOTES)
         return note if known else None
 
@@ -378,7 +398,7 @@
         """
         for cache in self.caches.values():
             ramp = cache.ramp
-            if cache.started is None or not ramp.window or not ramp.multiple:
+            if cache.started is None or not ramp.overload_window or not ramp.overload_multiple:
                 continue
             inside: deque[tuple[float, float]] = deque()
             total = 0.0
@@ -389,10 +409,15 @@
                     continue
                 inside.append((at, work))
                 total += work
-                while inside[0][0] <= at - ramp.window:
+                while inside[0][0] <= at - ramp.overload_window:
                     total -= inside.popleft()[1]
-                bears = cache.capacity * cache.share(at - ramp.window / 2)
-                yield cache, at - cache.started, total / MEAN, ramp.multiple * bears * ramp.window / MEAN
+                bears = cache.capacity * cache.share(at - ramp.overload_window / 2)
+                yield (
+                    cache,
+                    at - cache.started,
+                    total / MEAN,
+                    ramp.overload_multiple * bears * ramp.overload_window / MEAN,
+                )
 
 
 def over(sent: float, allowed: float) -> float:
--- a/tests/crossings/rig_list.py
+++ b/tests/crossings/rig_list.py
@@ -6,9 +6,9 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any, cast
 
-from paddlequay.config.loader import Limits
-from paddlequay.observability.counters import Counters
+from paddlequay.config.limits import Limits
 from paddlequay.net.bulletin import Follower
+from paddlequay.observability.counters import Counters
 from paddlequay.protocol.bulletin import Roster
 
 WAIT = 5.0
@@ -77,7 +77,7 @@
         self.then(roster)
         self.had.append(roster.number)
 
-    def purged(self, key: int | None, group: int | None, issued: float) -> None:
+    def record_purge(self, key: int | None, group: int | None, issued: float) -> None:
         self.had.append(self.last + 1)
 
     async def __aenter__(self) -> "Recorder":
--- a/tests/crossings/rig_ready.py
+++ b/tests/crossings/rig_ready.py
@@ -11,26 +11,26 @@
 
 from rig_ready_pipe import Clock, Pipe
 
+from paddlequay.policy import Router
 from paddlequay.routing.interface import (
     Action,
     AttemptEnded,
     Cancel,
-    ClientGone,
+    ClientDisconnected,
     Event,
     Fail,
     Fetch,
     Member,
     MembersChanged,
-    Note,
+    MemberState,
     Outcome,
-    Ramp,
-    Refuse,
+    Reject,
+    ReplyDetail,
     Request,
     RequestClass,
-    Settings,
-    State,
+    RoutingSettings,
+    SlowStart,
 )
-from paddlequay.policy import Router
 
 FILL_PACE = 2.5  # times as fast as a transfer to a client
 NEAR, FAR, CLIENT_S = 0.001, 0.01, 0.004  # seconds to a cache, to parent or origin, and to a client
@@ -39,7 +39,7 @@
 REPORT_S = 0.5
 QUEUE = 8.0  # transfers held at most, as a multiple of those that fit
 GONE = "gone"
-Waiting = Callable[[Note, float], None]
+Waiting = Callable[[ReplyDetail, float], None]
 
 
 @dataclass(frozen=True)
@@ -96,23 +96,23 @@
         self, kinds: list[Kind], seed: int, load: float, routers: int = 4, edges: int = 4, fits: float = 6.0
     ) -> None:
         self.clock, self.rng, self.kinds = Clock(), random.Random(seed), kinds
-        self.settings = Settings(
+        self.settings = RoutingSettings(
             zone="here",
             classes=tuple(each.kind for each in kinds),
-            routers=routers,
-            routers_here=routers,
+            router_count=routers,
+            zone_router_count=routers,
             parent_kind="parent",
             origin_kind="origin",
-            siblings="location",
-            direct=True,
-            joins=True,
-            notes=True,
+            sibling_fills="location",
+            bypass_allowed=True,
+            coalesces_fills=True,
+            detailed_replies=True,
             can_cancel=True,
             max_attempts=6,
             max_retry_after=0.3,
-            cold_edge=Ramp(0.17, 15.0, 2.5, 2.0),
-            cold_parent=Ramp(0.062, 20.0, 2.0, 2.0),
-            purge_done=6.0,
+            edge_slow_start=SlowStart(0.17, 15.0, 2.5, 2.0),
+            parent_slow_start=SlowStart(0.062, 20.0, 2.0, 2.0),
+            purge_completion=6.0,
         )
         self.routers = [Router(self.settings, seed * 100 + number) for number in range(routers)]
         self.caches = {f"edge-{n}": Cache(Pipe(self.clock, fits)) for n in range(edges)}
@@ -129,9 +129,9 @@
         self.factors: Callable[[Kind], float | None] = lambda kind: None  # of an object wanted once, if it is
         self.asked: list[Asked] = []
         self.open: dict[str, Asked] = {}
-        listed = [Member(name, "here", "box", 0, State.READY) for name in self.caches]
-        listed += [Member(f"parent-{n}", "hub", "parent", 0, State.READY) for n in range(2)]
-        listed += [Member("origin-0", "hub", "origin", 0, State.READY)]
+        listed = [Member(name, "here", "box", 0, MemberState.READY) for name in self.caches]
+        listed += [Member(f"parent-{n}", "hub", "parent", 0, MemberState.READY) for n in range(2)]
+        listed += [Member("origin-0", "hub", "origin", 0, MemberState.READY)]
         for router in self.routers:
             router.handle(MembersChanged(tuple(listed), full=True), 0.0)
         self.clock.later(REPORT_S, self.report)
@@ -196,7 +196,7 @@
                 self.fetch(self.open[action.request], action)
             case Cancel():
                 self.ended(self.open[action.request], action.attempt, Outcome.CANCELLED)
-            case Refuse():
+            case Reject():
                 self.final(self.open[action.request], "refused", action.cause)
             case Fail():
                 self.final(self.open[action.request], "failed")
@@ -211,13 +211,13 @@
     def overdue(self, asked: Asked) -> None:
         if not asked.end:
             self.final(asked, "overdue")
-            self.tell(asked.router, ClientGone(asked.request.id))
+            self.tell(asked.router, ClientDisconnected(asked.request.id))
 
     def fetch(self, asked: Asked, fetch: Fetch) -> None:
         number = len(asked.fetches)
         asked.fetches.append(fetch)
         asked.began.append(self.clock.now)
-        left = asked.at + asked.request.left - self.clock.now
+        left = asked.at + asked.request.time_left - self.clock.now
         self.clock.later(min(left, fetch.timeout or left), lambda: self.timed_out(asked, number))
         way = NEAR if fetch.target in self.caches else FAR
         self.clock.later(way, lambda: self.arrive(asked, number, fetch))
@@ -232,7 +232,7 @@
         asked: Asked,
         number: int,
         outcome: Outcome,
-        note: Note | None = None,
+        note: ReplyDetail | None = None,
         waited: float | None = None,
     ) -> None:
         """The one end of an attempt."""
@@ -273,14 +273,16 @@
         if cache is None:
             self.straight(asked, number)
         elif cache.out.active + len(cache.filling) >= QUEUE * cache.out.fits:
-            self.ended(asked, number, Outcome.REFUSED)
+            self.ended(asked, number, Outcome.REJECTED)
         elif place in cache.held:
             cache.hits += (1.0 - cache.hits) * 0.05
-            self.send(cache, asked, number, Note.HIT)
+            self.send(cache, asked, number, ReplyDetail.HIT)
         elif fetch.source == fetch.target:
             self.ended(asked, number, Outcome.MISS)
         elif place in cache.filling:
-            cache.filling[place].append(lambda note, waited: self.send(cache, asked, number, Note.JOINED))
+            cache.filling[place].append(
+                lambda note, waited: self.send(cache, asked, number, ReplyDetail.COALESCED)
+            )
         else:
             cache.hits -= cache.hits * 0.05
             self.fill(cache, asked, number, fetch, place)
@@ -304,35 +306,37 @@
         sibling = self.caches.get(fetch.source)
         if sibling is not None:
             if sibling.state or place not in sibling.held:
-                return self.ended(asked, number, Outcome.MISS, Note.SOURCE_LACKS)
-        elif place not in self.parents_hold and fetch.only_held:
-            return self.ended(asked, number, Outcome.MISS, Note.SOURCE_LACKS)
+                return self.ended(asked, number, Outcome.MISS, ReplyDetail.SOURCE_MISS)
+        elif place not in self.parents_hold and fetch.only_if_cached:
+            return self.ended(asked, number, Outcome.MISS, ReplyDetail.SOURCE_MISS)
         cache.filling[place] = [lambda note, waited: self.send(cache, asked, number, note, waited)]
         began = self.clock.now
 
-        def arrived(note: Note, waited: float) -> None:
+        def arrived(note: ReplyDetail, waited: float) -> None:
             cache.held.add(place)
             for each in cache.filling.pop(place, ()):
                 each(note, waited)
 
-        def through_link(note: Note) -> None:
+        def through_link(note: ReplyDetail) -> None:
             waited = self.clock.now - began
             self.link.add(asked.work, lambda: arrived(note, waited))
 
         def from_origin() -> None:
             self.parents_hold.add(place)
-            through_link(Note.FILLED_FROM_ORIGIN)
+            through_link(ReplyDetail.FILLED_FROM_ORIGIN)
 
         if sibling is not None:
-            self.clock.later(asked.work / FILL_PACE, lambda: arrived(Note.FILLED, 0.0))
+            self.clock.later(asked.work / FILL_PACE, lambda: arrived(ReplyDetail.FILLED, 0.0))
         elif place in self.parents_hold:
-            self.clock.later(2 * FAR, lambda: through_link(Note.FILLED))
+            self.clock.later(2 * FAR, lambda: through_link(ReplyDetail.FILLED))
         else:
             wait = 2 * FAR + ORIGIN_S * self.origin_slow
             # Its first bytes go on while the rest comes: what is waited for is the origin's own work.
             self.clock.later(wait, lambda: self.origin_add(ORIGIN_SHARE * asked.work, from_origin))
 
-    def send(self, cache: Cache, asked: Asked, number: int, note: Note, waited: float | None = None) -> None:
+    def send(
+        self, cache: Cache, asked: Asked, number: int, note: ReplyDetail, waited: float | None = None
+    ) -> None:
         """The bytes, through the cache's way out."""
         if asked.end or number in asked.over or cache.state:
             return
--- a/tests/crossings/rig_repeats.py
+++ b/tests/crossings/rig_repeats.py
@@ -4,14 +4,28 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from paddlequay.requests.messages import Ask, Attempt, End, Order, Reply, Timer
-from paddlequay.config.loader import Limits
+from paddlequay.config.limits import Limits
+from paddlequay.lifecycle.operator_state import OperatorState
 from paddlequay.observability.counters import Counters
-from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import Effect, Member, Outcome, RequestClass, Settings, State
-from paddlequay.lifecycle.operator_state import Operation
 from paddlequay.policy import Router
-from paddlequay.requests.quotas import Shares
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.messages import (
+    AttemptResult,
+    ClientRequest,
+    FinalAnswer,
+    Timer,
+    UpstreamAttempt,
+    UpstreamRequest,
+)
+from paddlequay.requests.quotas import ProcessQuotas
+from paddlequay.routing.interface import (
+    Idempotency,
+    Member,
+    MemberState,
+    Outcome,
+    RequestClass,
+    RoutingSettings,
+)
 
 DEADLINE = 2.0
 
@@ -41,7 +55,7 @@
     def unix(self) -> float:
         return 1_000_000.0 + self.now
 
-    def later(self, delay: float, call: Callable[[], None]) -> Timer:
+    def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
         self.timers.append(Due(self.now + max(0.0, delay), call))
         return self.timers[-1]
 
@@ -60,8 +74,8 @@
 class Write:
     """One attempt as it was written."""
 
-    attempt: Attempt
-    order: Order
+    attempt: UpstreamAttempt
+    order: UpstreamRequest
     at: float
 
 
@@ -71,44 +85,44 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.exchange: Exchange | None = None
-        self.waiting: list[Attempt] = []
-        self.out: list[Attempt] = []
+        self.waiting: list[UpstreamAttempt] = []
+        self.out: list[UpstreamAttempt] = []
         self.writes: list[Write] = []
-        self.unread = False
+        self.has_unread = False
 
-    def start(self, attempt: Attempt) -> None:
+    def start(self, attempt: UpstreamAttempt) -> None:
         attempt.carrier = self
         self.waiting.append(attempt)
 
-    def abandon(self, attempt: Attempt) -> bool:
+    def abandon(self, attempt: UpstreamAttempt) -> bool:
         for held in (self.waiting, self.out):
             if attempt in held:
                 held.remove(attempt)
         return False
 
-    def write(self, attempt: Attempt | None = None) -> Attempt | None:
+    def write(self, attempt: UpstreamAttempt | None = None) -> UpstreamAttempt | None:
         """The connection is up for one that waits; gives it where it was written."""
         assert self.exchange is not None
         attempt = self.waiting[0] if attempt is None else attempt
         self.waiting.remove(attempt)
-        order = self.exchange.order(attempt)
+        order = self.exchange.prepare_write(attempt)
         if order is None:
             return None
         self.out.append(attempt)
-        self.exchange.written(attempt)
+        self.exchange.mark_written(attempt)
         self.writes.append(Write(attempt, order, self.clock.now))
         return attempt
 
-    def end(self, attempt: Attempt, outcome: Outcome) -> None:
+    def end(self, attempt: UpstreamAttempt, outcome: Outcome) -> None:
         assert self.exchange is not None
         for held in (self.waiting, self.out):
             if attempt in held:
                 held.remove(attempt)
-        self.exchange.end(attempt, End(outcome))
+        self.exchange.end_attempt(attempt, AttemptResult(outcome))
 
 
 def entry(name: str, zone: str | None, cell: int | None, kind: str = "box", **also: object) -> Member:
-    return Member(name, zone, kind, cell, **({"state": State.READY} | also))  # type: ignore[arg-type]
+    return Member(name, zone, kind, cell, **({"state": MemberState.READY} | also))  # type: ignore[arg-type]
 
 
 MEMBERS = (
@@ -130,47 +144,49 @@
     max_attempts: int | None = 6
     members: tuple[Member, ...] = MEMBERS
     clock: Clock = field(default_factory=Clock)
-    replies: dict[str, list[Reply]] = field(default_factory=dict)
+    replies: dict[str, list[FinalAnswer]] = field(default_factory=dict)
     replied: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        settings = Settings(
+        settings = RoutingSettings(
             zone="here",
             classes=self.kinds,
             parent_kind="parent",
             origin_kind="origin",
-            direct=self.direct,
+            bypass_allowed=self.direct,
             can_cancel=self.can_cancel,
-            parallel=self.parallel,
+            parallel_attempts=self.parallel,
             max_attempts=self.max_attempts,
             max_retry_after=1.0,
-            notes=True,
+            detailed_replies=True,
         )
         limits = Limits()
         self.counters = Counters()
         self.side = Side(self.clock)
-        self.operation = Operation(self.folder / "orders")
+        self.operation = OperatorState(self.folder / "orders")
         self.exchange = Exchange(
-            Router(settings, 1), self.operation, Shares(limits), limits, self.clock, self.counters
+            Router(settings, 1), self.operation, ProcessQuotas(limits), limits, self.clock, self.counters
         )
-        self.exchange.caches = self.side
+        self.exchange.upstreams = self.side
         self.side.exchange = self.exchange
-        self.exchange.list_changed(self.members, full=True)
+        self.exchange.update_members(self.members, full=True)
 
     def ask(self, kind: str, id: str = "a", key: int = 7, gone: Callable[[], bool] | None = None) -> None:
         self.replies[id] = []
-        ask = Ask(id, kind, DEADLINE, f"{key:016x}", key, 0, key % 2)
+        ask = ClientRequest(id, kind, DEADLINE, f"{key:016x}", key, 0, key % 2)
 
-        def reply(given: Reply) -> None:
+        def reply(given: FinalAnswer) -> None:
             self.replies[id].append(given)
             self.replied[id] = self.clock.now
 
-        self.exchange.ask(ask, reply, gone)
+        self.exchange.submit(ask, reply, gone)
 
 
 def keyed(group: str | None, window: float | None = 0.3) -> RequestClass:
-    return RequestClass("hold", 0.5, DEADLINE, Effect.KEYED, None, None, group, window, uncacheable=True)
+    return RequestClass(
+        "hold", 0.5, DEADLINE, Idempotency.IDEMPOTENCY_KEY, None, None, group, window, uncacheable=True
+    )
 
 
-PAGE = RequestClass("page", 0.5, DEADLINE, Effect.SAFE)
-FEE = RequestClass("fee", 0.5, DEADLINE, Effect.UNSAFE, uncacheable=True)
+PAGE = RequestClass("page", 0.5, DEADLINE, Idempotency.IDEMPOTENT)
+FEE = RequestClass("fee", 0.5, DEADLINE, Idempotency.NON_IDEMPOTENT, uncacheable=True)
--- a/tests/crossings/test_background.py
+++ b/tests/crossings/test_background.py
@@ -12,7 +12,7 @@
 from rig_end import asked, reply, served
 from test_descriptors import full, lower
 
-from paddlequay.lifecycle.background import PAUSE_LEAST, Background
+from paddlequay.lifecycle.background import MIN_BACKOFF_S, TaskSupervisor
 from paddlequay.observability.counters import Counters
 
 
@@ -31,9 +31,9 @@
         if len(at) == 4:
             await asyncio.Event().wait()
 
-    async def play() -> Background:
-        made = Background(Counters())
-        made.keep("work", work)
+    async def play() -> TaskSupervisor:
+        made = TaskSupervisor(Counters())
+        made.supervise("work", work)
         while len(at) < 4:
             await asyncio.sleep(0.005)
         await made.stop()
@@ -45,7 +45,7 @@
     assert made.counters.counts["background_errors.work"] == 3
     assert [record.getMessage() for record in caplog.records] == ["background_failed"]
     pauses = [after - before for before, after in itertools.pairwise(at)]
-    assert all(pause >= least * PAUSE_LEAST for pause, least in zip(pauses, (1.9, 3.9, 7.9), strict=True))
+    assert all(pause >= least * MIN_BACKOFF_S for pause, least in zip(pauses, (1.9, 3.9, 7.9), strict=True))
 
 
 def test_an_error_that_nobody_waits_for_is_told(caplog: pytest.LogCaptureFixture) -> None:
@@ -53,7 +53,7 @@
         raise ValueError("alone")
 
     async def play() -> Counters:
-        made = Background(Counters())
+        made = TaskSupervisor(Counters())
         await asyncio.wait((made.spawn("work", work()),))
         await asyncio.sleep(0)
         return made.counters
@@ -64,14 +64,14 @@
 
 
 BEATS = """
-from paddlequay.lifecycle.overload import OwnLoad
-real, beats = OwnLoad.beat, []
-def beat(self, now, cpu):
+from paddlequay.lifecycle.overload import OverloadGuard
+real, beats = OverloadGuard.sample, []
+def sample(self, now, cpu):
     beats.append(now)
     if len(beats) < 4:
         raise ValueError("a beat fails")
     return real(self, now, cpu)
-OwnLoad.beat = beat
+OverloadGuard.sample = sample
 """
 
 
--- a/tests/crossings/test_cache_connect.py
+++ b/tests/crossings/test_cache_connect.py
@@ -11,8 +11,8 @@
 import pytest
 from rig_caches import Peer, Rig, came, play
 
-from paddlequay.requests.messages import Attempt
-from paddlequay.routing.interface import State
+from paddlequay.requests.messages import UpstreamAttempt
+from paddlequay.routing.interface import MemberState
 
 
 async def under_way(rig: Rig, name: str = "box") -> None:
@@ -33,7 +33,7 @@
         assert connection.idle and rig.pool.held() == [connection]
         await rig.served("box", "2")
         assert rig.only() is connection and rig.counters.counts["sent"] == 1
-        connection.used -= rig.limits.cache_idle + 1.0
+        connection.used -= rig.limits.cache_idle_timeout + 1.0
         rig.pool.sweep()
         await rig.until(lambda: not rig.pool.held(), "it is closed as idle")
 
@@ -56,7 +56,9 @@
         rig.peers[name] = new
         rig.change(rig.entry(name))
         await rig.until(lambda: waiting.stream.closed() or waiting.idle, "nothing waits there any more")
-        assert rig.counters.counts["ended.not_sent"] == 1 and not rig.counters.counts.get("ended.unreached")
+        assert rig.counters.counts["ended.not_sent"] == 1 and not rig.counters.counts.get(
+            "ended.connect_failed"
+        )
         assert came(old.connections[0]) == b""
         await rig.served(name, "2", kind)
         assert came(old.connections[0]) == b""
@@ -73,7 +75,9 @@
         await under_way(rig)
         rig.change(rig.entry("box", started=5.0))
         await rig.until(lambda: not rig.pool.leaving or not rig.pool.leaving[0].connections, "it has ended")
-        assert rig.counters.counts["ended.not_sent"] == 1 and not rig.counters.counts.get("ended.unreached")
+        assert rig.counters.counts["ended.not_sent"] == 1 and not rig.counters.counts.get(
+            "ended.connect_failed"
+        )
         assert came(rig.peers["box"].connections[0]) == b""
 
     play(tmp_path, scene)
@@ -83,7 +87,7 @@
     async def scene(rig: Rig) -> None:
         rig.ask("1")
         await under_way(rig)
-        rig.change(rig.entry("box", state=State.DRAINING))
+        rig.change(rig.entry("box", state=MemberState.DRAINING))
         await rig.asked("aimag", "1")
         assert rig.counters.counts["ended.not_sent"] == 1
         assert came(rig.peers["box"].connections[0]) == b""
@@ -98,7 +102,7 @@
         rig.ask("1")
         rig.ask("2")
         await under_way(rig)
-        rig.change(rig.entry("aimag", state=State.DRAINING))
+        rig.change(rig.entry("aimag", state=MemberState.DRAINING))
         connection = await rig.asked("store", "1")
         assert await rig.asked("store", "2") is connection
         for id in ("1", "2"):
@@ -120,15 +124,15 @@
         rig.ask("1")
         rig.ask("2")
         await under_way(rig)
-        order, failed = rig.exchange.order, list[Attempt]()
+        order, failed = rig.exchange.prepare_write, list[UpstreamAttempt]()
 
-        def fails_once(attempt: Attempt) -> Any:
+        def fails_once(attempt: UpstreamAttempt) -> Any:
             if failed:
                 return order(attempt)
             failed.append(attempt)
             raise RuntimeError("forced")
 
-        rig.exchange.order = fails_once  # type: ignore[method-assign]
+        rig.exchange.prepare_write = fails_once  # type: ignore[method-assign]
         await rig.until(lambda: rig.counters.counts.get("cache_errors") == 1, "the error is counted")
         await rig.asked("aimag", "2")  # proved idle, on its way round
         assert not rig.pool.instances["box"].connections
@@ -141,13 +145,13 @@
         rig.ask("1")
         await under_way(rig)
         held_back: list[int] = []
-        written = rig.exchange.written
+        written = rig.exchange.mark_written
 
-        def noted(attempt: Attempt) -> None:
+        def noted(attempt: UpstreamAttempt) -> None:
             held_back.append(rig.only().stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
             written(attempt)
 
-        rig.exchange.written = noted  # type: ignore[method-assign]
+        rig.exchange.mark_written = noted  # type: ignore[method-assign]
         await rig.asked("box", "1")
         assert len(held_back) == 1 and held_back[0]
 
--- a/tests/crossings/test_cache_descriptors.py
+++ b/tests/crossings/test_cache_descriptors.py
@@ -59,7 +59,7 @@
         # Proved never sent: a charge, too, may be called harmless to try again. And no word on the member.
         assert [client.answer()[2][0] for _ in range(20)] == ["TryLater"] * 20
         assert time.monotonic() - began < 1.0
-        assert p.counted("no_socket") >= 20 and p.counted("ended.unreached") == 0
+        assert p.counted("no_socket") >= 20 and p.counted("ended.connect_failed") == 0
     assert sum("no_socket" in line and "event=counters" not in line for line in p.log) == 1
     assert p.counted("decision_errors") == 0
     client.ask(method)
--- a/tests/crossings/test_cache_idle.py
+++ b/tests/crossings/test_cache_idle.py
@@ -8,7 +8,7 @@
 import pytest
 from rig_caches import Rig, came, play
 
-from paddlequay.requests.messages import Verdict
+from paddlequay.requests.messages import AnswerStatus
 
 
 def reset(connection: socket.socket) -> None:
@@ -32,7 +32,9 @@
         assert bytes(rig.replies[1].body) == b"z"
         counts = rig.counters.counts
         # Nor does it cost the request an attempt, or the member a failure.
-        assert counts["sent"] == 2 and not counts.get("ended.reset") and not counts.get("ended.unreached")
+        assert (
+            counts["sent"] == 2 and not counts.get("ended.reset") and not counts.get("ended.connect_failed")
+        )
 
     play(tmp_path, scene)
 
@@ -55,7 +57,7 @@
         again = await rig.asked("box", "9")
         again.sendall(b"9 HIT - 1\r\nx\r\n")
         await rig.until(lambda: len(rig.replies) == 6, "the answer")
-        assert rig.replies[5].verdict is Verdict.SERVED and rig.counters.counts["sent"] == 6
+        assert rig.replies[5].status is AnswerStatus.SERVED and rig.counters.counts["sent"] == 6
 
     play(tmp_path, scene)
 
@@ -73,7 +75,7 @@
         first.close()
         rig.peers["box"].connections.clear()
         await rig.asked("aimag", "1")  # proved idle, and round the only box
-        assert rig.counters.counts["ended.unreached"] == 1 and rig.counters.counts["sent"] == 1
+        assert rig.counters.counts["ended.connect_failed"] == 1 and rig.counters.counts["sent"] == 1
         assert rig.peers["box"].accept() is None
 
     play(tmp_path, scene)
@@ -86,7 +88,7 @@
     async def scene(rig: Rig) -> None:
         first = await rig.served("store", "1", "charge")
         if old:
-            rig.only("store").used -= rig.limits.cache_fresh + 0.001
+            rig.only("store").used -= rig.limits.max_reuse_idle + 0.001
         rig.ask("2", "charge")
         second = await rig.asked("store", "2")
         assert (second is first) is not old
@@ -101,7 +103,7 @@
         reset(first)
         rig.peers["store"].connections.clear()
         await rig.until(lambda: len(rig.replies) == 2, "the answer")
-        assert rig.replies[1].verdict is Verdict.FAILED and rig.counters.counts["sent"] == 2
+        assert rig.replies[1].status is AnswerStatus.FAILED and rig.counters.counts["sent"] == 2
         assert rig.peers["store"].accept() is None and rig.peers["box"].accept() is None
 
     play(tmp_path, scene)
@@ -126,7 +128,7 @@
         reset(first)
         rig.peers["store"].connections.clear()
         await rig.until(lambda: len(rig.replies) >= sent, "the answers")
-        assert {reply.verdict for reply in rig.replies[1:]} == {Verdict.FAILED}
+        assert {reply.status for reply in rig.replies[1:]} == {AnswerStatus.FAILED}
         # What waited behind them was never written, and goes on another way.
         await rig.asked("box", f"{number}")
 
@@ -170,7 +172,7 @@
     async def scene(rig: Rig) -> None:
         first = await rig.served("box", "1")
         connection = rig.only()
-        connection.used -= rig.limits.cache_idle + 1.0
+        connection.used -= rig.limits.cache_idle_timeout + 1.0
         first.sendall(b"1 HIT tag=")
         rig.pool.sweep()
         assert connection.stream.closed()
--- a/tests/crossings/test_cache_silence.py
+++ b/tests/crossings/test_cache_silence.py
@@ -9,9 +9,9 @@
 from harness import WAIT, platform, until
 from rig_caches import Rig, play
 
-from paddlequay.requests.messages import Verdict
-from paddlequay.config.loader import Limits
-from paddlequay.routing.interface import Effect, RequestClass
+from paddlequay.config.limits import Limits
+from paddlequay.requests.messages import AnswerStatus
+from paddlequay.routing.interface import Idempotency, RequestClass
 
 
 def silent_for(rig: Rig, time: float) -> None:
@@ -20,8 +20,8 @@
         connection.heard -= time
         connection.read_at -= time
         for attempt in connection.out.values():
-            attempt.began -= time
-            attempt.written = (attempt.written or 0.0) - time
+            attempt.started_at -= time
+            attempt.written_at = (attempt.written_at or 0.0) - time
 
 
 @pytest.mark.parametrize("answered", [True, False])
@@ -55,7 +55,7 @@
         connection = await rig.asked("box", "1")
         connection.sendall(b"1 HIT - 4\r\nab")
         await rig.until(lambda: rig.only().reader.begun, "half the answer is read")
-        silent_for(rig, 10 * rig.limits.cache_stall)
+        silent_for(rig, 10 * rig.limits.cache_stall_timeout)
         connection.sendall(b"cd\r\n")
         rig.pool.watch()
         await rig.until(lambda: rig.replies, "the answer")
@@ -75,10 +75,10 @@
         connection.sendall(b"1 HIT - 1\r\nx\r\n")
         rig.change(rig.entry("store", started=5.0))
         await rig.until(lambda: len(rig.replies) == 1, "the answer")
-        assert rig.replies[0].verdict is Verdict.SERVED
+        assert rig.replies[0].status is AnswerStatus.SERVED
         rig.pool.watch()
         await rig.until(lambda: len(rig.replies) == 2, "the other one's end")
-        assert rig.replies[1].verdict is Verdict.FAILED
+        assert rig.replies[1].status is AnswerStatus.FAILED
 
     play(tmp_path, scene)
 
@@ -92,7 +92,7 @@
         peer.sendall(piece)
         began = time()
         await asyncio.sleep(pause)
-        if time() - began < pause + rig.limits.late_beat:
+        if time() - began < pause + rig.limits.max_heartbeat_delay:
             rig.pool.watch()
 
 
@@ -111,7 +111,13 @@
         assert asyncio.get_running_loop().time() - began < 1.0
         await rig.until(lambda: rig.counters.counts.get("ended.reset") == 4, "all that was out has ended")
 
-    play(tmp_path, scene, kinds=(RequestClass("video", aim=5.0, deadline=20.0, effect=Effect.SAFE),))
+    play(
+        tmp_path,
+        scene,
+        kinds=(
+            RequestClass("video", latency_objective=5.0, deadline=20.0, idempotency=Idempotency.IDEMPOTENT),
+        ),
+    )
 
 
 def test_a_slow_answer_of_the_largest_size_lives_as_long_as_its_request_may(tmp_path: Path) -> None:
@@ -125,7 +131,13 @@
         await rig.until(lambda: rig.replies, "the answer")
         assert len(rig.replies[0].body) == size and not rig.counters.counts.get("stalled_answers")
 
-    play(tmp_path, scene, kinds=(RequestClass("video", aim=2.0, deadline=6.0, effect=Effect.SAFE),))
+    play(
+        tmp_path,
+        scene,
+        kinds=(
+            RequestClass("video", latency_objective=2.0, deadline=6.0, idempotency=Idempotency.IDEMPOTENT),
+        ),
+    )
 
 
 def test_the_rest_of_an_answer_given_up_holds_up_nothing_behind_it(tmp_path: Path) -> None:
@@ -145,8 +157,8 @@
         assert rig.counters.counts["stalled_answers"] == 1
         await rig.until(lambda: rig.counters.counts.get("ended.reset") == 1, "what was behind it has ended")
 
-    kinds = (RequestClass("video", aim=5.0, deadline=20.0, effect=Effect.SAFE),)
-    play(tmp_path, scene, kinds=kinds, limits=Limits(cache_silence=0.3))
+    kinds = (RequestClass("video", latency_objective=5.0, deadline=20.0, idempotency=Idempotency.IDEMPOTENT),)
+    play(tmp_path, scene, kinds=kinds, limits=Limits(silence_check_after=0.3))
 
 
 def test_the_real_program_goes_round_a_cache_whose_answer_never_ends() -> None:
--- a/tests/crossings/test_cache_words.py
+++ b/tests/crossings/test_cache_words.py
@@ -5,7 +5,7 @@
 import pytest
 from rig_caches import Rig, came, play
 
-from paddlequay.requests.messages import Verdict
+from paddlequay.requests.messages import AnswerStatus
 
 SEEN = "4be0c1927d55a6f3"
 
@@ -13,14 +13,14 @@
 @pytest.mark.parametrize("fields", ["-", "tag=ffffffffffffffff", "detail=HIT,minted=1000", "tag="])
 def test_a_client_s_copy_is_current_only_where_the_cache_has_named_it(tmp_path: Path, fields: str) -> None:
     async def scene(rig: Rig) -> None:
-        rig.ask("1", known=SEEN)
+        rig.ask("1", known_tag=SEEN)
         connection = await rig.asked("box", "1")
         connection.sendall(f"1 VALID {fields} 0\r\n\r\n".encode())
         other = await rig.asked("aimag", "1")  # spoilt, and asked for elsewhere
         assert not rig.replies and rig.counters.counts["bad_cache_lines"] == 1
         other.sendall(f"1 VALID tag={SEEN},minted=1000 0\r\n\r\n".encode())
         await rig.until(lambda: rig.replies, "the answer")
-        assert rig.replies[0].verdict is Verdict.UNCHANGED
+        assert rig.replies[0].status is AnswerStatus.NOT_MODIFIED
 
     play(tmp_path, scene)
 
@@ -80,7 +80,7 @@
     async def scene(rig: Rig) -> None:
         rig.ask("1")
         connection = await rig.asked("box", "1")
-        most = rig.limits.cache_ids
+        most = rig.limits.max_remembered_ids
         connection.sendall(most * b"77 NONE - 0\r\n\r\n" + b"1 HIT - 1\r\nx\r\n")
         await rig.until(lambda: rig.replies, "as many as there may be harm nobody")
         assert bytes(rig.replies[0].body) == b"x"
@@ -121,6 +121,6 @@
         await rig.until(lambda: rig.replies, "the second one's time is over")
         await rig.until(lambda: b"QUIT 2\r\n" in rig.peers["box"].seen[connection] + came(connection), "told")
         assert b"QUIT 1\r\n" in rig.peers["box"].seen[connection] + came(connection)
-        assert not rig.exchange.open
+        assert not rig.exchange.pending
 
     play(tmp_path, scene, can_cancel=allowed)
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -4,27 +4,29 @@
 
 from test_watch import ask, made
 
-from paddlequay.requests.messages import End, Reply
+from paddlequay.requests.messages import AttemptResult, FinalAnswer
 from paddlequay.routing.interface import Outcome
 
 
 def test_no_further_attempt_begins_for_a_client_that_left_before_the_first_one_s_end(tmp_path: Path) -> None:
     exchange, looker, side = made(tmp_path)
     gone: list[bool] = []
-    exchange.ask(ask("a"), list[Reply]().append, lambda: bool(gone))
+    exchange.submit(ask("a"), list[FinalAnswer]().append, lambda: bool(gone))
     attempt = side.started[0]
-    assert exchange.order(attempt) is not None
-    exchange.written(attempt)
+    assert exchange.prepare_write(attempt) is not None
+    exchange.mark_written(attempt)
     gone.append(True)
-    exchange.end(attempt, End(Outcome.MISS))  # asks for the next step, in the turn in which the client leaves
-    assert len(side.started) == 1 and not exchange.open
+    exchange.end_attempt(
+        attempt, AttemptResult(Outcome.MISS)
+    )  # asks for the next step, in the turn in which the client leaves
+    assert len(side.started) == 1 and not exchange.pending
     assert looker.heard[-1] == ("a", "over")
 
 
 def test_what_waited_for_its_connection_is_not_written_once_its_client_has_left(tmp_path: Path) -> None:
     exchange, _, side = made(tmp_path)
     gone: list[bool] = []
-    exchange.ask(ask("a"), list[Reply]().append, lambda: bool(gone))
+    exchange.submit(ask("a"), list[FinalAnswer]().append, lambda: bool(gone))
     gone.append(True)
-    assert exchange.order(side.started[0]) is None
-    assert not exchange.open and not exchange.ids and exchange.counters.counts["withdrawn"] == 1
+    assert exchange.prepare_write(side.started[0]) is None
+    assert not exchange.pending and not exchange.open_ids and exchange.counters.counts["withdrawn"] == 1
--- a/tests/crossings/test_clients_answers.py
+++ b/tests/crossings/test_clients_answers.py
@@ -6,9 +6,9 @@
 import pytest
 from rig_clients import Rig, answers, arrived, call, cancel, out, play, reset, turns, until
 
-from paddlequay.requests.messages import End
-from paddlequay.routing.interface import Outcome
 from paddlequay.protocol import msgpack
+from paddlequay.requests.messages import AttemptResult
+from paddlequay.routing.interface import Outcome
 
 
 @pytest.mark.parametrize("large", [1, 2**31, 2**32 - 1, 2**32, 2**64 - 1])
@@ -23,10 +23,10 @@
         client.sendall(cancel(large) + call(large, id=2))
         await until(lambda: len(rig.side.started) == 2, "the second one is sent on")
         out(rig, rig.side.started[1])
-        rig.exchange.end(rig.side.started[0], End(Outcome.SERVED, b"first"))
+        rig.exchange.end_attempt(rig.side.started[0], AttemptResult(Outcome.SERVED, b"first"))
         assert session.unsent == 0 and large in session.open
-        rig.exchange.end(rig.side.started[1], End(Outcome.SERVED, b"second"))
-        rig.exchange.end(rig.side.started[1], End(Outcome.SERVED, b"again"))
+        rig.exchange.end_attempt(rig.side.started[1], AttemptResult(Outcome.SERVED, b"second"))
+        rig.exchange.end_attempt(rig.side.started[1], AttemptResult(Outcome.SERVED, b"again"))
         client.sendall(cancel(large) + call(large, id=3))  # for an answered id, which is free again
         await until(lambda: len(rig.side.started) == 3, "the third one is sent on")
         rig.serve(rig.side.started[2], b"third")
@@ -46,11 +46,13 @@
             out(rig, attempt)
         client.sendall(cancel(1))
         arrived(session.stream.socket)
-        rig.exchange.end(rig.side.started[0], End(Outcome.SERVED, b"one"))  # first the answer
+        rig.exchange.end_attempt(
+            rig.side.started[0], AttemptResult(Outcome.SERVED, b"one")
+        )  # first the answer
         await turns()
         client.sendall(cancel(2))
         await until(lambda: not session.open, "the cancel is read")  # first the cancel
-        rig.exchange.end(rig.side.started[1], End(Outcome.SERVED, b"two"))
+        rig.exchange.end_attempt(rig.side.started[1], AttemptResult(Outcome.SERVED, b"two"))
         client.sendall(msgpack.pack([0, 7, "alive", [{}]]))
         assert [answer[3][0] for answer in await answers(client, 2)] == [b"one", True]
 
@@ -114,9 +116,9 @@
                 other, _ = await rig.client()
                 other.sendall(call(9))
                 await until(lambda: len(rig.side.started) == 9, "it is sent on")
-                rig.shares.part = 1e-9
+                rig.shares.memory_share = 1e-9
                 rig.serve(rig.side.started[8])
-                rig.shares.part = 1.0
+                rig.shares.memory_share = 1.0
                 assert session.stream.closed() and (await answers(other, 1))[0][3][0] == b"x"
             case "router":
                 session.end()
@@ -136,7 +138,7 @@
         client.sendall(call(1))
         other.sendall(call(2))
         await until(lambda: len(rig.side.started) == 2, "both are sent on")
-        monkeypatch.setattr(rig.front.load, "sheds", lambda: 1 / 0)
+        monkeypatch.setattr(rig.front.load, "should_shed", lambda: 1 / 0)
         client.sendall(call(3))
         found = await answers(client)
         monkeypatch.undo()
--- a/tests/crossings/test_clients_closing.py
+++ b/tests/crossings/test_clients_closing.py
@@ -9,8 +9,8 @@
 import pytest
 from rig_clients import WAIT, Rig, answers, arrived, call, play, turns, until
 
-from paddlequay.net.listener import FULL_PAUSE
 from paddlequay.lifecycle.operator_state import DRAIN
+from paddlequay.net.listener import FULL_PAUSE
 from paddlequay.protocol import msgpack
 
 
@@ -129,7 +129,7 @@
         rig.serve(rig.side.started[0])
         assert (await answers(client, 1))[0][3][0] == b"x"
 
-    play(tmp_path, scene, client_idle=0.05, client_silent=0.05)
+    play(tmp_path, scene, client_idle_timeout=0.05, client_silence_timeout=0.05)
 
 
 @pytest.mark.parametrize("state", ["idle", "mute", "half"])
@@ -143,7 +143,7 @@
         rig.front.sweep()
         assert await answers(client) == []
 
-    play(tmp_path, scene, client_idle=0.05, client_silent=0.05)
+    play(tmp_path, scene, client_idle_timeout=0.05, client_silence_timeout=0.05)
 
 
 def test_an_answer_just_written_outlives_the_fault_that_ends_its_connection(tmp_path: Path) -> None:
@@ -197,12 +197,12 @@
         client, session = await rig.client()
         client.sendall(call(1))
         await until(lambda: rig.side.started, "the request is sent on")
-        assert rig.exchange.order(rig.side.started[0]) is not None
-        rig.exchange.written(rig.side.started[0])
-        rig.front.operation.order(DRAIN, True)
+        assert rig.exchange.prepare_write(rig.side.started[0]) is not None
+        rig.exchange.mark_written(rig.side.started[0])
+        rig.front.operation.set_override(DRAIN, True)
         client.sendall(call(2))
         arrived(session.stream.socket)
-        rig.front.drained_at = rig.front.now() - rig.limits.drain_close
+        rig.front.drained_at = rig.front.now() - rig.limits.drain_close_after
         rig.front.empty()  # with the second one unread
         found = await answers(client)
         assert [answer[1] for answer in found] == [1] and found[0][2][0] in ("TryLater", "Aborted")
@@ -219,7 +219,7 @@
     async def scene(rig: Rig) -> None:
         if first:
             client, session = await rig.client()
-            taken, session.began = session.stream.socket, session.began - rig.limits.late_comer
+            taken, session.began = session.stream.socket, session.began - rig.limits.new_connection_age
         else:
             client, taken = await idle(rig)
         rig.front.giving_way = True
--- a/tests/crossings/test_clients_leaving.py
+++ b/tests/crossings/test_clients_leaving.py
@@ -12,9 +12,9 @@
 from harness import until as until_
 from rig_clients import Rig, answers, arrived, call, cancel, ended, out, play, reset, turns, until
 
-from paddlequay.requests.messages import End
-from paddlequay.routing.interface import Outcome
 from paddlequay.protocol import msgpack
+from paddlequay.requests.messages import AttemptResult
+from paddlequay.routing.interface import Outcome
 
 LONG = 0.02  # longer than a client seen to be there is taken to be there still
 
@@ -104,17 +104,17 @@
                     session.stream._handle_events(taken, session.stream.io_loop.READ)
                     assert not session.stream.reading()
         time.sleep(LONG)  # the loop stands still
-        rig.exchange.end(rig.side.started[0], End(Outcome.MISS))
+        rig.exchange.end_attempt(rig.side.started[0], AttemptResult(Outcome.MISS))
         assert len(rig.side.started) == 2, "no second attempt"
         if how.startswith("cancel"):
-            rig.exchange.end(rig.side.started[1], End(Outcome.MISS))
+            rig.exchange.end_attempt(rig.side.started[1], AttemptResult(Outcome.MISS))
             assert len(rig.side.started) == 3  # the other one goes on
             rig.serve(rig.side.started[2])
             assert [answer[1] for answer in await answers(client, 1)] == [2]
             await until(lambda: not session.open, "the cancel is read")
         else:
             await until(lambda: not rig.front.sessions, "its session ends")
-            assert not rig.exchange.open and len(rig.side.started) == 2
+            assert not rig.exchange.pending and len(rig.side.started) == 2
 
     play(tmp_path, scene)
 
@@ -127,12 +127,12 @@
         client.close()
         ended(session.stream.socket)
         time.sleep(LONG)  # the loop stands still
-        assert rig.exchange.order(rig.side.started[0]) is None and not rig.exchange.open
+        assert rig.exchange.prepare_write(rig.side.started[0]) is None and not rig.exchange.pending
 
     play(tmp_path, scene)
 
 
-HELD = {"client_unsent": 1_200_000}  # with buffers of the system far under that
+HELD = {"max_client_unsent": 1_200_000}  # with buffers of the system far under that
 
 
 async def held_back(rig: Rig) -> tuple[socket.socket, socket.socket]:
@@ -143,7 +143,7 @@
     out(rig, rig.side.started[0])
     for attempt in list(rig.side.started[1:]):
         rig.serve(attempt, bytes(240_000))
-    assert session.unsent > rig.limits.client_unsent / 2
+    assert session.unsent > rig.limits.max_client_unsent / 2
     client.sendall(b"".join(map(call, (5, 6, 7))))
     await until(lambda: len(session.queue) == 3, "they are read, and held back")
     assert len(rig.side.started) == 4
@@ -154,7 +154,7 @@
     async def scene(rig: Rig) -> None:
         client, _ = await held_back(rig)
         client.sendall(cancel(1, 6))
-        await until(lambda: len(rig.exchange.open) == 0, "the cancel is heard")  # while nothing is taken
+        await until(lambda: len(rig.exchange.pending) == 0, "the cancel is heard")  # while nothing is taken
         assert rig.counters.counts["withdrawn"] == 1
         client.sendall(cancel(9))  # for an id that is not open: passed over
         found = await answers(client, 3)
@@ -172,8 +172,8 @@
         client.shutdown(socket.SHUT_WR) if end == "close" else reset(client)
         ended(taken)
         await until(lambda: not rig.front.sessions, "its session ends")
-        rig.exchange.end(rig.side.started[0], End(Outcome.MISS))
-        assert len(rig.side.started) == 4 and not rig.exchange.open
+        rig.exchange.end_attempt(rig.side.started[0], AttemptResult(Outcome.MISS))
+        assert len(rig.side.started) == 4 and not rig.exchange.pending
 
     play(tmp_path, scene, **HELD)
 
@@ -204,14 +204,14 @@
         for number in range(10, 20):
             client.sendall(call(number, method="charge", body=bytes(40_000)))
         await until(lambda: rig.counters.counts["requests"] == 17, "all are read")
-        assert rig.front.queued == 80_000 and rig.counters.counts["refused.too_many_open"] == 8
+        assert rig.front.queued == 80_000 and rig.counters.counts["rejected.too_many_open"] == 8
         client.sendall(b"".join(map(call, range(20, 60))))
         await until(lambda: rig.counters.counts["requests"] == 57, "all are read")
         assert len(session.queue) + len(session.open) == rig.limits.client_streams
-        assert rig.counters.counts["refused.too_many_streams"] == 14
+        assert rig.counters.counts["rejected.too_many_streams"] == 14
         client.close()
 
-    play(tmp_path, scene, held_bodies=200_000, **HELD)
+    play(tmp_path, scene, max_body_bytes=200_000, **HELD)
 
 
 def test_a_flood_hides_no_cancel_for_long(tmp_path: Path) -> None:
@@ -225,9 +225,9 @@
         await until(lambda: rig.side.started, "it is sent on")
         out(rig, rig.side.started[0])
         sending = asyncio.get_running_loop().run_in_executor(None, client.sendall, junk)
-        await until(lambda: not rig.exchange.open, "it is given up")
+        await until(lambda: not rig.exchange.pending, "it is given up")
         assert rig.counters.counts["requests"] < many / 4  # with most of it unread
-        assert rig.counters.counts["surrendered"] == 1
+        assert rig.counters.counts["abandoned"] == 1
         client.shutdown(socket.SHUT_RDWR)
         with contextlib.suppress(OSError):
             await sending
@@ -260,4 +260,4 @@
         words = p.box.answer("HIT", "-", b"x")
         assert words[1] == "00000000000000aa" and usual.answer()[3][0] == b"x"
         until_(lambda: p.counted("client_connections") == 3, "all were taken in")
-        assert p.box.lines.empty() and p.counted("asked.video") == 1
+        assert p.box.lines.empty() and p.counted("received.video") == 1
--- a/tests/crossings/test_cold_fleet.py
+++ b/tests/crossings/test_cold_fleet.py
@@ -12,13 +12,17 @@
 import pytest
 from rig_cold import Fleet, Site, over
 
-from paddlequay.routing.interface import Ramp, State
+from paddlequay.routing.interface import MemberState, SlowStart
 
 # Drawn from what settings may name: a slow and a fast start, one to three seconds, with reports and without.
 SITES = {
-    "words": Site(Ramp(0.17, 15.0, 2.5, 2.0), Ramp(0.07, 18.0, 2.0, 2.0), 20),
-    "notes": Site(Ramp(0.3, 16.0, 3.0, 1.0), Ramp(0.06, 20.0, 2.0, 1.0), 20, tells="hit", reports=False),
-    "nothing": Site(Ramp(0.12, 18.0, 2.2, 3.0), Ramp(0.1, 14.0, 2.0, 3.0), 20, tells="none", reports=False),
+    "words": Site(SlowStart(0.17, 15.0, 2.5, 2.0), SlowStart(0.07, 18.0, 2.0, 2.0), 20),
+    "notes": Site(
+        SlowStart(0.3, 16.0, 3.0, 1.0), SlowStart(0.06, 20.0, 2.0, 1.0), 20, tells="hit", reports=False
+    ),
+    "nothing": Site(
+        SlowStart(0.12, 18.0, 2.2, 3.0), SlowStart(0.1, 14.0, 2.0, 3.0), 20, tells="none", reports=False
+    ),
 }
 LOST, END = 12.0, 24.0
 
@@ -39,7 +43,7 @@
     def lose() -> None:
         for cache in edges:
             cache.here = False
-        fleet.tell(*(cache.entry(State.GONE) for cache in edges))
+        fleet.tell(*(cache.entry(MemberState.REMOVED) for cache in edges))
 
     def back() -> None:
         fleet.surge = 3.0
--- a/tests/crossings/test_configuration.py
+++ b/tests/crossings/test_configuration.py
@@ -16,27 +16,36 @@
 from harness import ROOT, SETTINGS, platform
 from rig_settings import CLASSES, FULL, SPOILT, WHOLE, changed, read
 
-from paddlequay.config.loader import Config, ConfigError, Limits
+from paddlequay.config.limits import Limits
+from paddlequay.config.loader import Config
+from paddlequay.errors import ConfigError
+from paddlequay.policy import Router
 from paddlequay.routing.interface import (
     AttemptEnded,
     Fail,
     Fetch,
     Member,
     MembersChanged,
-    Note,
+    MemberState,
     Outcome,
-    Refuse,
+    Reject,
+    ReplyDetail,
     Request,
-    State,
 )
-from paddlequay.policy import Router
 
 MEMBERS = (
-    *(Member(f"box-{n}", "here", "box", n, State.READY, 1.0, 95.0) for n in range(2)),
-    Member("parent-1", "hub", "parent", 2, State.READY, 1.0, 95.0),
-    Member("origin-1", "hub", "origin", 3, State.READY, 1.0, 95.0),
+    *(Member(f"box-{n}", "here", "box", n, MemberState.READY, 1.0, 95.0) for n in range(2)),
+    Member("parent-1", "hub", "parent", 2, MemberState.READY, 1.0, 95.0),
+    Member("origin-1", "hub", "origin", 3, MemberState.READY, 1.0, 95.0),
+)
+ENDS = (
+    Outcome.REJECTED,
+    Outcome.TIMEOUT,
+    Outcome.SERVED,
+    Outcome.MISS,
+    Outcome.CONNECT_FAILED,
+    Outcome.RESET,
 )
-ENDS = (Outcome.REFUSED, Outcome.TIMEOUT, Outcome.SERVED, Outcome.MISS, Outcome.UNREACHED, Outcome.RESET)
 
 
 def paths(value: Any, at: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
@@ -59,16 +68,16 @@
             actions = router.handle(Request(f"r{number}", kind.name, 1.0, key, 0, 3), now)
             for step in range(50):
                 assert all(
-                    type(each) in (Fetch, Refuse, Fail) for each in actions if hasattr(each, "request")
+                    type(each) in (Fetch, Reject, Fail) for each in actions if hasattr(each, "request")
                 )
-                ends += sum(isinstance(each, Refuse | Fail) for each in actions)
+                ends += sum(isinstance(each, Reject | Fail) for each in actions)
                 fetch = next((each for each in actions if isinstance(each, Fetch)), None)
                 if fetch is None:
                     break
                 now += 0.02
                 end = ENDS[(key + step) % len(ENDS)]
                 ended = AttemptEnded(
-                    fetch.request, step, fetch.target, end, 0.02, end is Outcome.SERVED, Note.HIT
+                    fetch.request, step, fetch.target, end, 0.02, end is Outcome.SERVED, ReplyDetail.HIT
                 )
                 ends += ended.final
                 actions = router.handle(ended, now)
@@ -89,7 +98,7 @@
         serves(config)
         figures = [getattr(config.limits, each.name) for each in dataclasses.fields(Limits)]
         assert all(math.isfinite(figure) and figure >= 0 for figure in figures), path
-        assert config.limits.cache_streams >= 1 and config.limits.attempts >= 1, path
+        assert config.limits.cache_streams >= 1 and config.limits.max_attempts >= 1, path
     assert 0 < used < sum(1 for _ in paths(WHOLE)), "some are used, and some are not"
 
 
@@ -123,7 +132,9 @@
 def test_what_is_missing_is_not_zero(tmp_path: Path) -> None:
     needed = {key: FULL[key] for key in ("locality", "classes")}
     settings = read(tmp_path, WHOLE | {"settings": needed}).settings
-    assert settings.max_retry_after is None and settings.can_cancel is None and settings.purge_done is None
+    assert (
+        settings.max_retry_after is None and settings.can_cancel is None and settings.purge_completion is None
+    )
     zero = FULL["limits"] | {"maxRetryAfter": 0}
     assert read(tmp_path, WHOLE | {"settings": FULL | {"limits": zero}}).settings.max_retry_after == 0.0
 
--- a/tests/crossings/test_ending.py
+++ b/tests/crossings/test_ending.py
@@ -14,9 +14,9 @@
 from harness import WAIT, Client, Party, Platform, platform, until
 from rig_end import Restless, call, rows, served, short
 
-from paddlequay.config.loader import limits_from
-from paddlequay.programs.shutdown import end
-from paddlequay.config.settings import settings_from
+from paddlequay.config.limits import limits_from
+from paddlequay.config.settings import parse_settings
+from paddlequay.programs.shutdown import shut_down
 
 
 def serve(box: Party, sent_on: set[int]) -> None:
@@ -30,11 +30,11 @@
 GATE = """
 import time
 from paddlequay.requests.exchange import Exchange
-real = Exchange.surrender
-def surrender(self):
+real = Exchange.abandon_all
+def abandon_all(self):
     real(self)
     time.sleep(0.1)  # the loop stands still, and some requests come
-Exchange.surrender = surrender
+Exchange.abandon_all = abandon_all
 """
 
 
@@ -83,7 +83,7 @@
         slow, half, other = fill(p), p.client(), p.client()
         half.socket.sendall(call(900)[:20])
         p.process.terminate()
-        p.logged("event=ending")
+        p.logged("event=shutdown_started")
         time.sleep(0.4)  # the platform's time: requests still come
         other.socket.sendall(call(901))  # waits longer than the deadline
         assert other.answer()[2][0] == "TryLater"  # all that is open is given up
@@ -104,7 +104,7 @@
             client.ask(kind, ttl=str(int(1500 * deadline)))
         until(lambda: p.counted("requests") == 2, "they are open")
         p.process.terminate()
-        p.logged("event=ending")
+        p.logged("event=shutdown_started")
         began = time.monotonic()
         for place, after in ((2, 0.2), (4, 0.55)):  # the platform's times
             time.sleep(max(0.0, began + after - time.monotonic()))
@@ -156,11 +156,11 @@
     restless = Mock(reader=Mock(rest=b"x"), at_rest=lambda: False)
     restless.end = lambda: at.setdefault("shut", loop.time())
     front = Mock(sessions={restless}, unsent=0)
-    front.exchange = Mock(open={"q1": None}, surrender=lambda: at.setdefault("given up", loop.time()))
+    front.exchange = Mock(pending={"q1": None}, abandon_all=lambda: at.setdefault("given up", loop.time()))
     front.empty = lambda: front.hurrying and at.setdefault("refusing", loop.time())
-    limits = limits_from({"settings": {}}, settings_from(short(deadline)))
+    limits = limits_from({"settings": {}}, parse_settings(short(deadline)))
     try:
-        loop.run_until_complete(end(front, Mock(replaced=False), limits))
+        loop.run_until_complete(shut_down(front, Mock(replaced=False), limits))
         over, kill = loop.time(), min(3.0, deadline) + 0.7
     finally:
         loop.close()
--- a/tests/crossings/test_limits_told.py
+++ b/tests/crossings/test_limits_told.py
@@ -11,35 +11,36 @@
 from hypothesis import strategies as st
 from rig_settings import FULL
 
-from paddlequay.config import loader as told
+from paddlequay.config import limits as told
+from paddlequay.config.limits import Limits, limits_from, shutdown_times
+from paddlequay.config.settings import parse_settings
+from paddlequay.errors import ConfigError
 from paddlequay.programs import shutdown as ending
-from paddlequay.config.loader import ConfigError, Limits, end_times, limits_from
-from paddlequay.config.settings import settings_from
 
 
 @settings(deadline=None, derandomize=True)
 @given(st.floats(0.05, 100.0))
 def test_at_an_end_each_step_comes_in_order_and_the_last_before_sigkill(longest: float) -> None:
-    times, killed = end_times(longest), min(3.0, longest) + 0.7
-    assert times["drain_longest"] + ending.LAST_WORDS < killed
-    assert 0 < times["accept_after_term"] <= times["serve_after_term"] < times["drain_longest"]
+    times, killed = shutdown_times(longest), min(3.0, longest) + 0.7
+    assert times["shutdown_timeout"] + ending.FLUSH_TIME < killed
+    assert 0 < times["accept_after_term"] <= times["serve_after_term"] < times["shutdown_timeout"]
     if longest >= 0.21:  # requests still come for 0.6 s, and the platform grants 0.05 s
         assert times["serve_after_term"] > 0.65
     if longest >= 0.3:
         assert (times["accept_after_term"], times["serve_after_term"]) == (0.5, 0.75)
     # Who has asked before the end is near has all the time that counts, but for what an end itself takes.
-    assert times["drain_longest"] >= min(3.0, longest) + 0.5 - 1e-9
+    assert times["shutdown_timeout"] >= min(3.0, longest) + 0.5 - 1e-9
 
 
 @pytest.mark.parametrize("longest", [3.0, 6.0, 10.0])
 def test_with_deadlines_of_three_seconds_and_more_the_end_is_the_longest(longest: float) -> None:
-    assert end_times(longest)["drain_longest"] == pytest.approx(3.5)
+    assert shutdown_times(longest)["shutdown_timeout"] == pytest.approx(3.5)
 
 
 def limits(**also: Any) -> Limits:
     """Limits of a deployment; `sockets` is the deployment's, the rest are of the settings."""
     data = {"limits": {"sockets": also.pop("sockets", 1024)}, "settings": FULL | {"limits": also}}
-    return limits_from(data, settings_from(data["settings"]))
+    return limits_from(data, parse_settings(data["settings"]))
 
 
 @settings(deadline=None, derandomize=True)
@@ -47,9 +48,9 @@
 def test_descriptors_add_up_to_what_is_allowed(sockets: int) -> None:
     made = limits(sockets=sockets)
     assert made.client_connections <= sockets / 3
-    assert made.client_connections + made.all_cache_connections + made.own_descriptors <= sockets
+    assert made.client_connections + made.all_cache_connections + made.reserved_descriptors <= sockets
     assert made.client_connections > 0 and made.all_cache_connections >= 4
-    assert 0 < made.console_connections <= made.own_descriptors - told.BESIDE_CONSOLE
+    assert 0 < made.console_connections <= made.reserved_descriptors - told.NON_CONSOLE_DESCRIPTORS
 
 
 @pytest.mark.parametrize("sockets", [0, 5, 35])
@@ -62,8 +63,8 @@
 @given(st.floats(0.4, 1000.0))
 def test_idle_connections_are_closed_here_before_their_peers_close_them(keepalive: float) -> None:
     made = limits(keepalive=keepalive)
-    assert 0 < made.cache_fresh <= made.cache_idle and made.cache_fresh <= 0.1
-    assert made.cache_idle + made.sweep < keepalive
+    assert 0 < made.max_reuse_idle <= made.cache_idle_timeout and made.max_reuse_idle <= 0.1
+    assert made.cache_idle_timeout + made.sweep_interval < keepalive
 
 
 @pytest.mark.parametrize(("streams", "used"), [(1, 1), (32, 32), (100_000, 512)])
@@ -81,7 +82,7 @@
         p.ready()
         p.bulletin.accepted.get(timeout=5)
         held = len(list(Path(f"/proc/{p.process.pid}/fd").iterdir()))
-    assert held <= told.BESIDE_CONSOLE
+    assert held <= told.NON_CONSOLE_DESCRIPTORS
 
 
 def test_an_end_with_short_deadlines_and_a_client_that_reads_nothing_comes_by_itself() -> None:
@@ -95,7 +96,7 @@
             p.box.answer("HIT", "tag=0,minted=1764576000000", b"x" * 240_000)
         until(lambda: p.counted("answer_bytes") > 20 * 240_000, "most are on their way")
         assert p.end() == 0
-        found = re.search(r" after=([0-9.]+)", p.logged("event=ended"))
+        found = re.search(r" after=([0-9.]+)", p.logged("event=shutdown_ended"))
     # Half of what is left until SIGKILL, and half beyond it, are the machine's that runs this test.
     assert found is not None and longest + 0.6 < float(found[1]) < longest + 0.7 + 0.2
 
--- a/tests/crossings/test_list_members.py
+++ b/tests/crossings/test_list_members.py
@@ -10,16 +10,16 @@
 from rig_list import entry, roster
 from test_watch import made
 
-from paddlequay.observability.counters import Counters
 from paddlequay.discovery.membership import Limits, Rule
 from paddlequay.discovery.resolver import Send
-from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import State
 from paddlequay.net import dns
 from paddlequay.net.bulletin import Follower
 from paddlequay.net.caches import Pool
 from paddlequay.net.members import Members
+from paddlequay.observability.counters import Counters
 from paddlequay.protocol.bulletin import Heartbeat, Listed, MalformedError, read_news
+from paddlequay.requests.exchange import Exchange
+from paddlequay.routing.interface import MemberState
 from paddlequay.schema.sources import DiscoverySettings
 
 TERMINATING = "terminating"
@@ -44,7 +44,7 @@
 
 def followed(tmp_path: Path) -> tuple[Follower, Exchange, Breaking]:
     exchange, _, _ = made(tmp_path)
-    pool = Breaking(exchange, exchange.shares, exchange.limits, exchange.counters)
+    pool = Breaking(exchange, exchange.quotas, exchange.limits, exchange.counters)
     follower = Follower(("127.0.0.1", 1), exchange, pool, exchange.limits, exchange.counters)
     follower.start_from({"no": 1, "items": [roster(1, entry("a"), entry("b", hostPort="10.0.0.2:80"))]})
     return follower, exchange, pool
@@ -53,7 +53,7 @@
 def discovered(tmp_path: Path, most: int = 100) -> tuple[Follower, Exchange, Breaking, Members]:
     """The same with the list as a source of the membership."""
     exchange, _, _ = made(tmp_path)
-    pool = Breaking(exchange, exchange.shares, exchange.limits, exchange.counters)
+    pool = Breaking(exchange, exchange.quotas, exchange.limits, exchange.counters)
     follower = Follower(("127.0.0.1", 1), exchange, pool, exchange.limits, exchange.counters)
     settings = DiscoverySettings((Rule("list"),), (), (), None, Limits(members=most))
     members = Members(settings, follower, exchange, pool, exchange.counters, "n0")
@@ -72,7 +72,7 @@
             follower.stuck += 1
 
 
-def states(exchange: Exchange) -> dict[str, State | None]:
+def states(exchange: Exchange) -> dict[str, MemberState | None]:
     return {name: member.state for name, member in exchange.members.items() if name in ("a", "b", "c")}
 
 
@@ -89,7 +89,7 @@
         entry("b", lifecycle="terminated"),
     ]
     tell(follower, roster(2, *words))
-    assert states(exchange) == {"a": State.DRAINING, "c": State.READY}
+    assert states(exchange) == {"a": MemberState.DRAINING, "c": MemberState.READY}
     assert pool.instances.keys() == {"a", "c"}
     assert exchange.counters.counts["members_errors" if discovery else "bulletin_errors"] == 1
 
@@ -102,9 +102,9 @@
     pool.poison = "b"
     words = [entry("c", hostPort="10.0.0.3:80"), entry("b", lifecycle=TERMINATING, hostPort="10.0.0.2:80")]
     tell(follower, roster(2, *words))
-    assert states(exchange) == {"a": State.READY, "b": State.DRAINING, "c": State.READY}
+    assert states(exchange) == {"a": MemberState.READY, "b": MemberState.DRAINING, "c": MemberState.READY}
     tell(follower, roster(3, entry("a", lifecycle="terminated")))
-    assert states(exchange) == {"b": State.DRAINING, "c": State.READY}
+    assert states(exchange) == {"b": MemberState.DRAINING, "c": MemberState.READY}
     follower.on_alive()
     pool.poison = None
     follower.on_alive()
@@ -117,20 +117,20 @@
     instance = pool.instances["b"]
     drains = [{"instanceId": name, "lifecycle": TERMINATING} for name in ("b", "nobody")]
     tell(follower, roster(2, *drains, entry("c", hostPort="10.0.0.3:80")))
-    assert states(exchange) == {"a": State.READY, "b": State.DRAINING, "c": State.READY}
+    assert states(exchange) == {"a": MemberState.READY, "b": MemberState.DRAINING, "c": MemberState.READY}
     assert pool.instances["b"] is instance and instance.address == ("10.0.0.2", 80)  # its work goes on
-    assert not exchange.bounds.usable("b") and exchange.bounds.usable("c")
+    assert not exchange.write_checks.is_usable("b") and exchange.write_checks.is_usable("c")
     assert "nobody" not in exchange.members
     assert exchange.counters.counts["unusable_entries"] == 2
     tell(follower, roster(3, entry("b", hostPort="10.0.0.2:80")))
-    assert exchange.bounds.usable("b") and pool.instances["b"] is instance
+    assert exchange.write_checks.is_usable("b") and pool.instances["b"] is instance
 
 
 def test_a_report_past_the_bound_of_members_is_refused_but_for_those_it_drains(tmp_path: Path) -> None:
     follower, exchange, _, _ = discovered(tmp_path, most=4)
     many = [entry(f"m{n}", hostPort=f"10.1.0.{n}:80") for n in range(1, 9)]
     tell(follower, roster(2, *many, entry("a", lifecycle=TERMINATING), entry("b", lifecycle="terminated")))
-    assert states(exchange) == {"a": State.DRAINING} and "m1" not in exchange.members
+    assert states(exchange) == {"a": MemberState.DRAINING} and "m1" not in exchange.members
     assert exchange.counters.counts["members_refused"] == 1
 
 
--- a/tests/crossings/test_own_failures.py
+++ b/tests/crossings/test_own_failures.py
@@ -5,8 +5,14 @@
 import pytest
 from rig_repeats import FEE, PAGE, Rig, entry
 
-from paddlequay.requests.messages import Ask, Attempt, End, Reply, Verdict
-from paddlequay.routing.interface import Action, Event, MembersChanged, Outcome, State
+from paddlequay.requests.messages import (
+    AnswerStatus,
+    AttemptResult,
+    ClientRequest,
+    FinalAnswer,
+    UpstreamAttempt,
+)
+from paddlequay.routing.interface import Action, Event, MembersChanged, MemberState, Outcome
 
 
 class NobodyExpectsError(Exception):
@@ -16,9 +22,9 @@
 def test_a_failed_start_ends_its_own_attempt_alone_and_proves_it_idle(tmp_path: Path) -> None:
     """No descriptor for a connection: nothing was written, so even a fee may go on elsewhere."""
     rig = Rig(tmp_path, (FEE,), direct=True)
-    start, failed = rig.side.start, list[Attempt]()
+    start, failed = rig.side.start, list[UpstreamAttempt]()
 
-    def fails_once(attempt: Attempt) -> None:
+    def fails_once(attempt: UpstreamAttempt) -> None:
         if not failed:
             failed.append(attempt)
             raise OSError(24, "Too many open files")
@@ -26,7 +32,7 @@
 
     rig.side.start = fails_once  # type: ignore[method-assign]
     rig.ask("fee")
-    assert failed[0].over and rig.counters.counts["ended.not_sent"] == 1
+    assert failed[0].ended and rig.counters.counts["ended.not_sent"] == 1
     (again,) = rig.side.waiting
     assert rig.side.write(again) is again and not rig.replies["a"]
 
@@ -35,7 +41,7 @@
     rig = Rig(tmp_path, (FEE,), direct=True)
     start = rig.side.start
 
-    def writes_and_fails(attempt: Attempt) -> None:
+    def writes_and_fails(attempt: UpstreamAttempt) -> None:
         start(attempt)
         rig.side.write(attempt)
         raise NobodyExpectsError
@@ -43,7 +49,7 @@
     rig.side.start = writes_and_fails  # type: ignore[method-assign]
     rig.ask("fee")
     assert len(rig.side.writes) == 1 and not rig.side.out, "given up"
-    assert [reply.verdict for reply in rig.replies["a"]] == [Verdict.FAILED] and not rig.exchange.open
+    assert [reply.status for reply in rig.replies["a"]] == [AnswerStatus.FAILED] and not rig.exchange.pending
 
 
 def test_one_action_that_fails_loses_no_other_of_the_same_event(tmp_path: Path) -> None:
@@ -54,31 +60,31 @@
     (target,) = {attempt.fetch.target for attempt in rig.side.waiting}
     waiting, abandon = rig.side.waiting[:], rig.side.abandon
 
-    def fails_first(attempt: Attempt) -> bool:
+    def fails_first(attempt: UpstreamAttempt) -> bool:
         if attempt is waiting[0]:
             raise NobodyExpectsError
         return abandon(attempt)
 
     rig.side.abandon = fails_first  # type: ignore[method-assign]
-    rig.exchange.list_changed((entry(target, "here", 0, state=State.GONE),), False)
-    assert all(attempt.over for attempt in waiting)
-    assert {attempt.id for attempt in rig.side.waiting if not attempt.over} == {"a0", "a1", "a2", "a3"}
+    rig.exchange.update_members((entry(target, "here", 0, state=MemberState.REMOVED),), False)
+    assert all(attempt.ended for attempt in waiting)
+    assert {attempt.id for attempt in rig.side.waiting if not attempt.ended} == {"a0", "a1", "a2", "a3"}
 
 
 def test_an_answer_that_cannot_be_given_keeps_nobody_else_from_theirs(tmp_path: Path) -> None:
     """The end of its attempt is told to the decisions all the same: what it held there comes free."""
     rig = Rig(tmp_path, (PAGE,))
 
-    def broken(reply: Reply) -> None:
+    def broken(reply: FinalAnswer) -> None:
         raise NobodyExpectsError
 
-    rig.exchange.ask(Ask("a", "page", 2.0, "07", 7, 0, None), broken)
+    rig.exchange.submit(ClientRequest("a", "page", 2.0, "07", 7, 0, None), broken)
     first = rig.side.write()
     assert first is not None
-    rig.exchange.end(first, End(Outcome.SERVED, b"x"))
-    servers = rig.exchange.router.know.members.servers.values()
-    assert not rig.exchange.open and not rig.exchange.router.open
-    assert all(server.out == 0.0 for server in servers)
+    rig.exchange.end_attempt(first, AttemptResult(Outcome.SERVED, b"x"))
+    servers = rig.exchange.router.state.members.upstreams.values()
+    assert not rig.exchange.pending and not rig.exchange.router.requests
+    assert all(server.in_flight == 0.0 for server in servers)
     rig.ask("page", "b")
     assert rig.side.write() is not None
 
@@ -102,12 +108,12 @@
     monkeypatch.setattr(rig.exchange.router, "handle", fails)
     if event == "end":
         (attempt,) = [each for each in rig.side.waiting if each.id == "a"]
-        rig.side.end(attempt, Outcome.UNREACHED)
+        rig.side.end(attempt, Outcome.CONNECT_FAILED)
     else:
         rig.ask("page", "a")
-    assert [reply.verdict for reply in rig.replies["a"]] == [Verdict.FAILED]
+    assert [reply.status for reply in rig.replies["a"]] == [AnswerStatus.FAILED]
     assert [each.id for each in rig.side.waiting] == ["other"] and not rig.replies["other"]
-    assert len(rig.exchange.router.open) == 1
+    assert len(rig.exchange.router.requests) == 1
 
 
 def test_a_decision_on_the_list_that_fails_leaves_what_is_open_to_its_time_outs(
@@ -125,9 +131,9 @@
 
     monkeypatch.setattr(rig.exchange.router, "handle", fails)
     for name in list(rig.exchange.members):
-        rig.exchange.list_changed((entry(name, "here", 0, state=State.GONE),), False)
+        rig.exchange.update_members((entry(name, "here", 0, state=MemberState.REMOVED),), False)
     while rig.side.waiting:
         assert rig.side.write() is None, "the list in force binds, whatever became of the decision"
     rig.clock.move(2.1)
-    assert not rig.side.writes and not rig.exchange.open
+    assert not rig.side.writes and not rig.exchange.pending
     assert len(rig.replies["a"]) == len(rig.replies["b"]) == 1
--- a/tests/crossings/test_ready.py
+++ b/tests/crossings/test_ready.py
@@ -14,7 +14,7 @@
 import pytest
 from harness import ROOT, Client, platform
 
-from paddlequay.config.loader import Limits
+from paddlequay.config.limits import Limits
 from paddlequay.lab.plaza import free_port
 from paddlequay.protocol import msgpack
 
@@ -199,7 +199,7 @@
         assert os.listdir(made.folder.name)  # the socket file by which a newer process would find it
         made.start()
         assert alive(made.client()) is True
-        assert "beside_older=False" in made.logged("event=serving beside_older=False")
+        assert "beside_predecessor=False" in made.logged("event=serving beside_predecessor=False")
 
 
 def test_an_older_process_that_hangs_holds_the_newer_one_back_for_a_bounded_time() -> None:
@@ -209,11 +209,11 @@
         older.send_signal(signal.SIGSTOP)
         newer = made.start()
         bound = time.monotonic() + 4 * READY_S  # of start and wait, on a core that is not its own
-        while not (told := [line for line in made.log if "event=serving beside_older=True" in line]):
+        while not (told := [line for line in made.log if "event=serving beside_predecessor=True" in line]):
             assert time.monotonic() < bound
             time.sleep(0.02)
         after = told[0].rpartition("after=")[2]
-        assert float(after) < Limits().twin_connect + Limits().warm_longest + 1.0 < READY_S
+        assert float(after) < Limits().link_connect_timeout + Limits().warm_up_timeout + 1.0 < READY_S
         older.kill()
         assert newer.poll() is None
 
--- a/tests/crossings/test_repeats.py
+++ b/tests/crossings/test_repeats.py
@@ -5,11 +5,11 @@
 import pytest
 from rig_repeats import FEE, PAGE, Rig, entry, keyed
 
-from paddlequay.requests.messages import Attempt, Verdict
-from paddlequay.routing.interface import Member, Outcome, State
+from paddlequay.requests.messages import AnswerStatus, UpstreamAttempt
+from paddlequay.routing.interface import Member, MemberState, Outcome
 
 
-def lost(rig: Rig, kind: str = "hold") -> Attempt:
+def lost(rig: Rig, kind: str = "hold") -> UpstreamAttempt:
     """A first attempt written and lost with its connection, and the repeat that waits for one."""
     rig.ask(kind)
     first = rig.side.write()
@@ -19,16 +19,18 @@
     return again
 
 
-@pytest.mark.parametrize(("group", "verdict"), [("all", Verdict.REFUSED), ("zone", Verdict.FAILED)])
+@pytest.mark.parametrize(
+    ("group", "verdict"), [("all", AnswerStatus.REJECTED), ("zone", AnswerStatus.FAILED)]
+)
 def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_written(
-    tmp_path: Path, group: str, verdict: Verdict
+    tmp_path: Path, group: str, verdict: AnswerStatus
 ) -> None:
     rig = Rig(tmp_path, (keyed(group, 0.3),))
     lost(rig)
     rig.clock.move(0.35)
     assert rig.side.write() is None and len(rig.side.writes) == 1
-    assert [reply.verdict for reply in rig.replies["a"]] == [verdict], "answered at once"
-    assert not rig.exchange.open and not rig.side.waiting
+    assert [reply.status for reply in rig.replies["a"]] == [verdict], "answered at once"
+    assert not rig.exchange.pending and not rig.side.waiting
 
 
 def test_a_repeat_whose_connection_comes_up_inside_the_window_is_written(tmp_path: Path) -> None:
@@ -47,13 +49,13 @@
     rig.side.end(second, Outcome.ERROR)
     rig.clock.move(0.15)  # 0.15 s after the second, 0.45 s after the first
     assert rig.side.write() is None
-    assert [reply.verdict for reply in rig.replies["a"]] == [Verdict.REFUSED]
+    assert [reply.status for reply in rig.replies["a"]] == [AnswerStatus.REJECTED]
 
 
 def test_what_never_ran_binds_no_window(tmp_path: Path) -> None:
     rig = Rig(tmp_path, (keyed("all", 0.3),))
     rig.ask("hold")
-    rig.side.end(rig.side.waiting[0], Outcome.UNREACHED)
+    rig.side.end(rig.side.waiting[0], Outcome.CONNECT_FAILED)
     rig.clock.move(0.4)
     assert rig.side.write() is not None
 
@@ -68,7 +70,7 @@
     again = lost(rig)
     name = again.fetch.target
     now: dict[str, object] = {"zone": "here", "cell": rig.exchange.members[name].cell} | moved
-    rig.exchange.list_changed((entry(name, **now),), False)  # type: ignore[arg-type]
+    rig.exchange.update_members((entry(name, **now),), False)  # type: ignore[arg-type]
     assert rig.side.write(again) is None
     assert all(write.attempt.fetch.target != name for write in rig.side.writes)
 
@@ -79,7 +81,7 @@
     rig.ask("hold")
     first = rig.side.write()
     assert first is not None
-    rig.exchange.list_changed((entry(first.fetch.target, "there", 0),), False)
+    rig.exchange.update_members((entry(first.fetch.target, "there", 0),), False)
     rig.side.end(first, Outcome.RESET)
     (again,) = rig.side.waiting
     assert rig.exchange.members[again.fetch.target].zone == "here"
@@ -94,7 +96,7 @@
         first = rig.side.write()
         assert first is not None
         rig.side.end(first, Outcome.RESET)
-        assert not rig.side.waiting and [reply.verdict for reply in rig.replies["a"]] == [Verdict.FAILED]
+        assert not rig.side.waiting and [reply.status for reply in rig.replies["a"]] == [AnswerStatus.FAILED]
 
 
 @pytest.mark.parametrize("kind", ["fee", "hold", "page"])
@@ -107,8 +109,10 @@
     (waits,) = rig.side.waiting
     name = getattr(waits.fetch, part)
     old = rig.exchange.members[name]
-    rig.exchange.list_changed((entry(name, old.zone, old.cell, old.kind or "", started=1_000_011.0),), False)
-    assert waits.over or rig.side.write(waits) is None  # where repeats are free it has been recalled already
+    rig.exchange.update_members(
+        (entry(name, old.zone, old.cell, old.kind or "", started=1_000_011.0),), False
+    )
+    assert waits.ended or rig.side.write(waits) is None  # where repeats are free it has been recalled already
     assert not rig.side.writes
     assert rig.side.waiting or rig.replies["a"], "goes on elsewhere, or is answered at once"
 
@@ -118,16 +122,16 @@
     rig.ask("fee")
     first = rig.side.write()
     assert first is not None
-    rig.exchange.list_changed((entry("origin-0", "hub", None, "origin", started=1_000_011.0),), False)
+    rig.exchange.update_members((entry("origin-0", "hub", None, "origin", started=1_000_011.0),), False)
     rig.side.end(first, Outcome.RESET)
-    assert not rig.side.waiting and [reply.verdict for reply in rig.replies["a"]] == [Verdict.FAILED]
+    assert not rig.side.waiting and [reply.status for reply in rig.replies["a"]] == [AnswerStatus.FAILED]
 
 
 def test_a_drain_and_a_return_while_an_attempt_waits_is_no_other_run(tmp_path: Path) -> None:
     rig = Rig(tmp_path, (FEE,), direct=True)
     rig.ask("fee")
-    for state in (State.DRAINING, State.READY):
-        rig.exchange.list_changed((entry("origin-0", "hub", None, "origin", state=state),), False)
+    for state in (MemberState.DRAINING, MemberState.READY):
+        rig.exchange.update_members((entry("origin-0", "hub", None, "origin", state=state),), False)
     assert rig.side.write() is not None
 
 
@@ -138,6 +142,6 @@
     for kind in ("hold", "fee", "page"):
         rig.ask(kind, kind)
         waits = rig.side.waiting[-1]
-        rig.exchange.list_changed((entry(waits.fetch.target, "there", 0),), False)
-        assert waits.over or rig.side.write(waits) is None
+        rig.exchange.update_members((entry(waits.fetch.target, "there", 0),), False)
+        assert waits.ended or rig.side.write(waits) is None
     assert not rig.side.writes
