--- a/tests/crossings/test_repeats_properties.py
+++ b/tests/crossings/test_repeats_properties.py
@@ -11,17 +11,17 @@
 import pytest
 from rig_repeats import DEADLINE, MEMBERS, Rig, Write, entry
 
-from paddlequay.requests.messages import Attempt, Verdict
-from paddlequay.routing.interface import Effect, Member, Outcome, RequestClass, State
-from paddlequay.lifecycle.operator_state import OUT
+from paddlequay.lifecycle.operator_state import EJECTED_PREFIX
+from paddlequay.requests.messages import AnswerStatus, UpstreamAttempt
+from paddlequay.routing.interface import Idempotency, Member, MemberState, Outcome, RequestClass
 
-NEVER_RAN = {Outcome.REFUSED, Outcome.MISS, Outcome.NOT_SENT}  # what an answer proves: SHED, NONE and LATE
-ANSWERS = (Outcome.SERVED, Outcome.ERROR, Outcome.RESET, Outcome.REFUSED, Outcome.MISS, Outcome.NOT_SENT)
+NEVER_RAN = {Outcome.REJECTED, Outcome.MISS, Outcome.NOT_SENT}  # what an answer proves: SHED, NONE and LATE
+ANSWERS = (Outcome.SERVED, Outcome.ERROR, Outcome.RESET, Outcome.REJECTED, Outcome.MISS, Outcome.NOT_SENT)
 LOSSES = (Outcome.RESET, Outcome.ERROR, Outcome.NOT_SENT)
 NAMES = ("page", "fee", "mark", "hold", "note", "hold", "note")
 MOVES = (0.0, 0.02, 0.05, 0.1, 0.15, 0.3)
 WINDOWS = (None, 0.05, 0.2, 0.3, 0.4, 0.5, 0.6, 1.0)
-STATES = (State.READY, State.READY, State.READY, State.DRAINING, State.GONE)
+STATES = (MemberState.READY, MemberState.READY, MemberState.READY, MemberState.DRAINING, MemberState.REMOVED)
 ZONES, CELLS = ("here", "here", "there", None), (0, 1, None)
 LATEST = -1
 Step = tuple[Any, ...]
@@ -35,7 +35,7 @@
             return "list", draw.randrange(6), draw.choice(STATES), draw.random() < 0.5, place
         case 2 | 3:
             place = (draw.choice(ZONES), draw.choice(CELLS))
-            return "list", draw.randrange(4), State.READY, False, place
+            return "list", draw.randrange(4), MemberState.READY, False, place
         case 4:
             return "order", draw.randrange(6), draw.random() < 0.5
         case 5:
@@ -103,24 +103,24 @@
         kind, asked = self.effects[self.asked[attempt.id][0]], self.asked[attempt.id][1]
         assert attempt.id not in self.left, "written for a client that has gone"
         assert attempt.id not in self.answered, "written for what is answered"
-        assert write.at < asked + DEADLINE and write.order.budget > 0
+        assert write.at < asked + DEADLINE and write.order.time_left > 0
         for name in (fetch.target, fetch.source):
             member = self.exchange.members.get(name)
-            assert member is not None and member.state is State.READY, "a drain was not kept"
-            assert not self.operation.banned(name)
+            assert member is not None and member.state is MemberState.READY, "a drain was not kept"
+            assert not self.operation.is_ejected(name)
         out = [each for each in self.side.out if each.id == attempt.id]
         assert out == [attempt], "two attempts at once"
         target = self.exchange.members[fetch.target]
         assert target.kind != "box" or target.zone in ("here", None), "a cache of another zone"
         self.at[place] = target
         earlier = self.may_have_run(attempt.id, before=place)
-        if earlier and kind.effect is not Effect.SAFE:
-            assert kind.effect is Effect.KEYED, "a second effect"
-            assert write.at < self.side.writes[earlier[0]].at + (kind.repeat_window or 0.0)
+        if earlier and kind.idempotency is not Idempotency.IDEMPOTENT:
+            assert kind.idempotency is Idempotency.IDEMPOTENCY_KEY, "a second effect"
+            assert write.at < self.side.writes[earlier[0]].at + (kind.dedup_window or 0.0)
             for each in earlier:
                 ran = self.at[each]
                 alike = {"zone": (ran.zone, target.zone), "cell": (ran.cell, target.cell), "all": (0, 0)}
-                first, second = alike[kind.repeat_group or ""]
+                first, second = alike[kind.dedup_scope or ""]
                 assert first is not None and first == second, "outside the group"
             self.repeats += 1
 
@@ -130,22 +130,22 @@
             if replies and id not in self.answered:
                 self.answered[id] = self.replied[id]
                 kind = self.effects[self.asked[id][0]]
-                free = kind.effect is Effect.SAFE or (
-                    kind.effect is Effect.KEYED and kind.repeat_group == "all"
+                free = kind.idempotency is Idempotency.IDEMPOTENT or (
+                    kind.idempotency is Idempotency.IDEMPOTENCY_KEY and kind.dedup_scope == "all"
                 )
-                if replies[0].verdict is Verdict.REFUSED and not free:
+                if replies[0].status is AnswerStatus.REJECTED and not free:
                     assert not self.may_have_run(id), "a refusal promises that a repeat is harmless"
         held = set(self.asked) - set(self.answered) - self.left
         busy = {attempt.id for attempt in (*self.side.waiting, *self.side.out)}
         assert held <= busy, "a request is held with no attempt out"
-        assert held <= {item.ask.id for item in self.exchange.open.values()}
+        assert held <= {item.request.id for item in self.exchange.pending.values()}
 
-    def up(self, attempt: Attempt) -> None:
+    def up(self, attempt: UpstreamAttempt) -> None:
         place = len(self.side.writes)
         if self.side.write(attempt) is not None:
             self.check_write(place)
 
-    def end(self, attempt: Attempt, outcome: Outcome) -> None:
+    def end(self, attempt: UpstreamAttempt, outcome: Outcome) -> None:
         place = next(n for n, write in enumerate(self.side.writes) if write.attempt is attempt)
         self.ends[place] = outcome
         self.side.end(attempt, outcome)
@@ -159,29 +159,29 @@
             case ("up", int(pick)) if self.side.waiting:
                 self.up(self.side.waiting[pick % len(self.side.waiting)])
             case ("unreached", int(pick)) if self.side.waiting:
-                self.side.end(self.side.waiting[pick % len(self.side.waiting)], Outcome.UNREACHED)
+                self.side.end(self.side.waiting[pick % len(self.side.waiting)], Outcome.CONNECT_FAILED)
             case ("answer", int(pick), Outcome() as outcome) if self.side.out:
                 self.end(self.side.out[pick % len(self.side.out)], outcome)
             case ("move", float(seconds)):
                 self.clock.move(seconds)
-            case ("list", int(place), State() as state, bool(anew), (zone, cell)):
+            case ("list", int(place), MemberState() as state, bool(anew), (zone, cell)):
                 old = MEMBERS[place]
                 zone, cell = (zone, cell) if old.kind == "box" else (old.zone, old.cell)
                 started = self.clock.unix() if anew else None
                 now = entry(old.name, zone, cell, old.kind or "", state=state, started=started)
-                self.exchange.list_changed((now,), False)
+                self.exchange.update_members((now,), False)
             case ("order", int(place), bool(on)):
-                self.operation.order(OUT + MEMBERS[place].name, on)
+                self.operation.set_override(EJECTED_PREFIX + MEMBERS[place].name, on)
             case ("purge", int(key)):
-                self.exchange.purged(key, None, self.clock.unix() - 0.01)
+                self.exchange.record_purge(key, None, self.clock.unix() - 0.01)
             case ("leave", int(pick)) if self.asked:
                 self.left.add(f"a{pick % len(self.asked)}")
-            case ("withdraw", int(pick)) if self.exchange.open:
-                items = list(self.exchange.open.values())
-                self.left.add(items[pick % len(items)].ask.id)
+            case ("withdraw", int(pick)) if self.exchange.pending:
+                items = list(self.exchange.pending.values())
+                self.left.add(items[pick % len(items)].request.id)
                 self.exchange.withdraw(items[pick % len(items)])
             case ("surrender",):
-                self.exchange.surrender()
+                self.exchange.abandon_all()
         self.check_answers()
 
     def finish(self) -> None:
@@ -192,21 +192,27 @@
         assert set(self.asked) == set(self.answered) | self.left
         late = [id for id, at in self.answered.items() if at > self.asked[id][1] + DEADLINE + 0.05]
         assert not late, "answered after its time"
-        assert not (self.exchange.open or self.exchange.ids or self.exchange.held)
+        assert not (self.exchange.pending or self.exchange.open_ids or self.exchange.body_bytes)
         assert not (self.side.waiting or self.side.out)
         router = self.exchange.router
-        assert not router.open
-        assert all(abs(server.out) < 1e-6 for server in router.know.members.servers.values())
+        assert not router.requests
+        assert all(abs(server.in_flight) < 1e-6 for server in router.state.members.upstreams.values())
 
 
 def kinds(group: str, window: float | None, turn: int) -> tuple[RequestClass, ...]:
     """A class of each effect and treatment, in an order that differs."""
     made = [
-        RequestClass("page", 0.5, DEADLINE, Effect.SAFE, fresh=8.0, grace=4.0),
-        RequestClass("fee", 0.5, DEADLINE, Effect.UNSAFE, None, None, "all", 5.0, uncacheable=True),
-        RequestClass("hold", 0.5, DEADLINE, Effect.KEYED, None, None, group, window, uncacheable=True),
-        RequestClass("note", 0.5, DEADLINE, Effect.KEYED, None, None, group, window),
-        RequestClass("mark", 0.5, DEADLINE, Effect.UNSAFE, None, None, "all", 5.0),
+        RequestClass(
+            "page", 0.5, DEADLINE, Idempotency.IDEMPOTENT, freshness_lifetime=8.0, stale_if_error=4.0
+        ),
+        RequestClass(
+            "fee", 0.5, DEADLINE, Idempotency.NON_IDEMPOTENT, None, None, "all", 5.0, uncacheable=True
+        ),
+        RequestClass(
+            "hold", 0.5, DEADLINE, Idempotency.IDEMPOTENCY_KEY, None, None, group, window, uncacheable=True
+        ),
+        RequestClass("note", 0.5, DEADLINE, Idempotency.IDEMPOTENCY_KEY, None, None, group, window),
+        RequestClass("mark", 0.5, DEADLINE, Idempotency.NON_IDEMPOTENT, None, None, "all", 5.0),
     ]
     return tuple(made[turn:] + made[:turn])
 
--- a/tests/crossings/test_signals.py
+++ b/tests/crossings/test_signals.py
@@ -88,7 +88,7 @@
         process.terminate()
     _, said = process.communicate(timeout=WAIT)
     assert process.returncode == 0 and "Traceback" not in said
-    assert name != "SIGUSR1" or "why=asked" in said
+    assert name != "SIGUSR1" or "why=signal" in said
 
 
 def test_signals_without_end_up_to_the_exit_end_it_in_order(p: Platform) -> None:
@@ -106,7 +106,7 @@
 
     thread = threading.Thread(target=send, daemon=True)
     thread.start()
-    p.logged("event=ending")
+    p.logged("event=shutdown_started")
     reply(connection, words, b"last")
     assert client.answer()[3][0] == b"last"
     code = p.process.wait(timeout=2 * WAIT)
@@ -120,11 +120,11 @@
     p.ready()
     older, client = p.process, p.client()
     newer = p.start()  # waits for the bulletin's word, which does not come
-    p.logged("event=newer_process")
+    p.logged("event=successor_connected")
     newer.terminate()
-    p.logged("event=newer_process_ended")
+    p.logged("event=successor_ended")
     assert newer.wait(WAIT) == 0
-    assert not any("event=newer_process_ready" in line or "Traceback" in line for line in p.log)
+    assert not any("event=successor_ready" in line or "Traceback" in line for line in p.log)
     served(p, client)
     assert older.poll() is None
 
@@ -147,7 +147,7 @@
     connection, words = asked(p, client)
     assert p.call("/-/drain")[0] == 200
     p.process.terminate()
-    p.logged("event=ending")
+    p.logged("event=shutdown_started")
     reply(connection, words, b"last")
     assert client.answer()[3][0] == b"last"
     assert client.answer() is None and p.process.wait(WAIT) == 0
--- a/tests/crossings/test_sizes.py
+++ b/tests/crossings/test_sizes.py
@@ -14,17 +14,42 @@
 from hypothesis import strategies as st
 from rig_ready import Asked, Kind, World
 
-from paddlequay.routing.link_load import dear
-from paddlequay.routing.interface import AttemptEnded, Effect, Fetch, MembersChanged, Outcome, Request, RequestClass
 from paddlequay.policy import Router
-from paddlequay.policy.attempts import Attempts
-from paddlequay.policy.beliefs import Beliefs
-from paddlequay.routing.state import Attempt, Open, Seen, Server, Tier
-
-FILM = RequestClass("film", 0.6, 6.0, Effect.SAFE, worth=2.0, aim_stretch=2.0, fresh=0.0)
-PAGE = RequestClass("page", 0.25, 2.5, Effect.SAFE, worth=1.0, aim_stretch=2.0, fresh=8.0, grace=20.0)
-FEE = RequestClass("fee", 0.7, 3.0, Effect.UNSAFE, worth=3.0, uncacheable=True)
-HOLD = RequestClass("hold", 0.25, 1.0, Effect.KEYED, 1.0, None, "all", 0.3, uncacheable=True)
+from paddlequay.policy.attempts import AttemptManager
+from paddlequay.policy.router_state import RouterState
+from paddlequay.routing.interface import (
+    AttemptEnded,
+    Fetch,
+    Idempotency,
+    MembersChanged,
+    Outcome,
+    Request,
+    RequestClass,
+)
+from paddlequay.routing.link_load import cost_per_weight
+from paddlequay.routing.state import AttemptState, CacheTier, ObjectState, RequestState, Upstream
+
+FILM = RequestClass(
+    "film",
+    0.6,
+    6.0,
+    Idempotency.IDEMPOTENT,
+    priority_weight=2.0,
+    objective_per_work=2.0,
+    freshness_lifetime=0.0,
+)
+PAGE = RequestClass(
+    "page",
+    0.25,
+    2.5,
+    Idempotency.IDEMPOTENT,
+    priority_weight=1.0,
+    objective_per_work=2.0,
+    freshness_lifetime=8.0,
+    stale_if_error=20.0,
+)
+FEE = RequestClass("fee", 0.7, 3.0, Idempotency.NON_IDEMPOTENT, priority_weight=3.0, uncacheable=True)
+HOLD = RequestClass("hold", 0.25, 1.0, Idempotency.IDEMPOTENCY_KEY, 1.0, None, "all", 0.3, uncacheable=True)
 KINDS = [Kind(FILM, 0.4, 1.3, 2000, 0.5), Kind(PAGE, 0.07, 1.3, 3000, 0.4), Kind(FEE, 0.02, share=0.05)]
 KINDS += [Kind(HOLD, 0.03, share=0.05)]
 SECONDS = 25.0
@@ -101,37 +126,37 @@
 KIND = st.builds(
     RequestClass,
     name=st.just("some"),
-    aim=st.floats(0.1, 5.0),
+    latency_objective=st.floats(0.1, 5.0),
     deadline=st.floats(0.5, 20.0),
-    effect=st.sampled_from(list(Effect)),
-    worth=st.sampled_from([None, 0.0, 1.0, 5.0]),
-    aim_stretch=st.sampled_from([None, 0.0, 2.0]),
-    repeat_group=st.sampled_from([None, "all", "zone"]),
-    repeat_window=st.sampled_from([None, 0.15, 0.3, 0.6, 2.0, 30.0]),
-    fresh=st.sampled_from([None, 8.0]),
+    idempotency=st.sampled_from(list(Idempotency)),
+    priority_weight=st.sampled_from([None, 0.0, 1.0, 5.0]),
+    objective_per_work=st.sampled_from([None, 0.0, 2.0]),
+    dedup_scope=st.sampled_from([None, "all", "zone"]),
+    dedup_window=st.sampled_from([None, 0.15, 0.3, 0.6, 2.0, 30.0]),
+    freshness_lifetime=st.sampled_from([None, 8.0]),
 )
 
 
 def waits(kind: RequestClass, most: int | None, slow: float) -> list[float]:
     """The time-outs of a request whose every attempt comes to its own, and what must hold of each."""
-    know = Beliefs(settings(classes=(kind,), max_attempts=most), lambda _: ())
-    know.latency.slowness[kind.name] = slow
-    attempts, latency, now = Attempts(know), know.latency, 100.0
+    know = RouterState(settings(classes=(kind,), max_attempts=most), lambda _: ())
+    know.latency.latency_ratio[kind.name] = slow
+    attempts, latency, now = AttemptManager(know), know.latency, 100.0
     request = Request("q", kind.name, kind.deadline)
-    work, cost = latency.ask(request)
-    item = Open(request, kind, now + kind.deadline, work, cost, 0.5, Seen(now), False)
-    server, came = Server(EVERYBODY[0], Tier.EDGE, now), []
+    work, cost = latency.record_request(request)
+    item = RequestState(request, kind, now + kind.deadline, work, cost, 0.5, ObjectState(now), False)
+    server, came = Upstream(EVERYBODY[0], CacheTier.EDGE, now), []
     while True:
-        attempts.begin(item, Attempt(server, server, now, False))
-        wait, left = latency.timeout(item, now), item.deadline - now
+        attempts.register(item, AttemptState(server, server, now, False))
+        wait, left = attempts.timeout(item, now), item.deadline - now
         came.append(wait)
         assert 0.0 < wait <= left
         if wait == left:
             return came
-        assert wait >= latency.aim(item)  # before that, a second attempt costs more than it saves
+        assert wait >= latency.objective(item)  # before that, a second attempt costs more than it saves
         item.settle(len(came) - 1)
         now += wait
-        assert attempts.may_repeat(item, now)  # else cutting it short has lost the request
+        assert attempts.may_retry(item, now)  # else cutting it short has lost the request
 
 
 @hypothesis.given(KIND, st.sampled_from([None, 1, 2, 3, 6]), st.floats(0.2, 30.0))
@@ -143,7 +168,7 @@
     came = waits(kind, most, slow)
     assert sum(came) == pytest.approx(kind.deadline)
     assert len(came) <= (most or 6)
-    if kind.effect is Effect.UNSAFE or most == 1:
+    if kind.idempotency is Idempotency.NON_IDEMPOTENT or most == 1:
         assert len(came) == 1
 
 
@@ -160,7 +185,9 @@
 def test_any_number_of_classes_in_any_order_and_answers_without_a_delay_do_no_harm(count: int) -> None:
     """What took no time at all is no work of nothing, which all that is measured beside it is divided by."""
     kinds = tuple(
-        RequestClass(f"c{n}", 0.1 + 0.5 * n, 0.5 + 2.0 * n, list(Effect)[n % 3], worth=float(n % 2))
+        RequestClass(
+            f"c{n}", 0.1 + 0.5 * n, 0.5 + 2.0 * n, list(Idempotency)[n % 3], priority_weight=float(n % 2)
+        )
         for n in range(count)
     )
     for classes in (kinds, kinds[::-1]):
@@ -174,9 +201,11 @@
                 if isinstance(action, Fetch):
                     end = AttemptEnded(action.request, 0, action.target, Outcome.SERVED, 0.0, True)
                     router.handle(end, now)
-        work = router.know.latency.work
-        assert all(work[kind.name] > 0.0 and 0.0 < dear(kind, classes, work) <= 1.0 for kind in classes)
-        assert router.know.latency.mean_work > 0.0 and not router.open
+        work = router.state.latency.work
+        assert all(
+            work[kind.name] > 0.0 and 0.0 < cost_per_weight(kind, classes, work) <= 1.0 for kind in classes
+        )
+        assert router.state.latency.mean_work > 0.0 and not router.requests
 
 
 def test_a_charge_whose_answer_only_takes_long_is_waited_for_on_real_sockets() -> None:
--- a/tests/crossings/test_time_out.py
+++ b/tests/crossings/test_time_out.py
@@ -5,29 +5,29 @@
 import pytest
 from rig_repeats import FEE, PAGE, Rig
 
-from paddlequay.requests.messages import Attempt, End, Verdict
 from paddlequay.requests.exchange import LOOK_FIRST
+from paddlequay.requests.messages import AnswerStatus, AttemptResult, UpstreamAttempt
 from paddlequay.routing.interface import Outcome, RequestClass
 
 
-def at_its_time(rig: Rig, kind: RequestClass) -> Attempt:
+def at_its_time(rig: Rig, kind: RequestClass) -> UpstreamAttempt:
     """An attempt that is out, at the moment of its time-out, with something unread on its connection."""
     rig.ask(kind.name)
     attempt = rig.side.write()
     assert attempt is not None
-    rig.side.unread = True
-    rig.clock.move(attempt.expires - rig.clock.now)
-    assert not attempt.over
+    rig.side.has_unread = True
+    rig.clock.move(attempt.expires_at - rig.clock.now)
+    assert not attempt.ended
     return attempt
 
 
 @pytest.mark.parametrize("kind", [PAGE, FEE])
 def test_an_answer_that_has_come_by_its_time_out_counts(tmp_path: Path, kind: RequestClass) -> None:
     rig = Rig(tmp_path, (kind,))
-    rig.exchange.end(at_its_time(rig, kind), End(Outcome.SERVED, b"x"))
-    assert [reply.verdict for reply in rig.replies["a"]] == [Verdict.SERVED]
+    rig.exchange.end_attempt(at_its_time(rig, kind), AttemptResult(Outcome.SERVED, b"x"))
+    assert [reply.status for reply in rig.replies["a"]] == [AnswerStatus.SERVED]
     rig.clock.move(1.0)
-    assert len(rig.replies["a"]) == 1 and not rig.exchange.open
+    assert len(rig.replies["a"]) == 1 and not rig.exchange.pending
 
 
 @pytest.mark.parametrize("kind", [PAGE, FEE])
@@ -35,4 +35,4 @@
     rig = Rig(tmp_path, (kind,))
     attempt = at_its_time(rig, kind)
     rig.clock.move(1.5 * LOOK_FIRST)  # there is something unread all the while
-    assert attempt.over and rig.counters.counts["ended.timeout"] == 1
+    assert attempt.ended and rig.counters.counts["ended.timeout"] == 1
--- a/tests/crossings/test_twin_crossing.py
+++ b/tests/crossings/test_twin_crossing.py
@@ -8,16 +8,18 @@
 from harness import WAIT, platform
 from rig_end import asked, reply, served
 
-from paddlequay.config.loader import Limits
+from paddlequay.config.limits import Limits
+from paddlequay.lifecycle.operator_state import OperatorState
+from paddlequay.net.hot_restart import HotRestart
 from paddlequay.observability.counters import Counters
-from paddlequay.net.hot_restart import Twin
-from paddlequay.lifecycle.operator_state import Operation
-from paddlequay.requests.quotas import Shares
+from paddlequay.requests.quotas import ProcessQuotas
 
 
-def made(folder: Path) -> Twin:
+def made(folder: Path) -> HotRestart:
     limits = Limits()
-    return Twin(folder / "a.sock", Operation(folder / "a.json"), Shares(limits), limits, Counters())
+    return HotRestart(
+        folder / "a.sock", OperatorState(folder / "a.json"), ProcessQuotas(limits), limits, Counters()
+    )
 
 
 def test_who_comes_while_another_takes_over_waits_for_that_one(tmp_path: Path) -> None:
@@ -25,16 +27,16 @@
 
     async def play() -> None:
         older, second, third = (made(tmp_path) for _ in range(3))
-        assert not await older.find()
+        assert not await older.find_predecessor()
         first = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         first.connect(str(older.path))  # the second one, on its way: not to be found itself yet
-        while older.newer is None:
+        while older.successor is None:
             await asyncio.sleep(0.001)
-        asked = asyncio.ensure_future(third.find())
+        asked = asyncio.ensure_future(third.find_predecessor())
         await asyncio.sleep(0.1)  # it has been turned away by now, and asks again
         assert not asked.done()
         second.listen()
-        assert await asked and second.newer is not None and third.older is not None
+        assert await asked and second.successor is not None and third.predecessor is not None
         first.close()
         for each in (older, second, third):
             each.close()
@@ -51,13 +53,13 @@
         older.bind(str(newer.path))
         older.listen()
         older.setblocking(False)
-        asked = asyncio.ensure_future(newer.find())
+        asked = asyncio.ensure_future(newer.find_predecessor())
         link = (await asyncio.get_running_loop().sock_accept(older))[0]
         older.close()
         link.close()
         began = time.monotonic()
-        assert not await asked and newer.older is None
-        assert time.monotonic() - began < 0.5 * newer.limits.twin_connect
+        assert not await asked and newer.predecessor is None
+        assert time.monotonic() - began < 0.5 * newer.limits.link_connect_timeout
         newer.close()
 
     asyncio.run(asyncio.wait_for(play(), WAIT))
@@ -68,8 +70,8 @@
 
     async def play() -> None:
         older, newer = made(tmp_path), made(tmp_path)
-        assert not await older.find() and await newer.find()
-        newer.tell_ready()
+        assert not await older.find_predecessor() and await newer.find_predecessor()
+        newer.announce_ready()
         while not older.replaced:
             await asyncio.sleep(0.001)
 
@@ -77,10 +79,10 @@
             raise ValueError("cannot be acted on")
 
         older.on_replaced = fail
-        newer.tell_ready()
-        while older.newer is not None or newer.older is not None:
+        newer.announce_ready()
+        while older.successor is not None or newer.predecessor is not None:
             await asyncio.sleep(0.001)
-        assert not older.replaced and older.counters.counts["twin_errors"] == 1
+        assert not older.replaced and older.counters.counts["hot_restart_errors"] == 1
         older.close()
         newer.close()
 
@@ -94,9 +96,9 @@
         older, client = p.process, p.client()
         connection, words = asked(p, client)
         p.start()  # waits for the bulletin's word, which does not come
-        p.logged("event=newer_process")
+        p.logged("event=successor_connected")
         older.terminate()
-        p.logged("event=ending")
+        p.logged("event=shutdown_started")
         reply(connection, words, b"x")
         assert client.answer()[3][0] == b"x" and client.answer() is None
         assert older.wait(WAIT) == 0
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,54 +1,63 @@
 """A router driven by scripted events: its list, its classes, and short ways to say what happens."""
 
+from paddlequay.policy import Router
 from paddlequay.routing.interface import (
     Action,
     AttemptEnded,
-    Effect,
     Fail,
     Fetch,
+    Idempotency,
     Member,
     MembersChanged,
-    Note,
+    MemberState,
     Outcome,
-    Ramp,
-    Refuse,
+    Reject,
+    ReplyDetail,
     Request,
     RequestClass,
-    Settings,
-    State,
+    RoutingSettings,
+    SlowStart,
 )
-from paddlequay.policy import Router
 
-SAFE = RequestClass("pages", aim=0.3, deadline=2.5, effect=Effect.SAFE, fresh=8.0, grace=30.0)
+SAFE = RequestClass(
+    "pages",
+    latency_objective=0.3,
+    deadline=2.5,
+    idempotency=Idempotency.IDEMPOTENT,
+    freshness_lifetime=8.0,
+    stale_if_error=30.0,
+)
 KEYED = RequestClass(
-    "orders", 0.6, 3.0, Effect.KEYED, repeat_group="all", repeat_window=2.0, uncacheable=True
+    "orders", 0.6, 3.0, Idempotency.IDEMPOTENCY_KEY, dedup_scope="all", dedup_window=2.0, uncacheable=True
 )
-UNSAFE = RequestClass("pays", aim=0.6, deadline=3.0, effect=Effect.UNSAFE, uncacheable=True)
-EDGES = tuple(Member(f"edge-{n}", "here", "cache", 0, State.READY) for n in range(4))
-AWAY = Member("away-0", "there", "cache", 1, State.READY)
-PARENTS = tuple(Member(f"parent-{n}", "hub", "parent", 0, State.READY) for n in range(3))
-ORIGIN = Member("origin-0", "hub", "origin", 0, State.READY)
+UNSAFE = RequestClass(
+    "pays", latency_objective=0.6, deadline=3.0, idempotency=Idempotency.NON_IDEMPOTENT, uncacheable=True
+)
+EDGES = tuple(Member(f"edge-{n}", "here", "cache", 0, MemberState.READY) for n in range(4))
+AWAY = Member("away-0", "there", "cache", 1, MemberState.READY)
+PARENTS = tuple(Member(f"parent-{n}", "hub", "parent", 0, MemberState.READY) for n in range(3))
+ORIGIN = Member("origin-0", "hub", "origin", 0, MemberState.READY)
 EVERYBODY = (*EDGES, AWAY, *PARENTS, ORIGIN)
 
 
-def settings(**changes: object) -> Settings:
+def settings(**changes: object) -> RoutingSettings:
     values: dict[str, object] = {
         "zone": "here",
         "classes": (SAFE, KEYED, UNSAFE),
-        "routers": 2,
+        "router_count": 2,
         "parent_kind": "parent",
         "origin_kind": "origin",
-        "siblings": "any",
-        "direct": True,
-        "joins": True,
+        "sibling_fills": "any",
+        "bypass_allowed": True,
+        "coalesces_fills": True,
         "can_cancel": True,
         "max_attempts": 8,
         "max_retry_after": 2.0,
-        "cold_edge": Ramp(0.25, 16.0, 2.5, 3.0),
-        "cold_parent": Ramp(0.1, 16.0, 2.0, 3.0),
-        "purge_done": 6.0,
+        "edge_slow_start": SlowStart(0.25, 16.0, 2.5, 3.0),
+        "parent_slow_start": SlowStart(0.1, 16.0, 2.0, 3.0),
+        "purge_completion": 6.0,
     }
-    return Settings(**(values | changes))  # type: ignore[arg-type]
+    return RoutingSettings(**(values | changes))  # type: ignore[arg-type]
 
 
 class Driver:
@@ -72,14 +81,16 @@
         assert isinstance(action, Fetch)
         return action
 
-    def end(self, fetch: Fetch, outcome: Outcome, note: Note | None = None, attempt: int = 0) -> list[Action]:
+    def end(
+        self, fetch: Fetch, outcome: Outcome, note: ReplyDetail | None = None, attempt: int = 0
+    ) -> list[Action]:
         final = outcome is Outcome.SERVED
         took = (fetch.timeout or 0.05) if outcome is Outcome.TIMEOUT else 0.05
         event = AttemptEnded(fetch.request, attempt, fetch.target, outcome, took, final, note)
         return self.router.handle(event, self.now)
 
-    def serve(self, fetch: Fetch, note: Note | None = None) -> None:
-        assert not any(isinstance(a, Fetch | Refuse | Fail) for a in self.end(fetch, Outcome.SERVED, note))
+    def serve(self, fetch: Fetch, note: ReplyDetail | None = None) -> None:
+        assert not any(isinstance(a, Fetch | Reject | Fail) for a in self.end(fetch, Outcome.SERVED, note))
 
     def list(self, *members: Member, full: bool = False) -> list[Action]:
         return self.router.handle(MembersChanged(members, full), self.now)
--- a/tests/golden/golden_samples.py
+++ b/tests/golden/golden_samples.py
@@ -16,41 +16,44 @@
 from driver import EVERYBODY, settings
 from test_adapter import batch, provision, query
 
-from paddlequay.requests.messages import Order, Reply, Stamp, Verdict
 from paddlequay.cluster.notes import NOTES, Note
 from paddlequay.cluster.wire import Codec, Head
 from paddlequay.discovery.membership import Box, Membership, Rule
 from paddlequay.hierarchy.moves import MoveLimits, Moves
 from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, delta_data, next_shape, whole
-from paddlequay.routing.interface import AttemptEnded, Fetch, MembersChanged, Outcome, Request, State
-from paddlequay.routing.interface import Note as AnswerNote
+from paddlequay.lifecycle.operator_state import OperatorState, Override
 from paddlequay.net.cache_words import order_fields
 from paddlequay.net.client_words import write_reply
-from paddlequay.lifecycle.operator_state import Mark, Operation
 from paddlequay.policy import Router
 from paddlequay.protocol import caches, clients, console
 from paddlequay.protocol import hot_restart as twin
-from paddlequay.requests.quotas import Held
+from paddlequay.requests.messages import AnswerStatus, CopyStamp, FinalAnswer, UpstreamRequest
+from paddlequay.requests.quotas import QuotaInUse
+from paddlequay.routing.interface import AttemptEnded, Fetch, MembersChanged, MemberState, Outcome, Request
+from paddlequay.routing.interface import ReplyDetail as AnswerNote
 from paddlequay.store.record import encode
 
 ROOT = Path(__file__).parent.parent.parent
 DATA = Path(__file__).parent / "data"
-MARKS = {"out:edge-1": Mark(1_700_000_000_000_000_001, True), "drain": Mark(1_700_000_000_000_000_002, False)}
+MARKS = {
+    "out:edge-1": Override(1_700_000_000_000_000_001, True),
+    "drain": Override(1_700_000_000_000_000_002, False),
+}
 FLEET_SIZE = 12
 
 
 def link_messages() -> list[twin.Message]:
     """Every message of the link between two processes of one router."""
     return [
-        twin.State({}, (), {}),
-        twin.State(
+        twin.StateMessage({}, (), {}),
+        twin.StateMessage(
             MARKS, ("edge-1", "edge-2"), {"edge_rate": 1.25, "limit edge-1": 10.0, "work pages": 0.15}
         ),
-        twin.Order(7, "out:edge-1", MARKS["out:edge-1"]),
-        twin.Order(8, "drain", MARKS["drain"]),
-        twin.Confirmed(7),
-        twin.Ready(),
-        Held(341, 643),
+        twin.OverrideMessage(7, "out:edge-1", MARKS["out:edge-1"]),
+        twin.OverrideMessage(8, "drain", MARKS["drain"]),
+        twin.OverrideConfirmed(7),
+        twin.SuccessorReady(),
+        QuotaInUse(341, 643),
     ]
 
 
@@ -81,9 +84,9 @@
 def left_out() -> Iterator[str]:
     """The file of caches that operators have left out."""
     with tempfile.TemporaryDirectory() as folder:
-        operation = Operation(Path(folder) / "marks.json")
-        operation.take_all(MARKS)
-        yield operation.kept()
+        operation = OperatorState(Path(folder) / "marks.json")
+        operation.apply_all(MARKS)
+        yield operation.serialize_ejections()
 
 
 def membership() -> Membership:
@@ -91,7 +94,7 @@
     members = Membership((Rule("list", keep=60.0, silent=5.0), Rule("kept", keep=60.0)))
     boxes = [
         Box("s-1", ("127.0.0.1", 80), "cache", "here", 2, 1.5, 7.0),
-        Box("s-2", ("127.0.0.2", 81), state=State.DRAINING),
+        Box("s-2", ("127.0.0.2", 81), state=MemberState.DRAINING),
     ]
     members.report("list", boxes, True, 10.0)
     return members
@@ -107,7 +110,7 @@
     nodes = (
         Node("o", ("127.0.0.1", 9), store=True, group="g"),
         Node("r", ("127.0.0.1", 10), parents=("o",), weight=2.0, started=3.5),
-        Node("a", ("127.0.0.1", 11), parents=("r", "o"), state=State.DRAINING),
+        Node("a", ("127.0.0.1", 11), parents=("r", "o"), state=MemberState.DRAINING),
     )
     return next_shape(Shape(), Delta(4, None, nodes), ShapeLimits())
 
@@ -141,20 +144,22 @@
 
 def knowledge() -> Iterator[str]:
     """What a process hands to its successor, with its keys."""
-    yield json.dumps(trained_router().knowledge(), sort_keys=True)
+    yield json.dumps(trained_router().export_state(), sort_keys=True)
 
 
-def orders() -> Iterator[Order]:
+def orders() -> Iterator[UpstreamRequest]:
     """Orders of every form."""
-    plain = Order("id1", "pages", "00ff", None, b"", None, None, 1.5, None, 0, None, False, False, False, {})
+    plain = UpstreamRequest(
+        "id1", "pages", "00ff", None, b"", None, None, 1.5, None, 0, None, False, False, False, {}
+    )
     yield plain
-    full = Order(
+    full = UpstreamRequest(
         "id2", "orders", "00fe", 3, b"abc", "0011", "dup-1", 0.25, "parent-1", 2, 8.5, True, True, True,
         {"route": "a.b", "num": "5"},
     )  # fmt: skip
     yield full
     for join, held, renew in ((True, False, False), (False, True, False), (False, False, True)):
-        yield Order(
+        yield UpstreamRequest(
             "id3", "pages", "0a", 0, b"", None, None, 0.0001, "p", 1, 0.0001, join, held, renew, {}
         )  # fmt: skip
 
@@ -168,15 +173,15 @@
 
 def client_answers() -> Iterator[str]:
     """Answers to clients, in hex."""
-    stamp = Stamp("t", 1.0, 2)
+    stamp = CopyStamp("t", 1.0, 2)
     replies = [
-        Reply(Verdict.SERVED, b"body", stamp=stamp, note=AnswerNote.HIT, source="e"),
-        Reply(Verdict.SERVED),
-        Reply(Verdict.UNCHANGED, stamp=stamp),
-        Reply(Verdict.REFUSED),
-        Reply(Verdict.REFUSED, retry_in=0.1),
-        Reply(Verdict.REFUSED, retry_in=0.0001),
-        Reply(Verdict.FAILED, note=AnswerNote.ORIGIN_FAILED),
+        FinalAnswer(AnswerStatus.SERVED, b"body", stamp=stamp, detail=AnswerNote.HIT, served_by="e"),
+        FinalAnswer(AnswerStatus.SERVED),
+        FinalAnswer(AnswerStatus.NOT_MODIFIED, stamp=stamp),
+        FinalAnswer(AnswerStatus.REJECTED),
+        FinalAnswer(AnswerStatus.REJECTED, retry_after=0.1),
+        FinalAnswer(AnswerStatus.REJECTED, retry_after=0.0001),
+        FinalAnswer(AnswerStatus.FAILED, detail=AnswerNote.ORIGIN_FAILED),
     ]
     for number, reply in enumerate(replies, 126):
         yield b"".join(map(bytes, write_reply(number, reply))).hex()
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -8,13 +8,14 @@
 
 from paddlequay.cluster.wire import Codec
 from paddlequay.discovery.membership import Membership, Rule
+from paddlequay.errors import RecordError
 from paddlequay.hierarchy.moves import MoveLimits, Moves
 from paddlequay.hierarchy.shape import Shape, ShapeLimits, delta_data, next_shape, read_delta, whole
-from paddlequay.routing.interface import Inherited, MembersChanged
-from paddlequay.lifecycle.operator_state import Operation
+from paddlequay.lifecycle.operator_state import OperatorState
 from paddlequay.policy import Router
 from paddlequay.protocol import hot_restart as twin
-from paddlequay.store.record import RecordError, decode
+from paddlequay.routing.interface import MembersChanged, StateInherited
+from paddlequay.store.record import decode
 
 
 def sample(name: str) -> str:
@@ -49,10 +50,10 @@
 ) -> None:
     path = tmp_path_factory.mktemp("marks") / "marks.json"
     path.write_text(sample("left_out.json"), encoding="utf-8")
-    operation = Operation(path)
+    operation = OperatorState(path)
     operation.load()
-    assert operation.marks == {name: mark for name, mark in MARKS.items() if name != "drain"}
-    assert operation.kept() + "\n" == sample("left_out.json")
+    assert operation.overrides == {name: mark for name, mark in MARKS.items() if name != "drain"}
+    assert operation.serialize_ejections() + "\n" == sample("left_out.json")
 
 
 def test_saved_members_are_read_and_written_alike() -> None:
@@ -82,10 +83,10 @@
     told = json.loads(sample("knowledge.json"))
     router = Router(settings(), seed=2)
     router.handle(MembersChanged(EVERYBODY, full=True), 100.0)
-    fresh = router.knowledge()
-    router.handle(Inherited(told), 100.0)
-    taken = router.knowledge()
-    assert taken.keys() == told.keys() == trained_router().knowledge().keys()
+    fresh = router.export_state()
+    router.handle(StateInherited(told), 100.0)
+    taken = router.export_state()
+    assert taken.keys() == told.keys() == trained_router().export_state().keys()
     # A limit below the one that a start begins with is not taken over.
     assert taken == {
         name: max(value, fresh[name]) if name.startswith("limit ") else value for name, value in told.items()
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -245,7 +245,7 @@
 
     def counted(self, name: str) -> int:
         """A counter's value now, as the router prints it on request."""
-        asked = "event=counters why=asked"  # not the line printed every few seconds, which may be older
+        asked = "event=counters why=signal"  # not the line printed every few seconds, which may be older
         seen = sum(asked in line for line in self.log)
         self.process.send_signal(signal.SIGUSR1)
 
--- a/tests/placement/test_following.py
+++ b/tests/placement/test_following.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from paddlequay.routing.interface import Member, Request
 from paddlequay.placement.checks import read_rules
 from paddlequay.placement.compile import compile_rules
 from paddlequay.placement.following import SHEETS_MOST, Asked, Following, asked
 from paddlequay.placement.homes import Homes, place
 from paddlequay.placement.mover import Mover, Placed
 from paddlequay.placement.table import Sheet, Table
+from paddlequay.routing.interface import Member, Request
 
 TODAY = "otherwise: 65536 shards by object and part; 1 copy."
 RULES = """rule films, precedence 2, for class video:
--- a/tests/placement/test_rules_compile.py
+++ b/tests/placement/test_rules_compile.py
@@ -8,13 +8,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from paddlequay.config.loader import ConfigError
-from paddlequay.routing.interface import Member
+from paddlequay.errors import ConfigError
 from paddlequay.placement import compile as compiler
 from paddlequay.placement.checks import read_rules
 from paddlequay.placement.compile import compile_rules
 from paddlequay.placement.homes import Homes, arrival, digest, place, slot_of
 from paddlequay.placement.table import Sheet, Table
+from paddlequay.routing.interface import Member
 
 TODAY = read_rules("today", b"otherwise: 65536 shards by object and part; 1 copy.")
 COPIED = read_rules("copied", b"otherwise: 4096 shards by object; 3 copies over 2 zones.")
--- a/tests/placement/test_rules_errors.py
+++ b/tests/placement/test_rules_errors.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from paddlequay.config.loader import ConfigError
-from paddlequay.routing.interface import Member
+from paddlequay.errors import ConfigError
 from paddlequay.placement import checks, grammar, rules, spoken
 from paddlequay.placement.checks import check_rules, read_rules
 from paddlequay.placement.compile import compile_rules
+from paddlequay.routing.interface import Member
 
 EXAMPLE = (Path(__file__).parents[2] / "deploy" / "placement.rules").read_text()
 REST = "\notherwise: 8 shards by object."
--- a/tests/placement/test_table.py
+++ b/tests/placement/test_table.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from paddlequay.routing.interface import Member
 from paddlequay.placement import table as tables
 from paddlequay.placement.checks import read_rules
 from paddlequay.placement.compile import compile_rules
@@ -12,6 +11,7 @@
 from paddlequay.placement.mover import BusyError, Mover, Placed, moved
 from paddlequay.placement.rules import Rules
 from paddlequay.placement.table import Table
+from paddlequay.routing.interface import Member
 
 TEXT = """move at most 10 shards per second.
 cell quiet is zone a.
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -135,6 +135,6 @@
 def test_the_count_of_routers_in_the_own_zone_and_the_notes_are_read() -> None:
     extra = {"extra": {"countByZone": [0, 5], "detail": "all"}}
     settings = read_settings(json.dumps(SETTINGS | extra))
-    assert (settings.routers, settings.routers_here, settings.notes) == (3, 5, True)
+    assert (settings.router_count, settings.zone_router_count, settings.detailed_replies) == (3, 5, True)
     settings = read_settings(json.dumps(SETTINGS | {"locality": "elsewhere"}))
-    assert (settings.routers_here, settings.notes) == (None, None)
+    assert (settings.zone_router_count, settings.detailed_replies) == (None, None)
--- a/tests/test_channel_front.py
+++ b/tests/test_channel_front.py
@@ -7,17 +7,23 @@
 import pytest
 from test_watch import Looker, Side, ask, made
 
-from paddlequay.requests.messages import Attempt, End, Open, Reply, Stamp
 from paddlequay.cluster.ahead import channel_of
 from paddlequay.cluster.channels import Channels
 from paddlequay.cluster.notes import Carried, Ready
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import Action, Bounds, Fleet, Peer, Tell
-from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import Note, Outcome
 from paddlequay.net.cache_words import order_fields
 from paddlequay.net.channels import ChannelFront
 from paddlequay.placement.homes import digest
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.messages import (
+    AttemptResult,
+    CopyStamp,
+    FinalAnswer,
+    PendingRequest,
+    UpstreamAttempt,
+)
+from paddlequay.routing.interface import Outcome, ReplyDetail
 
 NAME = "0000000000000007"
 
@@ -48,15 +54,15 @@
 
     front: ChannelFront
 
-    def asked(self, item: Open, left: float) -> float | None:
-        self.front.asked(item)
+    def admit(self, item: PendingRequest, left: float) -> float | None:
+        self.front.admit(item)
         return None
 
-    def writing(self, attempt: Attempt, left: float) -> Note | None:
-        return self.front.writing(attempt)
+    def before_write(self, attempt: UpstreamAttempt, left: float) -> ReplyDetail | None:
+        return self.front.before_write(attempt)
 
-    def over(self, item: Open) -> None:
-        self.front.over(item)
+    def request_ended(self, item: PendingRequest) -> None:
+        self.front.request_ended(item)
 
 
 class Rig:
@@ -74,10 +80,10 @@
         watch.front = self.front = ChannelFront(
             self.channels, "here", self.exchange, self.exchange.counters, self.tell, lambda: 10.0
         )
-        self.exchange.watch = watch
-        later = self.exchange.scheduler.later
+        self.exchange.interceptor = watch
+        later = self.exchange.scheduler.call_later
         monkeypatch.setattr(
-            self.exchange.scheduler, "later", lambda delay, call: later(delay, call) if delay else call()
+            self.exchange.scheduler, "call_later", lambda delay, call: later(delay, call) if delay else call()
         )
 
     def tell(self, actions: Sequence[Action]) -> None:
@@ -87,7 +93,7 @@
         for part in parts:
             request = ask(f"client {part}")
             request.part = part
-            self.exchange.ask(request, lambda reply: None)
+            self.exchange.submit(request, lambda reply: None)
         return self.side
 
 
@@ -96,20 +102,20 @@
 ) -> None:
     rig = Rig(tmp_path, monkeypatch)
     ahead = next(each for each in rig.read(1, 2, 3).started if each.id.startswith("ahead"))
-    order = rig.exchange.order(ahead)
+    order = rig.exchange.prepare_write(ahead)
     assert order is not None and order.part == 4
     assert order_fields(order)["term"] == "99"
     assert order_fields(order)["chan"] == f"{channel_of('here', NAME):x}"
-    rig.exchange.end(ahead, End(Outcome.SERVED, stamp=Stamp("t", 1.0)))
+    rig.exchange.end_attempt(ahead, AttemptResult(Outcome.SERVED, stamp=CopyStamp("t", 1.0)))
     (word,) = rig.told
     assert isinstance(word, Tell) and word.to == 2 and isinstance(word.note, Carried)
     assert (word.note.part, word.note.box, word.note.term) == (4, digest("box"), 0x99)
     assert not rig.front.out
     # The hint that comes of it reaches the decisions with the client's own request.
-    rig.exchange.router.know.hotness.table.clear()
+    rig.exchange.router.state.hot_objects.objects.clear()
     rig.channels.boxes.told(channel_of("here", NAME), 5, digest("aimag"), 0x99, 3.0, 10.0)
     rig.read(4, 5)
-    assert "aimag" in rig.exchange.router.know.hotness.table[(7, 5)].holders
+    assert "aimag" in rig.exchange.router.state.hot_objects.objects[(7, 5)].holders
 
 
 def test_a_fill_whose_owner_has_lost_its_lease_is_not_written_and_no_member_is_blamed(
@@ -117,12 +123,12 @@
 ) -> None:
     rig = Rig(tmp_path, monkeypatch)
     ahead = next(each for each in rig.read(1, 2, 3).started if each.id.startswith("ahead"))
-    count, box = len(rig.side.started), rig.exchange.router.know.members.servers["box"]
-    limit = box.limit
+    count, box = len(rig.side.started), rig.exchange.router.state.members.upstreams["box"]
+    limit = box.concurrency_limit
     rig.leases.term = None
-    assert rig.exchange.order(ahead) is None
-    assert ahead.id not in rig.exchange.ids and not rig.front.out and not rig.told
-    assert len(rig.side.started) == count and box.failures == 0 and box.limit == limit
+    assert rig.exchange.prepare_write(ahead) is None
+    assert ahead.id not in rig.exchange.open_ids and not rig.front.out and not rig.told
+    assert len(rig.side.started) == count and box.failures == 0 and box.concurrency_limit == limit
     assert rig.read(9).started[-1].id == "client 9"  # and nothing is asked ahead without it
 
 
@@ -130,7 +136,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path, monkeypatch)
-    replies: list[Reply] = []
+    replies: list[FinalAnswer] = []
     for number in range(5):
-        rig.exchange.ask(ask(f"c{number}", "charge"), replies.append)
+        rig.exchange.submit(ask(f"c{number}", "charge"), replies.append)
     assert not any(each.id.startswith("ahead") for each in rig.side.started)
--- a/tests/test_cluster_settings.py
+++ b/tests/test_cluster_settings.py
@@ -5,7 +5,7 @@
 import pytest
 
 from paddlequay.cluster.settings import By, Mode
-from paddlequay.config.loader import ConfigError
+from paddlequay.errors import ConfigError
 from paddlequay.schema.cluster import read_cluster
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -4,18 +4,24 @@
 
 import pytest
 
-from paddlequay.routing.slow_start import PACE, USED_LEAST, WHOLE, Bucket, Cold
-from paddlequay.routing.interface import Ramp
+from paddlequay.routing.interface import SlowStart
+from paddlequay.routing.slow_start import (
+    MIN_REPORTED_USE,
+    RATE_SAFETY_SHARE,
+    REPORTED_CAPACITY_SHARE,
+    SlowStartLimiter,
+    TokenBucket,
+)
 
-RAMP = Ramp(start=0.17, warm_after=15.0, multiple=2.5, window=2.0)
+RAMP = SlowStart(initial_share=0.17, duration=15.0, overload_multiple=2.5, overload_window=2.0)
 
 
-def served(cold: Cold, rate: float, used: float, begin: float, end: float) -> float:
+def served(cold: SlowStartLimiter, rate: float, used: float, begin: float, end: float) -> float:
     """Work served evenly at `rate` a second while `used` ways out are in use; gives the time at the end."""
     now = begin
     while now < end:
         now += 0.1
-        cold.served(rate * 0.1, now, used)
+        cold.record_served(rate * 0.1, now, used)
     return now
 
 
@@ -26,38 +32,40 @@
     Four edges of capacity 10, used by half; then three are replaced at once, and only what the last one and
     the new ones take is served.
     """
-    cold = Cold(RAMP)
-    cold.reset([None] * 4, 100.0)
+    cold = SlowStartLimiter(RAMP)
+    cold.set_members([None] * 4, 100.0)
     now = served(cold, 20.0, 2.0, 100.0, 140.0)
-    cold.reset([None, now, now, now], now)
+    cold.set_members([None, now, now, now], now)
     began = now
     now = served(cold, 20.0 * (1.0 - turned_away), 2.0 * (1.0 - turned_away), now, now + 10.0)
-    pace = cold.pace(began, now)
+    pace = cold.allowed_rate(began, now)
     assert pace is not None
-    share = cold.share(began, now)
-    assert pace >= 0.99 * WHOLE * 2.5 * share * 10.0  # what a cold one of capacity 10 can surely do
-    assert pace <= 1.01 * PACE * 2.5 * share * 10.0  # and under the rule's multiple
+    share = cold.capacity_share(began, now)
+    assert (
+        pace >= 0.99 * REPORTED_CAPACITY_SHARE * 2.5 * share * 10.0
+    )  # what a cold one of capacity 10 can surely do
+    assert pace <= 1.01 * RATE_SAFETY_SHARE * 2.5 * share * 10.0  # and under the rule's multiple
 
 
 def test_untold_or_hardly_used_members_say_nothing_of_their_capacity() -> None:
     """A division by next to no use would send a cold member anything."""
-    for used in (0.0, USED_LEAST / 2):
-        cold = Cold(RAMP)
-        cold.reset([None, None], 100.0)
+    for used in (0.0, MIN_REPORTED_USE / 2):
+        cold = SlowStartLimiter(RAMP)
+        cold.set_members([None, None], 100.0)
         now = served(cold, 1.0, used, 100.0, 130.0)
-        assert cold.pace(now, now) == pytest.approx(PACE * 2.5 * 0.17 * 0.5, rel=0.1)
+        assert cold.allowed_rate(now, now) == pytest.approx(RATE_SAFETY_SHARE * 2.5 * 0.17 * 0.5, rel=0.1)
 
 
 def test_what_others_do_while_no_member_is_there_says_nothing_of_what_members_bear() -> None:
     """All edges of a plaza lost: what went past it was taken for theirs, at no use of their ways out."""
-    cold = Cold(RAMP)
-    cold.reset([None] * 4, 100.0)
+    cold = SlowStartLimiter(RAMP)
+    cold.set_members([None] * 4, 100.0)
     now = served(cold, 20.0, 2.0, 100.0, 140.0)
-    before = cold.pace(now, now)
-    cold.reset([], now)
+    before = cold.allowed_rate(now, now)
+    cold.set_members([], now)
     now = served(cold, 20.0, 0.0, now, now + 5.0)
-    cold.reset([now] * 4, now)
-    assert before and cold.pace(now, now) == pytest.approx(before, rel=0.01)
+    cold.set_members([now] * 4, now)
+    assert before and cold.allowed_rate(now, now) == pytest.approx(before, rel=0.01)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -66,11 +74,11 @@
     rng = random.Random(seed)
     shares = [rng.uniform(0.33, 3.0) for _ in range(40)]
     shares = [share / sum(shares) for share in shares]
-    routers = [(Cold(RAMP), share, [Bucket() for _ in range(6)]) for share in shares]
+    routers = [(SlowStartLimiter(RAMP), share, [TokenBucket() for _ in range(6)]) for share in shares]
     for cold, share, _ in routers:
-        cold.reset([None] * 6, 100.0)
+        cold.set_members([None] * 6, 100.0)
         served(cold, 36.0 * share, 3.6 + rng.uniform(-0.3, 0.3), 100.0, 130.0)
-        cold.reset([130.0] * 6, 130.0)
+        cold.set_members([130.0] * 6, 130.0)
     sent: list[tuple[float, float]] = []  # to the first member, by all
     work, rate = 0.1, 600.0  # ten times what the members can do: the pace alone bounds it
     for step in range(int(10.0 * rate)):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,47 +4,56 @@
 
 import pytest
 
+from paddlequay.policy import Router
+from paddlequay.policy.limits import MAX_REPORT_AGE_S, SHARE_TOLERANCE
+from paddlequay.policy.outliers import EJECTION_FAILURES, PROBE_DELAY_S
+from paddlequay.routing.concurrency import INITIAL_LIMIT
+from paddlequay.routing.history import MAX_OBJECT_AGE_S
 from paddlequay.routing.interface import (
     AttemptEnded,
-    ClientGone,
-    Effect,
+    ClientDisconnected,
     Fetch,
+    Idempotency,
     Member,
     MembersChanged,
-    Note,
+    MemberState,
     Outcome,
-    Ramp,
+    ReplyDetail,
     Request,
     RequestClass,
-    Settings,
-    State,
+    RoutingSettings,
+    SlowStart,
+)
+from paddlequay.routing.state import CacheTier
+
+PAGES = RequestClass(
+    "pages",
+    0.3,
+    2.5,
+    Idempotency.IDEMPOTENT,
+    objective_per_work=2.0,
+    freshness_lifetime=8.0,
+    stale_if_error=30.0,
 )
-from paddlequay.policy import Router
-from paddlequay.policy.health import SKIP_FAILURES, TRIAL_DELAY_S
-from paddlequay.policy.limits import LIMIT_CHANCE, LIMIT_START, REPORT_AGE_S
-from paddlequay.routing.state import Tier
-from paddlequay.routing.history import OBJECT_AGE_S
-
-PAGES = RequestClass("pages", 0.3, 2.5, Effect.SAFE, aim_stretch=2.0, fresh=8.0, grace=30.0)
 WORK = 0.15  # as the module takes it to be before it has seen a size: each request costs 1
 SIZE_KB = 150.0
-COLD = Ramp(start=0.1, warm_after=20.0, multiple=2.0, window=3.0)
+COLD = SlowStart(initial_share=0.1, duration=20.0, overload_multiple=2.0, overload_window=3.0)
 
 
 def fleet(routers: int, members: tuple[Member, ...], notes: bool = True) -> list[Router]:
-    settings = Settings(
+    settings = RoutingSettings(
         zone="here",
         classes=(PAGES,),
-        routers=routers,
-        routers_here=routers,
+        router_count=routers,
+        zone_router_count=routers,
         parent_kind="parent",
         origin_kind="origin",
-        joins=True,
-        notes=notes,
+        coalesces_fills=True,
+        detailed_replies=notes,
         flow_kb_per_s=SIZE_KB / WORK,
         can_cancel=True,
-        cold_parent=COLD,
-        cold_edge=COLD,
+        parent_slow_start=COLD,
+        edge_slow_start=COLD,
     )
     made = [Router(settings, seed) for seed in range(routers)]
     for router in made:
@@ -54,9 +63,9 @@
 
 def members(parents: int = 4, edges: int = 4) -> tuple[Member, ...]:
     return (
-        *(Member(f"edge-{n}", "here", "cache", 0, State.READY) for n in range(edges)),
-        *(Member(f"parent-{n}", "hub", "parent", 1, State.READY) for n in range(parents)),
-        Member("origin", "hub", "origin", 2, State.READY),
+        *(Member(f"edge-{n}", "here", "cache", 0, MemberState.READY) for n in range(edges)),
+        *(Member(f"parent-{n}", "hub", "parent", 1, MemberState.READY) for n in range(parents)),
+        Member("origin", "hub", "origin", 2, MemberState.READY),
     )
 
 
@@ -66,7 +75,12 @@
 
 
 def end(
-    router: Router, fetch: Fetch, outcome: Outcome, now: float, note: Note | None = None, attempt: int = 0
+    router: Router,
+    fetch: Fetch,
+    outcome: Outcome,
+    now: float,
+    note: ReplyDetail | None = None,
+    attempt: int = 0,
 ) -> list[Fetch]:
     final = outcome is Outcome.SERVED
     event = AttemptEnded(fetch.request, attempt, fetch.target, outcome, 0.05, final, note)
@@ -90,7 +104,7 @@
         if now > start and not restarted:
             restarted = True
             zone, kind = ("hub", "parent") if restarts == "parent" else ("here", "cache")
-            entry = Member(cold, zone, kind, 1, State.READY, None, now)
+            entry = Member(cold, zone, kind, 1, MemberState.READY, None, now)
             for router in made:
                 router.handle(MembersChanged((entry,)), now)
         number += 1
@@ -100,12 +114,12 @@
                 sent.append(now)
             end(router, fetch, Outcome.SERVED, now)
     # Four members bear the load at no more than 0.7 of what they can do.
-    assert COLD.start and COLD.warm_after and COLD.multiple and COLD.window
+    assert COLD.initial_share and COLD.duration and COLD.overload_multiple and COLD.overload_window
     capacity = rate * WORK / 4 / 0.7
     for last in sent:
-        share = COLD.start + (1 - COLD.start) * (last - start) / COLD.warm_after
-        work = WORK * sum(last - COLD.window < at <= last for at in sent)
-        assert work <= COLD.multiple * share * capacity * COLD.window + 3 * WORK
+        share = COLD.initial_share + (1 - COLD.initial_share) * (last - start) / COLD.duration
+        work = WORK * sum(last - COLD.overload_window < at <= last for at in sent)
+        assert work <= COLD.overload_multiple * share * capacity * COLD.overload_window + 3 * WORK
     assert sent or rate / routers < 1.0  # thinner, it may get nothing while it is cold
 
 
@@ -116,14 +130,19 @@
     out = 0
     for number in range(4000):
         out += len(ask(made[number % routers], f"r{number}", number, 2.0))
-    share = LIMIT_START[Tier.EDGE] / routers
-    most = routers * max(1.0, share + LIMIT_CHANCE * share**0.5)
+    share = INITIAL_LIMIT[CacheTier.EDGE] / routers
+    most = routers * max(1.0, share + SHARE_TOLERANCE * share**0.5)
     assert routers <= out <= most + 1e-6
 
 
 @pytest.mark.parametrize(
     ("cores", "link", "age", "held"),
-    [(0.1, 0.1, 0.1, False), (0.9, 0.1, 0.1, True), (0.1, 2.0, 0.1, True), (0.1, 0.1, REPORT_AGE_S, True)],
+    [
+        (0.1, 0.1, 0.1, False),
+        (0.9, 0.1, 0.1, True),
+        (0.1, 2.0, 0.1, True),
+        (0.1, 0.1, MAX_REPORT_AGE_S, True),
+    ],
 )
 def test_an_edge_that_reports_room_is_not_held_to_be_full(
     cores: float, link: float, age: float, held: bool
@@ -132,7 +151,9 @@
     (router,) = fleet(1, members(edges=1, parents=40))
     (fetch,) = ask(router, "first", 1, 2.0)
     report = (("active", 4.0), ("cpu", cores), ("x0", 0.5), ("x1", link))
-    answer = AttemptEnded("first", 0, fetch.target, Outcome.SERVED, 0.05, True, Note.FILLED, None, report)
+    answer = AttemptEnded(
+        "first", 0, fetch.target, Outcome.SERVED, 0.05, True, ReplyDetail.FILLED, None, report
+    )
     router.handle(answer, 2.0)
     sent = sum(len(ask(router, f"r{number}", number, 2.0 + age)) for number in range(100))
     assert (sent < 30) if held else (sent == 100)
@@ -141,19 +162,19 @@
 def test_a_full_edge_is_not_skipped_and_its_source_is_not_blamed() -> None:
     """i633f50: edges that turned requests away were skipped, and the hits they held were lost."""
     (router,) = fleet(1, members())
-    for number in range(3 * SKIP_FAILURES):
+    for number in range(3 * EJECTION_FAILURES):
         (fetch,) = ask(router, f"r{number}", 5, 2.0 + number)
-        for again in end(router, fetch, Outcome.REFUSED, 2.0 + number):
+        for again in end(router, fetch, Outcome.REJECTED, 2.0 + number):
             assert again.source == fetch.source
-            router.handle(ClientGone(again.request), 2.0 + number)
-    assert not any(server.skipped for server in router.know.members.servers.values())
+            router.handle(ClientDisconnected(again.request), 2.0 + number)
+    assert not any(server.ejected for server in router.state.members.upstreams.values())
 
 
 def test_without_notes_a_refusal_names_the_source_and_the_next_parent_is_asked() -> None:
     """tarjeta-branches-later big-1: a dead parent shows only as refusals of its fills."""
     (router,) = fleet(1, members(), notes=False)
     (fetch,) = ask(router, "r1", 5, 2.0)
-    (again,) = end(router, fetch, Outcome.REFUSED, 2.0)
+    (again,) = end(router, fetch, Outcome.REJECTED, 2.0)
     assert again.target == fetch.target
     assert again.source.startswith("parent") and again.source != fetch.source
 
@@ -162,31 +183,33 @@
     """i633f50: misses waited at an origin that did not answer, in places that hits needed."""
     (router,) = fleet(1, members())
     now = 2.0
-    for number in range(SKIP_FAILURES):
+    for number in range(EJECTION_FAILURES):
         (fetch,) = ask(router, f"r{number}", number, now)
-        assert not fetch.only_held and fetch.max_age is None
-        (look,) = end(router, fetch, Outcome.REFUSED, now, Note.ORIGIN_FAILED)
+        assert not fetch.only_if_cached and fetch.max_age is None
+        (look,) = end(router, fetch, Outcome.REJECTED, now, ReplyDetail.ORIGIN_FAILED)
         assert look.source == look.target and look.max_age == 38.0
         assert end(router, look, Outcome.MISS, now, attempt=1) == []
     (held,) = ask(router, "held", 50, now)
-    assert held.source.startswith("parent") and held.only_held and held.max_age == 38.0
-    now += TRIAL_DELAY_S
+    assert held.source.startswith("parent") and held.only_if_cached and held.max_age == 38.0
+    now += PROBE_DELAY_S
     (trial,) = ask(router, "trial", 51, now)
     (other,) = ask(router, "other", 52, now)
-    assert not trial.only_held and other.only_held
-    end(router, trial, Outcome.SERVED, now, Note.FILLED_FROM_ORIGIN)
-    assert not ask(router, "after", 53, now)[0].only_held
+    assert not trial.only_if_cached and other.only_if_cached
+    end(router, trial, Outcome.SERVED, now, ReplyDetail.FILLED_FROM_ORIGIN)
+    assert not ask(router, "after", 53, now)[0].only_if_cached
 
 
 def test_a_member_that_started_anew_is_believed_to_hold_nothing() -> None:
     """Judged when a holder is looked up: the table of objects is not walked when a member leaves."""
     (router,) = fleet(1, members())
     (fetch,) = ask(router, "r1", 5, 2.0)
-    end(router, fetch, Outcome.SERVED, 2.1, Note.FILLED)
-    seen = next(iter(router.know.hotness.table.values()))
-    assert router.know.hotness.held(seen, router.know.members.servers, 2.2) == [fetch.target]
-    router.handle(MembersChanged((Member(fetch.target, "here", "cache", 0, State.READY, None, 2.2),)), 2.2)
-    assert router.know.hotness.held(seen, router.know.members.servers, 2.2) == []
+    end(router, fetch, Outcome.SERVED, 2.1, ReplyDetail.FILLED)
+    seen = next(iter(router.state.hot_objects.objects.values()))
+    assert router.state.hot_objects.holders(seen, router.state.members.upstreams, 2.2) == [fetch.target]
+    router.handle(
+        MembersChanged((Member(fetch.target, "here", "cache", 0, MemberState.READY, None, 2.2),)), 2.2
+    )
+    assert router.state.hot_objects.holders(seen, router.state.members.upstreams, 2.2) == []
 
 
 def test_members_that_leave_do_not_raise_what_the_rest_may_bear() -> None:
@@ -194,18 +217,20 @@
     (router,) = fleet(1, members(edges=4))
     for number in range(400):
         (fetch,) = ask(router, f"r{number}", number, 2.0 + number / 40)
-        end(router, fetch, Outcome.SERVED, 2.0 + number / 40, Note.HIT)
-    cold = Member("edge-0", "here", "cache", 0, State.READY, None, 12.0)
+        end(router, fetch, Outcome.SERVED, 2.0 + number / 40, ReplyDetail.HIT)
+    cold = Member("edge-0", "here", "cache", 0, MemberState.READY, None, 12.0)
     router.handle(MembersChanged((cold,)), 12.0)
-    before = router.know.members.cold[Tier.EDGE].pace(12.0, 12.0)
-    gone = tuple(Member(f"edge-{n}", state=State.GONE) for n in range(1, 4))
+    before = router.state.members.slow_start[CacheTier.EDGE].allowed_rate(12.0, 12.0)
+    gone = tuple(Member(f"edge-{n}", state=MemberState.REMOVED) for n in range(1, 4))
     router.handle(MembersChanged(gone), 12.0)
-    assert before and router.know.members.cold[Tier.EDGE].pace(12.0, 12.0) == before
+    assert before and router.state.members.slow_start[CacheTier.EDGE].allowed_rate(12.0, 12.0) == before
 
 
 def test_an_odd_count_of_routers_is_no_error() -> None:
     for count in (None, 0):
-        settings = Settings("here", (PAGES,), routers=count, routers_here=count, parent_kind="parent")
+        settings = RoutingSettings(
+            "here", (PAGES,), router_count=count, zone_router_count=count, parent_kind="parent"
+        )
         router = Router(settings, 1)
         router.handle(MembersChanged(members(), full=True), 1.0)
         assert ask(router, "r1", 5, 2.0)
@@ -216,5 +241,5 @@
     (router,) = fleet(1, members())
     for number in range(400):
         for fetch in ask(router, f"r{number}", number, 2.0 + number):
-            end(router, fetch, Outcome.SERVED, 2.0 + number, Note.HIT)
-    assert len(router.know.hotness.table) <= OBJECT_AGE_S + 2
+            end(router, fetch, Outcome.SERVED, 2.0 + number, ReplyDetail.HIT)
+    assert len(router.state.hot_objects.objects) <= MAX_OBJECT_AGE_S + 2
--- a/tests/test_leaves.py
+++ b/tests/test_leaves.py
@@ -5,13 +5,13 @@
 import pytest
 from test_watch import ask, made
 
-from paddlequay.requests.messages import Attempt, End, Open
 from paddlequay.cluster.limits import Limits
 from paddlequay.cluster.settings import By, ClusterSettings, LimitRule, Mode
 from paddlequay.cluster.types import Bounds, Fleet
-from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import Note, Outcome
 from paddlequay.net.leaves import LEAVE_S, OUT_PAUSE, Leaves
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.messages import AttemptResult, PendingRequest, UpstreamAttempt
+from paddlequay.routing.interface import Outcome, ReplyDetail
 
 
 class World:
@@ -20,7 +20,7 @@
     def __init__(self, folder: Path, *rules: LimitRule) -> None:
         self.exchange: Exchange
         self.exchange, _, self.side = made(folder)
-        self.exchange.watch = None
+        self.exchange.interceptor = None
         self.now = 100.0
         settings = ClusterSettings("here", (), limits=rules)
         self.leaves = Leaves(settings, self.exchange, self.exchange.counters, lambda: self.now)
@@ -30,9 +30,9 @@
         self.leaves.joined(self.limits)
         self.opened = 0
 
-    def open(self, kind: str = "video") -> tuple[Open, Attempt]:
+    def open(self, kind: str = "video") -> tuple[PendingRequest, UpstreamAttempt]:
         self.opened += 1
-        item = self.exchange.ask(ask(f"{self.opened:x}", kind), lambda _: None)
+        item = self.exchange.submit(ask(f"{self.opened:x}", kind), lambda _: None)
         assert item is not None
         item.deadline = self.now + 2.0
         return item, self.side.started[-1]
@@ -45,42 +45,44 @@
 def test_a_refused_renewal_leaves_the_next_attempt_without_leave_too(tmp_path: Path) -> None:
     world = World(tmp_path, rate(By.CLASS, "video"))
     a, first = world.open()
-    assert world.leaves.asked(a, 2.0) is None
+    assert world.leaves.admit(a, 2.0) is None
     world.now += 1.0 + 2 * LEAVE_S  # stopped, or waiting for a connection
     b, other = world.open()
-    assert world.leaves.asked(b, 2.0) is None
-    assert world.leaves.writing(first, 1.0) is Note.FILLS_FULL
-    assert world.leaves.writing(first, 1.0) is Note.FILLS_FULL  # another attempt of it: asks again
-    assert world.leaves.writing(other, 1.0) is None
+    assert world.leaves.admit(b, 2.0) is None
+    assert world.leaves.before_write(first, 1.0) is ReplyDetail.FILL_LIMIT
+    assert (
+        world.leaves.before_write(first, 1.0) is ReplyDetail.FILL_LIMIT
+    )  # another attempt of it: asks again
+    assert world.leaves.before_write(other, 1.0) is None
     world.now += 1.1
-    assert world.leaves.writing(first, 1.0) is None
+    assert world.leaves.before_write(first, 1.0) is None
 
 
-@pytest.mark.parametrize(("outcome", "free"), [(Outcome.REFUSED, False), (Outcome.TIMEOUT, True)])
+@pytest.mark.parametrize(("outcome", "free"), [(Outcome.REJECTED, False), (Outcome.TIMEOUT, True)])
 def test_what_was_proven_idle_is_written_anew_only_by_a_leave_that_is_young(
     tmp_path: Path, outcome: Outcome, free: bool
 ) -> None:
     world = World(tmp_path, rate(By.CLASS, "video", burst=1.0))
     a, attempt = world.open()
-    assert world.leaves.asked(a, 2.0) is None and world.leaves.writing(attempt, 1.0) is None
-    world.leaves.ended(attempt, End(outcome))
+    assert world.leaves.admit(a, 2.0) is None and world.leaves.before_write(attempt, 1.0) is None
+    world.leaves.attempt_ended(attempt, AttemptResult(outcome))
     world.now += 1.1
     b, _ = world.open()
-    assert world.leaves.asked(b, 2.0) is None  # the one token that has come since
-    assert (world.leaves.writing(attempt, 1.0) is None) is free
+    assert world.leaves.admit(b, 2.0) is None  # the one token that has come since
+    assert (world.leaves.before_write(attempt, 1.0) is None) is free
 
 
 def test_a_place_is_held_for_all_that_is_left_of_the_request(tmp_path: Path) -> None:
     world = World(tmp_path, LimitRule("r", By.CLASS, "video", at_once=1, floor=1.0))
     a, attempt = world.open()
-    assert world.leaves.asked(a, 2.0) is None
+    assert world.leaves.admit(a, 2.0) is None
     world.now += 2 * LEAVE_S
-    assert world.leaves.writing(attempt, 0.3) is None  # renewed by an attempt that ends soon
+    assert world.leaves.before_write(attempt, 0.3) is None  # renewed by an attempt that ends soon
     world.now += 0.5
     b, _ = world.open()
-    assert world.leaves.asked(b, 2.0) is not None
-    world.leaves.over(a)
-    assert world.leaves.asked(b, 2.0) is None
+    assert world.leaves.admit(b, 2.0) is not None
+    world.leaves.request_ended(a)
+    assert world.leaves.admit(b, 2.0) is None
 
 
 @pytest.mark.parametrize("mode", list(Mode))
@@ -90,13 +92,13 @@
     each = LimitRule("s", By.MEMBER, "*", rate=1.0, floor=1.0, mode=mode)
     world = World(tmp_path, rate(By.CLASS, "video", mode=mode), each)
     a, attempt = world.open()
-    assert world.leaves.asked(a, 2.0) is None
+    assert world.leaves.admit(a, 2.0) is None
     world.leaves.joined(None)
     b, _ = world.open()
     strict = mode is Mode.STRICT
-    assert world.leaves.asked(b, 2.0) == (OUT_PAUSE if strict else None)
-    assert (world.leaves.writing(attempt, 1.0) is None) is not strict
-    world.leaves.over(a)
+    assert world.leaves.admit(b, 2.0) == (OUT_PAUSE if strict else None)
+    assert (world.leaves.before_write(attempt, 1.0) is None) is not strict
+    world.leaves.request_ended(a)
     assert not world.leaves.requests and not world.leaves.writes
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,7 +11,7 @@
     files = sorted(ROOT.glob("paddlequay/policy/*.py"))
     texts = {path: path.read_text().splitlines() for path in files}
     assert sum(bool(line.strip()) for lines in texts.values() for line in lines) <= 750
-    assert "paddlequay/interface.py" in texts[ROOT / "paddlequay/policy/__init__.py"][0]
+    assert "routing/interface.py" in texts[ROOT / "paddlequay/policy/__init__.py"][0]
     named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     assert named == [str(path.relative_to(ROOT)) for path in files]
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -7,10 +7,10 @@
 from harness import SETTINGS
 from test_policy_sizes import FITS, SIZED_PARENTS, sized
 
-from paddlequay.routing.link_load import PAST_SPAN, SPAN, Link
-from paddlequay.routing.interface import Fetch, Member, Outcome, Refuse, State
-from paddlequay.routing.state import Tier
-from paddlequay.config.settings import settings_from
+from paddlequay.config.settings import parse_settings
+from paddlequay.routing.interface import Fetch, Member, MemberState, Outcome, Reject
+from paddlequay.routing.link_load import BYPASS_SPAN, FILL_SPAN, LinkLoad
+from paddlequay.routing.state import CacheTier
 
 
 @pytest.mark.parametrize(("told", "fits"), [(8000.0, 4.0), (0.0, None), (None, None)])
@@ -19,33 +19,37 @@
     data["extra"] |= {"oneFlowKbPerS": 2000.0, "inletKbPerS": [0.0, told]}
     if told is None:
         del data["extra"]["inletKbPerS"]
-    settings = settings_from(data)
-    assert Link.told(settings).fits == fits and settings.link_kb_per_s == (told or None)
+    settings = parse_settings(data)
+    assert LinkLoad.from_settings(settings).transfer_capacity == fits and settings.link_kb_per_s == (
+        told or None
+    )
 
 
 def test_fills_are_shed_once_those_out_fill_the_link_and_let_in_again_as_they_end() -> None:
     """big-2: in a release fills went on into links of ten transfers, and limits cut for it shed hits."""
     driver = sized(link=2.0)
-    driver.router.know.limits.sharers[Tier.EDGE] = 0.01  # edges have room: the link alone is in question
+    driver.router.state.limits.contending_routers[CacheTier.EDGE] = (
+        0.01  # edges have room: the link alone is in question
+    )
     out: list[Fetch] = []
-    while len(out) < SPAN[1] * 2.0:
+    while len(out) < FILL_SPAN[1] * 2.0:
         out += [fetch for fetch in fetches(driver.ask(len(out))) if fetch.source != fetch.target]
     look = driver.fetch(99)
     assert look.target == look.source
     (answer,) = driver.end(look, Outcome.MISS)
-    assert isinstance(answer, Refuse) and answer.cause == "link_full"
+    assert isinstance(answer, Reject) and answer.cause == "link_full"
     for fetch in out:
         driver.serve(fetch)
-    assert driver.router.know.link.out == 0
+    assert driver.router.state.zone_link.fills_in_flight == 0
     again = driver.fetch(100)
     assert again.target != again.source
 
 
 def test_what_no_note_proves_held_goes_by_the_link_too_and_with_notes_does_not() -> None:
     for notes in (False, True):
-        driver = sized(link=1.0, notes=notes)
+        driver = sized(link=1.0, detailed_replies=notes)
         driver.serve(driver.fetch(7))
-        driver.router.know.link.out = 50
+        driver.router.state.zone_link.fills_in_flight = 50
         again = driver.fetch(7)
         assert (again.source == again.target) is not notes
 
@@ -53,15 +57,19 @@
 def test_fills_from_siblings_take_nothing_of_the_link() -> None:
     driver = sized(link=10.0)
     driver.serve(driver.fetch())
-    driver.list(*[Member(f"new-{n}", "here", "cache", 0, State.READY, FITS) for n in range(40)])
+    driver.list(*[Member(f"new-{n}", "here", "cache", 0, MemberState.READY, FITS) for n in range(40)])
     second = driver.fetch()
-    assert second.only_held and driver.router.know.link.out == 0
+    assert second.only_if_cached and driver.router.state.zone_link.fills_in_flight == 0
 
 
 def test_what_no_cache_keeps_is_shed_before_what_one_does_and_the_dearest_class_first() -> None:
-    link = Link(fits=10.0, sharers=2.0, out=7)
-    assert link.use() == 1.4 and link.fills(luck=0.5) and not link.fills(luck=0.5, kept=False)
-    assert link.fills(luck=0.0, dear=0.25) and not link.fills(luck=0.0)
+    link = LinkLoad(transfer_capacity=10.0, router_count=2.0, fills_in_flight=7)
+    assert (
+        link.utilization() == 1.4
+        and link.admits_fill(luck=0.5)
+        and not link.admits_fill(luck=0.5, kept=False)
+    )
+    assert link.admits_fill(luck=0.0, dear=0.25) and not link.admits_fill(luck=0.0)
 
 
 @pytest.mark.parametrize("link", [None, 100.0])
@@ -71,18 +79,18 @@
     past = refused = 0
     for key in range(120):
         for action in driver.ask(key):
-            refused += isinstance(action, Refuse) and action.cause == "edge_busy"
+            refused += isinstance(action, Reject) and action.cause == "edge_busy"
             past += isinstance(action, Fetch) and action.target in {each.name for each in SIZED_PARENTS}
     assert (past > 0) is (link is not None) and (refused > 0 or link is not None)
 
 
 def test_nothing_goes_past_busy_edges_once_the_link_has_no_room_for_it() -> None:
     driver = sized(link=64.0)
-    link, past = driver.router.know.link, 0
+    link, past = driver.router.state.zone_link, 0
     for key in range(300):
-        use = link.use()
+        use = link.utilization()
         for fetch in fetches(driver.ask(key)):
             if fetch.target in {each.name for each in SIZED_PARENTS}:
                 past += 1
-                assert use < PAST_SPAN[1]
+                assert use < BYPASS_SPAN[1]
     assert past
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,13 +11,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from paddlequay.discovery.membership import Box, Change, Limits, Membership, Rule, TooManyError
-from paddlequay.routing.interface import State
+from paddlequay.routing.interface import MemberState
 
-READY, DRAINING, GONE = State.READY, State.DRAINING, State.GONE
+READY, DRAINING, GONE = MemberState.READY, MemberState.DRAINING, MemberState.REMOVED
 RULES = (Rule("list", keep=60.0, silent=5.0), Rule("dns", keep=60.0, silent=5.0))
 
 
-def box(id: str, port: int = 1, state: State = READY, **also: object) -> Box:
+def box(id: str, port: int = 1, state: MemberState = READY, **also: object) -> Box:
     return replace(Box(id, ("127.0.0.1", port), state=state), **also)  # type: ignore[arg-type]
 
 
@@ -25,17 +25,17 @@
     return [box(f"b{n}", 100 + n) for n in range(count)]
 
 
-def told(changes: list[Change]) -> dict[str, State]:
+def told(changes: list[Change]) -> dict[str, MemberState]:
     return {change.box.id: change.box.state for change in changes}
 
 
-def held(members: Membership) -> dict[str, State]:
+def held(members: Membership) -> dict[str, MemberState]:
     return {change.box.id: change.box.state for change in members.members.values()}
 
 
 @pytest.mark.parametrize("state", [DRAINING, GONE])
 @pytest.mark.parametrize("other", ["s-1", "host-1"])
-def test_a_drain_or_an_end_holds_whatever_the_other_source_names(state: State, other: str) -> None:
+def test_a_drain_or_an_end_holds_whatever_the_other_source_names(state: MemberState, other: str) -> None:
     members = Membership(RULES)
     members.report("list", [box("s-1")], True, 0.0)
     members.report("dns", [box(other)], True, 0.0)
@@ -220,7 +220,7 @@
         ),
         full=st.booleans(),
     )
-    def report(self, source: str, said: list[tuple[str, int, State]], full: bool) -> None:
+    def report(self, source: str, said: list[tuple[str, int, MemberState]], full: bool) -> None:
         self.now += 0.5
         boxes = [box(id, port, state) for id, port, state in said]
         self.members.report(source, boxes, full, self.now)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -12,9 +12,9 @@
 from paddlequay.hierarchy.node import Node as Tier
 from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, next_shape
 from paddlequay.hierarchy.trail import HOPS_MOST, TEXT_MOST, Key, Keyring, Trail, TrailError
-from paddlequay.routing.interface import Note
 from paddlequay.lab.search import first, random_run, small_worlds
 from paddlequay.lab.world import World
+from paddlequay.routing.interface import ReplyDetail
 
 OLD, NEW = Key("k1", b"an old secret....", 0, 200), Key("k2", b"a newer secret...", 100, 300)
 TRAIL = Trail(1234567, ("a", "b-2", "c_3"))
@@ -298,8 +298,8 @@
     ("got", "word", "detail"),
     [
         (Got(refused=True), Word.SHED, "UP_BUSY"),
-        (Got(note=Note.ORIGIN_FAILED), Word.FAULT, "ORIGIN_ERR"),
-        (Got(note=Note.SOURCE_LACKS), Word.NONE, "UP_MISS"),
+        (Got(note=ReplyDetail.ORIGIN_FAILED), Word.FAULT, "ORIGIN_ERR"),
+        (Got(note=ReplyDetail.SOURCE_MISS), Word.NONE, "UP_MISS"),
         (Got(), Word.NONE, "UP_DOWN"),
     ],
 )
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -13,14 +13,14 @@
 import pytest
 from harness import WAIT, Client, Party, Platform, platform, told, until
 
-from paddlequay.config.loader import Limits
+from paddlequay.config.limits import Limits
+from paddlequay.lifecycle.operator_state import OperatorState, Override
+from paddlequay.net.hot_restart import HotRestart
 from paddlequay.observability.counters import Counters
-from paddlequay.net.hot_restart import Twin
-from paddlequay.lifecycle.operator_state import Mark, Operation
 from paddlequay.protocol import hot_restart as twin
 from paddlequay.protocol.console import Call, MalformedError, Reader
 from paddlequay.protocol.msgpack import pack
-from paddlequay.requests.quotas import Held, Shares
+from paddlequay.requests.quotas import ProcessQuotas, QuotaInUse
 
 
 @pytest.fixture
@@ -61,14 +61,20 @@
         Reader(1000, 1000).feed(head)
 
 
-STATE = twin.State({"out:a": Mark(5, True)}, ("a", "b"), {"limit a": 12.5})
-ORDER = twin.Order(3, "drain", Mark(9, False))
-MESSAGES: list[twin.Message] = [STATE, ORDER, twin.Confirmed(3), twin.Ready(), Held(4, 5)]
+STATE = twin.StateMessage({"out:a": Override(5, True)}, ("a", "b"), {"limit a": 12.5})
+ORDER = twin.OverrideMessage(3, "drain", Override(9, False))
+MESSAGES: list[twin.Message] = [
+    STATE,
+    ORDER,
+    twin.OverrideConfirmed(3),
+    twin.SuccessorReady(),
+    QuotaInUse(4, 5),
+]
 
 
 @pytest.mark.parametrize("size", [1, 5, 1000])
 def test_messages_between_two_processes_come_whole_in_pieces_of_any_size(size: int) -> None:
-    data, reader = b"".join(map(twin.pack, MESSAGES)), twin.Reader(1000)
+    data, reader = b"".join(map(twin.pack, MESSAGES)), twin.LinkParser(1000)
     pieces = [data[at : at + size] for at in range(0, len(data), size)]
     assert [message for piece in pieces for message in reader.feed(piece)] == MESSAGES
 
@@ -132,7 +138,7 @@
     assert p.call("/-/ready", "GET", console)[0] == 200
     p.publish({"no": 1})
     p.ready()
-    p.logged("event=newer_process_ready")
+    p.logged("event=successor_ready")
     for number in range(100, 140):  # all go to the newer one: the older one is about to close its listener
         client = p.client()
         client.ask("nosuch", call=f"{number:016x}")
@@ -187,9 +193,9 @@
     p.ready()
     older = p.process
     p.start()
-    p.logged("event=newer_process")
+    p.logged("event=successor_connected")
     older.send_signal(signal.SIGKILL)
-    p.logged("event=older_process_ended")
+    p.logged("event=predecessor_ended")
     p.ready()
     assert p.call("/-/ready", "GET")[0] == 200
 
@@ -198,16 +204,16 @@
     p.ready()
     older, console = p.process, p.console
     newer = p.start()
-    p.logged("event=newer_process")
+    p.logged("event=successor_connected")
     newer.kill()
-    p.logged("event=newer_process_ended")
+    p.logged("event=successor_ended")
     assert p.call("/-/ready", "GET", console)[0] == 200
     p.start()
     p.ready()
-    p.logged("event=newer_process_ready")
+    p.logged("event=successor_ready")
     p.process.kill()  # this one had taken over already
     p.process.wait(WAIT)  # its listener could take, and reset, the next connection
-    until(lambda: sum("event=newer_process_ended" in line for line in p.log) == 2, "its end is seen")
+    until(lambda: sum("event=successor_ended" in line for line in p.log) == 2, "its end is seen")
     p.process = older
     client = p.client()
     for number in (1, 2):  # on a connection that is kept
@@ -305,10 +311,10 @@
     client = p.client()
     assert ready(client)
     p.start()
-    p.logged("event=newer_process")
+    p.logged("event=successor_connected")
     assert p.call("/-/drain")[0] == 200  # told to the newer one, which does not listen for clients yet
     assert not ready(client)
-    p.logged("event=newer_process_ready")
+    p.logged("event=successor_ready")
     assert not ready(p.client()) and p.call("/-/ready", "GET")[0] == 503
 
 
@@ -365,7 +371,7 @@
     assert p.call("/-/caches/box-1/disable")[0] == 200
     older, console = p.process, p.console
     p.start()
-    p.logged("event=newer_process")
+    p.logged("event=successor_connected")
     # Told to either, both obey: the older one serves this client still.
     assert p.call("/-/caches/box-1/enable")[0] == 200
     assert share(p, client, 500) > 0
@@ -398,7 +404,7 @@
     p.process.wait(timeout=WAIT)
     p.start()
     p.ready()
-    assert sum("event=bans_unreadable" in line for line in p.log) == 1
+    assert sum("event=overrides_unreadable" in line for line in p.log) == 1
     assert p.call("/-/caches/box-1/enable")[1] == "back; left out now: none\n"
 
 
@@ -413,13 +419,15 @@
     """Its console answered a drain with 200 before it had looked, and the older process served on."""
 
     async def play() -> None:
-        limits = Limits(confirm_longest=0.2)
-        made = Twin(tmp_path / "a.sock", Operation(tmp_path / "a.json"), Shares(limits), limits, Counters())
-        assert not await made.confirm("drain", Mark(1, True))  # nobody has looked: no promise
-        asked = asyncio.ensure_future(made.confirm("drain", Mark(2, True)))
+        limits = Limits(confirm_timeout=0.2)
+        made = HotRestart(
+            tmp_path / "a.sock", OperatorState(tmp_path / "a.json"), ProcessQuotas(limits), limits, Counters()
+        )
+        assert not await made.confirm("drain", Override(1, True))  # nobody has looked: no promise
+        asked = asyncio.ensure_future(made.confirm("drain", Override(2, True)))
         await asyncio.sleep(0)
         assert not asked.done()
-        assert not await made.find() and await asked
+        assert not await made.find_predecessor() and await asked
         made.close()
 
     asyncio.run(play())
--- a/tests/test_policy_attempts.py
+++ b/tests/test_policy_attempts.py
@@ -3,18 +3,18 @@
 import pytest
 from driver import Driver, fetches
 
-from paddlequay.routing.interface import ClientGone, Fail, Fetch, Note, Outcome, Purged, Refuse
-from paddlequay.policy.attempts import BUDGET_RESERVE, BUDGET_SHARE
-from paddlequay.routing.history import PURGES_MOST
+from paddlequay.policy.attempts import MAX_RETRY_BUDGET, RETRY_BUDGET_RATIO
+from paddlequay.routing.history import MAX_PURGES
+from paddlequay.routing.interface import ClientDisconnected, Fail, Fetch, Outcome, Purged, Reject, ReplyDetail
 
 
 def test_what_a_lost_connection_ended_is_sent_once_more_beyond_the_budget() -> None:
     """garble+fleet: thirty requests on one connection used up the budget, and the rest were refused."""
     driver = Driver()
-    driver.router.attempts.budget = 0.0
+    driver.router.attempts.retry_budget = 0.0
     (again,) = fetches(driver.end(driver.fetch(), Outcome.RESET))
     assert again.source != again.target
-    driver.router.attempts.budget = 0.0
+    driver.router.attempts.retry_budget = 0.0
     (look,) = fetches(driver.end(again, Outcome.RESET, attempt=1))
     assert look.source == look.target
 
@@ -30,9 +30,9 @@
 
 def test_more_purges_than_the_table_holds_bind_every_object() -> None:
     driver = Driver()
-    for key in range(PURGES_MOST + 1):
+    for key in range(MAX_PURGES + 1):
         driver.router.handle(Purged(age=0.1, key=1000 + key), driver.now)
-    assert len(driver.router.know.purges.table) == PURGES_MOST
+    assert len(driver.router.state.purges.purged_at) == MAX_PURGES
     assert driver.fetch().max_age == pytest.approx(0.1)
 
 
@@ -45,7 +45,7 @@
 
 def test_an_unsafe_request_that_did_not_run_is_sent_again() -> None:
     driver = Driver()
-    assert fetches(driver.end(driver.fetch(kind="pays"), Outcome.UNREACHED))
+    assert fetches(driver.end(driver.fetch(kind="pays"), Outcome.CONNECT_FAILED))
 
 
 def test_a_keyed_request_is_repeated_inside_its_window_only() -> None:
@@ -55,18 +55,18 @@
     (again,) = fetches(driver.end(fetch, Outcome.RESET))
     driver.now += 1.45
     actions = driver.end(again, Outcome.RESET, attempt=1)
-    assert not fetches(actions) and any(isinstance(action, Refuse) for action in actions)
+    assert not fetches(actions) and any(isinstance(action, Reject) for action in actions)
 
 
 def test_further_attempts_end_with_their_budget_but_for_one_look_at_what_is_held() -> None:
     driver = Driver()
     again = []
     for key in range(100):
-        more = fetches(driver.end(driver.fetch(key), Outcome.MISS, Note.SOURCE_LACKS))
+        more = fetches(driver.end(driver.fetch(key), Outcome.MISS, ReplyDetail.SOURCE_MISS))
         again += more
         for fetch in more:
-            driver.router.handle(ClientGone(fetch.request), driver.now)
+            driver.router.handle(ClientDisconnected(fetch.request), driver.now)
             driver.end(fetch, Outcome.CANCELLED, attempt=1)
     fills = [fetch for fetch in again if fetch.source != fetch.target]
-    assert len(fills) <= BUDGET_RESERVE + 100 * BUDGET_SHARE
+    assert len(fills) <= MAX_RETRY_BUDGET + 100 * RETRY_BUDGET_RATIO
     assert len(again) <= 100
--- a/tests/test_policy_ladder.py
+++ b/tests/test_policy_ladder.py
@@ -2,8 +2,8 @@
 
 from driver import EDGES, ORIGIN, PARENTS, Driver, fetches
 
-from paddlequay.routing.interface import Fetch, Member, Note, Outcome, Refuse, State
-from paddlequay.policy.hotness import HOT_WINDOW_S, RANK_LOW, RANK_TOP
+from paddlequay.policy.hot_objects import HOT_WINDOW_S, RETENTION_HOT, RETENTION_LOW
+from paddlequay.routing.interface import Fetch, Member, MemberState, Outcome, Reject, ReplyDetail
 
 
 def test_fills_of_one_object_pass_one_parent_from_every_zone() -> None:
@@ -14,7 +14,7 @@
         sources = {fetch.source for _, fetch in fetches}
         assert len(sources) == 1 and sources.pop().startswith("parent")
         for driver, fetch in fetches:
-            driver.serve(fetch, Note.FILLED)
+            driver.serve(fetch, ReplyDetail.FILLED)
 
 
 def test_parts_of_one_object_are_spread_over_edges_of_the_own_zone() -> None:
@@ -25,30 +25,30 @@
 
 def test_a_second_read_within_the_window_takes_the_top_rank_and_a_later_one_does_not() -> None:
     driver = Driver()
-    assert driver.fetch().keep == RANK_LOW
+    assert driver.fetch().retention == RETENTION_LOW
     driver.now += 1
-    assert driver.fetch().keep == RANK_TOP
+    assert driver.fetch().retention == RETENTION_HOT
     driver.now += 2 * HOT_WINDOW_S
-    assert driver.fetch(8).keep == RANK_LOW
+    assert driver.fetch(8).retention == RETENTION_LOW
 
 
 def test_a_sibling_seen_holding_the_part_is_the_source_when_its_edge_drains() -> None:
     driver = Driver()
     first = driver.fetch()
     driver.serve(first)
-    newcomer = [Member(f"new-{n}", "here", "cache", 0, State.READY) for n in range(40)]
+    newcomer = [Member(f"new-{n}", "here", "cache", 0, MemberState.READY) for n in range(40)]
     driver.list(*newcomer)
     second = driver.fetch()
     assert second.target != first.target
-    assert second.source == first.target and second.only_held
+    assert second.source == first.target and second.only_if_cached
 
 
 def test_a_sibling_that_lacks_the_part_is_passed_over_for_the_parent() -> None:
     driver = Driver()
     driver.serve(driver.fetch())
-    driver.list(*[Member(f"new-{n}", "here", "cache", 0, State.READY) for n in range(40)])
+    driver.list(*[Member(f"new-{n}", "here", "cache", 0, MemberState.READY) for n in range(40)])
     second = driver.fetch()
-    (again,) = fetches(driver.end(second, Outcome.MISS, Note.SOURCE_LACKS))
+    (again,) = fetches(driver.end(second, Outcome.MISS, ReplyDetail.SOURCE_MISS))
     assert again.target == second.target and again.source.startswith("parent")
 
 
@@ -57,7 +57,7 @@
     fetch = driver.fetch()
     sources = [fetch.source]
     for attempt in range(3):
-        (fetch,) = fetches(driver.end(fetch, Outcome.REFUSED, Note.SOURCE_UNREACHED, attempt))
+        (fetch,) = fetches(driver.end(fetch, Outcome.REJECTED, ReplyDetail.SOURCE_UNREACHABLE, attempt))
         sources.append(fetch.source)
     assert {name for name in sources[:3]} == {parent.name for parent in PARENTS}
     assert sources[3] == ORIGIN.name
@@ -66,52 +66,52 @@
 def test_an_edge_whose_fill_places_are_taken_is_not_blamed_but_passed_over() -> None:
     driver = Driver()
     fetch = driver.fetch()
-    (again,) = fetches(driver.end(fetch, Outcome.REFUSED, Note.FILLS_FULL))
+    (again,) = fetches(driver.end(fetch, Outcome.REJECTED, ReplyDetail.FILL_LIMIT))
     assert again.target != fetch.target and again.source == fetch.source
 
 
 def test_a_draining_origin_is_not_named_when_requests_go_past_the_edges() -> None:
-    driver = Driver((*PARENTS, Member(ORIGIN.name, "hub", "origin", 0, State.DRAINING)))
+    driver = Driver((*PARENTS, Member(ORIGIN.name, "hub", "origin", 0, MemberState.DRAINING)))
     fetch = driver.fetch()
     assert fetch.target == fetch.source and fetch.target.startswith("parent")
 
 
 def test_uncacheable_requests_pass_the_caches_by() -> None:
     fetch = Driver().fetch(kind="orders")
-    assert fetch.target == fetch.source == ORIGIN.name and fetch.keep == 0
-    through = Driver(direct=False).fetch(kind="orders")
-    assert through.target.startswith("edge") and through.source == ORIGIN.name and through.keep == 0
+    assert fetch.target == fetch.source == ORIGIN.name and fetch.retention == 0
+    through = Driver(bypass_allowed=False).fetch(kind="orders")
+    assert through.target.startswith("edge") and through.source == ORIGIN.name and through.retention == 0
 
 
 def test_what_is_busy_sheds_and_hands_nothing_to_the_origin() -> None:
     """Incidents and big-1: overflow went to the origin and to parents as client traffic and jammed them."""
     driver = Driver()
     actions = [action for key in range(300) for action in driver.ask(key)]
-    assert any(isinstance(action, Refuse) for action in actions)
-    assert {action.cause for action in actions if isinstance(action, Refuse)} == {"edge_busy"}
+    assert any(isinstance(action, Reject) for action in actions)
+    assert {action.cause for action in actions if isinstance(action, Reject)} == {"edge_busy"}
     sent = fetches(actions)
     assert all(fetch.source != ORIGIN.name and fetch.target.startswith("edge") for fetch in sent)
 
 
 def test_no_candidate_at_all_is_refused_at_once_with_a_time_to_come_back() -> None:
     (action,) = Driver(members=()).ask()
-    assert isinstance(action, Refuse) and 0 < (action.retry_in or 0) <= 2.0
+    assert isinstance(action, Reject) and 0 < (action.retry_after or 0) <= 2.0
     assert action.cause == "no_edge"
 
 
 def test_a_charge_that_the_origin_refuses_goes_by_no_parent_that_is_skipped() -> None:
     """join+vast: 63 charges went to a parent that had failed every fill for seconds, and so failed."""
     driver, ways = Driver(), set()
-    driver.router.know.members.servers["parent-1"].skipped = True
+    driver.router.state.members.upstreams["parent-1"].ejected = True
     for key in range(12):
         first = driver.fetch(key, kind="pays")
         assert first.target == "origin-0"
-        (second,) = driver.end(first, Outcome.REFUSED)
+        (second,) = driver.end(first, Outcome.REJECTED)
         assert isinstance(second, Fetch)
         ways.add(second.source)
-        driver.end(second, Outcome.SERVED, Note.FILLED_FROM_ORIGIN, attempt=1)
+        driver.end(second, Outcome.SERVED, ReplyDetail.FILLED_FROM_ORIGIN, attempt=1)
     assert ways == {"parent-0", "parent-2"}
     for parent in ("parent-0", "parent-2"):
-        driver.router.know.members.servers[parent].skipped = True
-    (last,) = driver.end(driver.fetch(99, kind="pays"), Outcome.REFUSED)
+        driver.router.state.members.upstreams[parent].ejected = True
+    (last,) = driver.end(driver.fetch(99, kind="pays"), Outcome.REJECTED)
     assert isinstance(last, Fetch) and last.source.startswith("parent")  # better than none
--- a/tests/test_policy_members.py
+++ b/tests/test_policy_members.py
@@ -5,32 +5,32 @@
 import pytest
 from driver import EDGES, ORIGIN, PARENTS, Driver, fetches, settings
 
+from paddlequay.policy import Router
+from paddlequay.policy.outliers import EJECTION_FAILURES, SAME_FAULT_S
 from paddlequay.routing.interface import (
     AttemptEnded,
-    ClientGone,
-    Effect,
+    ClientDisconnected,
     Fetch,
-    Inherited,
+    Idempotency,
     Member,
     MembersChanged,
-    Note,
+    MemberState,
     Outcome,
+    ReplyDetail,
     RequestClass,
     SetTimer,
-    State,
+    StateInherited,
     Subscribe,
-    TimerDue,
+    TimerFired,
 )
-from paddlequay.policy import Router
-from paddlequay.policy.health import SAME_FAULT_S, SKIP_FAILURES
-from paddlequay.routing.state import Tier
+from paddlequay.routing.state import CacheTier
 
 
 def test_a_draining_or_gone_member_is_neither_target_nor_source() -> None:
     driver = Driver()
     home = driver.fetch()
-    draining = Member(home.source, "hub", "parent", 0, State.DRAINING)
-    driver.list(draining, Member(home.target, state=State.GONE))
+    draining = Member(home.source, "hub", "parent", 0, MemberState.DRAINING)
+    driver.list(draining, Member(home.target, state=MemberState.REMOVED))
     later = driver.fetch()
     assert later.source != home.source and later.target != home.target
 
@@ -40,13 +40,13 @@
     driver = Driver()
     home = driver.fetch(key=7).target
     (edge,) = [each for each in EDGES if each.name == home]
-    for _ in range(SKIP_FAILURES):
-        driver.end(driver.fetch(key=7), Outcome.UNREACHED)
+    for _ in range(EJECTION_FAILURES):
+        driver.end(driver.fetch(key=7), Outcome.CONNECT_FAILED)
         driver.now += 2 * SAME_FAULT_S
-    assert driver.router.know.members.servers[home].skipped
-    driver.list(replace(edge, state=State.DRAINING))
+    assert driver.router.state.members.upstreams[home].ejected
+    driver.list(replace(edge, state=MemberState.DRAINING))
     away = driver.fetch(key=7)
-    driver.serve(away, Note.FILLED)
+    driver.serve(away, ReplyDetail.FILLED)
     assert away.target != home
     driver.list(edge)
     again = driver.fetch(key=7)
@@ -62,7 +62,9 @@
     def report(fetch: Fetch) -> None:
         load = (("cpu", 0.3), ("x1", 0.2))
         older.router.handle(
-            AttemptEnded(fetch.request, 0, fetch.target, Outcome.SERVED, 0.05, True, Note.HIT, None, load),
+            AttemptEnded(
+                fetch.request, 0, fetch.target, Outcome.SERVED, 0.05, True, ReplyDetail.HIT, None, load
+            ),
             older.now,
         )
 
@@ -76,9 +78,9 @@
         report(fetch)
     newer.now = older.now = older.now + 5.0
     first = len(sent(Driver(members)))
-    newer.router.handle(Inherited(older.router.knowledge()), newer.now)
+    newer.router.handle(StateInherited(older.router.export_state()), newer.now)
     assert len(sent(newer)) > 2 * first > 0
-    rates = [each.router.know.members.cold[Tier.EDGE].rate for each in (newer, older)]
+    rates = [each.router.state.members.slow_start[CacheTier.EDGE].load_per_member for each in (newer, older)]
     assert rates[0] == rates[1] > 0.0
 
 
@@ -87,14 +89,14 @@
     driver = Driver()
     for n in range(1000):
         driver.now += 0.01
-        driver.serve(driver.fetch(n), Note.FILLED)
-    driver.list(*[Member(e.name, e.zone, e.kind, 0, State.READY, started=driver.now) for e in EDGES])
+        driver.serve(driver.fetch(n), ReplyDetail.FILLED)
+    driver.list(*[Member(e.name, e.zone, e.kind, 0, MemberState.READY, started=driver.now) for e in EDGES])
     sent = 0
     for n in range(100):
         driver.now += 0.01
         for fetch in fetches(driver.ask(5000 + n)):
             sent += fetch.target.startswith("edge")
-            driver.serve(fetch, Note.FILLED)
+            driver.serve(fetch, ReplyDetail.FILLED)
     assert 0 < sent <= 100 * 0.3 * 2.5 / 2 / 0.75 + 4 * 4
 
 
@@ -106,12 +108,12 @@
         for n in range(100):
             driver.now += 0.01
             sent += fetches(driver.ask(seed + n))
-            driver.serve(sent[-1], Note.FILLED)
+            driver.serve(sent[-1], ReplyDetail.FILLED)
         return sent
 
     for n in range(10):
         second(n * 1000)
-    cold = Member("edge-0", "here", "cache", 0, State.READY, started=driver.now)
+    cold = Member("edge-0", "here", "cache", 0, MemberState.READY, started=driver.now)
     driver.list(cold)
     early = sum(fetch.target == cold.name for fetch in second(20000))
     assert 0 < early <= 20
@@ -121,7 +123,7 @@
 
 
 def test_a_router_that_knows_no_load_yet_sends_nothing_to_a_cold_parent() -> None:
-    cold = tuple(Member(p.name, p.zone, p.kind, 0, State.READY, started=100.0) for p in PARENTS)
+    cold = tuple(Member(p.name, p.zone, p.kind, 0, MemberState.READY, started=100.0) for p in PARENTS)
     driver = Driver((*EDGES, *cold, ORIGIN))
     assert driver.fetch().source == ORIGIN.name
 
@@ -129,27 +131,27 @@
 def test_late_double_and_unknown_events_are_ignored() -> None:
     driver = Driver()
     fetch = driver.fetch()
-    assert driver.router.handle(ClientGone(fetch.request), driver.now) == []
+    assert driver.router.handle(ClientDisconnected(fetch.request), driver.now) == []
     for _ in range(2):
         assert driver.end(fetch, Outcome.TIMEOUT) == []
-    assert driver.router.handle(ClientGone("never"), driver.now) == []
-    assert driver.router.handle(TimerDue("never"), driver.now) == []
-    assert all(server.out == 0 for server in driver.router.know.members.servers.values())
+    assert driver.router.handle(ClientDisconnected("never"), driver.now) == []
+    assert driver.router.handle(TimerFired("never"), driver.now) == []
+    assert all(server.in_flight == 0 for server in driver.router.state.members.upstreams.values())
 
 
 def test_a_list_that_must_be_asked_for_is_asked_for_and_again_after_a_failure() -> None:
-    driver = Driver(must_ask=True)
+    driver = Driver(must_subscribe=True)
     assert Subscribe() in driver.started
     (timer,) = driver.router.handle(MembersChanged((), failed=True), driver.now)
     assert isinstance(timer, SetTimer)
-    assert driver.router.handle(TimerDue(timer.token), driver.now + 1) == [Subscribe()]
+    assert driver.router.handle(TimerFired(timer.token), driver.now + 1) == [Subscribe()]
 
 
 def test_settings_that_make_no_sense_are_refused_with_the_field() -> None:
     with pytest.raises(ValueError, match="deadline"):
-        Router(settings(classes=(RequestClass("x", 0.1, 0.0, Effect.SAFE),)), 1)
+        Router(settings(classes=(RequestClass("x", 0.1, 0.0, Idempotency.IDEMPOTENT),)), 1)
     with pytest.raises(ValueError, match="routers"):
-        Router(settings(routers=-1), 1)
+        Router(settings(router_count=-1), 1)
     with pytest.raises(ValueError, match="classes"):
         Router(settings(classes=()), 1)
 
@@ -158,13 +160,15 @@
 def test_an_edge_that_comes_back_empty_is_cold_before_the_list_says_so(x0: float | None, sent: int) -> None:
     """zone+vast: the first edge back got its whole plaza's requests, 3.5 times what it could do, and fell."""
     driver = Driver(members=(EDGES[0], *PARENTS, ORIGIN))
-    server = driver.router.know.members.servers["edge-0"]
+    server = driver.router.state.members.upstreams["edge-0"]
     first = driver.fetch(1)
-    server.skipped = True
+    server.ejected = True
     load = (("active", 1.0), ("cpu", 0.1)) + (() if x0 is None else (("x0", x0),))
-    ended = AttemptEnded(first.request, 0, "edge-0", Outcome.SERVED, 0.05, True, Note.FILLED, load=load)
+    ended = AttemptEnded(
+        first.request, 0, "edge-0", Outcome.SERVED, 0.05, True, ReplyDetail.FILLED, load_report=load
+    )
     driver.router.handle(ended, driver.now)
-    assert not server.skipped
+    assert not server.ejected
     to_it = [f for key in range(20) for f in fetches(driver.ask(key)) if f.target == "edge-0"]
     assert len(to_it) == sent
     driver.list(replace(EDGES[0], started=driver.now - 16.0))  # the list's word comes before belief
--- a/tests/test_policy_sizes.py
+++ b/tests/test_policy_sizes.py
@@ -6,20 +6,31 @@
 import pytest
 from driver import EDGES, EVERYBODY, ORIGIN, PARENTS, Driver
 
-from paddlequay.routing.interface import AttemptEnded, Fetch, Member, Outcome, State
-from paddlequay.policy.limits import FITS_LEAST, LIMIT_GROWTH, LIMIT_LEAST, LIMIT_MOST, LIMIT_START
-from paddlequay.routing.state import Tier
+from paddlequay.routing.concurrency import (
+    INITIAL_LIMIT,
+    LIMIT_GROWTH,
+    MAX_LIMIT,
+    MIN_LIMIT,
+    MIN_LIMIT_PER_TRANSFER,
+)
+from paddlequay.routing.interface import AttemptEnded, Fetch, Member, MemberState, Outcome
+from paddlequay.routing.state import CacheTier
 
 FITS = 4.0
-SIZED_EDGES = tuple(Member(each.name, "here", "cache", 0, State.READY, FITS) for each in EDGES)
-SIZED_PARENTS = tuple(Member(each.name, "hub", "parent", 0, State.READY, 20.0) for each in PARENTS)
+SIZED_EDGES = tuple(Member(each.name, "here", "cache", 0, MemberState.READY, FITS) for each in EDGES)
+SIZED_PARENTS = tuple(Member(each.name, "hub", "parent", 0, MemberState.READY, 20.0) for each in PARENTS)
 SIZED = (*SIZED_EDGES, *SIZED_PARENTS, ORIGIN)
 
 
 def sized(link: float | None = None, **changes: object) -> Driver:
     """A router alone at its edges, whose answers carry neither notes nor load; the link in transfers."""
-    told: dict[str, object] = {"routers": 2, "routers_here": 1, "flow_kb_per_s": 1000.0, "weights": "nominal"}
-    told |= {"notes": False, "joins": False, "link_kb_per_s": link and 1000.0 * link}
+    told: dict[str, object] = {
+        "router_count": 2,
+        "zone_router_count": 1,
+        "flow_kb_per_s": 1000.0,
+        "weights": "nominal",
+    }
+    told |= {"detailed_replies": False, "coalesces_fills": False, "link_kb_per_s": link and 1000.0 * link}
     return Driver(members=SIZED, **(told | changes))
 
 
@@ -36,57 +47,63 @@
 def test_limits_start_from_the_size_of_a_way_out_only_where_weights_tell_it(
     weights: str | None, known: bool
 ) -> None:
-    servers = sized(weights=weights).router.know.members.servers
-    for tier, name in ((Tier.EDGE, "edge-0"), (Tier.PARENT, "parent-0"), (Tier.ORIGIN, ORIGIN.name)):
-        fits = servers[name].entry.weight if known else None
-        assert servers[name].fits == fits
-        assert servers[name].limit == (FITS_LEAST * fits if fits else LIMIT_START[tier])
+    servers = sized(weights=weights).router.state.members.upstreams
+    for tier, name in (
+        (CacheTier.EDGE, "edge-0"),
+        (CacheTier.PARENT, "parent-0"),
+        (CacheTier.ORIGIN, ORIGIN.name),
+    ):
+        fits = servers[name].member.weight if known else None
+        assert servers[name].transfer_capacity == fits
+        assert servers[name].concurrency_limit == (
+            MIN_LIMIT_PER_TRANSFER * fits if fits else INITIAL_LIMIT[tier]
+        )
 
 
 def test_late_answers_cut_no_limit_below_what_the_way_out_bears_at_full_pace() -> None:
     """rough-1: limits of parents of 16 and 22 transfers were cut to 2, and 506 of 729 refusals came of it."""
     driver = sized()
     late(driver, 60)
-    limits = [driver.router.know.members.servers[each.name].limit for each in SIZED_EDGES]
-    assert min(limits) == FITS_LEAST * FITS
+    limits = [driver.router.state.members.upstreams[each.name].concurrency_limit for each in SIZED_EDGES]
+    assert min(limits) == MIN_LIMIT_PER_TRANSFER * FITS
 
 
 def test_a_parents_limit_is_not_sought_past_its_told_size_while_nothing_can_lower_it() -> None:
-    limits, servers = (driver := sized()).router.know.limits, driver.router.know.members.servers
+    limits, servers = (driver := sized()).router.state.limits, driver.router.state.members.upstreams
     for sought in (servers["parent-0"], servers[ORIGIN.name]):
-        sought.out, start = sought.limit, sought.limit
+        sought.in_flight, start = sought.concurrency_limit, sought.concurrency_limit
         for _ in range(20):
             driver.now += 1.0
-            limits.pace(sought, False, driver.now)
-        told = sought.fits is not None
-        assert (sought.limit < start * math.exp(21 * LIMIT_GROWTH)) is told
+            limits.record_answer(sought, False, driver.now)
+        told = sought.transfer_capacity is not None
+        assert (sought.concurrency_limit < start * math.exp(21 * LIMIT_GROWTH)) is told
 
 
 def test_without_a_note_late_answers_are_not_held_against_the_parents() -> None:
     driver = sized()
     late(driver, 60)
     for parent in SIZED_PARENTS:
-        server = driver.router.know.members.servers[parent.name]
-        assert server.late == 0.0 and server.limit == FITS_LEAST * 20.0
+        server = driver.router.state.members.upstreams[parent.name]
+        assert server.late_share == 0.0 and server.concurrency_limit == MIN_LIMIT_PER_TRANSFER * 20.0
 
 
 def test_without_notes_a_parent_that_timed_out_is_cleared_by_answers_in_time() -> None:
     """Blamed for fills that fail and never credited, it stayed late for good, and idle parents shed."""
-    driver = Driver(notes=False, routers=12, routers_here=4)
+    driver = Driver(detailed_replies=False, router_count=12, zone_router_count=4)
     for number in range(6):
         driver.now += 0.6
         fetch = driver.fetch(key=number)
         driver.end(fetch, Outcome.TIMEOUT)
-    parent = driver.router.know.members.servers[fetch.source]
-    assert parent.late > 0.15
+    parent = driver.router.state.members.upstreams[fetch.source]
+    assert parent.late_share > 0.15
     served = 0
     for number in range(200):
         driver.now += 0.2
         (action,) = driver.ask(key=1000 + number)
         if isinstance(action, Fetch):
-            served += action.source == parent.entry.name
+            served += action.source == parent.member.name
             driver.serve(action)
-    assert served > 20 and parent.late < 0.15
+    assert served > 20 and parent.late_share < 0.15
 
 
 def test_sizes_that_make_no_sense_are_no_sizes_and_limits_keep_their_bounds() -> None:
@@ -95,5 +112,5 @@
         driver = Driver(members, weights="nominal", flow_kb_per_s=300.0)
         for number in range(12):
             driver.ask(key=number)
-        limits = [server.limit for server in driver.router.know.members.servers.values()]
-        assert all(LIMIT_LEAST <= limit <= LIMIT_MOST for limit in limits), (weight, limits)
+        limits = [server.concurrency_limit for server in driver.router.state.members.upstreams.values()]
+        assert all(MIN_LIMIT <= limit <= MAX_LIMIT for limit in limits), (weight, limits)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -173,7 +173,10 @@
     client.ask(ttl="700")
     p.box.line()
     assert client.answer()[2][0] == "TryLater"
-    until(lambda: p.counted("refused.tried.spent") == 1, "the refusal after an attempt is counted")
+    until(
+        lambda: p.counted("rejected.attempted.retries_exhausted") == 1,
+        "the refusal after an attempt is counted",
+    )
     drained = [
         p.entry(name, party, kind, zone, lifecycle="terminating")
         for name, party, kind, zone in (
@@ -186,7 +189,7 @@
 
     def refused_untried() -> bool:
         client.ask()
-        return bool(client.answer()[2][0] == "TryLater" and p.counted("refused.untried.no_edge") > 0)
+        return bool(client.answer()[2][0] == "TryLater" and p.counted("rejected.unattempted.no_edge") > 0)
 
     until(refused_untried, "a refusal with no candidate is counted as never sent on")
 
@@ -323,14 +326,14 @@
     early.ask()
     p.box.line()
     p.process.terminate()
-    p.logged("event=ending")
+    p.logged("event=shutdown_started")
     late = p.client()
     late.ask(call="00000000000000aa", row="00000000000000aa")
     p.box.answer("HIT", "-", b"x")
     assert late.answer()[3][0] == b"x"
     assert early.answer()[2][0] == "TryLater"
     assert p.process.wait(timeout=WAIT) == 0
-    assert "answered.refused=1" in p.logged("why=exit")
+    assert "answered.rejected=1" in p.logged("why=exit")
 
 
 FAULTS = ["none", "missing", "json", "settings", "listen", "seed", "known", "console"]
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -3,45 +3,49 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from paddlequay.policy import Router
 from paddlequay.routing.interface import (
     Action,
     AttemptEnded,
     Cancel,
-    ClientGone,
-    Effect,
+    ClientDisconnected,
     Fail,
     Fetch,
+    Idempotency,
     Member,
     MembersChanged,
-    Note,
+    MemberState,
     Outcome,
     Purged,
-    Ramp,
-    Refuse,
+    Reject,
+    ReplyDetail,
     Request,
     RequestClass,
-    Settings,
-    State,
+    RoutingSettings,
+    SlowStart,
 )
-from paddlequay.policy import Router
 
 WINDOW = 1.5
 CLASSES = (
-    RequestClass("pages", 0.3, 2.5, Effect.SAFE, fresh=8.0, grace=30.0),
-    RequestClass("orders", 0.6, 3.0, Effect.KEYED, None, None, "zone", WINDOW, uncacheable=True),
-    RequestClass("pays", 0.6, 3.0, Effect.UNSAFE, uncacheable=True),
+    RequestClass("pages", 0.3, 2.5, Idempotency.IDEMPOTENT, freshness_lifetime=8.0, stale_if_error=30.0),
+    RequestClass(
+        "orders", 0.6, 3.0, Idempotency.IDEMPOTENCY_KEY, None, None, "zone", WINDOW, uncacheable=True
+    ),
+    RequestClass("pays", 0.6, 3.0, Idempotency.NON_IDEMPOTENT, uncacheable=True),
 )
 NAMES = [("edge-0", "here", "cache"), ("edge-1", "here", "cache"), ("edge-2", "here", "cache")]
 NAMES += [("away-0", "there", "cache"), ("parent-0", "hub", "parent"), ("parent-1", "hub", "parent")]
 NAMES += [("origin-0", "hub", "origin")]
 ZONES = {name: zone for name, zone, _ in NAMES}
-IDLE = {Outcome.REFUSED, Outcome.UNREACHED, Outcome.NOT_SENT, Outcome.MISS}
+IDLE = {Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.MISS}
 ENDS = [outcome for outcome in Outcome if outcome is not Outcome.NOT_SENT]
 STEPS = st.lists(
     st.one_of(
         st.tuples(st.just("ask"), st.integers(0, 5), st.integers(0, 2)),
-        st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(ENDS), st.sampled_from([None, *Note])),
-        st.tuples(st.just("list"), st.integers(0, 6), st.sampled_from(list(State)), st.booleans()),
+        st.tuples(
+            st.just("end"), st.integers(0, 50), st.sampled_from(ENDS), st.sampled_from([None, *ReplyDetail])
+        ),
+        st.tuples(st.just("list"), st.integers(0, 6), st.sampled_from(list(MemberState)), st.booleans()),
         st.tuples(st.just("gone"), st.integers(0, 50)),
         st.tuples(st.just("purge"), st.integers(0, 5), st.booleans()),
         st.tuples(st.just("wait"), st.sampled_from([0.0, 0.01, 0.3, 1.6, 6.0])),
@@ -54,19 +58,19 @@
     """What a caller of the router sees, and the rules held against it."""
 
     def __init__(self, direct: bool) -> None:
-        self.settings = Settings(
+        self.settings = RoutingSettings(
             zone="here",
             classes=CLASSES,
             parent_kind="parent",
             origin_kind="origin",
-            siblings="any",
-            joins=True,
+            sibling_fills="any",
+            coalesces_fills=True,
             can_cancel=True,
             max_attempts=6,
-            cold_edge=Ramp(0.25, 16.0, 2.5, 3.0),
-            cold_parent=Ramp(0.1, 16.0, 2.0, 3.0),
-            purge_done=6.0,
-            direct=direct,
+            edge_slow_start=SlowStart(0.25, 16.0, 2.5, 3.0),
+            parent_slow_start=SlowStart(0.1, 16.0, 2.0, 3.0),
+            purge_completion=6.0,
+            bypass_allowed=direct,
         )
         self.router = Router(self.settings, 1)
         self.now = 50.0
@@ -79,7 +83,7 @@
         self.ran: dict[tuple[str, int], bool] = {}
         self.ready = {name: True for name, _, _ in NAMES}
         self.purges: list[tuple[float, int | None, int | None]] = []
-        members = tuple(Member(*name, state=State.READY) for name in NAMES)
+        members = tuple(Member(*name, state=MemberState.READY) for name in NAMES)
         self.take(self.router.handle(MembersChanged(members, full=True), self.now))
 
     def take(self, actions: list[Action]) -> None:
@@ -90,7 +94,7 @@
                 case Cancel():
                     assert (action.request, action.attempt) in self.out
                     assert self.settings.can_cancel
-                case Refuse() | Fail():
+                case Reject() | Fail():
                     self.on_answer(action)
 
     def may_have_run(self, request: str) -> list[tuple[str, float]]:
@@ -103,10 +107,12 @@
         assert fetch.request not in self.answered and self.now < self.due[fetch.request]
         assert not [pair for pair in self.out if pair[0] == fetch.request], "two attempts at once"
         assert self.ready[fetch.target] and self.ready[fetch.source], "a drain was not kept"
-        assert ZONES[fetch.target] == "here" or (self.settings.direct and not fetch.target.startswith("away"))
+        assert ZONES[fetch.target] == "here" or (
+            self.settings.bypass_allowed and not fetch.target.startswith("away")
+        )
         ran = self.may_have_run(fetch.request)
-        assert not ran or kind.effect is not Effect.UNSAFE
-        if ran and kind.effect is Effect.KEYED:
+        assert not ran or kind.idempotency is not Idempotency.NON_IDEMPOTENT
+        if ran and kind.idempotency is Idempotency.IDEMPOTENCY_KEY:
             assert self.now < ran[0][1] + WINDOW
             assert all(ZONES[fetch.target] == ZONES[target] for target, _ in ran)
         for at, group, key in self.purges:
@@ -117,14 +123,14 @@
         attempts.append((fetch.target, self.now))
         assert len(attempts) <= 6
 
-    def on_answer(self, answer: Refuse | Fail) -> None:
+    def on_answer(self, answer: Reject | Fail) -> None:
         assert answer.request not in self.answered, "two final answers"
         self.answered.add(answer.request)
-        effect = self.kinds[self.requests[answer.request].class_name].effect
-        if isinstance(answer, Refuse) and effect is not Effect.SAFE:
+        effect = self.kinds[self.requests[answer.request].class_name].idempotency
+        if isinstance(answer, Reject) and effect is not Idempotency.IDEMPOTENT:
             assert not self.may_have_run(answer.request), "a refusal promises that a repeat is harmless"
 
-    def end(self, pick: int, outcome: Outcome, note: Note | None) -> None:
+    def end(self, pick: int, outcome: Outcome, note: ReplyDetail | None) -> None:
         request, number = self.out.pop(pick % len(self.out))
         self.ran[request, number] = outcome not in IDLE
         final = outcome is Outcome.SERVED or request in self.answered
@@ -147,16 +153,16 @@
                 self.due[request.id] = self.now + 2.0
                 self.take(self.router.handle(request, self.now))
             case ("end", int(pick), Outcome() as outcome, note) if self.out:
-                self.end(pick, outcome, note if isinstance(note, Note) else None)
-            case ("list", int(place), State() as state, bool(restarted)):
+                self.end(pick, outcome, note if isinstance(note, ReplyDetail) else None)
+            case ("list", int(place), MemberState() as state, bool(restarted)):
                 name, zone, kind_name = NAMES[place]
-                self.ready[name] = state is State.READY
+                self.ready[name] = state is MemberState.READY
                 entry = Member(name, zone, kind_name, 0, state, 1.0, self.now if restarted else None)
                 self.take(self.router.handle(MembersChanged((entry,)), self.now))
             case ("gone", int(pick)) if self.requests:
                 request_id = f"r{pick % len(self.requests)}"
                 self.answered.add(request_id)
-                self.take(self.router.handle(ClientGone(request_id), self.now))
+                self.take(self.router.handle(ClientDisconnected(request_id), self.now))
             case ("purge", int(key), bool(whole)):
                 self.purges.append((self.now - 0.1, key % 2, None if whole else key))
                 purged = Purged(0.1, key % 2, None if whole else key)
@@ -198,5 +204,8 @@
     world.now += 10.0
     world.expire()
     router = world.router
-    assert not router.open
-    assert all(server.out < 1e-6 and server.trial is None for server in router.know.members.servers.values())
+    assert not router.requests
+    assert all(
+        server.in_flight < 1e-6 and server.probe_request is None
+        for server in router.state.members.upstreams.values()
+    )
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -12,12 +12,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from paddlequay.observability.counters import Counters
 from paddlequay.discovery.answers import Meaning, Question, mixed, query, read
 from paddlequay.discovery.resolver import Known, Limits, Resolver, Send
 from paddlequay.discovery.srv import Follower, Service, TierLimits, box_id
 from paddlequay.lab.dns import DnsServer
 from paddlequay.net.dns import Driver
+from paddlequay.observability.counters import Counters
 
 SRV, A, TXT = dns.rdatatype.SRV, dns.rdatatype.A, dns.rdatatype.TXT
 NAME = dns.name.from_text("_box._tcp.plaza.example.")
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -10,25 +10,37 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from paddlequay.routing.zone_load import EDGE_SPAN, FITS, FRESH_S, LEAN, LINK_SPAN, Room, past
-from paddlequay.routing.interface import AttemptEnded, Fetch, Note, Outcome, Refuse
 from paddlequay.placement.homes import Homes, digest
-from paddlequay.routing.state import Tier
+from paddlequay.routing.interface import AttemptEnded, Fetch, Outcome, Reject, ReplyDetail
+from paddlequay.routing.state import CacheTier
+from paddlequay.routing.zone_load import (
+    EDGE_SPAN,
+    LINK_SPAN,
+    MAX_REPORT_AGE_S,
+    MAX_WEIGHT_BIAS,
+    TRANSFERS_AT_FULL_RATE,
+    ZoneLoad,
+    position_in_span,
+)
 
 IDLE = {"active": 2.0, "cpu": 0.2, "x1": 0.3}
 FULL_LINK = IDLE | {"x1": 2 * LINK_SPAN[1]}
-JAM = {"active": 2 * FITS * EDGE_SPAN[1], "cpu": 1.0, "x1": 0.3}
+JAM = {"active": 2 * TRANSFERS_AT_FULL_RATE * EDGE_SPAN[1], "cpu": 1.0, "x1": 0.3}
 
 
 def crowd() -> Driver:
     """One router of fourteen at each of four edges, which fill from three parents."""
-    return Driver(members=(*EDGES, *PARENTS, ORIGIN), routers=194, routers_here=14, direct=False)
+    return Driver(
+        members=(*EDGES, *PARENTS, ORIGIN), router_count=194, zone_router_count=14, bypass_allowed=False
+    )
 
 
 def end(driver: Driver, fetch: Fetch, load: dict[str, float] | None = None) -> None:
     """An answer at once, with a cache's word where one is given."""
     load_told = tuple((load or {}).items())
-    ended = AttemptEnded(fetch.request, 0, fetch.target, Outcome.SERVED, 0.01, True, Note.HIT, load=load_told)
+    ended = AttemptEnded(
+        fetch.request, 0, fetch.target, Outcome.SERVED, 0.01, True, ReplyDetail.HIT, load_report=load_told
+    )
     driver.router.handle(ended, driver.now)
 
 
@@ -56,7 +68,7 @@
     assert len(fetches) == 20 and all(fetch.target == fetch.source for fetch in fetches)
     ended = AttemptEnded(fetches[0].request, 0, fetches[0].target, Outcome.MISS, 0.001)
     answer = driver.router.handle(ended, driver.now)
-    assert [each.cause for each in answer if isinstance(each, Refuse)] == ["link_full"] and len(answer) == 1
+    assert [each.cause for each in answer if isinstance(each, Reject)] == ["link_full"] and len(answer) == 1
 
 
 @pytest.mark.parametrize(("load", "passed"), [(IDLE, True), (FULL_LINK, False)])
@@ -80,25 +92,27 @@
     driver = crowd()
     say(driver, IDLE | {"cpu": 0.7})
     actions = [each for key in range(60) for each in driver.ask(key)]
-    assert not any(isinstance(each, Refuse) for each in actions)
+    assert not any(isinstance(each, Reject) for each in actions)
 
 
 def test_edges_that_say_they_are_jammed_shed_at_once_and_are_believed_for_a_while() -> None:
     driver = crowd()
     say(driver, JAM)
     actions = [each for key in range(60) for each in driver.ask(key)]
-    refused = [each for each in actions if isinstance(each, Refuse)]
+    refused = [each for each in actions if isinstance(each, Reject)]
     assert len(refused) > 40 and {each.cause for each in refused} == {"edge_busy"}
     for each in actions:
         if isinstance(each, Fetch):
             end(driver, each, JAM)
-    driver.now += 10 * FRESH_S
+    driver.now += 10 * MAX_REPORT_AGE_S
     assert asked(driver, range(60, 70))
 
 
 def test_where_few_routers_meet_what_each_has_out_tells_and_words_do_not_shed() -> None:
     """The platform's own days have one or two routers at an edge."""
-    driver = Driver(members=(*EDGES, *PARENTS, ORIGIN), routers=4, routers_here=1, direct=False)
+    driver = Driver(
+        members=(*EDGES, *PARENTS, ORIGIN), router_count=4, zone_router_count=1, bypass_allowed=False
+    )
     say(driver, FULL_LINK)
     fetches = [fetch for _, fetch in asked(driver, range(8))]
     assert len(fetches) == 8 and all(fetch.target != fetch.source for fetch in fetches)
@@ -107,15 +121,15 @@
 def shares_after(seconds: float, seed: int, period: float = 0.7, noise: float = 0.1) -> dict[str, float]:
     """One router's weights of a small, two usual and a large machine whose use follows from what all send."""
     rng = random.Random(seed)
-    room, sizes = Room(), {"small": 4.0, "usual": 6.0, "other": 6.0, "large": 10.0}
+    room, sizes = ZoneLoad(), {"small": 4.0, "usual": 6.0, "other": 6.0, "large": 10.0}
     due = sorted((rng.uniform(0.0, period), name) for name in sizes)
     while due[0][0] < seconds:
         now, name = due.pop(0)
-        total = sum(room.share(each) for each in sizes)
-        use = min(1.0, 16.0 * room.share(name) / total / sizes[name]) + rng.uniform(-noise, noise)
-        room.heard(name, {"active": 5.0, "cpu": use}, now)
+        total = sum(room.weight_share(each) for each in sizes)
+        use = min(1.0, 16.0 * room.weight_share(name) / total / sizes[name]) + rng.uniform(-noise, noise)
+        room.report(name, {"active": 5.0, "cpu": use}, now)
         due = sorted([*due, (now + rng.uniform(0.5, 1.5) * period, name)])
-    return {name: room.share(name) for name in sizes}
+    return {name: room.weight_share(name) for name in sizes}
 
 
 def test_objects_lean_to_the_larger_machine_until_all_are_used_alike() -> None:
@@ -140,22 +154,22 @@
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.floats(-1e9, 1e9), st.floats(0, 100)), max_size=60))
 def test_shares_stay_within_their_bounds_whatever_is_told(words: list[tuple[str, float, float]]) -> None:
-    room, now = Room(), 0.0
+    room, now = ZoneLoad(), 0.0
     for name, use, after in words:
         now += after
-        room.heard(name, {"active": use, "cpu": use}, now)
+        room.report(name, {"active": use, "cpu": use}, now)
     room.forget("a")
     for name in "abcd":
-        assert math.exp(-2 * LEAN) - 1e-9 <= room.share(name) <= 1.0
+        assert math.exp(-2 * MAX_WEIGHT_BIAS) - 1e-9 <= room.weight_share(name) <= 1.0
 
 
 def test_words_of_members_that_have_gone_are_not_kept() -> None:
     driver = crowd()
     say(driver, IDLE)
-    assert len(driver.router.know.room.words) == len(EDGES)
+    assert len(driver.router.state.zone_load.reports) == len(EDGES)
     for edge in EDGES:
-        driver.router.know.members.drop(edge.name)
-    assert not driver.router.know.room.words
+        driver.router.state.members.forget(edge.name)
+    assert not driver.router.state.zone_load.reports
 
 
 def test_routers_that_heard_one_word_shed_the_same_share_together() -> None:
@@ -163,31 +177,31 @@
     shares = []
     low, high = LINK_SPAN
     for load in (low, low + 0.2 * (high - low), (low + high) / 2, high):
-        room = Room()
-        room.heard("a", {"x1": load}, 0.0)
-        shares.append(sum(room.fills(number / 200, 0.1) for number in range(200)) / 200)
+        room = ZoneLoad()
+        room.report("a", {"x1": load}, 0.0)
+        shares.append(sum(room.admits_fill(number / 200, 0.1) for number in range(200)) / 200)
     assert shares[0] == 1.0 and shares[-1] == 0.0
     assert shares == sorted(shares, reverse=True) and 0.2 < shares[2] < shares[1] < 1.0
 
 
 @given(st.floats(0, 1e6), st.floats(0, 1), st.floats(0, 1e3))
 def test_more_load_never_lets_more_through(load: float, luck: float, more: float) -> None:
-    less, much = Room(), Room()
+    less, much = ZoneLoad(), ZoneLoad()
     for room, value in ((less, load), (much, load + more)):
-        room.heard("a", {"active": value, "cpu": 1.0, "x1": value}, 0.0)
-    assert much.bears("a", luck, 0.0) <= less.bears("a", luck, 0.0)
-    assert much.fills(luck, 0.0) <= less.fills(luck, 0.0)
-    assert 0.0 <= past(load, LINK_SPAN) <= 1.0
+        room.report("a", {"active": value, "cpu": 1.0, "x1": value}, 0.0)
+    assert much.has_capacity("a", luck, 0.0) <= less.has_capacity("a", luck, 0.0)
+    assert much.admits_fill(luck, 0.0) <= less.admits_fill(luck, 0.0)
+    assert 0.0 <= position_in_span(load, LINK_SPAN) <= 1.0
 
 
 def lost_zone(x1: float, x0: float = 0.0) -> Driver:
     """A plaza all of whose edges came back empty a moment ago, and say so: nothing is saved up for them."""
-    driver = Driver(members=(*EDGES, *PARENTS, ORIGIN), routers=194, routers_here=14)
+    driver = Driver(members=(*EDGES, *PARENTS, ORIGIN), router_count=194, zone_router_count=14)
     for edge in EDGES:
-        driver.router.know.room.heard(edge.name, IDLE | {"x1": x1, "x0": x0}, driver.now)
+        driver.router.state.zone_load.report(edge.name, IDLE | {"x1": x1, "x0": x0}, driver.now)
     driver.list(*(replace(edge, started=driver.now) for edge in EDGES))
     for edge in EDGES:
-        driver.router.know.room.heard(edge.name, IDLE | {"x1": x1, "x0": x0}, driver.now)
+        driver.router.state.zone_load.report(edge.name, IDLE | {"x1": x1, "x0": x0}, driver.now)
     return driver
 
 
@@ -199,45 +213,47 @@
         (action,) = driver.ask(key)
         if isinstance(action, Fetch):
             by[action.target.partition("-")[0]] += 1
-            driver.serve(action, Note.FILLED)
-        elif isinstance(action, Refuse):
+            driver.serve(action, ReplyDetail.FILLED)
+        elif isinstance(action, Reject):
             causes[action.cause] += 1
     assert (by, causes) == (({"parent": 40}, {}) if passes else ({}, {"link_full": 40}))
 
 
 def test_a_full_link_sheds_first_what_has_most_bytes_for_its_worth() -> None:
     """Photos are an eighth of the bytes and half of the requests: shed alike, they gave the link no room."""
-    room = Room(14)
-    room.heard("edge-0", FULL_LINK, 1.0)
-    assert not any(room.fills(luck / 10, 1.0) for luck in range(10))
-    assert all(room.fills(luck / 10, 1.0, dear=LINK_SPAN[0] / FULL_LINK["x1"]) for luck in range(10))
-    classes = (SAFE, replace(SAFE, name="films", worth=2.0), UNSAFE)
-    driver, dear = Driver(classes=classes, routers=194, routers_here=14), {}
-    driver.router.know.latency.work |= {"pages": 0.1, "films": 0.8, "pays": 9.0}
+    room = ZoneLoad(14)
+    room.report("edge-0", FULL_LINK, 1.0)
+    assert not any(room.admits_fill(luck / 10, 1.0) for luck in range(10))
+    assert all(room.admits_fill(luck / 10, 1.0, dear=LINK_SPAN[0] / FULL_LINK["x1"]) for luck in range(10))
+    classes = (SAFE, replace(SAFE, name="films", priority_weight=2.0), UNSAFE)
+    driver, dear = Driver(classes=classes, router_count=194, zone_router_count=14), {}
+    driver.router.state.latency.work |= {"pages": 0.1, "films": 0.8, "pays": 9.0}
     for kind in ("pages", "films"):
         (fetch,) = driver.ask(1, kind=kind)
         assert isinstance(fetch, Fetch)
-        dear[kind] = driver.router.ladder.dear(driver.router.open[fetch.request])
+        dear[kind] = driver.router.selector.shed_cost(driver.router.requests[fetch.request])
     assert dear == {"pages": pytest.approx(0.25), "films": 1.0}
 
 
 def test_where_no_class_is_kept_a_busy_edge_is_no_error() -> None:
     """What has most bytes was looked for among the classes kept, of which there need be none."""
-    driver = Driver(members=EDGES, classes=(UNSAFE,), routers=194, routers_here=14, direct=False)
-    for server in driver.router.know.members.servers.values():
-        server.out, server.late = 9.0, 1.0
+    driver = Driver(
+        members=EDGES, classes=(UNSAFE,), router_count=194, zone_router_count=14, bypass_allowed=False
+    )
+    for server in driver.router.state.members.upstreams.values():
+        server.in_flight, server.late_share = 9.0, 1.0
     (answer,) = driver.ask(1, kind="pays")
-    assert isinstance(answer, Refuse)
+    assert isinstance(answer, Reject)
 
 
 @pytest.mark.parametrize(("x0", "looks"), [(0.0, 0), (1.0, 30)])
 def test_at_a_full_link_a_cold_edge_is_asked_only_where_it_may_hold_something(x0: float, looks: int) -> None:
     """A look takes of what a cold edge bears as much as a fill: empty ones had nothing left for fills."""
     driver = lost_zone(FULL_LINK["x1"], x0)
-    driver.router.know.members.cold[Tier.EDGE].rate = 100.0
+    driver.router.state.members.slow_start[CacheTier.EDGE].load_per_member = 100.0
     driver.ask(99)  # from the first request on work is saved up for them
     driver.now += 1.0
     for edge in EDGES:
-        driver.router.know.room.heard(edge.name, FULL_LINK | {"x0": x0}, driver.now)
+        driver.router.state.zone_load.report(edge.name, FULL_LINK | {"x0": x0}, driver.now)
     fetches = [each for key in range(30) for each in driver.ask(key) if isinstance(each, Fetch)]
     assert len(fetches) == looks and all(each.target == each.source for each in fetches)
--- a/tests/test_settings_drawn.py
+++ b/tests/test_settings_drawn.py
@@ -5,33 +5,42 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from paddlequay.routing import interface as say
-from paddlequay.routing.interface import Effect, Fetch, Member, Note, Outcome, Ramp, Refuse, State
 from paddlequay.policy import Router
+from paddlequay.routing import interface as say
+from paddlequay.routing.interface import (
+    Fetch,
+    Idempotency,
+    Member,
+    MemberState,
+    Outcome,
+    Reject,
+    ReplyDetail,
+    SlowStart,
+)
 
 LEFT = 2.0
-PAGES = say.RequestClass("pages", 0.3, 2.5, Effect.SAFE, worth=1.0)
-PAYS = say.RequestClass("pays", 0.6, 3.0, Effect.UNSAFE)
-ORDERS = say.RequestClass("orders", 0.6, 3.0, Effect.KEYED)
-EDGES = [Member(f"edge-{n}", "here", "box", n % 2, State.READY, 3.0) for n in range(3)]
-AWAY = [Member(f"away-{n}", "there", "box", n, State.READY, 3.0) for n in range(2)]
-BEHIND = [Member(f"parent-{n}", "hub", "parent", 0, State.READY, 9.0) for n in range(2)]
-BEHIND += [Member("origin-0", "hub", "origin", 0, State.READY, 1.0)]
+PAGES = say.RequestClass("pages", 0.3, 2.5, Idempotency.IDEMPOTENT, priority_weight=1.0)
+PAYS = say.RequestClass("pays", 0.6, 3.0, Idempotency.NON_IDEMPOTENT)
+ORDERS = say.RequestClass("orders", 0.6, 3.0, Idempotency.IDEMPOTENCY_KEY)
+EDGES = [Member(f"edge-{n}", "here", "box", n % 2, MemberState.READY, 3.0) for n in range(3)]
+AWAY = [Member(f"away-{n}", "there", "box", n, MemberState.READY, 3.0) for n in range(2)]
+BEHIND = [Member(f"parent-{n}", "hub", "parent", 0, MemberState.READY, 9.0) for n in range(2)]
+BEHIND += [Member("origin-0", "hub", "origin", 0, MemberState.READY, 1.0)]
 MEMBERS = {member.name: member for member in (*EDGES, *AWAY, *BEHIND)}
 Load = tuple[tuple[str, float], ...]
-IDLE = (Outcome.REFUSED, Outcome.UNREACHED, Outcome.NOT_SENT, Outcome.MISS)
+IDLE = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.MISS)
 LOAD: Load = (("active", 40.0), ("cpu", 1.0), ("x1", 5.0), ("x0", 0.0))
 
 maybe = st.sampled_from([None, False, True])
 SETTINGS = st.builds(
-    say.Settings,
+    say.RoutingSettings,
     zone=st.just("here"),
     classes=st.builds(
         lambda new, old, by, within, kept, order: tuple(
             (
                 replace(PAYS, uncacheable=not kept),
-                replace(PAGES, fresh=new, grace=old),
-                replace(ORDERS, repeat_group=by, repeat_window=within, uncacheable=not kept),
+                replace(PAGES, freshness_lifetime=new, stale_if_error=old),
+                replace(ORDERS, dedup_scope=by, dedup_window=within, uncacheable=not kept),
             )[place]
             for place in order
         ),
@@ -42,32 +51,32 @@
         st.booleans(),  # settings may give a class that is kept any effect
         st.permutations(range(3)),
     ),
-    routers=st.sampled_from([None, 1, 4, 40]),
-    routers_here=st.sampled_from([None, 1, 3]),
+    router_count=st.sampled_from([None, 1, 4, 40]),
+    zone_router_count=st.sampled_from([None, 1, 3]),
     parent_kind=st.sampled_from([None, "parent"]),
     origin_kind=st.just("origin"),
-    siblings=st.sampled_from([None, "off", "location", "any"]),
-    direct=maybe,
-    joins=maybe,
-    notes=maybe,
+    sibling_fills=st.sampled_from([None, "off", "location", "any"]),
+    bypass_allowed=maybe,
+    coalesces_fills=maybe,
+    detailed_replies=maybe,
     flow_kb_per_s=st.sampled_from([None, 1000.0]),
     link_kb_per_s=st.sampled_from([None, 1000.0, 8000.0]),
     weights=st.sampled_from([None, "off", "nominal", "rough", "live"]),
-    parallel=maybe,
+    parallel_attempts=maybe,
     can_cancel=maybe,
     max_attempts=st.sampled_from([None, 1, 3, 6]),
     max_retry_after=st.sampled_from([None, 0.01]),
-    cold_edge=st.sampled_from([Ramp(), Ramp(0.2, 16.0, 2.5, 1.5)]),
-    cold_parent=st.sampled_from([Ramp(), Ramp(0.07, 16.0, 2.0, 1.5)]),
-    purge_done=st.sampled_from([None, 6.0]),
+    edge_slow_start=st.sampled_from([SlowStart(), SlowStart(0.2, 16.0, 2.5, 1.5)]),
+    parent_slow_start=st.sampled_from([SlowStart(), SlowStart(0.07, 16.0, 2.0, 1.5)]),
+    purge_completion=st.sampled_from([None, 6.0]),
 )
 ENDS = st.sampled_from([end for end in Outcome if end is not Outcome.NOT_SENT])
 NAMES = st.sampled_from(["pages", "pages", "pays", "orders"])
-NOTES, LOADS = st.sampled_from([None, *Note]), st.sampled_from([(), LOAD])
+NOTES, LOADS = st.sampled_from([None, *ReplyDetail]), st.sampled_from([(), LOAD])
 ASK = st.tuples(st.just("ask"), st.integers(0, 2), NAMES)
 END = st.tuples(st.just("end"), st.integers(0, 60), ENDS, NOTES, LOADS)
 OTHERS = st.one_of(
-    st.tuples(st.just("list"), st.sampled_from(sorted(MEMBERS)), st.sampled_from(list(State))),
+    st.tuples(st.just("list"), st.sampled_from(sorted(MEMBERS)), st.sampled_from(list(MemberState))),
     st.tuples(st.just("detour"), st.sampled_from([edge.name for edge in EDGES]), st.integers(0, 2)),
     st.tuples(st.just("leave"), st.integers(0, 60)),
     st.tuples(st.just("purge"), st.integers(0, 2)),
@@ -79,7 +88,7 @@
 class World:
     """What a platform with these settings sees of one router, and the rules that it holds it to."""
 
-    def __init__(self, settings: say.Settings) -> None:
+    def __init__(self, settings: say.RoutingSettings) -> None:
         self.settings = settings
         self.router, self.now = Router(settings, 1), 50.0
         self.kinds = {kind.name: kind for kind in settings.classes}
@@ -94,10 +103,10 @@
         for action in actions:
             if isinstance(action, Fetch):
                 self.fetched(action)
-            elif isinstance(action, Refuse | say.Fail):
+            elif isinstance(action, Reject | say.Fail):
                 assert action.request in self.open, "a second final answer, or one for nothing"
                 assert action.request not in self.out
-                if isinstance(action, Refuse):
+                if isinstance(action, Reject):
                     self.refusable(action)
                 del self.open[action.request]
             elif isinstance(action, say.Cancel):
@@ -106,12 +115,12 @@
     def ran(self, request: str) -> list[tuple[Fetch, float, bool]]:
         return [each for each in self.sent[request] if each[2]]
 
-    def refusable(self, refusal: Refuse) -> None:
+    def refusable(self, refusal: Reject) -> None:
         """That it says 'a repeat is harmless' only where it is."""
         kind, most = self.kinds[self.open[refusal.request].class_name], self.settings.max_retry_after
-        assert refusal.retry_in is None if most is None else (refusal.retry_in or 0.0) <= most
-        keyed = kind.effect is Effect.KEYED and kind.repeat_group == "all"
-        assert kind.effect is Effect.SAFE or keyed or not self.ran(refusal.request)
+        assert refusal.retry_after is None if most is None else (refusal.retry_after or 0.0) <= most
+        keyed = kind.idempotency is Idempotency.IDEMPOTENCY_KEY and kind.dedup_scope == "all"
+        assert kind.idempotency is Idempotency.IDEMPOTENT or keyed or not self.ran(refusal.request)
 
     def fetched(self, fetch: Fetch) -> None:
         told, request = self.settings, self.open[fetch.request]
@@ -122,17 +131,17 @@
         assert {fetch.target, fetch.source} <= self.ready, "sent to, or filled from, who drains or is gone"
         target, source = MEMBERS[fetch.target], MEMBERS[fetch.source]
         is_edge = {each.name: self.tier(each) == "edge" for each in (target, source)}
-        assert target.zone == "here" if is_edge[target.name] else told.direct
+        assert target.zone == "here" if is_edge[target.name] else told.bypass_allowed
         if source is not target and is_edge[source.name]:
-            assert told.siblings == "any" or (told.siblings == "location" and source.zone == "here")
-            assert fetch.only_held or fetch.join
-        assert told.joins or not fetch.join
-        if ran and kind.effect is Effect.KEYED:
-            assert self.now < ran[0][1] + (kind.repeat_window or 0.0)
+            assert told.sibling_fills == "any" or (told.sibling_fills == "location" and source.zone == "here")
+            assert fetch.only_if_cached or fetch.coalesce
+        assert told.coalesces_fills or not fetch.coalesce
+        if ran and kind.idempotency is Idempotency.IDEMPOTENCY_KEY:
+            assert self.now < ran[0][1] + (kind.dedup_window or 0.0)
             before = MEMBERS[ran[0][0].target]
             same = {"zone": before.zone == target.zone, "cell": before.cell == target.cell, "all": True}
-            assert same.get(kind.repeat_group or "cell")
-        assert not ran or kind.effect is not Effect.UNSAFE
+            assert same.get(kind.dedup_scope or "cell")
+        assert not ran or kind.idempotency is not Idempotency.NON_IDEMPOTENT
         self.out[fetch.request] = len(self.sent[fetch.request])
         self.sent[fetch.request].append((fetch, self.now, True))
 
@@ -141,13 +150,13 @@
         known = {self.settings.origin_kind: "origin", self.settings.parent_kind: "parent"}
         return known.get(member.kind, "edge")
 
-    def end(self, request: str, outcome: Outcome, note: Note | None, load: Load) -> None:
+    def end(self, request: str, outcome: Outcome, note: ReplyDetail | None, load: Load) -> None:
         number, final = self.out.pop(request), outcome is Outcome.SERVED
         fetch, at, _ = self.sent[request][number]
         self.sent[request][number] = (fetch, at, outcome not in IDLE)
         if final:
             self.open.pop(request, None)
-        told = note if self.settings.notes else None
+        told = note if self.settings.detailed_replies else None
         took = self.now - at
         ended = say.AttemptEnded(request, number, fetch.target, outcome, took, final, told, None, load)
         self.take(self.router.handle(ended, self.now))
@@ -161,22 +170,22 @@
                 self.take(self.router.handle(request, self.now))
             case ("end", int(which), Outcome() as outcome, note, load) if self.out:
                 self.end(sorted(self.out)[which % len(self.out)], outcome, note, load)  # type: ignore[arg-type]
-            case ("list", str(name), State() as state):
-                (self.ready.add if state is State.READY else self.ready.discard)(name)
+            case ("list", str(name), MemberState() as state):
+                (self.ready.add if state is MemberState.READY else self.ready.discard)(name)
                 changed = say.MembersChanged((replace(MEMBERS[name], state=state, started=self.now),))
                 self.take(self.router.handle(changed, self.now))
             case ("detour", str(name), int(key)):  # read elsewhere while its home drains, who then is back
-                for each in (("list", name, State.DRAINING), ("ask", key, "pages")):
+                for each in (("list", name, MemberState.DRAINING), ("ask", key, "pages")):
                     self.step(each)
                 if (request_id := f"r{len(self.sent) - 1}") in self.out:
                     self.end(request_id, Outcome.SERVED, None, ())
-                self.step(("list", name, State.READY))
+                self.step(("list", name, MemberState.READY))
             case ("leave", int(which)) if self.open:
                 left = sorted(self.open)[which % len(self.open)]
                 del self.open[left]
                 if left in self.out:
                     del self.out[left]
-                self.take(self.router.handle(say.ClientGone(left), self.now))
+                self.take(self.router.handle(say.ClientDisconnected(left), self.now))
             case ("purge", int(key)):
                 self.take(self.router.handle(say.Purged(0.0, None, key), self.now))
             case ("wait", float(time)):
@@ -186,7 +195,7 @@
 @hypothesis.settings(max_examples=250, deadline=None, derandomize=True)
 @hypothesis.given(SETTINGS, STEPS)
 def test_the_rules_hold_whatever_the_settings_give_or_leave_out(
-    told: say.Settings, steps: list[tuple[object, ...]]
+    told: say.RoutingSettings, steps: list[tuple[object, ...]]
 ) -> None:
     world = World(told)
     for step in steps:
@@ -194,4 +203,4 @@
     while world.out:  # what is still out comes to an end at last, and all that is owed is answered
         world.now += 0.1
         world.end(min(world.out), Outcome.TIMEOUT, None, ())
-    assert not world.open and world.router.know.link.out == 0
+    assert not world.open and world.router.state.zone_link.fills_in_flight == 0
--- a/tests/test_settings_given.py
+++ b/tests/test_settings_given.py
@@ -5,17 +5,17 @@
 import pytest
 from driver import EDGES, KEYED, ORIGIN, SAFE, UNSAFE, Driver, fetches
 
-from paddlequay.routing.interface import AttemptEnded, Member, Note, Outcome, State
+from paddlequay.routing.interface import AttemptEnded, Member, MemberState, Outcome, ReplyDetail
 
 ALLOWED = [("any", True), ("location", True), ("off", False), (None, False)]
 
 
 @pytest.mark.parametrize(("siblings", "named"), ALLOWED)
 def test_a_sibling_is_a_source_only_where_the_settings_allow_it(siblings: str | None, named: bool) -> None:
-    driver = Driver(siblings=siblings)
+    driver = Driver(sibling_fills=siblings)
     first = driver.fetch()
     driver.serve(first)
-    driver.list(*[Member(f"new-{n}", "here", "cache", 0, State.READY) for n in range(40)])
+    driver.list(*[Member(f"new-{n}", "here", "cache", 0, MemberState.READY) for n in range(40)])
     second = driver.fetch()
     assert second.target != first.target
     assert (second.source == first.target) is named and (named or second.source.startswith("parent"))
@@ -23,25 +23,27 @@
 
 @pytest.mark.parametrize("joins", [True, False, None])
 def test_fills_are_joined_only_where_caches_can(joins: bool | None) -> None:
-    driver = Driver(joins=joins, direct=False)
-    assert driver.fetch().join is bool(joins)
-    assert not driver.fetch(kind="orders").join
+    driver = Driver(coalesces_fills=joins, bypass_allowed=False)
+    assert driver.fetch().coalesce is bool(joins)
+    assert not driver.fetch(kind="orders").coalesce
 
 
 @pytest.mark.parametrize(("grace", "oldest"), [(30.0, 38.0), (0.0, None), (None, None)])
 def test_an_old_copy_will_do_only_where_there_is_a_time_for_it_and_no_source_is_left(
     grace: float | None, oldest: float | None
 ) -> None:
-    driver = Driver((EDGES[0], ORIGIN), classes=(replace(SAFE, grace=grace), KEYED, UNSAFE), direct=False)
+    driver = Driver(
+        (EDGES[0], ORIGIN), classes=(replace(SAFE, stale_if_error=grace), KEYED, UNSAFE), bypass_allowed=False
+    )
     first = driver.fetch()
     assert first.max_age is None
-    (look,) = fetches(driver.end(first, Outcome.REFUSED, Note.ORIGIN_FAILED))
+    (look,) = fetches(driver.end(first, Outcome.REJECTED, ReplyDetail.ORIGIN_FAILED))
     assert look.target == look.source and look.max_age == oldest
 
 
 @pytest.mark.parametrize("parallel", [True, False, None])
 def test_no_second_attempt_goes_out_beside_the_first_however_long_that_takes(parallel: bool | None) -> None:
-    driver = Driver(parallel=parallel)
+    driver = Driver(parallel_attempts=parallel)
     first = driver.fetch()
     for _ in range(30):
         driver.now += 0.05
@@ -56,10 +58,12 @@
 def test_a_members_own_word_that_it_has_room_keeps_it_open_and_without_one_what_is_out_tells(
     cpu: float | None,
 ) -> None:
-    driver = Driver(members=(EDGES[0], ORIGIN), direct=False)
+    driver = Driver(members=(EDGES[0], ORIGIN), bypass_allowed=False)
     load = () if cpu is None else (("active", 2.0), ("cpu", cpu), ("x1", 0.1))
     first = driver.fetch()
-    ended = AttemptEnded(first.request, 0, first.target, Outcome.SERVED, 0.05, True, Note.HIT, load=load)
+    ended = AttemptEnded(
+        first.request, 0, first.target, Outcome.SERVED, 0.05, True, ReplyDetail.HIT, load_report=load
+    )
     driver.router.handle(ended, driver.now)
     sent = sum(len(fetches(driver.ask(key))) for key in range(200))
     assert (sent == 200) is (cpu is not None)
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -20,7 +20,7 @@
     read_delta,
     whole,
 )
-from paddlequay.routing.interface import State
+from paddlequay.routing.interface import MemberState
 
 LIMITS = ShapeLimits()
 
@@ -106,7 +106,7 @@
 
 def test_a_difference_leads_from_one_shape_to_the_other() -> None:
     old = next_shape(Shape(), START, LIMITS)
-    new = next_shape(old, Delta(2, 1, (node("a", "o", state=State.DRAINING),), ("b",)), LIMITS)
+    new = next_shape(old, Delta(2, 1, (node("a", "o", state=MemberState.DRAINING),), ("b",)), LIMITS)
     assert next_shape(old, difference(old, new), LIMITS) == new
 
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -4,52 +4,54 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from paddlequay.routing.failure_detector import MEMORY, Pace, Waits
+from paddlequay.routing.failure_detector import MAX_SAMPLES, LatencyDistribution, RelativeLatency
 
 
 def test_few_large_requests_without_an_answer_are_no_silence_and_many_small_ones_are() -> None:
     """calm+mass: 185 live connections were ended, 706 requests with them: four videos out for 0.9 s each."""
-    waits = Waits(0.3, ("video", "photo"))
+    waits = LatencyDistribution(0.3, ("video", "photo"))
     for number in range(200):
-        waits.took("video", 0.5 + (number % 20) * 0.1)
-        waits.took("photo", 0.02 + (number % 20) * 0.01)
-    assert not waits.silent([("video", 0.9)] * 4)
-    assert waits.silent([("photo", 0.9)] * 4)
-    assert waits.silent([("video", 6.0)] * 4)
+        waits.record("video", 0.5 + (number % 20) * 0.1)
+        waits.record("photo", 0.02 + (number % 20) * 0.01)
+    assert not waits.is_unresponsive([("video", 0.9)] * 4)
+    assert waits.is_unresponsive([("photo", 0.9)] * 4)
+    assert waits.is_unresponsive([("video", 6.0)] * 4)
 
 
 def test_a_member_that_is_slow_by_itself_is_given_as_many_times_longer() -> None:
-    waits = Waits(0.3, ("photo",))
+    waits = LatencyDistribution(0.3, ("photo",))
     for _ in range(100):
-        waits.took("photo", 0.1)
-    assert waits.silent([("photo", 0.9)] * 4) and not waits.silent([("photo", 0.9)] * 4, slowness=9.0)
+        waits.record("photo", 0.1)
+    assert waits.is_unresponsive([("photo", 0.9)] * 4) and not waits.is_unresponsive(
+        [("photo", 0.9)] * 4, slowness=9.0
+    )
 
 
 def test_a_pace_begins_at_its_first_value() -> None:
     """Begun at zero, a member passed for fast until dozens of answers had come."""
-    member, usual = Pace(), Pace()
-    assert member.over(usual) == 1.0
-    member.took(2.0)
+    member, usual = RelativeLatency(), RelativeLatency()
+    assert member.ratio_to(usual) == 1.0
+    member.record(2.0)
     for _ in range(500):
-        usual.took(0.5)
-    assert member.over(usual) == pytest.approx(4.0)
+        usual.record(0.5)
+    assert member.ratio_to(usual) == pytest.approx(4.0)
 
 
 def test_waits_forget_and_hold_no_more_than_their_classes() -> None:
-    waits = Waits(0.3, ("photo",))
-    for _ in range(10 * int(MEMORY)):
-        waits.took("photo", 0.1)
-        waits.took("nosuch", 0.1)
-    assert set(waits.counts) == {"photo"} and waits.totals["photo"] <= MEMORY + 1
-    before = waits.surprise("photo", 1.0)
-    for _ in range(int(MEMORY)):
-        waits.took("photo", 2.0)
-    assert waits.surprise("photo", 1.0) < before / 2
+    waits = LatencyDistribution(0.3, ("photo",))
+    for _ in range(10 * int(MAX_SAMPLES)):
+        waits.record("photo", 0.1)
+        waits.record("nosuch", 0.1)
+    assert set(waits.counts) == {"photo"} and waits.totals["photo"] <= MAX_SAMPLES + 1
+    before = waits.suspicion("photo", 1.0)
+    for _ in range(int(MAX_SAMPLES)):
+        waits.record("photo", 2.0)
+    assert waits.suspicion("photo", 1.0) < before / 2
 
 
 @given(st.floats(0, 100), st.floats(0, 100), st.lists(st.floats(0, 100), max_size=50))
 def test_longer_waits_never_surprise_less(age: float, more: float, took: list[float]) -> None:
-    waits = Waits(0.3, ("a",))
+    waits = LatencyDistribution(0.3, ("a",))
     for each in took:
-        waits.took("a", each)
-    assert 0.0 <= waits.surprise("a", age) <= waits.surprise("a", age + more) + 1e-9
+        waits.record("a", each)
+    assert 0.0 <= waits.suspicion("a", age) <= waits.suspicion("a", age + more) + 1e-9
--- a/tests/tier/test_terms.py
+++ b/tests/tier/test_terms.py
@@ -6,11 +6,11 @@
 from paddlequay.hierarchy.moves import MoveLimits
 from paddlequay.hierarchy.node import Answer, Fill, Node, NodeLimits, Want, Word
 from paddlequay.hierarchy.terms import Terms
-from paddlequay.routing.interface import Effect, HeldBy, Note, RequestClass, Settings
 from paddlequay.net.cache_words import read_end
 from paddlequay.net.tier import FieldError, read_channel
 from paddlequay.policy import Router
 from paddlequay.protocol import caches as wire
+from paddlequay.routing.interface import CopyReported, Idempotency, ReplyDetail, RequestClass, RoutingSettings
 
 rig = pytest.fixture(made_rig, name="rig")
 one = pytest.fixture(made_one, name="one")
@@ -47,7 +47,7 @@
     assert node.seen.counts["old_terms"] == 1
     reader = wire.Reader(1000, 1000)
     (told,) = reader.feed(b"x NONE detail=OLD_TERM 0\r\n\r\n")
-    assert read_end(told).note is Note.OLD_TERM
+    assert read_end(told).detail is ReplyDetail.STALE_TERM
 
 
 @pytest.mark.parametrize(
@@ -74,8 +74,8 @@
 
 
 def test_a_router_believes_who_it_is_told_holds_a_part() -> None:
-    kind = RequestClass("video", aim=0.5, deadline=2.0, effect=Effect.SAFE)
-    router = Router(Settings(zone="here", classes=(kind,)), 1)
-    router.handle(HeldBy(5, 3, "box"), 1.0)
-    seen, before, _ = router.know.hotness.read((5, 3), 1.5)
+    kind = RequestClass("video", latency_objective=0.5, deadline=2.0, idempotency=Idempotency.IDEMPOTENT)
+    router = Router(RoutingSettings(zone="here", classes=(kind,)), 1)
+    router.handle(CopyReported(5, 3, "box"), 1.0)
+    seen, before, _ = router.state.hot_objects.record_read((5, 3), 1.5)
     assert (dict(seen.holders), before) == ({"box": 1.0}, 0.0)  # no read was counted
--- a/tests/tier/test_tier.py
+++ b/tests/tier/test_tier.py
@@ -202,7 +202,7 @@
     asker.ask("open")
     until(lambda: one.page()["waiting"] == 1, "it waits")
     one.processes["a"].terminate()
-    one.logged("event=ending")
+    one.logged("event=shutdown_started")
     one.give()
     assert asker.answer()[1] == "HIT" and one.processes["a"].wait(timeout=WAIT) == 0
     one.logged("event=counters")
--- a/tests/tier/test_tier_feed.py
+++ b/tests/tier/test_tier_feed.py
@@ -6,7 +6,8 @@
 from harness import until
 from rig_tier import Feed, Rig, made_one, made_rig, node
 
-from paddlequay.store.record import RecordError, decode, encode
+from paddlequay.errors import RecordError
+from paddlequay.store.record import decode, encode
 
 rig = pytest.fixture(made_rig, name="rig")
 one = pytest.fixture(made_one, name="one")
