--- a/paddlequay/net/caches.py
+++ b/paddlequay/net/caches.py
@@ -155,7 +155,7 @@
         self.instances: dict[str, Instance] = {}
         self.leaving: list[Instance] = []
         self.waits = LatencyDistribution(limits.assumed_latency, exchange.router.classes)
-        self.pace = RelativeLatency(memory=200.0)
+        self.pace = RelativeLatency(max_samples=200.0)
         self.tasks: set[asyncio.Task[None]] = set()
         exchange.upstreams = self
         exchange.operator_state.on_change.append(self.ordered)
--- a/paddlequay/routing/history.py
+++ b/paddlequay/routing/history.py
@@ -1,4 +1,4 @@
-"""Bounded memories of what was read and of what was purged: they count and forget, and decide nothing."""
+"""Bounded histories of reads and of purges: they count and forget, and decide nothing."""
 
 import math
 from collections import OrderedDict
@@ -12,74 +12,74 @@
 
 
 class ReadHistory:
-    """How often parts of objects were read, fading over `fade` seconds, and who was seen holding them.
+    """How often parts of objects were read, decaying over `decay_time` seconds, and who holds them.
 
-    Bounded by `OBJECTS_MOST` parts, `OBJECT_AGE_S` of age and `HOLDERS_MOST` holders of each.
+    Bounded by `MAX_OBJECTS` parts, `MAX_OBJECT_AGE_S` of age and `MAX_HOLDERS` holders of each.
     """
 
-    def __init__(self, fade: float) -> None:
-        self.decay_time = fade
+    def __init__(self, decay_time: float) -> None:
+        self.decay_time = decay_time
         self.objects: OrderedDict[Hashable, ObjectState] = OrderedDict()
 
     def record_read(self, place: Hashable, now: float) -> tuple[ObjectState, float, float]:
-        """Count a read: the record, how many reads it had before, and the seconds since the last of them."""
-        seen = self.object_at(place, now)
-        before, since = seen.read_count, now - seen.read_at
-        seen.read_count = 1.0 + before * math.exp(-since / self.decay_time)
-        seen.read_at = now
-        return seen, before, since
+        """Count a read: the part, its earlier reads, and the seconds since the last of them."""
+        part = self.object_at(place, now)
+        earlier_reads, since = part.read_count, now - part.read_at
+        part.read_count = 1.0 + earlier_reads * math.exp(-since / self.decay_time)
+        part.read_at = now
+        return part, earlier_reads, since
 
     def object_at(self, place: Hashable, now: float) -> ObjectState:
-        """The record of a place, a new one where there is none."""
-        seen = self.objects.get(place)
-        if seen is None:
-            seen = self.objects[place] = ObjectState(now)
+        """The state of the part at a place, a new one where there is none."""
+        part = self.objects.get(place)
+        if part is None:
+            part = self.objects[place] = ObjectState(now)
             oldest = now - MAX_OBJECT_AGE_S
             while len(self.objects) > MAX_OBJECTS or next(iter(self.objects.values())).read_at < oldest:
                 self.objects.popitem(last=False)
         self.objects.move_to_end(place)
-        return seen
+        return part
 
     def report_holder(self, place: Hashable, name: str, now: float) -> None:
-        """A cache is said to hold a part, which is no read of it."""
+        """A cache is reported to hold a part, which is no read of it."""
         self.add_holder(self.object_at(place, now), name, now)
 
-    def add_holder(self, seen: ObjectState, name: str, now: float) -> None:
-        """A part was asked of a cache, which has it from then on."""
-        seen.holders.pop(name, None)
-        seen.holders[name] = now
-        if len(seen.holders) > MAX_HOLDERS:
-            del seen.holders[next(iter(seen.holders))]
+    def add_holder(self, part: ObjectState, name: str, now: float) -> None:
+        """A part was requested from a cache, which has it from then on."""
+        part.holders.pop(name, None)
+        part.holders[name] = now
+        if len(part.holders) > MAX_HOLDERS:
+            del part.holders[next(iter(part.holders))]
 
-    def drop_holder(self, seen: ObjectState, name: str) -> None:
+    def drop_holder(self, part: ObjectState, name: str) -> None:
         """A cache was seen to lack a part; unknown names are no error."""
-        seen.holders.pop(name, None)
+        part.holders.pop(name, None)
 
 
 class LowestWindowMean:
-    """The least mean of `count` values in a row, by name; bounded by the names."""
+    """The lowest mean of `window` values in a row, by name; bounded by the names."""
 
-    def __init__(self, count: int) -> None:
-        self.window = count
+    def __init__(self, window: int) -> None:
+        self.window = window
         self.sums: dict[str, tuple[int, float]] = {}
 
-    def update(self, name: str, value: float, least: float) -> float:
-        """Another value: the lesser of `least` and the mean, where that is complete."""
+    def update(self, name: str, value: float, lowest: float) -> float:
+        """Another value: the lesser of `lowest` and the mean of the window, where that is full."""
         count, total = self.sums.pop(name, (0, 0.0))
         if count + 1 >= self.window:
-            return min(least, (total + value) / (count + 1))
+            return min(lowest, (total + value) / (count + 1))
         self.sums[name] = (count + 1, total + value)
-        return least
+        return lowest
 
 
 class PurgeHistory:
-    """When objects and groups were purged, for as long as older copies may live: `done` seconds.
+    """When objects and groups were purged, for the seconds in which older copies may live.
 
-    Not told how long old copies live, a purge binds for good, which costs refetches and never a rule.
+    Where `completion_time` is not given a purge binds for good, which costs refetches and breaks no rule.
     """
 
-    def __init__(self, done: float | None) -> None:
-        self.completion_time = math.inf if done is None else done
+    def __init__(self, completion_time: float | None) -> None:
+        self.completion_time = math.inf if completion_time is None else completion_time
         self.purged_at: OrderedDict[tuple[str, int | None], float] = OrderedDict()
         self.all_purged_at = -math.inf
 
--- a/paddlequay/routing/interface.py
+++ b/paddlequay/routing/interface.py
@@ -1,6 +1,6 @@
-"""The project's own interface: what a router is told (settings, events) and what it asks for (actions).
+"""The decisions' own interface: settings, the events that they get, and the actions that they return.
 
-Times are seconds; `now` is any clock that does not go back. `None` always means "not told", never a default:
+Times are seconds; `now` is any clock that does not go back. `None` always means "not given", never a default:
 what to do without a value is for `paddlequay.policy` to decide.
 """
 
@@ -11,7 +11,7 @@
 
 
 class Idempotency(Enum):
-    """What a repeat of a request does."""
+    """What a retry of a request does. The values are those of the programs that exchange them."""
 
     IDEMPOTENT = "safe"
     IDEMPOTENCY_KEY = "keyed"
@@ -19,7 +19,7 @@
 
 
 class MemberState(Enum):
-    """A member's place in its life, as the list tells it."""
+    """A member's state, as the list gives it. The values stand in saved files, and stay."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -41,7 +41,7 @@
 
 
 class ReplyDetail(Enum):
-    """What an answer tells of the copy or of the fill that failed."""
+    """What an answer says of the copy, or of the fill that failed."""
 
     HIT = 1
     FILLED = 2
@@ -53,13 +53,20 @@
     SOURCE_MISS = 8
     FILL_LIMIT = 9
     ORIGIN_FAILED = 10
-    FILL_LOOP = 11  # the target stands in the way of the fill itself
-    STALE_TERM = 12  # a channel's later owner was seen: the one that asked for this is followed
+    FILL_LOOP = 11  # the target waits for the fill itself
+    STALE_TERM = 12  # a channel has a later owner: the one that requested this is superseded
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests; `fresh` 0 means that a copy is good until purged."""
+    """One class of requests. Times are seconds.
+
+    `deadline`: the longest time that a client waits; `latency_objective`: the time within which an answer has
+    its full value, `objective_per_work` more for each second of work; `priority_weight`: the value of an
+    answer; `dedup_scope` and `dedup_window`: among which caches ("all", "zone", "cell") and for how long a
+    repeat under one idempotency key is dropped; `freshness_lifetime`: 0 means that a copy is good until
+    purged; `stale_if_error`: how long after that it still may do.
+    """
 
     name: str
     latency_objective: float
@@ -76,7 +83,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """A cold start: at `start` of full capacity, all of it after `warm_after`; falls at `multiple` of it."""
+    """How a member warms up, in seconds and shares of its full capacity.
+
+    It begins at `initial_share` and has all of it after `duration`. It falls over when it gets more than
+    `overload_multiple` of what it can do, over `overload_window`.
+    """
 
     initial_share: float | None = None
     duration: float | None = None
@@ -86,7 +97,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingSettings:
-    """What a router is told when it starts."""
+    """What the decisions are given at the start.
+
+    Counts are routers of the whole platform and of this zone; rates are kilobytes a second; times are
+    seconds.
+    """
 
     zone: str
     classes: tuple[RequestClass, ...]
@@ -113,13 +128,13 @@
 
     @property
     def weights_give_capacity(self) -> bool:
-        """Whether weights tell members' ways out, in transfers at `flow_kb_per_s`."""
+        """Whether weights give members' outgoing capacity, in transfers at `flow_kb_per_s`."""
         return self.weights in ("nominal", "rough") and bool(self.flow_kb_per_s)
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One line of the list: an edge cache, a parent or the origin."""
+    """One line of the list: an edge cache, a parent or the origin. `started` is in Unix seconds."""
 
     name: str
     zone: str | None = None
@@ -132,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersChanged:
-    """News of the list: all of it, changes only, or (`failed`) that it could not be had."""
+    """The list, changes to it, or (`failed`) that it could not be read."""
 
     members: tuple[Member, ...]
     full: bool = False
@@ -141,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request; the router owes it one final answer within `left`."""
+    """A client's request; the router owes it one final answer within `time_left` seconds."""
 
     id: str
     class_name: str
@@ -166,7 +181,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """One attempt's end; `final` when the client has its answer."""
+    """The end of one attempt; `final` when the client has its answer.
+
+    `latency` and `source_wait`, the wait for a fill's source, are in seconds.
+    """
 
     request: str
     attempt: int
@@ -178,40 +196,40 @@
     source_wait: float | None = None
     load_report: tuple[tuple[str, float], ...] = ()
     unresponsive: bool = False  # no byte came on its connection since it was written
-    loop_hint: str = ""  # with `LOOPED`: whom the target waits for
+    loop_hint: str = ""  # with `FILL_LOOP`: whom the target waits for
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has left; nothing is owed any more."""
+    """The client has left or cancelled; nothing is owed any more."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class AbandonRequest:
-    """The router is being emptied and has no more time for this request: its final answer is due now."""
+    """The router is being drained and has no more time for this request: its final answer is due now."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class StateInherited:
-    """What an older process of the same router had learned, as `Router.knowledge` gave it."""
+    """What a predecessor process of the same router had learned, as `Router.export_state` gave it."""
 
     state: Mapping[str, float]
 
 
 @dataclass(frozen=True, slots=True)
 class OutlierReported:
-    """Several routers have lately found a member failing or silent: a hint, fresh when it is handed in."""
+    """Several routers have lately found a member failing or unresponsive: a hint, fresh when handed in."""
 
     member: str
 
 
 @dataclass(frozen=True, slots=True)
 class CopyReported:
-    """A member was told to hold a part of an object: a hint, fresh when it is handed in."""
+    """A member is reported to hold a part of an object: a hint, fresh when handed in."""
 
     key: int | None
     part: int | None
@@ -251,10 +269,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBound:
-    """What binds further attempts at a request of which one, at the member `ran`, may have run.
+    """What binds retries of a request of which an attempt, at `first_member`, may have been executed.
 
     They are written before `until`, in seconds of the decisions' clock (-inf: never), and at members that
-    drop repeats of it: those of the `group`, "all", or of the zone or cell in which `ran` stood then.
+    drop repeats of it: those of the `scope`, "all", or of the zone or cell in which `first_member` stood
+    then.
     """
 
     until: float
@@ -262,7 +281,7 @@
     first_member: Member
 
     def covers(self, member: Member) -> bool:
-        """Whether a member is of the group; one whose place is not told is of no group."""
+        """Whether a member is in the scope; one whose place is unknown is in none."""
         if self.scope == "zone":
             return member.zone is not None and member.zone == self.first_member.zone
         if self.scope == "cell":
@@ -272,7 +291,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """An attempt at `target`; a miss is filled from `source` (the target itself: not at all)."""
+    """An attempt at `target`; a miss is filled from `source` (the target itself: not at all).
+
+    `retention`: the rank at which the copy is kept, 0 to 3; `timeout` and `max_age`, of the copy, in seconds;
+    `coalesce`: join a fill under way; `only_if_cached`: do not go on to the origin; `refresh`: fill again
+    before the copy is stale.
+    """
 
     request: str
     target: str
@@ -283,25 +307,26 @@
     coalesce: bool = False
     only_if_cached: bool = False
     refresh: bool = False
-    retry_bound: RetryBound | None = None  # where an earlier attempt may have run and repeats are not free
+    retry_bound: RetryBound | None = (
+        None  # where an earlier attempt may have been executed and retries are not free
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Abandon an attempt."""
 
     request: str
     attempt: int
 
 
-# Why the decisions turned a request away: repeats used up, all edges busy, no edge or source open,
-# no room for its fill in the plaza's link, surrender.
+# Why the decisions reject a request; `link_full`: the zone's link has no capacity for its fill.
 RejectCause = Literal["retries_exhausted", "edge_busy", "no_edge", "no_source", "link_full", "abandoned"]
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: turned away, a repeat is harmless, best after `retry_in`."""
+    """Final answer: rejected, a retry is harmless, best after `retry_after` seconds."""
 
     request: str
     retry_after: float | None = None
@@ -317,7 +342,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerDue` in `delay` seconds."""
+    """Request a `TimerFired` in `delay` seconds."""
 
     delay: float
     token: str
@@ -325,7 +350,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the list and for changes to it."""
+    """Request the list and changes to it."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/paddlequay/routing/state.py
+++ b/paddlequay/routing/state.py
@@ -1,6 +1,6 @@
-"""What the decisions keep of members, objects and requests: records alone, which decide nothing.
+"""The state of members, objects and requests that decisions rest on: records, which decide nothing.
 
-Each field is written by one part of `paddlequay/policy/`, named beside it.
+Each field is written by one module of `paddlequay/policy/` or `paddlequay/routing/`, named beside it.
 """
 
 import math
@@ -12,7 +12,7 @@
 
 
 class CacheTier(Enum):
-    """Where a member stands between clients and the store of everything."""
+    """Where a member stands between clients and the origin."""
 
     EDGE = 0
     PARENT = 1
@@ -21,49 +21,45 @@
 
 @dataclass(slots=True)
 class Upstream:
-    """What the router knows and believes of one member of its list. Times are seconds of its clock."""
+    """What the router knows of one member of its list. Times are seconds of its clock."""
 
-    # members.py
+    # policy/members.py
     member: Member
     tier: CacheTier
     listed_at: float
-    presumed_restart_at: float | None = (
-        None  # believed to have started anew then: the list has not said so yet
-    )
-    # health.py
+    presumed_restart_at: float | None = None  # taken to have restarted then, before the list says so
+    # policy/outliers.py
     failures: int = 0
     last_failure_at: float = -math.inf
     ejected: bool = False
     last_success_at: float = -math.inf
     probe_at: float = 0.0
     probe_request: str | None = None
-    transfer_capacity: float | None = (
-        None  # transfers at full pace that its way out bears, where that is told
-    )
-    # limits.py: work out there, and the limit of it, in mean requests
+    transfer_capacity: float | None = None  # transfers at full rate that its outgoing link bears, if known
+    # routing/concurrency.py: work in flight there, and its limit, in mean requests
     concurrency_limit: float = 0.0
     in_flight: float = 0.0
     late_share: float = 0.0
     late_share_at: float = -math.inf
     limit_cut_at: float = -math.inf
     spare_capacity_at: float = -math.inf
-    # cold.py, by whoever sends
+    # routing/slow_start.py, by whoever sends
     slow_start_bucket: TokenBucket = field(default_factory=TokenBucket)
 
     @property
     def ready(self) -> bool:
-        """False from the moment that the list says otherwise: drains are kept at once."""
+        """Whether the list says so; draining counts at once."""
         return self.member.state in (None, MemberState.READY)
 
     @property
     def started(self) -> float | None:
-        """Its last start, as told or as believed."""
+        """Its last start, as listed or as presumed."""
         return self.member.started if self.presumed_restart_at is None else self.presumed_restart_at
 
 
 @dataclass(slots=True)
 class ObjectState:
-    """The aging memory of one part of an object: how often it was read, and who holds it (hotness.py)."""
+    """How often one part of an object was read, and who holds it (policy/hot_objects.py)."""
 
     read_at: float
     read_count: float = 0.0
@@ -72,21 +68,21 @@
 
 @dataclass(slots=True)
 class AttemptState:
-    """One attempt that is out, or was (attempts.py)."""
+    """One attempt that is in flight, or was (policy/attempts.py)."""
 
     target: Upstream
     source: Upstream
     sent_at: float
     fills: bool
-    retry_bound: RetryBound | None = None  # what binds further ones while this may have run
+    retry_bound: RetryBound | None = None  # what binds retries while this may have been executed
     ended: bool = False
 
 
 @dataclass(slots=True)
 class RequestState:
-    """A request that is owed its final answer; `work` and `cost` are seconds and mean requests."""
+    """A request that is owed its final answer; `work` is in seconds, `cost` in mean requests."""
 
-    # router.py, with `settle`
+    # policy/router.py, with `settle`
     received: Request
     request_class: RequestClass
     deadline: float
@@ -96,47 +92,48 @@
     object_state: ObjectState
     is_hot: bool
     streaming: bool = False
-    # attempts.py
+    # policy/attempts.py
     attempts: list[AttemptState] = field(default_factory=list)
     possibly_executed: AttemptState | None = None
-    # answers.py
+    # policy/results.py
     failed_members: list[str] = field(default_factory=list)
     error_count: int = 0
     connection_lost: bool = False
-    source_missed: bool = False  # no source has it, or none can get at it
-    # attempts.py
+    source_missed: bool = False  # no source has it, or none can reach it
+    # policy/attempts.py
     retry_budget_spent: bool = False
-    # ladder.py
+    # policy/source_selection.py
     link_full: bool = False
     only_if_cached: bool = False
 
     @property
     def cacheable(self) -> bool:
+        """Whether a cache may keep and serve the answer."""
         return not (self.request_class.uncacheable or self.received.write)
 
     def settle(self, number: int) -> AttemptState | None:
-        """The attempt of that number, over from now on; None if it was, or never began."""
+        """The attempt of that number, ended from now on; None if it had, or never began."""
         if number >= len(self.attempts) or self.attempts[number].ended:
             return None
         self.attempts[number].ended = True
         return self.attempts[number]
 
     def in_dedup_scope(self, server: Upstream) -> bool:
-        """Whether the server drops repeats of what may have run already, by the class's word."""
+        """Whether the member drops a repeat of what may have been executed, as the class says."""
         return self.retry_bound is None or self.retry_bound.covers(server.member)
 
     @property
     def retry_bound(self) -> RetryBound | None:
-        """What binds a further attempt; None while none may have run, and where repeats are free."""
+        """What binds a retry; None while none may have been executed, and where retries are free."""
         return None if self.possibly_executed is None else self.possibly_executed.retry_bound
 
     @property
     def unanswered_attempt(self) -> AttemptState | None:
-        """The attempt that is out, while nothing of its answer has come."""
+        """The attempt in flight, while nothing of its answer has come."""
         last = self.attempts[-1] if self.attempts and not self.streaming else None
         return None if last is None or last.ended else last
 
     @property
     def fill_blocked(self) -> bool:
-        """What its home holds may still do, but no source is asked again."""
+        """Whether no source is tried again; what its home has cached may still do."""
         return self.source_missed or self.retry_budget_spent or self.link_full
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -66,10 +66,10 @@
     link = LinkLoad(transfer_capacity=10.0, router_count=2.0, fills_in_flight=7)
     assert (
         link.utilization() == 1.4
-        and link.admits_fill(luck=0.5)
-        and not link.admits_fill(luck=0.5, kept=False)
+        and link.admits_fill(sampling_draw=0.5)
+        and not link.admits_fill(sampling_draw=0.5, kept=False)
     )
-    assert link.admits_fill(luck=0.0, dear=0.25) and not link.admits_fill(luck=0.0)
+    assert link.admits_fill(sampling_draw=0.0, cost=0.25) and not link.admits_fill(sampling_draw=0.0)
 
 
 @pytest.mark.parametrize("link", [None, 100.0])
--- a/tests/test_origin.py
+++ b/tests/test_origin.py
@@ -4,7 +4,7 @@
 from driver import EDGES, ORIGIN, PARENTS, Driver
 
 from paddlequay.routing.interface import AttemptEnded, ClientDisconnected, Fetch, Outcome, Reject, ReplyDetail
-from paddlequay.routing.origin_load import MEMORY_S, WAIT_SPAN, OriginWait
+from paddlequay.routing.origin_load import DECAY_S, WAIT_SPAN, OriginWait
 from paddlequay.routing.zone_load import MAX_REPORT_AGE_S
 
 
@@ -95,7 +95,7 @@
     assert 0.0 < later < middle  # not all routers begin together again
     assert middle == pytest.approx((1.0 - WAIT_SPAN[0]) / (WAIT_SPAN[1] - WAIT_SPAN[0]), abs=0.02)
     for step in range(30):
-        waits.record(0.02, 6.0 + step * 0.1 * MEMORY_S)
+        waits.record(0.02, 6.0 + step * 0.1 * DECAY_S)
     assert not waits.sheds(0.3, 0.0, 9.0)
 
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -224,7 +224,7 @@
     room = ZoneLoad(14)
     room.report("edge-0", FULL_LINK, 1.0)
     assert not any(room.admits_fill(luck / 10, 1.0) for luck in range(10))
-    assert all(room.admits_fill(luck / 10, 1.0, dear=LINK_SPAN[0] / FULL_LINK["x1"]) for luck in range(10))
+    assert all(room.admits_fill(luck / 10, 1.0, cost=LINK_SPAN[0] / FULL_LINK["x1"]) for luck in range(10))
     classes = (SAFE, replace(SAFE, name="films", priority_weight=2.0), UNSAFE)
     driver, dear = Driver(classes=classes, router_count=194, zone_router_count=14), {}
     driver.router.state.latency.work |= {"pages": 0.1, "films": 0.8, "pays": 9.0}
