--- a/paddlequay/net/caches.py
+++ b/paddlequay/net/caches.py
@@ -50,7 +50,7 @@
         connection = None if self.gone else self.choose(attempt)
         if connection is None:
             self.pool.counters.add("no_connection_left")
-            return self.pool.exchange.end_attempt(attempt, AttemptResult(Outcome.NOT_SENT))
+            return self.pool.exchange.attempts.end(attempt, AttemptResult(Outcome.NOT_SENT))
         connection.waiting.append(attempt)
         attempt.carrier = connection
         connection.write_waiting()
@@ -157,7 +157,7 @@
         self.waits = LatencyDistribution(limits.assumed_latency, exchange.router.classes)
         self.pace = RelativeLatency(max_samples=200.0)
         self.tasks: set[asyncio.Task[None]] = set()
-        exchange.upstreams = self
+        exchange.attempts.upstreams = self
         exchange.operator_state.on_change.append(self.ordered)
 
     def now(self) -> float:
@@ -238,7 +238,7 @@
     def start(self, attempt: UpstreamAttempt) -> None:
         instance = self.instances.get(attempt.fetch.target)
         if instance is None:
-            return self.exchange.end_attempt(attempt, AttemptResult(Outcome.NOT_SENT))
+            return self.exchange.attempts.end(attempt, AttemptResult(Outcome.NOT_SENT))
         instance.start(attempt)
 
     def watch(self) -> None:
--- a/paddlequay/net/connection.py
+++ b/paddlequay/net/connection.py
@@ -112,11 +112,11 @@
         out, self.out = list(self.out.values()), {}
         waiting = self.take_waiting()
         for attempt in out:
-            self.pool.exchange.end_attempt(attempt, AttemptResult(Outcome.RESET))
+            self.pool.exchange.attempts.end(attempt, AttemptResult(Outcome.RESET))
         # That a run is over, as the list tells, is no failure of whoever bears its name now.
         unwritten = Outcome.NOT_SENT if self.instance.gone else Outcome.CONNECT_FAILED
         for attempt in waiting:
-            self.pool.exchange.end_attempt(attempt, AttemptResult(unwritten))
+            self.pool.exchange.attempts.end(attempt, AttemptResult(unwritten))
 
     def take_waiting(self) -> list[UpstreamAttempt]:
         waiting = list(self.waiting)
@@ -145,12 +145,12 @@
             if self.instance.gone:
                 # Its name may be back on the list, and would pass there, as another run at another address.
                 for attempt in self.take_waiting():
-                    self.pool.exchange.end_attempt(attempt, AttemptResult(Outcome.NOT_SENT))
+                    self.pool.exchange.attempts.end(attempt, AttemptResult(Outcome.NOT_SENT))
                 return
             if (self.waiting[0].never_resend or not self.out) and self.peek() == b"":
                 return self.ended_by_peer()
             attempt = self.waiting.popleft()
-            order = self.pool.exchange.prepare_write(attempt)
+            order = self.pool.exchange.attempts.prepare_write(attempt)
             if order is None:
                 continue
             line = wire.ask(order.id, order_fields(order), len(order.body))
@@ -165,7 +165,7 @@
             if len(self.written) > self.limits.max_remembered_ids:
                 self.written.popitem(last=False)
             self.used = self.pool.now()
-            self.pool.exchange.mark_written(attempt)
+            self.pool.exchange.attempts.mark_written(attempt)
 
     def ended_by_peer(self) -> None:
         """A peer's close has come that was not read yet: what waits was never written and goes elsewhere.
@@ -201,7 +201,7 @@
             if attempt.written_at is not None:
                 self.instance.answer_took(attempt, self.used - attempt.written_at)
             self.pool.counters.add("received_bytes", len(answer.body))
-            self.pool.exchange.end_attempt(attempt, end)
+            self.pool.exchange.attempts.end(attempt, end)
         else:
             # Given up, answered before, or never asked: whole and well-formed, it harms nothing else. Taken
             # as a spoilt connection, one such answer ended all good ones that were on their way.
--- a/paddlequay/net/members.py
+++ b/paddlequay/net/members.py
@@ -65,7 +65,7 @@
 
     def now(self) -> float:
         """The decisions' clock: it never goes back, and stands on Unix time as start times do."""
-        return self.exchange.scheduler.monotonic() + self.exchange.clock_offset
+        return self.exchange.scheduler.monotonic() + self.exchange.attempts.clock_offset
 
     def has(self, source: str) -> bool:
         return source in self.membership.sources
--- a/paddlequay/programs/router.py
+++ b/paddlequay/programs/router.py
@@ -135,7 +135,7 @@
             sharing = Sharing(settings, self.config.peering, self.config, self.exchange, self.counters)
         except ValueError as error:
             raise ConfigError(f"{path}: {error}") from None
-        self.exchange.interceptor = sharing
+        self.exchange.attempts.interceptor = sharing
         self.console.pages["cluster"] = lambda: page(sharing)
         if sharing.placing is not None:
             self.console.queries["placement"] = sharing.placing.explain
--- a/paddlequay/requests/exchange.py
+++ b/paddlequay/requests/exchange.py
@@ -1,8 +1,7 @@
-"""The core between a front, the decisions and the caches. It executes what is decided and holds the rules.
+"""The core between a front, the decisions and the upstreams: it executes what is decided and keeps the rules.
 
-It owns every open request and its attempts, from the moment a front hands a request in until the one final
-answer goes back by the request's callback. It knows no protocol and no socket: a front speaks to it with
-`Ask` and `Reply`, the caches' side with `Attempt`, `Order` and `End`, discovery with `Member` and purges.
+It owns every pending request, from the moment a front hands it in until the one final answer goes back by the
+request's callback; its attempts are run by `attempts.py`. It knows no protocol and no socket.
 """
 
 import logging
@@ -14,35 +13,27 @@
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.policy import Router
+from paddlequay.requests.attempts import AttemptRunner
 from paddlequay.requests.messages import (
-    NO_FIELDS,
     AnswerStatus,
-    AttemptResult,
     ClientRequest,
     FinalAnswer,
     PendingRequest,
-    RequestInterceptor,
     Scheduler,
-    UpstreamAttempt,
-    UpstreamPool,
-    UpstreamRequest,
 )
 from paddlequay.requests.quotas import ProcessQuotas
 from paddlequay.requests.write_checks import WriteChecks
 from paddlequay.routing.interface import (
     AbandonRequest,
     Action,
-    AttemptEnded,
     Cancel,
     ClientDisconnected,
     Event,
     Fail,
     Fetch,
-    Idempotency,
     LogMessage,
     Member,
     MembersChanged,
-    Outcome,
     Purged,
     Reject,
     Request,
@@ -54,40 +45,37 @@
 
 LOGGER = logging.getLogger(__name__)
 
-LOOK_FIRST = 0.002  # seconds: two turns of the loop, in which what has come is read and answered
+DEADLINE_SLACK_S = 0.004  # past a request's deadline, so that an attempt's own time-out comes first
 
 
 class Exchange:
-    """Open requests, timers, events in, actions out."""
+    """Pending requests by serial; events go to the decisions, and their actions are executed."""
 
     def __init__(
         self,
         router: Router,
-        operation: OperatorState,
-        shares: ProcessQuotas,
+        operator_state: OperatorState,
+        quotas: ProcessQuotas,
         limits: Limits,
         scheduler: Scheduler,
         counters: Counters,
     ) -> None:
         self.router = router
-        self.operator_state = operation
-        operation.on_change.append(self.override_changed)
-        self.quotas = shares
+        self.operator_state = operator_state
+        operator_state.on_change.append(self.override_changed)
+        self.quotas = quotas
         self.limits = limits
         self.scheduler = scheduler
         self.counters = counters
-        self.upstreams: UpstreamPool | None = None
-        self.interceptor: RequestInterceptor | None = None
         self.pending: dict[str, PendingRequest] = {}
         self.open_ids: set[str] = set()
-        self.body_bytes = 0  # bytes of bodies of open requests
-        self.write_checks = WriteChecks(operation, limits, scheduler)
+        self.body_bytes = 0  # of the bodies of pending requests
+        self.write_checks = WriteChecks(operator_state, limits, scheduler)
         self.members = self.write_checks.members
+        self.attempts = AttemptRunner(self, router.classes, self.write_checks, limits, scheduler, counters)
         self.last_serial = 0
         self.events: deque[Event] = deque()
         self.delivering = False
-        # One clock for the decisions: it never goes back, and list entries' Unix start times stand on it.
-        self.clock_offset = scheduler.unix() - scheduler.monotonic()
 
     # --- from the front ---
 
@@ -97,86 +85,82 @@
         send_answer: Callable[[FinalAnswer], None],
         client_disconnected: Callable[[], bool] | None = None,
     ) -> PendingRequest | None:
-        """Take a request; `reply` is called exactly once, unless `withdraw` comes first.
+        """Take a request; `send_answer` is called exactly once, unless `withdraw` comes first.
 
-        `gone` is asked wherever something is about to be sent on, and must not call back.
+        `client_disconnected` is called wherever something is about to be forwarded, and must not call back.
+        None where the request was answered at once.
         """
         now = self.scheduler.monotonic()
         self.counters.add(f"received.{request.class_name}")
-        full = self.body_bytes + len(request.body) > self.limits.max_body_bytes * self.quotas.memory_share
-        if full or len(self.pending) >= self.limits.max_open_requests:
-            # Bodies wait here for their caches: thirty-two of 48,000 bytes on each connection are more than a
-            # small router has.
-            self.counters.add("rejected.too_many_open")
-            send_answer(FinalAnswer(AnswerStatus.REJECTED, retry_after=self.limits.busy_retry_after))
-            return None
-        if request.id in self.open_ids:
-            # The first request's answer must not serve another object, nor a second one's end end the first.
-            self.counters.add("rejected.id_open")
-            send_answer(FinalAnswer(AnswerStatus.FAILED))
+        answer = self.answer_at_once(request)
+        if answer is not None:
+            send_answer(answer)
             return None
         self.last_serial += 1
         left = request.time_to_live - self.limits.answer_margin
-        item = PendingRequest(
-            f"q{self.last_serial}", request, send_answer, now, now + left, client_disconnected
-        )
-        if self.interceptor is not None and (wait := self.interceptor.admit(item, left)) is not None:
+        serial = f"q{self.last_serial}"
+        pending = PendingRequest(serial, request, send_answer, now, now + left, client_disconnected)
+        interceptor = self.attempts.interceptor
+        if interceptor is not None and (wait := interceptor.admit(pending, left)) is not None:
             self.counters.add("rejected.fleet_limit")
             send_answer(FinalAnswer(AnswerStatus.REJECTED, retry_after=wait))
             return None
         self.open_ids.add(request.id)
         self.body_bytes += len(request.body)
-        self.pending[item.serial] = item
-        event = Request(
-            item.serial,
-            request.class_name,
-            left,
-            request.key,
-            request.part,
-            request.group,
-            tenant=request.tenant,
-            retry=request.retry,
-            fill=request.fill,
-        )
-        self.deliver(event)
-        if item.serial in self.pending:
+        self.pending[serial] = pending
+        self.deliver(request_event(serial, request, left))
+        if serial in self.pending:
             # Whatever the decisions do, one final answer goes out before the client gives up.
-            item.deadline_timer = self.scheduler.call_later(
-                max(0.0, left) + 0.004, lambda: self.fail_overdue(item)
-            )
-        return item
+            delay = max(0.0, left) + DEADLINE_SLACK_S
+            pending.deadline_timer = self.scheduler.call_later(delay, lambda: self.fail_overdue(pending))
+        return pending
 
-    def withdraw(self, item: PendingRequest) -> None:
-        """The client no longer waits: nothing is owed, and what is out is given up."""
-        if item.serial in self.pending:
+    def answer_at_once(self, request: ClientRequest) -> FinalAnswer | None:
+        """The answer to a request that is not taken in: too much is pending, or its id is."""
+        full = self.body_bytes + len(request.body) > self.limits.max_body_bytes * self.quotas.memory_share
+        if full or len(self.pending) >= self.limits.max_open_requests:
+            # Bodies wait here for their upstreams: thirty-two of 48,000 bytes on each connection are more
+            # than a small router has.
+            self.counters.add("rejected.too_many_open")
+            return FinalAnswer(AnswerStatus.REJECTED, retry_after=self.limits.busy_retry_after)
+        if request.id in self.open_ids:
+            # The first request's answer must not serve another object, nor a second one's end end the first.
+            self.counters.add("rejected.id_open")
+            return FinalAnswer(AnswerStatus.FAILED)
+        return None
+
+    def withdraw(self, pending: PendingRequest) -> None:
+        """The client no longer waits: nothing is owed, and attempts in flight are abandoned."""
+        if pending.serial in self.pending:
             self.counters.add("withdrawn")
-            self.release(item)
-            self.deliver(ClientDisconnected(item.serial))
+            self.release(pending)
+            self.deliver(ClientDisconnected(pending.serial))
 
-    def drop_if_disconnected(self, item: PendingRequest) -> bool:
-        """Whether its client has gone, which ends the request; asked where it would be sent on."""
-        if item.client_disconnected is None or not item.client_disconnected():
+    def drop_if_disconnected(self, pending: PendingRequest) -> bool:
+        """Whether its client has gone, which ends the request; checked before anything is forwarded."""
+        if pending.client_disconnected is None or not pending.client_disconnected():
             return False
-        self.withdraw(item)
+        self.withdraw(pending)
         return True
 
-    def fail_overdue(self, item: PendingRequest) -> None:
-        if item.serial in self.pending:
+    def fail_overdue(self, pending: PendingRequest) -> None:
+        """The deadline of a request has passed without a final answer: it fails."""
+        if pending.serial in self.pending:
             self.counters.add("overdue")
-            self.answer(item, FinalAnswer(AnswerStatus.FAILED))
-            self.deliver(ClientDisconnected(item.serial))
+            self.answer(pending, FinalAnswer(AnswerStatus.FAILED))
+            self.deliver(ClientDisconnected(pending.serial))
 
     def abandon_all(self) -> None:
-        """Give all open requests their final answers now: the router is being emptied."""
+        """Give all pending requests their final answers now: the router is being drained."""
         for serial in list(self.pending):
             self.counters.add("abandoned")
             self.deliver(AbandonRequest(serial))
 
-    def inherit_state(self, knowledge: dict[str, float]) -> None:
-        """What an older process of this router has learned."""
-        self.deliver(StateInherited(knowledge))
+    def inherit_state(self, state: dict[str, float]) -> None:
+        """Take over what a predecessor process of this router has learned."""
+        self.deliver(StateInherited(state))
 
-    # --- from discovery ---
+    # --- from discovery and operators ---
 
     def update_members(self, members: tuple[Member, ...], full: bool) -> None:
         """The list, or changes to it; holds for all that is not written yet."""
@@ -184,10 +168,10 @@
         self.deliver(MembersChanged(tuple(map(self.write_checks.with_overrides, members)), full))
 
     def override_changed(self, name: str) -> None:
-        """Operators leave a cache out, or put it back: holds for all that is not written yet."""
-        member = (
-            self.members.get(name.removeprefix(EJECTED_PREFIX)) if name.startswith(EJECTED_PREFIX) else None
-        )
+        """Operators eject a cache, or put it back: holds for all that is not written yet."""
+        if not name.startswith(EJECTED_PREFIX):
+            return
+        member = self.members.get(name.removeprefix(EJECTED_PREFIX))
         if member is not None:
             self.deliver(MembersChanged((self.write_checks.with_overrides(member),)))
 
@@ -196,242 +180,107 @@
         age = self.write_checks.record_purge(key, group, issued)
         self.deliver(Purged(age, group, key))
 
-    # --- from the caches' side ---
-
-    def prepare_write(self, attempt: UpstreamAttempt) -> UpstreamRequest | None:
-        """What to write, asked at the moment of writing; None when it must not be written any more.
-
-        A decision may be written late, after a connection came up or a socket took bytes again. What held
-        when it was made is looked at once more: drains and new starts of target and source, the window and
-        the group of a repeat, purges, and the time left.
-        """
-        if attempt.ended or self.drop_if_disconnected(attempt.pending):
-            return None
-        item, fetch = attempt.pending, attempt.fetch
-        now = self.scheduler.monotonic()
-        left = attempt.expires_at - now
-        if left < self.limits.min_time_left or not self.write_checks.allows(attempt, now + self.clock_offset):
-            self.counters.add("not_sent")
-            self.end_attempt(attempt, AttemptResult(Outcome.NOT_SENT))
-            return None
-        # The last word is asked last: what it lends is lent to what is written now.
-        if (
-            self.interceptor is not None
-            and (note := self.interceptor.before_write(attempt, left)) is not None
-        ):
-            self.counters.add("not_sent.fleet_limit")
-            self.end_attempt(attempt, AttemptResult(Outcome.REJECTED, detail=note))
-            return None
-        ask = item.request
-        return UpstreamRequest(
-            id=ask.id,
-            class_name=ask.class_name,
-            object_name=ask.object_name,
-            part=ask.part,
-            body=ask.body,
-            known_tag=ask.known_tag,
-            idempotency_key=ask.idempotency_key,
-            time_left=left,
-            source=None if fetch.source == fetch.target else fetch.source,
-            retention=fetch.retention,
-            max_age=self.write_checks.max_age(ask, self.router.classes[ask.class_name], fetch.max_age),
-            coalesce=fetch.coalesce,
-            only_if_cached=fetch.only_if_cached,
-            refresh=fetch.refresh,
-            extra_fields=NO_FIELDS if ask.extra_fields is None else ask.extra_fields(fetch.target),
-        )
-
-    def mark_written(self, attempt: UpstreamAttempt) -> None:
-        attempt.written_at = self.scheduler.monotonic()
-        self.counters.add("sent")
-
-    def end_attempt(self, attempt: UpstreamAttempt, end: AttemptResult) -> None:
-        """An attempt's end; the first `SERVED` is the request's final answer."""
-        if attempt.ended:
-            return
-        now = self.scheduler.monotonic()
-        attempt.ended = True
-        if attempt.timer is not None:
-            attempt.timer.cancel()
-        item = attempt.pending
-        if self.interceptor is not None:
-            self.interceptor.attempt_ended(attempt, end)
-        self.counters.add(f"ended.{end.outcome.value.replace(' ', '_')}")
-        final = end.outcome is Outcome.SERVED and item.serial in self.pending
-        item.last_detail = end.detail
-        if final:
-            verdict = AnswerStatus.NOT_MODIFIED if end.not_modified else AnswerStatus.SERVED
-            reply = FinalAnswer(
-                verdict, end.body, stamp=end.stamp, detail=end.detail, served_by=attempt.fetch.target
-            )
-            self.answer(item, reply)
-        self.deliver(
-            AttemptEnded(
-                request=item.serial,
-                attempt=attempt.number,
-                target=attempt.fetch.target,
-                outcome=end.outcome,
-                latency=now - attempt.started_at,
-                final=final,
-                detail=end.detail,
-                source_wait=end.source_wait,
-                load_report=end.load_report,
-                unresponsive=end.unresponsive,
-                loop_hint=end.loop_hint,
-            )
-        )
-
     # --- events in, actions out ---
 
     def deliver(self, event: Event) -> None:
-        """Hand an event to the decisions and carry out what they ask; events that follow wait their turn."""
+        """Hand an event to the decisions and execute their actions; events that follow wait their turn."""
         self.events.append(event)
         if self.delivering:
             return
         self.delivering = True
         try:
             while self.events:
-                event = self.events.popleft()
-                try:
-                    actions = self.router.handle(event, self.scheduler.monotonic() + self.clock_offset)
-                except Exception:
-                    self.log_failure("decision", event)
-                    self.abort_request(
-                        event.id if isinstance(event, Request) else getattr(event, "request", "")
-                    )
-                    continue
-                for action in actions:
-                    # Each for itself: one event may concern many requests, as when a member leaves.
-                    try:
-                        self.execute(action)
-                    except Exception:
-                        self.log_failure("action", action)
-                        self.abort_request(getattr(action, "request", ""))
+                self.handle(self.events.popleft())
         finally:
             self.delivering = False
 
-    def log_failure(self, what: str, on: object) -> None:
-        """An error that is one request's own and never stops the program; the first of a kind is logged."""
-        if self.counters.add_once(f"{what}_errors"):
-            LOGGER.exception(f"{what}_failed", extra={"fields": {"on": type(on).__name__}})
+    def handle(self, event: Event) -> None:
+        """One event: an error fails the one request that it is about, and never stops the program."""
+        try:
+            actions = self.router.handle(event, self.scheduler.monotonic() + self.attempts.clock_offset)
+        except Exception:  # whatever the decisions raise, the other requests go on
+            self.attempts.log_failure("decision", event)
+            self.abort_request(event.id if isinstance(event, Request) else getattr(event, "request", ""))
+            return
+        for action in actions:
+            # Each for itself: one event may concern many requests, as when a member leaves.
+            try:
+                self.execute(action)
+            except Exception:  # one action's error leaves the others to be executed
+                self.attempts.log_failure("action", action)
+                self.abort_request(getattr(action, "request", ""))
 
     def abort_request(self, serial: str) -> None:
-        """Answer a request for which something failed, and give up what is out for it."""
-        item = self.pending.get(serial)
-        if item is not None:
-            self.answer(item, FinalAnswer(AnswerStatus.FAILED))
-            self.events.append(ClientDisconnected(item.serial))
+        """Answer a request for which something failed, and abandon its attempts."""
+        pending = self.pending.get(serial)
+        if pending is not None:
+            self.answer(pending, FinalAnswer(AnswerStatus.FAILED))
+            self.events.append(ClientDisconnected(pending.serial))
 
     def execute(self, action: Action) -> None:
+        """Carry out one action of the decisions."""
         match action:
             case Fetch():
-                self.start_attempt(action)
+                self.attempts.start(action)
             case Cancel():
-                self.cancel_attempt(action)
+                self.attempts.cancel(action)
             case Reject():
-                if action.request in self.pending:
-                    item = self.pending[action.request]
-                    # Never sent on is priced apart from given up after attempts: the fleet loses by both.
-                    self.counters.add(
-                        f"rejected.{'attempted' if item.attempts else 'unattempted'}.{action.cause}"
-                    )
-                    self.answer(
-                        item,
-                        FinalAnswer(
-                            AnswerStatus.REJECTED, retry_after=action.retry_after, detail=item.last_detail
-                        ),
-                    )
+                self.reject(action)
             case Fail():
                 if action.request in self.pending:
-                    item = self.pending[action.request]
-                    self.answer(item, FinalAnswer(AnswerStatus.FAILED, detail=item.last_detail))
+                    pending = self.pending[action.request]
+                    self.answer(pending, FinalAnswer(AnswerStatus.FAILED, detail=pending.last_detail))
             case SetTimer():
                 token = action.token
                 self.scheduler.call_later(action.delay, lambda: self.deliver(TimerFired(token)))
             case Subscribe():
-                pass  # the bulletin is followed without asking
+                pass  # the endpoint list is followed all the time
             case LogMessage():
                 log.event(LOGGER, logging.INFO, "decision", text=action.text)
 
-    def start_attempt(self, action: Fetch) -> None:
-        item = self.pending.get(action.request)
-        if item is None or self.drop_if_disconnected(item):
-            return
-        now = self.scheduler.monotonic()
-        expires = item.deadline if not action.timeout else min(item.deadline, now + action.timeout)
-        attempt = UpstreamAttempt(item, len(item.attempts), action, now, expires)
-        attempt.never_resend = (
-            self.router.classes[item.request.class_name].idempotency is not Idempotency.IDEMPOTENT
-        )
-        attempt.chosen_members = self.write_checks.chosen_members(action)
-        item.attempts.append(attempt)
-        if len(item.attempts) > self.limits.max_attempts or expires <= now or self.upstreams is None:
-            return self.end_attempt(attempt, AttemptResult(Outcome.NOT_SENT))
-        attempt.timer = self.scheduler.call_later(expires - now, lambda: self.expire_attempt(attempt))
-        try:
-            self.upstreams.start(attempt)
-        except Exception:
-            self.log_failure("start", attempt)  # such as no descriptor left for its connection
-            self.abandon_attempt(attempt)
-
-    def expire_attempt(self, attempt: UpstreamAttempt, last: bool = False) -> None:
-        """Out of time: proved idle where never written, else it may have run. What has come is read first."""
-        if not attempt.ended and not last and attempt.carrier is not None and attempt.carrier.has_unread:
-            attempt.timer = self.scheduler.call_later(
-                LOOK_FIRST, lambda: self.expire_attempt(attempt, last=True)
-            )
-        elif not attempt.ended:
-            ran = attempt.written_at is not None
-            silent = self.release_carrier(attempt)
-            self.end_attempt(
-                attempt, AttemptResult(Outcome.TIMEOUT if ran else Outcome.NOT_SENT, unresponsive=silent)
-            )
-
-    def cancel_attempt(self, action: Cancel) -> None:
-        item = self.pending.get(action.request)
-        if item is None or action.attempt >= len(item.attempts) or item.attempts[action.attempt].ended:
+    def reject(self, action: Reject) -> None:
+        """Answer a request that the decisions reject; counted by whether any attempt was made for it."""
+        pending = self.pending.get(action.request)
+        if pending is None:
             return
-        self.abandon_attempt(item.attempts[action.attempt])
-
-    def abandon_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Give up an attempt by our own will: proved idle where it was never written."""
-        ran = attempt.written_at is not None
-        self.release_carrier(attempt)
-        self.end_attempt(attempt, AttemptResult(Outcome.CANCELLED if ran else Outcome.NOT_SENT))
-
-    def release_carrier(self, attempt: UpstreamAttempt) -> bool:
-        """Have its carrier forget it, and was that silent since? Its end here does not hang on that."""
+        # Never forwarded is priced apart from given up after attempts: the fleet loses by both.
+        tried = "attempted" if pending.attempts else "unattempted"
+        self.counters.add(f"rejected.{tried}.{action.cause}")
+        detail = pending.last_detail
+        answer = FinalAnswer(AnswerStatus.REJECTED, retry_after=action.retry_after, detail=detail)
+        self.answer(pending, answer)
+
+    def answer(self, pending: PendingRequest, answer: FinalAnswer) -> None:
+        """Give a request its one final answer."""
+        self.release(pending)
+        self.counters.add(f"answered.{answer.status.value}")
         try:
-            return attempt.carrier is not None and attempt.carrier.abandon(attempt)
-        except Exception:
-            self.log_failure("abandon", attempt)
-            return False
-
-    def answer(self, item: PendingRequest, reply: FinalAnswer) -> None:
-        """The one final answer."""
-        self.release(item)
-        self.counters.add(f"answered.{reply.status.value}")
-        try:
-            item.send_answer(reply)
-        except Exception:
-            self.log_failure(
-                "reply", reply
-            )  # its client's affair: the decisions hear of the end all the same
-
-    def release(self, item: PendingRequest) -> None:
-        """The request is over; attempts that are still out are given up."""
-        del self.pending[item.serial]
-        self.open_ids.discard(item.request.id)
-        self.body_bytes -= len(item.request.body)
-        if item.deadline_timer is not None:
-            item.deadline_timer.cancel()
-        for attempt in item.attempts:
-            if not attempt.ended:
-                attempt.ended = True
-                if attempt.timer is not None:
-                    attempt.timer.cancel()
-                self.release_carrier(attempt)
-        # Attempts name their owner: without this, each request would wait for the cycle collector.
-        item.attempts.clear()
-        if self.interceptor is not None:
-            self.interceptor.request_ended(item)
+            pending.send_answer(answer)
+        except Exception:  # its client's affair: the decisions are notified of the end all the same
+            self.attempts.log_failure("reply", answer)
+
+    def release(self, pending: PendingRequest) -> None:
+        """The request is over; attempts that are still in flight are abandoned."""
+        del self.pending[pending.serial]
+        self.open_ids.discard(pending.request.id)
+        self.body_bytes -= len(pending.request.body)
+        if pending.deadline_timer is not None:
+            pending.deadline_timer.cancel()
+        self.attempts.release(pending)
+        if self.attempts.interceptor is not None:
+            self.attempts.interceptor.request_ended(pending)
+
+
+def request_event(serial: str, request: ClientRequest, time_left: float) -> Request:
+    """A client's request as an event for the decisions."""
+    return Request(
+        serial,
+        request.class_name,
+        time_left,
+        request.key,
+        request.part,
+        request.group,
+        tenant=request.tenant,
+        retry=request.retry,
+        fill=request.fill,
+    )
--- a/paddlequay/requests/messages.py
+++ b/paddlequay/requests/messages.py
@@ -1,6 +1,6 @@
-"""The terms in which a front, the exchange and the caches' side speak of requests: in no protocol's.
+"""The messages between a front, the exchange and the upstreams: requests in no protocol's terms.
 
-Records and protocols alone; who owns and changes them is `exchange.py`.
+Records and protocols alone; `exchange.py` owns the requests, `attempts.py` the attempts.
 """
 
 from collections.abc import Callable, Mapping
@@ -17,14 +17,14 @@
     """What a final answer says."""
 
     SERVED = "served"
-    NOT_MODIFIED = "not_modified"  # the client's own copy is the one
+    NOT_MODIFIED = "not_modified"  # the client's own copy is current
     REJECTED = "rejected"
     FAILED = "failed"
 
 
 @dataclass(frozen=True, slots=True)
 class CopyStamp:
-    """Which copy an answer carries: its tag, the Unix second at which the origin gave it out, its group."""
+    """Which copy an answer carries: its tag, the Unix second at which the origin issued it, its group."""
 
     tag: str
     issued_at: float
@@ -33,7 +33,10 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's request in no protocol's terms; `name` is the object as passed on, `key` its number."""
+    """A client's request in no protocol's terms.
+
+    `time_to_live` is in seconds; `object_name` is the object as it is forwarded, `key` its number.
+    """
 
     id: str
     class_name: str
@@ -45,29 +48,30 @@
     body: Buffer = b""
     known_tag: str | None = None
     retry: bool = False
-    idempotency_key: str | None = None  # by which caches tell repeats of a keyed request; passed on as it is
-    tenant: str | None = None  # where the front tells it
+    idempotency_key: str | None = None  # by which caches drop repeats; forwarded as it is
+    tenant: str | None = None  # where the front gives it
     fill: int | None = None  # a fill of a node in the hierarchy: its number,
-    extra_fields: Callable[[str], Mapping[str, str]] | None = (
-        None  # and what it tells a target beside the order
-    )
+    extra_fields: Callable[[str], Mapping[str, str]] | None = None  # and what it says to a target beside
 
 
 @dataclass(slots=True)
 class FinalAnswer:
-    """The final answer."""
+    """The one final answer to a request; `retry_after` is in seconds."""
 
     status: AnswerStatus
     body: Buffer = b""
     retry_after: float | None = None
     stamp: "CopyStamp | None" = None  # of the copy that was served
     detail: ReplyDetail | None = None  # of the last attempt, where none was served
-    served_by: str = ""  # whose answer was served
+    served_by: str = ""  # the member whose answer was served
 
 
 @dataclass(slots=True)
 class UpstreamRequest:
-    """What an attempt tells its target, as it stands at the moment of writing."""
+    """What an attempt says to its target, as it stands at the moment of writing.
+
+    `time_left` and `max_age` are in seconds; `retention` is the rank at which the target keeps the copy.
+    """
 
     id: str
     class_name: str
@@ -88,7 +92,7 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended."""
+    """How an attempt ended, and what its answer said; `source_wait` is in seconds."""
 
     outcome: Outcome
     body: Buffer = b""
@@ -105,13 +109,13 @@
 
 
 class Timer(Protocol):
-    """A timer that can be taken back."""
+    """A timer that can be cancelled."""
 
     def cancel(self) -> None: ...
 
 
 class Scheduler(Protocol):
-    """The clocks and timers: `monotonic` for durations, `unix` for the times of the rules."""
+    """Clocks and timers, in seconds: `monotonic` for durations, `unix` for the times of purges and starts."""
 
     def monotonic(self) -> float: ...
     def unix(self) -> float: ...
@@ -119,34 +123,34 @@
 
 
 class AttemptCarrier(Protocol):
-    """What has taken charge of an attempt, such as a connection; says whether it was silent since."""
+    """What carries an attempt, such as a connection."""
 
     @property
     def has_unread(self) -> bool:
-        """Whether something has come that was not looked at yet."""
+        """Whether something has come that was not read yet."""
         ...
 
     def abandon(self, attempt: "UpstreamAttempt") -> bool: ...
 
 
 class UpstreamPool(Protocol):
-    """The side that carries attempts to caches; it names itself or a part of it as their carrier."""
+    """Carries attempts to caches; it sets itself or a part of it as their carrier."""
 
     def start(self, attempt: "UpstreamAttempt") -> None: ...
 
 
 class RequestInterceptor(Protocol):
-    """What looks on and may say no: what the fleet has decided together. Each call answers at once.
+    """Sees each request and attempt, and may reject it: what the fleet has decided together.
 
-    Where it is absent the exchange goes its ordinary way.
+    Each call returns at once. Where there is none the exchange goes its ordinary way.
     """
 
     def admit(self, item: "PendingRequest", left: float) -> float | None:
-        """A request is about to be taken in: None, or the seconds for which the client is to stay away."""
+        """A request with `left` seconds comes: None, or the seconds after which the client may retry."""
         ...
 
     def before_write(self, attempt: "UpstreamAttempt", left: float) -> ReplyDetail | None:
-        """An attempt is about to be written: None, or the note under which it counts as refused."""
+        """An attempt is about to be written: None, or the detail under which it is rejected."""
         ...
 
     def attempt_ended(self, attempt: "UpstreamAttempt", end: "AttemptResult") -> None:
@@ -154,13 +158,13 @@
         ...
 
     def request_ended(self, item: "PendingRequest") -> None:
-        """A request that was taken in has its final answer, or its client has left."""
+        """A request that was admitted has its final answer, or its client has left."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamAttempt:
-    """One attempt: waiting to be written, out, or over."""
+    """One attempt: waiting to be written, in flight, or ended. Times are monotonic seconds."""
 
     pending: "PendingRequest"
     number: int
@@ -171,26 +175,25 @@
     carrier: AttemptCarrier | None = None
     written_at: float | None = None
     ended: bool = False
-    never_resend: bool = False  # what may have run is never sent again
+    never_resend: bool = False  # what may have been executed is never sent again
     chosen_members: tuple[Member | None, ...] = ()  # target and source as listed when they were chosen
 
     @property
     def id(self) -> str:
+        """The id of its request, as the client gave it."""
         return self.pending.request.id
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed its final answer."""
+    """A request that is owed its final answer. Times are monotonic seconds."""
 
     serial: str
     request: ClientRequest
     send_answer: Callable[[FinalAnswer], None]
     received_at: float
     deadline: float
-    client_disconnected: Callable[[], bool] | None = (
-        None  # whether its client has left, of which nobody may have told yet
-    )
+    client_disconnected: Callable[[], bool] | None = None  # whether its client has left, read or not
     deadline_timer: Timer | None = None
     attempts: list[UpstreamAttempt] = field(default_factory=list)
     last_detail: ReplyDetail | None = None
--- a/tests/crossings/rig_clients.py
+++ b/tests/crossings/rig_clients.py
@@ -99,7 +99,7 @@
             Router(SETTINGS, 1), operation, self.shares, self.limits, scheduler, self.counters
         )
         self.side = Side()
-        self.exchange.upstreams = self.side
+        self.exchange.attempts.upstreams = self.side
         self.exchange.update_members(MEMBERS, full=True)
         load = OverloadGuard(self.limits, 1)
         self.front = Front(self.exchange, operation, self.shares, self.limits, self.counters, load)
@@ -137,10 +137,10 @@
         return session
 
     def serve(self, attempt: UpstreamAttempt, body: bytes = b"x") -> None:
-        order = self.exchange.prepare_write(attempt)
+        order = self.exchange.attempts.prepare_write(attempt)
         assert order is not None
-        self.exchange.mark_written(attempt)
-        self.exchange.end_attempt(attempt, AttemptResult(Outcome.SERVED, body))
+        self.exchange.attempts.mark_written(attempt)
+        self.exchange.attempts.end(attempt, AttemptResult(Outcome.SERVED, body))
 
     @property
     def asked(self) -> list[str]:
@@ -200,5 +200,5 @@
 
 
 def out(rig: Rig, attempt: UpstreamAttempt) -> None:
-    assert rig.exchange.prepare_write(attempt) is not None
-    rig.exchange.mark_written(attempt)
+    assert rig.exchange.attempts.prepare_write(attempt) is not None
+    rig.exchange.attempts.mark_written(attempt)
--- a/tests/crossings/rig_repeats.py
+++ b/tests/crossings/rig_repeats.py
@@ -105,11 +105,11 @@
         assert self.exchange is not None
         attempt = self.waiting[0] if attempt is None else attempt
         self.waiting.remove(attempt)
-        order = self.exchange.prepare_write(attempt)
+        order = self.exchange.attempts.prepare_write(attempt)
         if order is None:
             return None
         self.out.append(attempt)
-        self.exchange.mark_written(attempt)
+        self.exchange.attempts.mark_written(attempt)
         self.writes.append(Write(attempt, order, self.clock.now))
         return attempt
 
@@ -118,7 +118,7 @@
         for held in (self.waiting, self.out):
             if attempt in held:
                 held.remove(attempt)
-        self.exchange.end_attempt(attempt, AttemptResult(outcome))
+        self.exchange.attempts.end(attempt, AttemptResult(outcome))
 
 
 def entry(name: str, zone: str | None, cell: int | None, kind: str = "box", **also: object) -> Member:
@@ -167,7 +167,7 @@
         self.exchange = Exchange(
             Router(settings, 1), self.operation, ProcessQuotas(limits), limits, self.clock, self.counters
         )
-        self.exchange.upstreams = self.side
+        self.exchange.attempts.upstreams = self.side
         self.side.exchange = self.exchange
         self.exchange.update_members(self.members, full=True)
 
--- a/tests/crossings/test_cache_connect.py
+++ b/tests/crossings/test_cache_connect.py
@@ -124,7 +124,7 @@
         rig.ask("1")
         rig.ask("2")
         await under_way(rig)
-        order, failed = rig.exchange.prepare_write, list[UpstreamAttempt]()
+        order, failed = rig.exchange.attempts.prepare_write, list[UpstreamAttempt]()
 
         def fails_once(attempt: UpstreamAttempt) -> Any:
             if failed:
@@ -132,7 +132,7 @@
             failed.append(attempt)
             raise RuntimeError("forced")
 
-        rig.exchange.prepare_write = fails_once  # type: ignore[method-assign]
+        rig.exchange.attempts.prepare_write = fails_once  # type: ignore[method-assign]
         await rig.until(lambda: rig.counters.counts.get("cache_errors") == 1, "the error is counted")
         await rig.asked("aimag", "2")  # proved idle, on its way round
         assert not rig.pool.instances["box"].connections
@@ -145,13 +145,13 @@
         rig.ask("1")
         await under_way(rig)
         held_back: list[int] = []
-        written = rig.exchange.mark_written
+        written = rig.exchange.attempts.mark_written
 
         def noted(attempt: UpstreamAttempt) -> None:
             held_back.append(rig.only().stream.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
             written(attempt)
 
-        rig.exchange.mark_written = noted  # type: ignore[method-assign]
+        rig.exchange.attempts.mark_written = noted  # type: ignore[method-assign]
         await rig.asked("box", "1")
         assert len(held_back) == 1 and held_back[0]
 
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -13,10 +13,10 @@
     gone: list[bool] = []
     exchange.submit(ask("a"), list[FinalAnswer]().append, lambda: bool(gone))
     attempt = side.started[0]
-    assert exchange.prepare_write(attempt) is not None
-    exchange.mark_written(attempt)
+    assert exchange.attempts.prepare_write(attempt) is not None
+    exchange.attempts.mark_written(attempt)
     gone.append(True)
-    exchange.end_attempt(
+    exchange.attempts.end(
         attempt, AttemptResult(Outcome.MISS)
     )  # asks for the next step, in the turn in which the client leaves
     assert len(side.started) == 1 and not exchange.pending
@@ -28,5 +28,5 @@
     gone: list[bool] = []
     exchange.submit(ask("a"), list[FinalAnswer]().append, lambda: bool(gone))
     gone.append(True)
-    assert exchange.prepare_write(side.started[0]) is None
+    assert exchange.attempts.prepare_write(side.started[0]) is None
     assert not exchange.pending and not exchange.open_ids and exchange.counters.counts["withdrawn"] == 1
--- a/tests/crossings/test_clients_answers.py
+++ b/tests/crossings/test_clients_answers.py
@@ -23,10 +23,10 @@
         client.sendall(cancel(large) + call(large, id=2))
         await until(lambda: len(rig.side.started) == 2, "the second one is sent on")
         out(rig, rig.side.started[1])
-        rig.exchange.end_attempt(rig.side.started[0], AttemptResult(Outcome.SERVED, b"first"))
+        rig.exchange.attempts.end(rig.side.started[0], AttemptResult(Outcome.SERVED, b"first"))
         assert session.unsent == 0 and large in session.open
-        rig.exchange.end_attempt(rig.side.started[1], AttemptResult(Outcome.SERVED, b"second"))
-        rig.exchange.end_attempt(rig.side.started[1], AttemptResult(Outcome.SERVED, b"again"))
+        rig.exchange.attempts.end(rig.side.started[1], AttemptResult(Outcome.SERVED, b"second"))
+        rig.exchange.attempts.end(rig.side.started[1], AttemptResult(Outcome.SERVED, b"again"))
         client.sendall(cancel(large) + call(large, id=3))  # for an answered id, which is free again
         await until(lambda: len(rig.side.started) == 3, "the third one is sent on")
         rig.serve(rig.side.started[2], b"third")
@@ -46,13 +46,13 @@
             out(rig, attempt)
         client.sendall(cancel(1))
         arrived(session.stream.socket)
-        rig.exchange.end_attempt(
+        rig.exchange.attempts.end(
             rig.side.started[0], AttemptResult(Outcome.SERVED, b"one")
         )  # first the answer
         await turns()
         client.sendall(cancel(2))
         await until(lambda: not session.open, "the cancel is read")  # first the cancel
-        rig.exchange.end_attempt(rig.side.started[1], AttemptResult(Outcome.SERVED, b"two"))
+        rig.exchange.attempts.end(rig.side.started[1], AttemptResult(Outcome.SERVED, b"two"))
         client.sendall(msgpack.pack([0, 7, "alive", [{}]]))
         assert [answer[3][0] for answer in await answers(client, 2)] == [b"one", True]
 
--- a/tests/crossings/test_clients_closing.py
+++ b/tests/crossings/test_clients_closing.py
@@ -197,8 +197,8 @@
         client, session = await rig.client()
         client.sendall(call(1))
         await until(lambda: rig.side.started, "the request is sent on")
-        assert rig.exchange.prepare_write(rig.side.started[0]) is not None
-        rig.exchange.mark_written(rig.side.started[0])
+        assert rig.exchange.attempts.prepare_write(rig.side.started[0]) is not None
+        rig.exchange.attempts.mark_written(rig.side.started[0])
         rig.front.operation.set_override(DRAIN, True)
         client.sendall(call(2))
         arrived(session.stream.socket)
--- a/tests/crossings/test_clients_leaving.py
+++ b/tests/crossings/test_clients_leaving.py
@@ -104,10 +104,10 @@
                     session.stream._handle_events(taken, session.stream.io_loop.READ)
                     assert not session.stream.reading()
         time.sleep(LONG)  # the loop stands still
-        rig.exchange.end_attempt(rig.side.started[0], AttemptResult(Outcome.MISS))
+        rig.exchange.attempts.end(rig.side.started[0], AttemptResult(Outcome.MISS))
         assert len(rig.side.started) == 2, "no second attempt"
         if how.startswith("cancel"):
-            rig.exchange.end_attempt(rig.side.started[1], AttemptResult(Outcome.MISS))
+            rig.exchange.attempts.end(rig.side.started[1], AttemptResult(Outcome.MISS))
             assert len(rig.side.started) == 3  # the other one goes on
             rig.serve(rig.side.started[2])
             assert [answer[1] for answer in await answers(client, 1)] == [2]
@@ -127,7 +127,7 @@
         client.close()
         ended(session.stream.socket)
         time.sleep(LONG)  # the loop stands still
-        assert rig.exchange.prepare_write(rig.side.started[0]) is None and not rig.exchange.pending
+        assert rig.exchange.attempts.prepare_write(rig.side.started[0]) is None and not rig.exchange.pending
 
     play(tmp_path, scene)
 
@@ -172,7 +172,7 @@
         client.shutdown(socket.SHUT_WR) if end == "close" else reset(client)
         ended(taken)
         await until(lambda: not rig.front.sessions, "its session ends")
-        rig.exchange.end_attempt(rig.side.started[0], AttemptResult(Outcome.MISS))
+        rig.exchange.attempts.end(rig.side.started[0], AttemptResult(Outcome.MISS))
         assert len(rig.side.started) == 4 and not rig.exchange.pending
 
     play(tmp_path, scene, **HELD)
--- a/tests/crossings/test_own_failures.py
+++ b/tests/crossings/test_own_failures.py
@@ -81,7 +81,7 @@
     rig.exchange.submit(ClientRequest("a", "page", 2.0, "07", 7, 0, None), broken)
     first = rig.side.write()
     assert first is not None
-    rig.exchange.end_attempt(first, AttemptResult(Outcome.SERVED, b"x"))
+    rig.exchange.attempts.end(first, AttemptResult(Outcome.SERVED, b"x"))
     servers = rig.exchange.router.state.members.upstreams.values()
     assert not rig.exchange.pending and not rig.exchange.router.requests
     assert all(server.in_flight == 0.0 for server in servers)
--- a/tests/crossings/test_purges.py
+++ b/tests/crossings/test_purges.py
@@ -56,7 +56,7 @@
         Clock(),
         Counters(),
     )
-    exchange.upstreams = side
+    exchange.attempts.upstreams = side
     exchange.update_members(MEMBERS, full=True)
     return exchange, side
 
@@ -65,7 +65,7 @@
     exchange.submit(
         ClientRequest(f"a{len(side.started)}", kind, 2.0, f"{KEY:016x}", KEY, 0, GROUP), lambda _: None
     )
-    found = exchange.prepare_write(side.started[-1])
+    found = exchange.attempts.prepare_write(side.started[-1])
     assert found is not None
     return found
 
--- a/tests/crossings/test_time_out.py
+++ b/tests/crossings/test_time_out.py
@@ -5,7 +5,7 @@
 import pytest
 from rig_repeats import FEE, PAGE, Rig
 
-from paddlequay.requests.exchange import LOOK_FIRST
+from paddlequay.requests.attempts import READ_FIRST_S
 from paddlequay.requests.messages import AnswerStatus, AttemptResult, UpstreamAttempt
 from paddlequay.routing.interface import Outcome, RequestClass
 
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("kind", [PAGE, FEE])
 def test_an_answer_that_has_come_by_its_time_out_counts(tmp_path: Path, kind: RequestClass) -> None:
     rig = Rig(tmp_path, (kind,))
-    rig.exchange.end_attempt(at_its_time(rig, kind), AttemptResult(Outcome.SERVED, b"x"))
+    rig.exchange.attempts.end(at_its_time(rig, kind), AttemptResult(Outcome.SERVED, b"x"))
     assert [reply.status for reply in rig.replies["a"]] == [AnswerStatus.SERVED]
     rig.clock.move(1.0)
     assert len(rig.replies["a"]) == 1 and not rig.exchange.pending
@@ -34,5 +34,5 @@
 def test_what_has_come_for_others_puts_a_time_out_off_once(tmp_path: Path, kind: RequestClass) -> None:
     rig = Rig(tmp_path, (kind,))
     attempt = at_its_time(rig, kind)
-    rig.clock.move(1.5 * LOOK_FIRST)  # there is something unread all the while
+    rig.clock.move(1.5 * READ_FIRST_S)  # there is something unread all the while
     assert attempt.ended and rig.counters.counts["ended.timeout"] == 1
--- a/tests/test_channel_front.py
+++ b/tests/test_channel_front.py
@@ -80,7 +80,7 @@
         watch.front = self.front = ChannelFront(
             self.channels, "here", self.exchange, self.exchange.counters, self.tell, lambda: 10.0
         )
-        self.exchange.interceptor = watch
+        self.exchange.attempts.interceptor = watch
         later = self.exchange.scheduler.call_later
         monkeypatch.setattr(
             self.exchange.scheduler, "call_later", lambda delay, call: later(delay, call) if delay else call()
@@ -102,11 +102,11 @@
 ) -> None:
     rig = Rig(tmp_path, monkeypatch)
     ahead = next(each for each in rig.read(1, 2, 3).started if each.id.startswith("ahead"))
-    order = rig.exchange.prepare_write(ahead)
+    order = rig.exchange.attempts.prepare_write(ahead)
     assert order is not None and order.part == 4
     assert order_fields(order)["term"] == "99"
     assert order_fields(order)["chan"] == f"{channel_of('here', NAME):x}"
-    rig.exchange.end_attempt(ahead, AttemptResult(Outcome.SERVED, stamp=CopyStamp("t", 1.0)))
+    rig.exchange.attempts.end(ahead, AttemptResult(Outcome.SERVED, stamp=CopyStamp("t", 1.0)))
     (word,) = rig.told
     assert isinstance(word, Tell) and word.to == 2 and isinstance(word.note, Carried)
     assert (word.note.part, word.note.box, word.note.term) == (4, digest("box"), 0x99)
@@ -126,7 +126,7 @@
     count, box = len(rig.side.started), rig.exchange.router.state.members.upstreams["box"]
     limit = box.concurrency_limit
     rig.leases.term = None
-    assert rig.exchange.prepare_write(ahead) is None
+    assert rig.exchange.attempts.prepare_write(ahead) is None
     assert ahead.id not in rig.exchange.open_ids and not rig.front.out and not rig.told
     assert len(rig.side.started) == count and box.failures == 0 and box.concurrency_limit == limit
     assert rig.read(9).started[-1].id == "client 9"  # and nothing is asked ahead without it
--- a/tests/test_leaves.py
+++ b/tests/test_leaves.py
@@ -20,7 +20,7 @@
     def __init__(self, folder: Path, *rules: LimitRule) -> None:
         self.exchange: Exchange
         self.exchange, _, self.side = made(folder)
-        self.exchange.interceptor = None
+        self.exchange.attempts.interceptor = None
         self.now = 100.0
         settings = ClusterSettings("here", (), limits=rules)
         self.leaves = Leaves(settings, self.exchange, self.exchange.counters, lambda: self.now)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -100,7 +100,7 @@
         Counters(),
     )
     looker, side = Looker(), Side()
-    exchange.interceptor, exchange.upstreams = looker, side
+    exchange.attempts.interceptor, exchange.attempts.upstreams = looker, side
     exchange.update_members(MEMBERS, full=True)
     return exchange, looker, side
 
@@ -126,10 +126,10 @@
     replies: list[FinalAnswer] = []
     exchange.submit(ask("a"), replies.append)
     looker.note = ReplyDetail.SOURCE_REJECTED
-    assert exchange.prepare_write(side.started[0]) is None
+    assert exchange.attempts.prepare_write(side.started[0]) is None
     looker.note = None
     assert looker.heard == [("box", "rejected")]
-    assert len(side.started) == 2 and exchange.prepare_write(side.started[1]) is not None
+    assert len(side.started) == 2 and exchange.attempts.prepare_write(side.started[1]) is not None
 
 
 def test_each_end_is_heard_once_and_the_requests_own_end_too(tmp_path: Path) -> None:
@@ -137,10 +137,10 @@
     replies: list[FinalAnswer] = []
     exchange.submit(ask("a"), replies.append)
     attempt = side.started[0]
-    assert exchange.prepare_write(attempt) is not None
-    exchange.mark_written(attempt)
-    exchange.end_attempt(attempt, AttemptResult(Outcome.SERVED, b"x"))
-    exchange.end_attempt(attempt, AttemptResult(Outcome.SERVED, b"x"))
+    assert exchange.attempts.prepare_write(attempt) is not None
+    exchange.attempts.mark_written(attempt)
+    exchange.attempts.end(attempt, AttemptResult(Outcome.SERVED, b"x"))
+    exchange.attempts.end(attempt, AttemptResult(Outcome.SERVED, b"x"))
     assert [reply.status for reply in replies] == [AnswerStatus.SERVED]
     assert looker.heard == [("box", "served"), ("a", "over")]
 
@@ -148,6 +148,6 @@
 def test_a_client_that_leaves_gives_back_what_its_attempts_were_lent(tmp_path: Path) -> None:
     exchange, looker, side = made(tmp_path)
     item = exchange.submit(ask("a"), lambda _: None)
-    assert item is not None and exchange.prepare_write(side.started[0]) is not None
+    assert item is not None and exchange.attempts.prepare_write(side.started[0]) is not None
     exchange.withdraw(item)
     assert looker.heard == [("a", "over")]
