--- a/paddlequay/__main__.py
+++ b/paddlequay/__main__.py
@@ -19,7 +19,7 @@
             why = f"{error.name} is missing: pip install -r requirements-lab.txt"
             print(f"paddlequay: {why}", file=sys.stderr)
             return 2
-    signals.hold()
+    signals.block()
     # Tornado reads all of the system's certificates as it loads, a quarter of a start; there is no TLS here.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
     os.environ.setdefault("SSL_CERT_DIR", os.devnull)
--- a/paddlequay/adapter.py
+++ b/paddlequay/adapter.py
@@ -8,7 +8,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any, TextIO, TypeVar
 
-from paddlequay.config.settings import SettingsError, parse_settings
+from paddlequay.config.settings import parse_settings
+from paddlequay.errors import SettingsError
 from paddlequay.policy import Router
 from paddlequay.routing.interface import (
     Action,
--- a/paddlequay/config/settings.py
+++ b/paddlequay/config/settings.py
@@ -2,121 +2,137 @@
 
 from typing import Any, TypeVar
 
+from paddlequay.errors import SettingsError
 from paddlequay.routing.interface import Idempotency, RequestClass, RoutingSettings, SlowStart
 
 T = TypeVar("T")
-IDEMPOTENCY_WORDS = {
+IDEMPOTENCY_BY_NAME = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.IDEMPOTENCY_KEY,
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
 
 
-class SettingsError(ValueError):
-    """Settings that cannot be used, with the path of the field and what was expected there."""
+class SettingsReader:
+    """Reads typed values from nested JSON objects by dotted path; an absent one is None.
 
+    Raises `SettingsError` with the path where a value has another type.
+    """
 
-def parse_settings(data: Any) -> RoutingSettings:
-    """What the settings tell the decisions; keys not known are skipped."""
-    if not isinstance(data, dict):
-        raise SettingsError("settings: expected a JSON object")
+    def __init__(self, data: Any) -> None:
+        self.data = data
 
-    def get(path: str, kind: type[T], where: Any = data) -> T | None:
+    def get(self, path: str, kind: type[T]) -> T | None:
+        """The value at a path; a whole number does where a float is expected."""
+        value: Any = self.data
         for step in path.split("."):
-            where = where.get(step) if isinstance(where, dict) else None
-        if where is None:
+            value = value.get(step) if isinstance(value, dict) else None
+        if value is None:
             return None
-        if kind is float and isinstance(where, int) and not isinstance(where, bool):
-            where = float(where)
-        if not isinstance(where, kind) or (kind is not bool and isinstance(where, bool)):
-            raise SettingsError(f"settings: {path}: expected {kind.__name__}, got {where!r}")
-        return where
-
-    def need(path: str, kind: type[T], where: Any = data) -> T:
-        value = get(path, kind, where)
+        if kind is float and isinstance(value, int) and not isinstance(value, bool):
+            value = float(value)
+        if not isinstance(value, kind) or (kind is not bool and isinstance(value, bool)):
+            raise SettingsError(f"settings: {path}: expected {kind.__name__}, got {value!r}")
+        return value
+
+    def need(self, path: str, kind: type[T]) -> T:
+        """A value that must be there."""
+        value = self.get(path, kind)
         if value is None:
             raise SettingsError(f"settings: {path} is missing")
         return value
 
-    def at(path: str, place: int, kind: type[T]) -> T | None:
-        values = get(path, list)
-        return get("item", kind, {"item": values[place]}) if values and 0 <= place < len(values) else None
+    def item(self, path: str, place: int, kind: type[T]) -> T | None:
+        """One item of the list at a path; None where that is shorter."""
+        values = self.get(path, list)
+        if not values or not 0 <= place < len(values):
+            return None
+        return SettingsReader({"item": values[place]}).get("item", kind)
+
+    def kind_name(self, path: str) -> str | None:
+        """The kind of member whose place among `kinds` stands at a path."""
+        place = self.get(path, int)
+        return None if place is None else self.item("kinds", place, str)
 
-    def kind_name(path: str) -> str | None:
-        place = get(path, int)
-        return None if place is None else at("kinds", place, str)
+    def slow_start(self, *paths: str) -> SlowStart:
+        """A slow start from the paths of its fields, in their order."""
+        return SlowStart(*(self.get(path, float) for path in paths))
 
-    def effect(item: Any) -> Idempotency:
-        word = need("idempotency", str, item)
-        if word not in IDEMPOTENCY_WORDS:
-            raise SettingsError(
-                f"settings: idempotency: expected one of {', '.join(IDEMPOTENCY_WORDS)}, got {word!r}"
-            )
-        return IDEMPOTENCY_WORDS[word]
 
+def parse_settings(data: Any) -> RoutingSettings:
+    """The settings as the decisions get them; unknown keys are skipped. Raises `SettingsError`."""
+    if not isinstance(data, dict):
+        raise SettingsError("settings: expected a JSON object")
+    reader = SettingsReader(data)
     classes = tuple(
-        RequestClass(
-            name=need("name", str, item),
-            latency_objective=need("aim", float, item),
-            deadline=need("deadline", float, item),
-            idempotency=effect(item),
-            priority_weight=get("worth", float, item),
-            objective_per_work=get("aimStretch", float, item),
-            dedup_scope=get("dedupScope", str, item),
-            dedup_window=get("window", float, item),
-            freshness_lifetime=at("extra.classFresh", place, float),
-            stale_if_error=at("extra.staleFor", place, float),
-            uncacheable=at("extra.goesThrough", place, bool),
-        )
-        for place, item in enumerate(need("classes", list))
+        parse_class(reader, item, place) for place, item in enumerate(reader.need("classes", list))
     )
-    discovery = get("discovery", str)
-    zone = need("locality", str)
-    zones = get("localities", list) or []
+    discovery = reader.get("discovery", str)
+    zone = reader.need("locality", str)
+    zones = reader.get("localities", list) or []
     here = zones.index(zone) if zone in zones else -1
-    detail = get("extra.detail", str)
+    detail = reader.get("extra.detail", str)
+    retry_after_allowed = reader.get("limits.retryAfter", bool)
     return RoutingSettings(
         zone=zone,
         classes=classes,
-        router_count=get("groupSize", int),
-        zone_router_count=at("extra.countByZone", here, int),
-        parent_kind=kind_name("extra.parentKind"),
-        origin_kind=kind_name("extra.rootKind"),
-        sibling_fills=get("extra.peersFill", str),
-        bypass_allowed=get("extra.bypassAllowed", bool),
-        coalesces_fills=get("extra.mergesFills", bool),
+        router_count=reader.get("groupSize", int),
+        zone_router_count=reader.item("extra.countByZone", here, int),
+        parent_kind=reader.kind_name("extra.parentKind"),
+        origin_kind=reader.kind_name("extra.rootKind"),
+        sibling_fills=reader.get("extra.peersFill", str),
+        bypass_allowed=reader.get("extra.bypassAllowed", bool),
+        coalesces_fills=reader.get("extra.mergesFills", bool),
         detailed_replies=None if detail is None else detail == "all",
-        flow_kb_per_s=get("extra.oneFlowKbPerS", float),
-        link_kb_per_s=at("extra.inletKbPerS", here, float) or None,  # 0: not told
-        weights=get("weights", str),
-        parallel_attempts=get("limits.parallelTries", bool),
-        can_cancel=get("limits.cancel", bool),
-        max_attempts=get("limits.attemptsCap", int),
-        max_retry_after=get("limits.maxRetryAfter", float) if get("limits.retryAfter", bool) else None,
+        flow_kb_per_s=reader.get("extra.oneFlowKbPerS", float),
+        link_kb_per_s=reader.item("extra.inletKbPerS", here, float) or None,  # 0: unknown
+        weights=reader.get("weights", str),
+        parallel_attempts=reader.get("limits.parallelTries", bool),
+        can_cancel=reader.get("limits.cancel", bool),
+        max_attempts=reader.get("limits.attemptsCap", int),
+        max_retry_after=reader.get("limits.maxRetryAfter", float) if retry_after_allowed else None,
         must_subscribe=None if discovery is None else discovery == "subscribe",
-        subscribe_within=get("rules.askWithin", float),
-        edge_slow_start=SlowStart(
-            get("rules.coldFrom", float),
-            get("rules.cold", float),
-            get("rules.fallMultiple", float),
-            get("rules.fall", float),
+        subscribe_within=reader.get("rules.askWithin", float),
+        edge_slow_start=reader.slow_start("rules.coldFrom", "rules.cold", "rules.fallMultiple", "rules.fall"),
+        parent_slow_start=reader.slow_start(
+            "extra.parentStartsAt", "extra.parentCold", "extra.parentBreaksAt", "rules.fall"
         ),
-        parent_slow_start=SlowStart(
-            get("extra.parentStartsAt", float),
-            get("extra.parentCold", float),
-            get("extra.parentBreaksAt", float),
-            get("rules.fall", float),
-        ),
-        purge_completion=get("extra.clearedWithin", float),
+        purge_completion=reader.get("extra.clearedWithin", float),
+    )
+
+
+def parse_class(settings: SettingsReader, item: Any, place: int) -> RequestClass:
+    """One class of requests, from its own object and, by its place, from the lists of the settings."""
+    own = SettingsReader(item)
+    return RequestClass(
+        name=own.need("name", str),
+        latency_objective=own.need("aim", float),
+        deadline=own.need("deadline", float),
+        idempotency=parse_idempotency(own.need("idempotency", str)),
+        priority_weight=own.get("worth", float),
+        objective_per_work=own.get("aimStretch", float),
+        dedup_scope=own.get("dedupScope", str),
+        dedup_window=own.get("window", float),
+        freshness_lifetime=settings.item("extra.classFresh", place, float),
+        stale_if_error=settings.item("extra.staleFor", place, float),
+        uncacheable=settings.item("extra.goesThrough", place, bool),
     )
 
 
+def parse_idempotency(name: str) -> Idempotency:
+    """What a retry does, by the settings' name for it; raises `SettingsError` for others."""
+    if name not in IDEMPOTENCY_BY_NAME:
+        expected = ", ".join(IDEMPOTENCY_BY_NAME)
+        raise SettingsError(f"settings: idempotency: expected one of {expected}, got {name!r}")
+    return IDEMPOTENCY_BY_NAME[name]
+
+
 def check_settings(settings: RoutingSettings) -> None:
-    """Settings that make no sense are refused with the field's name."""
+    """Raise `SettingsError`, with the field's name, for settings that make no sense."""
     if not settings.classes:
-        raise ValueError("settings: classes: expected at least one class")
+        raise SettingsError("settings: classes: expected at least one class")
     if min(settings.router_count or 0, settings.zone_router_count or 0) < 0:
-        raise ValueError("settings: routers: expected no count below 0")
+        raise SettingsError("settings: routers: expected no count below 0")
     for kind in settings.classes:
         if not (kind.latency_objective > 0 and kind.deadline > 0):
-            raise ValueError(f"settings: {kind.name}: expected aim and deadline above 0, got {kind}")
+            raise SettingsError(f"settings: {kind.name}: expected aim and deadline above 0, got {kind}")
--- a/paddlequay/errors/__init__.py
+++ b/paddlequay/errors/__init__.py
@@ -12,6 +12,10 @@
     """A configuration, a settings file or an option that cannot be used."""
 
 
+class SettingsError(PaddlequayError, ValueError):
+    """Platform settings that cannot be used, with the path of the field and what was expected there."""
+
+
 class ProtocolError(PaddlequayError, ValueError):
     """Bytes or a message that do not follow a protocol; nothing after them on that connection can be read."""
 
--- a/paddlequay/lifecycle/signals.py
+++ b/paddlequay/lifecycle/signals.py
@@ -13,21 +13,21 @@
 pending: set[int] = set()
 
 
-def hold() -> None:
+def block() -> None:
     """Have those that come wait for `let_through`."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
     for each in HANDLED:
         signal.signal(each, lambda number, _: pending.add(number))
 
 
-def let_through() -> None:
+def release() -> None:
     """All have their handlers in the loop: what has come meanwhile is acted on now."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED)
     while pending:
         signal.raise_signal(pending.pop())
 
 
-def end(loop: asyncio.AbstractEventLoop) -> None:
+def ignore(loop: asyncio.AbstractEventLoop) -> None:
     """Act on none any more: closing the loop would bring their default actions back."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
     for each in HANDLED:
--- a/paddlequay/net/clients.py
+++ b/paddlequay/net/clients.py
@@ -3,7 +3,6 @@
 import asyncio
 import socket
 from collections import OrderedDict
-from collections.abc import Callable
 from itertools import islice
 
 from tornado.iostream import IOStream
@@ -11,7 +10,7 @@
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.operator_state import DRAIN, OperatorState
 from paddlequay.lifecycle.overload import OverloadGuard
-from paddlequay.net import listener as door
+from paddlequay.net.listener import BACKLOG, Acceptor
 from paddlequay.net.session import Session
 from paddlequay.observability.counters import Counters
 from paddlequay.requests.exchange import Exchange
@@ -21,7 +20,7 @@
 CANDIDATES = 8  # asked for room in each state: thousands of connections are not searched for one
 
 
-class Front:
+class ClientFront:
     """The clients' door and their connections. Another front beside it would speak to the same exchange."""
 
     def __init__(
@@ -33,104 +32,104 @@
         counters: Counters,
         load: OverloadGuard,
     ) -> None:
-        self.operation = operation
-        operation.on_change.append(self.ordered)
-        self.exchange, self.shares, self.limits, self.counters = exchange, shares, limits, counters
+        self.operator_state = operation
+        operation.on_change.append(self.override_changed)
+        self.exchange, self.quotas, self.limits, self.counters = exchange, shares, limits, counters
         self.sessions: set[Session] = set()
         # Who waits with nothing owed, the longest first: before the first byte, with one piece of a message,
         # with several, after a whole one, and at its end.
-        self.parting: OrderedDict[Session, None] = OrderedDict()
-        self.mute: OrderedDict[Session, None] = OrderedDict()
-        self.begun: OrderedDict[Session, None] = OrderedDict()
-        self.moving: OrderedDict[Session, None] = OrderedDict()
+        self.half_closed: OrderedDict[Session, None] = OrderedDict()
+        self.silent: OrderedDict[Session, None] = OrderedDict()
+        self.message_begun: OrderedDict[Session, None] = OrderedDict()
+        self.message_progressing: OrderedDict[Session, None] = OrderedDict()
         self.idle: OrderedDict[Session, None] = OrderedDict()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.load = load
-        self.too_busy = FinalAnswer(AnswerStatus.REJECTED, retry_after=limits.shed_retry_after)
-        self.unsent = 0
-        self.queued = 0  # bytes of bodies of calls that are read and not made yet
+        self.overload = load
+        self.overload_answer = FinalAnswer(AnswerStatus.REJECTED, retry_after=limits.shed_retry_after)
+        self.unsent_bytes = 0
+        self.queued_bytes = 0  # bytes of bodies of calls that are read and not made yet
         self.listener: socket.socket | None = None
-        self.stop_listening: Callable[[], None] | None = None
-        self.ending = False  # SIGTERM has come
+        self.acceptor: Acceptor | None = None
+        self.shutting_down = False  # SIGTERM has come
         self.replaced = False  # and a newer process takes clients
-        self.closing = False  # late comers after SIGTERM have been served
-        self.giving_way = False  # a newer process takes what is new, or the end has come
-        self.hurrying = False  # and it is near
+        self.refusing_new = False  # late comers after SIGTERM have been served
+        self.handing_over = False  # a newer process takes what is new, or the end has come
+        self.near_end = False  # and it is near
         self.drained_at: float | None = None  # when operators had the router emptied
-        self.shedding = False  # connections close at their next quiet moment
-        self.turning_away = False  # and those that never have one are given one
-        self.elsewhere = FinalAnswer(AnswerStatus.REJECTED, retry_after=limits.busy_retry_after)
+        self.closing_when_quiet = False  # connections close at their next quiet moment
+        self.rejecting_new = False  # and those that never have one are given one
+        self.draining_answer = FinalAnswer(AnswerStatus.REJECTED, retry_after=limits.busy_retry_after)
 
     def now(self) -> float:
         return self.exchange.scheduler.monotonic()
 
     @property
-    def most_unsent(self) -> float:
-        return self.limits.max_unsent * self.shares.memory_share
+    def max_unsent(self) -> float:
+        return self.limits.max_unsent * self.quotas.memory_share
 
     @property
-    def most_queued(self) -> float:
+    def max_queued(self) -> float:
         """A bound of its own beside that of the exchange, for who is held back or read ahead."""
-        return self.limits.max_body_bytes * self.shares.memory_share / 2
+        return self.limits.max_body_bytes * self.quotas.memory_share / 2
 
-    def takes(self) -> bool:
+    def accepts_requests(self) -> bool:
         """What the platform is told that asks at the clients' address, where two processes are one router."""
-        return not self.operation.draining and (not self.ending or self.replaced)
+        return not self.operator_state.draining and (not self.shutting_down or self.replaced)
 
-    def ordered(self, name: str) -> None:
+    def override_changed(self, name: str) -> None:
         """Operators have the router emptied, or put back to work: then all is as before, at once."""
-        if name == DRAIN and self.operation.draining:
+        if name == DRAIN and self.operator_state.draining:
             self.drained_at = self.now()
         elif name == DRAIN:
             self.drained_at = None
-            self.empty()
+            self.close_quiet_connections()
 
     @property
-    def left(self) -> str:
+    def open_summary(self) -> str:
         return f"{len(self.sessions)} connections, {len(self.exchange.pending)} requests open"
 
-    def empty(self) -> None:
+    def close_quiet_connections(self) -> None:
         """At each beat: close what is quiet where connections are to go, and go on with a drain.
 
         Late comers are served first, then connections close as they fall quiet. The rest gets nothing new
         done, which makes it quiet, and at last what is open is given up: no client is left without a word.
         """
-        self.shedding, self.turning_away = self.giving_way, self.hurrying
+        self.closing_when_quiet, self.rejecting_new = self.handing_over, self.near_end
         if self.drained_at is not None:
             since, limits = self.now() - self.drained_at, self.limits
-            self.shedding = self.shedding or since >= limits.drain_accept_time
-            self.turning_away = self.turning_away or since >= limits.drain_reject_after
+            self.closing_when_quiet = self.closing_when_quiet or since >= limits.drain_accept_time
+            self.rejecting_new = self.rejecting_new or since >= limits.drain_reject_after
             if since >= limits.drain_abandon_after:
                 self.exchange.abandon_all()
-        if self.shedding:
+        if self.closing_when_quiet:
             for session in list(self.sessions):
                 if session.held:
                     session.make()
                 session.close_if_quiet()
         if self.drained_at is not None and self.now() - self.drained_at >= self.limits.drain_close_after:
-            self.end_sessions("closed_by_drain")
+            self.shut_down_sessions("closed_by_drain")
 
-    def end_sessions(self, cause: str) -> None:
+    def shut_down_sessions(self, cause: str) -> None:
         """End all connections that are left, each with its answers; they close within `session.LINGER`."""
         for session in list(self.sessions):
             if not session.ended and not session.stream.closed():
                 self.counters.add(cause)
                 session.end()
 
-    def closed_for(self) -> str:
+    def closed_reason(self) -> str:
         """Why this process takes no clients; empty while it does."""
-        if self.ending:
+        if self.shutting_down:
             return "this process is ending"
-        if self.operation.draining:
-            return f"draining: {self.left}"
+        if self.operator_state.draining:
+            return f"draining: {self.open_summary}"
         return "" if self.listener is not None else "starting: bulletin and connections are not there yet"
 
     def listen(self, listener: socket.socket) -> None:
-        listener.listen(door.BACKLOG)
+        listener.listen(BACKLOG)
         self.listener = listener
-        self.stop_listening = door.on_connection(listener, self.accepted, self.places)
+        self.acceptor = Acceptor(listener, self.on_accept, self.accept_capacity)
 
-    def close_door(self, last: bool) -> bool:
+    def stop_accepting(self, last: bool) -> bool:
         """Take in all that waits to be accepted, then close: what is left in the queue would be reset.
 
         Where no descriptor is left, connections at rest give theirs. False while some still wait: who was
@@ -138,9 +137,9 @@
         """
         if self.listener is None:
             return True
-        if self.stop_listening is not None:
-            self.stop_listening()
-            self.stop_listening = None
+        if self.acceptor is not None:
+            self.acceptor.stop()
+            self.acceptor = None
         while True:
             try:
                 taken = self.listener.accept()[0]
@@ -154,19 +153,19 @@
                         return False
                     break
             else:
-                self.accepted(taken)
+                self.on_accept(taken)
         self.listener.close()
         self.listener = None
         return True
 
-    def places(self) -> int:
+    def accept_capacity(self) -> int:
         """How many connections may be taken in this turn: where there is no room, one that is made."""
-        free = self.shares.client_connections - len(self.sessions)
+        free = self.quotas.client_connections - len(self.sessions)
         return min(self.limits.accepts_per_turn, free) if free > 0 else int(self.make_room())
 
-    def accepted(self, connection: socket.socket) -> None:
+    def on_accept(self, connection: socket.socket) -> None:
         limits = self.limits
-        if len(self.sessions) >= self.shares.client_connections and not self.make_room():
+        if len(self.sessions) >= self.quotas.client_connections and not self.make_room():
             self.counters.add("turned_away_connections")
             return connection.close()
         self.counters.add("client_connections")
@@ -198,12 +197,12 @@
         """
         now = self.now()
         order = (
-            (self.mute, 0.0, Session.close_unspoken),
-            (self.begun, 0.0, Session.close_unspoken),
-            (self.parting, 0.0, Session.close_parting),
-            (self.moving, self.limits.recent_progress, Session.close_at_rest),
+            (self.silent, 0.0, Session.close_unspoken),
+            (self.message_begun, 0.0, Session.close_unspoken),
+            (self.half_closed, 0.0, Session.close_parting),
+            (self.message_progressing, self.limits.recent_progress, Session.close_at_rest),
             (self.idle, 0.0, Session.close_at_rest),
-            (self.moving, 0.0, Session.close_at_rest),
+            (self.message_progressing, 0.0, Session.close_at_rest),
         )
         for waiting, least, close in order:
             # Whose request has come and is not read yet is passed over; a few are asked, not all.
--- a/paddlequay/net/console.py
+++ b/paddlequay/net/console.py
@@ -18,28 +18,28 @@
     Override,
     TooManyOverridesError,
 )
-from paddlequay.net import listener as door
+from paddlequay.net.listener import Acceptor
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol import console as wire
 
 LOGGER = logging.getLogger(__name__)
 
-Answer = tuple[int, str]
+ConsoleAnswer = tuple[int, str]
 
 
-class Front(Protocol):
+class ConsoleFront(Protocol):
     """Who takes clients: `closed_for` says why nobody should come, `left` what is open yet."""
 
-    ending: bool
+    shutting_down: bool
     replaced: bool
 
-    def closed_for(self) -> str: ...
+    def closed_reason(self) -> str: ...
     @property
-    def left(self) -> str: ...
+    def open_summary(self) -> str: ...
 
 
-class Twin(Protocol):
+class OverrideConfirmer(Protocol):
     """The other process of the same name, where there is one."""
 
     async def confirm(self, name: str, mark: Override) -> bool: ...
@@ -49,32 +49,39 @@
     """Asks the owners of what is asked for, gives them operators' orders, and says why."""
 
     def __init__(
-        self, operation: OperatorState, front: Front, twin: Twin, limits: Limits, counters: Counters
+        self,
+        operation: OperatorState,
+        front: ConsoleFront,
+        twin: OverrideConfirmer,
+        limits: Limits,
+        counters: Counters,
     ) -> None:
-        self.operation, self.front, self.twin = operation, front, twin
+        self.operator_state, self.front, self.other_process = operation, front, twin
         self.limits, self.counters = limits, counters
         self.pages: dict[str, Callable[[], str]] = {}  # what may be read, by name: one line of JSON each
         self.queries: dict[str, Callable[[str], str]] = {}  # what may be asked about an id
-        self.half: OrderedDict[IOStream, None] = OrderedDict()  # no whole call yet, the oldest first
-        self.saving = asyncio.Lock()
-        self.open = 0
+        self.incomplete_calls: OrderedDict[IOStream, None] = (
+            OrderedDict()
+        )  # no whole call yet, the oldest first
+        self.save_lock = asyncio.Lock()
+        self.open_calls = 0
         self.background = TaskSupervisor(counters)
 
     def listen(self, listener: socket.socket) -> None:
         listener.listen(64)
-        door.on_connection(listener, self.accepted, lambda: self.limits.console_connections)
+        Acceptor(listener, self.on_accept, lambda: self.limits.console_connections)
 
-    def accepted(self, connection: socket.socket) -> None:
+    def on_accept(self, connection: socket.socket) -> None:
         stream = IOStream(connection, max_buffer_size=2 * self.limits.max_console_head)
-        if self.open >= self.limits.console_connections:
+        if self.open_calls >= self.limits.console_connections:
             # Who holds a connection without a whole call makes room for who has just come.
-            if not self.half:
+            if not self.incomplete_calls:
                 self.counters.add("console_turned_away")
                 return stream.close()
             self.counters.add("console_half_calls")
-            self.half.popitem(last=False)[0].close()
-        self.open += 1
-        self.half[stream] = None
+            self.incomplete_calls.popitem(last=False)[0].close()
+        self.open_calls += 1
+        self.incomplete_calls[stream] = None
         self.background.spawn("console", self.serve(stream))
 
     async def serve(self, stream: IOStream) -> None:
@@ -89,8 +96,8 @@
             self.counters.add("console_errors")
             LOGGER.exception("console_failed")
         finally:
-            self.open -= 1
-            self.half.pop(stream, None)
+            self.open_calls -= 1
+            self.incomplete_calls.pop(stream, None)
             stream.close()
 
     async def call(self, stream: IOStream) -> None:
@@ -100,14 +107,14 @@
             async with asyncio.timeout(self.limits.console_read_timeout):
                 while call is None:
                     call = reader.feed(await stream.read_bytes(self.limits.max_console_head, partial=True))
-            self.half.pop(stream, None)
+            self.incomplete_calls.pop(stream, None)
             status, why, allow = await self.answer(call)
         except TimeoutError:
             self.counters.add("console_half_calls")
             status, why = 408, f"no whole call within {self.limits.console_read_timeout:g} s"
         except wire.MalformedError as error:
             status, why = 400, str(error)
-        self.half.pop(stream, None)
+        self.incomplete_calls.pop(stream, None)
         self.counters.add(f"console.{status}")
         head_only = call is not None and call.method == "HEAD"
         await stream.write(wire.answer(status, why, allow, head_only))
@@ -132,7 +139,7 @@
             return 405, f"expected {allow}", allow
         match call.path:
             case ("-", "ready"):
-                status, why = self.ready()
+                status, why = self.readiness()
             case ("-", page) if page in self.pages:
                 status, why = 200, self.pages[page]()
             case ("-", page, id) if page in self.queries:
@@ -140,38 +147,38 @@
             case ("-", word):
                 status, why = await self.drain(word == "drain")
             case ("-", "caches", cache, word):
-                status, why = await self.out(cache, word == "disable")
+                status, why = await self.eject(cache, word == "disable")
         if call.method == "POST":
             log.event(LOGGER, logging.INFO, "call", path="/".join(call.path), status=status, why=why)
         return status, why, ""
 
     async def save(self) -> None:
         """A disk may flush for longer than a beat of the loop, which would take itself for overloaded."""
-        async with self.saving:
-            await asyncio.to_thread(self.operation.write, self.operation.serialize_ejections())
+        async with self.save_lock:
+            await asyncio.to_thread(self.operator_state.write, self.operator_state.serialize_ejections())
 
-    def ready(self) -> Answer:
-        why = self.front.closed_for()
+    def readiness(self) -> ConsoleAnswer:
+        why = self.front.closed_reason()
         return (503, why) if why else (200, "ready")
 
-    async def drain(self, on: bool) -> Answer:
+    async def drain(self, on: bool) -> ConsoleAnswer:
         """Empty the router, or put it back to work."""
-        if not on and self.front.ending and not self.front.replaced:
+        if not on and self.front.shutting_down and not self.front.replaced:
             return 409, "this process is ending"
-        mark = self.operation.set_override(DRAIN, on)
-        if not await self.twin.confirm(DRAIN, mark):
+        mark = self.operator_state.set_override(DRAIN, on)
+        if not await self.other_process.confirm(DRAIN, mark):
             return 503, "obeyed here, but the other process has not confirmed it; call again"
-        return 200, f"draining: {self.front.left}" if on else "taking clients"
+        return 200, f"draining: {self.front.open_summary}" if on else "taking clients"
 
-    async def out(self, cache: str, on: bool) -> Answer:
+    async def eject(self, cache: str, on: bool) -> ConsoleAnswer:
         """Leave a cache out, or put it back: yes once the other process obeys and once it is saved."""
-        if not self.operation.is_known(cache):
+        if not self.operator_state.is_known(cache):
             return 404, "no cache of that id was ever listed"
         try:
-            mark = self.operation.set_override(EJECTED_PREFIX + cache, on)
+            mark = self.operator_state.set_override(EJECTED_PREFIX + cache, on)
         except TooManyOverridesError as error:
             return 409, str(error)
-        confirmed = await self.twin.confirm(EJECTED_PREFIX + cache, mark)
+        confirmed = await self.other_process.confirm(EJECTED_PREFIX + cache, mark)
         try:
             # Goes on where the call's time is over: the next write must not meet this one's file half done.
             await asyncio.shield(asyncio.ensure_future(self.save()))
@@ -179,7 +186,5 @@
             return 503, f"obeyed, but not saved for the next process: {error.strerror}; call again"
         if not confirmed:
             return 503, "obeyed here, but the other process has not confirmed it; call again"
-        return (
-            200,
-            f"{'out' if on else 'back'}; left out now: {', '.join(self.operation.ejected_ids) or 'none'}",
-        )
+        ejected = ", ".join(self.operator_state.ejected_ids) or "none"
+        return 200, f"{'out' if on else 'back'}; left out now: {ejected}"
--- a/paddlequay/net/hot_restart.py
+++ b/paddlequay/net/hot_restart.py
@@ -16,7 +16,7 @@
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.background import TaskSupervisor
 from paddlequay.lifecycle.operator_state import OperatorState, Override
-from paddlequay.net import listener as door
+from paddlequay.net.listener import Acceptor
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol import hot_restart as wire
@@ -24,6 +24,9 @@
 
 LOGGER = logging.getLogger(__name__)
 
+LINK_BACKLOG = 4  # a successor, and whoever else looks for this process
+SEARCH_INTERVAL_S = 0.02
+
 
 class ProcessLink:
     """One connection to an older or a newer process."""
@@ -129,7 +132,7 @@
         self.on_successor: Callable[[], None] = lambda: None
         self.on_replaced: Callable[[], None] = lambda: None
         self.on_successor_gone: Callable[[], None] = lambda: None
-        self.stop_listening: Callable[[], None] | None = None
+        self.acceptor: Acceptor | None = None
         self.listener: socket.socket | None = None
 
     @property
@@ -151,7 +154,7 @@
             if link.has_state or not link.stream.closed() or now() >= until:
                 break
             # Ended without a word: it is going, or has a newer one beside it, soon to be found in its place.
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(SEARCH_INTERVAL_S)
         self.search_done.set()
         self.listen()
         return self.predecessor is not None
@@ -181,7 +184,7 @@
             beside.unlink(missing_ok=True)
             listener.bind(str(beside))
             beside.chmod(0o600)
-            listener.listen(4)
+            listener.listen(LINK_BACKLOG)
             beside.replace(self.path)
         except OSError as error:
             # Without it a newer process still starts, and takes over the bans from the file.
@@ -190,18 +193,18 @@
             return
         self.stop()
         self.listener = listener
-        self.stop_listening = door.on_connection(listener, self.accepted, lambda: 4)
+        self.acceptor = Acceptor(listener, self.accepted, lambda: LINK_BACKLOG)
 
     async def wait_until_alone(self) -> None:
         """Wait until the older process has ended."""
         while self.predecessor is not None:
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(SEARCH_INTERVAL_S)
 
     def stop(self) -> None:
-        if self.stop_listening is not None and self.listener is not None:
-            self.stop_listening()
+        if self.acceptor is not None and self.listener is not None:
+            self.acceptor.stop()
             self.listener.close()
-            self.stop_listening = self.listener = None
+            self.acceptor = self.listener = None
 
     def accepted(self, connection: socket.socket) -> None:
         if self.successor is not None:
--- a/paddlequay/net/session.py
+++ b/paddlequay/net/session.py
@@ -20,7 +20,7 @@
 from paddlequay.routing.interface import AbandonRequest, Idempotency
 
 if TYPE_CHECKING:
-    from paddlequay.net.clients import Front
+    from paddlequay.net.clients import ClientFront
 
 LOGGER = logging.getLogger(__name__)
 
@@ -45,7 +45,7 @@
         *("turned", "unsent", "used", "waits"),
     )
 
-    def __init__(self, front: "Front", stream: IOStream) -> None:
+    def __init__(self, front: "ClientFront", stream: IOStream) -> None:
         self.front, self.stream = front, stream
         self.reader = wire.Reader(front.limits.max_client_frame)
         self.queue: dict[
@@ -92,7 +92,7 @@
             self.stream.close()
             if self.lingering is not None:
                 self.lingering.cancel()
-            self.front.queued -= sum(len(ask.body) for ask, _ in self.queue.values())
+            self.front.queued_bytes -= sum(len(ask.body) for ask, _ in self.queue.values())
             self.queue.clear()
             self.withdraw()
 
@@ -162,17 +162,17 @@
         if self.stream.closed() or (not self.ended and (self.owed or self.unsent)):
             return
         if self.ended:
-            self.waits = self.front.parting
+            self.waits = self.front.half_closed
         elif self.pieces:
-            self.waits = self.front.moving if self.pieces > 1 else self.front.begun
+            self.waits = self.front.message_progressing if self.pieces > 1 else self.front.message_begun
         else:
-            self.waits = self.front.idle if self.spoken else self.front.mute
+            self.waits = self.front.idle if self.spoken else self.front.silent
         self.waits[self] = None
 
     def take(self, message: wire.Message) -> None:
         match message:
             case wire.Alive():
-                self.send(wire.alive_answer(message.number, self.front.takes()))
+                self.send(wire.alive_answer(message.number, self.front.accepts_requests()))
             case wire.Withdrawn():
                 for number in message.numbers:
                     self.unqueue(number)
@@ -192,29 +192,29 @@
             counters.add("unknown_class")
             return self.reject(number, "unknown class")
         kind = self.front.exchange.router.classes[call.method]
-        if kind.idempotency is Idempotency.IDEMPOTENT and self.front.load.should_shed():
+        if kind.idempotency is Idempotency.IDEMPOTENT and self.front.overload.should_shed():
             counters.add("rejected.busy")
-            return self.answer(number, self.front.too_busy)
+            return self.answer(number, self.front.overload_answer)
         try:
             ask = read_ask(call, kind, self.front.limits)
         except FieldError as error:
             counters.add("bad_fields")
             return self.reject(number, str(error))
-        if self.front.turning_away:
+        if self.front.rejecting_new:
             return self.refuse(number, "emptying")
         if len(self.open) + len(self.queue) >= self.front.limits.client_streams:
             return self.refuse(number, "too_many_streams")
-        if ask.body and self.front.queued + len(ask.body) > self.front.most_queued:
+        if ask.body and self.front.queued_bytes + len(ask.body) > self.front.max_queued:
             self.make()
-            if self.front.queued + len(ask.body) > max(self.front.most_queued, len(ask.body)):
+            if self.front.queued_bytes + len(ask.body) > max(self.front.max_queued, len(ask.body)):
                 return self.refuse(number, "too_many_open")
         self.queue[number] = ask, self.used
-        self.front.queued += len(ask.body)
+        self.front.queued_bytes += len(ask.body)
 
     def unqueue(self, number: int) -> tuple[ClientRequest, float] | None:
         waited = self.queue.pop(number, None)
         if waited is not None:
-            self.front.queued -= len(waited[0].body)
+            self.front.queued_bytes -= len(waited[0].body)
         return waited
 
     def make(self) -> None:
@@ -227,7 +227,7 @@
             self.held = self.unsent > front.limits.max_client_unsent / 2
             ask, came = self.queue[number]
             left = ask.time_to_live - (now - came)
-            if front.turning_away or (self.held and front.shedding):
+            if front.rejecting_new or (self.held and front.closing_when_quiet):
                 self.refuse(number, "emptying")
             elif not self.held:
                 self.unqueue(number)
@@ -289,7 +289,7 @@
         """Turn away what was not handed to the exchange."""
         self.unqueue(number)
         self.front.counters.add(f"rejected.{cause}")
-        self.answer(number, self.front.elsewhere)
+        self.answer(number, self.front.draining_answer)
 
     def reject(self, number: int, why: str) -> None:
         """An error for what cannot be used."""
@@ -315,7 +315,7 @@
         if self.unsent + size > limits.max_client_unsent:
             self.front.counters.add("slow_readers")
             return self.stream.close()
-        if self.front.unsent + size > self.front.most_unsent:
+        if self.front.unsent_bytes + size > self.front.max_unsent:
             # Whoever takes least of what is held for it, not whoever is answered next.
             self.front.counters.add("slow_readers")
             slowest = max(self.front.sessions, key=lambda session: session.unsent)
@@ -323,14 +323,14 @@
             if slowest is self:
                 return
         self.unsent += size
-        self.front.unsent += size
+        self.front.unsent_bytes += size
         if size <= JOINED_MOST:
             pieces = (b"".join(pieces),)
         try:
             for piece in pieces:
                 done = self.stream.write(memoryview(piece))
         except StreamClosedError:
-            self.front.unsent -= size
+            self.front.unsent_bytes -= size
             self.unsent -= size
             return
         self.front.counters.add("answer_bytes", size)
@@ -341,7 +341,7 @@
 
     def sent(self, size: int) -> None:
         self.unsent -= size
-        self.front.unsent -= size
+        self.front.unsent_bytes -= size
         self.moved = self.front.now()
         if self.ended:
             return self.shut()
@@ -350,7 +350,7 @@
             asyncio.get_running_loop().call_soon(self.make)
         if not self.unsent and not self.owed:
             self.place()
-        if self.front.shedding:
+        if self.front.closing_when_quiet:
             self.close_if_quiet()
 
     def at_rest(self) -> bool:
--- a/paddlequay/net/tier.py
+++ b/paddlequay/net/tier.py
@@ -6,7 +6,7 @@
 import re
 import socket
 from collections import OrderedDict
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 
 from tornado.iostream import IOStream, StreamClosedError
 
@@ -17,7 +17,7 @@
 from paddlequay.hierarchy.shape import NAME
 from paddlequay.hierarchy.trail import Keyring, TrailError
 from paddlequay.net.caches import Pool
-from paddlequay.net.listener import on_connection
+from paddlequay.net.listener import Acceptor
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.placement.homes import key_of
@@ -116,7 +116,7 @@
                 if want is not None:
                     self.front.node.quit(want)
             case wire.Probe():
-                word = "SICK" if self.front.closed_for() else "PONG"
+                word = "SICK" if self.front.closed_reason() else "PONG"
                 self.write(line.tag, word, {"use": self.front.report()})
 
     def asked(self, line: wire.Asked) -> None:
@@ -166,7 +166,7 @@
 class TierFront:
     """Who asks this node, and the fills that it has out."""
 
-    ending = False
+    shutting_down = False
     replaced = False
 
     def __init__(
@@ -191,7 +191,7 @@
         self.waiting_for = "the feed"  # why nobody should come yet
         self.hits, self.asks = 0.0, 0.0
         self.busy = 0.0
-        self.stop_accepting: Callable[[], None] = lambda: None
+        self.acceptor: Acceptor | None = None
 
     def now(self) -> float:
         return self.exchange.scheduler.monotonic()
@@ -204,7 +204,7 @@
     def listen(self, listener: socket.socket) -> None:
         listener.listen(1024)
         self.address = listener.getsockname()[:2]
-        self.stop_accepting = on_connection(listener, self.accepted, lambda: self.limits.accepts_per_turn)
+        self.acceptor = Acceptor(listener, self.accepted, lambda: self.limits.accepts_per_turn)
 
     def accepted(self, connection: socket.socket) -> None:
         if len(self.sessions) >= self.limits.client_connections:
@@ -364,18 +364,18 @@
 
     @property
     def emptying(self) -> bool:
-        return self.exchange.operator_state.draining or self.ending
+        return self.exchange.operator_state.draining or self.shutting_down
 
-    def closed_for(self) -> str:
+    def closed_reason(self) -> str:
         """Why nobody should come; empty where all may."""
-        if self.ending:
+        if self.shutting_down:
             return "this process is ending"
         if self.exchange.operator_state.draining:
-            return f"draining: {self.left}"
+            return f"draining: {self.open_summary}"
         return f"starting: waits for {self.waiting_for}" if self.waiting_for else ""
 
     @property
-    def left(self) -> str:
+    def open_summary(self) -> str:
         return f"{len(self.sessions)} connections, {self.node.waiting} requests open"
 
     def report(self) -> str:
--- a/paddlequay/programs/router.py
+++ b/paddlequay/programs/router.py
@@ -1,7 +1,6 @@
-"""The real edge router: read the configuration, wire the parts, serve, and end in order."""
+"""The real edge router: read the configuration, wire the parts, serve, and shut down in order."""
 
 import asyncio
-import contextlib
 import gc
 import logging
 import os
@@ -20,20 +19,21 @@
 from paddlequay.lifecycle.background import TaskSupervisor
 from paddlequay.lifecycle.operator_state import OperatorState
 from paddlequay.lifecycle.overload import OverloadGuard
-from paddlequay.net import listener as door
+from paddlequay.net import listener as listeners
 from paddlequay.net.bulletin import Follower
 from paddlequay.net.caches import Pool
-from paddlequay.net.clients import Front
+from paddlequay.net.clients import ClientFront
 from paddlequay.net.console import Console
 from paddlequay.net.hot_restart import HotRestart
 from paddlequay.net.scheduler import LoopScheduler
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.policy import Router
+from paddlequay.programs.handover import Handover
 from paddlequay.programs.shutdown import shut_down
 from paddlequay.protocol import bulletin
 from paddlequay.requests.exchange import Exchange
-from paddlequay.requests.quotas import ProcessQuotas, QuotaInUse
+from paddlequay.requests.quotas import ProcessQuotas
 
 if TYPE_CHECKING:
     from paddlequay.net.members import Members
@@ -41,52 +41,37 @@
 
 LOGGER = logging.getLogger("paddlequay.main")
 
+DISCOVERY_VARIABLE = "PADDLEQUAY_DISCOVERY"
+CLUSTER_VARIABLE = "PADDLEQUAY_CLUSTER"
+# Requests leave no cycles behind, and a full collection walks the decisions' table of objects: be rare.
+COLLECTOR_THRESHOLDS = (20_000, 20, 50)
+
 
 class RouterProgram:
-    """All parts of one router."""
+    """All parts of one router, from their wiring to the end of the process."""
 
     def __init__(self, config: Config) -> None:
-        loop = asyncio.get_running_loop()
-        self.config = config
-        self.limits = config.limits
-        self.counters = Counters()
-        self.background = TaskSupervisor(self.counters)
-        self.operator_state = OperatorState(config.file("json"))
-        try:
-            self.operator_state.load()
-        except (OSError, ValueError) as error:
-            log.event(
-                LOGGER, logging.WARNING, "overrides_unreadable", path=self.operator_state.path, why=str(error)
-            )
-        self.quotas = ProcessQuotas(self.limits)
+        """Wire the parts and bind the addresses. Raises `ConfigError` where that cannot be done."""
+        self.config, self.limits = config, config.limits
+        limits = config.limits
+        self.counters = counters = Counters()
+        self.background = TaskSupervisor(counters)
+        self.operator_state = operator_state = self.load_operator_state()
+        self.quotas = quotas = ProcessQuotas(limits)
         router = Router(config.settings, config.seed)
-        scheduler = LoopScheduler(loop)
-        self.exchange = Exchange(
-            router, self.operator_state, self.quotas, self.limits, scheduler, self.counters
-        )
-        self.pool = Pool(self.exchange, self.quotas, self.limits, self.counters)
-        self.endpoint_watch = Follower(config.bulletin, self.exchange, self.pool, self.limits, self.counters)
-        self.overload = OverloadGuard(self.limits, config.seed)
-        self.clients = Front(
-            self.exchange, self.operator_state, self.quotas, self.limits, self.counters, self.overload
-        )
-        self.hot_restart = HotRestart(
-            config.file("sock"), self.operator_state, self.quotas, self.limits, self.counters
-        )
-        self.hot_restart.export_state, self.hot_restart.on_inherited_state = (
-            router.export_state,
-            self.exchange.inherit_state,
-        )
-        self.hot_restart.on_successor, self.hot_restart.on_replaced = (
-            self.make_room_for_successor,
-            self.hand_over,
-        )
-        self.hot_restart.on_successor_gone = self.update_handover
-        self.console = Console(
-            self.operator_state, self.clients, self.hot_restart, self.limits, self.counters
+        scheduler = LoopScheduler(asyncio.get_running_loop())
+        self.exchange = exchange = Exchange(router, operator_state, quotas, limits, scheduler, counters)
+        self.pool = Pool(exchange, quotas, limits, counters)
+        self.endpoint_watch = Follower(config.bulletin, exchange, self.pool, limits, counters)
+        self.overload = OverloadGuard(limits, config.seed)
+        self.clients = ClientFront(exchange, operator_state, quotas, limits, counters, self.overload)
+        self.hot_restart = HotRestart(config.file("sock"), operator_state, quotas, limits, counters)
+        self.handover = Handover(
+            self.hot_restart, exchange, self.pool, self.clients, self.endpoint_watch, limits, self.background
         )
+        self.console = Console(operator_state, self.clients, self.hot_restart, limits, counters)
         self.members = self.make_members()
-        self.sharing = self.make_sharing()
+        self.sharing = self.handover.sharing = self.make_sharing()
         try:
             self.endpoint_watch.start_from(config.known)
         except bulletin.MalformedError as error:
@@ -95,32 +80,35 @@
         if config.console is not None:
             self.console.listen(self.bind("console", config.console))
         self.stop = asyncio.Event()
-        for name in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(name, self.stop.set)
-        loop.add_signal_handler(signal.SIGUSR1, self.counters.print, "signal")
-        loop.add_signal_handler(signal.SIGHUP, self.reload)
-        signals.let_through()
+        self.handle_signals()
+
+    def load_operator_state(self) -> OperatorState:
+        """What operators have ordered before; nothing where the file cannot be read."""
+        state = OperatorState(self.config.file("json"))
+        try:
+            state.load()
+        except (OSError, ValueError) as error:
+            log.event(LOGGER, logging.WARNING, "overrides_unreadable", path=state.path, why=str(error))
+        return state
 
     def make_members(self) -> "Members | None":
-        """Other sources of members than the bulletin, where a settings file of the installation names
-        them."""
-        path = os.environ.get("PADDLEQUAY_DISCOVERY")
+        """Further sources of members, where a settings file of the installation names them."""
+        path = os.environ.get(DISCOVERY_VARIABLE)
         if not path:
             return None
         from paddlequay.net.members import Members
         from paddlequay.schema.sources import read_discovery
 
         settings = read_discovery(Path(path))
-        members = Members(
-            settings, self.endpoint_watch, self.exchange, self.pool, self.counters, self.config.name
-        )
+        name = self.config.name
+        members = Members(settings, self.endpoint_watch, self.exchange, self.pool, self.counters, name)
         self.console.pages["members"] = members.page
         self.console.queries["members"] = members.explain
         return members
 
     def make_sharing(self) -> "Sharing | None":
         """What the routers share, where a settings file of the installation says so and peers are allowed."""
-        path = os.environ.get("PADDLEQUAY_CLUSTER")
+        path = os.environ.get(CLUSTER_VARIABLE)
         if not path:
             return None
         from paddlequay.net.sharing import Sharing
@@ -143,22 +131,33 @@
 
     @staticmethod
     def bind(name: str, address: Address) -> socket.socket:
+        """A socket bound to the address of a setting; raises `ConfigError` with its name."""
         try:
-            return door.bound(address)
+            return listeners.bind(address)
         except OSError as error:
             raise ConfigError(f"{name}: {address[0]}:{address[1]}: {error.strerror}") from None
 
+    def handle_signals(self) -> None:
+        """Act on signals from now on, those that have come meanwhile too."""
+        loop = asyncio.get_running_loop()
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, self.stop.set)
+        loop.add_signal_handler(signal.SIGUSR1, self.counters.print, "signal")
+        loop.add_signal_handler(signal.SIGHUP, self.reload)
+        signals.release()
+
     def reload(self) -> None:
-        """Read the configuration anew; of what changes, the bulletin's address can be taken up while serving.
+        """Read the configuration anew, on SIGHUP.
 
-        The signal's default action ended the program, and with it all requests it held.
+        The address of the endpoint list, the sources of members and the placement rules are taken up while
+        serving; the rest holds from the next start. One that cannot be used leaves all as it was.
         """
         try:
             config = read_config(os.environ)
             if self.members is not None:
                 from paddlequay.schema.sources import read_discovery
 
-                self.members.reload(read_discovery(Path(os.environ["PADDLEQUAY_DISCOVERY"])))
+                self.members.reload(read_discovery(Path(os.environ[DISCOVERY_VARIABLE])))
             if self.sharing is not None and self.sharing.placing is not None:
                 self.sharing.placing.reload()
         except ConfigError as error:
@@ -169,70 +168,30 @@
         host, port = config.bulletin
         log.event(LOGGER, logging.INFO, "reloaded", bulletin=f"{host}:{port}")
 
-    def hand_over(self) -> None:
-        """Beside a newer process that takes clients: keep what there is, and have it become less."""
-        self.clients.giving_way = True
-        if self.sharing is not None:
-            self.sharing.give_way()
-        self.hot_restart.give_quota(QuotaInUse(len(self.clients.sessions), len(self.pool.held())))
-
-    def make_room_for_successor(self) -> None:
-        """Beside a newer process that is not ready yet: leave it half of what is free."""
-        limits, held = self.limits, len(self.clients.sessions)
-        caches = (limits.all_cache_connections - limits.reserved_descriptors) // 2
-        self.hot_restart.give_quota(QuotaInUse((held + limits.client_connections + 1) // 2, max(4, caches)))
-
-    def update_handover(self) -> None:
-        """Whether clients' connections are to go. Asked at each beat, and at once where a newer process has
-        died: who connects here until the next beat would be closed on."""
-        self.clients.giving_way = self.clients.closing or self.hot_restart.replaced
-        self.clients.empty()
-        if self.sharing is not None and not self.hot_restart.replaced:
-            self.sharing.come_back()
-
     async def sweep_periodically(self) -> None:
-        """What is looked at now and then rather than at an event."""
-        printed = time.monotonic()
+        """Look for what has been idle for too long, and print the counters now and then."""
+        printed_at = time.monotonic()
         while True:
             await asyncio.sleep(self.limits.sweep_interval)
             self.pool.sweep()
             self.clients.sweep()
-            if time.monotonic() - printed >= self.limits.counters_interval:
-                printed = time.monotonic()
+            if time.monotonic() - printed_at >= self.limits.counters_interval:
+                printed_at = time.monotonic()
                 self.counters.print("period")
 
     async def heartbeat(self) -> None:
+        """Look at the process's own load, at the handover and at unresponsive caches."""
         while True:
-            self.update_handover()
+            self.handover.update()
             if self.hot_restart.replaced:
-                self.hand_over()
-            # After a late beat, what has come is not read yet: no silence can be told from that.
+                self.handover.yield_to_successor()
+            # After a late heartbeat, what has come is not read yet: no cache is taken for unresponsive then.
             if self.overload.sample(time.monotonic(), time.process_time()):
                 self.pool.watch()
             await asyncio.sleep(self.limits.heartbeat_interval)
 
-    async def take_over(self) -> None:
-        """Begin to serve: at once, or beside an older process once this one knows and holds what it needs."""
-        began = time.monotonic()
-        older = await self.hot_restart.find_predecessor()
-        if older:
-            with contextlib.suppress(TimeoutError):
-                # Where the older one ends before, clients have nobody else.
-                async with asyncio.timeout(self.limits.warm_up_timeout):
-                    await self.first_of(self.prepare(), self.hot_restart.wait_until_alone())
-        self.clients.listen(self.listener)
-        if self.hot_restart.predecessor is not None:
-            door.steer(self.listener)
-            self.hot_restart.announce_ready()
-        log.event(LOGGER, logging.INFO, "serving", beside_predecessor=older, after=time.monotonic() - began)
-
-    async def prepare(self) -> None:
-        """Have a connection to each edge cache, and the bulletin's word that nothing is missing."""
-        await self.pool.warm(self.exchange.router.edge_names())
-        await self.endpoint_watch.current.wait()
-
     async def run_until_stop(self, work: Coroutine[Any, Any, None]) -> bool:
-        """Whether this was done before the program is to stop; else it is given up. Raises what it raises."""
+        """Whether `work` ended before the program is to stop, else it is cancelled; raises its error."""
         task, stopped = asyncio.ensure_future(work), asyncio.ensure_future(self.stop.wait())
         try:
             await asyncio.wait((task, stopped), return_when=asyncio.FIRST_COMPLETED)
@@ -246,33 +205,27 @@
         task.result()
         return True
 
-    async def first_of(self, *work: Coroutine[Any, Any, None]) -> None:
-        """Wait for the first that is done; the others are given up."""
-        tasks = [self.background.spawn("take_over", each) for each in work]
-        try:
-            await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
-        finally:
-            for task in tasks:
-                task.cancel()
-            await asyncio.gather(*tasks, return_exceptions=True)
-
     async def run(self) -> None:
-        """Serve until SIGTERM, then end in order."""
+        """Serve until SIGTERM, then shut down in order."""
         self.background.supervise("follow", self.endpoint_watch.follow)
-        self.background.supervise("sweeping", self.sweep_periodically)
-        self.background.supervise("beating", self.heartbeat)
-        limits = self.limits
+        self.background.supervise("sweep", self.sweep_periodically)
+        self.background.supervise("heartbeat", self.heartbeat)
         if self.members is not None:
             self.members.start()
         if self.sharing is not None:
             await self.sharing.start()
+        limits = self.limits
         log.event(LOGGER, logging.INFO, "started", cores=limits.cores, clients=limits.client_connections)
-        if await self.run_until_stop(self.take_over()):
+        if await self.run_until_stop(self.handover.take_over(self.listener)):
             await self.stop.wait()
         if self.sharing is not None:
             self.sharing.leave()
-        if self.clients.listener is not None:  # else nothing was taken, and an older process goes on alone
+        if self.clients.listener is not None:  # else nothing was taken, and a predecessor goes on alone
             await shut_down(self.clients, self.hot_restart, self.limits)
+        await self.close()
+
+    async def close(self) -> None:
+        """End all tasks and links, after the clients' connections."""
         await self.background.stop()
         if self.members is not None:
             self.members.stop()
@@ -280,20 +233,21 @@
             self.sharing.stop()
         self.hot_restart.close()
         self.counters.print("exit")
-        signals.end(asyncio.get_running_loop())
+        signals.ignore(asyncio.get_running_loop())
 
 
 async def serve(config: Config) -> None:
+    """Run one router in the running loop."""
     await RouterProgram(config).run()
 
 
 def run_router() -> int:
-    """Run the router until its end; the exit code."""
+    """Run the router until its end; the exit code, 2 for a configuration that cannot be used."""
     log.set_up()
-    # Requests leave no cycles behind, and a full collection walks the decisions' table of objects: be rare.
-    gc.set_threshold(20_000, 20, 50)
+    gc.set_threshold(*COLLECTOR_THRESHOLDS)
     try:
-        asyncio.run(serve(read_config(os.environ, peers=bool(os.environ.get("PADDLEQUAY_CLUSTER")))))
+        config = read_config(os.environ, peers=bool(os.environ.get(CLUSTER_VARIABLE)))
+        asyncio.run(serve(config))
     except ConfigError as error:
         print(f"paddlequay: {error}", file=sys.stderr)
         return 2
--- a/paddlequay/programs/tier.py
+++ b/paddlequay/programs/tier.py
@@ -19,7 +19,7 @@
 from paddlequay.hierarchy.shape import Shape, ShapeError, Shaper, delta_data, next_shape, read_delta, whole
 from paddlequay.hierarchy.trail import Keyring
 from paddlequay.lifecycle.operator_state import EJECTED_PREFIX, OperatorState, Override
-from paddlequay.net import listener as door
+from paddlequay.net import listener as listeners
 from paddlequay.net.caches import Pool
 from paddlequay.net.console import Console
 from paddlequay.net.feed import Feed
@@ -133,7 +133,7 @@
 
     def bind(self, name: str, address: Address) -> socket.socket:
         try:
-            return door.bound(address)
+            return listeners.bind(address)
         except OSError as error:
             raise ConfigError(f"{self.path}: {name}: {address[0]}:{address[1]}: {error.strerror}") from None
 
@@ -305,9 +305,10 @@
         """No new connections; what is open is answered, or given up at the end of the time allowed."""
         now = asyncio.get_running_loop().time
         began = now()
-        self.front.ending = True
+        self.front.shutting_down = True
         log.event(LOGGER, logging.INFO, "shutdown_started", open=self.node.waiting)
-        self.front.stop_accepting()
+        if self.front.acceptor is not None:
+            self.front.acceptor.stop()
         self.listener.close()
         while now() - began < self.limits.shutdown_timeout and (self.node.waiting or self.unsent):
             await asyncio.sleep(0.01)
--- a/tests/crossings/rig_clients.py
+++ b/tests/crossings/rig_clients.py
@@ -20,7 +20,7 @@
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.operator_state import OperatorState
 from paddlequay.lifecycle.overload import OverloadGuard
-from paddlequay.net.clients import Front
+from paddlequay.net.clients import ClientFront
 from paddlequay.net.scheduler import LoopScheduler
 from paddlequay.net.session import Session
 from paddlequay.observability.counters import Counters
@@ -102,7 +102,7 @@
         self.exchange.attempts.upstreams = self.side
         self.exchange.update_members(MEMBERS, full=True)
         load = OverloadGuard(self.limits, 1)
-        self.front = Front(self.exchange, operation, self.shares, self.limits, self.counters, load)
+        self.front = ClientFront(self.exchange, operation, self.shares, self.limits, self.counters, load)
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.clients: list[socket.socket] = []
 
@@ -132,7 +132,7 @@
 
     def take(self, taken: socket.socket) -> Session:
         before = set(self.front.sessions)
-        self.front.accepted(taken)
+        self.front.on_accept(taken)
         (session,) = self.front.sessions - before
         return session
 
@@ -186,8 +186,8 @@
         finally:
             await rig.close()
         front = rig.front
-        assert (front.unsent, front.queued, len(front.sessions)) == (0, 0, 0)
-        assert not (front.mute or front.begun or front.moving or front.idle)
+        assert (front.unsent_bytes, front.queued_bytes, len(front.sessions)) == (0, 0, 0)
+        assert not (front.silent or front.message_begun or front.message_progressing or front.idle)
         assert not rig.exchange.pending and not rig.exchange.open_ids and rig.exchange.body_bytes == 0
 
     asyncio.run(run())
--- a/tests/crossings/test_background.py
+++ b/tests/crossings/test_background.py
@@ -81,7 +81,7 @@
     monkeypatch.setenv("PYTHONPATH", os.pathsep.join((str(tmp_path), os.getcwd())))
     with platform() as p:
         client = p.client()
-        until(lambda: p.counted("background_errors.beating") == 3, "it has failed, and gone on")
+        until(lambda: p.counted("background_errors.heartbeat") == 3, "it has failed, and gone on")
         assert sum("background_failed" in line for line in p.log) == 1
         served(p, client)
         assert p.end() == 0
--- a/tests/crossings/test_clients_answers.py
+++ b/tests/crossings/test_clients_answers.py
@@ -101,7 +101,7 @@
         await until(lambda: len(rig.side.started) == 8, "all are sent on")
         for attempt in rig.side.started[:2]:
             rig.serve(attempt, bytes(4_000_000))
-        assert session.unsent > 0 and rig.front.unsent == session.unsent
+        assert session.unsent > 0 and rig.front.unsent_bytes == session.unsent
         match how:
             case "close":
                 client.close()
@@ -124,7 +124,7 @@
                 session.end()
         await until(lambda: session not in rig.front.sessions, "its session ends")
         await turns()
-        assert rig.front.unsent == 0
+        assert rig.front.unsent_bytes == 0
 
     play(tmp_path, scene)
 
@@ -138,7 +138,7 @@
         client.sendall(call(1))
         other.sendall(call(2))
         await until(lambda: len(rig.side.started) == 2, "both are sent on")
-        monkeypatch.setattr(rig.front.load, "should_shed", lambda: 1 / 0)
+        monkeypatch.setattr(rig.front.overload, "should_shed", lambda: 1 / 0)
         client.sendall(call(3))
         found = await answers(client)
         monkeypatch.undo()
--- a/tests/crossings/test_clients_closing.py
+++ b/tests/crossings/test_clients_closing.py
@@ -10,7 +10,7 @@
 from rig_clients import WAIT, Rig, answers, arrived, call, play, turns, until
 
 from paddlequay.lifecycle.operator_state import DRAIN
-from paddlequay.net.listener import FULL_PAUSE
+from paddlequay.net.listener import FULL_PAUSE_S
 from paddlequay.protocol import msgpack
 
 
@@ -35,14 +35,14 @@
             listener = rig.listener
             listener.setblocking(False)
             loop = asyncio.get_running_loop()
-            loop.add_reader(listener, lambda: rig.front.accepted(listener.accept()[0]))
+            loop.add_reader(listener, lambda: rig.front.on_accept(listener.accept()[0]))
         client.sendall(call(2))
         arrived(taken)
         if read:
             # Both are told by one turn of the loop, the request's bytes first.
             rig.clients.append(socket.create_connection(listener.getsockname()))
         else:
-            rig.front.accepted(rig.connect()[1])
+            rig.front.on_accept(rig.connect()[1])
         await until(lambda: rig.side.started, "the request is sent on")
         rig.serve(rig.side.started[0])
         assert (await answers(client, 1))[0][3][0] == b"x"
@@ -57,7 +57,7 @@
         for client, taken in all_[:3]:
             client.sendall(call(2))
             arrived(taken)
-        rig.front.accepted(rig.connect()[1])
+        rig.front.on_accept(rig.connect()[1])
         assert rig.counters.counts["turned_away_connections"] == 0
         assert await answers(all_[3][0]) == []
 
@@ -77,14 +77,14 @@
         late = socket.create_connection(rig.listener.getsockname(), WAIT)
         rig.clients.append(late)
         late.sendall(call(1, id=3))
-        await asyncio.sleep(3 * FULL_PAUSE)
+        await asyncio.sleep(3 * FULL_PAUSE_S)
         assert len(rig.side.started) == 2 and not rig.counters.counts["turned_away_connections"]
         rig.serve(rig.side.started[0])
         assert (await answers(busy[0][0], 1))[0][1] == 1
         await until(lambda: len(rig.side.started) == 3, "the late one's request is sent on")
         rig.serve(rig.side.started[2])
         assert (await answers(late, 1))[0][2] is None
-        assert rig.front.close_door(last=True)
+        assert rig.front.stop_accepting(last=True)
 
     play(tmp_path, scene, client_connections=2)
 
@@ -119,7 +119,7 @@
             rest = call(2)
         if state == "half":
             client.sendall(rest[:20])
-            await until(lambda: rig.front.begun, "half of it is read")
+            await until(lambda: rig.front.message_begun, "half of it is read")
             rest = rest[20:]
         time.sleep(0.06)  # what the sweep allows; the loop stands still
         client.sendall(rest)
@@ -138,7 +138,7 @@
         client = (await rig.client())[0] if state == "mute" else (await idle(rig))[0]
         if state == "half":
             client.sendall(call(2)[:20])
-            await until(lambda: rig.front.begun, "half of it is read")
+            await until(lambda: rig.front.message_begun, "half of it is read")
         time.sleep(0.06)
         rig.front.sweep()
         assert await answers(client) == []
@@ -170,7 +170,7 @@
         began = time.monotonic()
         client.sendall(b"\xc1")
         assert await answers(client) == []
-        assert session in rig.front.parting
+        assert session in rig.front.half_closed
         await until(lambda: not rig.front.sessions, "it is closed")
         assert 0.25 < time.monotonic() - began < 2.0
 
@@ -182,9 +182,9 @@
         usual, _ = await idle(rig)
         client, _ = await rig.client()
         client.sendall(b"\xc1")
-        await until(lambda: rig.front.parting, "it is at its end")
+        await until(lambda: rig.front.half_closed, "it is at its end")
         rig.take(rig.connect()[1])
-        assert not rig.front.parting and rig.counters.counts["closed_silent_clients"] == 1
+        assert not rig.front.half_closed and rig.counters.counts["closed_silent_clients"] == 1
         await turns()
         usual.sendall(call(2))
         await until(lambda: rig.side.started, "the request is sent on")
@@ -199,11 +199,11 @@
         await until(lambda: rig.side.started, "the request is sent on")
         assert rig.exchange.attempts.prepare_write(rig.side.started[0]) is not None
         rig.exchange.attempts.mark_written(rig.side.started[0])
-        rig.front.operation.set_override(DRAIN, True)
+        rig.front.operator_state.set_override(DRAIN, True)
         client.sendall(call(2))
         arrived(session.stream.socket)
         rig.front.drained_at = rig.front.now() - rig.limits.drain_close_after
-        rig.front.empty()  # with the second one unread
+        rig.front.close_quiet_connections()  # with the second one unread
         found = await answers(client)
         assert [answer[1] for answer in found] == [1] and found[0][2][0] in ("TryLater", "Aborted")
         assert len(rig.side.started) == 1 and rig.counters.counts["closed_by_drain"] == 1
@@ -222,17 +222,17 @@
             taken, session.began = session.stream.socket, session.began - rig.limits.new_connection_age
         else:
             client, taken = await idle(rig)
-        rig.front.giving_way = True
+        rig.front.handing_over = True
         client.sendall(call(2))
         arrived(taken)
         if moment == "unread":
-            rig.front.empty()
+            rig.front.close_quiet_connections()
         else:
             # A callback that follows the read in the same turn: the stream has the bytes, its session not.
             (session,) = rig.front.sessions
             session.stream._handle_events(taken, session.stream.io_loop.READ)
             assert not session.stream.reading()
-            rig.front.empty()
+            rig.front.close_quiet_connections()
         await until(lambda: rig.side.started, "the request is sent on")
         rig.serve(rig.side.started[0])
         assert (await answers(client))[0][3][0] == b"x"
@@ -246,8 +246,8 @@
         client, taken = await idle(rig)
         client.sendall(call(2))
         arrived(taken)
-        rig.front.giving_way = rig.front.hurrying = True
-        rig.front.empty()
+        rig.front.handing_over = rig.front.near_end = True
+        rig.front.close_quiet_connections()
         assert (await answers(client, 1))[0][1:3] == [2, ["TryLater", {"pushback": "200"}]]
         assert not rig.side.started
 
--- a/tests/crossings/test_clients_leaving.py
+++ b/tests/crossings/test_clients_leaving.py
@@ -187,8 +187,8 @@
         time.sleep(0.35)  # until its time is nearly over; the loop stands still
         rig.front.sweep()
         assert 8 not in session.queue and len(session.queue) == 3
-        rig.front.giving_way = True
-        rig.front.empty()
+        rig.front.handing_over = True
+        rig.front.close_quiet_connections()
         assert not session.queue
         found = {answer[1]: answer[2] for answer in await answers(client, 7)}
         assert {number for number, error in found.items() if error} - {1} == {8, 5, 6, 7}
@@ -204,7 +204,7 @@
         for number in range(10, 20):
             client.sendall(call(number, method="charge", body=bytes(40_000)))
         await until(lambda: rig.counters.counts["requests"] == 17, "all are read")
-        assert rig.front.queued == 80_000 and rig.counters.counts["rejected.too_many_open"] == 8
+        assert rig.front.queued_bytes == 80_000 and rig.counters.counts["rejected.too_many_open"] == 8
         client.sendall(b"".join(map(call, range(20, 60))))
         await until(lambda: rig.counters.counts["requests"] == 57, "all are read")
         assert len(session.queue) + len(session.open) == rig.limits.client_streams
--- a/tests/crossings/test_ending.py
+++ b/tests/crossings/test_ending.py
@@ -157,7 +157,7 @@
     restless.end = lambda: at.setdefault("shut", loop.time())
     front = Mock(sessions={restless}, unsent=0)
     front.exchange = Mock(pending={"q1": None}, abandon_all=lambda: at.setdefault("given up", loop.time()))
-    front.empty = lambda: front.hurrying and at.setdefault("refusing", loop.time())
+    front.close_quiet_connections = lambda: front.near_end and at.setdefault("refusing", loop.time())
     limits = limits_from({"settings": {}}, parse_settings(short(deadline)))
     try:
         loop.run_until_complete(shut_down(front, Mock(replaced=False), limits))
