--- a/paddlequay/lab/load.py
+++ b/paddlequay/lab/load.py
@@ -98,7 +98,7 @@
                 while buffer:
                     try:
                         value, at = msgpack.unpack(buffer, 0, 1 << 21)
-                    except msgpack.IncompleteError:
+                    except msgpack.IncompleteMessageError:
                         break
                     del buffer[:at]
                     self.twice += value[1] in self.answered
--- a/paddlequay/lab/plaza.py
+++ b/paddlequay/lab/plaza.py
@@ -21,7 +21,7 @@
 from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, delta_data, difference, next_shape
 from paddlequay.lab.load import KINDS, Load
 from paddlequay.lab.standins import Box, News, Store
-from paddlequay.protocol.bulletin import STATES
+from paddlequay.protocol.endpoint_watch import STATES
 from paddlequay.routing.interface import MemberState
 
 ROOT = Path(__file__).parent.parent.parent
--- a/paddlequay/lab/standins.py
+++ b/paddlequay/lab/standins.py
@@ -58,7 +58,7 @@
                             open_[line.id].cancel()
                     else:
                         writer.write(b"".join(serving.answer(line.tag, "PONG", {})))
-        except (OSError, caches.MalformedError, asyncio.CancelledError):
+        except (OSError, caches.CacheProtocolError, asyncio.CancelledError):
             pass
         finally:
             for task in list(open_.values()):
@@ -84,35 +84,35 @@
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
         self.writer: asyncio.StreamWriter | None = None
-        self.waiting: dict[str, asyncio.Future[caches.Answer]] = {}
+        self.waiting: dict[str, asyncio.Future[caches.CacheAnswer]] = {}
         self.lock = asyncio.Lock()
         self.task: asyncio.Task[None] | None = None
 
-    async def ask(self, id: str, fields: Mapping[str, str], longest: float) -> caches.Answer:
+    async def ask(self, id: str, fields: Mapping[str, str], longest: float) -> caches.CacheAnswer:
         """Raises OSError or TimeoutError."""
         async with self.lock:
             if self.writer is None:
                 reader, self.writer = await asyncio.wait_for(asyncio.open_connection(*self.address), 1.0)
                 self.task = asyncio.ensure_future(self.read(reader))
-        future: asyncio.Future[caches.Answer] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[caches.CacheAnswer] = asyncio.get_running_loop().create_future()
         self.waiting[id] = future
         if self.writer is None:
             raise ConnectionResetError
-        self.writer.write(caches.ask(id, fields, 0) + b"\r\n")
+        self.writer.write(caches.request_line(id, fields, 0) + b"\r\n")
         try:
             return await asyncio.wait_for(future, longest)
         finally:
             self.waiting.pop(id, None)
 
     async def read(self, reader: asyncio.StreamReader) -> None:
-        lines = caches.Reader(LINE, BODY)
+        lines = caches.CacheAnswerParser(LINE, BODY)
         try:
             while data := await reader.read(65536):
                 for answer in lines.feed(data):
                     future = self.waiting.get(answer.id)
                     if future is not None and not future.done():
                         future.set_result(answer)
-        except (OSError, caches.MalformedError):
+        except (OSError, caches.CacheProtocolError):
             pass
         self.close()
 
@@ -251,9 +251,9 @@
             answer = await link.ask(f"{self.name}.{asked.id}", told, 3.0)
         except (OSError, TimeoutError):
             return "FAULT", {"detail": "UP_DOWN"}, b""
-        if answer.word != "HIT":
-            detail = {"SHED": "UP_BUSY", "NONE": "UP_MISS"}.get(answer.word, "ORIGIN_ERR")
-            return "SHED" if answer.word == "SHED" else "NONE", {"detail": detail}, b""
+        if answer.status != "HIT":
+            detail = {"SHED": "UP_BUSY", "NONE": "UP_MISS"}.get(answer.status, "ORIGIN_ERR")
+            return "SHED" if answer.status == "SHED" else "NONE", {"detail": detail}, b""
         minted = int(answer.fields["minted"]) / 1000.0
         copy = Copy(bytes(answer.body), answer.fields["tag"], minted, rank=int(asked.fields.get("tier", 1)))
         if minted >= self.purges.of_object(place[0]):
--- a/paddlequay/net/cache_words.py
+++ b/paddlequay/net/cache_messages.py
@@ -15,7 +15,7 @@
     "FAULT": Outcome.ERROR,
     "LATE": Outcome.NOT_SENT,
 }
-NOTES = {
+DETAILS = {
     "HIT": ReplyDetail.HIT,
     "MISS": ReplyDetail.FILLED,
     "MISS_ORIGIN": ReplyDetail.FILLED_FROM_ORIGIN,
@@ -29,10 +29,10 @@
     "LOOP": ReplyDetail.FILL_LOOP,
     "OLD_TERM": ReplyDetail.STALE_TERM,
 }
-LOADS = {"inflight": "active", "util": "cpu"}  # the words of the settings' list of load fields
+LOAD_NAMES = {"inflight": "active", "util": "cpu"}  # the words of the settings' list of load fields
 
 
-def order_fields(order: UpstreamRequest) -> dict[str, str]:
+def request_fields(order: UpstreamRequest) -> dict[str, str]:
     """An order in the words of the caches' protocol; what has its default is left out."""
     fields = {"queue": order.class_name, "path": order.object_name}
     if order.part is not None:
@@ -55,7 +55,7 @@
     return fields
 
 
-def finite(text: str) -> float:
+def parse_figure(text: str) -> float:
     """A figure that can be reckoned with: one spoilt `nan` would stay in every mean it is taken into."""
     value = float(text)
     if not math.isfinite(value):
@@ -63,12 +63,12 @@
     return value
 
 
-def read_load(text: str) -> tuple[tuple[str, float], ...]:
+def parse_load(text: str) -> tuple[tuple[str, float], ...]:
     pairs = (pair.partition(":") for pair in text.split(";"))
-    return tuple((LOADS.get(name, name), finite(value)) for name, _, value in pairs)
+    return tuple((LOAD_NAMES.get(name, name), parse_figure(value)) for name, _, value in pairs)
 
 
-def read_stamp(fields: Mapping[str, str]) -> CopyStamp | None:
+def parse_stamp(fields: Mapping[str, str]) -> CopyStamp | None:
     if "minted" not in fields:
         return None
     group = fields.get("lot")
@@ -77,19 +77,19 @@
     )
 
 
-def read_end(answer: wire.Answer) -> AttemptResult:
+def parse_result(answer: wire.CacheAnswer) -> AttemptResult:
     """An answer as the end of its attempt."""
     try:
         lag = answer.fields.get("lag")
         return AttemptResult(
-            outcome=OUTCOMES[answer.word],
+            outcome=OUTCOMES[answer.status],
             body=answer.body,
-            not_modified=answer.word == "VALID",
-            detail=NOTES.get(answer.fields.get("detail", "")),
-            source_wait=None if lag is None else finite(lag) / 1000.0,
-            load_report=read_load(answer.fields["use"]) if answer.fields.get("use") else (),
-            stamp=read_stamp(answer.fields),
+            not_modified=answer.status == "VALID",
+            detail=DETAILS.get(answer.fields.get("detail", "")),
+            source_wait=None if lag is None else parse_figure(lag) / 1000.0,
+            load_report=parse_load(answer.fields["use"]) if answer.fields.get("use") else (),
+            stamp=parse_stamp(answer.fields),
             loop_hint=answer.fields.get("next", ""),
         )
     except (KeyError, ValueError) as error:
-        raise wire.MalformedError(f"answer {answer.word}: {type(error).__name__} {error}") from None
+        raise wire.CacheProtocolError(f"answer {answer.status}: {type(error).__name__} {error}") from None
--- a/paddlequay/net/caches.py
+++ b/paddlequay/net/caches.py
@@ -8,10 +8,10 @@
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
 from paddlequay.lifecycle.operator_state import EJECTED_PREFIX
-from paddlequay.net.connection import Connection
+from paddlequay.net.connection import UpstreamConnection
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
-from paddlequay.protocol.bulletin import Listed
+from paddlequay.protocol.endpoint_watch import Endpoint
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import AttemptResult, UpstreamAttempt
 from paddlequay.requests.quotas import ProcessQuotas
@@ -21,33 +21,35 @@
 LOGGER = logging.getLogger(__name__)
 
 
-class Instance:
+class UpstreamInstance:
     """One run of a cache, parent or the origin. A new run, or a new one at the same address, is another."""
 
-    def __init__(self, pool: "Pool", listed: Listed) -> None:
+    def __init__(self, pool: "ConnectionPool", listed: Endpoint) -> None:
         self.pool = pool
         self.name = listed.member.name
         self.started = listed.member.started
         self.address: Address = listed.address
-        self.connections: list[Connection] = []
-        self.gone = False
-        self.over = False  # started anew: nothing more is written by this run
-        self.pace = RelativeLatency()
+        self.connections: list[UpstreamConnection] = []
+        self.removed = False
+        self.restarted = False  # started anew: nothing more is written by this run
+        self.relative_latency = RelativeLatency()
 
-    def answer_took(self, attempt: UpstreamAttempt, time: float) -> None:
-        self.pace.record(time)
-        self.pool.pace.record(time)
-        self.pool.waits.record(attempt.pending.request.class_name, time)
+    def record_latency(self, attempt: UpstreamAttempt, time: float) -> None:
+        self.relative_latency.record(time)
+        self.pool.typical_latency.record(time)
+        self.pool.latencies.record(attempt.pending.request.class_name, time)
 
-    def silence_of(self, attempts: list[UpstreamAttempt], now: float) -> bool:
+    def is_unresponsive(self, attempts: list[UpstreamAttempt], now: float) -> bool:
         """Whether so long a silence under these is no chance; in a jam of its own a member may be slower."""
         ages = [(each.pending.request.class_name, now - (each.written_at or now)) for each in attempts]
         if max((age for _, age in ages), default=0.0) <= self.pool.limits.silence_check_after:
             return False
-        return self.pool.waits.is_unresponsive(ages, self.pace.ratio_to(self.pool.pace))
+        return self.pool.latencies.is_unresponsive(
+            ages, self.relative_latency.ratio_to(self.pool.typical_latency)
+        )
 
     def start(self, attempt: UpstreamAttempt) -> None:
-        connection = None if self.gone else self.choose(attempt)
+        connection = None if self.removed else self.choose_connection(attempt)
         if connection is None:
             self.pool.counters.add("no_connection_left")
             return self.pool.exchange.attempts.end(attempt, AttemptResult(Outcome.NOT_SENT))
@@ -55,7 +57,7 @@
         attempt.carrier = connection
         connection.write_waiting()
 
-    def choose(self, attempt: UpstreamAttempt) -> Connection | None:
+    def choose_connection(self, attempt: UpstreamAttempt) -> UpstreamConnection | None:
         """The fullest connection that has few out, a new one, or the emptiest that takes it.
 
         One spoilt answer ends all that is out on its connection: with thirty requests on one and the others
@@ -67,25 +69,25 @@
         for connection in self.connections:  # one pass, as each attempt makes it
             load = connection.load
             if few_load < load < limits.requests_per_connection:
-                if connection.takes(attempt):
+                if connection.accepts(attempt):
                     few, few_load = connection, load
             elif (
                 few is None
                 and limits.requests_per_connection <= load < spare_load
-                and connection.takes(attempt)
+                and connection.accepts(attempt)
             ):
                 spare, spare_load = connection, load
         if few is not None:
             return few
         if attempt.never_resend and spare is None and len(self.connections) >= limits.cache_connections:
-            for connection in [each for each in self.connections if each.idle][:1]:
+            for connection in [each for each in self.connections if each.is_idle][:1]:
                 self.forget(connection)
                 connection.stream.close()
-        if len(self.connections) < limits.cache_connections and self.pool.has_room():
+        if len(self.connections) < limits.cache_connections and self.pool.has_capacity():
             return self.connect() or spare
         return spare
 
-    def connect(self) -> Connection | None:
+    def connect(self) -> UpstreamConnection | None:
         """One more connection, which comes up later; None where the system gives no socket for it.
 
         That is no fault of the member's: what was to go on it counts as not sent. The limits leave room for
@@ -93,7 +95,7 @@
         """
         for _ in range(2):
             try:
-                connection = Connection(self.pool, self)
+                connection = UpstreamConnection(self.pool, self)
             except OSError as error:
                 if self.pool.counters.add_once("no_socket"):
                     log.event(LOGGER, logging.WARNING, "no_socket", to=self.name, why=str(error))
@@ -105,25 +107,25 @@
                 return connection
         return None
 
-    def forget(self, connection: Connection) -> None:
+    def forget(self, connection: UpstreamConnection) -> None:
         if connection in self.connections:
             self.connections.remove(connection)
 
-    def watch(self, now: float) -> None:
+    def close_unresponsive(self, now: float) -> None:
         """Close what has fallen silent under requests, what stopped inside an answer, and what an older run
         left unanswered. Never over unread bytes: they are read first, and judged at the next beat."""
         limits = self.pool.limits
-        heard = max((connection.read_at for connection in self.connections), default=now)
+        heard = max((connection.last_read_at for connection in self.connections), default=now)
         all_silent = False
         if now - heard > limits.silence_check_after:
-            since = [each for connection in self.connections for each in connection.unheard(heard)]
-            all_silent = len(since) >= limits.instance_unanswered and self.silence_of(since, now)
+            since = [each for connection in self.connections for each in connection.unanswered_since(heard)]
+            all_silent = len(since) >= limits.instance_unanswered and self.is_unresponsive(since, now)
         for connection in self.connections[:]:
-            if connection.stalled(now):
+            if connection.is_stalled(now):
                 cause = "stalled_answers"
-            elif connection.dead(now) or (all_silent and connection.out):
+            elif connection.is_unresponsive(now) or (all_silent and connection.in_flight):
                 cause = "silent_connections"
-            elif self.over and connection.out:
+            elif self.restarted and connection.in_flight:
                 cause = "answered_no_more"
             else:
                 continue
@@ -139,100 +141,100 @@
         charges away from then on.
         """
         limits = self.pool.limits
-        for connection in [c for c in self.connections if c.idle]:
-            idle = now - connection.used > (
-                limits.max_reuse_idle if connection.once else limits.cache_idle_timeout
+        for connection in [c for c in self.connections if c.is_idle]:
+            idle = now - connection.last_used_at > (
+                limits.max_reuse_idle if connection.only_never_resend else limits.cache_idle_timeout
             )
-            if self.gone or idle or connection.silent:
+            if self.removed or idle or connection.unresponsive:
                 connection.stream.close()
 
 
-class Pool:
+class ConnectionPool:
     """All instances by name; carries attempts for the exchange."""
 
     def __init__(self, exchange: Exchange, shares: ProcessQuotas, limits: Limits, counters: Counters) -> None:
-        self.exchange, self.shares, self.limits, self.counters = exchange, shares, limits, counters
-        self.instances: dict[str, Instance] = {}
-        self.leaving: list[Instance] = []
-        self.waits = LatencyDistribution(limits.assumed_latency, exchange.router.classes)
-        self.pace = RelativeLatency(max_samples=200.0)
+        self.exchange, self.quotas, self.limits, self.counters = exchange, shares, limits, counters
+        self.instances: dict[str, UpstreamInstance] = {}
+        self.removed_instances: list[UpstreamInstance] = []
+        self.latencies = LatencyDistribution(limits.assumed_latency, exchange.router.classes)
+        self.typical_latency = RelativeLatency(max_samples=200.0)
         self.tasks: set[asyncio.Task[None]] = set()
         exchange.attempts.upstreams = self
-        exchange.operator_state.on_change.append(self.ordered)
+        exchange.operator_state.on_change.append(self.override_changed)
 
     def now(self) -> float:
         return self.exchange.scheduler.monotonic()
 
-    def spawn(self, connection: Connection) -> None:
+    def spawn(self, connection: UpstreamConnection) -> None:
         task = asyncio.ensure_future(connection.run())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def list_changed(self, listed: Iterable[Listed], full: bool) -> None:
+    def update_endpoints(self, listed: Iterable[Endpoint], full: bool) -> None:
         """Follow the list. A cache may take the address of one that has gone: instances are told apart by
         name and start, never by address."""
         listed = tuple(listed)
         if full:
             for name in self.instances.keys() - {entry.member.name for entry in listed}:
-                self.leave(name)
+                self.remove(name)
         for entry in listed:
             known = self.instances.get(entry.member.name)
             if entry.member.state is MemberState.REMOVED:
-                self.leave(entry.member.name)
+                self.remove(entry.member.name)
             elif known is None:
-                self.instances[entry.member.name] = Instance(self, entry)
+                self.instances[entry.member.name] = UpstreamInstance(self, entry)
             elif (entry.member.started or 0) > (known.started or 0) or entry.address != known.address:
-                self.leave(entry.member.name, at_once=True)
-                self.instances[entry.member.name] = Instance(self, entry)
+                self.remove(entry.member.name, at_once=True)
+                self.instances[entry.member.name] = UpstreamInstance(self, entry)
 
-    def leave(self, name: str, at_once: bool = False) -> None:
+    def remove(self, name: str, at_once: bool = False) -> None:
         """Take an instance out of use; one that has started anew can no longer answer on old connections."""
         instance = self.instances.pop(name, None)
         if instance is None:
             return
-        instance.gone, instance.over = True, at_once
-        self.leaving.append(instance)
+        instance.removed, instance.restarted = True, at_once
+        self.removed_instances.append(instance)
         for connection in instance.connections[:]:
-            if connection.idle or (at_once and not connection.has_unread):
+            if connection.is_idle or (at_once and not connection.has_unread):
                 connection.stream.close()
 
-    def ordered(self, name: str) -> None:
+    def override_changed(self, name: str) -> None:
         """Operators leave a cache out, or put it back: what is idle to it may lead nowhere any more."""
         instance = (
             self.instances.get(name.removeprefix(EJECTED_PREFIX)) if name.startswith(EJECTED_PREFIX) else None
         )
         for connection in instance.connections[:] if instance is not None else ():
-            if connection.idle or (connection.silent and not connection.has_unread):
+            if connection.is_idle or (connection.unresponsive and not connection.has_unread):
                 connection.stream.close()
 
-    def held(self) -> list[Connection]:
-        return [c for each in [*self.instances.values(), *self.leaving] for c in each.connections]
+    def connections(self) -> list[UpstreamConnection]:
+        return [c for each in [*self.instances.values(), *self.removed_instances] for c in each.connections]
 
-    async def warm(self, names: Iterable[str]) -> None:
+    async def warm_up(self, names: Iterable[str]) -> None:
         """Have a connection to each of these before the first request comes."""
         made = []
         for instance in [self.instances[name] for name in names if name in self.instances]:
-            if not instance.connections and self.has_room() and (connection := instance.connect()):
+            if not instance.connections and self.has_capacity() and (connection := instance.connect()):
                 made.append(connection)
-        while any(not each.up and not each.stream.closed() for each in made):
+        while any(not each.is_up and not each.stream.closed() for each in made):
             await asyncio.sleep(0.01)
 
-    def shrink(self) -> None:
+    def close_excess_idle(self) -> None:
         """Close idle connections beyond the share, the longest idle first."""
-        held = self.held()
-        idle = sorted((c for c in held if c.idle), key=lambda connection: connection.used)
-        for connection in idle[: max(0, len(held) - self.shares.cache_connections)]:
+        held = self.connections()
+        idle = sorted((c for c in held if c.is_idle), key=lambda connection: connection.last_used_at)
+        for connection in idle[: max(0, len(held) - self.quotas.cache_connections)]:
             connection.stream.close()
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Room for one more connection to any instance; the one that has been idle for longest makes it."""
-        return len(self.held()) < self.shares.cache_connections or self.close_idle()
+        return len(self.connections()) < self.quotas.cache_connections or self.close_idle()
 
     def close_idle(self) -> bool:
         """Close the connection that has been idle for longest, if there is one."""
-        idle = [each for each in self.held() if each.idle and not each.stream.closed()]
+        idle = [each for each in self.connections() if each.is_idle and not each.stream.closed()]
         if idle:
-            min(idle, key=lambda connection: connection.used).stream.close()
+            min(idle, key=lambda connection: connection.last_used_at).stream.close()
         return bool(idle)
 
     def start(self, attempt: UpstreamAttempt) -> None:
@@ -241,16 +243,16 @@
             return self.exchange.attempts.end(attempt, AttemptResult(Outcome.NOT_SENT))
         instance.start(attempt)
 
-    def watch(self) -> None:
+    def close_unresponsive(self) -> None:
         """At each beat: connections that no longer answer."""
         now = self.now()
-        for instance in [*self.instances.values(), *self.leaving]:
-            instance.watch(now)
+        for instance in [*self.instances.values(), *self.removed_instances]:
+            instance.close_unresponsive(now)
 
     def sweep(self) -> None:
         """Now and then: idle connections, and what is left of gone instances."""
         now = self.now()
-        self.shrink()
-        for instance in [*self.instances.values(), *self.leaving]:
+        self.close_excess_idle()
+        for instance in [*self.instances.values(), *self.removed_instances]:
             instance.sweep(now)
-        self.leaving = [instance for instance in self.leaving if instance.connections]
+        self.removed_instances = [instance for instance in self.removed_instances if instance.connections]
--- a/paddlequay/net/client_words.py
+++ b/paddlequay/net/client_messages.py
@@ -9,17 +9,21 @@
 from paddlequay.requests.messages import AnswerStatus, Buffer, ClientRequest, FinalAnswer
 from paddlequay.routing.interface import RequestClass
 
-HEX = re.compile(r"[0-9a-f]{16}")
-WHOLE = re.compile(r"[0-9]{1,9}")
-DEDUPE = re.compile(r"[!-+\--<>-~]{1,128}")  # what fits into a list of fields for a cache: no comma, no =
-MARK = re.compile(r"[01]")
+HEX_ID = re.compile(r"[0-9a-f]{16}")
+WHOLE_NUMBER = re.compile(r"[0-9]{1,9}")
+IDEMPOTENCY_KEY = re.compile(
+    r"[!-+\--<>-~]{1,128}"
+)  # what fits into a list of fields for a cache: no comma, no =
+FLAG = re.compile(r"[01]")
 
 
 class FieldError(ValueError):
     """A field that cannot be used."""
 
 
-def pick(fields: Mapping[Any, Any], name: str, pattern: re.Pattern[str], needed: bool = True) -> str | None:
+def field_text(
+    fields: Mapping[Any, Any], name: str, pattern: re.Pattern[str], needed: bool = True
+) -> str | None:
     """A field's text, as it is."""
     value = fields.get(name)
     if value is None and not needed:
@@ -29,9 +33,9 @@
     return value
 
 
-def number(fields: Mapping[Any, Any], name: str, most: int, needed: bool = False) -> int | None:
+def field_number(fields: Mapping[Any, Any], name: str, most: int, needed: bool = False) -> int | None:
     """A field's whole number, from 0 to `most`."""
-    text = pick(fields, name, WHOLE, needed)
+    text = field_text(fields, name, WHOLE_NUMBER, needed)
     if text is None:
         return None
     if int(text) > most:
@@ -39,7 +43,7 @@
     return int(text)
 
 
-def read_ask(call: wire.Call, kind: RequestClass, limits: Limits) -> ClientRequest:
+def parse_request(call: wire.ClientCall, kind: RequestClass, limits: Limits) -> ClientRequest:
     """A call's fields as a request in the exchange's terms.
 
     Nothing is passed on that a cache could not use or read: it would answer by an error, or close the
@@ -50,26 +54,26 @@
         raise FieldError("fields are strings")
     if len(call.body) > limits.max_client_body:
         raise FieldError("the body is longer than allowed")
-    name = pick(fields, "row", HEX) or ""
-    ttl = number(fields, "ttl", int(1000 * limits.max_time_to_live * kind.deadline), needed=True)
+    name = field_text(fields, "row", HEX_ID) or ""
+    ttl = field_number(fields, "ttl", int(1000 * limits.max_time_to_live * kind.deadline), needed=True)
     if not ttl:
         raise FieldError("field ttl leaves no time")
     return ClientRequest(
-        id=pick(fields, "call", HEX) or "",
+        id=field_text(fields, "call", HEX_ID) or "",
         class_name=call.method,
         time_to_live=ttl / 1000.0,
         object_name=name,
         key=int(name, 16),
-        part=number(fields, "slice", limits.max_part),
-        group=number(fields, "set", limits.max_group),
+        part=field_number(fields, "slice", limits.max_part),
+        group=field_number(fields, "set", limits.max_group),
         body=call.body,
-        known_tag=pick(fields, "seen", HEX, False),
-        idempotency_key=pick(fields, "dedupe", DEDUPE, False),
-        retry=pick(fields, "rep", MARK, False) == "1",
+        known_tag=field_text(fields, "seen", HEX_ID, False),
+        idempotency_key=field_text(fields, "dedupe", IDEMPOTENCY_KEY, False),
+        retry=field_text(fields, "rep", FLAG, False) == "1",
     )
 
 
-def write_reply(number: int, reply: FinalAnswer) -> tuple[Buffer, ...]:
+def format_answer(number: int, reply: FinalAnswer) -> tuple[Buffer, ...]:
     """The final answer to a call, in pieces."""
     match reply.status:
         case AnswerStatus.SERVED:
@@ -79,6 +83,6 @@
         case AnswerStatus.REJECTED:
             wait = reply.retry_after
             fields = {} if wait is None else {"pushback": str(max(1, round(wait * 1000)))}
-            return (wire.error_answer(number, wire.REFUSED, fields),)
+            return (wire.error_answer(number, wire.REJECTED, fields),)
         case AnswerStatus.FAILED:
             return (wire.error_answer(number, wire.FAILED, {}),)
--- a/paddlequay/net/clients.py
+++ b/paddlequay/net/clients.py
@@ -11,13 +11,13 @@
 from paddlequay.lifecycle.operator_state import DRAIN, OperatorState
 from paddlequay.lifecycle.overload import OverloadGuard
 from paddlequay.net.listener import BACKLOG, Acceptor
-from paddlequay.net.session import Session
+from paddlequay.net.session import ClientSession
 from paddlequay.observability.counters import Counters
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import AnswerStatus, FinalAnswer
 from paddlequay.requests.quotas import ProcessQuotas
 
-CANDIDATES = 8  # asked for room in each state: thousands of connections are not searched for one
+MAX_CANDIDATES = 8  # asked for room in each state: thousands of connections are not searched for one
 
 
 class ClientFront:
@@ -35,14 +35,14 @@
         self.operator_state = operation
         operation.on_change.append(self.override_changed)
         self.exchange, self.quotas, self.limits, self.counters = exchange, shares, limits, counters
-        self.sessions: set[Session] = set()
+        self.sessions: set[ClientSession] = set()
         # Who waits with nothing owed, the longest first: before the first byte, with one piece of a message,
         # with several, after a whole one, and at its end.
-        self.half_closed: OrderedDict[Session, None] = OrderedDict()
-        self.silent: OrderedDict[Session, None] = OrderedDict()
-        self.message_begun: OrderedDict[Session, None] = OrderedDict()
-        self.message_progressing: OrderedDict[Session, None] = OrderedDict()
-        self.idle: OrderedDict[Session, None] = OrderedDict()
+        self.lingering: OrderedDict[ClientSession, None] = OrderedDict()
+        self.silent: OrderedDict[ClientSession, None] = OrderedDict()
+        self.message_begun: OrderedDict[ClientSession, None] = OrderedDict()
+        self.message_progressing: OrderedDict[ClientSession, None] = OrderedDict()
+        self.idle: OrderedDict[ClientSession, None] = OrderedDict()
         self.tasks: set[asyncio.Task[None]] = set()
         self.overload = load
         self.overload_answer = FinalAnswer(AnswerStatus.REJECTED, retry_after=limits.shed_retry_after)
@@ -103,8 +103,8 @@
                 self.exchange.abandon_all()
         if self.closing_when_quiet:
             for session in list(self.sessions):
-                if session.held:
-                    session.make()
+                if session.is_backpressured:
+                    session.submit_waiting()
                 session.close_if_quiet()
         if self.drained_at is not None and self.now() - self.drained_at >= self.limits.drain_close_after:
             self.shut_down_sessions("closed_by_drain")
@@ -148,7 +148,7 @@
             except ConnectionAbortedError:
                 continue
             except OSError:
-                if not self.make_room():
+                if not self.close_one_idle():
                     if not last:
                         return False
                     break
@@ -161,11 +161,11 @@
     def accept_capacity(self) -> int:
         """How many connections may be taken in this turn: where there is no room, one that is made."""
         free = self.quotas.client_connections - len(self.sessions)
-        return min(self.limits.accepts_per_turn, free) if free > 0 else int(self.make_room())
+        return min(self.limits.accepts_per_turn, free) if free > 0 else int(self.close_one_idle())
 
     def on_accept(self, connection: socket.socket) -> None:
         limits = self.limits
-        if len(self.sessions) >= self.quotas.client_connections and not self.make_room():
+        if len(self.sessions) >= self.quotas.client_connections and not self.close_one_idle():
             self.counters.add("turned_away_connections")
             return connection.close()
         self.counters.add("client_connections")
@@ -174,21 +174,21 @@
             connection, max_buffer_size=2 * limits.max_client_frame, read_chunk_size=limits.client_read_size
         )
         stream.set_nodelay(True)
-        session = Session(self, stream)
+        session = ClientSession(self, stream)
         self.sessions.add(session)
         task = asyncio.ensure_future(self.serve(session))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def serve(self, session: Session) -> None:
+    async def serve(self, session: ClientSession) -> None:
         try:
             await session.run()
         finally:
             self.sessions.discard(session)
-            if session.waits is not None:
-                session.waits.pop(session, None)
+            if session.idle_queue is not None:
+                session.idle_queue.pop(session, None)
 
-    def make_room(self) -> bool:
+    def close_one_idle(self) -> bool:
         """Close one connection on which nothing is owed, with no search among them all.
 
         First who has sent no byte, then who has stopped inside a message: thousands that connect and say
@@ -197,17 +197,17 @@
         """
         now = self.now()
         order = (
-            (self.silent, 0.0, Session.close_unspoken),
-            (self.message_begun, 0.0, Session.close_unspoken),
-            (self.half_closed, 0.0, Session.close_parting),
-            (self.message_progressing, self.limits.recent_progress, Session.close_at_rest),
-            (self.idle, 0.0, Session.close_at_rest),
-            (self.message_progressing, 0.0, Session.close_at_rest),
+            (self.silent, 0.0, ClientSession.close_without_message),
+            (self.message_begun, 0.0, ClientSession.close_without_message),
+            (self.lingering, 0.0, ClientSession.close_lingering),
+            (self.message_progressing, self.limits.recent_progress, ClientSession.close_at_rest),
+            (self.idle, 0.0, ClientSession.close_at_rest),
+            (self.message_progressing, 0.0, ClientSession.close_at_rest),
         )
         for waiting, least, close in order:
             # Whose request has come and is not read yet is passed over; a few are asked, not all.
-            for longest in list(islice(waiting, CANDIDATES)):
-                if now - longest.used < least:
+            for longest in list(islice(waiting, MAX_CANDIDATES)):
+                if now - longest.last_used_at < least:
                     break
                 if close(longest):
                     del waiting[longest]
@@ -224,17 +224,17 @@
         """
         now, limits = self.now(), self.limits
         for session in list(self.sessions):
-            if session.held:
-                session.make()
-            since = session.half
-            if since is None and not session.spoken:
-                since = session.began
-            if session.unsent and now - session.moved > limits.client_stall_timeout:
+            if session.is_backpressured:
+                session.submit_waiting()
+            since = session.partial_since
+            if since is None and not session.has_sent_message:
+                since = session.connected_at
+            if session.unsent_bytes and now - session.last_taken_at > limits.client_stall_timeout:
                 self.counters.add("slow_readers")
                 session.stream.close()
             elif since is not None and now - since > limits.client_silence_timeout:
                 if session.at_rest():
                     self.counters.add("silent_clients")
                     session.end()  # the rest of its message may come yet
-            elif now - session.used > limits.client_idle_timeout and session.close_at_rest():
+            elif now - session.last_used_at > limits.client_idle_timeout and session.close_at_rest():
                 self.counters.add("closed_idle_clients")
--- a/paddlequay/net/console.py
+++ b/paddlequay/net/console.py
@@ -101,7 +101,7 @@
             stream.close()
 
     async def call(self, stream: IOStream) -> None:
-        reader = wire.Reader(self.limits.max_console_head, self.limits.max_console_body)
+        reader = wire.ConsoleCallParser(self.limits.max_console_head, self.limits.max_console_body)
         call, allow = None, ""
         try:
             async with asyncio.timeout(self.limits.console_read_timeout):
@@ -112,19 +112,19 @@
         except TimeoutError:
             self.counters.add("console_half_calls")
             status, why = 408, f"no whole call within {self.limits.console_read_timeout:g} s"
-        except wire.MalformedError as error:
+        except wire.ConsoleProtocolError as error:
             status, why = 400, str(error)
         self.incomplete_calls.pop(stream, None)
         self.counters.add(f"console.{status}")
         head_only = call is not None and call.method == "HEAD"
-        await stream.write(wire.answer(status, why, allow, head_only))
+        await stream.write(wire.format_answer(status, why, allow, head_only))
         # What the caller still sends would make the close a reset, which can overtake the answer.
         stream.socket.shutdown(socket.SHUT_WR)
         async with asyncio.timeout(self.limits.console_linger):
             for _ in range(16):
                 await stream.read_bytes(self.limits.read_size, partial=True)
 
-    async def answer(self, call: wire.Call) -> tuple[int, str, str]:
+    async def answer(self, call: wire.ConsoleCall) -> tuple[int, str, str]:
         """The status, why, and the methods that are allowed where this one is not."""
         match call.path:
             case ("-", page) if page == "ready" or page in self.pages:
--- a/paddlequay/net/bulletin.py
+++ b/paddlequay/net/endpoint_watch.py
@@ -7,84 +7,92 @@
 
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
-from paddlequay.net.caches import Pool
-from paddlequay.net.lines import Line, LineFollower
+from paddlequay.net.caches import ConnectionPool
+from paddlequay.net.watch_client import EventParser, WatchClient
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
-from paddlequay.protocol import bulletin as wire
-from paddlequay.protocol.bulletin import Heartbeat, Listed, Recall, Roster, Unusable
+from paddlequay.protocol import endpoint_watch as wire
+from paddlequay.protocol.endpoint_watch import (
+    Endpoint,
+    EndpointList,
+    PurgeEvent,
+    UnusableLine,
+    WatchHeartbeat,
+)
 from paddlequay.requests.exchange import Exchange
 from paddlequay.routing.interface import MemberState
 
 LOGGER = logging.getLogger(__name__)
 
 
-class Follower(LineFollower[Roster | Recall]):
+class EndpointWatch(WatchClient[EndpointList | PurgeEvent]):
     """Keeps exchange and pool up to date with the bulletin."""
 
     gapless = True
 
     def __init__(
-        self, address: Address, exchange: Exchange, pool: Pool, limits: Limits, counters: Counters
+        self, address: Address, exchange: Exchange, pool: ConnectionPool, limits: Limits, counters: Counters
     ) -> None:
         super().__init__(address, limits, counters, "bulletin")
         self.exchange, self.pool = exchange, pool
-        self.on_roster: Callable[[Roster], None] = self.direct
+        self.on_endpoint_list: Callable[[EndpointList], None] = self.apply_endpoint_list
         self.on_alive: Callable[[], None] = lambda: None
 
-    def reader(self) -> Line[Roster | Recall | Heartbeat | Unusable]:
-        return wire.Reader(self.limits.max_bulletin_line)
+    def make_parser(self) -> EventParser[EndpointList | PurgeEvent | WatchHeartbeat | UnusableLine]:
+        return wire.WatchEventParser(self.limits.max_bulletin_line)
 
     def start_from(self, known: Mapping[str, Any]) -> None:
         """The events that stand in the configuration; MalformedError where these cannot be used."""
         number = known.get("no", 0)
         if not wire.is_number(number):
-            raise wire.MalformedError(f"no: expected a number, got {str(number)[:40]!r}")
+            raise wire.EndpointWatchError(f"no: expected a number, got {str(number)[:40]!r}")
         for item in known["items"]:
-            news = wire.read_news(item)
-            if not isinstance(news, Heartbeat) and news.number > self.last:
-                self.take(news)
-                self.last = news.number
-        self.last = max(self.last, number)
+            news = wire.parse_event(item)
+            if not isinstance(news, WatchHeartbeat) and news.number > self.last_number:
+                self.apply_event(news)
+                self.last_number = news.number
+        self.last_number = max(self.last_number, number)
 
     def heartbeat(self, number: int) -> None:
         self.on_alive()
 
-    def take(self, event: Roster | Recall) -> None:
-        if isinstance(event, Recall):
-            self.exchange.record_purge(event.key, event.group, event.issued)
+    def apply_event(self, event: EndpointList | PurgeEvent) -> None:
+        if isinstance(event, PurgeEvent):
+            self.exchange.record_purge(event.key, event.group, event.issued_at)
             self.counters.add("purges")
             return
-        if event.unusable:
+        if event.unusable_count:
             if self.counters.add_once("unusable_entries"):
-                log.event(LOGGER, logging.WARNING, "unusable_entry", number=event.number, why=event.why)
-            self.counters.add("unusable_entries", event.unusable - 1)
-        self.on_roster(event)
+                log.event(
+                    LOGGER, logging.WARNING, "unusable_entry", number=event.number, why=event.unusable_reason
+                )
+            self.counters.add("unusable_entries", event.unusable_count - 1)
+        self.on_endpoint_list(event)
         self.counters.add("rosters")
 
-    def direct(self, item: Roster) -> None:
+    def apply_endpoint_list(self, item: EndpointList) -> None:
         """The list alone tells the members. The pool first: a decision that follows may send to whom it
         names."""
-        listed = (*item.listed, *self.drained(item.drained))
-        self.pool.list_changed(listed, item.full)
+        listed = (*item.endpoints, *self.as_draining(item.draining_ids))
+        self.pool.update_endpoints(listed, item.full)
         self.exchange.update_members(tuple(entry.member for entry in listed), item.full)
 
-    def pass_over(self, event: Roster | Recall) -> None:
-        if isinstance(event, Roster):
-            listed = [*event.listed, *self.drained(event.drained)]
-            if self.on_roster != self.direct:  # who comes is for the membership to say
+    def skip_event(self, event: EndpointList | PurgeEvent) -> None:
+        if isinstance(event, EndpointList):
+            listed = [*event.endpoints, *self.as_draining(event.draining_ids)]
+            if self.on_endpoint_list != self.apply_endpoint_list:  # who comes is for the membership to say
                 listed = [entry for entry in listed if entry.member.state is not MemberState.READY]
-            one_by_one(self.pool, self.exchange, listed)
+            apply_one_by_one(self.pool, self.exchange, listed)
 
-    def drained(self, names: Iterable[str]) -> Iterable[Listed]:
+    def as_draining(self, names: Iterable[str]) -> Iterable[Endpoint]:
         """Members as they are known, but out of service."""
         for name in names:
             member, instance = self.exchange.members.get(name), self.pool.instances.get(name)
             if member is not None and instance is not None:
-                yield Listed(replace(member, state=MemberState.DRAINING), instance.address)
+                yield Endpoint(replace(member, state=MemberState.DRAINING), instance.address)
 
 
-def one_by_one(pool: Pool, exchange: Exchange, listed: Iterable[Listed]) -> set[str]:
+def apply_one_by_one(pool: ConnectionPool, exchange: Exchange, listed: Iterable[Endpoint]) -> set[str]:
     """Put in force what can be, after a whole list failed; the names of those that failed again.
 
     A drain or an end binds what is decided and written even where the pool cannot follow it.
@@ -92,7 +100,7 @@
     failed = set()
     for entry in listed:
         try:
-            pool.list_changed((entry,), False)
+            pool.update_endpoints((entry,), False)
         except Exception:
             failed.add(entry.member.name)
             if entry.member.state is MemberState.READY:
--- a/paddlequay/net/feed.py
+++ b/paddlequay/net/feed.py
@@ -6,18 +6,19 @@
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
 from paddlequay.hierarchy.shape import Shape, ShapeLimits, Shaper, Took
-from paddlequay.net.lines import PAUSE, Line, LineFollower
+from paddlequay.net.watch_client import RETRY_PAUSE_S, EventParser, WatchClient
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
-from paddlequay.protocol import bulletin, feed
-from paddlequay.protocol.bulletin import Heartbeat, Unusable
+from paddlequay.protocol import endpoint_watch as bulletin
+from paddlequay.protocol import feed
+from paddlequay.protocol.endpoint_watch import UnusableLine, WatchHeartbeat
 
 LOGGER = logging.getLogger(__name__)
 
 WHOLE_PAUSE = 5.0  # the feed is asked for everything at most this often
 
 
-class Feed(LineFollower[feed.Shaped | bulletin.Roster | bulletin.Recall]):
+class Feed(WatchClient[feed.Shaped | bulletin.EndpointList | bulletin.PurgeEvent]):
     """Keeps a node's shape up to date, and tells it of purges."""
 
     def __init__(
@@ -32,7 +33,7 @@
         super().__init__(address, limits, counters, "feed")
         self.shaper, self.shape_limits, self.now = shaper, shape_limits, now
         self.on_shape: Callable[[Shape], None] = lambda _: None
-        self.on_purge: Callable[[bulletin.Recall], None] = lambda _: None
+        self.on_purge: Callable[[bulletin.PurgeEvent], None] = lambda _: None
         self.whole_at = -WHOLE_PAUSE
         # What a feed tells from its beginning, until all of it has come: beside the shape that stands.
         self.beside: Shaper | None = None
@@ -45,32 +46,38 @@
         this one was set up anew: the feed's word holds. Taken one by one its old shapes would be acted on in
         turn, and those lower than the one kept be passed over: a tier then held on to addresses long gone.
         """
-        self.last = 0
+        self.last_number = 0
         self.asks = False
         self.beside = Shaper(self.shape_limits) if self.shaper.shape.version else None
 
-    def reader(self) -> Line[feed.Shaped | bulletin.Roster | bulletin.Recall | Heartbeat | Unusable]:
+    def make_parser(
+        self,
+    ) -> EventParser[
+        feed.Shaped | bulletin.EndpointList | bulletin.PurgeEvent | WatchHeartbeat | UnusableLine
+    ]:
         return feed.Reader(self.limits.max_bulletin_line, self.shape_limits)
 
-    def apply(self, news: feed.Shaped | bulletin.Roster | bulletin.Recall | Heartbeat | Unusable) -> None:
+    def handle(
+        self, news: feed.Shaped | bulletin.EndpointList | bulletin.PurgeEvent | WatchHeartbeat | UnusableLine
+    ) -> None:
         """Take in one line's news. A feed whose numbers go back has begun anew: asked for everything."""
-        if isinstance(news, Heartbeat) and news.number < self.last:
+        if isinstance(news, WatchHeartbeat) and news.number < self.last_number:
             self.counters.add("feed_went_back")
-            log.event(LOGGER, logging.WARNING, "feed_went_back", had=self.last, tells=news.number)
+            log.event(LOGGER, logging.WARNING, "feed_went_back", had=self.last_number, tells=news.number)
             self.asks = True
         else:
-            super().apply(news)
+            super().handle(news)
         if self.asks:
             self.begin_anew()
-            self.anew(PAUSE)
+            self.restart(RETRY_PAUSE_S)
 
     def heartbeat(self, number: int) -> None:
         self.adopt()
 
-    def take(self, event: feed.Shaped | bulletin.Roster | bulletin.Recall) -> None:
+    def apply_event(self, event: feed.Shaped | bulletin.EndpointList | bulletin.PurgeEvent) -> None:
         if isinstance(event, feed.Shaped):
             self.shaped(event)
-        elif isinstance(event, bulletin.Recall):
+        elif isinstance(event, bulletin.PurgeEvent):
             self.counters.add("purges")
             self.on_purge(event)
 
--- a/paddlequay/net/hot_restart.py
+++ b/paddlequay/net/hot_restart.py
@@ -38,7 +38,7 @@
         self.successor_ready = self.has_state = False
         self.awaiting_confirmation: dict[int, asyncio.Future[bool]] = {}
 
-    def send(self, message: wire.Message) -> None:
+    def send(self, message: wire.LinkMessage) -> None:
         if not self.stream.closed():
             # Its failure shows in `run`, which reads the same stream.
             self.stream.write(wire.pack(message)).add_done_callback(lambda done: done.exception())
@@ -69,7 +69,7 @@
                     self.handle(message)
         except StreamClosedError:
             pass
-        except wire.MalformedError as error:
+        except wire.LinkProtocolError as error:
             log.event(LOGGER, logging.WARNING, "bad_link_line", why=str(error))
         except Exception:
             # The link ends, and what follows its end is done: else it would count as open for good.
@@ -82,7 +82,7 @@
                 if not done.done():
                     done.set_result(True)
 
-    def handle(self, message: wire.Message) -> None:
+    def handle(self, message: wire.LinkMessage) -> None:
         operation = self.owner.operator_state
         match message:
             case wire.StateMessage():
--- a/paddlequay/net/members.py
+++ b/paddlequay/net/members.py
@@ -14,12 +14,12 @@
 from paddlequay.discovery.srv import Follower as ServiceFollower
 from paddlequay.errors import RecordError
 from paddlequay.lifecycle.background import TaskSupervisor
-from paddlequay.net.bulletin import Follower, one_by_one
-from paddlequay.net.caches import Pool
+from paddlequay.net.caches import ConnectionPool
 from paddlequay.net.dns import Driver
+from paddlequay.net.endpoint_watch import EndpointWatch, apply_one_by_one
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
-from paddlequay.protocol.bulletin import Listed, Roster
+from paddlequay.protocol.endpoint_watch import Endpoint, EndpointList
 from paddlequay.requests.exchange import Exchange
 from paddlequay.routing.interface import Member, MemberState
 from paddlequay.schema.sources import DiscoverySettings
@@ -40,9 +40,9 @@
     def __init__(
         self,
         settings: DiscoverySettings,
-        follower: Follower,
+        follower: EndpointWatch,
         exchange: Exchange,
-        pool: Pool,
+        pool: ConnectionPool,
         counters: Counters,
         name: str,
     ) -> None:
@@ -59,7 +59,7 @@
         self.saved_at = self.reported = 0.0
         self.background = TaskSupervisor(counters)
         self.set_up()
-        follower.on_roster = self.roster
+        follower.on_endpoint_list = self.roster
         follower.on_alive = self.alive
         self.recover()
 
@@ -110,12 +110,14 @@
             named = [box for box in boxes if box.id in words]
             self.apply(self.membership.report(source, named, False, now))
 
-    def roster(self, item: Roster) -> None:
+    def roster(self, item: EndpointList) -> None:
         if not self.has("list"):
             return
         words = self.membership.sources["list"].words
-        drained = [replace(words[id].box, state=MemberState.DRAINING) for id in item.drained if id in words]
-        self.report("list", [*map(box_of, item.listed), *drained], item.full)
+        drained = [
+            replace(words[id].box, state=MemberState.DRAINING) for id in item.draining_ids if id in words
+        ]
+        self.report("list", [*map(box_of, item.endpoints), *drained], item.full)
 
     def alive(self) -> None:
         if self.has("list"):
@@ -189,12 +191,12 @@
         changes, self.untold = list(self.untold.values()), {}
         listed = tuple(map(listed_of, changes))
         try:
-            self.pool.list_changed(listed, False)
+            self.pool.update_endpoints(listed, False)
             self.exchange.update_members(tuple(entry.member for entry in listed), False)
         except Exception:
             if self.counters.add_once("members_errors"):
                 LOGGER.exception("members_failed")
-            failed = one_by_one(self.pool, self.exchange, listed)
+            failed = apply_one_by_one(self.pool, self.exchange, listed)
             self.untold = {change.box.id: change for change in changes if change.box.id in failed}
             changes = [change for change in changes if change.box.id not in failed]
         for change in changes:
@@ -312,7 +314,7 @@
     return replace(box, state=MemberState.REMOVED)
 
 
-def box_of(listed: Listed) -> Box:
+def box_of(listed: Endpoint) -> Box:
     member = listed.member
     return Box(
         member.name,
@@ -326,8 +328,8 @@
     )
 
 
-def listed_of(change: Change) -> Listed:
+def listed_of(change: Change) -> Endpoint:
     box = change.box
-    return Listed(
+    return Endpoint(
         Member(box.id, box.zone, box.kind, box.cell, box.state, box.weight, box.started or 0.0), box.address
     )
--- a/paddlequay/net/unread.py
+++ b/paddlequay/net/socket_state.py
@@ -3,10 +3,10 @@
 import select
 import socket
 
-ENDED = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
+END_EVENTS = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 
 
-def unread(connection: socket.socket, most: int) -> bytes | None:
+def peek_unread(connection: socket.socket, most: int) -> bytes | None:
     """The first `most` bytes that are not read; None once the other end has closed, or the connection broke.
 
     One call of the system where there are none. Bytes hide an end behind them: where there are some, a second
@@ -18,13 +18,13 @@
         return b""
     except OSError:
         return None
-    return came if came and not hung_up(connection) else None
+    return came if came and not is_hung_up(connection) else None
 
 
-def hung_up(connection: socket.socket) -> bool:
+def is_hung_up(connection: socket.socket) -> bool:
     look = select.poll()
     try:
-        look.register(connection, ENDED)
-        return any(events & ENDED for _, events in look.poll(0))
+        look.register(connection, END_EVENTS)
+        return any(events & END_EVENTS for _, events in look.poll(0))
     except OSError:
         return False
--- a/paddlequay/net/tier.py
+++ b/paddlequay/net/tier.py
@@ -16,14 +16,14 @@
 from paddlequay.hierarchy.node import Action, Answer, Claim, Fill, Got, Meet, Node, Want, Word
 from paddlequay.hierarchy.shape import NAME
 from paddlequay.hierarchy.trail import Keyring, TrailError
-from paddlequay.net.caches import Pool
+from paddlequay.net.caches import ConnectionPool
 from paddlequay.net.listener import Acceptor
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.placement.homes import key_of
 from paddlequay.protocol import serving as wire
-from paddlequay.protocol.bulletin import Listed
-from paddlequay.protocol.caches import Buffer, MalformedError
+from paddlequay.protocol.caches import Buffer, CacheProtocolError
+from paddlequay.protocol.endpoint_watch import Endpoint
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import AnswerStatus, ClientRequest, FinalAnswer
 from paddlequay.routing.interface import Member, ReplyDetail, RequestClass
@@ -90,7 +90,7 @@
                 await asyncio.sleep(0)
         except StreamClosedError:
             pass
-        except MalformedError as error:
+        except CacheProtocolError as error:
             if self.front.counters.add_once("bad_asker_lines"):
                 log.event(LOGGER, logging.WARNING, "bad_asker_line", why=str(error))
         except Exception:
@@ -174,7 +174,7 @@
         node: Node,
         climber: Climber,
         exchange: Exchange,
-        pool: Pool,
+        pool: ConnectionPool,
         keyring: Keyring,
         limits: Limits,
         counters: Counters,
@@ -357,7 +357,7 @@
         """A claimant that the shape does not name yet may be asked from now on."""
         met = Member(action.name, None, "node", None, None, 1.0, self.unix())
         self.counters.add("met")
-        self.pool.list_changed((Listed(met, action.address),), False)
+        self.pool.update_endpoints((Endpoint(met, action.address),), False)
         self.exchange.update_members((met,), False)
 
     # --- how it stands ---
--- a/paddlequay/net/lines.py
+++ b/paddlequay/net/watch_client.py
@@ -23,75 +23,84 @@
 from paddlequay.config.values import Address
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
-from paddlequay.protocol.bulletin import Heartbeat, MalformedError, Unusable, after
+from paddlequay.protocol.endpoint_watch import (
+    EndpointWatchError,
+    UnusableLine,
+    WatchHeartbeat,
+    resume_request,
+)
 
 LOGGER = logging.getLogger(__name__)
 
-SUSPECT = 1.5  # seconds without a word: a heartbeat's second, and half of one for the way and a late turn
-WATCHES = 3  # at once: one begun 1.5 s ago, or 3, may only be late
-PAUSE = 0.2  # seconds before the next watch where the last one was refused or has ended
-PAUSE_MOST = 1.0  # it doubles while the same event cannot be had, up to this
-TRIES = 3  # times that the same event is asked for anew, 1.4 s in all; then what cannot be had is passed over
-TURN = 0.005  # seconds after which a read's further events wait for the loop's next turn
+SUSPECT_AFTER_S = (
+    1.5  # seconds without a word: a heartbeat's second, and half of one for the way and a late turn
+)
+MAX_WATCHES = 3  # at once: one begun 1.5 s ago, or 3, may only be late
+RETRY_PAUSE_S = 0.2  # seconds before the next watch where the last one was refused or has ended
+MAX_RETRY_PAUSE_S = 1.0  # it doubles while the same event cannot be had, up to this
+MAX_ATTEMPTS = (
+    3  # times that the same event is asked for anew, 1.4 s in all; then what cannot be had is passed over
+)
+MAX_TURN_S = 0.005  # seconds after which a read's further events wait for the loop's next turn
 
 
-class Event(Protocol):
+class NumberedEvent(Protocol):
     """News with a number; numbers go up."""
 
     @property
     def number(self) -> int: ...
 
 
-E = TypeVar("E", bound=Event)
+E = TypeVar("E", bound=NumberedEvent)
 N = TypeVar("N", covariant=True)
 
 
-class Line(Protocol[N]):
+class EventParser(Protocol[N]):
     """Takes bytes as they come and gives what whole lines say. Raises nothing."""
 
     def feed(self, data: bytes) -> Iterator[N]: ...
 
 
-class Watch(IOStream):
+class WatchConnection(IOStream):
     """One connection. Its descriptor goes back to its follower in the very turn in which it closes: where all
     others are taken and clients wait for one, none is left a moment later."""
 
     def __init__(self, made: socket.socket, freed: Callable[[], None], now: float) -> None:
-        self.freed, self.read_at = freed, now
-        self.dropped = False  # given up by the follower: neither its news nor its end mean anything
+        self.on_closed, self.read_at = freed, now
+        self.is_dropped = False  # given up by the follower: neither its news nor its end mean anything
         super().__init__(made)
 
     def close_fd(self) -> None:
         super().close_fd()
-        self.freed()
+        self.on_closed()
 
 
-class LineFollower(Generic[E]):
+class WatchClient(Generic[E]):
     """Connects, writes `after N`, takes in what comes. `name` stands in log lines and counters."""
 
     gapless = False  # whether numbers go up by one, so that one which does not come is asked for again
 
     def __init__(self, address: Address, limits: Limits, counters: Counters, name: str) -> None:
         self.address, self.limits, self.counters, self.name = address, limits, counters, name
-        self.last = 0  # the last event that is in force, or passed over for good
-        self.away = False  # since it was last heard, and told so
-        self.stuck = 0  # watches in a row that ended as what came after `last` could not be had
-        self.watches: list[Watch] = []  # open, the latest begun last
-        self.spare: socket.socket | None = None  # for the next watch, where all descriptors are taken
-        self.due = 0.0  # when the next watch begins, by the loop's clock
-        self.woken = asyncio.Event()
-        self.current = asyncio.Event()  # all events that were out at some time since the start have come
+        self.last_number = 0  # the last event that is in force, or passed over for good
+        self.is_lost = False  # since it was last heard, and told so
+        self.failed_watches = 0  # watches in a row that ended as what came after `last` could not be had
+        self.watches: list[WatchConnection] = []  # open, the latest begun last
+        self.spare_socket: socket.socket | None = None  # for the next watch, where all descriptors are taken
+        self.next_watch_at = 0.0  # when the next watch begins, by the loop's clock
+        self.wake_up = asyncio.Event()
+        self.is_current = asyncio.Event()  # all events that were out at some time since the start have come
 
     # --- what a source of lines is ---
 
-    def reader(self) -> Line[E | Heartbeat | Unusable]:
+    def make_parser(self) -> EventParser[E | WatchHeartbeat | UnusableLine]:
         raise NotImplementedError
 
-    def take(self, event: E) -> None:
+    def apply_event(self, event: E) -> None:
         """Put an event in force. Called again for one that failed: taken twice, it comes to the same."""
         raise NotImplementedError
 
-    def pass_over(self, event: E) -> None:
+    def skip_event(self, event: E) -> None:
         """An event failed each time: what can be saved of it. Raises nothing."""
 
     def heartbeat(self, number: int) -> None:
@@ -99,178 +108,178 @@
 
     # --- connections ---
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Follow another address from now on. The numbers go on, so nothing is had anew."""
         if address != self.address:
             self.address = address
-            self.anew(0.0)  # the old one tells nothing more
+            self.restart(0.0)  # the old one tells nothing more
 
-    def anew(self, pause: float) -> None:
+    def restart(self, pause: float) -> None:
         """Drop all watches; the next one asks from the number that stands then."""
         for watch in self.watches[:]:
             self.drop(watch)
-        self.due = asyncio.get_running_loop().time() + pause
-        self.woken.set()
+        self.next_watch_at = asyncio.get_running_loop().time() + pause
+        self.wake_up.set()
 
     async def follow(self) -> None:
         """For as long as the program runs."""
         loop = asyncio.get_running_loop()
-        self.hold()
+        self.reserve_socket()
         try:
             while True:
-                wait = self.due - loop.time()
+                wait = self.next_watch_at - loop.time()
                 if wait <= 0:
-                    self.begin()
+                    self.start_watch()
                     continue
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(wait):
-                        await self.woken.wait()
-                self.woken.clear()
+                        await self.wake_up.wait()
+                self.wake_up.clear()
         finally:
             for watch in self.watches[:]:
                 self.drop(watch)
-            if self.spare is not None:
-                self.spare.close()
-                self.spare = None
-            self.due = 0.0  # followed again, it begins at once
+            if self.spare_socket is not None:
+                self.spare_socket.close()
+                self.spare_socket = None
+            self.next_watch_at = 0.0  # followed again, it begins at once
 
-    def hold(self) -> None:
+    def reserve_socket(self) -> None:
         """Have a descriptor for the next watch, if there is one."""
-        if self.spare is None:
+        if self.spare_socket is None:
             with contextlib.suppress(OSError):
-                self.spare = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+                self.spare_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
 
-    def begin(self) -> None:
+    def start_watch(self) -> None:
         """One more watch; the one that read nothing for longest makes room."""
         now = asyncio.get_running_loop().time()
-        self.due = now + SUSPECT
+        self.next_watch_at = now + SUSPECT_AFTER_S
         if self.watches:
-            self.lost("silent")
-            if len(self.watches) >= WATCHES or self.spare is None:
+            self.report_lost("silent")
+            if len(self.watches) >= MAX_WATCHES or self.spare_socket is None:
                 self.drop(min(self.watches, key=lambda watch: watch.read_at))
         try:
-            made = self.spare or socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            made = self.spare_socket or socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
-            self.due = now + PAUSE
-            return self.lost(type(error).__name__)
-        self.spare = None
-        self.hold()
-        watch = Watch(made, self.hold, now)
+            self.next_watch_at = now + RETRY_PAUSE_S
+            return self.report_lost(type(error).__name__)
+        self.spare_socket = None
+        self.reserve_socket()
+        watch = WatchConnection(made, self.reserve_socket, now)
         self.watches.append(watch)
         task = asyncio.ensure_future(self.listen(watch, self.address))
-        task.add_done_callback(functools.partial(self.ended, watch))
+        task.add_done_callback(functools.partial(self.on_watch_ended, watch))
 
-    def drop(self, watch: Watch) -> None:
-        watch.dropped = True
+    def drop(self, watch: WatchConnection) -> None:
+        watch.is_dropped = True
         self.watches.remove(watch)
         watch.close()
 
-    def lost(self, why: str) -> None:
+    def report_lost(self, why: str) -> None:
         self.counters.add(f"{self.name}_lost")
-        if not self.away:  # once: it is tried again five times a second
-            log.event(LOGGER, logging.INFO, f"{self.name}_lost", why=why, last=self.last)
-        self.away = True
+        if not self.is_lost:  # once: it is tried again five times a second
+            log.event(LOGGER, logging.INFO, f"{self.name}_lost", why=why, last=self.last_number)
+        self.is_lost = True
 
-    def ended(self, watch: Watch, task: asyncio.Task[None]) -> None:
+    def on_watch_ended(self, watch: WatchConnection, task: asyncio.Task[None]) -> None:
         """A watch is over. If no later one is under way, the next one begins after a pause."""
         watch.close()
         error = None if task.cancelled() else task.exception()
-        if watch.dropped:
+        if watch.is_dropped:
             return
         latest = watch is self.watches[-1]
         self.watches.remove(watch)
-        pause = PAUSE
+        pause = RETRY_PAUSE_S
         if isinstance(error, OSError | StreamClosedError):
-            self.lost(type(error).__name__)
+            self.report_lost(type(error).__name__)
         elif error is not None:
-            pause = min(PAUSE_MOST, PAUSE * 2**self.stuck)
-            self.stuck = min(self.stuck + 1, 2 * TRIES)
-            if not isinstance(error, MalformedError):
-                self.failed(error)
+            pause = min(MAX_RETRY_PAUSE_S, RETRY_PAUSE_S * 2**self.failed_watches)
+            self.failed_watches = min(self.failed_watches + 1, 2 * MAX_ATTEMPTS)
+            if not isinstance(error, EndpointWatchError):
+                self.report_failure(error)
             elif self.counters.add_once(f"bad_{self.name}_lines"):
                 log.event(LOGGER, logging.WARNING, f"bad_{self.name}_line", why=str(error)[:200])
         if latest:
-            self.due = asyncio.get_running_loop().time() + pause
-            self.woken.set()
+            self.next_watch_at = asyncio.get_running_loop().time() + pause
+            self.wake_up.set()
 
-    def failed(self, error: BaseException) -> None:
+    def report_failure(self, error: BaseException) -> None:
         if self.counters.add_once(f"{self.name}_errors"):
             LOGGER.error(f"{self.name}_failed", exc_info=error)
 
-    async def listen(self, watch: Watch, address: Address) -> None:
+    async def listen(self, watch: WatchConnection, address: Address) -> None:
         """One watch, until it ends or is dropped."""
         now = asyncio.get_running_loop().time
         await watch.connect(address)
-        await watch.write(after(self.last))
-        reader = self.reader()
+        await watch.write(resume_request(self.last_number))
+        reader = self.make_parser()
         while True:
             data = await watch.read_bytes(self.limits.read_size, partial=True)
             turn = watch.read_at = now()
             for news in reader.feed(data):
-                self.apply(news)
-                if watch.dropped:
+                self.handle(news)
+                if watch.is_dropped:
                     return
-                if not isinstance(news, Unusable) or news.number is not None:
-                    self.told(watch)
-                if now() - turn > TURN:
+                if not isinstance(news, UnusableLine) or news.number is not None:
+                    self.keep_only(watch)
+                if now() - turn > MAX_TURN_S:
                     await asyncio.sleep(0)
                     turn = now()
-                    if watch.dropped:
+                    if watch.is_dropped:
                         return
             await asyncio.sleep(0)
 
-    def told(self, watch: Watch) -> None:
+    def keep_only(self, watch: WatchConnection) -> None:
         """A whole heartbeat or event came: this watch is kept, and it alone."""
-        self.due = asyncio.get_running_loop().time() + SUSPECT
+        self.next_watch_at = asyncio.get_running_loop().time() + SUSPECT_AFTER_S
         for other in self.watches[:]:
             if other is not watch:
                 self.drop(other)
-        if self.away:
-            self.away = False
-            log.event(LOGGER, logging.INFO, f"{self.name}_heard", last=self.last)
+        if self.is_lost:
+            self.is_lost = False
+            log.event(LOGGER, logging.INFO, f"{self.name}_heard", last=self.last_number)
 
     # --- news ---
 
-    def apply(self, news: E | Heartbeat | Unusable) -> None:
+    def handle(self, news: E | WatchHeartbeat | UnusableLine) -> None:
         """Take in one line's news; what has been had already is passed over.
 
         An event counts as had once it is in force. MalformedError: something is missing, cannot be read or
         cannot be put in force, and is to be asked for anew. It is asked for `TRIES` times, then passed over,
         so that what stands behind it is not lost with it.
         """
-        if isinstance(news, Heartbeat):
-            if news.number > self.last:
-                raise MalformedError(f"{news.number} events are out, {self.last} came")
+        if isinstance(news, WatchHeartbeat):
+            if news.number > self.last_number:
+                raise EndpointWatchError(f"{news.number} events are out, {self.last_number} came")
             self.heartbeat(news.number)
-            self.stuck = 0
-            self.current.set()
+            self.failed_watches = 0
+            self.is_current.set()
         elif news.number is None:
-            if self.stuck < TRIES:
-                raise MalformedError(getattr(news, "why", ""))
+            if self.failed_watches < MAX_ATTEMPTS:
+                raise EndpointWatchError(getattr(news, "reason", ""))
             self.counters.add(f"{self.name}_passed_over")
-        elif news.number > self.last:
-            self.next(news, news.number)
+        elif news.number > self.last_number:
+            self.handle_new(news, news.number)
 
-    def next(self, news: E | Unusable, number: int) -> None:
+    def handle_new(self, news: E | UnusableLine, number: int) -> None:
         """An event that was not had."""
-        if self.gapless and number > self.last + 1:
-            if self.stuck < TRIES:
-                raise MalformedError(f"{number} came after {self.last}")
+        if self.gapless and number > self.last_number + 1:
+            if self.failed_watches < MAX_ATTEMPTS:
+                raise EndpointWatchError(f"{number} came after {self.last_number}")
             # Told so by each of the last connections: these numbers do not exist, nor perhaps others.
             self.gapless = False
-            log.event(LOGGER, logging.WARNING, f"{self.name}_gap", last=self.last, next=number)
-        if isinstance(news, Unusable):
+            log.event(LOGGER, logging.WARNING, f"{self.name}_gap", last=self.last_number, next=number)
+        if isinstance(news, UnusableLine):
             # It was read whole, and another connection would bring the same.
             if self.counters.add_once(f"{self.name}_unusable"):
-                log.event(LOGGER, logging.WARNING, f"{self.name}_unusable", number=number, why=news.why)
+                log.event(LOGGER, logging.WARNING, f"{self.name}_unusable", number=number, why=news.reason)
         else:
             try:
-                self.take(news)
+                self.apply_event(news)
             except Exception as error:
-                self.failed(error)
-                if self.stuck < TRIES:
-                    raise MalformedError(f"{number} failed: {type(error).__name__}") from None
+                self.report_failure(error)
+                if self.failed_watches < MAX_ATTEMPTS:
+                    raise EndpointWatchError(f"{number} failed: {type(error).__name__}") from None
                 if self.counters.add_once(f"{self.name}_passed_over"):
                     log.event(LOGGER, logging.ERROR, f"{self.name}_passed_over", number=number)
-                self.pass_over(news)
-        self.last, self.stuck = number, 0
+                self.skip_event(news)
+        self.last_number, self.failed_watches = number, 0
--- a/paddlequay/programs/handover.py
+++ b/paddlequay/programs/handover.py
@@ -11,9 +11,9 @@
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.background import TaskSupervisor
 from paddlequay.net import listener as listeners
-from paddlequay.net.bulletin import Follower
-from paddlequay.net.caches import Pool
+from paddlequay.net.caches import ConnectionPool
 from paddlequay.net.clients import ClientFront
+from paddlequay.net.endpoint_watch import EndpointWatch
 from paddlequay.net.hot_restart import HotRestart
 from paddlequay.observability import log
 from paddlequay.requests.exchange import Exchange
@@ -36,9 +36,9 @@
         self,
         hot_restart: HotRestart,
         exchange: Exchange,
-        pool: Pool,
+        pool: ConnectionPool,
         clients: ClientFront,
-        endpoint_watch: Follower,
+        endpoint_watch: EndpointWatch,
         limits: Limits,
         background: TaskSupervisor,
     ) -> None:
@@ -76,8 +76,8 @@
 
     async def warm_up(self) -> None:
         """Have a connection to each edge cache, and the endpoint list complete."""
-        await self.pool.warm(self.exchange.router.edge_names())
-        await self.endpoint_watch.current.wait()
+        await self.pool.warm_up(self.exchange.router.edge_names())
+        await self.endpoint_watch.is_current.wait()
 
     async def first_of(self, *work: Coroutine[Any, Any, None]) -> None:
         """Wait for the first that is done; the others are cancelled."""
@@ -104,7 +104,7 @@
         self.clients.handing_over = True
         if self.sharing is not None:
             self.sharing.give_way()
-        self.hot_restart.give_quota(QuotaInUse(len(self.clients.sessions), len(self.pool.held())))
+        self.hot_restart.give_quota(QuotaInUse(len(self.clients.sessions), len(self.pool.connections())))
 
     def update(self) -> None:
         """Decide whether clients' connections are to close, at each heartbeat.
--- a/paddlequay/programs/router.py
+++ b/paddlequay/programs/router.py
@@ -20,10 +20,10 @@
 from paddlequay.lifecycle.operator_state import OperatorState
 from paddlequay.lifecycle.overload import OverloadGuard
 from paddlequay.net import listener as listeners
-from paddlequay.net.bulletin import Follower
-from paddlequay.net.caches import Pool
+from paddlequay.net.caches import ConnectionPool
 from paddlequay.net.clients import ClientFront
 from paddlequay.net.console import Console
+from paddlequay.net.endpoint_watch import EndpointWatch
 from paddlequay.net.hot_restart import HotRestart
 from paddlequay.net.scheduler import LoopScheduler
 from paddlequay.observability import log
@@ -31,7 +31,7 @@
 from paddlequay.policy import Router
 from paddlequay.programs.handover import Handover
 from paddlequay.programs.shutdown import shut_down
-from paddlequay.protocol import bulletin
+from paddlequay.protocol import endpoint_watch as bulletin
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.quotas import ProcessQuotas
 
@@ -61,8 +61,8 @@
         router = Router(config.settings, config.seed)
         scheduler = LoopScheduler(asyncio.get_running_loop())
         self.exchange = exchange = Exchange(router, operator_state, quotas, limits, scheduler, counters)
-        self.pool = Pool(exchange, quotas, limits, counters)
-        self.endpoint_watch = Follower(config.bulletin, exchange, self.pool, limits, counters)
+        self.pool = ConnectionPool(exchange, quotas, limits, counters)
+        self.endpoint_watch = EndpointWatch(config.bulletin, exchange, self.pool, limits, counters)
         self.overload = OverloadGuard(limits, config.seed)
         self.clients = ClientFront(exchange, operator_state, quotas, limits, counters, self.overload)
         self.hot_restart = HotRestart(config.file("sock"), operator_state, quotas, limits, counters)
@@ -74,7 +74,7 @@
         self.sharing = self.handover.sharing = self.make_sharing()
         try:
             self.endpoint_watch.start_from(config.known)
-        except bulletin.MalformedError as error:
+        except bulletin.EndpointWatchError as error:
             raise ConfigError(f"known: {error}") from None
         self.listener = self.bind("listen", config.listen)
         if config.console is not None:
@@ -164,7 +164,7 @@
             self.counters.add("reloads_refused")
             return log.event(LOGGER, logging.WARNING, "reload_refused", why=str(error))
         self.counters.add("reloads")
-        self.endpoint_watch.move(config.bulletin)
+        self.endpoint_watch.change_address(config.bulletin)
         host, port = config.bulletin
         log.event(LOGGER, logging.INFO, "reloaded", bulletin=f"{host}:{port}")
 
@@ -187,7 +187,7 @@
                 self.handover.yield_to_successor()
             # After a late heartbeat, what has come is not read yet: no cache is taken for unresponsive then.
             if self.overload.sample(time.monotonic(), time.process_time()):
-                self.pool.watch()
+                self.pool.close_unresponsive()
             await asyncio.sleep(self.limits.heartbeat_interval)
 
     async def run_until_stop(self, work: Coroutine[Any, Any, None]) -> bool:
--- a/paddlequay/programs/tier.py
+++ b/paddlequay/programs/tier.py
@@ -20,15 +20,15 @@
 from paddlequay.hierarchy.trail import Keyring
 from paddlequay.lifecycle.operator_state import EJECTED_PREFIX, OperatorState, Override
 from paddlequay.net import listener as listeners
-from paddlequay.net.caches import Pool
+from paddlequay.net.caches import ConnectionPool
 from paddlequay.net.console import Console
 from paddlequay.net.feed import Feed
 from paddlequay.net.scheduler import LoopScheduler
 from paddlequay.net.tier import TierFront
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
-from paddlequay.protocol import bulletin
-from paddlequay.protocol.bulletin import Listed
+from paddlequay.protocol import endpoint_watch as bulletin
+from paddlequay.protocol.endpoint_watch import Endpoint
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.quotas import ProcessQuotas
 from paddlequay.routing.interface import RoutingSettings
@@ -100,7 +100,7 @@
         self.exchange = Exchange(
             self.climber, self.operation, shares, self.limits, self.scheduler, self.counters
         )
-        self.pool = Pool(self.exchange, shares, self.limits, self.counters)
+        self.pool = ConnectionPool(self.exchange, shares, self.limits, self.counters)
         self.front = TierFront(
             self.node,
             self.climber,
@@ -150,18 +150,18 @@
         """The pool first: a decision that follows from the news may send to whom it names."""
         self.node.follow(shape, self.scheduler.unix())
         names = list(members_of(shape, self.node.name, self.node.group))
-        listed = tuple(Listed(member(shape, name), shape.nodes[name].address) for name in names)
-        self.pool.list_changed(listed, True)
+        listed = tuple(Endpoint(member(shape, name), shape.nodes[name].address) for name in names)
+        self.pool.update_endpoints(listed, True)
         self.exchange.update_members(tuple(entry.member for entry in listed), True)
         known = self.node.name in shape.nodes
         if not known:
             log.event(LOGGER, logging.WARNING, "not_in_the_shape", version=shape.version)
         self.front.waiting_for = ""
 
-    def purged(self, item: bulletin.Recall) -> None:
+    def purged(self, item: bulletin.PurgeEvent) -> None:
         name = None if item.key is None else f"{item.key:016x}"
-        self.node.purged(name, item.group, item.issued, self.scheduler.unix())
-        self.exchange.record_purge(item.key, item.group, item.issued)
+        self.node.purged(name, item.group, item.issued_at, self.scheduler.unix())
+        self.exchange.record_purge(item.key, item.group, item.issued_at)
 
     def ordered(self, name: str) -> None:
         """Operators leave a node out, or put it back: no fill asks it, and no home is looked for there."""
@@ -217,7 +217,7 @@
             return log.event(LOGGER, logging.WARNING, "reload_refused", why=str(error))
         self.counters.add("reloads")
         self.front.keyring = Keyring(settings.keys)
-        self.feed.move(settings.feed)
+        self.feed.change_address(settings.feed)
         host, port = settings.feed
         keys = ",".join(key.id for key in settings.keys)
         log.event(LOGGER, logging.INFO, "reloaded", feed=f"{host}:{port}", keys=keys)
@@ -277,7 +277,7 @@
             late = now[0] - before[0] > self.limits.heartbeat_interval + self.limits.max_heartbeat_delay
             before = now
             if not late:
-                self.pool.watch()
+                self.pool.close_unresponsive()
 
     async def sweeping(self) -> None:
         while True:
--- a/paddlequay/protocol/caches.py
+++ b/paddlequay/protocol/caches.py
@@ -6,113 +6,113 @@
 Buffer = bytes | bytearray | memoryview
 
 
-class MalformedError(ValueError):
+class CacheProtocolError(ValueError):
     """A line that is no answer: what follows on this connection cannot be told apart any more."""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class CacheAnswer:
     """One answer: its id, its word, its fields and its bytes."""
 
     id: str
-    word: str
+    status: str
     fields: Mapping[str, str]
     body: Buffer
 
 
-def fields_text(fields: Mapping[str, str]) -> str:
+def format_fields(fields: Mapping[str, str]) -> str:
     return ",".join(f"{name}={value}" for name, value in fields.items()) or "-"
 
 
-def ask(id: str, fields: Mapping[str, str], length: int) -> bytes:
+def request_line(id: str, fields: Mapping[str, str], length: int) -> bytes:
     """The line before the body; CR LF follows the body."""
-    return f"ASK {id} {fields_text(fields)} {length}\r\n".encode()
+    return f"ASK {id} {format_fields(fields)} {length}\r\n".encode()
 
 
-def quit_(id: str) -> bytes:
+def cancel_line(id: str) -> bytes:
     return f"QUIT {id}\r\n".encode()
 
 
-def read_fields(text: str) -> dict[str, str]:
+def parse_fields(text: str) -> dict[str, str]:
     if text == "-":
         return {}
     fields = {}
     for pair in text.split(","):
         name, equals, value = pair.partition("=")
         if not (name and equals):
-            raise MalformedError(f"expected name=value, got {pair[:60]!r}")
+            raise CacheProtocolError(f"expected name=value, got {pair[:60]!r}")
         fields[name] = value
     return fields
 
 
-class Reader:
+class CacheAnswerParser:
     """Takes bytes as they come and gives whole answers; a body is copied once, to where it stays."""
 
     def __init__(self, most_line: int, most_body: int) -> None:
-        self.most_line, self.most_body = most_line, most_body
+        self.max_line, self.max_body = most_line, most_body
         self.line = bytearray()
         self.head: tuple[str, str, dict[str, str]] | None = None
         self.body = bytearray()
         self.filled = 0
-        self.ending = 0
+        self.trailer_read = 0
 
     @property
-    def begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Whether an answer, or its line, has begun and is not whole."""
         return self.head is not None or bool(self.line)
 
     @property
-    def share(self) -> float:
+    def progress(self) -> float:
         """How much has come of the answer that has begun, 0 to 1; 0 while its length is not told yet."""
-        return 0.0 if self.head is None else (self.filled + self.ending) / (len(self.body) + 2)
+        return 0.0 if self.head is None else (self.filled + self.trailer_read) / (len(self.body) + 2)
 
     @property
-    def answering(self) -> str | None:
+    def current_id(self) -> str | None:
         """The id of the answer that has begun, once its line is whole."""
         return None if self.head is None else self.head[0]
 
-    def feed(self, data: bytes) -> Iterator[Answer]:
+    def feed(self, data: bytes) -> Iterator[CacheAnswer]:
         view = memoryview(data)
         at = 0
         while at < len(view):
             if self.head is None:
-                at = self.take_line(data, at)
+                at = self.read_line(data, at)
             elif self.filled < len(self.body):
                 count = min(len(self.body) - self.filled, len(view) - at)
                 self.body[self.filled : self.filled + count] = view[at : at + count]
                 self.filled += count
                 at += count
             else:
-                if data[at] != b"\r\n"[self.ending]:
-                    raise MalformedError("expected CR LF after a body")
-                self.ending += 1
+                if data[at] != b"\r\n"[self.trailer_read]:
+                    raise CacheProtocolError("expected CR LF after a body")
+                self.trailer_read += 1
                 at += 1
-            if self.head is not None and self.filled == len(self.body) and self.ending == 2:
-                yield self.whole()
+            if self.head is not None and self.filled == len(self.body) and self.trailer_read == 2:
+                yield self.finish_answer()
 
-    def take_line(self, data: bytes, at: int) -> int:
+    def read_line(self, data: bytes, at: int) -> int:
         end = data.find(b"\n", at)
         self.line += data[at : end + 1 if end >= 0 else len(data)]
-        if len(self.line) > self.most_line:
-            raise MalformedError("a line is longer than allowed")
+        if len(self.line) > self.max_line:
+            raise CacheProtocolError("a line is longer than allowed")
         if end < 0:
             return len(data)
         try:
             words = self.line.decode("ascii").split()
         except UnicodeDecodeError:
-            raise MalformedError("a line is not ASCII") from None
+            raise CacheProtocolError("a line is not ASCII") from None
         if not self.line.endswith(b"\r\n") or len(words) != 4 or not words[3].isdigit():
-            raise MalformedError(f"expected ID WORD FIELDS LENGTH, got {bytes(self.line[:80])!r}")
+            raise CacheProtocolError(f"expected ID WORD FIELDS LENGTH, got {bytes(self.line[:80])!r}")
         length = int(words[3])
-        if length > self.most_body:
-            raise MalformedError(f"a body of {length} bytes")
-        self.head = (words[0], words[1], read_fields(words[2]))
-        self.body, self.filled, self.ending = bytearray(length), 0, 0
+        if length > self.max_body:
+            raise CacheProtocolError(f"a body of {length} bytes")
+        self.head = (words[0], words[1], parse_fields(words[2]))
+        self.body, self.filled, self.trailer_read = bytearray(length), 0, 0
         self.line.clear()
         return end + 1
 
-    def whole(self) -> Answer:
+    def finish_answer(self) -> CacheAnswer:
         assert self.head is not None
-        answer = Answer(*self.head, self.body)
+        answer = CacheAnswer(*self.head, self.body)
         self.head, self.body = None, bytearray()
         return answer
--- a/paddlequay/protocol/clients.py
+++ b/paddlequay/protocol/clients.py
@@ -6,15 +6,15 @@
 from typing import Any
 
 from paddlequay.protocol import msgpack
-from paddlequay.protocol.msgpack import Buffer, IncompleteError, MalformedError
+from paddlequay.protocol.msgpack import Buffer, IncompleteMessageError, MalformedMessageError
 
 REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
-REFUSED, FAILED = "TryLater", "Aborted"
+REJECTED, FAILED = "TryLater", "Aborted"
 CANCEL = b"cancelRequest"  # in whatever takes a request back
 
 
 @dataclass(slots=True)
-class Call:
+class ClientCall:
     """A request as it stands on the wire; whether its fields can be used is for the front to say."""
 
     number: int
@@ -24,54 +24,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Alive:
+class ReadinessQuery:
     """The front's question whether this router takes requests."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Withdrawn:
+class CallsCancelled:
     """The client no longer waits for these."""
 
     numbers: tuple[int, ...]
 
 
-Message = Call | Alive | Withdrawn
+ClientMessage = ClientCall | ReadinessQuery | CallsCancelled
 
 
-class Reader:
+class ClientMessageParser:
     """Takes bytes as they come and gives whole messages; raises `MalformedError` on what is none."""
 
     def __init__(self, most: int) -> None:
-        self.most = most
-        self.rest = b""  # of a message that is not whole yet
+        self.max_message = most
+        self.partial = b""  # of a message that is not whole yet
 
-    def feed(self, data: bytes) -> Iterator[Message]:
-        data = self.rest + data if self.rest else data
-        self.rest = b""
+    def feed(self, data: bytes) -> Iterator[ClientMessage]:
+        data = self.partial + data if self.partial else data
+        self.partial = b""
         at = 0
         try:
             while at < len(data):
-                value, at = msgpack.unpack(data, at, self.most)
-                yield message(value)
-        except IncompleteError:
-            self.rest = data[at:]
+                value, at = msgpack.unpack(data, at, self.max_message)
+                yield parse_message(value)
+        except IncompleteMessageError:
+            self.partial = data[at:]
 
     def completes(self, data: bytes) -> bool:
         """Whether `data`, which is not fed yet, makes a message whole; what can be none does not."""
         try:
-            msgpack.unpack(self.rest + data, 0, self.most)
-        except (IncompleteError, MalformedError):
+            msgpack.unpack(self.partial + data, 0, self.max_message)
+        except (IncompleteMessageError, MalformedMessageError):
             return False
         return True
 
-    def withdrawn(self, data: bytes) -> set[int]:
+    def cancelled_in(self, data: bytes) -> set[int]:
         """What `data`, which is not fed yet, takes back; what is no message ends it early."""
-        ahead, numbers = Reader(self.most), set[int]()
-        with contextlib.suppress(MalformedError):
-            for told in ahead.feed(self.rest + data):
-                if isinstance(told, Withdrawn):
+        ahead, numbers = ClientMessageParser(self.max_message), set[int]()
+        with contextlib.suppress(MalformedMessageError):
+            for told in ahead.feed(self.partial + data):
+                if isinstance(told, CallsCancelled):
                     numbers.update(told.numbers)
         return numbers
 
@@ -80,21 +80,21 @@
     return isinstance(value, int) and not isinstance(value, bool) and value >= 0
 
 
-def message(value: Any) -> Message:
+def parse_message(value: Any) -> ClientMessage:
     """One unpacked value as a message."""
     match value:
         case [0, number, "alive", [*_]] if is_number(number):
-            return Alive(number)
+            return ReadinessQuery(number)
         case [0, number, str(method), [dict(fields), bytes(body)]] if is_number(number):
-            return Call(number, method, fields, body)
+            return ClientCall(number, method, fields, body)
         case [0, number, str(method), [dict(fields)]] if is_number(number):
-            return Call(number, method, fields, b"")
+            return ClientCall(number, method, fields, b"")
         case [2, "cancelRequest", [*numbers]] if all(map(is_number, numbers)):
-            return Withdrawn(tuple(numbers))
-    raise MalformedError("not a request, nor a notification that is known")
+            return CallsCancelled(tuple(numbers))
+    raise MalformedMessageError("not a request, nor a notification that is known")
 
 
-def alive_answer(number: int, ready: bool) -> bytes:
+def readiness_answer(number: int, ready: bool) -> bytes:
     return msgpack.pack([RESPONSE, number, None, [ready, {}]])
 
 
--- a/paddlequay/protocol/bulletin.py
+++ b/paddlequay/protocol/endpoint_watch.py
@@ -13,19 +13,19 @@
     "terminating": MemberState.DRAINING,
     "terminated": MemberState.REMOVED,
 }
-NUMBER_MOST = 1 << 53  # JSON's whole numbers; one past all that follow would have these taken as had
+MAX_NUMBER = 1 << 53  # JSON's whole numbers; one past all that follow would have these taken as had
 ID = re.compile(r"[!-+\--~]{1,200}")  # it is written to caches as a field's value: no space, no comma
 ADDRESS = re.compile(r"((?:0|[1-9][0-9]{0,2})(?:\.(?:0|[1-9][0-9]{0,2})){3}):([0-9]{1,5})")
 
 T = TypeVar("T")
 
 
-class MalformedError(ValueError):
+class EndpointWatchError(ValueError):
     """A line that is neither an event nor a heartbeat, or one that cannot follow what came before."""
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class Endpoint:
     """A member with the address at which it listens."""
 
     member: Member
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Roster:
+class EndpointList:
     """News of the list, at most one entry of an id: its last.
 
     `drained`: ids that are told not to be in service by an entry that cannot be used else. `unusable`: how
@@ -42,46 +42,46 @@
 
     number: int
     full: bool
-    listed: tuple[Listed, ...]
-    drained: tuple[str, ...] = ()
-    unusable: int = 0
-    why: str = ""
+    endpoints: tuple[Endpoint, ...]
+    draining_ids: tuple[str, ...] = ()
+    unusable_count: int = 0
+    unusable_reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Recall:
+class PurgeEvent:
     """A purge of an object, or of a whole group; `issued` in Unix seconds."""
 
     number: int
-    issued: float
+    issued_at: float
     key: int | None
     group: int | None
 
 
 @dataclass(frozen=True, slots=True)
-class Heartbeat:
+class WatchHeartbeat:
     """The number of the last event there is."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Unusable:
+class UnusableLine:
     """A line that says nothing here; `number` where it is an event that can be told by its number."""
 
     number: int | None
-    why: str
+    reason: str
 
 
-News = Roster | Recall | Heartbeat
+WatchEvent = EndpointList | PurgeEvent | WatchHeartbeat
 
 
-def after(number: int) -> bytes:
+def resume_request(number: int) -> bytes:
     return f"after {number}\n".encode()
 
 
 def is_number(value: Any) -> bool:
-    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < NUMBER_MOST
+    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < MAX_NUMBER
 
 
 def number_of(item: Any) -> int | None:
@@ -90,72 +90,72 @@
     return number if is_number(number) else None
 
 
-def figure(value: Any, name: str) -> float:
+def parse_figure(value: Any, name: str) -> float:
     """A number that is neither negative nor past all that is meant (nor NaN)."""
-    if type(value) not in (int, float) or not 0 <= value < NUMBER_MOST:
-        raise MalformedError(f"{name}: expected a number, got {str(value)[:40]!r}")
+    if type(value) not in (int, float) or not 0 <= value < MAX_NUMBER:
+        raise EndpointWatchError(f"{name}: expected a number, got {str(value)[:40]!r}")
     return float(value)
 
 
-def read_id(item: Mapping[str, Any]) -> str:
+def parse_id(item: Mapping[str, Any]) -> str:
     name = item.get("instanceId")
     if not isinstance(name, str) or not ID.fullmatch(name):
-        raise MalformedError(f"instanceId: cannot be used: {str(name)[:40]!r}")
+        raise EndpointWatchError(f"instanceId: cannot be used: {str(name)[:40]!r}")
     return name
 
 
-def read_address(at: Any) -> tuple[str, int]:
+def parse_address(at: Any) -> tuple[str, int]:
     """An IPv4 address and a port. No host's name: to look one up would hold up the program."""
     match = ADDRESS.fullmatch(at) if isinstance(at, str) else None
     port = int(match[2]) if match else 0
     if match is None or not 0 < port < 65536 or any(int(part) > 255 for part in match[1].split(".")):
-        raise MalformedError(f"hostPort: expected an address and a port, got {str(at)[:60]!r}")
+        raise EndpointWatchError(f"hostPort: expected an address and a port, got {str(at)[:60]!r}")
     return match[1], port
 
 
-def read_listed(item: Any) -> Listed:
+def parse_endpoint(item: Any) -> Endpoint:
     if not isinstance(item, dict):
-        raise MalformedError(f"an entry that is no object: {str(item)[:40]}")
-    name, word = read_id(item), item.get("lifecycle")
+        raise EndpointWatchError(f"an entry that is no object: {str(item)[:40]}")
+    name, word = parse_id(item), item.get("lifecycle")
     state = STATES.get(word) if isinstance(word, str) else None
     if state is None:
-        raise MalformedError(f"lifecycle: {str(word)[:40]!r} is not known")
+        raise EndpointWatchError(f"lifecycle: {str(word)[:40]!r} is not known")
     if state is MemberState.REMOVED:
-        return Listed(Member(name=name, state=state), ("", 0))  # what has gone needs nothing else any more
+        return Endpoint(Member(name=name, state=state), ("", 0))  # what has gone needs nothing else any more
     zone, kind, cell = item.get("zone"), item.get("machineType"), item.get("cell")
     # Looked at in one line each: a list of thousands is read in one turn of the loop.
     if not ((zone is None or type(zone) is str) and (kind is None or type(kind) is str)):
-        raise MalformedError(f"zone, machineType: expected text, got {str((zone, kind))[:60]}")
+        raise EndpointWatchError(f"zone, machineType: expected text, got {str((zone, kind))[:60]}")
     if not (cell is None or type(cell) is int):
-        raise MalformedError(f"cell: expected a whole number, got {str(cell)[:40]!r}")
+        raise EndpointWatchError(f"cell: expected a whole number, got {str(cell)[:40]!r}")
     started, weight = item.get("startedAtMs"), item.get("weight")
-    return Listed(
+    return Endpoint(
         Member(
             name,
             zone,
             kind,
             cell,
             state,
-            None if weight is None else figure(weight, "weight"),
-            figure(started, "startedAtMs") / 1000.0 if started else 0.0,
+            None if weight is None else parse_figure(weight, "weight"),
+            parse_figure(started, "startedAtMs") / 1000.0 if started else 0.0,
         ),
-        read_address(item.get("hostPort")),
+        parse_address(item.get("hostPort")),
     )
 
 
-def read_roster(number: int, roster: Any) -> Roster:
+def parse_endpoint_list(number: int, roster: Any) -> EndpointList:
     """A list's event. An entry that cannot be used does not take the others with it; one that ends a
     member's service binds by its id alone, and so does a state that is not known."""
     instances = roster.get("instances") if isinstance(roster, dict) else None
     if not isinstance(instances, list):
-        raise MalformedError("a list without instances")
-    listed: dict[str, Listed] = {}
+        raise EndpointWatchError("a list without instances")
+    listed: dict[str, Endpoint] = {}
     drained: dict[str, None] = {}
     unusable, why = 0, ""
     for item in instances:
         try:
-            entry = read_listed(item)
-        except MalformedError as error:
+            entry = parse_endpoint(item)
+        except EndpointWatchError as error:
             unusable, why = unusable + 1, str(error)
             name = item.get("instanceId") if isinstance(item, dict) else None
             if isinstance(name, str) and item.get("lifecycle") != "in_service":
@@ -167,49 +167,49 @@
         listed.pop(name, None)
         listed[name] = entry
     full = bool(roster.get("reset")) or number == 1
-    return Roster(number, full, tuple(listed.values()), tuple(drained), unusable, why)
+    return EndpointList(number, full, tuple(listed.values()), tuple(drained), unusable, why)
 
 
-def read_recall(number: int, recall: Any) -> Recall:
+def parse_purge(number: int, recall: Any) -> PurgeEvent:
     if not isinstance(recall, dict):
-        raise MalformedError("neither a list nor a purge")
+        raise EndpointWatchError("neither a list nor a purge")
     key, lot = recall.get("item"), recall.get("lot")
     if (key is None) == (lot is None):
-        raise MalformedError("a purge names an object or a group")
-    issued = figure(recall.get("issued"), "issued") / 1000.0
+        raise EndpointWatchError("a purge names an object or a group")
+    issued = parse_figure(recall.get("issued"), "issued") / 1000.0
     if key is None:
         if not is_number(lot):
-            raise MalformedError(f"lot: expected a number, got {str(lot)[:40]!r}")
-        return Recall(number, issued, None, lot)
+            raise EndpointWatchError(f"lot: expected a number, got {str(lot)[:40]!r}")
+        return PurgeEvent(number, issued, None, lot)
     if not isinstance(key, str) or not re.fullmatch(r"[0-9a-fA-F]{1,16}", key):
-        raise MalformedError(f"item: expected hex digits, got {str(key)[:40]!r}")
-    return Recall(number, issued, int(key, 16), None)
+        raise EndpointWatchError(f"item: expected hex digits, got {str(key)[:40]!r}")
+    return PurgeEvent(number, issued, int(key, 16), None)
 
 
-def read_news(item: Any) -> News:
+def parse_event(item: Any) -> WatchEvent:
     """One event, or a heartbeat: a number, plain or as an object with nothing else."""
     if is_number(item):
-        return Heartbeat(item)
+        return WatchHeartbeat(item)
     number = number_of(item)
     if number is None:
-        raise MalformedError(f"neither an event nor a heartbeat: {str(item)[:80]}")
+        raise EndpointWatchError(f"neither an event nor a heartbeat: {str(item)[:80]}")
     if item.keys() == {"no"}:
         # The bulletin writes its heartbeat as an object too; read as a broken event, it ended the
         # connection every second.
-        return Heartbeat(number)
+        return WatchHeartbeat(number)
     if "roster" in item:
-        return read_roster(number, item["roster"])
-    return read_recall(number, item.get("recall"))
+        return parse_endpoint_list(number, item["roster"])
+    return parse_purge(number, item.get("recall"))
 
 
-class LineReader:
+class LineParser:
     """Takes bytes as they come and gives what whole lines say by `read`; what that refuses is `Unusable`.
 
     `most` bounds a line's bytes. A longer one is passed over to its end: what stands behind it still comes.
     """
 
     def __init__(self, most: int) -> None:
-        self.most = most
+        self.max_line = most
         self.buffer = bytearray()
         self.skipping = False
 
@@ -222,32 +222,32 @@
         while end >= 0:
             line = bytes(self.buffer[:end])
             del self.buffer[: end + 1]
-            if self.skipping or len(line) > self.most:
+            if self.skipping or len(line) > self.max_line:
                 self.skipping = False
                 yield None
             elif line.strip():
                 yield line
             end = self.buffer.find(b"\n")
-        if len(self.buffer) > self.most:
+        if len(self.buffer) > self.max_line:
             self.buffer.clear()
             self.skipping = True
 
-    def news(self, data: bytes, read: Callable[[Any], T]) -> Iterator[T | Unusable]:
+    def events(self, data: bytes, read: Callable[[Any], T]) -> Iterator[T | UnusableLine]:
         for line in self.lines(data):
             if line is None:
-                yield Unusable(None, "a line is longer than allowed")
+                yield UnusableLine(None, "a line is longer than allowed")
                 continue
             item: Any = None
             try:
                 item = json.loads(line)
-                news: T | Unusable = read(item)
+                news: T | UnusableLine = read(item)
             except Exception as error:  # ValueError, RecursionError: whatever it is, it costs this line only
-                news = Unusable(number_of(item), f"{type(error).__name__} {error}"[:200])
+                news = UnusableLine(number_of(item), f"{type(error).__name__} {error}"[:200])
             yield news
 
 
-class Reader(LineReader):
+class WatchEventParser(LineParser):
     """Gives whole lines' news."""
 
-    def feed(self, data: bytes) -> Iterator[News | Unusable]:
-        yield from self.news(data, read_news)
+    def feed(self, data: bytes) -> Iterator[WatchEvent | UnusableLine]:
+        yield from self.events(data, parse_event)
--- a/paddlequay/protocol/feed.py
+++ b/paddlequay/protocol/feed.py
@@ -10,7 +10,14 @@
 from typing import Any
 
 from paddlequay.hierarchy.shape import Delta, ShapeError, ShapeLimits, read_delta
-from paddlequay.protocol.bulletin import LineReader, MalformedError, News, Unusable, number_of, read_news
+from paddlequay.protocol.endpoint_watch import (
+    EndpointWatchError,
+    LineParser,
+    UnusableLine,
+    WatchEvent,
+    number_of,
+    parse_event,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,25 +29,25 @@
     why: str = ""
 
 
-def read_item(item: Any, limits: ShapeLimits) -> News | Shaped:
+def read_item(item: Any, limits: ShapeLimits) -> WatchEvent | Shaped:
     """One event. A change that cannot be used is news of its own: it must not end the feed."""
     if isinstance(item, dict) and "shape" in item:
         number = number_of(item)
         if number is None:
-            raise MalformedError(f"a shape without a number: {str(item)[:80]}")
+            raise EndpointWatchError(f"a shape without a number: {str(item)[:80]}")
         try:
             return Shaped(number, read_delta(item["shape"], limits))
         except ShapeError as error:
             return Shaped(number, None, str(error))
-    return read_news(item)
+    return parse_event(item)
 
 
-class Reader(LineReader):
+class Reader(LineParser):
     """Gives whole lines' news."""
 
     def __init__(self, most: int, limits: ShapeLimits) -> None:
         super().__init__(most)
         self.limits = limits
 
-    def feed(self, data: bytes) -> Iterator[News | Shaped | Unusable]:
-        yield from self.news(data, lambda item: read_item(item, self.limits))
+    def feed(self, data: bytes) -> Iterator[WatchEvent | Shaped | UnusableLine]:
+        yield from self.events(data, lambda item: read_item(item, self.limits))
--- a/paddlequay/protocol/hot_restart.py
+++ b/paddlequay/protocol/hot_restart.py
@@ -10,7 +10,7 @@
 from paddlequay.requests.quotas import QuotaInUse
 
 
-class MalformedError(ValueError):
+class LinkProtocolError(ValueError):
     """A line that is no message."""
 
 
@@ -44,10 +44,10 @@
     """The newer process takes clients from now on."""
 
 
-Message = StateMessage | OverrideMessage | OverrideConfirmed | SuccessorReady | QuotaInUse
+LinkMessage = StateMessage | OverrideMessage | OverrideConfirmed | SuccessorReady | QuotaInUse
 
 
-def pack(message: Message) -> bytes:
+def pack(message: LinkMessage) -> bytes:
     match message:
         case StateMessage():
             marks = {name: [mark.issued_ns, mark.active] for name, mark in message.overrides.items()}
@@ -64,13 +64,13 @@
     return json.dumps(data, separators=(",", ":")).encode() + b"\n"
 
 
-def unpack(line: bytes) -> Message:
+def unpack(line: bytes) -> LinkMessage:
     try:
         match json.loads(line):
             case {"state": dict(marks), "listed": [*listed], "knowledge": dict(knowledge)}:
                 learned = {str(name): float(value) for name, value in knowledge.items()}
                 if not all(map(math.isfinite, learned.values())) or min(learned.values(), default=0) < 0:
-                    raise MalformedError("knowledge that cannot be used")
+                    raise LinkProtocolError("knowledge that cannot be used")
                 return StateMessage(read_overrides(marks), tuple(map(str, listed)), learned)
             case {"order": dict(order), "number": int(number)} if len(order) == 1:
                 ((name, mark),) = read_overrides(order).items()
@@ -82,8 +82,8 @@
             case {"clients": int(clients), "caches": int(caches)}:
                 return QuotaInUse(clients, caches)
     except (TypeError, ValueError) as error:
-        raise MalformedError(str(error)) from None
-    raise MalformedError(f"no message: {line[:80]!r}")
+        raise LinkProtocolError(str(error)) from None
+    raise LinkProtocolError(f"no message: {line[:80]!r}")
 
 
 class LinkParser:
@@ -93,8 +93,8 @@
         self.max_line = most
         self.partial = b""
 
-    def feed(self, data: bytes) -> Iterator[Message]:
+    def feed(self, data: bytes) -> Iterator[LinkMessage]:
         *lines, self.partial = (self.partial + data).split(b"\n")
         if len(self.partial) > self.max_line:
-            raise MalformedError("a line is longer than allowed")
+            raise LinkProtocolError("a line is longer than allowed")
         yield from map(unpack, lines)
--- a/paddlequay/protocol/msgpack.py
+++ b/paddlequay/protocol/msgpack.py
@@ -3,18 +3,18 @@
 import struct
 from typing import Any
 
-MOST_DEPTH = 6
-MOST_ITEMS = 256  # in one array or map
-MOST_VALUES = 600  # in one message: a frame is scanned anew each time that more of it has come
+MAX_DEPTH = 6
+MAX_ITEMS = 256  # in one array or map
+MAX_VALUES = 600  # in one message: a frame is scanned anew each time that more of it has come
 
 Buffer = bytes | bytearray | memoryview
 
 
-class MalformedError(ValueError):
+class MalformedMessageError(ValueError):
     """Bytes that no further bytes can make a message."""
 
 
-class IncompleteError(Exception):
+class IncompleteMessageError(Exception):
     """The message goes on past the bytes at hand."""
 
 
@@ -41,18 +41,18 @@
 class _Scan:
     """One pass over a buffer."""
 
-    def __init__(self, data: Buffer, at: int, most: int) -> None:
+    def __init__(self, data: Buffer, at: int, max_size: int) -> None:
         self.data, self.at, self.end = data, at, len(data)
-        self.last = at + most
+        self.last = at + max_size
         self.values = 0
 
     def take(self, count: int) -> int:
         """Move past `count` bytes and give their place."""
         at = self.at
         if at + count > self.last:
-            raise MalformedError("the message is longer than allowed")
+            raise MalformedMessageError("the message is longer than allowed")
         if at + count > self.end:
-            raise IncompleteError
+            raise IncompleteMessageError
         self.at = at + count
         return at
 
@@ -64,11 +64,11 @@
         try:
             return str(self.data[at : at + count], "utf-8")
         except UnicodeDecodeError:
-            raise MalformedError("a string is not UTF-8") from None
+            raise MalformedMessageError("a string is not UTF-8") from None
 
     def items(self, count: int, depth: int) -> list[Any]:
-        if count > MOST_ITEMS:
-            raise MalformedError(f"{count} items in one message part")
+        if count > MAX_ITEMS:
+            raise MalformedMessageError(f"{count} items in one message part")
         return [self.value(depth + 1) for _ in range(count)]
 
     def pairs(self, count: int, depth: int) -> dict[Any, Any]:
@@ -76,14 +76,14 @@
         try:
             return dict(zip(flat[::2], flat[1::2], strict=True))
         except TypeError:
-            raise MalformedError("a map's key is a map or a list") from None
+            raise MalformedMessageError("a map's key is a map or a list") from None
 
     def value(self, depth: int) -> Any:
-        if depth > MOST_DEPTH:
-            raise MalformedError("nested too deeply")
+        if depth > MAX_DEPTH:
+            raise MalformedMessageError("nested too deeply")
         self.values += 1
-        if self.values > MOST_VALUES:
-            raise MalformedError("too many values in one message")
+        if self.values > MAX_VALUES:
+            raise MalformedMessageError("too many values in one message")
         code = self.data[self.take(1)]
         if code < 0x80:
             return code
@@ -110,12 +110,12 @@
             return self.items(self.length(_ARRAY[code]), depth)
         if code in _MAP:
             return self.pairs(self.length(_MAP[code]), depth)
-        raise MalformedError(f"type byte 0x{code:02x} is not used here")
+        raise MalformedMessageError(f"type byte 0x{code:02x} is not used here")
 
 
-def unpack(data: Buffer, at: int, most: int) -> tuple[Any, int]:
+def unpack(data: Buffer, at: int, max_size: int) -> tuple[Any, int]:
     """The value that starts at `at`, of `most` bytes at the most, and the place after it."""
-    scan = _Scan(data, at, most)
+    scan = _Scan(data, at, max_size)
     value = scan.value(0)
     return value, scan.at
 
--- a/paddlequay/protocol/serving.py
+++ b/paddlequay/protocol/serving.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 
-from paddlequay.protocol.caches import Buffer, MalformedError, fields_text, read_fields
+from paddlequay.protocol.caches import Buffer, CacheProtocolError, format_fields, parse_fields
 
 ID_MOST = 64
 
@@ -37,7 +37,7 @@
 
 def answer(id: str, word: str, fields: Mapping[str, str], body: Buffer = b"") -> tuple[bytes, Buffer, bytes]:
     """The pieces of an answer, the body not copied."""
-    return f"{id} {word} {fields_text(fields)} {len(body)}\r\n".encode(), body, b"\r\n"
+    return f"{id} {word} {format_fields(fields)} {len(body)}\r\n".encode(), body, b"\r\n"
 
 
 class Reader:
@@ -62,7 +62,7 @@
                 if len(self.buffer) < length + 2:
                     return
                 if self.buffer[length : length + 2] != b"\r\n":
-                    raise MalformedError("expected CR LF after a body")
+                    raise CacheProtocolError("expected CR LF after a body")
                 body = bytes(self.buffer[:length])
                 del self.buffer[: length + 2]
                 self.head = None
@@ -71,7 +71,7 @@
             end = self.buffer.find(b"\n", 0, self.most_line)
             if end < 0:
                 if len(self.buffer) >= self.most_line:
-                    raise MalformedError("a line is longer than allowed")
+                    raise CacheProtocolError("a line is longer than allowed")
                 return
             line = bytes(self.buffer[: end + 1])
             del self.buffer[: end + 1]
@@ -83,17 +83,17 @@
         try:
             words = line.decode("ascii").split()
         except UnicodeDecodeError:
-            raise MalformedError("a line is not ASCII") from None
+            raise CacheProtocolError("a line is not ASCII") from None
         if not line.endswith(b"\r\n"):
-            raise MalformedError("a line does not end in CR LF")
+            raise CacheProtocolError("a line does not end in CR LF")
         match words:
             case ["ASK", id, fields, length] if length.isdigit() and len(length) < 10 and len(id) <= ID_MOST:
                 if int(length) > self.most_body:
-                    raise MalformedError(f"a body of {int(length)} bytes")
-                self.head = (id, read_fields(fields), int(length))
+                    raise CacheProtocolError(f"a body of {int(length)} bytes")
+                self.head = (id, parse_fields(fields), int(length))
                 return None
             case ["QUIT", id]:
                 return Given(id)
             case ["NOOP" | "INFO", tag] if len(tag) <= ID_MOST:
                 return Probe(tag)
-        raise MalformedError(f"expected ASK, QUIT, NOOP or INFO, got {line[:60]!r}")
+        raise CacheProtocolError(f"expected ASK, QUIT, NOOP or INFO, got {line[:60]!r}")
--- a/tests/crossings/rig_caches.py
+++ b/tests/crossings/rig_caches.py
@@ -12,12 +12,12 @@
 
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.operator_state import OperatorState
-from paddlequay.net.caches import Pool
-from paddlequay.net.connection import Connection
+from paddlequay.net.caches import ConnectionPool
+from paddlequay.net.connection import UpstreamConnection
 from paddlequay.net.scheduler import LoopScheduler
 from paddlequay.observability.counters import Counters
 from paddlequay.policy import Router
-from paddlequay.protocol.bulletin import Listed
+from paddlequay.protocol.endpoint_watch import Endpoint
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import ClientRequest, FinalAnswer, PendingRequest
 from paddlequay.requests.quotas import ProcessQuotas
@@ -102,10 +102,10 @@
             LoopScheduler(asyncio.get_running_loop()),
             self.counters,
         )
-        self.pool = Pool(self.exchange, shares, limits, self.counters)
+        self.pool = ConnectionPool(self.exchange, shares, limits, self.counters)
         self.peers = {"box": Peer(), "aimag": Peer(), "store": Peer()}
         self.listed = {
-            name: Listed(Member(name, zone, kind), self.peers[name].address)
+            name: Endpoint(Member(name, zone, kind), self.peers[name].address)
             for name, zone, kind in (
                 ("box", "here", "box"),
                 ("aimag", "hub", "parent"),
@@ -115,16 +115,16 @@
         self.replies: list[FinalAnswer] = []
         self.change(*self.listed.values(), full=True)
 
-    def change(self, *listed: Listed, full: bool = False) -> None:
+    def change(self, *listed: Endpoint, full: bool = False) -> None:
         """News of the list, as the bulletin hands it on."""
-        self.pool.list_changed(listed, full)
+        self.pool.update_endpoints(listed, full)
         self.exchange.update_members(tuple(each.member for each in listed), full)
 
-    def entry(self, name: str, peer: Peer | None = None, **also: Any) -> Listed:
+    def entry(self, name: str, peer: Peer | None = None, **also: Any) -> Endpoint:
         """An entry changed in some respects."""
         old = self.listed[name].member
         fields = {"zone": old.zone, "kind": old.kind, "state": MemberState.READY} | also
-        return Listed(Member(name, **fields), (peer or self.peers[name]).address)
+        return Endpoint(Member(name, **fields), (peer or self.peers[name]).address)
 
     def ask(self, id: str, kind: str = "video", ttl: float = 2.0, **also: Any) -> PendingRequest | None:
         key = sum(id.encode())
@@ -157,7 +157,7 @@
         connection: socket.socket = await self.until(found, f"{id} has come to {name}")
         return connection
 
-    def only(self, name: str = "box") -> Connection:
+    def only(self, name: str = "box") -> UpstreamConnection:
         """The one connection to a member."""
         (connection,) = self.pool.instances[name].connections
         return connection
@@ -172,7 +172,7 @@
         return connection
 
     async def close(self) -> None:
-        for connection in self.pool.held():
+        for connection in self.pool.connections():
             connection.stream.close()
         tasks = list(self.pool.tasks)
         for task in tasks:
--- a/tests/crossings/rig_clients.py
+++ b/tests/crossings/rig_clients.py
@@ -22,7 +22,7 @@
 from paddlequay.lifecycle.overload import OverloadGuard
 from paddlequay.net.clients import ClientFront
 from paddlequay.net.scheduler import LoopScheduler
-from paddlequay.net.session import Session
+from paddlequay.net.session import ClientSession
 from paddlequay.observability.counters import Counters
 from paddlequay.policy import Router
 from paddlequay.protocol import msgpack
@@ -123,14 +123,14 @@
             taken.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, buffer)
         return client, taken
 
-    async def client(self, buffer: int = 0) -> tuple[socket.socket, Session]:
+    async def client(self, buffer: int = 0) -> tuple[socket.socket, ClientSession]:
         """A client whose session waits for its first byte."""
         client, taken = self.connect(buffer)
         session = self.take(taken)
         await until(lambda: session.stream.reading(), "it reads")
         return client, session
 
-    def take(self, taken: socket.socket) -> Session:
+    def take(self, taken: socket.socket) -> ClientSession:
         before = set(self.front.sessions)
         self.front.on_accept(taken)
         (session,) = self.front.sessions - before
@@ -168,7 +168,7 @@
         if not data:
             break
         buffer += data
-        with contextlib.suppress(msgpack.IncompleteError):
+        with contextlib.suppress(msgpack.IncompleteMessageError):
             while buffer:
                 value, at = msgpack.unpack(buffer, 0, 1 << 22)
                 buffer = buffer[at:]
--- a/tests/crossings/rig_end.py
+++ b/tests/crossings/rig_end.py
@@ -101,7 +101,7 @@
             if not data:
                 return True
             self.buffer += data
-            with contextlib.suppress(msgpack.IncompleteError):
+            with contextlib.suppress(msgpack.IncompleteMessageError):
                 while self.buffer:
                     value, at = msgpack.unpack(self.buffer, 0, 1 << 20)
                     self.buffer = self.buffer[at:]
--- a/tests/crossings/rig_list.py
+++ b/tests/crossings/rig_list.py
@@ -7,9 +7,9 @@
 from typing import Any, cast
 
 from paddlequay.config.limits import Limits
-from paddlequay.net.bulletin import Follower
+from paddlequay.net.endpoint_watch import EndpointWatch
 from paddlequay.observability.counters import Counters
-from paddlequay.protocol.bulletin import Roster
+from paddlequay.protocol.endpoint_watch import EndpointList
 
 WAIT = 5.0
 Play = Callable[["Told"], Awaitable[None]]
@@ -63,22 +63,24 @@
             told.writer.close()
 
 
-class Recorder(Follower):
+class Recorder(EndpointWatch):
     """Follows, and records what it takes: (number) of lists, and of purges."""
 
-    def __init__(self, address: tuple[str, int], on_roster: Callable[[Roster], None] | None = None) -> None:
+    def __init__(
+        self, address: tuple[str, int], on_roster: Callable[[EndpointList], None] | None = None
+    ) -> None:
         self.had: list[int] = []
         self.counts = Counters()
         super().__init__(address, cast(Any, self), cast(Any, self), Limits(), self.counts)
         self.then = on_roster or (lambda _: None)
-        self.on_roster = self.roster
+        self.on_endpoint_list = self.roster
 
-    def roster(self, roster: Roster) -> None:
+    def roster(self, roster: EndpointList) -> None:
         self.then(roster)
         self.had.append(roster.number)
 
     def record_purge(self, key: int | None, group: int | None, issued: float) -> None:
-        self.had.append(self.last + 1)
+        self.had.append(self.last_number + 1)
 
     async def __aenter__(self) -> "Recorder":
         self.task = asyncio.ensure_future(self.follow())
--- a/tests/crossings/test_cache_connect.py
+++ b/tests/crossings/test_cache_connect.py
@@ -17,7 +17,7 @@
 
 async def under_way(rig: Rig, name: str = "box") -> None:
     await asyncio.sleep(0)
-    assert not rig.only(name).up and rig.peers[name].accept() is not None
+    assert not rig.only(name).is_up and rig.peers[name].accept() is not None
 
 
 def test_a_connection_that_comes_up_once_its_only_attempt_has_gone_is_kept_counted_and_closed(
@@ -29,13 +29,13 @@
         await under_way(rig)
         rig.exchange.withdraw(item)
         connection = rig.only()
-        await rig.until(lambda: connection.up, "the connection is up")
-        assert connection.idle and rig.pool.held() == [connection]
+        await rig.until(lambda: connection.is_up, "the connection is up")
+        assert connection.is_idle and rig.pool.connections() == [connection]
         await rig.served("box", "2")
         assert rig.only() is connection and rig.counters.counts["sent"] == 1
-        connection.used -= rig.limits.cache_idle_timeout + 1.0
+        connection.last_used_at -= rig.limits.cache_idle_timeout + 1.0
         rig.pool.sweep()
-        await rig.until(lambda: not rig.pool.held(), "it is closed as idle")
+        await rig.until(lambda: not rig.pool.connections(), "it is closed as idle")
 
     play(tmp_path, scene)
 
@@ -55,7 +55,7 @@
         rig.change(*(each for each in rig.listed.values() if each.member.name != name), full=True)
         rig.peers[name] = new
         rig.change(rig.entry(name))
-        await rig.until(lambda: waiting.stream.closed() or waiting.idle, "nothing waits there any more")
+        await rig.until(lambda: waiting.stream.closed() or waiting.is_idle, "nothing waits there any more")
         assert rig.counters.counts["ended.not_sent"] == 1 and not rig.counters.counts.get(
             "ended.connect_failed"
         )
@@ -74,7 +74,10 @@
         rig.ask("1")
         await under_way(rig)
         rig.change(rig.entry("box", started=5.0))
-        await rig.until(lambda: not rig.pool.leaving or not rig.pool.leaving[0].connections, "it has ended")
+        await rig.until(
+            lambda: not rig.pool.removed_instances or not rig.pool.removed_instances[0].connections,
+            "it has ended",
+        )
         assert rig.counters.counts["ended.not_sent"] == 1 and not rig.counters.counts.get(
             "ended.connect_failed"
         )
--- a/tests/crossings/test_cache_descriptors.py
+++ b/tests/crossings/test_cache_descriptors.py
@@ -105,12 +105,12 @@
         os.close(lowest)
         resource.setrlimit(resource.RLIMIT_NOFILE, (lowest, hard))
         try:
-            await rig.pool.warm(["box", "aimag"])
+            await rig.pool.warm_up(["box", "aimag"])
             rig.ask("1")
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        assert not rig.pool.held() and len(rig.replies) == 1
-        await rig.pool.warm(["box"])
-        assert rig.only().up
+        assert not rig.pool.connections() and len(rig.replies) == 1
+        await rig.pool.warm_up(["box"])
+        assert rig.only().is_up
 
     play(tmp_path, scene)
--- a/tests/crossings/test_cache_idle.py
+++ b/tests/crossings/test_cache_idle.py
@@ -47,7 +47,7 @@
         assert len(peers) == 2
         ids = [*rig.pool.instances["box"].connections]
         for connection, peer in zip(ids, rig.peers["box"].connections, strict=True):
-            for name in connection.out:
+            for name in connection.in_flight:
                 peer.sendall(f"{name} HIT - 1\r\nx\r\n".encode())
         await rig.until(lambda: len(rig.replies) == 5, "all answers")
         for peer in peers:
@@ -71,7 +71,7 @@
         rig.ask("1")
         await asyncio.sleep(0)  # the connect is under way, and up in the kernel, but not seen to be
         first = rig.peers["box"].accept()
-        assert first is not None and not rig.only().up
+        assert first is not None and not rig.only().is_up
         first.close()
         rig.peers["box"].connections.clear()
         await rig.asked("aimag", "1")  # proved idle, and round the only box
@@ -88,7 +88,7 @@
     async def scene(rig: Rig) -> None:
         first = await rig.served("store", "1", "charge")
         if old:
-            rig.only("store").used -= rig.limits.max_reuse_idle + 0.001
+            rig.only("store").last_used_at -= rig.limits.max_reuse_idle + 0.001
         rig.ask("2", "charge")
         second = await rig.asked("store", "2")
         assert (second is first) is not old
@@ -172,12 +172,12 @@
     async def scene(rig: Rig) -> None:
         first = await rig.served("box", "1")
         connection = rig.only()
-        connection.used -= rig.limits.cache_idle_timeout + 1.0
+        connection.last_used_at -= rig.limits.cache_idle_timeout + 1.0
         first.sendall(b"1 HIT tag=")
         rig.pool.sweep()
         assert connection.stream.closed()
         second = await rig.served("box", "2")
         assert second is not first and came(second) == b""
-        assert rig.counters.counts.get("ended.reset", 0) == 0 and len(rig.pool.held()) == 1
+        assert rig.counters.counts.get("ended.reset", 0) == 0 and len(rig.pool.connections()) == 1
 
     play(tmp_path, scene)
--- a/tests/crossings/test_cache_silence.py
+++ b/tests/crossings/test_cache_silence.py
@@ -17,9 +17,9 @@
 def silent_for(rig: Rig, time: float) -> None:
     """The connections to the box, and what is out on them, as if so much time had passed."""
     for connection in rig.pool.instances["box"].connections:
-        connection.heard -= time
-        connection.read_at -= time
-        for attempt in connection.out.values():
+        connection.last_heard_at -= time
+        connection.last_read_at -= time
+        for attempt in connection.in_flight.values():
             attempt.started_at -= time
             attempt.written_at = (attempt.written_at or 0.0) - time
 
@@ -39,7 +39,7 @@
         if answered:
             for number in range(4):
                 connection.sendall(f"{number} HIT - 1\r\nx\r\n".encode())
-        rig.pool.watch()  # in the same turn
+        rig.pool.close_unresponsive()  # in the same turn
         if answered:
             await rig.until(lambda: len(rig.replies) == 4, "the answers")
             assert rig.counters.counts.get("silent_connections", 0) == 0
@@ -54,10 +54,10 @@
         rig.ask("1")
         connection = await rig.asked("box", "1")
         connection.sendall(b"1 HIT - 4\r\nab")
-        await rig.until(lambda: rig.only().reader.begun, "half the answer is read")
+        await rig.until(lambda: rig.only().parser.has_begun, "half the answer is read")
         silent_for(rig, 10 * rig.limits.cache_stall_timeout)
         connection.sendall(b"cd\r\n")
-        rig.pool.watch()
+        rig.pool.close_unresponsive()
         await rig.until(lambda: rig.replies, "the answer")
         assert bytes(rig.replies[0].body) == b"abcd"
 
@@ -76,7 +76,7 @@
         rig.change(rig.entry("store", started=5.0))
         await rig.until(lambda: len(rig.replies) == 1, "the answer")
         assert rig.replies[0].status is AnswerStatus.SERVED
-        rig.pool.watch()
+        rig.pool.close_unresponsive()
         await rig.until(lambda: len(rig.replies) == 2, "the other one's end")
         assert rig.replies[1].status is AnswerStatus.FAILED
 
@@ -93,7 +93,7 @@
         began = time()
         await asyncio.sleep(pause)
         if time() - began < pause + rig.limits.max_heartbeat_delay:
-            rig.pool.watch()
+            rig.pool.close_unresponsive()
 
 
 @pytest.mark.parametrize(
@@ -150,10 +150,10 @@
         connection = await rig.asked("box", "1")
         # A tenth of it in a quarter of a second: the rest would take more than two.
         await trickle(rig, connection, [b"1 HIT - 4000\r\n" + b"z" * 300, *[b"z" * 8] * 13], 0.02)
-        assert rig.only().reader.begun
+        assert rig.only().parser.has_begun
         assert not rig.counters.counts.get("stalled_answers")  # it may still come in its request's time
         rig.exchange.withdraw(item)
-        rig.pool.watch()
+        rig.pool.close_unresponsive()
         assert rig.counters.counts["stalled_answers"] == 1
         await rig.until(lambda: rig.counters.counts.get("ended.reset") == 1, "what was behind it has ended")
 
--- a/tests/crossings/test_cache_words.py
+++ b/tests/crossings/test_cache_words.py
@@ -86,9 +86,9 @@
         assert bytes(rig.replies[0].body) == b"x"
         connection.sendall(most * b"77 NONE - 0\r\n\r\n")
         await rig.until(lambda: rig.counters.counts["answers_not_asked"] == 2 * most, "counted anew")
-        assert len(rig.pool.held()) == 1
+        assert len(rig.pool.connections()) == 1
         connection.sendall(b"77 NONE - 0\r\n\r\n")
-        await rig.until(lambda: not rig.pool.held(), "one more in a row ends it")
+        await rig.until(lambda: not rig.pool.connections(), "one more in a row ends it")
         assert rig.counters.counts["bad_cache_lines"] == 1
 
     play(tmp_path, scene)
--- a/tests/crossings/test_clients_closing.py
+++ b/tests/crossings/test_clients_closing.py
@@ -170,7 +170,7 @@
         began = time.monotonic()
         client.sendall(b"\xc1")
         assert await answers(client) == []
-        assert session in rig.front.half_closed
+        assert session in rig.front.lingering
         await until(lambda: not rig.front.sessions, "it is closed")
         assert 0.25 < time.monotonic() - began < 2.0
 
@@ -182,9 +182,9 @@
         usual, _ = await idle(rig)
         client, _ = await rig.client()
         client.sendall(b"\xc1")
-        await until(lambda: rig.front.half_closed, "it is at its end")
+        await until(lambda: rig.front.lingering, "it is at its end")
         rig.take(rig.connect()[1])
-        assert not rig.front.half_closed and rig.counters.counts["closed_silent_clients"] == 1
+        assert not rig.front.lingering and rig.counters.counts["closed_silent_clients"] == 1
         await turns()
         usual.sendall(call(2))
         await until(lambda: rig.side.started, "the request is sent on")
@@ -219,7 +219,10 @@
     async def scene(rig: Rig) -> None:
         if first:
             client, session = await rig.client()
-            taken, session.began = session.stream.socket, session.began - rig.limits.new_connection_age
+            taken, session.connected_at = (
+                session.stream.socket,
+                session.connected_at - rig.limits.new_connection_age,
+            )
         else:
             client, taken = await idle(rig)
         rig.front.handing_over = True
--- a/tests/crossings/test_clients_leaving.py
+++ b/tests/crossings/test_clients_leaving.py
@@ -53,7 +53,7 @@
         arrived(session.stream.socket, len(data))
         await until(lambda: rig.side.started, "the one that was not cancelled is sent on")
         await turns()
-        assert rig.asked == [f"{1:016x}"] and not session.queue
+        assert rig.asked == [f"{1:016x}"] and not session.waiting_calls
         rig.serve(rig.side.started[0])
         assert [answer[1] for answer in await answers(client, 1)] == [1]
 
@@ -111,7 +111,7 @@
             assert len(rig.side.started) == 3  # the other one goes on
             rig.serve(rig.side.started[2])
             assert [answer[1] for answer in await answers(client, 1)] == [2]
-            await until(lambda: not session.open, "the cancel is read")
+            await until(lambda: not session.open_requests, "the cancel is read")
         else:
             await until(lambda: not rig.front.sessions, "its session ends")
             assert not rig.exchange.pending and len(rig.side.started) == 2
@@ -143,9 +143,9 @@
     out(rig, rig.side.started[0])
     for attempt in list(rig.side.started[1:]):
         rig.serve(attempt, bytes(240_000))
-    assert session.unsent > rig.limits.max_client_unsent / 2
+    assert session.unsent_bytes > rig.limits.max_client_unsent / 2
     client.sendall(b"".join(map(call, (5, 6, 7))))
-    await until(lambda: len(session.queue) == 3, "they are read, and held back")
+    await until(lambda: len(session.waiting_calls) == 3, "they are read, and held back")
     assert len(rig.side.started) == 4
     return client, session.stream.socket
 
@@ -183,13 +183,13 @@
         client, _ = await held_back(rig)
         (session,) = rig.front.sessions
         client.sendall(call(8, ttl="600"))
-        await until(lambda: 8 in session.queue, "it is read, and held back")
+        await until(lambda: 8 in session.waiting_calls, "it is read, and held back")
         time.sleep(0.35)  # until its time is nearly over; the loop stands still
         rig.front.sweep()
-        assert 8 not in session.queue and len(session.queue) == 3
+        assert 8 not in session.waiting_calls and len(session.waiting_calls) == 3
         rig.front.handing_over = True
         rig.front.close_quiet_connections()
-        assert not session.queue
+        assert not session.waiting_calls
         found = {answer[1]: answer[2] for answer in await answers(client, 7)}
         assert {number for number, error in found.items() if error} - {1} == {8, 5, 6, 7}
         assert not {f"{number:016x}" for number in (5, 6, 7, 8)} & set(rig.asked)
@@ -207,7 +207,7 @@
         assert rig.front.queued_bytes == 80_000 and rig.counters.counts["rejected.too_many_open"] == 8
         client.sendall(b"".join(map(call, range(20, 60))))
         await until(lambda: rig.counters.counts["requests"] == 57, "all are read")
-        assert len(session.queue) + len(session.open) == rig.limits.client_streams
+        assert len(session.waiting_calls) + len(session.open_requests) == rig.limits.client_streams
         assert rig.counters.counts["rejected.too_many_streams"] == 14
         client.close()
 
--- a/tests/crossings/test_list_lines.py
+++ b/tests/crossings/test_list_lines.py
@@ -8,8 +8,8 @@
 from rig_list import Bulletin, Recorder, Told, play, recall, roster, silent
 from test_list_reading import DEEP, NUMBERED
 
-from paddlequay.net import lines
-from paddlequay.protocol.bulletin import Roster
+from paddlequay.net import watch_client as lines
+from paddlequay.protocol.endpoint_watch import EndpointList
 
 
 def test_events_in_pieces_twice_and_from_before_are_had_once_each() -> None:
@@ -31,8 +31,8 @@
     async def work() -> None:
         async with Bulletin(pieces) as bulletin, Recorder(bulletin.address) as follower:
             await follower.has(1, 2, 3)
-            await follower.current.wait()
-            assert len(bulletin.came) == 1 and follower.last == 3
+            await follower.is_current.wait()
+            assert len(bulletin.came) == 1 and follower.last_number == 3
 
     play(work())
 
@@ -81,8 +81,8 @@
     async def work() -> None:
         async with Bulletin(skipping) as bulletin, Recorder(bulletin.address) as follower:
             await follower.has(2, 4, 6, 8)
-            await follower.current.wait()
-            assert len(bulletin.came) == lines.TRIES + 1
+            await follower.is_current.wait()
+            assert len(bulletin.came) == lines.MAX_ATTEMPTS + 1
 
     play(work())
 
@@ -97,9 +97,11 @@
         began = time.monotonic()
         async with Bulletin(spoilt) as bulletin, Recorder(bulletin.address) as follower:
             await follower.has(1, 2)
-            assert len(bulletin.came) == lines.TRIES + 1 and follower.stuck == 0
-            assert time.monotonic() - began >= 0.9 * sum(lines.PAUSE * 2**n for n in range(lines.TRIES))
-            assert follower.counts.counts["bad_bulletin_lines"] == lines.TRIES
+            assert len(bulletin.came) == lines.MAX_ATTEMPTS + 1 and follower.failed_watches == 0
+            assert time.monotonic() - began >= 0.9 * sum(
+                lines.RETRY_PAUSE_S * 2**n for n in range(lines.MAX_ATTEMPTS)
+            )
+            assert follower.counts.counts["bad_bulletin_lines"] == lines.MAX_ATTEMPTS
 
     play(work())
 
@@ -122,7 +124,7 @@
     """It was counted as had before it was in force, and never asked for again."""
     failures = [2, 3]
 
-    def fail(news: Roster) -> None:
+    def fail(news: EndpointList) -> None:
         if news.number in failures:
             failures.remove(news.number)
             raise RuntimeError("fails once")
@@ -143,7 +145,7 @@
 def test_an_event_that_fails_each_time_is_passed_over_after_growing_pauses() -> None:
     at: list[float] = []
 
-    def fail(news: Roster) -> None:
+    def fail(news: EndpointList) -> None:
         if news.number == 2:
             at.append(time.monotonic())
             raise RuntimeError("fails always")
@@ -156,9 +158,9 @@
         async with Bulletin(all_of_it) as bulletin, Recorder(bulletin.address, fail) as follower:
             await follower.has(1, 3)
             pauses = [later - sooner for sooner, later in itertools.pairwise(at)]
-            assert len(pauses) == lines.TRIES
-            assert all(pause >= 0.9 * lines.PAUSE * 2**n for n, pause in enumerate(pauses))
-            assert len(bulletin.came) == lines.TRIES + 1  # the last connection goes on
+            assert len(pauses) == lines.MAX_ATTEMPTS
+            assert all(pause >= 0.9 * lines.RETRY_PAUSE_S * 2**n for n, pause in enumerate(pauses))
+            assert len(bulletin.came) == lines.MAX_ATTEMPTS + 1  # the last connection goes on
             assert follower.counts.counts["bulletin_passed_over"] == 1
 
     play(work())
@@ -190,7 +192,7 @@
 def test_many_events_in_one_read_leave_the_loop_its_turns() -> None:
     count = 200
 
-    def slow(news: Roster) -> None:
+    def slow(news: EndpointList) -> None:
         end = time.perf_counter() + 0.002
         while time.perf_counter() < end:
             pass
@@ -207,6 +209,6 @@
                     turns.append(len(follower.had))
                 await asyncio.sleep(0)
             longest = max(later - sooner for sooner, later in itertools.pairwise(turns))
-            assert longest <= 2 * lines.TURN / 0.002 + 1, longest
+            assert longest <= 2 * lines.MAX_TURN_S / 0.002 + 1, longest
 
     play(work())
--- a/tests/crossings/test_list_members.py
+++ b/tests/crossings/test_list_members.py
@@ -13,11 +13,11 @@
 from paddlequay.discovery.membership import Limits, Rule
 from paddlequay.discovery.resolver import Send
 from paddlequay.net import dns
-from paddlequay.net.bulletin import Follower
-from paddlequay.net.caches import Pool
+from paddlequay.net.caches import ConnectionPool
+from paddlequay.net.endpoint_watch import EndpointWatch
 from paddlequay.net.members import Members
 from paddlequay.observability.counters import Counters
-from paddlequay.protocol.bulletin import Heartbeat, Listed, MalformedError, read_news
+from paddlequay.protocol.endpoint_watch import Endpoint, EndpointWatchError, WatchHeartbeat, parse_event
 from paddlequay.requests.exchange import Exchange
 from paddlequay.routing.interface import MemberState
 from paddlequay.schema.sources import DiscoverySettings
@@ -25,51 +25,51 @@
 TERMINATING = "terminating"
 
 
-class Breaking(Pool):
+class Breaking(ConnectionPool):
     """Breaks off in the middle of a list, after some of it is in force, or always where a member is named."""
 
     broken = 0
     poison: str | None = None
 
-    def list_changed(self, listed: Iterable[Listed], full: bool) -> None:
+    def update_endpoints(self, listed: Iterable[Endpoint], full: bool) -> None:
         listed = tuple(listed)
         if any(entry.member.name == self.poison for entry in listed):
             raise RuntimeError("fails always")
         if self.broken:
             self.broken -= 1
-            super().list_changed(listed[:1], full)
+            super().update_endpoints(listed[:1], full)
             raise RuntimeError("breaks off")
-        super().list_changed(listed, full)
+        super().update_endpoints(listed, full)
 
 
-def followed(tmp_path: Path) -> tuple[Follower, Exchange, Breaking]:
+def followed(tmp_path: Path) -> tuple[EndpointWatch, Exchange, Breaking]:
     exchange, _, _ = made(tmp_path)
     pool = Breaking(exchange, exchange.quotas, exchange.limits, exchange.counters)
-    follower = Follower(("127.0.0.1", 1), exchange, pool, exchange.limits, exchange.counters)
+    follower = EndpointWatch(("127.0.0.1", 1), exchange, pool, exchange.limits, exchange.counters)
     follower.start_from({"no": 1, "items": [roster(1, entry("a"), entry("b", hostPort="10.0.0.2:80"))]})
     return follower, exchange, pool
 
 
-def discovered(tmp_path: Path, most: int = 100) -> tuple[Follower, Exchange, Breaking, Members]:
+def discovered(tmp_path: Path, most: int = 100) -> tuple[EndpointWatch, Exchange, Breaking, Members]:
     """The same with the list as a source of the membership."""
     exchange, _, _ = made(tmp_path)
     pool = Breaking(exchange, exchange.quotas, exchange.limits, exchange.counters)
-    follower = Follower(("127.0.0.1", 1), exchange, pool, exchange.limits, exchange.counters)
+    follower = EndpointWatch(("127.0.0.1", 1), exchange, pool, exchange.limits, exchange.counters)
     settings = DiscoverySettings((Rule("list"),), (), (), None, Limits(members=most))
     members = Members(settings, follower, exchange, pool, exchange.counters, "n0")
     follower.start_from({"no": 1, "items": [roster(1, entry("a"), entry("b", hostPort="10.0.0.2:80"))]})
     return follower, exchange, pool, members
 
 
-def tell(follower: Follower, item: Any) -> None:
+def tell(follower: EndpointWatch, item: Any) -> None:
     """Each event as often as it is asked for anew."""
-    while follower.last < item["no"]:
+    while follower.last_number < item["no"]:
         try:
-            news = read_news(item)
-            assert not isinstance(news, Heartbeat)
-            follower.apply(news)
-        except MalformedError:
-            follower.stuck += 1
+            news = parse_event(item)
+            assert not isinstance(news, WatchHeartbeat)
+            follower.handle(news)
+        except EndpointWatchError:
+            follower.failed_watches += 1
 
 
 def states(exchange: Exchange) -> dict[str, MemberState | None]:
--- a/tests/crossings/test_list_reading.py
+++ b/tests/crossings/test_list_reading.py
@@ -5,7 +5,13 @@
 import pytest
 from rig_list import entry, roster
 
-from paddlequay.protocol.bulletin import Heartbeat, Reader, Roster, Unusable, read_news
+from paddlequay.protocol.endpoint_watch import (
+    EndpointList,
+    UnusableLine,
+    WatchEventParser,
+    WatchHeartbeat,
+    parse_event,
+)
 
 DEEP = b'{"no":2,"roster":' + b"[" * 200_000 + b"]" * 200_000 + b"}"
 NUMBERLESS: list[bytes] = [
@@ -42,18 +48,18 @@
 
 @pytest.mark.parametrize("line", NUMBERLESS + NUMBERED, ids=lambda line: line[:24].decode("latin-1"))
 def test_a_line_that_cannot_be_used_is_said_so_and_those_behind_it_come(line: bytes) -> None:
-    first, second = Reader(1 << 20).feed(line + b'\n{"no":3}\n')
-    assert isinstance(first, Unusable) and first.number == (2 if line in NUMBERED else None)
-    assert len(first.why) <= 200 and second == Heartbeat(3)
+    first, second = WatchEventParser(1 << 20).feed(line + b'\n{"no":3}\n')
+    assert isinstance(first, UnusableLine) and first.number == (2 if line in NUMBERED else None)
+    assert len(first.reason) <= 200 and second == WatchHeartbeat(3)
 
 
 def test_a_line_that_is_too_long_is_passed_over_to_its_end_and_is_not_kept() -> None:
-    reader = Reader(1000)
+    reader = WatchEventParser(1000)
     assert not list(reader.feed(b"x" * 900)) and not list(reader.feed(b"x" * 900))
     assert not reader.buffer
     assert not list(reader.feed(b"x" * 900))
     (long, beat) = reader.feed(b'x\n{"no":3}\n')
-    assert isinstance(long, Unusable) and beat == Heartbeat(3)
+    assert isinstance(long, UnusableLine) and beat == WatchHeartbeat(3)
 
 
 ENTRIES: list[tuple[Any, bool]] = [  # an entry that cannot be used, and whether it drains all the same
@@ -83,20 +89,20 @@
 
 @pytest.mark.parametrize(("bad", "drains"), ENTRIES)
 def test_an_entry_that_cannot_be_used_does_not_take_the_others_with_it(bad: Any, drains: bool) -> None:
-    news = read_news(roster(2, entry("box-1"), bad, entry("box-2", lifecycle="terminated", hostPort=None)))
-    assert isinstance(news, Roster) and news.unusable == 1 and news.why
-    assert [one.member.name for one in news.listed] == ["box-1", "box-2"]
-    assert news.drained == (("bad",) if drains else ())
+    news = parse_event(roster(2, entry("box-1"), bad, entry("box-2", lifecycle="terminated", hostPort=None)))
+    assert isinstance(news, EndpointList) and news.unusable_count == 1 and news.unusable_reason
+    assert [one.member.name for one in news.endpoints] == ["box-1", "box-2"]
+    assert news.draining_ids == (("bad",) if drains else ())
 
 
 def test_of_an_id_that_an_event_names_twice_the_last_word_holds() -> None:
     drain, use = entry("a", lifecycle="terminating"), entry("a", weight=3)
     for words, state in (([drain, use], "ready"), ([use, drain], "draining")):
-        news = read_news(roster(2, *words))
-        assert isinstance(news, Roster) and [
-            one.member.state.value for one in news.listed if one.member.state
+        news = parse_event(roster(2, *words))
+        assert isinstance(news, EndpointList) and [
+            one.member.state.value for one in news.endpoints if one.member.state
         ] == [state]
-    news = read_news(roster(2, use, {"instanceId": "a", "lifecycle": "terminating"}))
-    assert isinstance(news, Roster) and (news.listed, news.drained) == ((), ("a",))
-    news = read_news(roster(2, {"instanceId": "a", "lifecycle": "terminating"}, use))
-    assert isinstance(news, Roster) and len(news.listed) == 1 and news.drained == ()
+    news = parse_event(roster(2, use, {"instanceId": "a", "lifecycle": "terminating"}))
+    assert isinstance(news, EndpointList) and (news.endpoints, news.draining_ids) == ((), ("a",))
+    news = parse_event(roster(2, {"instanceId": "a", "lifecycle": "terminating"}, use))
+    assert isinstance(news, EndpointList) and len(news.endpoints) == 1 and news.draining_ids == ()
--- a/tests/crossings/test_list_watches.py
+++ b/tests/crossings/test_list_watches.py
@@ -7,8 +7,8 @@
 from rig_list import Bulletin, Recorder, Told, entry, play, roster, silent, until
 from test_standing import full_listener
 
-from paddlequay.net import lines
-from paddlequay.protocol.bulletin import Roster
+from paddlequay.net import watch_client as lines
+from paddlequay.protocol.endpoint_watch import EndpointList
 
 # --- moved to another address (SIGHUP) ---
 
@@ -26,10 +26,10 @@
         async with Bulletin(old) as first, Bulletin(new) as second:
             names: list[tuple[str, ...]] = []
 
-            def move(news: Roster) -> None:
-                names.append(tuple(one.member.name for one in news.listed))
+            def move(news: EndpointList) -> None:
+                names.append(tuple(one.member.name for one in news.endpoints))
                 if news.number == 2:
-                    follower.move(second.address)
+                    follower.change_address(second.address)
 
             follower = Recorder(first.address, move)
             async with follower:
@@ -52,10 +52,10 @@
     async def work() -> None:
         async with Bulletin(old) as first, Bulletin(new) as second:
 
-            def slow(news: Roster) -> None:
+            def slow(news: EndpointList) -> None:
                 if news.number == 3:
-                    asyncio.get_running_loop().call_soon(follower.move, second.address)
-                    end = time.perf_counter() + 2 * lines.TURN
+                    asyncio.get_running_loop().call_soon(follower.change_address, second.address)
+                    end = time.perf_counter() + 2 * lines.MAX_TURN_S
                     while time.perf_counter() < end:
                         pass
 
@@ -87,9 +87,9 @@
                 if moment == "pause":
                     await until(lambda: not follower.watches, "the connection is over")
                 began = time.monotonic()
-                follower.move(second.address)
+                follower.change_address(second.address)
                 await follower.has(1)
-                assert time.monotonic() - began < lines.SUSPECT / 2
+                assert time.monotonic() - began < lines.SUSPECT_AFTER_S / 2
                 assert [told.after for told in second.came] == [0] and len(follower.watches) == 1
 
     with full_listener() as listener:
@@ -104,7 +104,7 @@
     async def work() -> None:
         async with Bulletin(one) as bulletin, Recorder(bulletin.address) as follower:
             await follower.has(1)
-            follower.move(bulletin.address)
+            follower.change_address(bulletin.address)
             bulletin.came[0].tell(roster(2))
             await follower.has(1, 2)
             assert len(bulletin.came) == 1
@@ -119,7 +119,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Any byte put the silence off: half a line at a time, a dead watch lived for ever."""
-    monkeypatch.setattr(lines, "SUSPECT", 0.4)
+    monkeypatch.setattr(lines, "SUSPECT_AFTER_S", 0.4)
 
     async def drip(told: Told) -> None:
         told.tell(roster(1))
@@ -147,7 +147,7 @@
 def test_a_watch_that_was_only_late_is_kept_and_at_most_three_are_open(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(lines, "SUSPECT", 0.4)
+    monkeypatch.setattr(lines, "SUSPECT_AFTER_S", 0.4)
 
     async def moving(told: Told) -> None:
         """The list comes slowly, one piece of its line at a time: it is not given up for silent ones."""
@@ -165,8 +165,8 @@
             while follower.had != [1]:
                 most = max(most, len(follower.watches))
                 await asyncio.sleep(0.005)
-            assert most == lines.WATCHES and len(bulletin.came) >= lines.WATCHES
-            assert bulletin.came[0].after == 0 and follower.watches[0].dropped is False
+            assert most == lines.MAX_WATCHES and len(bulletin.came) >= lines.MAX_WATCHES
+            assert bulletin.came[0].after == 0 and follower.watches[0].is_dropped is False
 
     bulletin = Bulletin(moving, silent)
     play(work())
@@ -180,9 +180,9 @@
         async with Bulletin(drop) as bulletin, Recorder(bulletin.address) as follower:
             await until(lambda: len(bulletin.came) >= 4, "asked again")
             began, came = time.monotonic(), len(bulletin.came)
-            await asyncio.sleep(3 * lines.PAUSE)
+            await asyncio.sleep(3 * lines.RETRY_PAUSE_S)
             passed = time.monotonic() - began
-            assert len(bulletin.came) - came <= passed / lines.PAUSE + 1
+            assert len(bulletin.came) - came <= passed / lines.RETRY_PAUSE_S + 1
             assert follower.counts.counts["bulletin_lost"] >= 3
 
     play(work())
@@ -200,11 +200,11 @@
             follower = Recorder(bulletin.address)
             async with follower:
                 await follower.has(1)
-            assert follower.spare is None and not follower.watches
+            assert follower.spare_socket is None and not follower.watches
             began = time.monotonic()
             async with follower:
                 await follower.has(1, 2)
-            assert time.monotonic() - began < lines.SUSPECT / 2
+            assert time.monotonic() - began < lines.SUSPECT_AFTER_S / 2
             assert not follower.counts.counts["bulletin_errors"]
 
     play(work())
--- a/tests/crossings/test_no_cycles.py
+++ b/tests/crossings/test_no_cycles.py
@@ -10,8 +10,8 @@
 import rig_caches
 import rig_clients
 
-from paddlequay.net.connection import Connection
-from paddlequay.net.session import Session
+from paddlequay.net.connection import UpstreamConnection
+from paddlequay.net.session import ClientSession
 
 COUNT = 20
 
@@ -52,7 +52,7 @@
             await end()
         await rig_clients.until(lambda: not rig.front.tasks, "all have ended")
         await rig_clients.turns()
-        assert alive(Session) < COUNT / 2
+        assert alive(ClientSession) < COUNT / 2
 
     rig_clients.play(tmp_path, scene)
 
@@ -67,6 +67,6 @@
             connection.close()
             await rig.until(lambda: not rig.pool.tasks, "ended")
         await asyncio.sleep(0)
-        assert alive(Connection) < COUNT / 2
+        assert alive(UpstreamConnection) < COUNT / 2
 
     rig_caches.play(tmp_path, scene)
--- a/tests/golden/golden_samples.py
+++ b/tests/golden/golden_samples.py
@@ -22,8 +22,8 @@
 from paddlequay.hierarchy.moves import MoveLimits, Moves
 from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, delta_data, next_shape, whole
 from paddlequay.lifecycle.operator_state import OperatorState, Override
-from paddlequay.net.cache_words import order_fields
-from paddlequay.net.client_words import write_reply
+from paddlequay.net.cache_messages import request_fields
+from paddlequay.net.client_messages import format_answer
 from paddlequay.policy import Router
 from paddlequay.protocol import caches, clients, console
 from paddlequay.protocol import hot_restart as twin
@@ -42,7 +42,7 @@
 FLEET_SIZE = 12
 
 
-def link_messages() -> list[twin.Message]:
+def link_messages() -> list[twin.LinkMessage]:
     """Every message of the link between two processes of one router."""
     return [
         twin.StateMessage({}, (), {}),
@@ -167,8 +167,12 @@
 def ask_lines() -> Iterator[str]:
     """`ASK` lines of every form, and `QUIT`."""
     for order in orders():
-        yield caches.ask(order.id, order_fields(order), len(order.body)).decode().removesuffix("\r\n")
-    yield caches.quit_("id1").decode().removesuffix("\r\n")
+        yield (
+            caches.request_line(order.id, request_fields(order), len(order.body))
+            .decode()
+            .removesuffix("\r\n")
+        )
+    yield caches.cancel_line("id1").decode().removesuffix("\r\n")
 
 
 def client_answers() -> Iterator[str]:
@@ -184,9 +188,9 @@
         FinalAnswer(AnswerStatus.FAILED, detail=AnswerNote.ORIGIN_FAILED),
     ]
     for number, reply in enumerate(replies, 126):
-        yield b"".join(map(bytes, write_reply(number, reply))).hex()
-    yield clients.alive_answer(1, True).hex()
-    yield clients.alive_answer(2, False).hex()
+        yield b"".join(map(bytes, format_answer(number, reply))).hex()
+    yield clients.readiness_answer(1, True).hex()
+    yield clients.readiness_answer(2, False).hex()
 
 
 def console_answers() -> Iterator[str]:
@@ -196,7 +200,7 @@
         (405, "expected GET, HEAD", "GET, HEAD", False),
         (503, "draining", "", True),
     ):
-        yield json.dumps(console.answer(status, why, allow, head).decode())
+        yield json.dumps(console.format_answer(status, why, allow, head).decode())
 
 
 def simulator_input() -> str:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -131,7 +131,7 @@
                 value, at = msgpack.unpack(self.buffer, 0, 1 << 20)
                 self.buffer = self.buffer[at:]
                 return value
-            except msgpack.IncompleteError:
+            except msgpack.IncompleteMessageError:
                 data = self.socket.recv(65536)
                 if not data:
                     return None
--- a/tests/test_channel_front.py
+++ b/tests/test_channel_front.py
@@ -12,7 +12,7 @@
 from paddlequay.cluster.notes import Carried, Ready
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import Action, Bounds, Fleet, Peer, Tell
-from paddlequay.net.cache_words import order_fields
+from paddlequay.net.cache_messages import request_fields
 from paddlequay.net.channels import ChannelFront
 from paddlequay.placement.homes import digest
 from paddlequay.requests.exchange import Exchange
@@ -104,8 +104,8 @@
     ahead = next(each for each in rig.read(1, 2, 3).started if each.id.startswith("ahead"))
     order = rig.exchange.attempts.prepare_write(ahead)
     assert order is not None and order.part == 4
-    assert order_fields(order)["term"] == "99"
-    assert order_fields(order)["chan"] == f"{channel_of('here', NAME):x}"
+    assert request_fields(order)["term"] == "99"
+    assert request_fields(order)["chan"] == f"{channel_of('here', NAME):x}"
     rig.exchange.attempts.end(ahead, AttemptResult(Outcome.SERVED, stamp=CopyStamp("t", 1.0)))
     (word,) = rig.told
     assert isinstance(word, Tell) and word.to == 2 and isinstance(word.note, Carried)
--- a/tests/test_msgpack.py
+++ b/tests/test_msgpack.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from paddlequay.protocol.clients import Reader, alive_answer, served_answer
-from paddlequay.protocol.msgpack import IncompleteError, MalformedError, pack, unpack
+from paddlequay.protocol.clients import ClientMessageParser, readiness_answer, served_answer
+from paddlequay.protocol.msgpack import IncompleteMessageError, MalformedMessageError, pack, unpack
 
 NUMBERS = [
     0,
@@ -52,7 +52,7 @@
     raw = pack(value)
     assert unpack(b"\xc0" + raw + b"\xc0", 1, 1 << 20) == (value, len(raw) + 1)
     for end in {0, 1, len(raw) // 2, len(raw) - 1} - {len(raw)}:
-        with pytest.raises(IncompleteError):
+        with pytest.raises(IncompleteMessageError):
             unpack(raw[:end], 0, 1 << 20)
 
 
@@ -60,12 +60,12 @@
     "raw", [b"\xc1", b"\xd4\x01\x02", b"\xa1\xff", b"\x81\x90\x01", b"\x91" * 20, b"\xdd\xff" * 3]
 )
 def test_what_no_further_bytes_can_mend_is_malformed(raw: bytes) -> None:
-    with pytest.raises(MalformedError):
+    with pytest.raises(MalformedMessageError):
         unpack(raw, 0, 1 << 20)
 
 
 def test_a_frame_over_the_limit_is_malformed_before_it_has_come() -> None:
-    with pytest.raises(MalformedError):
+    with pytest.raises(MalformedMessageError):
         unpack(b"\xc6\x00\x02\x00\x00", 0, 1000)
 
 
@@ -75,11 +75,11 @@
         + pack([2, "cancelRequest", [7]])
         + pack([0, 8, "alive", []])
     )
-    whole = list(Reader(1000).feed(raw))
-    reader = Reader(1000)
+    whole = list(ClientMessageParser(1000).feed(raw))
+    reader = ClientMessageParser(1000)
     pieces = [message for n in range(len(raw)) for message in reader.feed(raw[n : n + 1])]
     assert pieces == whole and [type(message).__name__ for message in whole] == ["Call", "Withdrawn", "Alive"]
-    assert unpack(alive_answer(8, True), 0, 100)[0] == [1, 8, None, [True, {}]]
+    assert unpack(readiness_answer(8, True), 0, 100)[0] == [1, 8, None, [True, {}]]
     assert unpack(b"".join(served_answer(300, b"xy", {"a": "b"})), 0, 100)[0] == [
         1,
         300,
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -18,7 +18,7 @@
 from paddlequay.net.hot_restart import HotRestart
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol import hot_restart as twin
-from paddlequay.protocol.console import Call, MalformedError, Reader
+from paddlequay.protocol.console import ConsoleCall, ConsoleCallParser, ConsoleProtocolError
 from paddlequay.protocol.msgpack import pack
 from paddlequay.requests.quotas import ProcessQuotas, QuotaInUse
 
@@ -34,10 +34,10 @@
 
 @pytest.mark.parametrize("size", [1, 2, 7, len(CALL)])
 def test_a_call_in_pieces_of_any_size_is_whole_with_its_last_byte(size: int) -> None:
-    reader = Reader(1000, 1000)
+    reader = ConsoleCallParser(1000, 1000)
     pieces = [CALL[at : at + size] for at in range(0, len(CALL), size)]
     found = [reader.feed(piece) for piece in pieces]
-    assert found == [None] * (len(pieces) - 1) + [Call("POST", ("-", "caches", "s-1", "disable"))]
+    assert found == [None] * (len(pieces) - 1) + [ConsoleCall("POST", ("-", "caches", "s-1", "disable"))]
 
 
 @pytest.mark.parametrize(
@@ -57,13 +57,13 @@
     ],
 )
 def test_what_is_no_call_is_said_to_be_none(head: bytes) -> None:
-    with pytest.raises(MalformedError):
-        Reader(1000, 1000).feed(head)
+    with pytest.raises(ConsoleProtocolError):
+        ConsoleCallParser(1000, 1000).feed(head)
 
 
 STATE = twin.StateMessage({"out:a": Override(5, True)}, ("a", "b"), {"limit a": 12.5})
 ORDER = twin.OverrideMessage(3, "drain", Override(9, False))
-MESSAGES: list[twin.Message] = [
+MESSAGES: list[twin.LinkMessage] = [
     STATE,
     ORDER,
     twin.OverrideConfirmed(3),
@@ -92,7 +92,7 @@
     ],
 )
 def test_a_line_that_is_no_message_is_said_to_be_none(line: bytes) -> None:
-    with pytest.raises(twin.MalformedError):
+    with pytest.raises(twin.LinkProtocolError):
         twin.unpack(line)
 
 
--- a/tests/tier/test_terms.py
+++ b/tests/tier/test_terms.py
@@ -6,7 +6,7 @@
 from paddlequay.hierarchy.moves import MoveLimits
 from paddlequay.hierarchy.node import Answer, Fill, Node, NodeLimits, Want, Word
 from paddlequay.hierarchy.terms import Terms
-from paddlequay.net.cache_words import read_end
+from paddlequay.net.cache_messages import parse_result
 from paddlequay.net.tier import FieldError, read_channel
 from paddlequay.policy import Router
 from paddlequay.protocol import caches as wire
@@ -45,9 +45,9 @@
     assert isinstance(answer, Answer) and (answer.word, answer.detail) == (Word.NONE, "OLD_TERM")
     assert isinstance(ask(None, 2)[0], Fill)  # who names no channel goes the ordinary way
     assert node.seen.counts["old_terms"] == 1
-    reader = wire.Reader(1000, 1000)
+    reader = wire.CacheAnswerParser(1000, 1000)
     (told,) = reader.feed(b"x NONE detail=OLD_TERM 0\r\n\r\n")
-    assert read_end(told).detail is ReplyDetail.STALE_TERM
+    assert parse_result(told).detail is ReplyDetail.STALE_TERM
 
 
 @pytest.mark.parametrize(
