--- a/paddlequay/config/limits.py
+++ b/paddlequay/config/limits.py
@@ -8,12 +8,11 @@
 from paddlequay.routing.interface import RoutingSettings
 
 RESERVED_DESCRIPTORS = 40  # listeners, console, bulletin, link to the other process, event loop, log
-NON_CONSOLE_DESCRIPTORS = (
-    20  # of these, all but the console's calls; some 14 are held, the rest is for reconnects
-)
-# Of the platform's page, as no setting tells them: SIGKILL comes so long after the longest deadline, which
-# counts as no more than this.
+NON_CONSOLE_DESCRIPTORS = 20  # of these, all but the console's calls; some 14 are used, the rest is spare
+# By the platform's page, as no setting gives them: seconds from the longest deadline to SIGKILL, and the
+# most that this deadline counts for.
 KILL_AFTER, MAX_KILL_DEADLINE = 0.7, 3.0
+KILL_MARGIN = 0.2  # from the abandoned requests to SIGKILL
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,75 +29,73 @@
     max_client_unsent: int = 12 * 1024 * 1024
     max_unsent: int = 48 * 1024 * 1024
     client_stall_timeout: float = 10.0
-    client_silence_timeout: float = (
-        2.5  # without a byte, before the first one or inside a message: slow ones move
-    )
+    client_silence_timeout: float = 2.5  # without a byte, before the first one or inside a message
     recent_progress: float = 0.5  # who has gone on with a message this lately is not closed for who comes
     client_idle_timeout: float = 6.0  # clients themselves close after 4 s, by the platform's page
     max_client_body: int = 48_000
-    max_consecutive_rejections: int = 32  # refusals or errors in a row, after which a connection is read
+    max_consecutive_rejections: int = 32  # rejections or errors in a row, after which a connection is read
     rejection_pause: float = 0.02  # only once in this time
-    max_time_to_live: float = (
-        1.5  # of the class's deadline; no client waits longer than the deadline, but for a slip
-    )
+    max_time_to_live: float = 1.5  # of the class's deadline, which no client but a faulty one goes beyond
     max_part: int = 65_535
     max_group: int = 255
     max_open_requests: int = 20000
     max_body_bytes: int = 24 * 1024 * 1024
-    answer_margin: float = 0.025  # of the time to live: the way from and to the client, told nowhere
-    busy_retry_after: float = 0.2  # told where the router itself, not the decisions, turns a request away
-    accepts_per_turn: int = 16  # connections taken in one turn of the loop
+    answer_margin: float = 0.025  # of the time to live, for the way from and to the client
+    busy_retry_after: float = 0.2  # where the router itself, not the decisions, rejects a request
+    accepts_per_turn: int = 16  # connections accepted in one turn of the loop
     client_read_size: int = 4096  # some 25 requests: what waits behind them, purges above all, has its turn
     heartbeat_interval: float = 0.05  # how often the program looks at its own load
-    max_cpu_share: float = 0.96  # of the core: past it, new requests are turned away, more at each beat
+    max_cpu_share: float = 0.96  # of the core: past it, load is shed, more at each heartbeat
     cores: float = 1.0
-    max_heartbeat_delay: float = 0.03  # a beat this late tells the same
+    max_heartbeat_delay: float = 0.03  # a heartbeat this late means the same
     shed_step: float = 0.06
     shed_retry_after: float = 1.0
     # Caches.
-    connect_timeout: float = 0.4  # as the settings tell
-    cache_streams: int = 32  # as the settings tell, up to `cache_ids`: an id that is out is remembered
+    connect_timeout: float = 0.4  # as the settings give
+    cache_streams: int = 32  # as the settings give, up to `max_remembered_ids`
     cache_connections: int = 8  # to one instance
-    max_reuse_idle: float = 0.1  # idle for longer, a connection takes nothing that must not run twice
-    requests_per_connection: int = 4  # requests out on a connection before another is opened
+    max_reuse_idle: float = 0.1  # idle for longer, a connection takes nothing that must not be executed twice
+    requests_per_connection: int = 4  # in flight on a connection before another is opened
     all_cache_connections: int = 650
     cache_stall_timeout: float = 0.2  # without a byte inside an answer, which comes in one piece
-    connection_unanswered: int = 4  # requests written on a connection and nothing heard on it,
-    instance_unanswered: int = 6  # or on all to an instance and nothing heard on any,
-    silence_check_after: float = (
-        0.5  # with nothing for this long: looked at for silence; fleet/silence.py decides
-    )
-    assumed_latency: float = 0.3  # what an answer is taken to need until answers tell
-    cache_idle_timeout: float = 24.0  # the caches close at 30 s, or as the settings tell
+    connection_unanswered: int = 4  # requests written on a connection with nothing received on it,
+    instance_unanswered: int = 6  # or on all to an instance with nothing received on any,
+    silence_check_after: float = 0.5  # nothing for this long: routing/failure_detector.py decides
+    assumed_latency: float = 0.3  # what an answer is taken to need until answers come
+    cache_idle_timeout: float = 24.0  # the caches close at 30 s, or as the settings give
     max_remembered_ids: int = 512  # remembered by a connection, so that none comes twice on it
     max_cache_line: int = 4096
     max_object_size: int = 240_000
-    # Less time left than this and nothing is written any more: caches are told whole milliseconds.
+    # With less time left nothing is written any more: caches get it in milliseconds.
     min_time_left: float = 0.002
     max_attempts: int = 6
-    # The bulletin.
+    # The endpoint watch.
     max_bulletin_line: int = 4 * 1024 * 1024
-    # The end; see `end_times`.
+    # Graceful shutdown; see `shutdown_times`.
     accept_after_term: float = 0.5  # connections keep coming for 0.4 s after SIGTERM,
     serve_after_term: float = 0.75  # and requests on open ones 0.2 s longer
-    shutdown_timeout: float = 3.5  # then all that is open is given up
-    flush_timeout: float = 0.5  # what a tier has answered and not sent yet, after `shutdown_timeout`
+    shutdown_timeout: float = 3.5  # then all that is pending is abandoned
+    flush_timeout: float = 0.5  # for what a tier has answered and not sent yet, after `shutdown_timeout`
     # A drain by operators, who look at 4 s after it whether any connection is left, whatever the deadlines.
     drain_accept_time: float = 0.45  # new connections still come, and are served, for this long
     drain_reject_after: float = 2.6  # connections that are never quiet get nothing new done,
-    drain_abandon_after: float = 3.0  # what is open then is given up,
+    drain_abandon_after: float = 3.0  # what is pending then is abandoned,
     drain_close_after: float = 3.3  # and what is not closed by then is closed
-    new_connection_age: float = 0.5  # who has connected this lately and asked nothing yet is about to
+    new_connection_age: float = (
+        0.5  # a connection as new as this, without a request yet, is about to bring one
+    )
     # One process replaces another.
     max_link_line: int = 1024 * 1024
     link_connect_timeout: float = 1.0
-    confirm_timeout: float = 0.6  # the other process obeys an order; the call is owed its answer within 1 s
-    warm_up_timeout: float = 2.5  # bulletin and connections of a newer process, whose yes is due within 6 s
+    confirm_timeout: float = (
+        0.6  # the other process applies an override; the call is owed its answer within 1 s
+    )
+    warm_up_timeout: float = 2.5  # of a successor, which is to be ready within 6 s
     # The operators' console.
     console_connections: int = 16
     max_console_head: int = 8 * 1024
     max_console_body: int = 64 * 1024
-    console_read_timeout: float = 5.0  # to a whole call
+    console_read_timeout: float = 5.0  # to a complete call
     console_timeout: float = 8.0
     console_linger: float = 0.3  # after the answer, for what the caller still sends
     # All.
@@ -116,53 +113,53 @@
     shutdown_timeout: float
 
 
-def shutdown_times(longest: float) -> ShutdownTimes:
-    """The times of an end after SIGTERM, in seconds, for the longest deadline of all classes.
+def shutdown_times(longest_deadline: float) -> ShutdownTimes:
+    """The times of a graceful shutdown after SIGTERM, in seconds.
 
-    All is answered or given up so early that `ending.py` has 0.15 s for the last words before SIGKILL comes.
-    With deadlines under 0.3 s it comes while requests still do, and less is waited for.
+    All is answered or abandoned so early that 0.15 s are left to flush answers before SIGKILL comes. With
+    deadlines under 0.3 s it comes while requests still do, and less is waited for.
     """
-    given_up = min(MAX_KILL_DEADLINE, longest) + KILL_AFTER - 0.2
-    served = min(0.75, given_up - 0.05)
-    return {"accept_after_term": min(0.5, served), "serve_after_term": served, "shutdown_timeout": given_up}
+    abandoned = min(MAX_KILL_DEADLINE, longest_deadline) + KILL_AFTER - KILL_MARGIN
+    served = min(0.75, abandoned - 0.05)
+    return {"accept_after_term": min(0.5, served), "serve_after_term": served, "shutdown_timeout": abandoned}
 
 
 def limits_from(data: Mapping[str, Any], settings: RoutingSettings) -> Limits:
-    """The limits that deployment and settings tell; the rest are the program's own."""
+    """The limits that deployment and settings give; the rest are the program's own. Raises `ConfigError`."""
     # With fewer descriptors than this a third for clients and a connection each to a few caches do not fit.
-    sockets = int(positive(data, "limits.sockets", 1024, least=36))
-    memory = positive(data, "limits.memory_mb", 192, least=1) * 1024 * 1024
+    sockets = int(positive(data, "limits.sockets", 1024, lowest=36))
+    memory = positive(data, "limits.memory_mb", 192, lowest=1) * 1024 * 1024
     wire = {"settings": data["settings"]}
     keepalive = positive(wire, "settings.limits.keepalive", 30.0)
     clients = int(sockets / 3) - 1
     own = min(RESERVED_DESCRIPTORS, sockets - clients - 4)
-    mean_aim = sum(kind.latency_objective for kind in settings.classes) / len(settings.classes)
+    mean_objective = sum(kind.latency_objective for kind in settings.classes) / len(settings.classes)
     longest = max(kind.deadline for kind in settings.classes)
-    own_most = Limits()
+    defaults = Limits()
     return Limits(
         client_connections=clients,
         # The rest is for what the program needs by itself, and for sockets about to be closed.
         all_cache_connections=sockets - clients - own,
         reserved_descriptors=own,
-        # Who is taken in makes room for others from the next turn on: more at once would be turned away.
-        accepts_per_turn=max(1, min(own_most.accepts_per_turn, clients // 4)),
-        console_connections=min(own_most.console_connections, own - NON_CONSOLE_DESCRIPTORS),
+        # Accepted ones can be closed for others from the next turn on: more at once would be rejected.
+        accepts_per_turn=max(1, min(defaults.accepts_per_turn, clients // 4)),
+        console_connections=min(defaults.console_connections, own - NON_CONSOLE_DESCRIPTORS),
         cores=positive(data, "limits.cores", 1.0),
         max_unsent=int(memory / 4),
         max_client_unsent=int(memory / 8),
         max_body_bytes=int(memory / 8),
-        max_open_requests=int(positive(wire, "settings.limits.maxOpen", 20000, least=1)),
+        max_open_requests=int(positive(wire, "settings.limits.maxOpen", 20000, lowest=1)),
         # No request waits for a connection for longer.
         connect_timeout=min(longest, positive(wire, "settings.limits.dialTimeout", 0.4)),
         cache_streams=min(
-            own_most.max_remembered_ids, int(positive(wire, "settings.limits.streamsPerConn", 32, least=1))
+            defaults.max_remembered_ids, int(positive(wire, "settings.limits.streamsPerConn", 32, lowest=1))
         ),
         # Closed here first, before the next sweep: what crosses the caches' own close is reset.
-        cache_idle_timeout=max(keepalive / 4, min(0.8 * keepalive, keepalive - 2 * own_most.sweep_interval)),
-        max_reuse_idle=min(own_most.max_reuse_idle, keepalive / 4),
-        # Of the order of the aims: a deployment of larger objects takes longer for each answer.
-        silence_check_after=1.1 * mean_aim,
-        assumed_latency=0.5 * mean_aim,
-        max_attempts=int(positive(wire, "settings.limits.attemptsCap", 6, least=1)),
+        cache_idle_timeout=max(keepalive / 4, min(0.8 * keepalive, keepalive - 2 * defaults.sweep_interval)),
+        max_reuse_idle=min(defaults.max_reuse_idle, keepalive / 4),
+        # Of the order of the latency objectives: a deployment of larger objects takes longer for each answer.
+        silence_check_after=1.1 * mean_objective,
+        assumed_latency=0.5 * mean_objective,
+        max_attempts=int(positive(wire, "settings.limits.attemptsCap", 6, lowest=1)),
         **shutdown_times(longest),
     )
--- a/paddlequay/config/loader.py
+++ b/paddlequay/config/loader.py
@@ -41,13 +41,13 @@
     peering: Peering | None = None  # None: the platform names no peers, or does not allow them
     folder: Path = Path(tempfile.gettempdir())  # for what outlives this process
 
-    def file(self, ending: str) -> Path:
-        """A file of this router's own."""
-        return self.folder / f"paddlequay-{quote(self.name, safe='')[:60]}.{ending}"
+    def file(self, suffix: str) -> Path:
+        """A file of this router's own, by its suffix."""
+        return self.folder / f"paddlequay-{quote(self.name, safe='')[:60]}.{suffix}"
 
 
 def read_peering(data: Mapping[str, Any]) -> Peering | None:
-    """The peers, where the platform names them and the settings allow them; else None."""
+    """The peers, where the platform names and the settings allow them. Raises `ConfigError`."""
     allowed = section(data, "settings.limits").get("peers")
     peers, me = data.get("peers"), data["settings"].get("me")
     if allowed is not True or peers is None:
@@ -66,16 +66,16 @@
 
 
 def read_seed(data: Mapping[str, Any]) -> int:
-    """The seed, in hex digits; 0 where none is told."""
-    told = text(data, "seed", "0")
+    """The seed, in hex digits; 0 where there is none. Raises `ConfigError`."""
+    digits = text(data, "seed", "0")
     try:
-        return int(told, 16)
+        return int(digits, 16)
     except ValueError:
-        raise ConfigError(f"seed: expected hex digits, got {abbreviated(told)}") from None
+        raise ConfigError(f"seed: expected hex digits, got {abbreviated(digits)}") from None
 
 
 def read_known(data: Mapping[str, Any]) -> Mapping[str, Any]:
-    """The events so far, not looked into, and the number of the last one."""
+    """The events so far, unparsed, and the number of the last one. Raises `ConfigError`."""
     known = data.get("known")
     if known is None:
         return {"no": 0, "items": []}
@@ -87,9 +87,9 @@
 
 
 def read_config(environment: Mapping[str, str], peers: bool = False) -> Config:
-    """The configuration named by `ROUTER_CONFIG`; `ROUTER_NAME` and `ROUTER_LISTEN` come first where set.
+    """The configuration that `ROUTER_CONFIG` names; `ROUTER_NAME` and `ROUTER_LISTEN` come first where set.
 
-    `peers`: whether how to reach the other routers is read too.
+    `peers`: whether to read how the other routers are reached. Raises `ConfigError`.
     """
     path = environment.get("ROUTER_CONFIG")
     if not path:
--- a/paddlequay/config/validation.py
+++ b/paddlequay/config/validation.py
@@ -31,8 +31,10 @@
 
 
 def check_usable(settings: RoutingSettings) -> RoutingSettings:
-    """The settings, where the decisions and the caches' protocol can use them: figures are finite, and 0 or
-    more; classes have each a name of its own, which a line to a cache can carry."""
+    """The settings, where the decisions and the caches' protocol can use them; else raises `ConfigError`.
+
+    Figures are finite, and 0 or more; classes have each a name of its own, which a line to a cache can carry.
+    """
     check_settings(settings)
     names = [kind.name for kind in settings.classes]
     for place, name in enumerate(names):
--- a/paddlequay/lifecycle/background.py
+++ b/paddlequay/lifecycle/background.py
@@ -1,7 +1,7 @@
-"""Tasks that nobody waits for: none of them ends unseen.
+"""Supervised tasks: those that nobody waits for, none of which ends unseen.
 
-One that is to run for as long as the program is begun again whenever it ends, after a pause; of others, an
-error is told. The first trace under a name is logged, all are counted as `background_errors.NAME`.
+One that is to run for as long as the program is begun again whenever it ends, after a backoff; of others, an
+error is logged. The first trace under a name is logged, all are counted as `background_errors.NAME`.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
         self.tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, name: str, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run until its own end."""
+        """Run until its own end; an error is logged and counted."""
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(lambda done: self.on_done(name, done))
@@ -42,12 +42,14 @@
             await asyncio.wait(self.tasks)
 
     def on_done(self, name: str, task: asyncio.Task[None]) -> None:
+        """A task has ended."""
         self.tasks.discard(task)
         error = None if task.cancelled() else task.exception()
         if error is not None:
             self.report_failure(name, error)
 
     async def run_supervised(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
+        """Run work again and again, with a growing backoff while it ends early."""
         loop, me = asyncio.get_running_loop(), asyncio.current_task()
         pause = MIN_BACKOFF_S
         while True:
@@ -66,7 +68,7 @@
             await asyncio.sleep(pause)
 
     def report_failure(self, name: str, error: BaseException | None) -> None:
-        """Without an error it has ended by itself, which it must not."""
+        """Count a failure, and log the first of a name; without an error the task ended by itself."""
         if self.counters.add_once(f"background_errors.{name}"):
             why = type(error).__name__ if error is not None else "ended"
             LOGGER.error("background_failed", exc_info=error, extra={"fields": {"task": name, "why": why}})
--- a/paddlequay/lifecycle/operator_state.py
+++ b/paddlequay/lifecycle/operator_state.py
@@ -1,8 +1,8 @@
-"""What operators have ordered by hand: caches left out, and whether the router is being emptied.
+"""What operators have ordered by hand: caches ejected, and whether the router is being drained.
 
-One owner of it all: console, front and exchange ask it, and nothing else changes it. An order is a mark with
-the time at which it was given. Of two marks for the same thing the later one holds, whatever way they come:
-from this process, from the file, or from the other process while one replaces the other.
+One owner of it all: console, front and exchange consult it, and nothing else changes it. An override bears
+the time at which it was issued. Of two for the same thing the later one holds, whatever way they come: from
+this process, from the file, or from the other process during a hot restart.
 """
 
 import json
@@ -21,19 +21,19 @@
 
 
 class TooManyOverridesError(ValueError):
-    """More orders than are kept."""
+    """More overrides than are kept."""
 
 
 @dataclass(frozen=True, slots=True)
 class Override:
-    """One order: given when (Unix nanoseconds), and whether it is on."""
+    """One override: issued when (Unix nanoseconds), and whether it is active."""
 
     issued_ns: int
     active: bool
 
 
 def read_overrides(data: Any) -> dict[str, Override]:
-    """Marks as they stand in the file and on the way to the other process; ValueError on anything else."""
+    """Overrides as they stand in the file and on the link to the other process; raises ValueError."""
     if not isinstance(data, dict) or len(data) > MAX_OVERRIDES:
         raise ValueError("expected an object of orders")
     marks = {}
@@ -47,7 +47,7 @@
 
 
 class OperatorState:
-    """The operators' state, and who is told when it changes."""
+    """The operators' state, and who is notified when it changes."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -58,22 +58,25 @@
 
     @property
     def draining(self) -> bool:
+        """Whether the router is being drained."""
         return self.is_active(DRAIN)
 
     def is_ejected(self, cache: str) -> bool:
+        """Whether a cache is left out; consulted before each write."""
         return cache in self.ejected
 
     def is_active(self, name: str) -> bool:
+        """Whether an override is there and active."""
         mark = self.overrides.get(name)
         return mark is not None and mark.active
 
     @property
     def ejected_ids(self) -> list[str]:
-        """The caches that are left out."""
+        """The caches that are ejected, sorted."""
         return sorted(self.ejected)
 
     def record_listed(self, caches: Iterable[str]) -> None:
-        """Ids that the list names: from now on they are known, also once they have gone."""
+        """Ids that the endpoint list names: from now on they are known, also once removed."""
         for cache in caches:
             self.known_ids[cache] = None
             self.known_ids.move_to_end(cache)
@@ -81,10 +84,14 @@
             self.known_ids.popitem(last=False)
 
     def is_known(self, cache: str) -> bool:
+        """Whether a cache was ever listed, as far as is remembered, or overridden."""
         return cache in self.known_ids or EJECTED_PREFIX + cache in self.overrides
 
     def set_override(self, name: str, on: bool) -> Override:
-        """An order given to this process. A repeat is an order as well: it holds against any earlier one."""
+        """An override given to this process; raises `TooManyOverridesError`.
+
+        A repeat is one as well: it holds against any earlier one.
+        """
         if name not in self.overrides and len(self.overrides) >= MAX_OVERRIDES:
             for old in [each for each, mark in self.overrides.items() if not mark.active][:1]:
                 del self.overrides[old]
@@ -96,7 +103,7 @@
         return mark
 
     def apply(self, name: str, mark: Override) -> None:
-        """An order from wherever; an earlier one than the one that is known changes nothing."""
+        """An override from wherever; one earlier than the known one changes nothing."""
         before = self.overrides.get(name)
         if before is not None and before.issued_ns >= mark.issued_ns:
             return
@@ -108,23 +115,28 @@
                 tell(name)
 
     def apply_all(self, marks: Mapping[str, Override]) -> None:
+        """Several overrides from the file or the other process."""
         for name, mark in marks.items():
             self.apply(name, mark)
 
     def to_json(self) -> dict[str, list[Any]]:
+        """All overrides, as in the file and on the link."""
         return {name: [mark.issued_ns, mark.active] for name, mark in self.overrides.items()}
 
     def serialize_ejections(self) -> str:
-        """What `write` keeps. A drain ends with the process, and lives on in the one that replaces it."""
+        """What `write` saves. A drain ends with the process, and lives on in its successor."""
         return json.dumps({name: pair for name, pair in self.to_json().items() if name != DRAIN})
 
     def write(self, kept: str) -> None:
-        """All bans, whole or not at all: another process may start, and read, at any time. Raises OSError."""
+        """Save all ejections, complete or not at all: another process may start, and read, at any time.
+
+        Raises OSError.
+        """
         beside = self.path.with_name(f"{self.path.name}.{os.getpid()}")
         beside.write_text(kept)
         beside.replace(self.path)
 
     def load(self) -> None:
-        """What an earlier process has saved. Raises OSError or ValueError where that cannot be read."""
+        """Read what an earlier process has saved. Raises OSError or ValueError where that cannot be read."""
         if self.path.exists():
             self.apply_all(read_overrides(json.loads(self.path.read_text())))
--- a/paddlequay/lifecycle/signals.py
+++ b/paddlequay/lifecycle/signals.py
@@ -1,8 +1,8 @@
 """Signals wait for as long as the program cannot act on them.
 
 Their default actions end it: while modules and configuration are read, and once the event loop is closed.
-Passed over instead, a SIGHUP that came after the configuration was read left the router with the old one.
-They are blocked; one that the system gives to a thread which does not block it, as a library may have begun
+Ignored instead, a SIGHUP that came after the configuration was read left the router with the old one. They
+are blocked; one that the system delivers to a thread which does not block it, as a library may have begun
 one, is noted and raised again.
 """
 
@@ -14,7 +14,7 @@
 
 
 def block() -> None:
-    """Have those that come wait for `let_through`."""
+    """Have signals wait for `release`."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
     for each in HANDLED:
         signal.signal(each, lambda number, _: pending.add(number))
--- a/paddlequay/net/cache_messages.py
+++ b/paddlequay/net/cache_messages.py
@@ -1,4 +1,4 @@
-"""Orders and ends in the words of the caches' protocol, and back; bytes are `protocol/caches.py`'s affair."""
+"""Requests to caches as fields of their protocol, and their answers as results."""
 
 import math
 from collections.abc import Mapping
@@ -33,7 +33,7 @@
 
 
 def request_fields(order: UpstreamRequest) -> dict[str, str]:
-    """An order in the words of the caches' protocol; what has its default is left out."""
+    """A request as fields of the caches' protocol; what has its default is left out."""
     fields = {"queue": order.class_name, "path": order.object_name}
     if order.part is not None:
         fields["blk"] = str(order.part)
@@ -56,7 +56,7 @@
 
 
 def parse_figure(text: str) -> float:
-    """A figure that can be reckoned with: one spoilt `nan` would stay in every mean it is taken into."""
+    """A finite number: one `nan` would stay in every mean that it enters."""
     value = float(text)
     if not math.isfinite(value):
         raise ValueError(f"{text[:20]} is no figure")
@@ -64,11 +64,13 @@
 
 
 def parse_load(text: str) -> tuple[tuple[str, float], ...]:
+    """A load report: name and figure pairs."""
     pairs = (pair.partition(":") for pair in text.split(";"))
     return tuple((LOAD_NAMES.get(name, name), parse_figure(value)) for name, _, value in pairs)
 
 
 def parse_stamp(fields: Mapping[str, str]) -> CopyStamp | None:
+    """Which copy an answer carries, where it says so."""
     if "minted" not in fields:
         return None
     group = fields.get("lot")
@@ -78,7 +80,7 @@
 
 
 def parse_result(answer: wire.CacheAnswer) -> AttemptResult:
-    """An answer as the end of its attempt."""
+    """An answer as the result of its attempt; raises `CacheProtocolError`."""
     try:
         lag = answer.fields.get("lag")
         return AttemptResult(
--- a/paddlequay/net/caches.py
+++ b/paddlequay/net/caches.py
@@ -1,4 +1,4 @@
-"""Instances of caches, parents and the origin: which connection takes an attempt, and the pool of all."""
+"""Instances of caches, parents and the origin: which connection carries an attempt, and the pool of all."""
 
 import asyncio
 import errno
@@ -22,7 +22,7 @@
 
 
 class UpstreamInstance:
-    """One run of a cache, parent or the origin. A new run, or a new one at the same address, is another."""
+    """One run of a cache, parent or the origin; after a restart, or at the same address, another."""
 
     def __init__(self, pool: "ConnectionPool", listed: Endpoint) -> None:
         self.pool = pool
@@ -31,16 +31,17 @@
         self.address: Address = listed.address
         self.connections: list[UpstreamConnection] = []
         self.removed = False
-        self.restarted = False  # started anew: nothing more is written by this run
+        self.restarted = False  # nothing more is written by this instance
         self.relative_latency = RelativeLatency()
 
     def record_latency(self, attempt: UpstreamAttempt, time: float) -> None:
+        """An attempt was answered after so many seconds."""
         self.relative_latency.record(time)
         self.pool.typical_latency.record(time)
         self.pool.latencies.record(attempt.pending.request.class_name, time)
 
     def is_unresponsive(self, attempts: list[UpstreamAttempt], now: float) -> bool:
-        """Whether so long a silence under these is no chance; in a jam of its own a member may be slower."""
+        """Whether so long a wait under these is no chance; in a jam of its own a member may be slower."""
         ages = [(each.pending.request.class_name, now - (each.written_at or now)) for each in attempts]
         if max((age for _, age in ages), default=0.0) <= self.pool.limits.silence_check_after:
             return False
@@ -49,6 +50,7 @@
         )
 
     def start(self, attempt: UpstreamAttempt) -> None:
+        """Have an attempt wait for a connection; without one it ends as not sent."""
         connection = None if self.removed else self.choose_connection(attempt)
         if connection is None:
             self.pool.counters.add("no_connection_left")
@@ -58,27 +60,27 @@
         connection.write_waiting()
 
     def choose_connection(self, attempt: UpstreamAttempt) -> UpstreamConnection | None:
-        """The fullest connection that has few out, a new one, or the emptiest that takes it.
+        """The fullest connection that has little in flight, a new one, or the emptiest that accepts it.
 
-        One spoilt answer ends all that is out on its connection: with thirty requests on one and the others
-        idle, each cost thirty. So many connections as are needed are used, and the rest close as idle.
+        One corrupt answer ends all that is in flight on its connection: with thirty requests on one and the
+        others idle, each cost thirty. So many connections as are needed are used, and the rest close as idle.
         """
         limits = self.pool.limits
-        few = spare = None
-        few_load, spare_load = -1, limits.cache_streams
+        lightly_loaded = spare = None
+        best_load, spare_load = -1, limits.cache_streams
         for connection in self.connections:  # one pass, as each attempt makes it
             load = connection.load
-            if few_load < load < limits.requests_per_connection:
+            if best_load < load < limits.requests_per_connection:
                 if connection.accepts(attempt):
-                    few, few_load = connection, load
+                    lightly_loaded, best_load = connection, load
             elif (
-                few is None
+                lightly_loaded is None
                 and limits.requests_per_connection <= load < spare_load
                 and connection.accepts(attempt)
             ):
                 spare, spare_load = connection, load
-        if few is not None:
-            return few
+        if lightly_loaded is not None:
+            return lightly_loaded
         if attempt.never_resend and spare is None and len(self.connections) >= limits.cache_connections:
             for connection in [each for each in self.connections if each.is_idle][:1]:
                 self.forget(connection)
@@ -90,8 +92,9 @@
     def connect(self) -> UpstreamConnection | None:
         """One more connection, which comes up later; None where the system gives no socket for it.
 
-        That is no fault of the member's: what was to go on it counts as not sent. The limits leave room for
-        all connections, but clients about to be closed, or a limit lowered in service, may have used it up.
+        That is no fault of the member's: what was to go on it counts as not sent. The limits leave capacity
+        for all connections, but clients about to be closed, or a limit lowered in service, may have used it
+        up.
         """
         for _ in range(2):
             try:
@@ -108,12 +111,15 @@
         return None
 
     def forget(self, connection: UpstreamConnection) -> None:
+        """Use a connection no more; one that is not used is no error."""
         if connection in self.connections:
             self.connections.remove(connection)
 
     def close_unresponsive(self, now: float) -> None:
-        """Close what has fallen silent under requests, what stopped inside an answer, and what an older run
-        left unanswered. Never over unread bytes: they are read first, and judged at the next beat."""
+        """Close what is unresponsive, what stopped inside an answer, and what an older instance left.
+
+        Never over unread bytes: they are read first, and judged at the next heartbeat.
+        """
         limits = self.pool.limits
         heard = max((connection.last_read_at for connection in self.connections), default=now)
         all_silent = False
@@ -124,9 +130,9 @@
             if connection.is_stalled(now):
                 cause = "stalled_answers"
             elif connection.is_unresponsive(now) or (all_silent and connection.in_flight):
-                cause = "silent_connections"
+                cause = "unresponsive_connections"
             elif self.restarted and connection.in_flight:
-                cause = "answered_no_more"
+                cause = "restarted_connections"
             else:
                 continue
             if not connection.stream.closed() and not connection.has_unread:
@@ -134,17 +140,16 @@
                 connection.stream.close()
 
     def sweep(self, now: float) -> None:
-        """Close what has been idle for long, what is silent and empty, and what a gone instance left.
+        """Close what has been idle for long, what is unresponsive, and what a removed instance left.
 
-        A connection that only charges went to is too old for the next one, which makes its own. Kept for
-        the usual time, those of forty routers filled the origin's table within seconds, and it turned all
-        charges away from then on.
+        A connection that only charges went to is too old for the next one, which makes its own. Kept for the
+        usual time, those of forty routers filled the origin's table within seconds, and it rejected all
+        charges from then on.
         """
         limits = self.pool.limits
         for connection in [c for c in self.connections if c.is_idle]:
-            idle = now - connection.last_used_at > (
-                limits.max_reuse_idle if connection.only_never_resend else limits.cache_idle_timeout
-            )
+            timeout = limits.max_reuse_idle if connection.only_never_resend else limits.cache_idle_timeout
+            idle = now - connection.last_used_at > timeout
             if self.removed or idle or connection.unresponsive:
                 connection.stream.close()
 
@@ -152,8 +157,8 @@
 class ConnectionPool:
     """All instances by name; carries attempts for the exchange."""
 
-    def __init__(self, exchange: Exchange, shares: ProcessQuotas, limits: Limits, counters: Counters) -> None:
-        self.exchange, self.quotas, self.limits, self.counters = exchange, shares, limits, counters
+    def __init__(self, exchange: Exchange, quotas: ProcessQuotas, limits: Limits, counters: Counters) -> None:
+        self.exchange, self.quotas, self.limits, self.counters = exchange, quotas, limits, counters
         self.instances: dict[str, UpstreamInstance] = {}
         self.removed_instances: list[UpstreamInstance] = []
         self.latencies = LatencyDistribution(limits.assumed_latency, exchange.router.classes)
@@ -163,16 +168,21 @@
         exchange.operator_state.on_change.append(self.override_changed)
 
     def now(self) -> float:
+        """Monotonic seconds."""
         return self.exchange.scheduler.monotonic()
 
     def spawn(self, connection: UpstreamConnection) -> None:
+        """Run a connection until its end."""
         task = asyncio.ensure_future(connection.run())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def update_endpoints(self, listed: Iterable[Endpoint], full: bool) -> None:
-        """Follow the list. A cache may take the address of one that has gone: instances are told apart by
-        name and start, never by address."""
+        """Follow the endpoint list.
+
+        A cache may take the address of a removed one: instances are told apart by name and start, never by
+        address.
+        """
         listed = tuple(listed)
         if full:
             for name in self.instances.keys() - {entry.member.name for entry in listed}:
@@ -188,7 +198,7 @@
                 self.instances[entry.member.name] = UpstreamInstance(self, entry)
 
     def remove(self, name: str, at_once: bool = False) -> None:
-        """Take an instance out of use; one that has started anew can no longer answer on old connections."""
+        """Take an instance out of use; one that has restarted can no longer answer on old connections."""
         instance = self.instances.pop(name, None)
         if instance is None:
             return
@@ -199,15 +209,16 @@
                 connection.stream.close()
 
     def override_changed(self, name: str) -> None:
-        """Operators leave a cache out, or put it back: what is idle to it may lead nowhere any more."""
-        instance = (
-            self.instances.get(name.removeprefix(EJECTED_PREFIX)) if name.startswith(EJECTED_PREFIX) else None
-        )
+        """Operators eject a cache, or put it back: what is idle to it may lead nowhere any more."""
+        if not name.startswith(EJECTED_PREFIX):
+            return
+        instance = self.instances.get(name.removeprefix(EJECTED_PREFIX))
         for connection in instance.connections[:] if instance is not None else ():
             if connection.is_idle or (connection.unresponsive and not connection.has_unread):
                 connection.stream.close()
 
     def connections(self) -> list[UpstreamConnection]:
+        """All connections of all instances."""
         return [c for each in [*self.instances.values(), *self.removed_instances] for c in each.connections]
 
     async def warm_up(self, names: Iterable[str]) -> None:
@@ -220,14 +231,14 @@
             await asyncio.sleep(0.01)
 
     def close_excess_idle(self) -> None:
-        """Close idle connections beyond the share, the longest idle first."""
+        """Close idle connections beyond the quota, the longest idle first."""
         held = self.connections()
         idle = sorted((c for c in held if c.is_idle), key=lambda connection: connection.last_used_at)
         for connection in idle[: max(0, len(held) - self.quotas.cache_connections)]:
             connection.stream.close()
 
     def has_capacity(self) -> bool:
-        """Room for one more connection to any instance; the one that has been idle for longest makes it."""
+        """Whether one more connection may be made; the one idle for longest is closed for it."""
         return len(self.connections()) < self.quotas.cache_connections or self.close_idle()
 
     def close_idle(self) -> bool:
@@ -238,19 +249,20 @@
         return bool(idle)
 
     def start(self, attempt: UpstreamAttempt) -> None:
+        """Have an attempt carried to its target; one that is not listed ends it as not sent."""
         instance = self.instances.get(attempt.fetch.target)
         if instance is None:
             return self.exchange.attempts.end(attempt, AttemptResult(Outcome.NOT_SENT))
         instance.start(attempt)
 
     def close_unresponsive(self) -> None:
-        """At each beat: connections that no longer answer."""
+        """At each heartbeat: close connections that no longer answer."""
         now = self.now()
         for instance in [*self.instances.values(), *self.removed_instances]:
             instance.close_unresponsive(now)
 
     def sweep(self) -> None:
-        """Now and then: idle connections, and what is left of gone instances."""
+        """Now and then: close idle connections, and what is left of removed instances."""
         now = self.now()
         self.close_excess_idle()
         for instance in [*self.instances.values(), *self.removed_instances]:
--- a/paddlequay/net/client_messages.py
+++ b/paddlequay/net/client_messages.py
@@ -1,4 +1,4 @@
-"""A client's call in the exchange's terms; what no cache could use is refused here. Replies as bytes."""
+"""Calls of clients as requests in no protocol's terms, and answers as bytes."""
 
 import re
 from collections.abc import Mapping
@@ -24,7 +24,7 @@
 def field_text(
     fields: Mapping[Any, Any], name: str, pattern: re.Pattern[str], needed: bool = True
 ) -> str | None:
-    """A field's text, as it is."""
+    """A field's text, as it is; raises `FieldError` where it does not match."""
     value = fields.get(name)
     if value is None and not needed:
         return None
@@ -34,7 +34,7 @@
 
 
 def field_number(fields: Mapping[Any, Any], name: str, most: int, needed: bool = False) -> int | None:
-    """A field's whole number, from 0 to `most`."""
+    """A field's whole number, from 0 to `highest`; raises `FieldError`."""
     text = field_text(fields, name, WHOLE_NUMBER, needed)
     if text is None:
         return None
@@ -44,9 +44,9 @@
 
 
 def parse_request(call: wire.ClientCall, kind: RequestClass, limits: Limits) -> ClientRequest:
-    """A call's fields as a request in the exchange's terms.
+    """A call's fields as a request in no protocol's terms; raises `FieldError`.
 
-    Nothing is passed on that a cache could not use or read: it would answer by an error, or close the
+    Nothing is forwarded that a cache could not use or read: it would answer by an error, or close the
     connection on all that share it.
     """
     fields = call.fields
--- a/paddlequay/net/clients.py
+++ b/paddlequay/net/clients.py
@@ -1,15 +1,15 @@
-"""The clients' door: who is taken in, who makes room, and how it empties; a connection is `session.py`."""
+"""The clients' front: which connections are accepted, which are closed for others, and how it drains."""
 
 import asyncio
 import socket
-from collections import OrderedDict
-from itertools import islice
 
 from tornado.iostream import IOStream
 
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.operator_state import DRAIN, OperatorState
 from paddlequay.lifecycle.overload import OverloadGuard
+from paddlequay.net.answer_writer import AnswerWriter
+from paddlequay.net.idle_sessions import IdleSessions
 from paddlequay.net.listener import BACKLOG, Acceptor
 from paddlequay.net.session import ClientSession
 from paddlequay.observability.counters import Counters
@@ -17,67 +17,66 @@
 from paddlequay.requests.messages import AnswerStatus, FinalAnswer
 from paddlequay.requests.quotas import ProcessQuotas
 
-MAX_CANDIDATES = 8  # asked for room in each state: thousands of connections are not searched for one
-
 
 class ClientFront:
-    """The clients' door and their connections. Another front beside it would speak to the same exchange."""
+    """The clients' listener and their connections. Another front beside it would use the same exchange."""
 
     def __init__(
         self,
         exchange: Exchange,
-        operation: OperatorState,
-        shares: ProcessQuotas,
+        operator_state: OperatorState,
+        quotas: ProcessQuotas,
         limits: Limits,
         counters: Counters,
-        load: OverloadGuard,
+        overload: OverloadGuard,
     ) -> None:
-        self.operator_state = operation
-        operation.on_change.append(self.override_changed)
-        self.exchange, self.quotas, self.limits, self.counters = exchange, shares, limits, counters
+        self.operator_state = operator_state
+        operator_state.on_change.append(self.override_changed)
+        self.exchange, self.quotas, self.limits, self.counters = exchange, quotas, limits, counters
         self.sessions: set[ClientSession] = set()
-        # Who waits with nothing owed, the longest first: before the first byte, with one piece of a message,
-        # with several, after a whole one, and at its end.
-        self.lingering: OrderedDict[ClientSession, None] = OrderedDict()
-        self.silent: OrderedDict[ClientSession, None] = OrderedDict()
-        self.message_begun: OrderedDict[ClientSession, None] = OrderedDict()
-        self.message_progressing: OrderedDict[ClientSession, None] = OrderedDict()
-        self.idle: OrderedDict[ClientSession, None] = OrderedDict()
+        self.idle_sessions = IdleSessions()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.overload = load
+        self.overload = overload
         self.overload_answer = FinalAnswer(AnswerStatus.REJECTED, retry_after=limits.shed_retry_after)
         self.unsent_bytes = 0
-        self.queued_bytes = 0  # bytes of bodies of calls that are read and not made yet
+        self.queued_bytes = 0  # of the bodies of calls that are read and not submitted yet
         self.listener: socket.socket | None = None
         self.acceptor: Acceptor | None = None
         self.shutting_down = False  # SIGTERM has come
-        self.replaced = False  # and a newer process takes clients
-        self.refusing_new = False  # late comers after SIGTERM have been served
-        self.handing_over = False  # a newer process takes what is new, or the end has come
-        self.near_end = False  # and it is near
-        self.drained_at: float | None = None  # when operators had the router emptied
+        self.replaced = False  # and a successor takes clients
+        self.refusing_new = False  # late connections after SIGTERM have been served
+        self.handing_over = False  # a successor takes what is new, or the end has come
+        self.near_end = False  # and it is less than a second away
+        self.drained_at: float | None = None  # when operators had the router drained
         self.closing_when_quiet = False  # connections close at their next quiet moment
         self.rejecting_new = False  # and those that never have one are given one
         self.draining_answer = FinalAnswer(AnswerStatus.REJECTED, retry_after=limits.busy_retry_after)
 
     def now(self) -> float:
+        """Monotonic seconds."""
         return self.exchange.scheduler.monotonic()
 
     @property
     def max_unsent(self) -> float:
+        """Bytes of answers that clients may leave untaken, over all connections."""
         return self.limits.max_unsent * self.quotas.memory_share
 
+    @property
+    def writers(self) -> list[AnswerWriter]:
+        """The writers of all connections."""
+        return [session.writer for session in self.sessions]
+
     @property
     def max_queued(self) -> float:
-        """A bound of its own beside that of the exchange, for who is held back or read ahead."""
+        """Bytes of bodies that may wait before the exchange, which has a bound of its own."""
         return self.limits.max_body_bytes * self.quotas.memory_share / 2
 
     def accepts_requests(self) -> bool:
-        """What the platform is told that asks at the clients' address, where two processes are one router."""
+        """Whether this router is ready, as its clients are told; two processes count as one router."""
         return not self.operator_state.draining and (not self.shutting_down or self.replaced)
 
     def override_changed(self, name: str) -> None:
-        """Operators have the router emptied, or put back to work: then all is as before, at once."""
+        """Operators have the router drained, or resumed: then all is as before, at once."""
         if name == DRAIN and self.operator_state.draining:
             self.drained_at = self.now()
         elif name == DRAIN:
@@ -86,13 +85,15 @@
 
     @property
     def open_summary(self) -> str:
+        """What is open, for operators."""
         return f"{len(self.sessions)} connections, {len(self.exchange.pending)} requests open"
 
     def close_quiet_connections(self) -> None:
-        """At each beat: close what is quiet where connections are to go, and go on with a drain.
+        """At each heartbeat: close what is quiet where connections are to go, and go on with a drain.
 
-        Late comers are served first, then connections close as they fall quiet. The rest gets nothing new
-        done, which makes it quiet, and at last what is open is given up: no client is left without a word.
+        Late connections are served first, then connections close as they fall quiet. The rest gets nothing
+        new done, which makes it quiet, and at last what is pending is abandoned: no client is left without an
+        answer.
         """
         self.closing_when_quiet, self.rejecting_new = self.handing_over, self.near_end
         if self.drained_at is not None:
@@ -110,7 +111,7 @@
             self.shut_down_sessions("closed_by_drain")
 
     def shut_down_sessions(self, cause: str) -> None:
-        """End all connections that are left, each with its answers; they close within `session.LINGER`."""
+        """End all connections that are left, each with its answers; they close within `LINGER_S`."""
         for session in list(self.sessions):
             if not session.ended and not session.stream.closed():
                 self.counters.add(cause)
@@ -125,15 +126,16 @@
         return "" if self.listener is not None else "starting: bulletin and connections are not there yet"
 
     def listen(self, listener: socket.socket) -> None:
+        """Accept clients on a bound socket from now on."""
         listener.listen(BACKLOG)
         self.listener = listener
         self.acceptor = Acceptor(listener, self.on_accept, self.accept_capacity)
 
     def stop_accepting(self, last: bool) -> bool:
-        """Take in all that waits to be accepted, then close: what is left in the queue would be reset.
+        """Accept all that waits, then close the listener: what is left in its queue would be reset.
 
-        Where no descriptor is left, connections at rest give theirs. False while some still wait: who was
-        taken in is read first and may be at rest a turn later. `last` closes all the same.
+        Where no descriptor is left, connections at rest give theirs. False while some still wait: a
+        connection just accepted is read first and may be at rest a turn later. `last` closes all the same.
         """
         if self.listener is None:
             return True
@@ -159,14 +161,15 @@
         return True
 
     def accept_capacity(self) -> int:
-        """How many connections may be taken in this turn: where there is no room, one that is made."""
+        """How many connections may be accepted in this turn; one is closed for another where none may."""
         free = self.quotas.client_connections - len(self.sessions)
         return min(self.limits.accepts_per_turn, free) if free > 0 else int(self.close_one_idle())
 
     def on_accept(self, connection: socket.socket) -> None:
+        """A connection was accepted: it is served, or closed where there is no capacity."""
         limits = self.limits
         if len(self.sessions) >= self.quotas.client_connections and not self.close_one_idle():
-            self.counters.add("turned_away_connections")
+            self.counters.add("rejected_connections")
             return connection.close()
         self.counters.add("client_connections")
         connection.setblocking(False)
@@ -181,6 +184,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def serve(self, session: ClientSession) -> None:
+        """Serve one connection until its end."""
         try:
             await session.run()
         finally:
@@ -189,38 +193,19 @@
                 session.idle_queue.pop(session, None)
 
     def close_one_idle(self) -> bool:
-        """Close one connection on which nothing is owed, with no search among them all.
-
-        First who has sent no byte, then who has stopped inside a message: thousands that connect and say
-        nothing would else push out who asks. Then the one idle for longest: its client sends again what
-        crosses the close. Who goes on with a message makes room only where there is nobody else.
-        """
-        now = self.now()
-        order = (
-            (self.silent, 0.0, ClientSession.close_without_message),
-            (self.message_begun, 0.0, ClientSession.close_without_message),
-            (self.lingering, 0.0, ClientSession.close_lingering),
-            (self.message_progressing, self.limits.recent_progress, ClientSession.close_at_rest),
-            (self.idle, 0.0, ClientSession.close_at_rest),
-            (self.message_progressing, 0.0, ClientSession.close_at_rest),
-        )
-        for waiting, least, close in order:
-            # Whose request has come and is not read yet is passed over; a few are asked, not all.
-            for longest in list(islice(waiting, MAX_CANDIDATES)):
-                if now - longest.last_used_at < least:
-                    break
-                if close(longest):
-                    del waiting[longest]
-                    self.sessions.discard(longest)
-                    idle = waiting is self.idle
-                    self.counters.add("closed_idle_clients" if idle else "closed_silent_clients")
-                    return True
-        return False
+        """Close one connection on which nothing is owed, if there is one."""
+        closed = self.idle_sessions.close_one(self.now(), self.limits.recent_progress)
+        if closed is None:
+            return False
+        if isinstance(closed.session, ClientSession):
+            self.sessions.discard(closed.session)
+        self.counters.add("closed_idle_clients" if closed.had_message else "closed_silent_clients")
+        return True
 
     def sweep(self) -> None:
-        """Close the connections whose client has long taken nothing, sent nothing whole or asked nothing.
+        """Close connections whose client has long taken nothing, completed no message or requested nothing.
 
-        What has come since and is unread is looked at first: such a connection is left for the next time.
+        What has come since and is unread is handled first: such a connection is left for the next time.
         """
         now, limits = self.now(), self.limits
         for session in list(self.sessions):
@@ -229,7 +214,10 @@
             since = session.partial_since
             if since is None and not session.has_sent_message:
                 since = session.connected_at
-            if session.unsent_bytes and now - session.last_taken_at > limits.client_stall_timeout:
+            if (
+                session.writer.unsent_bytes
+                and now - session.writer.last_taken_at > limits.client_stall_timeout
+            ):
                 self.counters.add("slow_readers")
                 session.stream.close()
             elif since is not None and now - since > limits.client_silence_timeout:
--- a/paddlequay/net/connection.py
+++ b/paddlequay/net/connection.py
@@ -1,67 +1,109 @@
-"""One connection to a cache, parent or the origin: what waits for it and what is out on it, until its end."""
+"""One connection to a cache, parent or the origin: what waits for it and what is in flight, until its end."""
 
 import asyncio
 import logging
 import math
 import socket
 from collections import OrderedDict, deque
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from tornado.iostream import IOStream, StreamClosedError
 
+from paddlequay.config.limits import Limits
+from paddlequay.config.values import Address
 from paddlequay.net.cache_messages import parse_result, request_fields
 from paddlequay.observability import log
+from paddlequay.observability.counters import Counters
 from paddlequay.protocol import caches as wire
+from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import AttemptResult, UpstreamAttempt
+from paddlequay.routing.failure_detector import LatencyDistribution
 from paddlequay.routing.interface import Outcome
 
-if TYPE_CHECKING:
-    from paddlequay.net.caches import ConnectionPool, UpstreamInstance
-
 LOGGER = logging.getLogger(__name__)
 
 
+class ConnectionOwner(Protocol):
+    """The pool: what all connections share."""
+
+    exchange: Exchange
+    limits: Limits
+    counters: Counters
+    latencies: LatencyDistribution
+
+    def now(self) -> float:
+        """Monotonic seconds."""
+        ...
+
+
+class ConnectedInstance(Protocol):
+    """The instance of a member that a connection leads to."""
+
+    name: str
+    address: Address
+    removed: bool
+
+    def forget(self, connection: "UpstreamConnection") -> None:
+        """Use a connection no more."""
+        ...
+
+    def start(self, attempt: UpstreamAttempt) -> None:
+        """Have an attempt wait for a connection."""
+        ...
+
+    def record_latency(self, attempt: UpstreamAttempt, latency: float) -> None:
+        """An attempt was answered after so many seconds."""
+        ...
+
+    def is_unresponsive(self, attempts: list[UpstreamAttempt], now: float) -> bool:
+        """Whether so long a wait under these attempts is no chance."""
+        ...
+
+
 class UpstreamConnection:
-    """One connection to an instance, with the attempts that wait for it and those that are out on it.
+    """One connection to an instance, with the attempts that wait for it and those in flight on it.
 
     Raises OSError where the system gives no socket for it.
     """
 
-    def __init__(self, pool: "ConnectionPool", instance: "UpstreamInstance") -> None:
+    def __init__(self, pool: ConnectionOwner, instance: ConnectedInstance) -> None:
         self.pool, self.instance, self.limits = pool, instance, pool.limits
         family = socket.AF_INET6 if ":" in instance.address[0] else socket.AF_INET
         self.stream = IOStream(socket.socket(family, socket.SOCK_STREAM))
         self.parser = wire.CacheAnswerParser(self.limits.max_cache_line, self.limits.max_object_size)
         self.waiting: deque[UpstreamAttempt] = deque()
         self.in_flight: dict[str, UpstreamAttempt] = {}
-        self.written_ids: OrderedDict[str, None] = OrderedDict()  # ids, the latest `cache_ids` of them
+        self.written_ids: OrderedDict[str, None] = (
+            OrderedDict()
+        )  # ids, the latest `max_remembered_ids` of them
         self.is_up = False
         self.unresponsive = False
-        self.only_never_resend = False  # all that went out on it must not run twice
+        self.only_never_resend = False  # all that went out on it must not be executed twice
         self.last_heard_at = self.last_used_at = pool.now()
-        self.last_read_at = -math.inf  # the last byte, which an accepted connection is not
-        self.unexpected_answers = 0  # answers that nobody waited for, since the last other one
+        self.last_read_at = -math.inf  # the last byte; accepting a connection is none
+        self.unexpected_answers = 0  # since the last other one
         self.answer_began_at = -math.inf  # the first byte of the answer that is coming
-        self.pending_read: asyncio.Future[bytes] | None = None  # the read that is under way
+        self.pending_read: asyncio.Future[bytes] | None = None  # the read under way
 
     def accepts(self, attempt: UpstreamAttempt) -> bool:
-        """Room for it, on a connection that answers.
+        """Whether it answers and has capacity for an attempt.
 
         An id that was written here never comes again on this connection: an answer to the first attempt may
         be on its way, late or for the second time, and nothing would tell it from the second's.
         """
-        if (
-            attempt.never_resend
-            and self.is_up
-            and self.pool.now() - self.last_used_at > self.limits.max_reuse_idle
-        ):
-            return False  # a peer may be closing an idle one just now: that is a reset, and may have run
+        if attempt.never_resend and self.is_up and self.idle_time() > self.limits.max_reuse_idle:
+            return False  # a peer may be closing it just now: a reset, and the attempt may have been executed
         if self.load >= self.limits.cache_streams or self.unresponsive or self.stream.closed():
             return False
         return attempt.id not in self.written_ids and all(other.id != attempt.id for other in self.waiting)
 
+    def idle_time(self) -> float:
+        """Seconds since something was written or answered here."""
+        return self.pool.now() - self.last_used_at
+
     @property
     def load(self) -> int:
+        """Attempts that wait for it or are in flight on it."""
         return len(self.in_flight) + len(self.waiting)
 
     async def run(self) -> None:
@@ -90,6 +132,7 @@
         self.finish()
 
     async def read(self) -> None:
+        """Read answers for as long as the connection is open."""
         reads = 0
         while True:
             self.pending_read = asyncio.ensure_future(
@@ -112,25 +155,26 @@
                 await asyncio.sleep(0)  # a read of what is there does not yield: others have a turn
 
     def finish(self) -> None:
-        """The connection is over: what is out may have run, what waits has not."""
+        """The connection is over: what is in flight may have been executed, what waits has not."""
         self.stream.close()
         self.instance.forget(self)
         out, self.in_flight = list(self.in_flight.values()), {}
         waiting = self.take_waiting()
         for attempt in out:
             self.pool.exchange.attempts.end(attempt, AttemptResult(Outcome.RESET))
-        # That a run is over, as the list tells, is no failure of whoever bears its name now.
+        # That an instance is over, as the list says, is no failure of the one of its name now.
         unwritten = Outcome.NOT_SENT if self.instance.removed else Outcome.CONNECT_FAILED
         for attempt in waiting:
             self.pool.exchange.attempts.end(attempt, AttemptResult(unwritten))
 
     def take_waiting(self) -> list[UpstreamAttempt]:
+        """The attempts that wait, which do so here no more."""
         waiting = list(self.waiting)
         self.waiting.clear()
         return waiting
 
     def peek_byte(self) -> bytes | None:
-        """The next byte that lies in the socket, b"" where its end does, None where nothing has come."""
+        """The next byte in the socket, b"" at its end, None where nothing has come."""
         try:
             return self.stream.socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -140,7 +184,7 @@
 
     @property
     def has_unread(self) -> bool:
-        """Whether bytes have come that were not looked at yet, as after a late turn of the loop."""
+        """Whether bytes have come that were not read yet, as after a late turn of the loop."""
         if self.stream.closed() or self.pending_read is None:
             return False
         return self.pending_read.done() or bool(self.peek_byte())
@@ -149,7 +193,7 @@
         """Write what waits, one at a time and only while the socket takes it, so that checks are fresh."""
         while self.is_up and self.waiting and not self.stream.closed() and not self.stream.writing():
             if self.instance.removed:
-                # Its name may be back on the list, and would pass there, as another run at another address.
+                # Its name may be back on the list, and would pass there, as another instance.
                 for attempt in self.take_waiting():
                     self.pool.exchange.attempts.end(attempt, AttemptResult(Outcome.NOT_SENT))
                 return
@@ -176,7 +220,7 @@
     def close_after_peer(self) -> None:
         """A peer's close has come that was not read yet: what waits was never written and goes elsewhere.
 
-        Only where the connection has carried something: a peer that closes each new one would be asked
+        Only where the connection has carried something: a peer that closes each new one would be tried
         without end.
         """
         self.pool.counters.add("closed_by_cache")
@@ -193,10 +237,11 @@
             done.add_done_callback(lambda _: self.write_waiting())
 
     def handle_answer(self, answer: wire.CacheAnswer) -> None:
+        """One complete answer; raises `CacheProtocolError` for what cannot be read."""
         attempt = self.in_flight.get(answer.id)
         self.last_used_at = self.pool.now()
         if attempt is not None:
-            # Read before it is taken off: what cannot be read ends the connection and all that is out on it,
+            # Parsed before it is taken off: what cannot be read ends the connection and all in flight on it,
             # this attempt too, which else would have waited for its time-out.
             end = parse_result(answer)
             known = attempt.pending.request.known_tag
@@ -209,36 +254,32 @@
             self.pool.counters.add("received_bytes", len(answer.body))
             self.pool.exchange.attempts.end(attempt, end)
         else:
-            # Given up, answered before, or never asked: whole and well-formed, it harms nothing else. Taken
-            # as a spoilt connection, one such answer ended all good ones that were on their way.
-            self.pool.counters.add("answers_not_asked")
+            # Abandoned, answered before, or never requested: complete and well-formed, it harms nothing else.
+            # Taken as a corrupt connection, one such answer ended all good ones that were on their way.
+            self.pool.counters.add("unexpected_answers")
             self.unexpected_answers += 1
             if self.unexpected_answers > self.limits.max_remembered_ids:
                 raise wire.CacheProtocolError("answers without end that nobody asked for")
 
     def abandon(self, attempt: UpstreamAttempt) -> bool:
-        """Give an attempt up; and has nothing at all come since it was written?"""
+        """Give an attempt up; whether nothing at all came since it was written."""
         quiet = attempt.written_at is not None and self.last_heard_at <= attempt.written_at
         if self.in_flight.get(attempt.id) is attempt:
             del self.in_flight[attempt.id]
-            # A machine that vanished leaves its connections open and says nothing on them: one that has
+            # A machine that vanished leaves its connections open and sends nothing on them: one that has
             # brought no byte since this attempt was written takes nothing new until it does.
-            # Where its client gave less time than an answer may take, its time-out is no word on the machine.
-            now, kind = (
-                self.pool.now(),
-                self.pool.exchange.router.classes.get(attempt.pending.request.class_name),
-            )
-            in_vain = now >= attempt.expires_at
-            in_vain = in_vain and (
-                kind is None or attempt.expires_at - attempt.started_at >= kind.latency_objective
-            )
+            # Where its client gave less time than an answer may take, a time-out says nothing of the machine.
+            now, class_name = self.pool.now(), attempt.pending.request.class_name
+            kind = self.pool.exchange.router.classes.get(class_name)
+            had_time = kind is None or attempt.expires_at - attempt.started_at >= kind.latency_objective
+            in_vain = now >= attempt.expires_at and had_time
             if in_vain and quiet:
                 self.unresponsive = True
             elif in_vain and attempt.written_at is not None:
-                # At least so long: leaving out what was given up would make all waits look short in a jam.
-                self.pool.latencies.record(attempt.pending.request.class_name, now - attempt.written_at)
-            # Whether or not the settings let the decisions cancel: until it is told, what is over here is out
-            # there, and the next attempt would be a second copy beside it.
+                # At least so long: leaving out what was abandoned would make all waits look short in a jam.
+                self.pool.latencies.record(class_name, now - attempt.written_at)
+            # Whether or not the settings let the decisions cancel: until the cache knows, what is over here
+            # is in flight there, and the next attempt would be a second copy beside it.
             if not self.stream.closed():
                 self.send(wire.cancel_line(attempt.id))
         elif attempt in self.waiting:
@@ -246,7 +287,7 @@
         return quiet
 
     def unanswered_since(self, heard: float) -> list[UpstreamAttempt]:
-        """What is out and was written after the byte heard last."""
+        """What is in flight and was written after the last byte received."""
         return [
             each
             for each in self.in_flight.values()
@@ -254,9 +295,10 @@
         ]
 
     def is_unresponsive(self, now: float) -> bool:
-        """Whether what is out tells of silence: several written since the last byte, and long ago.
+        """Whether what is in flight shows it: several written since the last byte, and long ago.
 
-        Left to their time-outs, they were blamed on the sources of their fills, whose limits were cut for it.
+        Left to their time-outs, they counted against the sources of their fills, whose limits were cut for
+        it.
         """
         if now - self.last_heard_at <= self.limits.silence_check_after:
             return False
@@ -266,9 +308,10 @@
     def is_stalled(self, now: float) -> bool:
         """Whether the answer that is coming has stopped, or comes too slowly to be waited for.
 
-        All that is out behind it waits for its rest. At twice the pace so far, as an honest one may begin
-        slowly, that has to come while its own request may wait, or within `cache_silence` where nobody waits
-        for it. Else a byte now and then holds a connection with thirty requests on it until their time-outs.
+        All that is in flight behind it waits for its rest. At twice the rate so far, as an honest one may
+        begin slowly, that has to come while its own request may wait, or within `silence_check_after` where
+        nobody waits for it. Else a byte now and then holds a connection with thirty requests on it until
+        their time-outs.
         """
         took = now - self.answer_began_at
         if not self.parser.has_begun or took <= self.limits.cache_stall_timeout:
@@ -283,4 +326,5 @@
 
     @property
     def is_idle(self) -> bool:
+        """Whether it is up and carries nothing."""
         return self.is_up and not self.in_flight and not self.waiting
--- a/paddlequay/net/console.py
+++ b/paddlequay/net/console.py
@@ -1,4 +1,4 @@
-"""The operators' second address: one HTTP call to a connection, answered within a second."""
+"""The operators' console: one HTTP call to a connection, answered within a second."""
 
 import asyncio
 import logging
@@ -29,7 +29,7 @@
 
 
 class ConsoleFront(Protocol):
-    """Who takes clients: `closed_for` says why nobody should come, `left` what is open yet."""
+    """Who takes clients: `closed_reason` says why nobody should come, `open_summary` what is open yet."""
 
     shutting_down: bool
     replaced: bool
@@ -40,13 +40,13 @@
 
 
 class OverrideConfirmer(Protocol):
-    """The other process of the same name, where there is one."""
+    """The other process of the same router, where there is one."""
 
     async def confirm(self, name: str, mark: Override) -> bool: ...
 
 
 class Console:
-    """Asks the owners of what is asked for, gives them operators' orders, and says why."""
+    """Answers operators' calls: reads what the owners of state say, and gives them overrides."""
 
     def __init__(
         self,
@@ -58,20 +58,20 @@
     ) -> None:
         self.operator_state, self.front, self.other_process = operation, front, twin
         self.limits, self.counters = limits, counters
-        self.pages: dict[str, Callable[[], str]] = {}  # what may be read, by name: one line of JSON each
-        self.queries: dict[str, Callable[[str], str]] = {}  # what may be asked about an id
-        self.incomplete_calls: OrderedDict[IOStream, None] = (
-            OrderedDict()
-        )  # no whole call yet, the oldest first
+        self.pages: dict[str, Callable[[], str]] = {}  # by name: one line of JSON each
+        self.queries: dict[str, Callable[[str], str]] = {}  # by name, about an id
+        self.incomplete_calls: OrderedDict[IOStream, None] = OrderedDict()  # the oldest first
         self.save_lock = asyncio.Lock()
         self.open_calls = 0
         self.background = TaskSupervisor(counters)
 
     def listen(self, listener: socket.socket) -> None:
+        """Take calls on a bound socket from now on."""
         listener.listen(64)
         Acceptor(listener, self.on_accept, lambda: self.limits.console_connections)
 
     def on_accept(self, connection: socket.socket) -> None:
+        """A connection was accepted; an incomplete call is dropped for it where there are too many."""
         stream = IOStream(connection, max_buffer_size=2 * self.limits.max_console_head)
         if self.open_calls >= self.limits.console_connections:
             # Who holds a connection without a whole call makes room for who has just come.
@@ -85,6 +85,7 @@
         self.background.spawn("console", self.serve(stream))
 
     async def serve(self, stream: IOStream) -> None:
+        """One connection until its end."""
         try:
             async with asyncio.timeout(self.limits.console_timeout):
                 await self.call(stream)
@@ -101,6 +102,7 @@
             stream.close()
 
     async def call(self, stream: IOStream) -> None:
+        """Read one call and answer it."""
         reader = wire.ConsoleCallParser(self.limits.max_console_head, self.limits.max_console_body)
         call, allow = None, ""
         try:
@@ -153,16 +155,17 @@
         return status, why, ""
 
     async def save(self) -> None:
-        """A disk may flush for longer than a beat of the loop, which would take itself for overloaded."""
+        """Save off the loop: a disk may flush for longer than a heartbeat, which would look like overload."""
         async with self.save_lock:
             await asyncio.to_thread(self.operator_state.write, self.operator_state.serialize_ejections())
 
     def readiness(self) -> ConsoleAnswer:
+        """Whether this process takes clients."""
         why = self.front.closed_reason()
         return (503, why) if why else (200, "ready")
 
     async def drain(self, on: bool) -> ConsoleAnswer:
-        """Empty the router, or put it back to work."""
+        """Drain the router, or have it resume."""
         if not on and self.front.shutting_down and not self.front.replaced:
             return 409, "this process is ending"
         mark = self.operator_state.set_override(DRAIN, on)
@@ -171,7 +174,7 @@
         return 200, f"draining: {self.front.open_summary}" if on else "taking clients"
 
     async def eject(self, cache: str, on: bool) -> ConsoleAnswer:
-        """Leave a cache out, or put it back: yes once the other process obeys and once it is saved."""
+        """Eject a cache, or put it back: yes once the other process has applied it and once it is saved."""
         if not self.operator_state.is_known(cache):
             return 404, "no cache of that id was ever listed"
         try:
--- a/paddlequay/net/hot_restart.py
+++ b/paddlequay/net/hot_restart.py
@@ -1,7 +1,8 @@
-"""The link to the other process of this router, while a newer one takes over from an older one.
+"""Hot restart: the link to the other process of this router, while a successor takes over from a predecessor.
 
-The older process listens on a socket file in its folder for temporary files; the newer one finds it there.
-Orders of operators go both ways, each confirmed once it is obeyed. The older one tells what it still holds.
+The predecessor listens on a socket file in its folder for temporary files; the successor finds it there.
+Operators' overrides go both ways, each confirmed once it is applied. The predecessor says what it still uses
+of the quotas.
 """
 
 import asyncio
@@ -29,7 +30,7 @@
 
 
 class ProcessLink:
-    """One connection to an older or a newer process."""
+    """One connection to the predecessor or the successor."""
 
     def __init__(self, twin: "HotRestart", stream: IOStream) -> None:
         self.owner, self.stream = twin, stream
@@ -39,12 +40,13 @@
         self.awaiting_confirmation: dict[int, asyncio.Future[bool]] = {}
 
     def send(self, message: wire.LinkMessage) -> None:
+        """Write a message; its failure shows in `run`, which reads the same stream."""
         if not self.stream.closed():
             # Its failure shows in `run`, which reads the same stream.
             self.stream.write(wire.pack(message)).add_done_callback(lambda done: done.exception())
 
     async def confirm(self, name: str, mark: Override) -> bool:
-        """Whether the other process obeys an order; one that has ended sends nothing and so obeys it."""
+        """Whether the other process applies an override; one that has ended sends nothing and so does."""
         if self.stream.closed():
             return True
         number = self.owner.last_number = self.owner.last_number + 1
@@ -83,6 +85,7 @@
                     done.set_result(True)
 
     def handle(self, message: wire.LinkMessage) -> None:
+        """One message of the other process."""
         operation = self.owner.operator_state
         match message:
             case wire.StateMessage():
@@ -107,13 +110,13 @@
                 self.owner.quotas.use_rest_of(message)
 
     async def relay(self, order: wire.OverrideMessage) -> None:
-        """Confirm an order once a third process, if there is one, obeys it as well."""
+        """Confirm an override once a third process, if there is one, applies it as well."""
         if await self.owner.confirm(order.name, order.override, but=self):
             self.send(wire.OverrideConfirmed(order.number))
 
 
 class HotRestart:
-    """Finds the older process at the start, and is found by a newer one later."""
+    """Finds the predecessor at the start, and is found by a successor later."""
 
     def __init__(
         self, path: Path, operation: OperatorState, shares: ProcessQuotas, limits: Limits, counters: Counters
@@ -137,11 +140,11 @@
 
     @property
     def replaced(self) -> bool:
-        """Whether a newer process takes clients."""
+        """Whether a successor takes clients."""
         return self.successor is not None and self.successor.successor_ready
 
     async def find_predecessor(self) -> bool:
-        """Look for an older process and learn what it knows; then be found in its place."""
+        """Look for a predecessor and learn what it knows; then be found in its place."""
         now = asyncio.get_running_loop().time
         until = now() + self.limits.link_connect_timeout
         while (link := await self.connect()) is not None:
@@ -160,7 +163,7 @@
         return self.predecessor is not None
 
     async def connect(self) -> ProcessLink | None:
-        """A link to whoever listens at the path."""
+        """A link to whoever listens at the path; None where nobody does."""
         stream = IOStream(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
         try:
             await asyncio.wait_for(stream.connect(str(self.path)), self.limits.link_connect_timeout)
@@ -170,6 +173,7 @@
         return ProcessLink(self, stream)
 
     async def follow_predecessor(self, link: ProcessLink) -> None:
+        """Serve the link until the predecessor has ended."""
         await link.run()
         self.predecessor = None
         self.quotas.take_all()
@@ -196,17 +200,19 @@
         self.acceptor = Acceptor(listener, self.accepted, lambda: LINK_BACKLOG)
 
     async def wait_until_alone(self) -> None:
-        """Wait until the older process has ended."""
+        """Wait until the predecessor has ended."""
         while self.predecessor is not None:
             await asyncio.sleep(SEARCH_INTERVAL_S)
 
     def stop(self) -> None:
+        """Be found no more."""
         if self.acceptor is not None and self.listener is not None:
             self.acceptor.stop()
             self.listener.close()
             self.acceptor = self.listener = None
 
     def accepted(self, connection: socket.socket) -> None:
+        """A successor has connected."""
         if self.successor is not None:
             return connection.close()  # one at a time: that one is found in this one's place by now
         self.successor = ProcessLink(self, IOStream(connection))
@@ -216,6 +222,7 @@
         self.background.spawn("twin", self.follow_successor(self.successor))
 
     async def follow_successor(self, link: ProcessLink) -> None:
+        """Serve the link until the successor has ended."""
         await link.run()
         self.successor = self.quota_given = None
         self.quotas.take_all()
@@ -225,11 +232,12 @@
             self.listen()
 
     def successor_ready(self) -> None:
+        """The successor takes clients."""
         self.on_replaced()
         log.event(LOGGER, logging.INFO, "successor_ready")
 
     def give_quota(self, held: QuotaInUse) -> None:
-        """As the older process: keep this much from now on, at most what was kept before, and say so."""
+        """As the predecessor: keep this much from now on, at most what was kept before, and say so."""
         if self.successor is None:
             return
         if self.quota_given is not None:
@@ -243,7 +251,7 @@
             self.successor.send(held)
 
     async def confirm(self, name: str, mark: Override, but: ProcessLink | None = None) -> bool:
-        """Whether every other process obeys an order; at a start it is first seen whether there is one."""
+        """Whether every other process applies an override, once it is known whether there is one."""
         try:
             await asyncio.wait_for(self.search_done.wait(), self.limits.confirm_timeout)
         except TimeoutError:
@@ -252,10 +260,12 @@
         return all(await asyncio.gather(*(link.confirm(name, mark) for link in links)))
 
     def announce_ready(self) -> None:
+        """As the successor: clients are taken from now on."""
         if self.predecessor is not None:
             self.predecessor.send(wire.SuccessorReady())
 
     def close(self) -> None:
+        """End the links, and be found no more."""
         self.closed = True
         self.stop()
         for link in (self.predecessor, self.successor):
--- a/paddlequay/net/scheduler.py
+++ b/paddlequay/net/scheduler.py
@@ -1,4 +1,4 @@
-"""The system's clocks and the event loop's timers, as the exchange wants them."""
+"""The system's clocks and the event loop's timers, as the exchange uses them."""
 
 import asyncio
 import time
@@ -14,10 +14,13 @@
         self.loop = loop
 
     def monotonic(self) -> float:
+        """The loop's clock, in seconds."""
         return self.loop.time()
 
     def unix(self) -> float:
+        """Unix time, in seconds."""
         return time.time()
 
     def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
+        """Call back after so many seconds."""
         return self.loop.call_later(delay, call)
--- a/paddlequay/net/session.py
+++ b/paddlequay/net/session.py
@@ -1,4 +1,4 @@
-"""One client connection: messages in, one answer each, and what of them is not sent yet."""
+"""One client connection: messages in, one answer each, until its end."""
 
 import asyncio
 import contextlib
@@ -7,159 +7,137 @@
 import socket
 from collections import OrderedDict
 from functools import partial
-from typing import TYPE_CHECKING
 
 from tornado.iostream import IOStream, StreamClosedError
 
+from paddlequay.net.answer_writer import AnswerWriter
 from paddlequay.net.client_messages import FieldError, format_answer, parse_request
+from paddlequay.net.idle_sessions import IdleSession
+from paddlequay.net.session_front import SessionFront
 from paddlequay.net.socket_state import peek_unread
+from paddlequay.net.waiting_calls import WaitingCalls
 from paddlequay.observability import log
 from paddlequay.protocol import clients as wire
 from paddlequay.protocol.msgpack import MalformedMessageError
-from paddlequay.requests.messages import AnswerStatus, ClientRequest, FinalAnswer, PendingRequest
+from paddlequay.requests.messages import AnswerStatus, Buffer, ClientRequest, FinalAnswer, PendingRequest
 from paddlequay.routing.interface import AbandonRequest, Idempotency
 
-if TYPE_CHECKING:
-    from paddlequay.net.clients import ClientFront
-
 LOGGER = logging.getLogger(__name__)
 
-MAX_JOINED_BODY = (
-    16 * 1024
-)  # a body up to this size is copied into one write, as a packet costs more than a copy
-# Seconds. A client that has left, or cancelled, is to draw no attempt 0.1 s later: these stay well under.
-MAX_READ_AHEAD_S = (
-    0.03  # for which calls wait to be made while more is there to be read: a cancel may lie behind
-)
-RECHECK_AFTER_S = 0.01  # after which a client seen to be there is looked at anew
+# Seconds. A client that has left, or cancelled, is to cause no attempt 0.1 s later: these stay well under.
+MAX_READ_AHEAD_S = 0.03  # for which calls wait while more is there to be read: a cancel may follow them
+RECHECK_AFTER_S = 0.01  # after which a client seen to be connected is checked anew
+MIN_TIME_TO_LIVE_S = 0.001
 LINGER_S = 0.3  # what still comes is read for so long where a fault ends a connection
-MESSAGES_PER_PAUSE = 16  # messages read in one `client_pause` from who is only turned away
+MESSAGES_PER_PAUSE = 16  # read in one `rejection_pause` from a client that is only rejected
 
 
 class ClientSession:
     """One client connection and the requests that are open on it.
 
-    All that has come is read before what it asks is made: a cancel, or the client's end of the connection,
-    holds for what stands before it. Half a close is taken for a close, as nothing tells them apart.
+    All that has come is read before what it requests is submitted: a cancel, or the client's end of the
+    connection, holds for what stands before it. Half a close counts as a close, as nothing tells them apart.
     """
 
     __slots__ = (
-        "backlog_messages",
-        "backlog_since",
-        "checked_at",
-        "connected_at",
-        "consecutive_rejections",
-        "ended",
-        "front",
-        "has_sent_message",
-        "idle_queue",
-        "is_backpressured",
-        "last_taken_at",
-        "last_used_at",
-        "linger_timer",
-        "messages_since_pause",
-        "open_requests",
-        "parser",
-        "partial_reads",
-        "partial_since",
-        "pending_read",
-        "stream",
-        "unsent_bytes",
-        "waiting_calls",
-    )
-
-    def __init__(self, front: "ClientFront", stream: IOStream) -> None:
+        "backlog_messages", "backlog_since", "checked_at", "connected_at", "consecutive_rejections",
+        "ended", "front", "has_sent_message", "idle_queue", "is_backpressured", "last_used_at",
+        "linger_timer", "messages_since_pause", "open_requests", "parser", "partial_reads",
+        "partial_since", "pending_read", "stream", "waiting_calls", "writer",
+    )  # fmt: skip
+
+    def __init__(self, front: SessionFront, stream: IOStream) -> None:
         self.front, self.stream = front, stream
         self.parser = wire.ClientMessageParser(front.limits.max_client_frame)
-        self.waiting_calls: dict[
-            int, tuple[ClientRequest, float]
-        ] = {}  # calls that are not made yet, and when they were read
+        self.writer = AnswerWriter(front, stream)
+        self.waiting_calls = WaitingCalls(front)
         self.open_requests: dict[int, PendingRequest | None] = {}
-        self.unsent_bytes = 0
-        self.last_taken_at = self.last_used_at = self.connected_at = front.now()
-        self.has_sent_message = False  # whether a whole message has come
-        self.partial_since: float | None = None  # when the last byte came of a message that is not whole
+        self.last_used_at = self.connected_at = front.now()
+        self.has_sent_message = False  # whether a complete message has come
+        self.partial_since: float | None = None  # when the last byte came of an incomplete message
         self.partial_reads = 0  # in which that message has come so far
-        self.idle_queue: OrderedDict[ClientSession, None] | None = None  # among whom, while nothing is owed
-        self.consecutive_rejections = 0  # refusals and errors since the last other answer
-        self.messages_since_pause = 0  # messages since the last pause
+        self.idle_queue: OrderedDict[IdleSession, None] | None = None  # its state, while nothing is owed
+        self.consecutive_rejections = 0  # rejections and errors since the last other answer
+        self.messages_since_pause = 0
         self.is_backpressured = False  # calls wait until the client takes its answers
-        self.pending_read: asyncio.Future[bytes] | None = (
-            None  # the read under way, or bytes not looked at yet
-        )
+        self.pending_read: asyncio.Future[bytes] | None = None  # under way, or with bytes not handled yet
         self.backlog_since: float | None = None  # since when there was always more to be read,
         self.backlog_messages = 0  # and the messages read since
-        self.checked_at = -math.inf  # when the client was there, with nothing unread
-        self.ended = False  # it gets no more, and what it says is not looked at
+        self.checked_at = -math.inf  # when the client was connected, with nothing unread
+        self.ended = False  # it gets no more, and what it sends is not handled
         self.linger_timer: asyncio.TimerHandle | None = None
 
     async def run(self) -> None:
-        limits, reads = self.front.limits, 0
+        """Read and handle messages until the end of the connection."""
         try:
-            while True:
-                data = await self.read()
-                reads += 1
-                if not self.ended:
-                    self.feed(data)
-                if (
-                    self.consecutive_rejections >= limits.max_consecutive_rejections
-                    and self.messages_since_pause >= MESSAGES_PER_PAUSE
-                ):
-                    # Who is only turned away is read more slowly, which costs nobody else.
-                    self.messages_since_pause = 0
-                    await asyncio.sleep(limits.rejection_pause)
-                elif self.backlog_since is not None and (
-                    len(data) >= limits.client_read_size or reads % 4 == 0
-                ):
-                    # A read of what is there does not yield: one client would keep the loop to itself.
-                    await asyncio.sleep(0)
+            await self.read_messages()
         except StreamClosedError:
             pass
-        except Exception:
+        except Exception:  # this connection ends, and no other
             self.front.counters.add("client_errors")
             LOGGER.exception("client_connection_failed")
         finally:
             self.stream.close()
             if self.linger_timer is not None:
                 self.linger_timer.cancel()
-            self.front.queued_bytes -= sum(len(ask.body) for ask, _ in self.waiting_calls.values())
             self.waiting_calls.clear()
             self.withdraw_all()
 
+    async def read_messages(self) -> None:
+        """Read for as long as the connection is open, and let other connections have their turn."""
+        limits, reads = self.front.limits, 0
+        while True:
+            data = await self.read()
+            reads += 1
+            if not self.ended:
+                self.feed(data)
+            only_rejected = self.consecutive_rejections >= limits.max_consecutive_rejections
+            if only_rejected and self.messages_since_pause >= MESSAGES_PER_PAUSE:
+                # A client that is only rejected is read more slowly, which costs nobody else.
+                self.messages_since_pause = 0
+                await asyncio.sleep(limits.rejection_pause)
+            elif self.backlog_since is not None and (len(data) >= limits.client_read_size or reads % 4 == 0):
+                # A read of what is there does not yield: one client would keep the loop to itself.
+                await asyncio.sleep(0)
+
     async def read(self) -> bytes:
-        """The next bytes. Once nothing more has come, what was read before is made."""
+        """The next bytes. Once nothing more has come, what was read before is submitted."""
         limits, stream = self.front.limits, self.stream
         # The rest of a long message comes in few pieces, calls by the chunk: others have their turn.
-        chunk = (
-            limits.max_client_frame
-            if len(self.parser.partial) >= limits.client_read_size
-            else limits.client_read_size
-        )
+        long_message = len(self.parser.partial) >= limits.client_read_size
+        chunk = limits.max_client_frame if long_message else limits.client_read_size
         stream.read_chunk_size = chunk
-        self.pending_read = coming = asyncio.ensure_future(stream.read_bytes(chunk, partial=True))
+        self.pending_read = reading = asyncio.ensure_future(stream.read_bytes(chunk, partial=True))
         now = self.front.now()
-        if not coming.done():
+        if not reading.done():
             self.backlog_since, self.backlog_messages, self.checked_at = None, 0, now
             if not self.has_sent_message and not self.partial_reads:
-                # Mute only now: who sent with its connect is read first, and is not closed for the next.
+                # Silent only now: what came with the connect is read first, and nobody is closed for it.
                 self.update_idle_queue()
             self.submit_waiting()
         else:
-            self.backlog_since = now if self.backlog_since is None else self.backlog_since
-            if now - self.backlog_since > MAX_READ_AHEAD_S:
-                # A flood hides what was taken back: nothing begins for it, nor goes on.
-                flood = (
-                    self.consecutive_rejections >= limits.max_consecutive_rejections
-                    and self.backlog_messages > 2 * limits.client_streams
-                )
-                self.abandon_all() if flood else self.submit_waiting()
+            self.handle_backlog(now)
         try:
-            return await coming
+            return await reading
         finally:
             self.pending_read = None
-            del coming  # it keeps its error, which keeps this frame: the cycle collector comes seldom
+            del reading  # it keeps its error, which keeps this frame: the cycle collector comes seldom
+
+    def handle_backlog(self, now: float) -> None:
+        """There is more to be read already: calls wait for it, but not for longer than `MAX_READ_AHEAD_S`."""
+        limits = self.front.limits
+        self.backlog_since = now if self.backlog_since is None else self.backlog_since
+        if now - self.backlog_since <= MAX_READ_AHEAD_S:
+            return
+        # A flood hides what was cancelled: nothing begins for it, nor goes on.
+        only_rejected = self.consecutive_rejections >= limits.max_consecutive_rejections
+        if only_rejected and self.backlog_messages > 2 * limits.client_streams:
+            self.abandon_all()
+        else:
+            self.submit_waiting()
 
     def feed(self, data: bytes) -> None:
+        """Handle the messages that are complete with these bytes."""
         self.last_used_at = self.front.now()
         try:
             for message in self.parser.feed(data):
@@ -172,7 +150,7 @@
             if self.front.counters.add_once("bad_client_bytes"):
                 log.event(LOGGER, logging.WARNING, "bad_client_bytes", why=str(error))
             return self.end()
-        except Exception:
+        except Exception:  # whatever a message raises ends its own connection alone
             self.front.counters.add("client_errors")
             LOGGER.exception("client_message_failed")
             return self.end()
@@ -182,220 +160,183 @@
 
     @property
     def has_open_requests(self) -> bool:
+        """Whether a client is owed an answer here."""
         return bool(self.open_requests or self.waiting_calls)
 
     def update_idle_queue(self) -> None:
-        """Move to the end of those it waits among, or out of them while something is owed."""
+        """Move to the end of those in the same state, or out of them while something is owed."""
         if self.idle_queue is not None:
             self.idle_queue.pop(self, None)
             self.idle_queue = None
-        if self.stream.closed() or (not self.ended and (self.has_open_requests or self.unsent_bytes)):
+        busy = self.has_open_requests or self.writer.unsent_bytes
+        if self.stream.closed() or (not self.ended and busy):
             return
+        states = self.front.idle_sessions
         if self.ended:
-            self.idle_queue = self.front.lingering
+            self.idle_queue = states.lingering
         elif self.partial_reads:
-            self.idle_queue = (
-                self.front.message_progressing if self.partial_reads > 1 else self.front.message_begun
-            )
+            self.idle_queue = states.message_progressing if self.partial_reads > 1 else states.message_begun
         else:
-            self.idle_queue = self.front.idle if self.has_sent_message else self.front.silent
+            self.idle_queue = states.idle if self.has_sent_message else states.silent
         self.idle_queue[self] = None
 
     def handle_message(self, message: wire.ClientMessage) -> None:
+        """One complete message."""
         match message:
             case wire.ReadinessQuery():
                 self.send(wire.readiness_answer(message.number, self.front.accepts_requests()))
             case wire.CallsCancelled():
                 for number in message.numbers:
-                    self.unqueue(number)
-                    item = self.open_requests.pop(number, None)
-                    if item is not None:
-                        self.front.exchange.withdraw(item)
+                    self.waiting_calls.remove(number)
+                    pending = self.open_requests.pop(number, None)
+                    if pending is not None:
+                        self.front.exchange.withdraw(pending)
             case wire.ClientCall():
                 self.queue_call(message)
 
     def queue_call(self, call: wire.ClientCall) -> None:
-        """Check a call, and have it wait for what else has come."""
-        number, counters = call.number, self.front.counters
+        """Check a call, and have it wait for what else has come. Raises `MalformedMessageError`."""
+        number, front, counters = call.number, self.front, self.front.counters
         if number in self.open_requests or number in self.waiting_calls:
             raise MalformedMessageError("a message id that is open already")
         counters.add("requests")
-        if call.method not in self.front.exchange.router.classes:
+        if call.method not in front.exchange.router.classes:
             counters.add("unknown_class")
             return self.send_error(number, "unknown class")
-        kind = self.front.exchange.router.classes[call.method]
-        if kind.idempotency is Idempotency.IDEMPOTENT and self.front.overload.should_shed():
+        kind = front.exchange.router.classes[call.method]
+        if kind.idempotency is Idempotency.IDEMPOTENT and front.overload.should_shed():
             counters.add("rejected.busy")
-            return self.answer(number, self.front.overload_answer)
+            return self.answer(number, front.overload_answer)
         try:
-            ask = parse_request(call, kind, self.front.limits)
+            request = parse_request(call, kind, front.limits)
         except FieldError as error:
             counters.add("bad_fields")
             return self.send_error(number, str(error))
-        if self.front.rejecting_new:
+        if front.rejecting_new:
             return self.reject_waiting(number, "emptying")
-        if len(self.open_requests) + len(self.waiting_calls) >= self.front.limits.client_streams:
+        if len(self.open_requests) + len(self.waiting_calls) >= front.limits.client_streams:
             return self.reject_waiting(number, "too_many_streams")
-        if ask.body and self.front.queued_bytes + len(ask.body) > self.front.max_queued:
+        if request.body and front.queued_bytes + len(request.body) > front.max_queued:
             self.submit_waiting()
-            if self.front.queued_bytes + len(ask.body) > max(self.front.max_queued, len(ask.body)):
+            if front.queued_bytes + len(request.body) > max(front.max_queued, len(request.body)):
                 return self.reject_waiting(number, "too_many_open")
-        self.waiting_calls[number] = ask, self.last_used_at
-        self.front.queued_bytes += len(ask.body)
-
-    def unqueue(self, number: int) -> tuple[ClientRequest, float] | None:
-        waited = self.waiting_calls.pop(number, None)
-        if waited is not None:
-            self.front.queued_bytes -= len(waited[0].body)
-        return waited
+        self.waiting_calls.add(number, request, self.last_used_at)
 
     def submit_waiting(self) -> None:
-        """Have the exchange take what waits here. Who takes its answers slowly gets no further ones made, as
-        closed on it would lose all; what is due by then, or waits where connections are to go, is refused."""
+        """Submit the calls that wait here.
+
+        A client that takes its answers slowly gets no further ones begun, as closed on it would lose all;
+        what is due by then, or waits where connections are to close, is rejected.
+        """
         front, now = self.front, self.front.now()
         for number in list(self.waiting_calls):
             if self.stream.closed():
                 return
-            self.is_backpressured = self.unsent_bytes > front.limits.max_client_unsent / 2
-            ask, came = self.waiting_calls[number]
-            left = ask.time_to_live - (now - came)
+            self.is_backpressured = self.writer.unsent_bytes > front.limits.max_client_unsent / 2
+            call = self.waiting_calls[number]
+            left = call.request.time_to_live - (now - call.read_at)
             if front.rejecting_new or (self.is_backpressured and front.closing_when_quiet):
                 self.reject_waiting(number, "emptying")
             elif not self.is_backpressured:
-                self.unqueue(number)
-                ask.time_to_live = max(0.001, left)
-                self.submit(number, ask)
+                self.waiting_calls.remove(number)
+                call.request.time_to_live = max(MIN_TIME_TO_LIVE_S, left)
+                self.submit(number, call.request)
             elif left <= front.limits.answer_margin + front.limits.sweep_interval:
                 self.reject_waiting(number, "not_taken")
 
-    def submit(self, number: int, ask: ClientRequest) -> None:
-        # The answer may come before `ask` returns: then the place is gone again and stays so.
+    def submit(self, number: int, request: ClientRequest) -> None:
+        """Hand a request to the exchange."""
+        # The answer may come before `submit` returns: then the place is gone again and stays so.
         self.open_requests[number] = None
-        item = self.front.exchange.submit(
-            ask, partial(self.answer, number), partial(self.is_disconnected, number)
-        )
+        answer, disconnected = partial(self.answer, number), partial(self.is_disconnected, number)
+        pending = self.front.exchange.submit(request, answer, disconnected)
         if number in self.open_requests:
-            self.open_requests[number] = item
+            self.open_requests[number] = pending
 
     def is_disconnected(self, number: int) -> bool:
-        """Whether the client has closed its connection or taken this request back, also where that is unread.
+        """Whether the client has closed its connection or cancelled this request, read or not.
 
-        One call of the system where nothing is unread, and none where that was seen `LOOK_AGAIN` ago.
+        One system call where nothing is unread, and none where that was seen `RECHECK_AFTER_S` ago.
         """
         if self.stream.closed():
             return True
         now = self.front.now()
         if now - self.checked_at < RECHECK_AFTER_S:
             return False
-        came = self.unread_bytes()
-        if came is None:
+        unread = self.unread_bytes()
+        if unread is None:
             self.stream.close()
             return True
-        if not came:
+        if not unread:
             self.checked_at = now
             return False
-        return wire.CANCEL in came and number in self.parser.cancelled_in(came)
+        return wire.CANCEL in unread and number in self.parser.cancelled_in(unread)
 
     def unread_bytes(self) -> bytes | None:
-        """What has come and was not looked at, or the first of it; None where the client has gone."""
-        came, coming = (
-            peek_unread(self.stream.socket, 2 * self.front.limits.client_read_size),
-            self.pending_read,
-        )
-        if came is None or coming is None or not coming.done() or coming.cancelled() or coming.exception():
-            return came
-        return coming.result() + came
+        """What has come and was not handled, or the first of it; None where the client has gone."""
+        unread = peek_unread(self.stream.socket, 2 * self.front.limits.client_read_size)
+        reading = self.pending_read
+        if unread is None or reading is None or not reading.done():
+            return unread
+        return unread if reading.cancelled() or reading.exception() else reading.result() + unread
 
     def withdraw_all(self) -> None:
-        for item in list(self.open_requests.values()):
-            if item is not None:
-                self.front.exchange.withdraw(item)
+        """The client waits for nothing any more."""
+        for pending in list(self.open_requests.values()):
+            if pending is not None:
+                self.front.exchange.withdraw(pending)
         self.open_requests.clear()
 
     def abandon_all(self) -> None:
         """Give all that is owed its final answer now."""
         for number in list(self.waiting_calls):
             self.reject_waiting(number, "given_up")
-        for item in list(self.open_requests.values()):
-            if item is not None:
+        for pending in list(self.open_requests.values()):
+            if pending is not None:
                 self.front.counters.add("abandoned")
-                self.front.exchange.deliver(AbandonRequest(item.serial))
+                self.front.exchange.deliver(AbandonRequest(pending.serial))
         self.withdraw_all()
 
     def reject_waiting(self, number: int, cause: str) -> None:
-        """Turn away what was not handed to the exchange."""
-        self.unqueue(number)
+        """Reject what was not handed to the exchange."""
+        self.waiting_calls.remove(number)
         self.front.counters.add(f"rejected.{cause}")
         self.answer(number, self.front.draining_answer)
 
     def send_error(self, number: int, why: str) -> None:
-        """An error for what cannot be used."""
+        """Answer what cannot be used."""
         self.consecutive_rejections += 1
         self.send(wire.error_answer(number, wire.FAILED, {"why": why}))
 
-    def answer(self, number: int, reply: FinalAnswer) -> None:
+    def answer(self, number: int, answer: FinalAnswer) -> None:
+        """Send the final answer of a call."""
         self.open_requests.pop(number, None)
-        self.consecutive_rejections = (
-            0
-            if reply.status in (AnswerStatus.SERVED, AnswerStatus.NOT_MODIFIED)
-            else self.consecutive_rejections + 1
-        )
-        self.send(*format_answer(number, reply))
-
-    def send(self, *pieces: bytes | bytearray | memoryview) -> None:
-        """Write without waiting: a slow reader must not hold up others, so its backlog is bounded instead."""
-        if self.stream.closed():
-            return
-        size = sum(map(len, pieces))
-        limits = self.front.limits
+        served = answer.status in (AnswerStatus.SERVED, AnswerStatus.NOT_MODIFIED)
+        self.consecutive_rejections = 0 if served else self.consecutive_rejections + 1
+        self.send(*format_answer(number, answer))
+
+    def send(self, *pieces: Buffer) -> None:
+        """Write without waiting."""
         self.last_used_at = self.front.now()
-        if not self.unsent_bytes:
-            self.last_taken_at = self.last_used_at
-        if self.unsent_bytes + size > limits.max_client_unsent:
-            self.front.counters.add("slow_readers")
-            return self.stream.close()
-        if self.front.unsent_bytes + size > self.front.max_unsent:
-            # Whoever takes least of what is held for it, not whoever is answered next.
-            self.front.counters.add("slow_readers")
-            slowest = max(self.front.sessions, key=lambda session: session.unsent_bytes)
-            slowest.stream.close()
-            if slowest is self:
-                return
-        self.unsent_bytes += size
-        self.front.unsent_bytes += size
-        if size <= MAX_JOINED_BODY:
-            pieces = (b"".join(pieces),)
-        try:
-            for piece in pieces:
-                done = self.stream.write(memoryview(piece))
-        except StreamClosedError:
-            self.front.unsent_bytes -= size
-            self.unsent_bytes -= size
-            return
-        self.front.counters.add("answer_bytes", size)
-        if done.done():  # taken at once, as nearly always
-            self.on_sent(size)
-        else:
-            done.add_done_callback(lambda _: self.on_sent(size))
+        self.writer.write(pieces, self.on_taken)
 
-    def on_sent(self, size: int) -> None:
-        self.unsent_bytes -= size
-        self.front.unsent_bytes -= size
-        self.last_taken_at = self.front.now()
+    def on_taken(self) -> None:
+        """The system has taken an answer whole: go on with what waited for that."""
         if self.ended:
             return self.shut_down_write()
-        if self.is_backpressured and self.unsent_bytes <= self.front.limits.max_client_unsent / 2:
+        unsent = self.writer.unsent_bytes
+        if self.is_backpressured and unsent <= self.front.limits.max_client_unsent / 2:
             self.is_backpressured = False
             asyncio.get_running_loop().call_soon(self.submit_waiting)
-        if not self.unsent_bytes and not self.has_open_requests:
+        if not unsent and not self.has_open_requests:
             self.update_idle_queue()
         if self.front.closing_when_quiet:
             self.close_if_quiet()
 
     def at_rest(self) -> bool:
-        """Nothing owed, nothing on its way out, nothing that came unread: asked in the turn of a close."""
+        """Whether nothing is owed, unsent or unread; holds for the turn of the loop in which it is called."""
         # While a read is under way, it has brought nothing and the stream holds nothing.
-        if self.has_open_requests or self.unsent_bytes or self.ended or not self.stream.reading():
+        if self.has_open_requests or self.writer.unsent_bytes or self.ended or not self.stream.reading():
             return False
         return not peek_unread(self.stream.socket, 1)
 
@@ -407,8 +348,10 @@
         return True
 
     def close_without_message(self) -> bool:
-        """Close at rest, or where no whole message has ever come, nor lies unread: thousands that send a byte
-        each would push out who asks."""
+        """Close at rest, or where no complete message has come, nor is unread.
+
+        Thousands that send a byte each would push out clients with requests.
+        """
         if self.has_sent_message or self.stream.closed() or self.parser.completes(self.unread_bytes() or b""):
             return self.close_at_rest()
         self.stream.close()
@@ -420,12 +363,10 @@
         return True
 
     def close_if_quiet(self) -> bool:
-        """Close at a moment that costs nobody a request; who has just connected is about to ask."""
-        late_comer = (
-            not self.has_sent_message
-            and self.front.now() - self.connected_at < self.front.limits.new_connection_age
-        )
-        if late_comer or self.parser.partial or not self.close_at_rest():
+        """Close at a moment that costs nobody a request; a new connection is about to bring one."""
+        age = self.front.now() - self.connected_at
+        is_new = not self.has_sent_message and age < self.front.limits.new_connection_age
+        if is_new or self.parser.partial or not self.close_at_rest():
             return False
         self.front.counters.add("closed_quiet_clients")
         return True
@@ -433,7 +374,7 @@
     def end(self) -> None:
         """End a connection at a fault, or at the last moment.
 
-        What is owed is answered, nothing more is written; it closes once the client has, or after `LINGER`:
+        What is owed is answered, nothing more is written; it closes once the client has, or after `LINGER_S`:
         a close over unread bytes would reset it, and what was just written would be lost with it.
         """
         if self.ended or self.stream.closed():
@@ -445,7 +386,7 @@
         self.shut_down_write()
 
     def shut_down_write(self) -> None:
-        """Tell the client that nothing follows what it has got."""
-        if not self.unsent_bytes and not self.stream.closed():
+        """Tell the client that nothing follows the answers that it has."""
+        if not self.writer.unsent_bytes and not self.stream.closed():
             with contextlib.suppress(OSError):
                 self.stream.socket.shutdown(socket.SHUT_WR)
--- a/paddlequay/net/socket_state.py
+++ b/paddlequay/net/socket_state.py
@@ -7,10 +7,10 @@
 
 
 def peek_unread(connection: socket.socket, most: int) -> bytes | None:
-    """The first `most` bytes that are not read; None once the other end has closed, or the connection broke.
+    """The first `max_size` unread bytes; None once the other end has closed, or the connection broke.
 
-    One call of the system where there are none. Bytes hide an end behind them: where there are some, a second
-    call asks for it. Where that is not told, the end shows once they are read.
+    One system call where there are none. Bytes hide an end behind them: where there are some, a second call
+    checks for it. Where the system does not say, the end shows once they are read.
     """
     try:
         came = connection.recv(most, socket.MSG_PEEK)
@@ -22,6 +22,7 @@
 
 
 def is_hung_up(connection: socket.socket) -> bool:
+    """Whether the other end has closed, or the connection broke."""
     look = select.poll()
     try:
         look.register(connection, END_EVENTS)
--- a/paddlequay/net/watch_client.py
+++ b/paddlequay/net/watch_client.py
@@ -1,12 +1,12 @@
-"""Lines that are followed for as long as the program runs, over connections that end, hang or fall silent.
-
-The bulletin writes a heartbeat each second, and what it has to tell counts as told 7 s after it is out,
-whether it came or not. A watch is one connection; it tells something when a whole heartbeat or event comes on
-it. One that tells nothing for `SUSPECT` is suspected, not ended: a further one is begun beside it, and
-whichever tells first is kept alone. So nothing is given up for being late, and steps do not add up: with an
-event out right after the last word, further watches begin 1.5, 3, 4.5 and 6 s later. Two of them may come up
-late, be silent or hang, and the third still has 2.5 s to come up and tell. One that is refused, breaks off
-or tells what cannot be is followed by the next after a pause.
+"""Event streams that are followed for as long as the program runs, over connections that end or fall silent.
+
+The endpoint list comes with a heartbeat each second, and what it has to say counts as known 7 s after it is
+out, whether it came or not. A watch is one connection; it brings something when a complete heartbeat or event
+comes on it. One that brings nothing for `SUSPECT_AFTER_S` is suspected, not ended: a further one is begun
+beside it, and whichever brings something first is kept alone. So nothing is given up for being late, and
+steps do not add up: with an event out right after the last heartbeat, further watches begin 1.5, 3, 4.5 and 6
+s later. Two of them may come up late, be silent or hang, and the third still has 2.5 s to come up and bring
+it. One that is refused, breaks off or brings what cannot be is followed by the next after a pause.
 """
 
 import asyncio
@@ -32,20 +32,16 @@
 
 LOGGER = logging.getLogger(__name__)
 
-SUSPECT_AFTER_S = (
-    1.5  # seconds without a word: a heartbeat's second, and half of one for the way and a late turn
-)
+SUSPECT_AFTER_S = 1.5  # a heartbeat's second, and half of one for the way and a late turn
 MAX_WATCHES = 3  # at once: one begun 1.5 s ago, or 3, may only be late
 RETRY_PAUSE_S = 0.2  # seconds before the next watch where the last one was refused or has ended
-MAX_RETRY_PAUSE_S = 1.0  # it doubles while the same event cannot be had, up to this
-MAX_ATTEMPTS = (
-    3  # times that the same event is asked for anew, 1.4 s in all; then what cannot be had is passed over
-)
+MAX_RETRY_PAUSE_S = 1.0  # it doubles while the same event cannot be applied, up to this
+MAX_ATTEMPTS = 3  # at the same event, 1.4 s in all; then it is skipped
 MAX_TURN_S = 0.005  # seconds after which a read's further events wait for the loop's next turn
 
 
 class NumberedEvent(Protocol):
-    """News with a number; numbers go up."""
+    """An event with a number; numbers go up."""
 
     @property
     def number(self) -> int: ...
@@ -56,73 +52,77 @@
 
 
 class EventParser(Protocol[N]):
-    """Takes bytes as they come and gives what whole lines say. Raises nothing."""
+    """Takes bytes as they come and gives the events of complete lines. Raises nothing."""
 
     def feed(self, data: bytes) -> Iterator[N]: ...
 
 
 class WatchConnection(IOStream):
-    """One connection. Its descriptor goes back to its follower in the very turn in which it closes: where all
-    others are taken and clients wait for one, none is left a moment later."""
+    """One connection. Its descriptor goes back to its client in the very turn in which it closes.
+
+    Where all others are taken and clients wait for one, none is left a moment later.
+    """
 
     def __init__(self, made: socket.socket, freed: Callable[[], None], now: float) -> None:
         self.on_closed, self.read_at = freed, now
-        self.is_dropped = False  # given up by the follower: neither its news nor its end mean anything
+        self.is_dropped = False  # neither its events nor its end count any more
         super().__init__(made)
 
     def close_fd(self) -> None:
+        """Close, and notify the client."""
         super().close_fd()
         self.on_closed()
 
 
 class WatchClient(Generic[E]):
-    """Connects, writes `after N`, takes in what comes. `name` stands in log lines and counters."""
+    """Connects, writes `after N`, applies what comes. `name` stands in log lines and counters."""
 
-    gapless = False  # whether numbers go up by one, so that one which does not come is asked for again
+    gapless = False  # whether numbers go up by one, so that a missing one is requested again
 
     def __init__(self, address: Address, limits: Limits, counters: Counters, name: str) -> None:
         self.address, self.limits, self.counters, self.name = address, limits, counters, name
-        self.last_number = 0  # the last event that is in force, or passed over for good
-        self.is_lost = False  # since it was last heard, and told so
-        self.failed_watches = 0  # watches in a row that ended as what came after `last` could not be had
+        self.last_number = 0  # the last event that is in force, or skipped for good
+        self.is_lost = False  # nothing came lately, and that is logged
+        self.failed_watches = 0  # in a row, for an event that could not be applied
         self.watches: list[WatchConnection] = []  # open, the latest begun last
         self.spare_socket: socket.socket | None = None  # for the next watch, where all descriptors are taken
         self.next_watch_at = 0.0  # when the next watch begins, by the loop's clock
         self.wake_up = asyncio.Event()
         self.is_current = asyncio.Event()  # all events that were out at some time since the start have come
 
-    # --- what a source of lines is ---
+    # --- what a subclass says of its events ---
 
     def make_parser(self) -> EventParser[E | WatchHeartbeat | UnusableLine]:
+        """A parser for a new connection."""
         raise NotImplementedError
 
     def apply_event(self, event: E) -> None:
-        """Put an event in force. Called again for one that failed: taken twice, it comes to the same."""
+        """Put an event in force. Called again for one that failed: applied twice, it comes to the same."""
         raise NotImplementedError
 
     def skip_event(self, event: E) -> None:
-        """An event failed each time: what can be saved of it. Raises nothing."""
+        """An event failed each time: apply what can be saved of it. Raises nothing."""
 
     def heartbeat(self, number: int) -> None:
-        """No event is out beyond those had."""
+        """No event is out beyond those applied."""
 
     # --- connections ---
 
     def change_address(self, address: Address) -> None:
-        """Follow another address from now on. The numbers go on, so nothing is had anew."""
+        """Follow another address from now on. The numbers go on, so nothing is applied anew."""
         if address != self.address:
             self.address = address
-            self.restart(0.0)  # the old one tells nothing more
+            self.restart(0.0)  # the old one brings nothing more
 
     def restart(self, pause: float) -> None:
-        """Drop all watches; the next one asks from the number that stands then."""
+        """Drop all watches; the next one, after `pause` seconds, begins at the number that stands then."""
         for watch in self.watches[:]:
             self.drop(watch)
         self.next_watch_at = asyncio.get_running_loop().time() + pause
         self.wake_up.set()
 
     async def follow(self) -> None:
-        """For as long as the program runs."""
+        """Keep a watch up for as long as the program runs."""
         loop = asyncio.get_running_loop()
         self.reserve_socket()
         try:
@@ -150,7 +150,7 @@
                 self.spare_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
 
     def start_watch(self) -> None:
-        """One more watch; the one that read nothing for longest makes room."""
+        """Begin one more watch; the one that read nothing for longest is dropped for it."""
         now = asyncio.get_running_loop().time()
         self.next_watch_at = now + SUSPECT_AFTER_S
         if self.watches:
@@ -170,11 +170,13 @@
         task.add_done_callback(functools.partial(self.on_watch_ended, watch))
 
     def drop(self, watch: WatchConnection) -> None:
+        """End a watch; neither its events nor its end count any more."""
         watch.is_dropped = True
         self.watches.remove(watch)
         watch.close()
 
     def report_lost(self, why: str) -> None:
+        """No watch brings anything: count it, and log it once."""
         self.counters.add(f"{self.name}_lost")
         if not self.is_lost:  # once: it is tried again five times a second
             log.event(LOGGER, logging.INFO, f"{self.name}_lost", why=why, last=self.last_number)
@@ -203,6 +205,7 @@
             self.wake_up.set()
 
     def report_failure(self, error: BaseException) -> None:
+        """An error that is no fault of the other end: count it, and log the first."""
         if self.counters.add_once(f"{self.name}_errors"):
             LOGGER.error(f"{self.name}_failed", exc_info=error)
 
@@ -215,11 +218,11 @@
         while True:
             data = await watch.read_bytes(self.limits.read_size, partial=True)
             turn = watch.read_at = now()
-            for news in reader.feed(data):
-                self.handle(news)
+            for event in reader.feed(data):
+                self.handle(event)
                 if watch.is_dropped:
                     return
-                if not isinstance(news, UnusableLine) or news.number is not None:
+                if not isinstance(event, UnusableLine) or event.number is not None:
                     self.keep_only(watch)
                 if now() - turn > MAX_TURN_S:
                     await asyncio.sleep(0)
@@ -229,57 +232,57 @@
             await asyncio.sleep(0)
 
     def keep_only(self, watch: WatchConnection) -> None:
-        """A whole heartbeat or event came: this watch is kept, and it alone."""
+        """A complete heartbeat or event came: this watch is kept, and it alone."""
         self.next_watch_at = asyncio.get_running_loop().time() + SUSPECT_AFTER_S
         for other in self.watches[:]:
             if other is not watch:
                 self.drop(other)
         if self.is_lost:
             self.is_lost = False
-            log.event(LOGGER, logging.INFO, f"{self.name}_heard", last=self.last_number)
+            log.event(LOGGER, logging.INFO, f"{self.name}_restored", last=self.last_number)
 
-    # --- news ---
+    # --- events ---
 
-    def handle(self, news: E | WatchHeartbeat | UnusableLine) -> None:
-        """Take in one line's news; what has been had already is passed over.
+    def handle(self, event: E | WatchHeartbeat | UnusableLine) -> None:
+        """Handle one line; what has been applied already is passed over.
 
-        An event counts as had once it is in force. MalformedError: something is missing, cannot be read or
-        cannot be put in force, and is to be asked for anew. It is asked for `TRIES` times, then passed over,
-        so that what stands behind it is not lost with it.
+        An event counts as received once it is in force. Raises `EndpointWatchError` where something is
+        missing, cannot be read or cannot be put in force, and is to be requested anew. That happens
+        `MAX_ATTEMPTS` times, then it is skipped, so that what stands behind it is not lost with it.
         """
-        if isinstance(news, WatchHeartbeat):
-            if news.number > self.last_number:
-                raise EndpointWatchError(f"{news.number} events are out, {self.last_number} came")
-            self.heartbeat(news.number)
+        if isinstance(event, WatchHeartbeat):
+            if event.number > self.last_number:
+                raise EndpointWatchError(f"{event.number} events are out, {self.last_number} came")
+            self.heartbeat(event.number)
             self.failed_watches = 0
             self.is_current.set()
-        elif news.number is None:
+        elif event.number is None:
             if self.failed_watches < MAX_ATTEMPTS:
-                raise EndpointWatchError(getattr(news, "reason", ""))
-            self.counters.add(f"{self.name}_passed_over")
-        elif news.number > self.last_number:
-            self.handle_new(news, news.number)
+                raise EndpointWatchError(getattr(event, "reason", ""))
+            self.counters.add(f"{self.name}_skipped")
+        elif event.number > self.last_number:
+            self.handle_new(event, event.number)
 
-    def handle_new(self, news: E | UnusableLine, number: int) -> None:
-        """An event that was not had."""
+    def handle_new(self, event: E | UnusableLine, number: int) -> None:
+        """An event that was not applied yet; raises `EndpointWatchError` to have it requested anew."""
         if self.gapless and number > self.last_number + 1:
             if self.failed_watches < MAX_ATTEMPTS:
                 raise EndpointWatchError(f"{number} came after {self.last_number}")
-            # Told so by each of the last connections: these numbers do not exist, nor perhaps others.
+            # So by each of the last connections: these numbers do not exist, nor perhaps others.
             self.gapless = False
             log.event(LOGGER, logging.WARNING, f"{self.name}_gap", last=self.last_number, next=number)
-        if isinstance(news, UnusableLine):
+        if isinstance(event, UnusableLine):
             # It was read whole, and another connection would bring the same.
             if self.counters.add_once(f"{self.name}_unusable"):
-                log.event(LOGGER, logging.WARNING, f"{self.name}_unusable", number=number, why=news.reason)
+                log.event(LOGGER, logging.WARNING, f"{self.name}_unusable", number=number, why=event.reason)
         else:
             try:
-                self.apply_event(news)
+                self.apply_event(event)
             except Exception as error:
                 self.report_failure(error)
                 if self.failed_watches < MAX_ATTEMPTS:
                     raise EndpointWatchError(f"{number} failed: {type(error).__name__}") from None
-                if self.counters.add_once(f"{self.name}_passed_over"):
-                    log.event(LOGGER, logging.ERROR, f"{self.name}_passed_over", number=number)
-                self.skip_event(news)
+                if self.counters.add_once(f"{self.name}_skipped"):
+                    log.event(LOGGER, logging.ERROR, f"{self.name}_skipped", number=number)
+                self.skip_event(event)
         self.last_number, self.failed_watches = number, 0
--- a/paddlequay/observability/counters.py
+++ b/paddlequay/observability/counters.py
@@ -1,4 +1,4 @@
-"""What the router took in, sent and answered, by name."""
+"""What the router received, sent and answered, by name."""
 
 import logging
 from collections import Counter
@@ -15,6 +15,7 @@
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str, count: int = 1) -> None:
+        """Count something under a name."""
         self.counts[name] += count
 
     def add_once(self, name: str) -> bool:
@@ -23,4 +24,5 @@
         return self.counts[name] == 1
 
     def print(self, why: str) -> None:
+        """Log all counters, with the reason for it."""
         log.event(LOGGER, logging.INFO, "counters", why=why, **dict(sorted(self.counts.items())))
--- a/paddlequay/protocol/caches.py
+++ b/paddlequay/protocol/caches.py
@@ -1,4 +1,4 @@
-"""The caches' side: `ASK` and `QUIT` lines out, answers in. Knows no socket."""
+"""The caches' protocol: `ASK` and `QUIT` lines out, answers in. Knows no socket."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheAnswer:
-    """One answer: its id, its word, its fields and its bytes."""
+    """One answer: its id, its status word, its fields and its bytes."""
 
     id: str
     status: str
@@ -21,6 +21,7 @@
 
 
 def format_fields(fields: Mapping[str, str]) -> str:
+    """Fields as they stand in a line; `-` for none."""
     return ",".join(f"{name}={value}" for name, value in fields.items()) or "-"
 
 
@@ -30,10 +31,12 @@
 
 
 def cancel_line(id: str) -> bytes:
+    """The line that cancels a request."""
     return f"QUIT {id}\r\n".encode()
 
 
 def parse_fields(text: str) -> dict[str, str]:
+    """Fields of a line; raises `CacheProtocolError`."""
     if text == "-":
         return {}
     fields = {}
@@ -46,7 +49,7 @@
 
 
 class CacheAnswerParser:
-    """Takes bytes as they come and gives whole answers; a body is copied once, to where it stays."""
+    """Takes bytes as they come and gives complete answers; a body is copied once, to where it stays."""
 
     def __init__(self, most_line: int, most_body: int) -> None:
         self.max_line, self.max_body = most_line, most_body
@@ -58,20 +61,21 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether an answer, or its line, has begun and is not whole."""
+        """Whether an answer, or its line, has begun and is not complete."""
         return self.head is not None or bool(self.line)
 
     @property
     def progress(self) -> float:
-        """How much has come of the answer that has begun, 0 to 1; 0 while its length is not told yet."""
+        """How much has come of the answer that has begun, 0 to 1; 0 while its length is unknown."""
         return 0.0 if self.head is None else (self.filled + self.trailer_read) / (len(self.body) + 2)
 
     @property
     def current_id(self) -> str | None:
-        """The id of the answer that has begun, once its line is whole."""
+        """The id of the answer that has begun, once its line is complete."""
         return None if self.head is None else self.head[0]
 
     def feed(self, data: bytes) -> Iterator[CacheAnswer]:
+        """The answers that are complete with these bytes; raises `CacheProtocolError`."""
         view = memoryview(data)
         at = 0
         while at < len(view):
@@ -91,6 +95,7 @@
                 yield self.finish_answer()
 
     def read_line(self, data: bytes, at: int) -> int:
+        """Read on in the first line of an answer; the place after what was read."""
         end = data.find(b"\n", at)
         self.line += data[at : end + 1 if end >= 0 else len(data)]
         if len(self.line) > self.max_line:
@@ -112,6 +117,7 @@
         return end + 1
 
     def finish_answer(self) -> CacheAnswer:
+        """The answer that is complete; the next may begin."""
         assert self.head is not None
         answer = CacheAnswer(*self.head, self.body)
         self.head, self.body = None, bytearray()
--- a/paddlequay/protocol/clients.py
+++ b/paddlequay/protocol/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side: MessagePack-RPC messages in, answers out. Knows no socket."""
+"""The clients' protocol: MessagePack-RPC messages in, answers out. Knows no socket."""
 
 import contextlib
 from collections.abc import Iterator, Mapping
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadinessQuery:
-    """The front's question whether this router takes requests."""
+    """Whether this router takes requests."""
 
     number: int
 
@@ -41,13 +41,14 @@
 
 
 class ClientMessageParser:
-    """Takes bytes as they come and gives whole messages; raises `MalformedError` on what is none."""
+    """Takes bytes as they come and gives complete messages; raises `MalformedMessageError`."""
 
     def __init__(self, most: int) -> None:
         self.max_message = most
         self.partial = b""  # of a message that is not whole yet
 
     def feed(self, data: bytes) -> Iterator[ClientMessage]:
+        """The messages that are complete with these bytes."""
         data = self.partial + data if self.partial else data
         self.partial = b""
         at = 0
@@ -59,7 +60,7 @@
             self.partial = data[at:]
 
     def completes(self, data: bytes) -> bool:
-        """Whether `data`, which is not fed yet, makes a message whole; what can be none does not."""
+        """Whether `data`, not fed yet, completes a message; what can be none does not."""
         try:
             msgpack.unpack(self.partial + data, 0, self.max_message)
         except (IncompleteMessageError, MalformedMessageError):
@@ -67,7 +68,7 @@
         return True
 
     def cancelled_in(self, data: bytes) -> set[int]:
-        """What `data`, which is not fed yet, takes back; what is no message ends it early."""
+        """What `data`, not fed yet, cancels; what is no message ends it early."""
         ahead, numbers = ClientMessageParser(self.max_message), set[int]()
         with contextlib.suppress(MalformedMessageError):
             for told in ahead.feed(self.partial + data):
@@ -77,11 +78,12 @@
 
 
 def is_number(value: Any) -> bool:
+    """Whether a value may be a message number."""
     return isinstance(value, int) and not isinstance(value, bool) and value >= 0
 
 
 def parse_message(value: Any) -> ClientMessage:
-    """One unpacked value as a message."""
+    """One unpacked value as a message; raises `MalformedMessageError`."""
     match value:
         case [0, number, "alive", [*_]] if is_number(number):
             return ReadinessQuery(number)
@@ -95,10 +97,12 @@
 
 
 def readiness_answer(number: int, ready: bool) -> bytes:
+    """The answer to a `ReadinessQuery`."""
     return msgpack.pack([RESPONSE, number, None, [ready, {}]])
 
 
 def error_answer(number: int, error: str, fields: Mapping[str, str]) -> bytes:
+    """An answer that says what went wrong."""
     return msgpack.pack([RESPONSE, number, [error, dict(fields)], None])
 
 
--- a/paddlequay/protocol/console.py
+++ b/paddlequay/protocol/console.py
@@ -1,4 +1,4 @@
-"""The operators' side: HTTP/1.1, one call to a connection. Knows no socket."""
+"""The console's protocol: HTTP/1.1, one call to a connection. Knows no socket."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -20,7 +20,7 @@
 
 
 class ConsoleCallParser:
-    """Takes bytes in pieces of any size and gives the call once it is whole, its body left unread."""
+    """Takes bytes in pieces of any size and gives the call once it is complete; its body is not kept."""
 
     def __init__(self, most_head: int, most_body: int) -> None:
         self.max_head, self.max_body = most_head, most_body
@@ -29,6 +29,7 @@
         self.body_left = 0  # bytes of the body still to come
 
     def feed(self, data: bytes) -> ConsoleCall | None:
+        """The call, once it is complete with these bytes; raises `ConsoleProtocolError`."""
         if self.call is None:
             # Only what is new is looked through, and the three bytes before it: a head may come byte by byte.
             start = max(0, len(self.head) - 3)
@@ -46,6 +47,7 @@
         return self.call if not self.body_left else None
 
     def parse_head(self, head: bytes) -> tuple[ConsoleCall, int]:
+        """The call and the length of its body."""
         try:
             first, *lines = head.decode("ascii").lstrip("\r\n").split("\r\n")
         except UnicodeDecodeError:
@@ -72,6 +74,7 @@
 
     @staticmethod
     def parse_path(target: str) -> tuple[str, ...]:
+        """The parts of a path, unescaped."""
         try:
             path = urlsplit(target).path
         except ValueError:
@@ -82,7 +85,7 @@
 
 
 def format_answer(status: int, why: str, allow: str = "", head_only: bool = False) -> bytes:
-    """A whole answer; its body is one line that says why."""
+    """A complete answer; its body is one line that says why."""
     body = f"{why}\n".encode()
     lines = [
         f"HTTP/1.1 {status} {HTTPStatus(status).phrase}",
--- a/paddlequay/protocol/endpoint_watch.py
+++ b/paddlequay/protocol/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The bulletin: numbered lines of JSON in, `after N` out. Knows no socket."""
+"""The protocol of the endpoint list: numbered lines of JSON in, `after N` out. Knows no socket."""
 
 import json
 import re
@@ -34,10 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """News of the list, at most one entry of an id: its last.
+    """The endpoint list or changes to it, at most one entry of an id: its last.
 
-    `drained`: ids that are told not to be in service by an entry that cannot be used else. `unusable`: how
-    many entries cannot be used, with the reason of the last.
+    `draining_ids`: ids that an unusable entry says not to be in service; `unusable_count`: how many entries
+    cannot be used, with the reason of the last.
     """
 
     number: int
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeEvent:
-    """A purge of an object, or of a whole group; `issued` in Unix seconds."""
+    """A purge of an object, or of a group; `issued_at` in Unix seconds."""
 
     number: int
     issued_at: float
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnusableLine:
-    """A line that says nothing here; `number` where it is an event that can be told by its number."""
+    """A line that cannot be used; `number` where it is an event with a number."""
 
     number: int | None
     reason: str
@@ -77,10 +77,12 @@
 
 
 def resume_request(number: int) -> bytes:
+    """Ask for the events after a number."""
     return f"after {number}\n".encode()
 
 
 def is_number(value: Any) -> bool:
+    """Whether a value may be an event's number."""
     return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < MAX_NUMBER
 
 
@@ -91,13 +93,14 @@
 
 
 def parse_figure(value: Any, name: str) -> float:
-    """A number that is neither negative nor past all that is meant (nor NaN)."""
+    """A number from 0 to under `MAX_NUMBER`; raises `EndpointWatchError` for others, NaN too."""
     if type(value) not in (int, float) or not 0 <= value < MAX_NUMBER:
         raise EndpointWatchError(f"{name}: expected a number, got {str(value)[:40]!r}")
     return float(value)
 
 
 def parse_id(item: Mapping[str, Any]) -> str:
+    """An entry's id; raises `EndpointWatchError`."""
     name = item.get("instanceId")
     if not isinstance(name, str) or not ID.fullmatch(name):
         raise EndpointWatchError(f"instanceId: cannot be used: {str(name)[:40]!r}")
@@ -105,7 +108,7 @@
 
 
 def parse_address(at: Any) -> tuple[str, int]:
-    """An IPv4 address and a port. No host's name: to look one up would hold up the program."""
+    """An IPv4 address and a port. No host name: a look-up would hold up the program."""
     match = ADDRESS.fullmatch(at) if isinstance(at, str) else None
     port = int(match[2]) if match else 0
     if match is None or not 0 < port < 65536 or any(int(part) > 255 for part in match[1].split(".")):
@@ -114,6 +117,7 @@
 
 
 def parse_endpoint(item: Any) -> Endpoint:
+    """One entry of the list; raises `EndpointWatchError`."""
     if not isinstance(item, dict):
         raise EndpointWatchError(f"an entry that is no object: {str(item)[:40]}")
     name, word = parse_id(item), item.get("lifecycle")
@@ -144,8 +148,11 @@
 
 
 def parse_endpoint_list(number: int, roster: Any) -> EndpointList:
-    """A list's event. An entry that cannot be used does not take the others with it; one that ends a
-    member's service binds by its id alone, and so does a state that is not known."""
+    """A list's event; raises `EndpointWatchError` where it is none.
+
+    An entry that cannot be used does not take the others with it; one that ends a member's service binds by
+    its id alone, and so does a state that is not known.
+    """
     instances = roster.get("instances") if isinstance(roster, dict) else None
     if not isinstance(instances, list):
         raise EndpointWatchError("a list without instances")
@@ -171,6 +178,7 @@
 
 
 def parse_purge(number: int, recall: Any) -> PurgeEvent:
+    """A purge's event; raises `EndpointWatchError`."""
     if not isinstance(recall, dict):
         raise EndpointWatchError("neither a list nor a purge")
     key, lot = recall.get("item"), recall.get("lot")
@@ -203,9 +211,9 @@
 
 
 class LineParser:
-    """Takes bytes as they come and gives what whole lines say by `read`; what that refuses is `Unusable`.
+    """Takes bytes as they come and gives what complete lines say; what cannot be read is `UnusableLine`.
 
-    `most` bounds a line's bytes. A longer one is passed over to its end: what stands behind it still comes.
+    `max_line` bounds a line's bytes. A longer one is skipped to its end: what stands behind it still comes.
     """
 
     def __init__(self, most: int) -> None:
@@ -214,7 +222,7 @@
         self.skipping = False
 
     def lines(self, data: bytes) -> Iterator[bytes | None]:
-        """Whole lines; None for one that is too long."""
+        """Complete lines; None for one that is too long."""
         # Only what is new is looked through: thousands of members come as one line in many pieces.
         start = len(self.buffer)
         self.buffer += data
@@ -233,6 +241,7 @@
             self.skipping = True
 
     def events(self, data: bytes, read: Callable[[Any], T]) -> Iterator[T | UnusableLine]:
+        """Complete lines, each parsed by `parse`."""
         for line in self.lines(data):
             if line is None:
                 yield UnusableLine(None, "a line is longer than allowed")
@@ -247,7 +256,8 @@
 
 
 class WatchEventParser(LineParser):
-    """Gives whole lines' news."""
+    """Gives the events of complete lines."""
 
     def feed(self, data: bytes) -> Iterator[WatchEvent | UnusableLine]:
+        """The events that are complete with these bytes."""
         yield from self.events(data, parse_event)
--- a/paddlequay/protocol/hot_restart.py
+++ b/paddlequay/protocol/hot_restart.py
@@ -1,4 +1,4 @@
-"""Between the two processes of one router while one replaces the other: lines of JSON. Knows no socket."""
+"""The protocol between two processes of one router: lines of JSON. Knows no socket."""
 
 import json
 import math
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateMessage:
-    """Orders and listed ids that the sender knows, and what it has learned: the first message, both ways."""
+    """What the sender knows and has learned: the first message, both ways."""
 
     overrides: dict[str, Override]
     known_ids: tuple[str, ...]
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideMessage:
-    """One order; it is to be confirmed by its number once it is obeyed."""
+    """One override; it is to be confirmed by its number once it is applied."""
 
     number: int
     name: str
@@ -34,20 +34,21 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideConfirmed:
-    """The order of that number is obeyed."""
+    """The override of that number is applied."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorReady:
-    """The newer process takes clients from now on."""
+    """The successor takes clients from now on."""
 
 
 LinkMessage = StateMessage | OverrideMessage | OverrideConfirmed | SuccessorReady | QuotaInUse
 
 
 def pack(message: LinkMessage) -> bytes:
+    """A message as a line. Other versions read its keys, which stay as they are."""
     match message:
         case StateMessage():
             marks = {name: [mark.issued_ns, mark.active] for name, mark in message.overrides.items()}
@@ -65,6 +66,7 @@
 
 
 def unpack(line: bytes) -> LinkMessage:
+    """A line as a message; raises `LinkProtocolError`."""
     try:
         match json.loads(line):
             case {"state": dict(marks), "listed": [*listed], "knowledge": dict(knowledge)}:
@@ -87,13 +89,14 @@
 
 
 class LinkParser:
-    """Takes bytes as they come and gives whole messages."""
+    """Takes bytes as they come and gives complete messages."""
 
     def __init__(self, most: int) -> None:
         self.max_line = most
         self.partial = b""
 
     def feed(self, data: bytes) -> Iterator[LinkMessage]:
+        """The messages that are complete with these bytes; raises `LinkProtocolError`."""
         *lines, self.partial = (self.partial + data).split(b"\n")
         if len(self.partial) > self.max_line:
             raise LinkProtocolError("a line is longer than allowed")
--- a/paddlequay/protocol/msgpack.py
+++ b/paddlequay/protocol/msgpack.py
@@ -114,7 +114,7 @@
 
 
 def unpack(data: Buffer, at: int, max_size: int) -> tuple[Any, int]:
-    """The value that starts at `at`, of `most` bytes at the most, and the place after it."""
+    """The value that starts at `at`, of `max_size` bytes at most, and the place after it."""
     scan = _Scan(data, at, max_size)
     value = scan.value(0)
     return value, scan.at
--- a/tests/crossings/rig_clients.py
+++ b/tests/crossings/rig_clients.py
@@ -187,7 +187,8 @@
             await rig.close()
         front = rig.front
         assert (front.unsent_bytes, front.queued_bytes, len(front.sessions)) == (0, 0, 0)
-        assert not (front.silent or front.message_begun or front.message_progressing or front.idle)
+        idle = front.idle_sessions
+        assert not (idle.silent or idle.message_begun or idle.message_progressing or idle.idle)
         assert not rig.exchange.pending and not rig.exchange.open_ids and rig.exchange.body_bytes == 0
 
     asyncio.run(run())
--- a/tests/crossings/test_background.py
+++ b/tests/crossings/test_background.py
@@ -99,7 +99,7 @@
         reply(box, words, b"x")
         assert early.answer()[3][0] == b"x"
         bulletin.shutdown(socket.SHUT_RDWR)
-        p.logged("event=bulletin_lost")
+        p.logged("event=endpoint_watch_lost")
         until(lambda: not p.bulletin.accepted.empty(), "followed again, while the crowd stays")
         for each in crowd:
             each.socket.close()
--- a/tests/crossings/test_cache_silence.py
+++ b/tests/crossings/test_cache_silence.py
@@ -42,9 +42,9 @@
         rig.pool.close_unresponsive()  # in the same turn
         if answered:
             await rig.until(lambda: len(rig.replies) == 4, "the answers")
-            assert rig.counters.counts.get("silent_connections", 0) == 0
+            assert rig.counters.counts.get("unresponsive_connections", 0) == 0
         else:
-            assert rig.counters.counts["silent_connections"] == 1
+            assert rig.counters.counts["unresponsive_connections"] == 1
 
     play(tmp_path, scene)
 
--- a/tests/crossings/test_cache_words.py
+++ b/tests/crossings/test_cache_words.py
@@ -52,7 +52,7 @@
         again = await rig.asked("box", "1")
         assert again is not first
         first.sendall(2 * f"1 {late}\r\n".encode())
-        await rig.until(lambda: rig.counters.counts.get("answers_not_asked") == 2, "both are passed over")
+        await rig.until(lambda: rig.counters.counts.get("unexpected_answers") == 2, "both are passed over")
         assert not rig.replies
         for id in ("1", "2"):
             (await rig.asked("box", id)).sendall(f"{id} HIT - 1\r\n{id}\r\n".encode())
@@ -69,7 +69,7 @@
         await rig.asked("box", "2")
         connection.sendall(b"1 HIT - 1\r\nx\r\n2 HIT - 1\r\ny\r\n")
         await rig.until(lambda: len(rig.replies) == 2, "the second request's own answer")
-        assert bytes(rig.replies[1].body) == b"y" and rig.counters.counts["answers_not_asked"] == 1
+        assert bytes(rig.replies[1].body) == b"y" and rig.counters.counts["unexpected_answers"] == 1
 
     play(tmp_path, scene)
 
@@ -85,7 +85,7 @@
         await rig.until(lambda: rig.replies, "as many as there may be harm nobody")
         assert bytes(rig.replies[0].body) == b"x"
         connection.sendall(most * b"77 NONE - 0\r\n\r\n")
-        await rig.until(lambda: rig.counters.counts["answers_not_asked"] == 2 * most, "counted anew")
+        await rig.until(lambda: rig.counters.counts["unexpected_answers"] == 2 * most, "counted anew")
         assert len(rig.pool.connections()) == 1
         connection.sendall(b"77 NONE - 0\r\n\r\n")
         await rig.until(lambda: not rig.pool.connections(), "one more in a row ends it")
--- a/tests/crossings/test_clients_answers.py
+++ b/tests/crossings/test_clients_answers.py
@@ -24,7 +24,7 @@
         await until(lambda: len(rig.side.started) == 2, "the second one is sent on")
         out(rig, rig.side.started[1])
         rig.exchange.attempts.end(rig.side.started[0], AttemptResult(Outcome.SERVED, b"first"))
-        assert session.unsent_bytes == 0 and large in session.open_requests
+        assert session.writer.unsent_bytes == 0 and large in session.open_requests
         rig.exchange.attempts.end(rig.side.started[1], AttemptResult(Outcome.SERVED, b"second"))
         rig.exchange.attempts.end(rig.side.started[1], AttemptResult(Outcome.SERVED, b"again"))
         client.sendall(cancel(large) + call(large, id=3))  # for an answered id, which is free again
@@ -101,7 +101,7 @@
         await until(lambda: len(rig.side.started) == 8, "all are sent on")
         for attempt in rig.side.started[:2]:
             rig.serve(attempt, bytes(4_000_000))
-        assert session.unsent_bytes > 0 and rig.front.unsent_bytes == session.unsent_bytes
+        assert session.writer.unsent_bytes > 0 and rig.front.unsent_bytes == session.writer.unsent_bytes
         match how:
             case "close":
                 client.close()
--- a/tests/crossings/test_clients_closing.py
+++ b/tests/crossings/test_clients_closing.py
@@ -19,7 +19,7 @@
     client, session = await rig.client()
     client.sendall(msgpack.pack([0, number, "alive", [{}]]))
     assert (await answers(client, 1))[0][3][0] is True
-    await until(lambda: session in rig.front.idle and session.stream.reading(), "it is idle")
+    await until(lambda: session in rig.front.idle_sessions.idle and session.stream.reading(), "it is idle")
     client.settimeout(5.0)
     return client, session.stream.socket
 
@@ -58,7 +58,7 @@
             client.sendall(call(2))
             arrived(taken)
         rig.front.on_accept(rig.connect()[1])
-        assert rig.counters.counts["turned_away_connections"] == 0
+        assert rig.counters.counts["rejected_connections"] == 0
         assert await answers(all_[3][0]) == []
 
     play(tmp_path, scene, client_connections=4)
@@ -78,7 +78,7 @@
         rig.clients.append(late)
         late.sendall(call(1, id=3))
         await asyncio.sleep(3 * FULL_PAUSE_S)
-        assert len(rig.side.started) == 2 and not rig.counters.counts["turned_away_connections"]
+        assert len(rig.side.started) == 2 and not rig.counters.counts["rejected_connections"]
         rig.serve(rig.side.started[0])
         assert (await answers(busy[0][0], 1))[0][1] == 1
         await until(lambda: len(rig.side.started) == 3, "the late one's request is sent on")
@@ -119,7 +119,7 @@
             rest = call(2)
         if state == "half":
             client.sendall(rest[:20])
-            await until(lambda: rig.front.message_begun, "half of it is read")
+            await until(lambda: rig.front.idle_sessions.message_begun, "half of it is read")
             rest = rest[20:]
         time.sleep(0.06)  # what the sweep allows; the loop stands still
         client.sendall(rest)
@@ -138,7 +138,7 @@
         client = (await rig.client())[0] if state == "mute" else (await idle(rig))[0]
         if state == "half":
             client.sendall(call(2)[:20])
-            await until(lambda: rig.front.message_begun, "half of it is read")
+            await until(lambda: rig.front.idle_sessions.message_begun, "half of it is read")
         time.sleep(0.06)
         rig.front.sweep()
         assert await answers(client) == []
@@ -170,7 +170,7 @@
         began = time.monotonic()
         client.sendall(b"\xc1")
         assert await answers(client) == []
-        assert session in rig.front.lingering
+        assert session in rig.front.idle_sessions.lingering
         await until(lambda: not rig.front.sessions, "it is closed")
         assert 0.25 < time.monotonic() - began < 2.0
 
@@ -182,9 +182,9 @@
         usual, _ = await idle(rig)
         client, _ = await rig.client()
         client.sendall(b"\xc1")
-        await until(lambda: rig.front.lingering, "it is at its end")
+        await until(lambda: rig.front.idle_sessions.lingering, "it is at its end")
         rig.take(rig.connect()[1])
-        assert not rig.front.lingering and rig.counters.counts["closed_silent_clients"] == 1
+        assert not rig.front.idle_sessions.lingering and rig.counters.counts["closed_silent_clients"] == 1
         await turns()
         usual.sendall(call(2))
         await until(lambda: rig.side.started, "the request is sent on")
--- a/tests/crossings/test_clients_leaving.py
+++ b/tests/crossings/test_clients_leaving.py
@@ -143,7 +143,7 @@
     out(rig, rig.side.started[0])
     for attempt in list(rig.side.started[1:]):
         rig.serve(attempt, bytes(240_000))
-    assert session.unsent_bytes > rig.limits.max_client_unsent / 2
+    assert session.writer.unsent_bytes > rig.limits.max_client_unsent / 2
     client.sendall(b"".join(map(call, (5, 6, 7))))
     await until(lambda: len(session.waiting_calls) == 3, "they are read, and held back")
     assert len(rig.side.started) == 4
--- a/tests/crossings/test_list_lines.py
+++ b/tests/crossings/test_list_lines.py
@@ -101,7 +101,7 @@
             assert time.monotonic() - began >= 0.9 * sum(
                 lines.RETRY_PAUSE_S * 2**n for n in range(lines.MAX_ATTEMPTS)
             )
-            assert follower.counts.counts["bad_bulletin_lines"] == lines.MAX_ATTEMPTS
+            assert follower.counts.counts["bad_endpoint_watch_lines"] == lines.MAX_ATTEMPTS
 
     play(work())
 
@@ -115,7 +115,7 @@
     async def work() -> None:
         async with Bulletin(strange) as bulletin, Recorder(bulletin.address) as follower:
             await follower.has(1, 3)
-            assert len(bulletin.came) == 1 and follower.counts.counts["bulletin_unusable"] == 1
+            assert len(bulletin.came) == 1 and follower.counts.counts["endpoint_watch_unusable"] == 1
 
     play(work())
 
@@ -137,7 +137,7 @@
         async with Bulletin(all_of_it) as bulletin, Recorder(bulletin.address, fail) as follower:
             await follower.has(1, 2, 3, 4)
             assert [told.after for told in bulletin.came] == [0, 1, 2]
-            assert follower.counts.counts["bulletin_errors"] == 2
+            assert follower.counts.counts["endpoint_watch_errors"] == 2
 
     play(work())
 
@@ -161,7 +161,7 @@
             assert len(pauses) == lines.MAX_ATTEMPTS
             assert all(pause >= 0.9 * lines.RETRY_PAUSE_S * 2**n for n, pause in enumerate(pauses))
             assert len(bulletin.came) == lines.MAX_ATTEMPTS + 1  # the last connection goes on
-            assert follower.counts.counts["bulletin_passed_over"] == 1
+            assert follower.counts.counts["endpoint_watch_skipped"] == 1
 
     play(work())
 
--- a/tests/crossings/test_list_members.py
+++ b/tests/crossings/test_list_members.py
@@ -91,7 +91,7 @@
     tell(follower, roster(2, *words))
     assert states(exchange) == {"a": MemberState.DRAINING, "c": MemberState.READY}
     assert pool.instances.keys() == {"a", "c"}
-    assert exchange.counters.counts["members_errors" if discovery else "bulletin_errors"] == 1
+    assert exchange.counters.counts["members_errors" if discovery else "endpoint_watch_errors"] == 1
 
 
 @pytest.mark.parametrize("discovery", [False, True])
@@ -121,7 +121,7 @@
     assert pool.instances["b"] is instance and instance.address == ("10.0.0.2", 80)  # its work goes on
     assert not exchange.write_checks.is_usable("b") and exchange.write_checks.is_usable("c")
     assert "nobody" not in exchange.members
-    assert exchange.counters.counts["unusable_entries"] == 2
+    assert exchange.counters.counts["unusable_endpoints"] == 2
     tell(follower, roster(3, entry("b", hostPort="10.0.0.2:80")))
     assert exchange.write_checks.is_usable("b") and pool.instances["b"] is instance
 
--- a/tests/crossings/test_list_program.py
+++ b/tests/crossings/test_list_program.py
@@ -77,7 +77,7 @@
 
         stack.callback(over.set)
         threading.Thread(target=drip, daemon=True).start()
-        p.logged("event=bulletin_lost")
+        p.logged("event=endpoint_watch_lost")
         second = asked()
         third = asked()
         third.close()
@@ -85,7 +85,7 @@
         fourth.sendall(lines({"no": 2}))
         fifth = asked()
         fifth.sendall(lines(drained(p), {"no": 2}))
-        until(lambda: p.counted("rosters") == 2, "the drain is taken in")
+        until(lambda: p.counted("endpoint_lists") == 2, "the drain is taken in")
         assert time.monotonic() - out_at < TOLD_AT_LATEST - 1.0
         goes_to_the_other(p, p.client())
         for given_up in (first, second):
@@ -112,7 +112,7 @@
     client.ask("charge")
     charge, words = p.origin.line()
     bulletin = p.publish({"no": 1})
-    until(lambda: p.counted("rosters") == 1, "it is followed")
+    until(lambda: p.counted("endpoint_lists") == 1, "it is followed")
     pid = p.process.pid
     # None is left: those of the idle clients wait in the listener's queue for any that comes free.
     limit = open_descriptors(p)
@@ -123,7 +123,7 @@
     p.bulletin.listener.shutdown(socket.SHUT_RDWR)  # ends its thread's accept
     p.bulletin.listener.close()
     bulletin.shutdown(socket.SHUT_RDWR)
-    p.logged("event=bulletin_lost")
+    p.logged("event=endpoint_watch_lost")
     charge.sendall(f"{words[1]} HIT - 4\r\ndone\r\n".encode())
     assert client.answer()[3][0] == b"done"
     time.sleep(0.5)  # several tries
@@ -136,7 +136,7 @@
         # One descriptor more, for the connection to the cache that comes with the list.
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (limit + 8, most))
         connection.sendall(lines(drained(p), {"no": 2}))
-        until(lambda: p.counted("rosters") == 2, "the drain is taken in")
+        until(lambda: p.counted("endpoint_lists") == 2, "the drain is taken in")
         goes_to_the_other(p, client)
         assert not client.answered() and p.process.poll() is None
     for each in idle:
@@ -152,8 +152,8 @@
     little = {"instanceId": "box-1", "lifecycle": "terminating"}
     other = p.entry("box-2", p.parent)
     p.publish({"no": 2, "roster": {"reset": False, "instances": [*bad, little, other]}}, {"no": 2})
-    until(lambda: p.counted("rosters") == 2, "the list is taken in")
-    assert p.counted("unusable_entries") == 4 and p.bulletin.accepted.empty()
+    until(lambda: p.counted("endpoint_lists") == 2, "the list is taken in")
+    assert p.counted("unusable_endpoints") == 4 and p.bulletin.accepted.empty()
     goes_to_the_other(p, client)
 
 
@@ -169,7 +169,7 @@
         {"no": 4, "roster": {"reset": False, "instances": both}},
         {"no": 4},
     )
-    until(lambda: p.counted("rosters") == 4, "all is taken in")
+    until(lambda: p.counted("endpoint_lists") == 4, "all is taken in")
     connection.sendall(f"{words[1]} HIT - 4\r\ndone\r\n".encode())
     assert client.answer()[3][0] == b"done"
     client.ask(row="00000000000000aa")
@@ -192,7 +192,7 @@
         {"no": 3, "roster": {"reset": False, "instances": [later]}},
         {"no": 3},
     )
-    until(lambda: p.counted("rosters") == 3, "all is taken in")
+    until(lambda: p.counted("endpoint_lists") == 3, "all is taken in")
     client.ask(row="00000000000000bb")
     with contextlib.suppress(queue.Empty):
         while True:  # the charge is never sent again, what may be repeated perhaps
@@ -213,10 +213,10 @@
     ids = range(5000)
     many = [nowhere | {"instanceId": f"m-{n}", "hostPort": f"10.9.{n >> 8}.{n & 255}:80"} for n in ids]
     connection = p.publish({"no": 1})
-    until(lambda: p.counted("rosters") == 1, "followed")
+    until(lambda: p.counted("endpoint_lists") == 1, "followed")
     before = processor_time(p)
     connection.sendall(lines({"no": 2, "roster": {"reset": False, "instances": many}}, {"no": 2}))
-    until(lambda: p.counted("rosters") == 2, "the list is taken in")
+    until(lambda: p.counted("endpoint_lists") == 2, "the list is taken in")
     assert processor_time(p) - before < 1.0
     client.ask()
     p.box.answer("HIT", "-", b"x")
@@ -228,7 +228,7 @@
     p.client()
     silent = [p.publish() for _ in range(3)]
     silent[1].sendall(lines({"no": 1}))
-    p.logged("event=bulletin_heard")
+    p.logged("event=endpoint_watch_restored")
     until(lambda: established(p) == 1, "one watch is left")
 
 
--- a/tests/crossings/test_list_watches.py
+++ b/tests/crossings/test_list_watches.py
@@ -35,7 +35,7 @@
             async with follower:
                 await follower.has(1, 2, 3)
                 assert names[-1] == ("other",) and [told.after for told in second.came] == [2]
-                assert len(first.came) == 1 and not follower.counts.counts["bulletin_lost"]
+                assert len(first.came) == 1 and not follower.counts.counts["endpoint_watch_lost"]
 
     play(work())
 
@@ -183,7 +183,7 @@
             await asyncio.sleep(3 * lines.RETRY_PAUSE_S)
             passed = time.monotonic() - began
             assert len(bulletin.came) - came <= passed / lines.RETRY_PAUSE_S + 1
-            assert follower.counts.counts["bulletin_lost"] >= 3
+            assert follower.counts.counts["endpoint_watch_lost"] >= 3
 
     play(work())
 
@@ -205,6 +205,6 @@
             async with follower:
                 await follower.has(1, 2)
             assert time.monotonic() - began < lines.SUSPECT_AFTER_S / 2
-            assert not follower.counts.counts["bulletin_errors"]
+            assert not follower.counts.counts["endpoint_watch_errors"]
 
     play(work())
--- a/tests/crossings/test_log_lines.py
+++ b/tests/crossings/test_log_lines.py
@@ -51,7 +51,7 @@
     with platform() as p:
         event = {"no": 2, "recall": {"item": "00", "issued": "x" * 10**6}}
         p.publish(event).sendall(json.dumps(event).encode())
-        line = p.logged("event=bulletin_")
+        line = p.logged("event=endpoint_watch_")
         assert len(line) < VALUE_MOST + 500
         client = p.client()
         number = client.ask()
--- a/tests/crossings/test_ready.py
+++ b/tests/crossings/test_ready.py
@@ -175,7 +175,7 @@
                 _, _, error, result = client.answer()
                 assert result[0] == b"x" if error is None else error[0] == "TryLater"
                 owed.remove(client)
-        assert not made.counted("turned_away_connections")
+        assert not made.counted("rejected_connections")
 
 
 def test_connections_without_a_byte_that_fill_the_queue_at_the_start_hold_no_yes_back() -> None:
--- a/tests/crossings/test_repeats_program.py
+++ b/tests/crossings/test_repeats_program.py
@@ -50,7 +50,7 @@
         gone = Platform.entry("box-1", p.box) | {"lifecycle": "terminated"}
         roster = {"reset": False, "instances": [gone, Platform.entry("box-2", full)]}
         p.publish({"no": 2, "roster": roster})
-        until(lambda: p.counted("rosters") >= 2, "the list is in force")
+        until(lambda: p.counted("endpoint_lists") >= 2, "the list is in force")
         client = p.client()
         client.ask("charge", b"one", dedupe="7f" * 16)
         connection, _ = p.origin.line()
--- a/tests/test_msgpack.py
+++ b/tests/test_msgpack.py
@@ -78,7 +78,11 @@
     whole = list(ClientMessageParser(1000).feed(raw))
     reader = ClientMessageParser(1000)
     pieces = [message for n in range(len(raw)) for message in reader.feed(raw[n : n + 1])]
-    assert pieces == whole and [type(message).__name__ for message in whole] == ["Call", "Withdrawn", "Alive"]
+    assert pieces == whole and [type(message).__name__ for message in whole] == [
+        "ClientCall",
+        "CallsCancelled",
+        "ReadinessQuery",
+    ]
     assert unpack(readiness_answer(8, True), 0, 100)[0] == [1, 8, None, [True, {}]]
     assert unpack(b"".join(served_answer(300, b"xy", {"a": "b"})), 0, 100)[0] == [
         1,
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -204,7 +204,7 @@
     client.ask(call=words[1], row="00000000000000aa")  # the same id again: on a connection of its own
     other, _ = p.box.line()
     assert other is not connection
-    assert p.counted("answers_not_asked") == 2 and p.counted("ended.reset") == 0
+    assert p.counted("unexpected_answers") == 2 and p.counted("ended.reset") == 0
 
 
 @pytest.mark.parametrize(
@@ -242,7 +242,7 @@
     for _ in range(8):
         p.parent.answer("HIT", "-", b"parent's")
     assert {client.answer()[3][0] for _ in range(8)} == {b"parent's"}
-    assert p.counted("silent_connections") == 2 and p.counted("ended.reset") == 8
+    assert p.counted("unresponsive_connections") == 2 and p.counted("ended.reset") == 8
     assert p.counted("ended.timeout") == 0
 
 
@@ -284,7 +284,7 @@
     p.client()
     connection = p.publish({"no": 1}, 1, {"no": 2, "recall": {"lot": 1, "issued": 1}}, {"no": 2})
     until(lambda: p.counted("purges") == 1, "the purge is taken in")
-    assert p.bulletin.accepted.empty() and p.counted("bad_bulletin_lines") == 0
+    assert p.bulletin.accepted.empty() and p.counted("bad_endpoint_watch_lines") == 0
     p.bulletin.accepted.get(timeout=WAIT)  # no heartbeat any more, though the connection stays open
     assert p.bulletin.line()[1] == ["after", "2"]
     connection.close()
--- a/tests/test_program_clients.py
+++ b/tests/test_program_clients.py
@@ -109,7 +109,7 @@
         for connection, words in asked:
             connection.sendall(f"{words[1]} HIT - 1\r\nx\r\n".encode())
         assert [client.answer()[3][0] for _ in asked] == [b"x"] * 5
-    assert p.counted("silent_connections") == 0
+    assert p.counted("unresponsive_connections") == 0
 
 
 def test_who_asks_as_it_connects_is_answered_however_many_connect_at_once(p: Platform) -> None:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -61,7 +61,7 @@
     drained = p.entry("box-1", p.box, lifecycle="terminating")
     event = {"no": 2, "roster": {"reset": False, "instances": [drained, p.entry("box-2", p.parent)]}}
     p.publish(event, {"no": 2})
-    until(lambda: p.counted("rosters") == 2, "the drain is taken in")
+    until(lambda: p.counted("endpoint_lists") == 2, "the drain is taken in")
     assert time.monotonic() - out_at < TOLD_AT_LATEST
     client.ask(row="00000000000000aa")
     p.parent.answer("HIT", "-", b"y")
@@ -95,12 +95,12 @@
         client = p.client()
         away = {"reset": False, "instances": [p.entry("box-1", p.box, lifecycle="terminating"), late]}
         bulletin = p.publish({"no": 2, "roster": away})
-        until(lambda: p.counted("rosters") == 2, "box-2 alone is in service")
+        until(lambda: p.counted("endpoint_lists") == 2, "box-2 alone is in service")
         client.ask(ttl="5000")
         until(lambda: p.counted("requests") == 1, "it waits for its connection")
         back = {"reset": False, "instances": [p.entry("box-1", p.box), late | {"lifecycle": "terminating"}]}
         bulletin.sendall(json.dumps({"no": 3, "roster": back}).encode() + b"\n")
-        until(lambda: p.counted("rosters") == 3, "box-2 drains")
+        until(lambda: p.counted("endpoint_lists") == 3, "box-2 drains")
         listener.setblocking(False)
         came = []
         end = time.monotonic() + WAIT
