--- a/paddlequay/cli/discovery.py
+++ b/paddlequay/cli/discovery.py
@@ -32,32 +32,32 @@
     import dns.exception
     import dns.name
 
-    from paddlequay.discovery.resolver import Kind, Known, Resolver
-    from paddlequay.discovery.srv import Follower, Service
-    from paddlequay.net.dns import Driver
+    from paddlequay.discovery.resolver import RecordSetKnown, RecordType, Resolver
+    from paddlequay.discovery.srv import Service, ServiceWatch
+    from paddlequay.net.dns import ResolverDriver
     from paddlequay.observability.counters import Counters
 
     try:
-        service = Follower(Service(dns.name.from_text(name), "box"))
+        service = ServiceWatch(Service(dns.name.from_text(name), "box"))
     except (dns.exception.DNSException, UnicodeError) as error:
         raise click.BadParameter(f"{name[:80]!r}: {type(error).__name__}") from None
     resolver = Resolver(map(server_of, servers), random.SystemRandom())
-    found: list[Known] = []
+    found: list[RecordSetKnown] = []
 
     async def look() -> None:
-        driver = Driver(resolver, Counters(), time.monotonic, found.append)
+        driver = ResolverDriver(resolver, Counters(), time.monotonic, found.append)
         running = asyncio.ensure_future(driver.run())
-        wanted: set[tuple[dns.name.Name, Kind]] = set()
+        wanted: set[tuple[dns.name.Name, RecordType]] = set()
         end = time.monotonic() + seconds
         heard = 0
         while time.monotonic() < end:
-            for key in service.wants() - wanted:
+            for key in service.required_names() - wanted:
                 wanted.add(key)
-                driver.carry(resolver.want(*key, time.monotonic()))
+                driver.execute(resolver.subscribe(*key, time.monotonic()))
             for known in found[heard:]:
-                service.known(known)
+                service.update(known)
             heard = len(found)
-            if wanted == service.wants() and {(known.name, known.kind) for known in found} >= wanted:
+            if wanted == service.required_names() and {(known.name, known.type) for known in found} >= wanted:
                 break
             await asyncio.sleep(0.01)
         running.cancel()
@@ -67,12 +67,14 @@
     now = time.monotonic()
     for known in found:
         left = (
-            f"{max(0.0, known.until - now):.0f} s" if known.records is not None else f"nothing: {known.why}"
+            f"{max(0.0, known.until - now):.0f} s"
+            if known.records is not None
+            else f"nothing: {known.reason}"
         )
-        click.echo(f"{known.name} {known.kind.name} {left}")
+        click.echo(f"{known.name} {known.type.name} {left}")
         for record in known.records or ():
             click.echo(f"    {record.data}")
-    boxes = service.boxes(now)
+    boxes = service.members(now)
     if service.not_offered:
         click.echo("the service is not offered here")
     for box in boxes:
--- a/paddlequay/discovery/answers.py
+++ b/paddlequay/discovery/answers.py
@@ -26,11 +26,11 @@
 PAYLOAD = 1232  # octets by UDP: fits every path without fragments (DNS flag day 2020)
 CHAIN_MOST = 8  # CNAMEs that are followed for one question
 RECORDS_MOST = 2000  # of one answer
-ANSWER_MOST = 65_535
+MAX_ANSWER = 65_535
 TTL_MOST = (1 << 31) - 1  # RFC 2181, section 8: a lifetime with the highest bit set counts as 0
 
 
-class Meaning(Enum):
+class AnswerKind(Enum):
     """What an answer comes to."""
 
     RECORDS = "records"
@@ -45,11 +45,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class DnsQuestion:
     """One question on its way: what is asked, and all that its answer must repeat."""
 
     name: Name  # in the case in which it was sent
-    kind: dns.rdatatype.RdataType
+    type: dns.rdatatype.RdataType
     id: int
     server: tuple[str, int]
 
@@ -67,22 +67,22 @@
     """Records that came along, for a name that the answer itself points to, in bailiwick."""
 
     name: Name
-    kind: dns.rdatatype.RdataType
+    type: dns.rdatatype.RdataType
     records: tuple[Record, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class DnsAnswer:
     """What is believed. `ttl` is the least lifetime on the way, or that of a negative answer."""
 
-    meaning: Meaning
+    kind: AnswerKind
     records: tuple[Record, ...] = ()
     ttl: int = 0
     extras: tuple[Extra, ...] = ()
-    why: str = ""
+    reason: str = ""
 
 
-def mixed(name: Name, rng: random.Random) -> Name:
+def randomize_case(name: Name, rng: random.Random) -> Name:
     """The name with the case of each letter drawn: some bits more for a forger to guess."""
     return Name(
         tuple(
@@ -92,10 +92,10 @@
     )
 
 
-def query(question: Question, edns: bool) -> bytes:
+def build_query(question: DnsQuestion, edns: bool) -> bytes:
     """The question's bytes. A server that chokes on EDNS is asked without (RFC 6891, section 7)."""
     message = dns.message.make_query(
-        question.name, question.kind, use_edns=0 if edns else False, payload=PAYLOAD, id=question.id
+        question.name, question.type, use_edns=0 if edns else False, payload=PAYLOAD, id=question.id
     )
     return message.to_wire()
 
@@ -109,72 +109,74 @@
     return ttl if 0 <= ttl <= TTL_MOST else 0
 
 
-def read(question: Question, data: bytes, server: tuple[str, int]) -> Answer:
+def parse_answer(question: DnsQuestion, data: bytes, server: tuple[str, int]) -> DnsAnswer:
     """What bytes from a server mean for a question. Never raises on any bytes.
 
     A forged answer must not keep the real one from being taken: whatever does not match in server, id,
     question and its letters' case is `NOT_OURS`, and the question stays open.
     """
     if server != question.server:
-        return Answer(Meaning.NOT_OURS, why=f"from {server[0]}:{server[1]}")
-    if len(data) > ANSWER_MOST:
-        return Answer(Meaning.GARBAGE, why=f"{len(data)} octets")
+        return DnsAnswer(AnswerKind.NOT_OURS, reason=f"from {server[0]}:{server[1]}")
+    if len(data) > MAX_ANSWER:
+        return DnsAnswer(AnswerKind.GARBAGE, reason=f"{len(data)} octets")
     if len(data) < 12 or int.from_bytes(data[:2], "big") != question.id:
-        return Answer(Meaning.NOT_OURS, why="another id")
+        return DnsAnswer(AnswerKind.NOT_OURS, reason="another id")
     try:
         message = dns.message.from_wire(data, ignore_trailing=True, raise_on_truncation=False)
     except Exception as error:
         # By its id it may be ours; a parser's fault of any kind ends this server's turn, not the program.
-        return Answer(Meaning.GARBAGE, why=type(error).__name__)
+        return DnsAnswer(AnswerKind.GARBAGE, reason=type(error).__name__)
     if not message.flags & dns.flags.QR:
-        return Answer(Meaning.NOT_OURS, why="no answer")
+        return DnsAnswer(AnswerKind.NOT_OURS, reason="no answer")
     rcode = message.rcode()
     if not message.question:
         # Some servers answer a question that they could not read without repeating it (RFC 1035, 4.1.1).
         failed = rcode in (dns.rcode.FORMERR, dns.rcode.NOTIMP, dns.rcode.SERVFAIL, dns.rcode.REFUSED)
-        return Answer(Meaning.FAILED if failed else Meaning.NOT_OURS, why=dns.rcode.to_text(rcode))
+        return DnsAnswer(
+            AnswerKind.FAILED if failed else AnswerKind.NOT_OURS, reason=dns.rcode.to_text(rcode)
+        )
     (asked, *more) = message.question
-    same = exact(asked.name, question.name) and asked.rdtype == question.kind
+    same = exact(asked.name, question.name) and asked.rdtype == question.type
     if more or not same or asked.rdclass != dns.rdataclass.IN:
-        return Answer(Meaning.NOT_OURS, why=f"asks for {str(asked.name)[:60]}")
+        return DnsAnswer(AnswerKind.NOT_OURS, reason=f"asks for {str(asked.name)[:60]}")
     if message.flags & dns.flags.TC:
-        return Answer(Meaning.TRUNCATED, why="TC")
+        return DnsAnswer(AnswerKind.TRUNCATED, reason="TC")
     return believed(question, message, rcode)
 
 
-def believed(question: Question, message: dns.message.Message, rcode: dns.rcode.Rcode) -> Answer:
+def believed(question: DnsQuestion, message: dns.message.Message, rcode: dns.rcode.Rcode) -> DnsAnswer:
     if rcode not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
-        meaning = Meaning.LAME if rcode in (dns.rcode.REFUSED, dns.rcode.NOTAUTH) else Meaning.FAILED
-        return Answer(meaning, why=dns.rcode.to_text(rcode))
+        meaning = AnswerKind.LAME if rcode in (dns.rcode.REFUSED, dns.rcode.NOTAUTH) else AnswerKind.FAILED
+        return DnsAnswer(meaning, reason=dns.rcode.to_text(rcode))
     if sum(len(each) for section in (message.answer, message.additional) for each in section) > RECORDS_MOST:
-        return Answer(Meaning.GARBAGE, why=f"more than {RECORDS_MOST} records")
+        return DnsAnswer(AnswerKind.GARBAGE, reason=f"more than {RECORDS_MOST} records")
     # The way from the question's name over CNAMEs, each of which must stand in the answer section.
     name, ttl, passed = question.name, TTL_MOST, {question.name}
     while True:
-        found = find(message.answer, name, question.kind)
+        found = find(message.answer, name, question.type)
         if found is not None:
             records = tuple(Record(data, lifetime(found.ttl)) for data in found)
             ttl = min(ttl, lifetime(found.ttl))
-            return Answer(Meaning.RECORDS, records, ttl, tuple(extras(question, message, records)))
+            return DnsAnswer(AnswerKind.RECORDS, records, ttl, tuple(extras(question, message, records)))
         alias = find(message.answer, name, dns.rdatatype.CNAME)
         if alias is None:
             break
         ttl = min(ttl, lifetime(alias.ttl))
         name = alias[0].target
         if name in passed or len(passed) > CHAIN_MOST:
-            return Answer(Meaning.LOOP, why=f"CNAME {str(name)[:60]}")
+            return DnsAnswer(AnswerKind.LOOP, reason=f"CNAME {str(name)[:60]}")
         passed.add(name)
     if len(passed) > 1 and rcode == dns.rcode.NOERROR and not message.authority:
         # The chain leaves what this server knows: asked for by its last name.
-        return Answer(Meaning.NO_DATA, ttl=0, why=f"CNAME {str(name)[:60]} without its records")
+        return DnsAnswer(AnswerKind.NO_DATA, ttl=0, reason=f"CNAME {str(name)[:60]} without its records")
     negative = soa_lifetime(message.authority, name)
     if negative is None:
         # NOERROR, empty, and no word by whom: a referral, or a server that does not serve the zone.
         if rcode == dns.rcode.NOERROR and not message.flags & dns.flags.AA:
-            return Answer(Meaning.LAME, why="neither records nor SOA")
+            return DnsAnswer(AnswerKind.LAME, reason="neither records nor SOA")
         negative = 0  # must not be kept (RFC 2308, section 5)
-    meaning = Meaning.NO_NAME if rcode == dns.rcode.NXDOMAIN else Meaning.NO_DATA
-    return Answer(meaning, ttl=min(ttl, negative), why=str(name)[:60])
+    meaning = AnswerKind.NO_NAME if rcode == dns.rcode.NXDOMAIN else AnswerKind.NO_DATA
+    return DnsAnswer(meaning, ttl=min(ttl, negative), reason=str(name)[:60])
 
 
 def find(
@@ -196,7 +198,9 @@
     return None
 
 
-def extras(question: Question, message: dns.message.Message, records: tuple[Record, ...]) -> Iterable[Extra]:
+def extras(
+    question: DnsQuestion, message: dns.message.Message, records: tuple[Record, ...]
+) -> Iterable[Extra]:
     """Addresses that came along for the targets named by the answer.
 
     In bailiwick only: below the zone that the question was asked in, by its own last two labels at the
--- a/paddlequay/discovery/membership.py
+++ b/paddlequay/discovery/membership.py
@@ -30,12 +30,12 @@
 
 Address = tuple[str, int]
 
-ENDED_MOST = 20_000  # ends that are remembered, the latest
-FLAPS_MOST = 20_000
+MAX_REMOVALS = 20_000  # ends that are remembered, the latest
+MAX_FLAP_HISTORIES = 20_000
 
 
 @dataclass(frozen=True, slots=True)
-class Box:
+class ReportedMember:
     """What a source says of one member. `started` is Unix seconds; None where the source does not know."""
 
     id: str
@@ -49,375 +49,391 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
+class SourceRule:
     """How a source is believed. Sources are ordered: the first one wins where two tell different things."""
 
     name: str
     adds: bool = True
-    keep: float = 300.0  # seconds for which its word holds once it has fallen silent
-    silent: float = 10.0  # seconds without a sign of life after which it is silent
+    retain_for: float = 300.0  # seconds for which its word holds once it has fallen silent
+    silent_after: float = 10.0  # seconds without a sign of life after which it is silent
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class MembershipLimits:
     """Bounds and times in seconds, shares in 0 to 1."""
 
-    members: int = 20_000  # words of one source
+    max_members: int = 20_000  # words of one source
     mass_share: float = 0.3
     mass_window: float = 10.0
-    mass_least: int = 3  # fewer boxes than these are no mass
-    confirm: float = 30.0
-    decay: float = 2.0  # between two boxes that leave as their source's word has run out
-    flaps: int = 3
+    min_mass: int = 3  # fewer boxes than these are no mass
+    confirm_after: float = 30.0
+    expiry_interval: float = 2.0  # between two boxes that leave as their source's word has run out
+    max_flaps: int = 3
     flap_window: float = 60.0
     flap_pause: float = 5.0
-    flap_pause_most: float = 300.0
+    max_flap_pause: float = 300.0
 
 
 @dataclass(slots=True, eq=False)
-class Word:
+class SourceReport:
     """One source's word about one id."""
 
-    box: Box
+    member: ReportedMember
     source: str
-    at: float
+    reported_at: float
     missing_since: float | None = None  # left out by its source, not yet believed
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class MembershipChange:
     """What the exchange and the pool are to know: a box as it is now; `GONE` where it left."""
 
-    box: Box
+    member: ReportedMember
     rule: str
-    why: str
+    reason: str
 
 
 @dataclass(slots=True)
-class Source:
+class SourceState:
     """What is known of one source."""
 
-    rule: Rule
-    place: int
-    heard: float = -math.inf
-    reported: bool = False
-    words: dict[str, Word] = field(default_factory=dict)
-    left_out: deque[tuple[float, str]] = field(default_factory=deque)
-    refused: int = 0
-    decayed_at: float = -math.inf
+    rule: SourceRule
+    priority: int
+    last_heard_at: float = -math.inf
+    has_reported: bool = False
+    reports: dict[str, SourceReport] = field(default_factory=dict)
+    omissions: deque[tuple[float, str]] = field(default_factory=deque)
+    rejected_reports: int = 0
+    expired_at: float = -math.inf
 
 
 @dataclass(slots=True)
-class Flaps:
+class FlapHistory:
     """When a box came and went lately, and until when it is kept out for that."""
 
-    at: deque[float] = field(default_factory=deque)
+    changed_at: deque[float] = field(default_factory=deque)
     pause: float = 0.0
-    until: float = -math.inf
+    paused_until: float = -math.inf
 
 
-def replace_state(word: Word, state: MemberState) -> Word:
-    return Word(replace(word.box, state=state), word.source, word.at)
+def with_state(word: SourceReport, state: MemberState) -> SourceReport:
+    return SourceReport(replace(word.member, state=state), word.source, word.reported_at)
 
 
-class TooManyError(ValueError):
+class TooManyMembersError(ValueError):
     """More members than are kept; the report is not taken."""
 
 
 class Membership:
     """The members that hold now, and why."""
 
-    def __init__(self, rules: Iterable[Rule], limits: Limits | None = None) -> None:
-        self.limits = limits or Limits()
-        self.sources = {rule.name: Source(rule, place) for place, rule in enumerate(rules)}
-        self.at: dict[Address, dict[tuple[str, str], Word]] = {}  # words by address, then source and id
-        self.places: dict[str, set[Address]] = {}  # where an id is placed by any source
-        self.members: dict[Address, Change] = {}  # what was told last; never one that is gone
-        self.names: dict[str, Address] = {}  # which address a told id stands for
-        self.ended: OrderedDict[tuple[str, str], Word] = OrderedDict()  # by source and id
-        self.ends: dict[Address, dict[tuple[str, str], Word]] = {}  # the same by address
-        self.flaps: OrderedDict[Address, Flaps] = OrderedDict()
-        self.due: list[tuple[float, int, Address]] = []
-        self.serial = 0
-        self.recovered: dict[str, Box] = {}  # from the last run, by id: their age is known
-        self.began: float | None = None
+    def __init__(self, rules: Iterable[SourceRule], limits: MembershipLimits | None = None) -> None:
+        self.limits = limits or MembershipLimits()
+        self.sources = {rule.name: SourceState(rule, place) for place, rule in enumerate(rules)}
+        self.reports_by_address: dict[
+            Address, dict[tuple[str, str], SourceReport]
+        ] = {}  # words by address, then source and id
+        self.addresses_by_id: dict[str, set[Address]] = {}  # where an id is placed by any source
+        self.members: dict[Address, MembershipChange] = {}  # what was told last; never one that is gone
+        self.address_by_id: dict[str, Address] = {}  # which address a told id stands for
+        self.removals: OrderedDict[tuple[str, str], SourceReport] = OrderedDict()  # by source and id
+        self.removals_by_address: dict[
+            Address, dict[tuple[str, str], SourceReport]
+        ] = {}  # the same by address
+        self.flap_histories: OrderedDict[Address, FlapHistory] = OrderedDict()
+        self.timers: list[tuple[float, int, Address]] = []
+        self.last_serial = 0
+        self.recovered: dict[str, ReportedMember] = {}  # from the last run, by id: their age is known
+        self.started_at: float | None = None
 
     # --- what sources say ---
 
-    def report(self, source: str, boxes: Iterable[Box], full: bool, now: float) -> list[Change]:
+    def report(
+        self, source: str, boxes: Iterable[ReportedMember], full: bool, now: float
+    ) -> list[MembershipChange]:
         """News of a source: changes, or (`full`) all it knows. TooManyError leaves everything as it was."""
-        self.began = now if self.began is None else self.began
+        self.started_at = now if self.started_at is None else self.started_at
         from_ = self.sources[source]
         boxes = tuple(boxes)
         ids = {box.id for box in boxes}
-        new = sum(id not in from_.words for id in ids)
-        if (len(ids) if full else len(from_.words) + new) > self.limits.members:
-            from_.refused += 1
-            raise TooManyError(f"{source}: more than {self.limits.members} members")
-        from_.heard = now
+        new = sum(id not in from_.reports for id in ids)
+        if (len(ids) if full else len(from_.reports) + new) > self.limits.max_members:
+            from_.rejected_reports += 1
+            raise TooManyMembersError(f"{source}: more than {self.limits.max_members} members")
+        from_.last_heard_at = now
         touched: dict[Address, None] = {}
         for box in boxes:
-            self.say(from_, box, now, touched)
+            self.apply_report(from_, box, now, touched)
         if full:
-            self.leave_out([id for id in from_.words if id not in ids], from_, now, touched)
-        from_.reported = True
+            self.handle_omissions([id for id in from_.reports if id not in ids], from_, now, touched)
+        from_.has_reported = True
         return self.settle(touched, now)
 
-    def alive(self, source: str, now: float) -> list[Change]:
+    def alive(self, source: str, now: float) -> list[MembershipChange]:
         """A sign of life without news: what the source said holds."""
-        self.sources[source].heard = now
+        self.sources[source].last_heard_at = now
         return self.tick(now)
 
-    def say(self, source: Source, box: Box, now: float, touched: dict[Address, None]) -> None:
+    def apply_report(
+        self, source: SourceState, box: ReportedMember, now: float, touched: dict[Address, None]
+    ) -> None:
         key = (source.rule.name, box.id)
-        known = source.words.get(box.id)
+        known = source.reports.get(box.id)
         # What one source says of an id may bind where others place it.
-        touched.update(dict.fromkeys(self.places.get(box.id, ())))
+        touched.update(dict.fromkeys(self.addresses_by_id.get(box.id, ())))
         if box.state is MemberState.REMOVED:
             # The end is remembered at the address that the source had told, or tells with it.
-            at = known.box if known is not None else box
+            at = known.member if known is not None else box
             if known is not None:
                 self.drop(known, source, touched)
-            self.end(key, Word(replace(at, state=MemberState.REMOVED), source.rule.name, now))
+            self.record_removal(
+                key, SourceReport(replace(at, state=MemberState.REMOVED), source.rule.name, now)
+            )
             touched[at.address] = None
             return
-        ended = self.ended.get(key)
+        ended = self.removals.get(key)
         if ended is not None:
-            touched[ended.box.address] = None
-            self.take_back(key)
-        if known is not None and known.box == box and known.missing_since is None:
-            known.at = now
+            touched[ended.member.address] = None
+            self.forget_removal(key)
+        if known is not None and known.member == box and known.missing_since is None:
+            known.reported_at = now
             return
         if known is not None:
-            self.take_off(known, touched)
-        word = source.words[box.id] = Word(box, source.rule.name, now)
-        self.at.setdefault(box.address, {})[key] = word
-        self.places.setdefault(box.id, set()).add(box.address)
+            self.detach(known, touched)
+        word = source.reports[box.id] = SourceReport(box, source.rule.name, now)
+        self.reports_by_address.setdefault(box.address, {})[key] = word
+        self.addresses_by_id.setdefault(box.id, set()).add(box.address)
         touched[box.address] = None
 
-    def end(self, key: tuple[str, str], word: Word) -> None:
-        self.take_back(key)
-        self.ended[key] = word
-        self.ends.setdefault(word.box.address, {})[key] = word
-        while len(self.ended) > ENDED_MOST:
-            self.take_back(next(iter(self.ended)))
+    def record_removal(self, key: tuple[str, str], word: SourceReport) -> None:
+        self.forget_removal(key)
+        self.removals[key] = word
+        self.removals_by_address.setdefault(word.member.address, {})[key] = word
+        while len(self.removals) > MAX_REMOVALS:
+            self.forget_removal(next(iter(self.removals)))
 
-    def take_back(self, key: tuple[str, str]) -> None:
-        word = self.ended.pop(key, None)
+    def forget_removal(self, key: tuple[str, str]) -> None:
+        word = self.removals.pop(key, None)
         if word is not None:
-            here = self.ends[word.box.address]
+            here = self.removals_by_address[word.member.address]
             del here[key]
             if not here:
-                del self.ends[word.box.address]
+                del self.removals_by_address[word.member.address]
 
-    def take_off(self, word: Word, touched: dict[Address, None]) -> None:
+    def detach(self, word: SourceReport, touched: dict[Address, None]) -> None:
         """A word no longer stands at its address. Elsewhere the same id may have waited for that."""
-        touched.update(dict.fromkeys(self.places.get(word.box.id, ())))
-        address, id = word.box.address, word.box.id
-        here = self.at.get(address, {})
+        touched.update(dict.fromkeys(self.addresses_by_id.get(word.member.id, ())))
+        address, id = word.member.address, word.member.id
+        here = self.reports_by_address.get(address, {})
         here.pop((word.source, id), None)
         if not here:
-            self.at.pop(address, None)
+            self.reports_by_address.pop(address, None)
         if not any(other == id for _, other in here):
-            places = self.places.get(id)
+            places = self.addresses_by_id.get(id)
             if places is not None:
                 places.discard(address)
                 if not places:
-                    del self.places[id]
+                    del self.addresses_by_id[id]
         touched[address] = None
 
-    def leave_out(self, ids: list[str], source: Source, now: float, touched: dict[Address, None]) -> None:
+    def handle_omissions(
+        self, ids: list[str], source: SourceState, now: float, touched: dict[Address, None]
+    ) -> None:
         """Words that a whole report does not repeat: gone, or held where too many are."""
         limits = self.limits
-        window = source.left_out
+        window = source.omissions
         while window and now - window[0][0] > limits.mass_window:
             window.popleft()
-        fresh = [id for id in ids if source.words[id].missing_since is None]
+        fresh = [id for id in ids if source.reports[id].missing_since is None]
         many = len(window) + len(fresh)
-        of = max(1, len(source.words) + sum(id not in source.words for _, id in window))
-        mass = many >= limits.mass_least and many > limits.mass_share * of
+        of = max(1, len(source.reports) + sum(id not in source.reports for _, id in window))
+        mass = many >= limits.min_mass and many > limits.mass_share * of
         window.extend((now, id) for id in fresh)
         for id in ids:
-            word = source.words[id]
+            word = source.reports[id]
             if word.missing_since is None:
                 word.missing_since = now
             if mass or word.missing_since < now:
                 # Held: a later report that leaves it out as well confirms it, once enough time has passed.
-                if now - word.missing_since >= limits.confirm:
+                if now - word.missing_since >= limits.confirm_after:
                     self.drop(word, source, touched)
                 else:
-                    self.later(word.missing_since + limits.confirm, word.box.address)
-                    touched[word.box.address] = None
+                    self.schedule(word.missing_since + limits.confirm_after, word.member.address)
+                    touched[word.member.address] = None
             else:
                 self.drop(word, source, touched)
 
-    def drop(self, word: Word, source: Source, touched: dict[Address, None]) -> None:
+    def drop(self, word: SourceReport, source: SourceState, touched: dict[Address, None]) -> None:
         """A word is over. A drain that its source no longer names was no return to work: it ends the box."""
-        del source.words[word.box.id]
-        self.take_off(word, touched)
-        if word.box.state is MemberState.DRAINING:
-            self.end((word.source, word.box.id), replace_state(word, MemberState.REMOVED))
+        del source.reports[word.member.id]
+        self.detach(word, touched)
+        if word.member.state is MemberState.DRAINING:
+            self.record_removal((word.source, word.member.id), with_state(word, MemberState.REMOVED))
 
     # --- what holds ---
 
-    def live(self, source: Source, now: float) -> bool:
-        return now - source.heard <= source.rule.silent
+    def is_live(self, source: SourceState, now: float) -> bool:
+        return now - source.last_heard_at <= source.rule.silent_after
 
-    def tick(self, now: float) -> list[Change]:
+    def tick(self, now: float) -> list[MembershipChange]:
         """What time alone changes: words that run out, pauses that end, what is confirmed."""
         touched: dict[Address, None] = {}
-        while self.due and self.due[0][0] <= now:
-            touched[heapq.heappop(self.due)[2]] = None
+        while self.timers and self.timers[0][0] <= now:
+            touched[heapq.heappop(self.timers)[2]] = None
         for source in self.sources.values():
             rule = source.rule
-            over = source.heard + rule.silent + rule.keep
-            if source.words and now > over and now - source.decayed_at >= self.limits.decay:
+            over = source.last_heard_at + rule.silent_after + rule.retain_for
+            if source.reports and now > over and now - source.expired_at >= self.limits.expiry_interval:
                 # One by one: who only this source knew leaves slowly, and none in the same moment elsewhere.
-                source.decayed_at = now
-                self.drop(source.words[next(iter(source.words))], source, touched)
+                source.expired_at = now
+                self.drop(source.reports[next(iter(source.reports))], source, touched)
         return self.settle(touched, now)
 
-    def later(self, when: float, address: Address) -> None:
-        self.serial += 1
-        heapq.heappush(self.due, (when, self.serial, address))
+    def schedule(self, when: float, address: Address) -> None:
+        self.last_serial += 1
+        heapq.heappush(self.timers, (when, self.last_serial, address))
 
-    def settle(self, touched: dict[Address, None], now: float) -> list[Change]:
+    def settle(self, touched: dict[Address, None], now: float) -> list[MembershipChange]:
         """Decide anew for each address that something was said about. Who leaves is told before who comes."""
         after = {address: self.decide(address, now) for address in touched}
-        gone: dict[str, Change] = {}
+        gone: dict[str, MembershipChange] = {}
         for address, change in after.items():
             before = self.members.get(address)
-            if before is not None and (change is None or change.box.id != before.box.id):
-                del self.members[address], self.names[before.box.id]
-                rule, why = self.reason(address, now) if change is None else (change.rule, change.why)
-                gone[before.box.id] = Change(replace(before.box, state=MemberState.REMOVED), rule, why)
-                self.flapped(address, now)
+            if before is not None and (change is None or change.member.id != before.member.id):
+                del self.members[address], self.address_by_id[before.member.id]
+                rule, why = (
+                    self.reason_for_absence(address, now) if change is None else (change.rule, change.reason)
+                )
+                gone[before.member.id] = MembershipChange(
+                    replace(before.member, state=MemberState.REMOVED), rule, why
+                )
+                self.record_flap(address, now)
         come = []
         for address, change in after.items():
-            if change is None or self.names.get(change.box.id, address) != address:
+            if change is None or self.address_by_id.get(change.member.id, address) != address:
                 continue
             before = self.members.get(address)
-            self.names[change.box.id] = address
+            self.address_by_id[change.member.id] = address
             self.members[address] = change
             if before is None:
-                self.flapped(address, now)
-            if before is None or before.box != change.box:
-                gone.pop(change.box.id, None)  # it has moved, and is told at its new address only
+                self.record_flap(address, now)
+            if before is None or before.member != change.member:
+                gone.pop(change.member.id, None)  # it has moved, and is told at its new address only
                 come.append(change)
         return [*gone.values(), *come]
 
-    def decide(self, address: Address, now: float) -> Change | None:
+    def decide(self, address: Address, now: float) -> MembershipChange | None:
         """What holds for an address now; None where nothing stands there."""
-        words = self.ordered(address)
+        words = self.reports_at(address)
         adding = [word for word in words if self.sources[word.source].rule.adds]
         if not adding:
             return None
         first = adding[0]
-        if self.shadowed(first, address):
+        if self.is_shadowed(first, address):
             return None
         out, rule, why = MemberState.READY, "authority", f"{first.source} says so"
-        for word in self.about(address, words):
-            if word.box.state is MemberState.DRAINING:
-                out, rule, why = MemberState.DRAINING, "drain", f"{word.source} drains {word.box.id}"
-        if next(self.ends_at(address, words), None) is not None:
+        for word in self.reports_about(address, words):
+            if word.member.state is MemberState.DRAINING:
+                out, rule, why = MemberState.DRAINING, "drain", f"{word.source} drains {word.member.id}"
+        if next(self.removals_at(address, words), None) is not None:
             return None
         if address not in self.members:
-            flaps = self.flaps.get(address)
-            if flaps is not None and now < flaps.until:
-                self.later(flaps.until, address)
+            flaps = self.flap_histories.get(address)
+            if flaps is not None and now < flaps.paused_until:
+                self.schedule(flaps.paused_until, address)
                 return None
         if rule == "authority" and first.missing_since is not None:
             rule, why = "mass", f"{first.source} leaves it out since {now - first.missing_since:.0f} s"
-        elif rule == "authority" and not self.live(self.sources[first.source], now):
+        elif rule == "authority" and not self.is_live(self.sources[first.source], now):
             rule, why = (
                 "kept",
-                f"{first.source} is silent since {now - self.sources[first.source].heard:.0f} s",
+                f"{first.source} is silent since {now - self.sources[first.source].last_heard_at:.0f} s",
             )
-        box = replace(first.box, state=out, started=self.age(first, address, now))
+        box = replace(first.member, state=out, started=self.start_time(first, address, now))
         told = self.members.get(address)
-        if told is not None and told.box == box:
-            return replace(told, rule=rule, why=why)
-        return Change(box, rule, why)
+        if told is not None and told.member == box:
+            return replace(told, rule=rule, reason=why)
+        return MembershipChange(box, rule, why)
 
-    def ordered(self, address: Address) -> list[Word]:
-        words = self.at.get(address, {}).values()
-        return sorted(words, key=lambda word: (self.sources[word.source].place, word.box.id))
+    def reports_at(self, address: Address) -> list[SourceReport]:
+        words = self.reports_by_address.get(address, {}).values()
+        return sorted(words, key=lambda word: (self.sources[word.source].priority, word.member.id))
 
-    def about(self, address: Address, words: list[Word]) -> Iterator[Word]:
+    def reports_about(self, address: Address, words: list[SourceReport]) -> Iterator[SourceReport]:
         """Words at an address, and those of other sources about the same ids wherever they place them."""
         yield from words
-        for id in {word.box.id for word in words}:
+        for id in {word.member.id for word in words}:
             for source in self.sources.values():
-                word = source.words.get(id)
-                if word is not None and word.box.address != address:
+                word = source.reports.get(id)
+                if word is not None and word.member.address != address:
                     yield word
 
-    def ends_at(self, address: Address, words: list[Word]) -> Iterator[Word]:
+    def removals_at(self, address: Address, words: list[SourceReport]) -> Iterator[SourceReport]:
         """Ends that hold here, by address or by id; a source that names another box here has taken its own
         back."""
         naming = {word.source for word in words}
-        found = dict(self.ends.get(address, {}))
-        for id in {word.box.id for word in words}:
+        found = dict(self.removals_by_address.get(address, {}))
+        for id in {word.member.id for word in words}:
             for name in self.sources:
-                word = self.ended.get((name, id))
+                word = self.removals.get((name, id))
                 if word is not None:
                     found[name, id] = word
         for (source, _), word in found.items():
             if source not in naming:
                 yield word
 
-    def shadowed(self, word: Word, address: Address) -> bool:
+    def is_shadowed(self, word: SourceReport, address: Address) -> bool:
         """Whether a source before this one places the same id elsewhere."""
-        own = self.sources[word.source].place
-        for other in self.places.get(word.box.id, ()):
+        own = self.sources[word.source].priority
+        for other in self.addresses_by_id.get(word.member.id, ()):
             if other == address:
                 continue
-            for (source, id), _ in self.at.get(other, {}).items():
+            for (source, id), _ in self.reports_by_address.get(other, {}).items():
                 rule = self.sources[source]
-                if id == word.box.id and rule.rule.adds and rule.place < own:
+                if id == word.member.id and rule.rule.adds and rule.priority < own:
                     return True
         return False
 
-    def age(self, word: Word, address: Address, now: float) -> float:
+    def start_time(self, word: SourceReport, address: Address, now: float) -> float:
         """When the box started. One of unknown age that comes later is taken for new: it is spared, and warm
         a while later. What the first reports of all name has been running for as long as anybody knows."""
-        if word.box.started is not None:
-            return word.box.started
+        if word.member.started is not None:
+            return word.member.started
         told = self.members.get(address)
-        if told is not None and told.box.started is not None:
-            return told.box.started
-        known = self.recovered.get(word.box.id)
+        if told is not None and told.member.started is not None:
+            return told.member.started
+        known = self.recovered.get(word.member.id)
         if known is not None and known.address == address and known.started is not None:
             return known.started
-        first = self.began is None or now - self.began <= self.limits.mass_window
+        first = self.started_at is None or now - self.started_at <= self.limits.mass_window
         return 0.0 if first else now
 
-    def flapped(self, address: Address, now: float) -> None:
+    def record_flap(self, address: Address, now: float) -> None:
         """Count a coming or going; too many of them earn a pause."""
         limits = self.limits
-        flaps = self.flaps.setdefault(address, Flaps())
-        self.flaps.move_to_end(address)
-        while len(self.flaps) > FLAPS_MOST:
-            self.flaps.popitem(last=False)
-        flaps.at.append(now)
-        while now - flaps.at[0] > limits.flap_window:
-            flaps.at.popleft()
-        if len(flaps.at) > 2 * limits.flaps:
-            flaps.pause = min(limits.flap_pause_most, max(limits.flap_pause, 2 * flaps.pause))
-            flaps.until = now + flaps.pause
-            flaps.at.clear()
+        flaps = self.flap_histories.setdefault(address, FlapHistory())
+        self.flap_histories.move_to_end(address)
+        while len(self.flap_histories) > MAX_FLAP_HISTORIES:
+            self.flap_histories.popitem(last=False)
+        flaps.changed_at.append(now)
+        while now - flaps.changed_at[0] > limits.flap_window:
+            flaps.changed_at.popleft()
+        if len(flaps.changed_at) > 2 * limits.max_flaps:
+            flaps.pause = min(limits.max_flap_pause, max(limits.flap_pause, 2 * flaps.pause))
+            flaps.paused_until = now + flaps.pause
+            flaps.changed_at.clear()
 
     # --- told to people ---
 
-    def reason(self, address: Address, now: float) -> tuple[str, str]:
+    def reason_for_absence(self, address: Address, now: float) -> tuple[str, str]:
         """Why nothing stands at an address."""
-        words = self.ordered(address)
-        for word in self.ends_at(address, words):
-            return "drain", f"{word.source} has ended {word.box.id}"
-        flaps = self.flaps.get(address)
-        if words and flaps is not None and now < flaps.until:
-            return "flapping", f"kept out for {flaps.until - now:.0f} s more"
-        if any(self.shadowed(word, address) for word in words):
+        words = self.reports_at(address)
+        for word in self.removals_at(address, words):
+            return "drain", f"{word.source} has ended {word.member.id}"
+        flaps = self.flap_histories.get(address)
+        if words and flaps is not None and now < flaps.paused_until:
+            return "flapping", f"kept out for {flaps.paused_until - now:.0f} s more"
+        if any(self.is_shadowed(word, address) for word in words):
             return "address", "an earlier source places the same id elsewhere"
         if words:
             return "authority", "only sources that may not add name it"
@@ -425,31 +441,35 @@
 
     def explain(self, id: str, now: float) -> list[str]:
         """What each source says of an id or of who shares its address, and which rule won; one line each."""
-        addresses = set(self.places.get(id, ()))
-        if id in self.names:
-            addresses.add(self.names[id])
-        addresses.update(word.box.address for (_, name), word in self.ended.items() if name == id)
+        addresses = set(self.addresses_by_id.get(id, ()))
+        if id in self.address_by_id:
+            addresses.add(self.address_by_id[id])
+        addresses.update(word.member.address for (_, name), word in self.removals.items() if name == id)
         lines = []
         for address in sorted(addresses):
             where = f"{address[0]}:{address[1]}"
-            words = self.ordered(address)
+            words = self.reports_at(address)
             for word in words:
                 source = self.sources[word.source]
-                age, alive = now - word.at, "live" if self.live(source, now) else "silent"
+                age, alive = now - word.reported_at, "live" if self.is_live(source, now) else "silent"
                 missing = (
                     "" if word.missing_since is None else f", left out for {now - word.missing_since:.0f} s"
                 )
                 lines.append(
-                    f"{where} {word.source} ({alive}): {word.box.id} {word.box.state.value}, "
+                    f"{where} {word.source} ({alive}): {word.member.id} {word.member.state.value}, "
                     f"told {age:.0f} s ago{missing}"
                 )
-            for word in self.ends_at(address, words):
-                lines.append(f"{where} {word.source}: {word.box.id} ended {now - word.at:.0f} s ago")
+            for word in self.removals_at(address, words):
+                lines.append(
+                    f"{where} {word.source}: {word.member.id} ended {now - word.reported_at:.0f} s ago"
+                )
             held = self.decide(address, now)
             if held is not None:
-                lines.append(f"{where} is {held.box.id} {held.box.state.value} by {held.rule}: {held.why}")
+                lines.append(
+                    f"{where} is {held.member.id} {held.member.state.value} by {held.rule}: {held.reason}"
+                )
             else:
-                lines.append(f"{where} is not a member by {': '.join(self.reason(address, now))}")
+                lines.append(f"{where} is not a member by {': '.join(self.reason_for_absence(address, now))}")
         return lines or [f"{id}: no source has named it"]
 
     def snapshot(self) -> dict[str, Any]:
@@ -457,24 +477,24 @@
         return {
             "members": [
                 [b.id, b.address[0], b.address[1], b.kind, b.zone, b.cell, b.weight, b.started, b.state.value]
-                for b in (change.box for change in self.members.values())
+                for b in (change.member for change in self.members.values())
             ]
         }
 
-    def recover(self, data: Any, source: str, now: float) -> list[Change]:
+    def recover(self, data: Any, source: str, now: float) -> list[MembershipChange]:
         """Begin with the members of an earlier run, as the word of `source`, which is silent already.
 
         ValueError where the data cannot be read; then nothing is taken.
         """
         try:
             boxes = [
-                Box(str(i), (str(h), int(p)), k, z, c, w, s, MemberState(state))
+                ReportedMember(str(i), (str(h), int(p)), k, z, c, w, s, MemberState(state))
                 for i, h, p, k, z, c, w, s, state in data["members"]
             ]
         except (KeyError, TypeError, ValueError) as error:
             raise ValueError(f"members that cannot be read: {type(error).__name__} {error}") from None
         self.recovered = {box.id: box for box in boxes}
         changes = self.report(source, boxes, True, now)
-        self.sources[source].heard = now - self.sources[source].rule.silent - 0.001
+        self.sources[source].last_heard_at = now - self.sources[source].rule.silent_after - 0.001
         self.settle(dict.fromkeys(self.members), now)  # by another rule now: nobody leaves for it
         return changes
--- a/paddlequay/discovery/resolver.py
+++ b/paddlequay/discovery/resolver.py
@@ -19,48 +19,62 @@
 import dns.name
 import dns.rdatatype
 
-from paddlequay.discovery.answers import Answer, Meaning, Name, Question, Record, mixed, query, read
-
-Kind = dns.rdatatype.RdataType
-Key = tuple[Name, Kind]
+from paddlequay.discovery.answers import (
+    AnswerKind,
+    DnsAnswer,
+    DnsQuestion,
+    Name,
+    Record,
+    build_query,
+    parse_answer,
+    randomize_case,
+)
+
+RecordType = dns.rdatatype.RdataType
+Key = tuple[Name, RecordType]
 Server = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class ResolverLimits:
     """Bounds; times in seconds."""
 
-    names: int = 4096  # wanted at the same time
-    cache: int = 16_384  # sets that are kept
-    floor: float = 1.0  # no set is asked for more often than this, whatever its lifetime
-    ceiling: float = 3600.0  # nor kept for longer
-    negative_ceiling: float = 300.0
+    max_names: int = 4096  # wanted at the same time
+    max_cached: int = 16_384  # sets that are kept
+    min_lifetime: float = 1.0  # no set is asked for more often than this, whatever its lifetime
+    max_lifetime: float = 3600.0  # nor kept for longer
+    max_negative_lifetime: float = 300.0
     stale: float = 3600.0  # past its lifetime, while no server answers
-    try_: float = 0.8  # for one server's answer by UDP; three times that by TCP
-    tries: int = 4  # for one question, over all servers
-    failure: float = 5.0  # until a question that failed everywhere is asked again; twice as long each time,
-    failure_most: float = 30.0
-    prefetch: tuple[float, float] = (0.6, 0.95)  # of the lifetime: when in it a set is asked for again,
-    first: tuple[float, float] = (0.15, 0.95)  # and where it is had for the first time, or after an outage:
+    udp_timeout: float = 0.8  # for one server's answer by UDP; three times that by TCP
+    max_attempts: int = 4  # for one question, over all servers
+    failure_backoff: float = (
+        5.0  # until a question that failed everywhere is asked again; twice as long each time,
+    )
+    max_failure_backoff: float = 30.0
+    refresh: tuple[float, float] = (0.6, 0.95)  # of the lifetime: when in it a set is asked for again,
+    first_refresh: tuple[float, float] = (
+        0.15,
+        0.95,
+    )  # and where it is had for the first time, or after an outage:
     # routers that start, or hear of a server again, in one moment must not go on in step
-    bad_least: float = 1.0  # a failing server is passed over for this long; twice as long each time
-    bad_most: float = 60.0
-    out: int = 256  # questions on their way
+    min_server_backoff: float = 1.0  # a failing server is passed over for this long; twice as long each time
+    max_server_backoff: float = 60.0
+    max_lookups: int = 256  # questions on their way
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendQuery:
     """Send this to a server, by TCP or from a new UDP port; its answer or failure comes with this number."""
 
     number: int
     server: Server
     data: bytes
     tcp: bool
-    longest: float
+    timeout: float
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class RecordSetKnown:
     """What is known of a name now. `until`: Unix or monotonic second, the clock of `tick`, at which it ends.
 
     `records` are empty where the name or the type is not there; `stale` where no server could be asked and
@@ -68,39 +82,39 @@
     """
 
     name: Name
-    kind: Kind
+    type: RecordType
     records: tuple[Record, ...] | None
     until: float
     stale: bool = False
-    why: str = ""
+    reason: str = ""
 
 
-Action = Send | Known
+ResolverAction = SendQuery | RecordSetKnown
 
 
 @dataclass(slots=True)
-class Health:
+class ServerHealth:
     """How a server does: smoothed answer time, and until when it is passed over."""
 
-    took: float = 0.05
+    smoothed_latency: float = 0.05
     failures: int = 0
-    bad_until: float = -math.inf
+    backoff_until: float = -math.inf
     edns: bool = True
     counts: Counter[str] = field(default_factory=Counter)
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
+class CacheEntry:
     """What is known of one set."""
 
-    answer: Answer | None = None
-    got: float = -math.inf
-    until: float = -math.inf
-    refresh: float = -math.inf
-    wanted: int = 0
+    answer: DnsAnswer | None = None
+    received_at: float = -math.inf
+    expires_at: float = -math.inf
+    refresh_at: float = -math.inf
+    references: int = 0
     failures: int = 0
-    asking: bool = False
-    told: Known | None = None
+    in_flight: bool = False
+    announced: RecordSetKnown | None = None
 
 
 @dataclass(slots=True, eq=False)
@@ -108,68 +122,72 @@
     """One question on its way."""
 
     key: Key
-    question: Question
+    question: DnsQuestion
     tcp: bool
-    sent: float
-    tries: int
-    tried: list[Server]
+    sent_at: float
+    attempts: int
+    tried_servers: list[Server]
     edns: bool
-    over: float = 0.0
+    times_out_at: float = 0.0
 
 
 class Resolver:
     """All lookups of one process; `rng` is seeded in tests and by the system elsewhere."""
 
-    def __init__(self, servers: Iterable[Server], rng: random.Random, limits: Limits | None = None) -> None:
-        self.limits = limits or Limits()
+    def __init__(
+        self, servers: Iterable[Server], rng: random.Random, limits: ResolverLimits | None = None
+    ) -> None:
+        self.limits = limits or ResolverLimits()
         self.rng = rng
         self.servers = list(dict.fromkeys(servers))
         if not self.servers:
             raise ValueError("expected at least one server")
-        self.health = {server: Health() for server in self.servers}
-        self.entries: OrderedDict[Key, Entry] = OrderedDict()
+        self.health = {server: ServerHealth() for server in self.servers}
+        self.entries: OrderedDict[Key, CacheEntry] = OrderedDict()
         self.lookups: dict[int, Lookup] = {}
-        self.numbers = 0
-        self.wanted = 0
-        self.due: list[tuple[float, int, Key]] = []
+        self.last_number = 0
+        self.referenced_names = 0
+        self.timers: list[tuple[float, int, Key]] = []
         self.counts: Counter[str] = Counter()
-        self.actions: list[Action] = []
+        self.actions: list[ResolverAction] = []
 
     # --- what is wanted ---
 
-    def want(self, name: Name, kind: Kind, now: float) -> list[Action]:
+    def subscribe(self, name: Name, kind: RecordType, now: float) -> list[ResolverAction]:
         """Keep a set looked up, until `unwant` has come as often. ValueError past the bound."""
         self.actions = []
         key = (name.canonicalize(), kind)
         entry = self.entries.get(key)
-        if entry is None or not entry.wanted:
-            if self.wanted >= self.limits.names:
-                raise ValueError(f"more than {self.limits.names} names are wanted")
-            self.wanted += 1
+        if entry is None or not entry.references:
+            if self.referenced_names >= self.limits.max_names:
+                raise ValueError(f"more than {self.limits.max_names} names are wanted")
+            self.referenced_names += 1
         entry = self.entry(key)
-        entry.wanted += 1
-        if entry.told is not None and now < entry.until:
-            self.actions.append(entry.told)
-        if now >= entry.refresh:
-            self.ask(key, now)
+        entry.references += 1
+        if entry.announced is not None and now < entry.expires_at:
+            self.actions.append(entry.announced)
+        if now >= entry.refresh_at:
+            self.start_lookup(key, now)
         return self.actions
 
-    def unwant(self, name: Name, kind: Kind) -> None:
+    def unsubscribe(self, name: Name, kind: RecordType) -> None:
         entry = self.entries.get((name.canonicalize(), kind))
-        if entry is not None and entry.wanted:
-            entry.wanted -= 1
-            self.wanted -= not entry.wanted
+        if entry is not None and entry.references:
+            entry.references -= 1
+            self.referenced_names -= not entry.references
 
-    def known(self, name: Name, kind: Kind) -> Known | None:
+    def known(self, name: Name, kind: RecordType) -> RecordSetKnown | None:
         entry = self.entries.get((name.canonicalize(), kind))
-        return None if entry is None else entry.told
+        return None if entry is None else entry.announced
 
-    def entry(self, key: Key) -> Entry:
+    def entry(self, key: Key) -> CacheEntry:
         entry = self.entries.get(key)
         if entry is None:
-            entry = self.entries[key] = Entry()
-            while len(self.entries) > self.limits.cache:
-                idle = next((k for k, e in self.entries.items() if not e.wanted and not e.asking), None)
+            entry = self.entries[key] = CacheEntry()
+            while len(self.entries) > self.limits.max_cached:
+                idle = next(
+                    (k for k, e in self.entries.items() if not e.references and not e.in_flight), None
+                )
                 if idle is None or idle == key:
                     break
                 del self.entries[idle]
@@ -178,183 +196,185 @@
 
     # --- asking ---
 
-    def ask(self, key: Key, now: float) -> None:
+    def start_lookup(self, key: Key, now: float) -> None:
         entry = self.entries[key]
-        if entry.asking:
+        if entry.in_flight:
             return
-        if len(self.lookups) >= self.limits.out:
+        if len(self.lookups) >= self.limits.max_lookups:
             self.counts["put_off"] += 1
-            return self.wake(key, now + self.limits.floor)
-        entry.asking = True
-        self.try_(key, now, [], 0, False)
+            return self.schedule(key, now + self.limits.min_lifetime)
+        entry.in_flight = True
+        self.send_query(key, now, [], 0, False)
 
-    def try_(self, key: Key, now: float, tried: list[Server], tries: int, tcp: bool) -> None:
+    def send_query(self, key: Key, now: float, tried: list[Server], tries: int, tcp: bool) -> None:
         """Ask the best server not tried yet, or the best of all where each was."""
-        server = self.choose(tried, now) if not tcp else tried[-1]
+        server = self.choose_server(tried, now) if not tcp else tried[-1]
         health = self.health[server]
-        self.numbers += 1
-        name = mixed(key[0], self.rng)
-        question = Question(name, key[1], self.rng.getrandbits(16), server)
-        longest = self.limits.try_ * (3 if tcp else 1)
+        self.last_number += 1
+        name = randomize_case(key[0], self.rng)
+        question = DnsQuestion(name, key[1], self.rng.getrandbits(16), server)
+        longest = self.limits.udp_timeout * (3 if tcp else 1)
         lookup = Lookup(key, question, tcp, now, tries + 1, [*tried, server], health.edns, now + longest)
-        self.lookups[self.numbers] = lookup
+        self.lookups[self.last_number] = lookup
         self.counts["sent_tcp" if tcp else "sent_udp"] += 1
         health.counts["asked"] += 1
-        self.actions.append(Send(self.numbers, server, query(question, health.edns), tcp, longest))
-        self.wake(key, lookup.over)
+        self.actions.append(
+            SendQuery(self.last_number, server, build_query(question, health.edns), tcp, longest)
+        )
+        self.schedule(key, lookup.times_out_at)
 
-    def choose(self, tried: list[Server], now: float) -> Server:
+    def choose_server(self, tried: list[Server], now: float) -> Server:
         """By health: who is not passed over first, then who answers soonest, in bands that keep the order."""
 
         def rank(server: Server) -> tuple[bool, bool, int, int]:
             health = self.health[server]
-            band = int(math.log2(max(health.took, 0.001) * 1000))
-            return (server in tried, now < health.bad_until, band // 2, self.servers.index(server))
+            band = int(math.log2(max(health.smoothed_latency, 0.001) * 1000))
+            return (server in tried, now < health.backoff_until, band // 2, self.servers.index(server))
 
         return min(self.servers, key=rank)
 
-    def wake(self, key: Key, when: float) -> None:
-        self.numbers += 1
-        heapq.heappush(self.due, (when, self.numbers, key))
+    def schedule(self, key: Key, when: float) -> None:
+        self.last_number += 1
+        heapq.heappush(self.timers, (when, self.last_number, key))
 
     # --- answers ---
 
-    def received(self, number: int, data: bytes, server: Server, now: float) -> list[Action]:
+    def received(self, number: int, data: bytes, server: Server, now: float) -> list[ResolverAction]:
         """Bytes that came where an answer to this lookup is awaited."""
         self.actions = []
         lookup = self.lookups.get(number)
         if lookup is None:
             self.counts["late"] += 1
             return self.actions
-        answer = read(lookup.question, data, server)
-        self.counts[f"answers.{answer.meaning.value.replace(' ', '_')}"] += 1
-        if answer.meaning is Meaning.NOT_OURS:
+        answer = parse_answer(lookup.question, data, server)
+        self.counts[f"answers.{answer.kind.value.replace(' ', '_')}"] += 1
+        if answer.kind is AnswerKind.NOT_OURS:
             return self.actions  # the real one may still come
         del self.lookups[number]
-        if answer.meaning is Meaning.TRUNCATED:
+        if answer.kind is AnswerKind.TRUNCATED:
             if not lookup.tcp:
                 # Neither for nor against the server: one that is refused by TCP must not be asked for ever.
-                self.try_(lookup.key, now, lookup.tried, lookup.tries - 1, True)
+                self.send_query(lookup.key, now, lookup.tried_servers, lookup.attempts - 1, True)
                 return self.actions
-            answer = Answer(Meaning.GARBAGE, why="truncated by TCP")
-        if answer.meaning in (Meaning.RECORDS, Meaning.NO_DATA, Meaning.NO_NAME):
-            self.succeed(lookup, now)
-            self.learn(lookup.key, answer, now)
+            answer = DnsAnswer(AnswerKind.GARBAGE, reason="truncated by TCP")
+        if answer.kind in (AnswerKind.RECORDS, AnswerKind.NO_DATA, AnswerKind.NO_NAME):
+            self.record_success(lookup, now)
+            self.store_with_extras(lookup.key, answer, now)
         else:
-            if answer.meaning is Meaning.FAILED and lookup.edns and answer.why in ("FORMERR", "NOTIMP"):
+            if answer.kind is AnswerKind.FAILED and lookup.edns and answer.reason in ("FORMERR", "NOTIMP"):
                 self.health[lookup.question.server].edns = False  # RFC 6891, section 7: ask without
-            self.fail(lookup, answer.why or answer.meaning.value, now)
+            self.record_failure(lookup, answer.reason or answer.kind.value, now)
         return self.actions
 
-    def failed(self, number: int, why: str, now: float) -> list[Action]:
+    def failed(self, number: int, why: str, now: float) -> list[ResolverAction]:
         """A lookup got no answer: refused, unreachable, or out of time."""
         self.actions = []
         lookup = self.lookups.pop(number, None)
         if lookup is not None:
-            self.fail(lookup, why, now)
+            self.record_failure(lookup, why, now)
         return self.actions
 
-    def succeed(self, lookup: Lookup, now: float) -> None:
+    def record_success(self, lookup: Lookup, now: float) -> None:
         health = self.health[lookup.question.server]
-        health.took += 0.3 * (max(0.0, now - lookup.sent) - health.took)
+        health.smoothed_latency += 0.3 * (max(0.0, now - lookup.sent_at) - health.smoothed_latency)
         health.failures = 0
-        health.bad_until = -math.inf
+        health.backoff_until = -math.inf
 
-    def fail(self, lookup: Lookup, why: str, now: float) -> None:
+    def record_failure(self, lookup: Lookup, why: str, now: float) -> None:
         """Another server's turn, or the end of this question for now."""
         limits, health = self.limits, self.health[lookup.question.server]
         health.failures += 1
         health.counts[why] += 1
         if health.failures >= 2:
-            pause = limits.bad_least * 2 ** min(10, health.failures - 2)
-            health.bad_until = now + min(limits.bad_most, pause) * self.rng.uniform(0.75, 1.25)
+            pause = limits.min_server_backoff * 2 ** min(10, health.failures - 2)
+            health.backoff_until = now + min(limits.max_server_backoff, pause) * self.rng.uniform(0.75, 1.25)
         # Twice a server at the most: more of the same is what an overloaded one needs least.
-        if lookup.tries < min(limits.tries, 2 * len(self.servers)):
-            return self.try_(lookup.key, now, lookup.tried, lookup.tries, False)
+        if lookup.attempts < min(limits.max_attempts, 2 * len(self.servers)):
+            return self.send_query(lookup.key, now, lookup.tried_servers, lookup.attempts, False)
         entry = self.entries.get(lookup.key)
         if entry is None:
             return
-        entry.asking = False
+        entry.in_flight = False
         entry.failures += 1
-        pause = min(limits.failure_most, limits.failure * 2 ** min(10, entry.failures - 1))
-        entry.refresh = now + pause * self.rng.uniform(0.75, 1.25)
+        pause = min(limits.max_failure_backoff, limits.failure_backoff * 2 ** min(10, entry.failures - 1))
+        entry.refresh_at = now + pause * self.rng.uniform(0.75, 1.25)
         self.counts["failed"] += 1
-        self.wake(lookup.key, entry.refresh)
-        self.say(lookup.key, entry, now, why)
+        self.schedule(lookup.key, entry.refresh_at)
+        self.announce(lookup.key, entry, now, why)
 
-    def learn(self, key: Key, answer: Answer, now: float) -> None:
+    def store_with_extras(self, key: Key, answer: DnsAnswer, now: float) -> None:
         """Keep an answer, and what came along with it where nothing better is known."""
-        self.keep(key, answer, now)
+        self.store(key, answer, now)
         for extra in answer.extras:
-            other = (extra.name.canonicalize(), extra.kind)
+            other = (extra.name.canonicalize(), extra.type)
             known = self.entries.get(other)
-            if known is None or (known.until <= now and not known.asking):
+            if known is None or (known.expires_at <= now and not known.in_flight):
                 ttl = min(record.ttl for record in extra.records)
                 self.counts["extras"] += 1
-                self.keep(other, Answer(Meaning.RECORDS, extra.records, ttl), now)
+                self.store(other, DnsAnswer(AnswerKind.RECORDS, extra.records, ttl), now)
 
-    def keep(self, key: Key, answer: Answer, now: float) -> None:
+    def store(self, key: Key, answer: DnsAnswer, now: float) -> None:
         limits = self.limits
         entry = self.entry(key)
-        spread = limits.first if entry.answer is None or entry.failures else limits.prefetch
-        entry.asking, entry.failures = False, 0
-        most = limits.ceiling if answer.meaning is Meaning.RECORDS else limits.negative_ceiling
+        spread = limits.first_refresh if entry.answer is None or entry.failures else limits.refresh
+        entry.in_flight, entry.failures = False, 0
+        most = limits.max_lifetime if answer.kind is AnswerKind.RECORDS else limits.max_negative_lifetime
         # The floor spares servers; a removed record leaves at its lifetime or the floor, whichever is later.
-        life = min(most, max(limits.floor, float(answer.ttl)))
-        entry.answer, entry.got, entry.until = answer, now, now + life
-        entry.refresh = now + max(limits.floor * 0.9, life * self.rng.uniform(*spread))
-        self.wake(key, entry.refresh)
-        self.wake(key, entry.until)
-        self.say(key, entry, now, answer.why)
-
-    def say(self, key: Key, entry: Entry, now: float, why: str) -> None:
+        life = min(most, max(limits.min_lifetime, float(answer.ttl)))
+        entry.answer, entry.received_at, entry.expires_at = answer, now, now + life
+        entry.refresh_at = now + max(limits.min_lifetime * 0.9, life * self.rng.uniform(*spread))
+        self.schedule(key, entry.refresh_at)
+        self.schedule(key, entry.expires_at)
+        self.announce(key, entry, now, answer.reason)
+
+    def announce(self, key: Key, entry: CacheEntry, now: float, why: str) -> None:
         """Tell what is known, where that is news."""
         answer = entry.answer
         if answer is None:
-            known = Known(*key, None, now, why=why)
-        elif now < entry.until:
-            known = Known(*key, answer.records, entry.until, why=why)
-        elif self.may_be_stale(entry, now):
-            known = Known(*key, answer.records, entry.until + self.limits.stale, True, why)
+            known = RecordSetKnown(*key, None, now, reason=why)
+        elif now < entry.expires_at:
+            known = RecordSetKnown(*key, answer.records, entry.expires_at, reason=why)
+        elif self.may_serve_stale(entry, now):
+            known = RecordSetKnown(*key, answer.records, entry.expires_at + self.limits.stale, True, why)
         else:
-            known = Known(*key, None, now, why=why or "over")
-        told = entry.told
-        entry.told = known
+            known = RecordSetKnown(*key, None, now, reason=why or "over")
+        told = entry.announced
+        entry.announced = known
         if told is None or (told.records, told.stale) != (known.records, known.stale) or not known.stale:
             self.actions.append(known)
 
-    def may_be_stale(self, entry: Entry, now: float) -> bool:
+    def may_serve_stale(self, entry: CacheEntry, now: float) -> bool:
         """Whether records may be used past their lifetime: no server has said anything else meanwhile."""
         answer = entry.answer
-        unheard = entry.failures > 0 or entry.asking
-        records = answer is not None and answer.meaning is Meaning.RECORDS
-        return records and unheard and now < entry.until + self.limits.stale
+        unheard = entry.failures > 0 or entry.in_flight
+        records = answer is not None and answer.kind is AnswerKind.RECORDS
+        return records and unheard and now < entry.expires_at + self.limits.stale
 
     # --- time ---
 
-    def tick(self, now: float) -> list[Action]:
+    def tick(self, now: float) -> list[ResolverAction]:
         """What is due: tries that are over, sets to ask for again, sets whose lifetime has ended."""
         self.actions = []
-        for number in [n for n, lookup in self.lookups.items() if lookup.over <= now]:
+        for number in [n for n, lookup in self.lookups.items() if lookup.times_out_at <= now]:
             self.counts["timeouts"] += 1
-            self.fail(self.lookups.pop(number), "timeout", now)
+            self.record_failure(self.lookups.pop(number), "timeout", now)
         keys: dict[Key, None] = {}
-        while self.due and self.due[0][0] <= now:
-            keys[heapq.heappop(self.due)[2]] = None
+        while self.timers and self.timers[0][0] <= now:
+            keys[heapq.heappop(self.timers)[2]] = None
         for key in keys:
             entry = self.entries.get(key)
             if entry is None:
                 continue
-            if entry.wanted and now >= entry.refresh and not entry.asking:
-                self.ask(key, now)
-            if entry.answer is not None and now >= entry.until and entry.told is not None:
-                if not entry.told.stale and entry.told.records is not None:
-                    self.say(key, entry, now, "over")
-                elif entry.told.stale and now >= entry.until + self.limits.stale:
-                    self.say(key, entry, now, "too old")
+            if entry.references and now >= entry.refresh_at and not entry.in_flight:
+                self.start_lookup(key, now)
+            if entry.answer is not None and now >= entry.expires_at and entry.announced is not None:
+                if not entry.announced.stale and entry.announced.records is not None:
+                    self.announce(key, entry, now, "over")
+                elif entry.announced.stale and now >= entry.expires_at + self.limits.stale:
+                    self.announce(key, entry, now, "too old")
         return self.actions
 
     def next_due(self) -> float:
         """When `tick` has something to do."""
-        first = self.due[0][0] if self.due else math.inf
-        return min([first, *(lookup.over for lookup in self.lookups.values())])
+        first = self.timers[0][0] if self.timers else math.inf
+        return min([first, *(lookup.times_out_at for lookup in self.lookups.values())])
--- a/paddlequay/discovery/srv.py
+++ b/paddlequay/discovery/srv.py
@@ -18,8 +18,8 @@
 from dns.rdtypes.IN.SRV import SRV
 
 from paddlequay.discovery.answers import Name
-from paddlequay.discovery.membership import Address, Box
-from paddlequay.discovery.resolver import Kind, Known
+from paddlequay.discovery.membership import Address, ReportedMember
+from paddlequay.discovery.resolver import RecordSetKnown, RecordType
 from paddlequay.routing.interface import MemberState
 
 TARGETS_MOST = 2000  # of one service
@@ -69,7 +69,7 @@
     targets: list[Target] = field(default_factory=list)
 
     @property
-    def found(self) -> float:
+    def resolved_share(self) -> float:
         """The share of targets that have an address."""
         return sum(target.address is not None for target in self.targets) / max(1, len(self.targets))
 
@@ -80,7 +80,7 @@
     return f"{re.sub(r'[^a-z0-9-]', '_', text)[:56]}_{port}"
 
 
-class Follower:
+class ServiceWatch:
     """One service: which sets it wants looked up, and the boxes that these come to.
 
     Bounds: `TARGETS_MOST` targets. The sets wanted change only when the SRV set does.
@@ -89,21 +89,21 @@
     def __init__(self, service: Service, limits: TierLimits | None = None) -> None:
         self.service = service
         self.limits = limits or TierLimits()
-        self.srv: Known | None = None
-        self.sets: dict[tuple[Name, Kind], Known] = {}
+        self.srv: RecordSetKnown | None = None
+        self.sets: dict[tuple[Name, RecordType], RecordSetKnown] = {}
         self.tiers: list[Tier] = []
-        self.chosen: dict[
+        self.chosen_addresses: dict[
             str, Address
         ] = {}  # the address that each id had, kept while it is among the answers
         self.active = 0
-        self.good_since: float | None = None
+        self.recovered_since: float | None = None
         self.cut = 0  # targets past the bound
         self.not_offered = False
 
-    def wants(self) -> set[tuple[Name, Kind]]:
+    def required_names(self) -> set[tuple[Name, RecordType]]:
         """The sets that this service needs now."""
-        wanted: set[tuple[Name, Kind]] = {(self.service.name.canonicalize(), dns.rdatatype.SRV)}
-        kinds: list[Kind] = []
+        wanted: set[tuple[Name, RecordType]] = {(self.service.name.canonicalize(), dns.rdatatype.SRV)}
+        kinds: list[RecordType] = []
         if self.service.family in ("v4", "both"):
             kinds.append(dns.rdatatype.A)
         if self.service.family in ("v6", "both"):
@@ -115,21 +115,21 @@
                 wanted.update((target.srv.target.canonicalize(), kind) for kind in kinds)
         return wanted
 
-    def known(self, known: Known) -> bool:
+    def update(self, known: RecordSetKnown) -> bool:
         """News of a set; whether it concerns this service."""
-        key = (known.name, known.kind)
+        key = (known.name, known.type)
         if key == (self.service.name.canonicalize(), dns.rdatatype.SRV):
             if known.records is None and self.srv is not None and known.until <= self.srv.until:
                 return False
             self.srv = known
-            self.arrange(known)
+            self.build_tiers(known)
             return True
-        if key not in self.wants():
+        if key not in self.required_names():
             return False
         self.sets[key] = known
         return True
 
-    def arrange(self, known: Known) -> None:
+    def build_tiers(self, known: RecordSetKnown) -> None:
         """Targets by priority, from the SRV set."""
         records = [record.data for record in known.records or () if isinstance(record.data, SRV)]
         # One record with the target `.` says that the service is decidedly not there.
@@ -149,12 +149,12 @@
         names = {target.srv.target.canonicalize() for tier in self.tiers for target in tier.targets}
         self.sets = {key: value for key, value in self.sets.items() if key[0] in names}
 
-    def boxes(self, now: float) -> list[Box]:
+    def members(self, now: float) -> list[ReportedMember]:
         """The boxes of the tier that is in use, as they are known now."""
         for tier in self.tiers:
             for target in tier.targets:
                 target.address = self.address(target.srv)
-        self.pick(now)
+        self.choose_tier(now)
         if not self.tiers:
             return []
         tier = self.tiers[self.active]
@@ -166,9 +166,9 @@
                 continue
             # Shares about 1: weights of one service must not outweigh those of another source.
             weight = 1.0 if not total else max(LIGHT, target.srv.weight / mean)
-            boxes.append(self.box(target, target.address, weight))
+            boxes.append(self.member(target, target.address, weight))
         ids = {box.id for box in boxes}
-        self.chosen = {id: at for id, at in self.chosen.items() if id in ids}
+        self.chosen_addresses = {id: at for id, at in self.chosen_addresses.items() if id in ids}
         return boxes
 
     def address(self, srv: SRV) -> Address | None:
@@ -182,33 +182,40 @@
                 if found:
                     break
         if not found:
-            self.chosen.pop(id, None)
+            self.chosen_addresses.pop(id, None)
             return None
-        before = self.chosen.get(id)
+        before = self.chosen_addresses.get(id)
         chosen = before if before is not None and before[0] in found else (found[0], srv.port)
-        self.chosen[id] = chosen
+        self.chosen_addresses[id] = chosen
         return chosen
 
-    def pick(self, now: float) -> None:
+    def choose_tier(self, now: float) -> None:
         """Which priority is in use. Down as soon as too few targets are found, up only once that has
         lasted."""
         limits = self.limits
         better = next(
-            (n for n, tier in enumerate(self.tiers[: self.active]) if tier.found >= limits.return_above), None
+            (
+                n
+                for n, tier in enumerate(self.tiers[: self.active])
+                if tier.resolved_share >= limits.return_above
+            ),
+            None,
         )
         if better is None:
-            self.good_since = None
-        elif self.good_since is None:
-            self.good_since = now
-        elif now - self.good_since >= limits.return_after:
-            self.active, self.good_since = better, None
-        while self.active + 1 < len(self.tiers) and self.tiers[self.active].found < limits.fall_below:
-            worse = [n for n in range(self.active + 1, len(self.tiers)) if self.tiers[n].found > 0]
-            if not worse or self.tiers[worse[0]].found < self.tiers[self.active].found:
+            self.recovered_since = None
+        elif self.recovered_since is None:
+            self.recovered_since = now
+        elif now - self.recovered_since >= limits.return_after:
+            self.active, self.recovered_since = better, None
+        while (
+            self.active + 1 < len(self.tiers) and self.tiers[self.active].resolved_share < limits.fall_below
+        ):
+            worse = [n for n in range(self.active + 1, len(self.tiers)) if self.tiers[n].resolved_share > 0]
+            if not worse or self.tiers[worse[0]].resolved_share < self.tiers[self.active].resolved_share:
                 break  # nothing better below: a few of the first are worth more than none of the next
-            self.active, self.good_since = worse[0], None
+            self.active, self.recovered_since = worse[0], None
 
-    def box(self, target: Target, address: Address, weight: float) -> Box:
+    def member(self, target: Target, address: Address, weight: float) -> ReportedMember:
         told: dict[str, str] = {}
         text = target.srv.target.to_text(omit_final_dot=True).lower()
         if self.service.naming is not None:
@@ -219,7 +226,7 @@
         if known is not None:
             told.update(fields(known))
         cell, started = told.get("cell", ""), told.get("started", "")
-        return Box(
+        return ReportedMember(
             id=box_id(target.srv.target, target.srv.port),
             address=address,
             kind=told.get("kind", self.service.kind),
@@ -231,7 +238,7 @@
         )
 
 
-def fields(known: Known) -> Iterable[tuple[str, str]]:
+def fields(known: RecordSetKnown) -> Iterable[tuple[str, str]]:
     """`name=value` words of TXT records that mean something here; all else in them is left alone."""
     for record in known.records or ():
         if isinstance(record.data, TXT):
--- a/paddlequay/lab/sources.py
+++ b/paddlequay/lab/sources.py
@@ -14,9 +14,9 @@
 import dns.rdatatype
 import numpy as np
 
-from paddlequay.discovery.answers import Question, query, read
-from paddlequay.discovery.membership import Box, Membership, Rule
-from paddlequay.discovery.resolver import Resolver, Send
+from paddlequay.discovery.answers import DnsQuestion, build_query, parse_answer
+from paddlequay.discovery.membership import Membership, ReportedMember, SourceRule
+from paddlequay.discovery.resolver import Resolver, SendQuery
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.lab.dns import DnsServer
 from paddlequay.lab.load import Tally
@@ -216,7 +216,7 @@
     def carry(number: int, actions: list[Any], now: float) -> None:
         nonlocal serial
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendQuery):
                 counts[int(now)] += 1
                 if not out[0] <= now < out[1]:
                     serial += 1
@@ -226,7 +226,7 @@
         heapq.heappush(events, (max(now + 0.001, fleet[number].next_due()), serial, number, b"", 0))
 
     for number, resolver in enumerate(fleet):
-        carry(number, resolver.want(dns.name.from_text("a.plaza.example."), dns.rdatatype.A, 0.0), 0.0)
+        carry(number, resolver.subscribe(dns.name.from_text("a.plaza.example."), dns.rdatatype.A, 0.0), 0.0)
     while events and events[0][0] < seconds:
         now, _, number, wire, lookup = heapq.heappop(events)
         resolver = fleet[number]
@@ -243,8 +243,8 @@
     rng = random.Random(seed)
     server = DnsServer()
     server.put("a.plaza.example.", "A", 60, *(f"127.0.0.{n}" for n in range(20)))
-    question = Question(dns.name.from_text("a.plaza.example."), dns.rdatatype.A, 4711, ("127.0.0.1", 53))
-    ((_, good),) = server.answers(query(question, True), False)
+    question = DnsQuestion(dns.name.from_text("a.plaza.example."), dns.rdatatype.A, 4711, ("127.0.0.1", 53))
+    ((_, good),) = server.answers(build_query(question, True), False)
     came: Counter[str] = Counter()
     tracemalloc.start()
     for _ in range(count):
@@ -254,7 +254,7 @@
         if rng.random() < 0.3:
             del wire[rng.randrange(len(wire)) :]
         try:
-            came[read(question, bytes(wire), question.server).meaning.value] += 1
+            came[parse_answer(question, bytes(wire), question.server).kind.value] += 1
         except Exception as error:
             came[f"raised {type(error).__name__}"] += 1
     most = tracemalloc.get_traced_memory()[1] / 1e6
@@ -276,9 +276,10 @@
     results.figures["most in the outage"] = max(counts[at] for at in range(61, 80))
     costs = {}
     for size in (100, 2000, 20_000):
-        made = Membership((Rule("list"), Rule("dns")))
+        made = Membership((SourceRule("list"), SourceRule("dns")))
         boxes = [
-            Box(f"b{n}", (f"10.0.{n // 250}.{n % 250}", 9), state=MemberState.READY) for n in range(size)
+            ReportedMember(f"b{n}", (f"10.0.{n // 250}.{n % 250}", 9), state=MemberState.READY)
+            for n in range(size)
         ]
         made.report("list", boxes, True, 0.0)
         times = []
--- a/paddlequay/net/members.py
+++ b/paddlequay/net/members.py
@@ -9,13 +9,13 @@
 from pathlib import Path
 
 from paddlequay.discovery.answers import Name
-from paddlequay.discovery.membership import Box, Change, Membership, TooManyError
-from paddlequay.discovery.resolver import Kind, Known, Resolver
-from paddlequay.discovery.srv import Follower as ServiceFollower
+from paddlequay.discovery.membership import Membership, MembershipChange, ReportedMember, TooManyMembersError
+from paddlequay.discovery.resolver import RecordSetKnown, RecordType, Resolver
+from paddlequay.discovery.srv import ServiceWatch as ServiceFollower
 from paddlequay.errors import RecordError
 from paddlequay.lifecycle.background import TaskSupervisor
 from paddlequay.net.caches import ConnectionPool
-from paddlequay.net.dns import Driver
+from paddlequay.net.dns import ResolverDriver
 from paddlequay.net.endpoint_watch import EndpointWatch, apply_one_by_one
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
@@ -27,14 +27,14 @@
 
 LOGGER = logging.getLogger(__name__)
 
-KIND, FORM = "members", 1
-BEAT = 0.25
-REPORT = 2.0
-SAVE_PAUSE = 5.0
-SHOWN_MOST = 2000  # members that a call to the console lists
+RECORD_KIND, RECORD_FORMAT = "members", 1
+TICK_INTERVAL_S = 0.25
+REPORT_INTERVAL_S = 2.0
+SAVE_INTERVAL_S = 5.0
+MAX_SHOWN = 2000  # members that a call to the console lists
 
 
-class Members:
+class MemberSources:
     """All sources of one router."""
 
     def __init__(
@@ -47,46 +47,46 @@
         name: str,
     ) -> None:
         self.exchange, self.pool, self.counters = exchange, pool, counters
-        self.bulletin, self.name = follower, name
+        self.endpoint_watch, self.name = follower, name
         self.settings = settings
         self.membership = Membership(settings.rules, settings.limits)
         self.services: list[ServiceFollower] = []
-        self.driver: Driver | None = None
-        self.wanted: set[tuple[Name, Kind]] = set()
-        self.untold: dict[str, Change] = {}  # by id; bounded by the members
-        self.dirty = False
-        self.unsaved = False
-        self.saved_at = self.reported = 0.0
+        self.driver: ResolverDriver | None = None
+        self.subscribed: set[tuple[Name, RecordType]] = set()
+        self.pending_changes: dict[str, MembershipChange] = {}  # by id; bounded by the members
+        self.has_dns_news = False
+        self.needs_save = False
+        self.saved_at = self.dns_reported_at = 0.0
         self.background = TaskSupervisor(counters)
-        self.set_up()
-        follower.on_endpoint_list = self.roster
-        follower.on_alive = self.alive
+        self.make_resolver()
+        follower.on_endpoint_list = self.on_endpoint_list
+        follower.on_alive = self.on_alive
         self.recover()
 
     def now(self) -> float:
         """The decisions' clock: it never goes back, and stands on Unix time as start times do."""
         return self.exchange.scheduler.monotonic() + self.exchange.attempts.clock_offset
 
-    def has(self, source: str) -> bool:
+    def has_source(self, source: str) -> bool:
         return source in self.membership.sources
 
-    def set_up(self) -> None:
+    def make_resolver(self) -> None:
         """The resolver and services that the settings name."""
         if self.driver is not None:
             self.driver.close()
         self.services = [ServiceFollower(service) for service in self.settings.services]
-        self.wanted = set()
+        self.subscribed = set()
         self.driver = None
         if self.settings.servers:
             resolver = Resolver(self.settings.servers, random.SystemRandom())
-            self.driver = Driver(resolver, self.counters, self.now, self.known)
+            self.driver = ResolverDriver(resolver, self.counters, self.now, self.on_record_set)
 
     def start(self) -> None:
         """Begin to ask and to keep time."""
-        self.background.supervise("members", self.beating)
+        self.background.supervise("members", self.tick_periodically)
         if self.driver is not None:
             self.background.supervise("resolver", self.driver.run)
-            self.follow()
+            self.update_subscriptions()
 
     def stop(self) -> None:
         for task in self.background.tasks:
@@ -96,54 +96,56 @@
 
     # --- what sources say ---
 
-    def report(self, source: str, boxes: Iterable[Box], full: bool) -> None:
-        if not self.has(source):
+    def report(self, source: str, boxes: Iterable[ReportedMember], full: bool) -> None:
+        if not self.has_source(source):
             return
         boxes, now = tuple(boxes), self.now()
         try:
             self.apply(self.membership.report(source, boxes, full, now))
-        except TooManyError as error:
+        except TooManyMembersError as error:
             if self.counters.add_once("members_refused"):
                 log.event(LOGGER, logging.WARNING, "members_refused", why=str(error))
             # What it says of those that are members holds all the same: drains and ends above all.
-            words = self.membership.sources[source].words
+            words = self.membership.sources[source].reports
             named = [box for box in boxes if box.id in words]
             self.apply(self.membership.report(source, named, False, now))
 
-    def roster(self, item: EndpointList) -> None:
-        if not self.has("list"):
+    def on_endpoint_list(self, item: EndpointList) -> None:
+        if not self.has_source("list"):
             return
-        words = self.membership.sources["list"].words
+        words = self.membership.sources["list"].reports
         drained = [
-            replace(words[id].box, state=MemberState.DRAINING) for id in item.draining_ids if id in words
+            replace(words[id].member, state=MemberState.DRAINING) for id in item.draining_ids if id in words
         ]
-        self.report("list", [*map(box_of, item.endpoints), *drained], item.full)
+        self.report("list", [*map(reported_member, item.endpoints), *drained], item.full)
 
-    def alive(self) -> None:
-        if self.has("list"):
+    def on_alive(self) -> None:
+        if self.has_source("list"):
             self.apply(self.membership.alive("list", self.now()))
 
-    def known(self, known: Known) -> None:
+    def on_record_set(self, known: RecordSetKnown) -> None:
         """News of a set of records."""
-        if any([service.known(known) for service in self.services]):  # each service hears of it
-            self.dirty = True
+        if any([service.update(known) for service in self.services]):  # each service hears of it
+            self.has_dns_news = True
 
-    def follow(self) -> None:
+    def update_subscriptions(self) -> None:
         """Ask for what the services need now, and no longer for what they do not."""
         assert self.driver is not None
         resolver, now = self.driver.resolver, self.now()
-        wants: set[tuple[Name, Kind]] = set().union(*(service.wants() for service in self.services))
-        for name, kind in self.wanted - wants:
-            resolver.unwant(name, kind)
-        for name, kind in wants - self.wanted:
+        wants: set[tuple[Name, RecordType]] = set().union(
+            *(service.required_names() for service in self.services)
+        )
+        for name, kind in self.subscribed - wants:
+            resolver.unsubscribe(name, kind)
+        for name, kind in wants - self.subscribed:
             try:
-                self.driver.carry(resolver.want(name, kind, now))
+                self.driver.execute(resolver.subscribe(name, kind, now))
             except ValueError as error:
                 if self.counters.add_once("names_refused"):
                     log.event(LOGGER, logging.WARNING, "names_refused", why=str(error))
-        self.wanted = wants
+        self.subscribed = wants
 
-    def fresh(self) -> bool:
+    def is_dns_fresh(self) -> bool:
         """Whether all services are known by answers that still hold: else DNS says nothing new."""
         now = self.now()
         heard = [service.srv for service in self.services]
@@ -151,45 +153,45 @@
             srv is not None and srv.records is not None and not srv.stale and now < srv.until for srv in heard
         )
 
-    async def beating(self) -> None:
+    async def tick_periodically(self) -> None:
         while True:
-            await asyncio.sleep(BEAT)
+            await asyncio.sleep(TICK_INTERVAL_S)
             try:
-                self.beat()
+                self.tick()
             except Exception:
                 if self.counters.add_once("members_errors"):
                     LOGGER.exception("members_failed")
 
-    def beat(self) -> None:
+    def tick(self) -> None:
         now = self.now()
         if self.driver is not None:
-            self.follow()
-            if not self.fresh():
+            self.update_subscriptions()
+            if not self.is_dns_fresh():
                 pass  # DNS says nothing: what it said holds as the rule has it
-            elif self.dirty or now - self.reported > REPORT:
+            elif self.has_dns_news or now - self.dns_reported_at > REPORT_INTERVAL_S:
                 # Tiers fall back and return by time as well: looked at now and then where nothing came.
-                self.dirty, self.reported = False, now
-                self.report("dns", [box for service in self.services for box in service.boxes(now)], True)
+                self.has_dns_news, self.dns_reported_at = False, now
+                self.report("dns", [box for service in self.services for box in service.members(now)], True)
             else:
                 self.apply(self.membership.alive("dns", now))
         self.apply(self.membership.tick(now))
-        if self.unsaved and now - self.saved_at > SAVE_PAUSE and self.settings.folder is not None:
-            self.unsaved, self.saved_at = False, now
+        if self.needs_save and now - self.saved_at > SAVE_INTERVAL_S and self.settings.folder is not None:
+            self.needs_save, self.saved_at = False, now
             self.background.spawn("members_save", self.save())
 
-    def apply(self, changes: list[Change]) -> None:
+    def apply(self, changes: list[MembershipChange]) -> None:
         """Changes to pool and exchange, the pool first: a decision may send to whom it names.
 
         Those that could not be told are told again at each beat: the membership has them already.
         """
         for change in changes:
-            self.untold.pop(change.box.id, None)
-            self.untold[change.box.id] = change
-        if not self.untold:
+            self.pending_changes.pop(change.member.id, None)
+            self.pending_changes[change.member.id] = change
+        if not self.pending_changes:
             return
-        self.unsaved = True
-        changes, self.untold = list(self.untold.values()), {}
-        listed = tuple(map(listed_of, changes))
+        self.needs_save = True
+        changes, self.pending_changes = list(self.pending_changes.values()), {}
+        listed = tuple(map(endpoint_of, changes))
         try:
             self.pool.update_endpoints(listed, False)
             self.exchange.update_members(tuple(entry.member for entry in listed), False)
@@ -197,19 +199,21 @@
             if self.counters.add_once("members_errors"):
                 LOGGER.exception("members_failed")
             failed = apply_one_by_one(self.pool, self.exchange, listed)
-            self.untold = {change.box.id: change for change in changes if change.box.id in failed}
-            changes = [change for change in changes if change.box.id not in failed]
+            self.pending_changes = {
+                change.member.id: change for change in changes if change.member.id in failed
+            }
+            changes = [change for change in changes if change.member.id not in failed]
         for change in changes:
             self.counters.add(f"members.{change.rule}")
             log.event(
                 LOGGER,
                 logging.INFO,
                 "member",
-                id=change.box.id,
-                at=f"{change.box.address[0]}:{change.box.address[1]}",
-                state=change.box.state.value,
+                id=change.member.id,
+                at=f"{change.member.address[0]}:{change.member.address[1]}",
+                state=change.member.state.value,
                 rule=change.rule,
-                why=change.why,
+                why=change.reason,
             )
 
     # --- kept over restarts ---
@@ -224,19 +228,19 @@
         if self.settings.folder is None:
             return
         try:
-            body = files.load(self.path, KIND, FORM)
+            body = files.load(self.path, RECORD_KIND, RECORD_FORMAT)
             if body is not None:
                 self.apply(self.membership.recover(json.loads(body), "kept", self.now()))
                 count = len(self.membership.members)
                 log.event(LOGGER, logging.INFO, "members_from_file", count=count)
-        except (OSError, RecordError, ValueError, TooManyError) as error:
+        except (OSError, RecordError, ValueError, TooManyMembersError) as error:
             self.counters.add("members_unreadable")
             log.event(LOGGER, logging.WARNING, "members_unreadable", path=self.path, why=str(error)[:200])
 
     async def save(self) -> None:
         body = json.dumps(self.membership.snapshot(), separators=(",", ":")).encode()
         try:
-            await asyncio.to_thread(files.save, self.path, KIND, FORM, body)
+            await asyncio.to_thread(files.save, self.path, RECORD_KIND, RECORD_FORMAT, body)
         except OSError as error:
             self.counters.add("members_not_saved")
             log.event(LOGGER, logging.WARNING, "members_not_saved", path=self.path, why=str(error))
@@ -251,29 +255,31 @@
         now, old = self.now(), self.membership
         new = Membership(settings.rules, settings.limits)
         for name, source in old.sources.items():
-            if name in new.sources and source.words:
-                new.report(name, [word.box for word in source.words.values()], True, source.heard)
-                new.sources[name].heard = source.heard
-        for (name, id), word in old.ended.items():
-            if name in new.sources and id not in new.sources[name].words:
-                new.end((name, id), word)
-        new.settle(dict.fromkeys([*new.at]), now)
-        new.began = old.began
-        before = {change.box.id: change for change in old.members.values()}
-        after = {change.box.id: change for change in new.members.values()}
+            if name in new.sources and source.reports:
+                new.report(
+                    name, [word.member for word in source.reports.values()], True, source.last_heard_at
+                )
+                new.sources[name].last_heard_at = source.last_heard_at
+        for (name, id), word in old.removals.items():
+            if name in new.sources and id not in new.sources[name].reports:
+                new.record_removal((name, id), word)
+        new.settle(dict.fromkeys([*new.reports_by_address]), now)
+        new.started_at = old.started_at
+        before = {change.member.id: change for change in old.members.values()}
+        after = {change.member.id: change for change in new.members.values()}
         changes = [
-            Change(gone(change.box), "authority", "its source was taken out")
+            MembershipChange(as_removed(change.member), "authority", "its source was taken out")
             for id, change in before.items()
             if id not in after
         ]
         changes += [
-            change for id, change in after.items() if id not in before or before[id].box != change.box
+            change for id, change in after.items() if id not in before or before[id].member != change.member
         ]
         dns_changed = (settings.servers, settings.services) != (self.settings.servers, self.settings.services)
         self.settings, self.membership = settings, new
         if dns_changed:
             self.stop()
-            self.set_up()
+            self.make_resolver()
             self.start()
         self.apply(changes)
 
@@ -284,24 +290,24 @@
         now = self.now()
         sources = {
             name: {
-                "live": self.membership.live(source, now),
-                "words": len(source.words),
-                "heard_s_ago": round(now - source.heard, 1) if source.reported else None,
-                "left_out": sum(word.missing_since is not None for word in source.words.values()),
-                "refused": source.refused,
+                "live": self.membership.is_live(source, now),
+                "words": len(source.reports),
+                "heard_s_ago": round(now - source.last_heard_at, 1) if source.has_reported else None,
+                "left_out": sum(word.missing_since is not None for word in source.reports.values()),
+                "refused": source.rejected_reports,
             }
             for name, source in self.membership.sources.items()
         }
         changes = list(self.membership.members.values())
         members = [
             {
-                "id": change.box.id,
-                "at": f"{change.box.address[0]}:{change.box.address[1]}",
-                "state": change.box.state.value,
+                "id": change.member.id,
+                "at": f"{change.member.address[0]}:{change.member.address[1]}",
+                "state": change.member.state.value,
                 "rule": change.rule,
-                "why": change.why,
+                "why": change.reason,
             }
-            for change in changes[:SHOWN_MOST]
+            for change in changes[:MAX_SHOWN]
         ]
         return json.dumps({"sources": sources, "count": len(changes), "members": members})
 
@@ -310,13 +316,13 @@
         return "\n".join(self.membership.explain(id, self.now()))
 
 
-def gone(box: Box) -> Box:
+def as_removed(box: ReportedMember) -> ReportedMember:
     return replace(box, state=MemberState.REMOVED)
 
 
-def box_of(listed: Endpoint) -> Box:
+def reported_member(listed: Endpoint) -> ReportedMember:
     member = listed.member
-    return Box(
+    return ReportedMember(
         member.name,
         listed.address,
         member.kind,
@@ -328,8 +334,8 @@
     )
 
 
-def listed_of(change: Change) -> Endpoint:
-    box = change.box
+def endpoint_of(change: MembershipChange) -> Endpoint:
+    box = change.member
     return Endpoint(
         Member(box.id, box.zone, box.kind, box.cell, box.state, box.weight, box.started or 0.0), box.address
     )
--- a/paddlequay/programs/router.py
+++ b/paddlequay/programs/router.py
@@ -36,7 +36,7 @@
 from paddlequay.requests.quotas import ProcessQuotas
 
 if TYPE_CHECKING:
-    from paddlequay.net.members import Members
+    from paddlequay.net.members import MemberSources
     from paddlequay.net.sharing import Sharing
 
 LOGGER = logging.getLogger("paddlequay.main")
@@ -91,17 +91,17 @@
             log.event(LOGGER, logging.WARNING, "overrides_unreadable", path=state.path, why=str(error))
         return state
 
-    def make_members(self) -> "Members | None":
+    def make_members(self) -> "MemberSources | None":
         """Further sources of members, where a settings file of the installation names them."""
         path = os.environ.get(DISCOVERY_VARIABLE)
         if not path:
             return None
-        from paddlequay.net.members import Members
+        from paddlequay.net.members import MemberSources
         from paddlequay.schema.sources import read_discovery
 
         settings = read_discovery(Path(path))
         name = self.config.name
-        members = Members(settings, self.endpoint_watch, self.exchange, self.pool, self.counters, name)
+        members = MemberSources(settings, self.endpoint_watch, self.exchange, self.pool, self.counters, name)
         self.console.pages["members"] = members.page
         self.console.queries["members"] = members.explain
         return members
--- a/paddlequay/schema/sources.py
+++ b/paddlequay/schema/sources.py
@@ -9,7 +9,7 @@
 import dns.name
 
 from paddlequay.config.values import Address, address
-from paddlequay.discovery.membership import Limits, Rule
+from paddlequay.discovery.membership import MembershipLimits, SourceRule
 from paddlequay.discovery.srv import Service
 from paddlequay.errors import ConfigError
 from paddlequay.schema import paddlequay_pb2 as schema
@@ -24,11 +24,11 @@
 class DiscoverySettings:
     """What a router is told of its sources."""
 
-    rules: tuple[Rule, ...]
+    rules: tuple[SourceRule, ...]
     servers: tuple[Address, ...]
     services: tuple[Service, ...]
     folder: Path | None
-    limits: Limits
+    limits: MembershipLimits
 
 
 def read_discovery(path: Path) -> DiscoverySettings:
@@ -45,7 +45,7 @@
             raise lines.error(field, f"expected a number above 0, got {value:g}", f"{value:g}")
         return value
 
-    rules: list[Rule] = []
+    rules: list[SourceRule] = []
     for place, source in enumerate(told.source):
         at = f"discovery.source[{place}]"
         name = SOURCES[source.type]
@@ -53,7 +53,7 @@
             raise lines.error(f"{at}.type", "stands there twice")
         keep = positive(source.keep_s, f"{at}.keep_s", 300.0)
         silent = positive(source.silent_s, f"{at}.silent_s", 10.0)
-        rules.append(Rule(name, not source.only_drains, keep, silent))
+        rules.append(SourceRule(name, not source.only_drains, keep, silent))
     names = {rule.name for rule in rules}
     if not any(rule.adds and rule.name != "kept" for rule in rules):
         raise lines.error("discovery.source", "expected one that takes members in")
@@ -77,10 +77,10 @@
             service(each, f"discovery.service[{n}]", lines) for n, each in enumerate(told.service)
         ),
         folder=path.parent / told.folder if told.folder else None,
-        limits=Limits(
+        limits=MembershipLimits(
             mass_share=positive(mass.share, "discovery.mass_removal.share", 0.3, 1.0),
             mass_window=positive(mass.window_s, "discovery.mass_removal.window_s", 10.0),
-            confirm=positive(mass.confirm_s, "discovery.mass_removal.confirm_s", 30.0),
+            confirm_after=positive(mass.confirm_s, "discovery.mass_removal.confirm_s", 30.0),
         ),
     )
 
--- a/tests/crossings/test_list_members.py
+++ b/tests/crossings/test_list_members.py
@@ -10,12 +10,12 @@
 from rig_list import entry, roster
 from test_watch import made
 
-from paddlequay.discovery.membership import Limits, Rule
-from paddlequay.discovery.resolver import Send
+from paddlequay.discovery.membership import MembershipLimits, SourceRule
+from paddlequay.discovery.resolver import SendQuery
 from paddlequay.net import dns
 from paddlequay.net.caches import ConnectionPool
 from paddlequay.net.endpoint_watch import EndpointWatch
-from paddlequay.net.members import Members
+from paddlequay.net.members import MemberSources
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.endpoint_watch import Endpoint, EndpointWatchError, WatchHeartbeat, parse_event
 from paddlequay.requests.exchange import Exchange
@@ -50,13 +50,13 @@
     return follower, exchange, pool
 
 
-def discovered(tmp_path: Path, most: int = 100) -> tuple[EndpointWatch, Exchange, Breaking, Members]:
+def discovered(tmp_path: Path, most: int = 100) -> tuple[EndpointWatch, Exchange, Breaking, MemberSources]:
     """The same with the list as a source of the membership."""
     exchange, _, _ = made(tmp_path)
     pool = Breaking(exchange, exchange.quotas, exchange.limits, exchange.counters)
     follower = EndpointWatch(("127.0.0.1", 1), exchange, pool, exchange.limits, exchange.counters)
-    settings = DiscoverySettings((Rule("list"),), (), (), None, Limits(members=most))
-    members = Members(settings, follower, exchange, pool, exchange.counters, "n0")
+    settings = DiscoverySettings((SourceRule("list"),), (), (), None, MembershipLimits(max_members=most))
+    members = MemberSources(settings, follower, exchange, pool, exchange.counters, "n0")
     follower.start_from({"no": 1, "items": [roster(1, entry("a"), entry("b", hostPort="10.0.0.2:80"))]})
     return follower, exchange, pool, members
 
@@ -151,9 +151,9 @@
 
     async def work() -> None:
         resolver = Resolver()
-        driver = dns.Driver(cast(Any, resolver), Counters(), lambda: 0.0, lambda _: None)
+        driver = dns.ResolverDriver(cast(Any, resolver), Counters(), lambda: 0.0, lambda _: None)
         monkeypatch.setattr("paddlequay.net.dns.socket.socket", full)
-        await driver.by_tcp(Send(1, ("127.0.0.1", 53), b"", True, 1.0))
+        await driver.query_by_tcp(SendQuery(1, ("127.0.0.1", 53), b"", True, 1.0))
         assert resolver.why == "TCP OSError"
 
     asyncio.run(work())
--- a/tests/golden/golden_samples.py
+++ b/tests/golden/golden_samples.py
@@ -18,7 +18,7 @@
 
 from paddlequay.cluster.notes import NOTES, Note
 from paddlequay.cluster.wire import Codec, Head
-from paddlequay.discovery.membership import Box, Membership, Rule
+from paddlequay.discovery.membership import Membership, ReportedMember, SourceRule
 from paddlequay.hierarchy.moves import MoveLimits, Moves
 from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, delta_data, next_shape, whole
 from paddlequay.lifecycle.operator_state import OperatorState, Override
@@ -91,10 +91,12 @@
 
 def membership() -> Membership:
     """Two members, one of them draining."""
-    members = Membership((Rule("list", keep=60.0, silent=5.0), Rule("kept", keep=60.0)))
+    members = Membership(
+        (SourceRule("list", retain_for=60.0, silent_after=5.0), SourceRule("kept", retain_for=60.0))
+    )
     boxes = [
-        Box("s-1", ("127.0.0.1", 80), "cache", "here", 2, 1.5, 7.0),
-        Box("s-2", ("127.0.0.2", 81), state=MemberState.DRAINING),
+        ReportedMember("s-1", ("127.0.0.1", 80), "cache", "here", 2, 1.5, 7.0),
+        ReportedMember("s-2", ("127.0.0.2", 81), state=MemberState.DRAINING),
     ]
     members.report("list", boxes, True, 10.0)
     return members
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -7,7 +7,7 @@
 from golden_samples import DATA, FLEET_SIZE, MARKS, SAMPLES, link_messages, membership, shape, trained_router
 
 from paddlequay.cluster.wire import Codec
-from paddlequay.discovery.membership import Membership, Rule
+from paddlequay.discovery.membership import Membership, SourceRule
 from paddlequay.errors import RecordError
 from paddlequay.hierarchy.moves import MoveLimits, Moves
 from paddlequay.hierarchy.shape import Shape, ShapeLimits, delta_data, next_shape, read_delta, whole
@@ -58,10 +58,10 @@
 
 def test_saved_members_are_read_and_written_alike() -> None:
     data = json.loads(sample("saved_members.json"))
-    read = Membership((Rule("list"), Rule("kept", keep=60.0)))
+    read = Membership((SourceRule("list"), SourceRule("kept", retain_for=60.0)))
     read.recover(data, "kept", 20.0)
-    before = [change.box for change in membership().members.values()]
-    assert [change.box for change in read.members.values()] == before
+    before = [change.member for change in membership().members.values()]
+    assert [change.member for change in read.members.values()] == before
     assert read.snapshot() == data
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,27 +10,37 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from paddlequay.discovery.membership import Box, Change, Limits, Membership, Rule, TooManyError
+from paddlequay.discovery.membership import (
+    Membership,
+    MembershipChange,
+    MembershipLimits,
+    ReportedMember,
+    SourceRule,
+    TooManyMembersError,
+)
 from paddlequay.routing.interface import MemberState
 
 READY, DRAINING, GONE = MemberState.READY, MemberState.DRAINING, MemberState.REMOVED
-RULES = (Rule("list", keep=60.0, silent=5.0), Rule("dns", keep=60.0, silent=5.0))
+RULES = (
+    SourceRule("list", retain_for=60.0, silent_after=5.0),
+    SourceRule("dns", retain_for=60.0, silent_after=5.0),
+)
 
 
-def box(id: str, port: int = 1, state: MemberState = READY, **also: object) -> Box:
-    return replace(Box(id, ("127.0.0.1", port), state=state), **also)  # type: ignore[arg-type]
+def box(id: str, port: int = 1, state: MemberState = READY, **also: object) -> ReportedMember:
+    return replace(ReportedMember(id, ("127.0.0.1", port), state=state), **also)  # type: ignore[arg-type]
 
 
-def fleet(count: int) -> list[Box]:
+def fleet(count: int) -> list[ReportedMember]:
     return [box(f"b{n}", 100 + n) for n in range(count)]
 
 
-def told(changes: list[Change]) -> dict[str, MemberState]:
-    return {change.box.id: change.box.state for change in changes}
+def told(changes: list[MembershipChange]) -> dict[str, MemberState]:
+    return {change.member.id: change.member.state for change in changes}
 
 
 def held(members: Membership) -> dict[str, MemberState]:
-    return {change.box.id: change.box.state for change in members.members.values()}
+    return {change.member.id: change.member.state for change in members.members.values()}
 
 
 @pytest.mark.parametrize("state", [DRAINING, GONE])
@@ -53,7 +63,7 @@
     members = Membership(RULES)
     members.report("dns", [box("s-1", 2)], True, 0.0)
     assert told(members.report("list", [box("s-1", 1, DRAINING)], True, 1.0)) == {"s-1": DRAINING}
-    assert [change.box.address[1] for change in members.members.values()] == [1]
+    assert [change.member.address[1] for change in members.members.values()] == [1]
     members.report("list", [box("s-1", 1, GONE)], False, 2.0)
     assert held(members) == {}
 
@@ -62,11 +72,11 @@
     members = Membership(RULES)
     members.report("dns", [box("s-1", 2)], True, 0.0)
     (change,) = members.report("list", [box("s-1", 1)], True, 0.0)
-    assert change.box.address[1] == 1
+    assert change.member.address[1] == 1
     (change,) = members.report("list", [box("s-1", 3)], False, 1.0)
-    assert (change.box.id, change.box.state, change.box.address[1]) == ("s-1", READY, 3)
+    assert (change.member.id, change.member.state, change.member.address[1]) == ("s-1", READY, 3)
     (change,) = members.report("list", [], True, 2.0)
-    assert change.box.address[1] == 2  # the list no longer names it: DNS's place holds
+    assert change.member.address[1] == 2  # the list no longer names it: DNS's place holds
     assert "dns" in members.explain("s-1", 2.0)[0]
 
 
@@ -80,7 +90,7 @@
 
 
 def test_only_a_source_that_may_add_takes_a_box_in_and_any_may_drain_it() -> None:
-    members = Membership((Rule("list"), Rule("dns", adds=False)))
+    members = Membership((SourceRule("list"), SourceRule("dns", adds=False)))
     assert members.report("dns", [box("b")], True, 0.0) == []
     assert members.explain("b", 0.0)[-1].endswith("authority: only sources that may not add name it")
     members.report("list", [box("b")], True, 0.0)
@@ -88,7 +98,7 @@
 
 
 def test_a_silent_source_keeps_its_word_for_a_time_and_then_its_boxes_leave_one_by_one() -> None:
-    members = Membership(RULES, Limits(decay=2.0))
+    members = Membership(RULES, MembershipLimits(expiry_interval=2.0))
     members.report("dns", fleet(10), True, 0.0)
     members.report("list", [box("b0", 100)], True, 0.0)
     gone = []
@@ -101,7 +111,7 @@
 
 
 def test_an_empty_answer_is_held_and_believed_only_once_it_lasts() -> None:
-    members = Membership(RULES, Limits(confirm=30.0))
+    members = Membership(RULES, MembershipLimits(confirm_after=30.0))
     members.report("dns", fleet(10), True, 0.0)
     for now in range(1, 30):
         assert members.report("dns", [], True, float(now)) == []
@@ -125,7 +135,7 @@
 
 
 def test_many_that_leave_one_after_the_other_within_the_window_are_held_as_well() -> None:
-    members = Membership(RULES, Limits(mass_window=10.0))
+    members = Membership(RULES, MembershipLimits(mass_window=10.0))
     members.report("dns", fleet(10), True, 0.0)
     for step in range(1, 8):
         members.report("dns", fleet(10 - step), True, float(step))
@@ -133,13 +143,13 @@
 
 
 def test_a_box_that_flaps_is_kept_out_longer_each_time_but_leaves_at_once() -> None:
-    members = Membership(RULES, Limits(mass_least=100))
+    members = Membership(RULES, MembershipLimits(min_mass=100))
     now, outs = 0.0, 0
     members.report("list", [box("b")], True, now)
     for step in range(1, 400):
         now += 1.0
         changes = members.report("list", [box("b")] if step % 2 else [], True, now)
-        outs += any(change.box.state is GONE for change in changes)
+        outs += any(change.member.state is GONE for change in changes)
         if step % 2 == 0:
             assert held(members) == {}
     assert outs < 40
@@ -161,23 +171,23 @@
     members = Membership(RULES)
     members.report("dns", [box("a", 1)], True, 100.0)
     members.report("dns", [box("a", 1), box("b", 2), box("c", 3, started=7.0)], True, 200.0)
-    ages = {change.box.id: change.box.started for change in members.members.values()}
+    ages = {change.member.id: change.member.started for change in members.members.values()}
     assert ages == {"a": 0.0, "b": 200.0, "c": 7.0}
-    again = Membership((*RULES, Rule("kept", keep=60.0)))
+    again = Membership((*RULES, SourceRule("kept", retain_for=60.0)))
     assert len(again.recover(members.snapshot(), "kept", 300.0)) == 3
     again.report("dns", [box("b", 2), box("d", 4)], True, 350.0)
-    ages = {change.box.id: change.box.started for change in again.members.values()}
+    ages = {change.member.id: change.member.started for change in again.members.values()}
     assert ages["b"] == 200.0 and ages["d"] == 350.0 and "by kept" in again.explain("a", 350.0)[-1]
     with pytest.raises(ValueError, match="cannot be read"):
         again.recover({"members": [1]}, "kept", 351.0)
 
 
 def test_too_many_members_are_refused_whole() -> None:
-    members = Membership(RULES, Limits(members=10))
+    members = Membership(RULES, MembershipLimits(max_members=10))
     members.report("dns", fleet(8), True, 0.0)
-    with pytest.raises(TooManyError):
+    with pytest.raises(TooManyMembersError):
         members.report("dns", [box(f"x{n}", 900 + n) for n in range(3)], False, 1.0)
-    assert len(members.members) == 8 and members.sources["dns"].refused == 1
+    assert len(members.members) == 8 and members.sources["dns"].rejected_reports == 1
 
 
 def test_a_delta_touches_what_it_names_and_not_the_rest() -> None:
@@ -189,7 +199,7 @@
         decided = 0
         real = members.decide
 
-        def counting(address: tuple[str, int], now: float) -> Change | None:
+        def counting(address: tuple[str, int], now: float) -> MembershipChange | None:
             nonlocal decided
             decided += 1
             return real(address, now)  # noqa: B023
@@ -206,10 +216,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.members = Membership(RULES, Limits(mass_least=2, confirm=5.0))
+        self.members = Membership(RULES, MembershipLimits(min_mass=2, confirm_after=5.0))
         self.now = 0.0
         self.out: dict[tuple[str, str], int] = {}  # what a source has drained or ended, and at which port
-        self.names: dict[str, dict[str, Box]] = {"list": {}, "dns": {}}
+        self.names: dict[str, dict[str, ReportedMember]] = {"list": {}, "dns": {}}
 
     @rule(
         source=st.sampled_from(["list", "dns"]),
@@ -244,20 +254,20 @@
     @invariant()
     def nothing_out_is_usable_by_its_id(self) -> None:
         for (source, id), _ in self.out.items():
-            word = self.members.sources[source].words.get(id)
-            ended = (source, id) in self.members.ended
+            word = self.members.sources[source].reports.get(id)
+            ended = (source, id) in self.members.removals
             assert word is not None or ended, "a drain was forgotten"
             for change in self.members.members.values():
-                if change.box.id == id and change.box.state is READY:
-                    naming = {s for (s, _) in self.members.at[change.box.address]}
+                if change.member.id == id and change.member.state is READY:
+                    naming = {s for (s, _) in self.members.reports_by_address[change.member.address]}
                     assert ended and source in naming, (source, id, change)
 
     @invariant()
     def what_is_told_is_consistent(self) -> None:
-        assert {c.box.id: a for a, c in self.members.members.items()} == self.members.names
+        assert {c.member.id: a for a, c in self.members.members.items()} == self.members.address_by_id
         for source in self.members.sources.values():
-            for id, word in source.words.items():
-                assert self.members.at[word.box.address][source.rule.name, id] is word
+            for id, word in source.reports.items():
+                assert self.members.reports_by_address[word.member.address][source.rule.name, id] is word
 
 
 TestSources = Sources.TestCase
@@ -267,7 +277,7 @@
 def test_taken_without_its_guard_the_drain_is_lost_and_found_so() -> None:
     """The check above can fail: with the rule on drains out, a drained box is usable at once."""
     members = Membership(RULES)
-    members.about = lambda address, words: iter(())  # type: ignore[method-assign]
+    members.reports_about = lambda address, words: iter(())  # type: ignore[method-assign]
     members.report("dns", [box("s-1")], True, 0.0)
     members.report("list", [box("s-1", state=DRAINING)], True, 1.0)
     assert held(members) == {"s-1": READY}
@@ -275,8 +285,8 @@
 
 def test_random_reports_of_a_large_fleet_end_as_the_last_words_have_it() -> None:
     rng = random.Random(5)
-    members = Membership(RULES, Limits(mass_least=10_000, flaps=10_000))
-    last: dict[str, Box] = {}
+    members = Membership(RULES, MembershipLimits(min_mass=10_000, max_flaps=10_000))
+    last: dict[str, ReportedMember] = {}
     began = time.process_time()
     for step in range(500):
         some = [box(f"b{n}", 1000 + n, rng.choice([READY, DRAINING])) for n in rng.sample(range(2000), 20)]
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -12,11 +12,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from paddlequay.discovery.answers import Meaning, Question, mixed, query, read
-from paddlequay.discovery.resolver import Known, Limits, Resolver, Send
-from paddlequay.discovery.srv import Follower, Service, TierLimits, box_id
+from paddlequay.discovery.answers import AnswerKind, DnsQuestion, build_query, parse_answer, randomize_case
+from paddlequay.discovery.resolver import RecordSetKnown, Resolver, ResolverLimits, SendQuery
+from paddlequay.discovery.srv import Service, ServiceWatch, TierLimits, box_id
 from paddlequay.lab.dns import DnsServer
-from paddlequay.net.dns import Driver
+from paddlequay.net.dns import ResolverDriver
 from paddlequay.observability.counters import Counters
 
 SRV, A, TXT = dns.rdatatype.SRV, dns.rdatatype.A, dns.rdatatype.TXT
@@ -35,13 +35,13 @@
         self.servers = [DnsServer() for _ in range(servers)]
         addresses = [("127.0.0.1", 53 + n) for n in range(servers)]
         self.by_address = dict(zip(addresses, self.servers, strict=True))
-        self.resolver = Resolver(addresses, random.Random(seed), Limits(**limits))
+        self.resolver = Resolver(addresses, random.Random(seed), ResolverLimits(**limits))
         self.now = 100.0
-        self.known: list[Known] = []
+        self.known: list[RecordSetKnown] = []
         self.coming: list[tuple[float, int, bytes, tuple[str, int]]] = []
         self.down: set[tuple[str, int]] = set()
         self.tcp_refused = False
-        self.sent: list[tuple[float, Send]] = []
+        self.sent: list[tuple[float, SendQuery]] = []
 
     def put(self, *args: Any) -> None:
         for server in self.servers:
@@ -49,7 +49,7 @@
 
     def carry(self, actions: list[Any]) -> None:
         for action in list(actions):
-            if isinstance(action, Known):
+            if isinstance(action, RecordSetKnown):
                 self.known.append(action)
                 continue
             self.sent.append((self.now, action))
@@ -60,7 +60,7 @@
                 self.coming.append((self.now + 0.01 + delay, action.number, wire, action.server))
 
     def want(self, name: dns.name.Name, kind: dns.rdatatype.RdataType) -> None:
-        self.carry(self.resolver.want(name, kind, self.now))
+        self.carry(self.resolver.subscribe(name, kind, self.now))
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -98,7 +98,7 @@
     net.put(str(HOST), "A", 10)
     net.run(10)
     assert net.last() == []
-    net.resolver.unwant(HOST, A)
+    net.resolver.unsubscribe(HOST, A)
     asked = net.servers[0].asked.total()
     net.run(500)
     assert net.servers[0].asked.total() == asked
@@ -198,7 +198,7 @@
 def test_an_answer_from_another_server_or_twice_is_not_looked_at() -> None:
     net = Net()
     net.put(str(HOST), "A", 60, "127.0.0.1")
-    net.carry(net.resolver.want(HOST, A, net.now))
+    net.carry(net.resolver.subscribe(HOST, A, net.now))
     _, number, wire, _ = net.coming[0]
     net.carry(net.resolver.received(number, wire, ("127.0.0.9", 53), net.now))
     assert net.last() is None
@@ -254,17 +254,17 @@
 
 
 def test_what_is_wanted_and_kept_is_bounded_and_the_clock_may_go_back() -> None:
-    net = Net(names=10, cache=20)
+    net = Net(max_names=10, max_cached=20)
     for number in range(10):
         net.want(name(f"n{number}.plaza.example."), A)
     with pytest.raises(ValueError, match="more than 10"):
         net.want(name("n10.plaza.example."), A)
     for number in range(10):
-        net.resolver.unwant(name(f"n{number}.plaza.example."), A)
+        net.resolver.unsubscribe(name(f"n{number}.plaza.example."), A)
     for number in range(20, 80):
         net.want(name(f"n{number}.plaza.example."), A)
         net.run(0.1)
-        net.resolver.unwant(name(f"n{number}.plaza.example."), A)
+        net.resolver.unsubscribe(name(f"n{number}.plaza.example."), A)
     assert len(net.resolver.entries) <= 21
     net.put(str(HOST), "A", 5, "127.0.0.1")
     net.want(HOST, A)
@@ -274,7 +274,7 @@
     assert net.last() == ["127.0.0.1"]
 
 
-QUESTION = Question(mixed(HOST, random.Random(3)), A, 4711, ("127.0.0.1", 53))
+QUESTION = DnsQuestion(randomize_case(HOST, random.Random(3)), A, 4711, ("127.0.0.1", 53))
 
 
 @settings(max_examples=1500, deadline=None, derandomize=True)
@@ -282,7 +282,7 @@
 def test_no_bytes_raise_past_the_reader(data: st.DataObject) -> None:
     server = DnsServer()
     server.put(str(HOST), "A", 60, "127.0.0.1", "127.0.0.2")
-    good = server.answers(query(QUESTION, True), True)[0][1]
+    good = server.answers(build_query(QUESTION, True), True)[0][1]
     if data.draw(st.booleans()):
         wire = bytearray(good)
         for _ in range(data.draw(st.integers(1, 8))):
@@ -290,27 +290,27 @@
         wire = wire[: data.draw(st.integers(0, len(wire)))]
     else:
         wire = bytearray(good[:2] + data.draw(st.binary(max_size=200)))
-    answer = read(QUESTION, bytes(wire), QUESTION.server)
-    assert answer.meaning in Meaning and answer.ttl >= 0
+    answer = parse_answer(QUESTION, bytes(wire), QUESTION.server)
+    assert answer.kind in AnswerKind and answer.ttl >= 0
 
 
 # --- services ---
 
 
-def known(name: dns.name.Name, kind: dns.rdatatype.RdataType, *data: str) -> Known:
+def known(name: dns.name.Name, kind: dns.rdatatype.RdataType, *data: str) -> RecordSetKnown:
     server = DnsServer()
     if data:
         server.put(str(name), dns.rdatatype.to_text(kind), 60, *data)
-    question = Question(name.canonicalize(), kind, 1, ("127.0.0.1", 53))
-    answer = read(question, server.answers(query(question, True), True)[0][1], question.server)
-    return Known(name.canonicalize(), kind, answer.records, 100.0)
+    question = DnsQuestion(name.canonicalize(), kind, 1, ("127.0.0.1", 53))
+    answer = parse_answer(question, server.answers(build_query(question, True), True)[0][1], question.server)
+    return RecordSetKnown(name.canonicalize(), kind, answer.records, 100.0)
 
 
-def follower(*srv: str, **also: Any) -> Follower:
-    made = Follower(Service(NAME, "box", "plaza", **also), TierLimits(return_after=30.0))
-    assert made.known(known(NAME, SRV, *srv))
+def follower(*srv: str, **also: Any) -> ServiceWatch:
+    made = ServiceWatch(Service(NAME, "box", "plaza", **also), TierLimits(return_after=30.0))
+    assert made.update(known(NAME, SRV, *srv))
     for number in range(1, 7):
-        made.known(known(name(f"b{number}.plaza.example."), A, f"127.0.0.{number}"))
+        made.update(known(name(f"b{number}.plaza.example."), A, f"127.0.0.{number}"))
     return made
 
 
@@ -320,24 +320,24 @@
 
 def test_weights_are_shares_with_a_little_for_0_and_ids_stay_over_address_changes() -> None:
     made = follower("1 30 9 b1.plaza.example.", "1 10 9 b2.plaza.example.", "1 0 9 b3.plaza.example.")
-    weights = [box.weight for box in made.boxes(0.0)]
+    weights = [box.weight for box in made.members(0.0)]
     assert weights[0] == pytest.approx(3 * (weights[1] or 0)) and weights[2] == 0.01
-    assert [box.weight for box in follower("1 0 9 b1.plaza.example.").boxes(0.0)] == [1.0]
-    (before, *_) = made.boxes(1.0)
-    made.known(known(name("b1.plaza.example."), A, "127.0.0.1", "127.0.0.0"))
-    assert made.boxes(2.0)[0].address == before.address  # still an answer: it does not move
-    made.known(known(name("b1.plaza.example."), A, "127.0.0.99"))
-    moved = made.boxes(3.0)[0]
+    assert [box.weight for box in follower("1 0 9 b1.plaza.example.").members(0.0)] == [1.0]
+    (before, *_) = made.members(1.0)
+    made.update(known(name("b1.plaza.example."), A, "127.0.0.1", "127.0.0.0"))
+    assert made.members(2.0)[0].address == before.address  # still an answer: it does not move
+    made.update(known(name("b1.plaza.example."), A, "127.0.0.99"))
+    moved = made.members(3.0)[0]
     assert moved.id == before.id == box_id(name("B1.plaza.example."), 9) and moved.address[0] == "127.0.0.99"
 
 
 @pytest.mark.parametrize(("family", "host"), [("v4", "127.0.0.1"), ("v6", "::1"), ("both", "127.0.0.1")])
 def test_targets_are_found_by_the_family_that_is_wanted(family: str, host: str) -> None:
     made = follower("1 1 9 b1.plaza.example.", family=family)
-    made.known(known(name("b1.plaza.example."), dns.rdatatype.AAAA, "::1"))
-    assert [box.address for box in made.boxes(0.0)] == [(host, 9)]
-    made.known(known(name("b1.plaza.example."), A))
-    assert [box.address for box in made.boxes(1.0)] == ([] if family == "v4" else [("::1", 9)])
+    made.update(known(name("b1.plaza.example."), dns.rdatatype.AAAA, "::1"))
+    assert [box.address for box in made.members(0.0)] == [(host, 9)]
+    made.update(known(name("b1.plaza.example."), A))
+    assert [box.address for box in made.members(1.0)] == ([] if family == "v4" else [("::1", 9)])
 
 
 def test_priorities_fall_back_at_once_and_return_only_once_it_lasts() -> None:
@@ -347,27 +347,27 @@
         "5 1 9 b3.plaza.example.",
         "9 1 9 b4.plaza.example.",
     )
-    assert ids(made.boxes(0.0)) == ["b1", "b2"]
+    assert ids(made.members(0.0)) == ["b1", "b2"]
     for number in (1, 2):
-        made.known(known(name(f"b{number}.plaza.example."), A))
-    assert ids(made.boxes(1.0)) == ["b3"]
-    made.known(known(name("b1.plaza.example."), A, "127.0.0.1"))
-    assert ids(made.boxes(2.0)) == ["b3"]
-    made.known(known(name("b2.plaza.example."), A, "127.0.0.2"))
-    assert ids(made.boxes(3.0)) == ["b3"] and ids(made.boxes(20.0)) == ["b3"]
-    made.known(known(name("b2.plaza.example."), A))
-    made.boxes(25.0)
-    made.known(known(name("b2.plaza.example."), A, "127.0.0.2"))
-    assert ids(made.boxes(34.0)) == ["b3"] and ids(made.boxes(63.0)) == ["b3"]
-    assert ids(made.boxes(64.1)) == ["b1", "b2"]
+        made.update(known(name(f"b{number}.plaza.example."), A))
+    assert ids(made.members(1.0)) == ["b3"]
+    made.update(known(name("b1.plaza.example."), A, "127.0.0.1"))
+    assert ids(made.members(2.0)) == ["b3"]
+    made.update(known(name("b2.plaza.example."), A, "127.0.0.2"))
+    assert ids(made.members(3.0)) == ["b3"] and ids(made.members(20.0)) == ["b3"]
+    made.update(known(name("b2.plaza.example."), A))
+    made.members(25.0)
+    made.update(known(name("b2.plaza.example."), A, "127.0.0.2"))
+    assert ids(made.members(34.0)) == ["b3"] and ids(made.members(63.0)) == ["b3"]
+    assert ids(made.members(64.1)) == ["b1", "b2"]
 
 
 def test_not_offered_ports_of_0_doubles_and_too_many() -> None:
     made = follower("0 0 0 .")
-    assert made.not_offered and made.boxes(0.0) == []
+    assert made.not_offered and made.members(0.0) == []
     made = follower("1 1 0 b1.plaza.example.", "1 1 9 b2.plaza.example.", "1 5 9 b2.plaza.example.")
-    assert ids(made.boxes(0.0)) == ["b2"]
-    assert {kind for _, kind in made.wants()} == {SRV, A}
+    assert ids(made.members(0.0)) == ["b2"]
+    assert {kind for _, kind in made.required_names()} == {SRV, A}
 
 
 def test_zone_cell_and_kind_come_by_the_name_or_by_txt() -> None:
@@ -378,8 +378,8 @@
         naming=re.compile(r"b(?P<cell>\d+)\.(?P<zone>\w+)"),
     )
     told = 'zone=east cell=7 started=1700000000 junk=1 "kind=parent"'
-    made.known(known(name("b2.plaza.example."), TXT, told.replace('"', "").join('""')))
-    one, two = made.boxes(0.0)
+    made.update(known(name("b2.plaza.example."), TXT, told.replace('"', "").join('""')))
+    one, two = made.members(0.0)
     assert (one.kind, one.zone, one.cell, one.started) == ("box", "plaza", 1, None)
     assert (two.kind, two.zone, two.cell, two.started) == ("parent", "east", 7, 1700000000.0)
 
@@ -389,7 +389,7 @@
 
 @pytest.mark.parametrize("fault", ["", "truncated", "spoofed-first"])
 def test_over_sockets(fault: str) -> None:
-    async def play() -> list[Known]:
+    async def play() -> list[RecordSetKnown]:
         server = DnsServer()
         await server.start()
         server.fault = fault
@@ -397,10 +397,10 @@
             str(NAME), "SRV", 60, *(f"1 1 9 b{n}.plaza.example." for n in range(200 if not fault else 2))
         )
         resolver = Resolver([server.address], random.Random(1))
-        found: list[Known] = []
-        driver = Driver(resolver, Counters(), time.monotonic, found.append)
+        found: list[RecordSetKnown] = []
+        driver = ResolverDriver(resolver, Counters(), time.monotonic, found.append)
         running = asyncio.ensure_future(driver.run())
-        driver.carry(resolver.want(NAME, SRV, time.monotonic()))
+        driver.execute(resolver.subscribe(NAME, SRV, time.monotonic()))
         async with asyncio.timeout(5):
             while not found:
                 await asyncio.sleep(0.01)
