--- a/paddlequay/discovery/answers.py
+++ b/paddlequay/discovery/answers.py
@@ -24,10 +24,10 @@
 Name = dns.name.Name
 
 PAYLOAD = 1232  # octets by UDP: fits every path without fragments (DNS flag day 2020)
-CHAIN_MOST = 8  # CNAMEs that are followed for one question
-RECORDS_MOST = 2000  # of one answer
+MAX_CHAIN = 8  # CNAMEs that are followed for one question
+MAX_RECORDS = 2000  # of one answer
 MAX_ANSWER = 65_535
-TTL_MOST = (1 << 31) - 1  # RFC 2181, section 8: a lifetime with the highest bit set counts as 0
+MAX_TTL = (1 << 31) - 1  # RFC 2181, section 8: a lifetime with the highest bit set counts as 0
 
 
 class AnswerKind(Enum):
@@ -101,12 +101,13 @@
 
 
 def exact(a: Name, b: Name) -> bool:
-    """Equal to the letter's case."""
+    """Whether two names are alike, their case too."""
     return a.labels == b.labels
 
 
 def lifetime(ttl: int) -> int:
-    return ttl if 0 <= ttl <= TTL_MOST else 0
+    """A TTL in seconds, from 0 to `MAX_TTL`."""
+    return ttl if 0 <= ttl <= MAX_TTL else 0
 
 
 def parse_answer(question: DnsQuestion, data: bytes, server: tuple[str, int]) -> DnsAnswer:
@@ -135,10 +136,10 @@
         return DnsAnswer(
             AnswerKind.FAILED if failed else AnswerKind.NOT_OURS, reason=dns.rcode.to_text(rcode)
         )
-    (asked, *more) = message.question
-    same = exact(asked.name, question.name) and asked.rdtype == question.type
-    if more or not same or asked.rdclass != dns.rdataclass.IN:
-        return DnsAnswer(AnswerKind.NOT_OURS, reason=f"asks for {str(asked.name)[:60]}")
+    (echoed, *more) = message.question
+    same = exact(echoed.name, question.name) and echoed.rdtype == question.type
+    if more or not same or echoed.rdclass != dns.rdataclass.IN:
+        return DnsAnswer(AnswerKind.NOT_OURS, reason=f"asks for {str(echoed.name)[:60]}")
     if message.flags & dns.flags.TC:
         return DnsAnswer(AnswerKind.TRUNCATED, reason="TC")
     return believed(question, message, rcode)
@@ -148,10 +149,10 @@
     if rcode not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
         meaning = AnswerKind.LAME if rcode in (dns.rcode.REFUSED, dns.rcode.NOTAUTH) else AnswerKind.FAILED
         return DnsAnswer(meaning, reason=dns.rcode.to_text(rcode))
-    if sum(len(each) for section in (message.answer, message.additional) for each in section) > RECORDS_MOST:
-        return DnsAnswer(AnswerKind.GARBAGE, reason=f"more than {RECORDS_MOST} records")
+    if sum(len(each) for section in (message.answer, message.additional) for each in section) > MAX_RECORDS:
+        return DnsAnswer(AnswerKind.GARBAGE, reason=f"more than {MAX_RECORDS} records")
     # The way from the question's name over CNAMEs, each of which must stand in the answer section.
-    name, ttl, passed = question.name, TTL_MOST, {question.name}
+    name, ttl, passed = question.name, MAX_TTL, {question.name}
     while True:
         found = find(message.answer, name, question.type)
         if found is not None:
@@ -163,7 +164,7 @@
             break
         ttl = min(ttl, lifetime(alias.ttl))
         name = alias[0].target
-        if name in passed or len(passed) > CHAIN_MOST:
+        if name in passed or len(passed) > MAX_CHAIN:
             return DnsAnswer(AnswerKind.LOOP, reason=f"CNAME {str(name)[:60]}")
         passed.add(name)
     if len(passed) > 1 and rcode == dns.rcode.NOERROR and not message.authority:
--- /dev/null
+++ b/paddlequay/discovery/explanation.py
@@ -0,0 +1,42 @@
+"""For operators: what each source says of a member, and which rule of the membership won."""
+
+from paddlequay.discovery.membership import Membership
+from paddlequay.discovery.reports import Address, SourceReport
+
+
+def explain(membership: Membership, id: str, now: float) -> list[str]:
+    """What each source says of an id or of who shares its address, and which rule won; one line each."""
+    index = membership.index
+    addresses = set(index.addresses_by_id.get(id, ()))
+    if id in membership.address_by_id:
+        addresses.add(membership.address_by_id[id])
+    removals = (report for (_, name), report in index.removals.items() if name == id)
+    addresses.update(report.member.address for report in removals)
+    lines: list[str] = []
+    for address in sorted(addresses):
+        lines += explain_address(membership, address, now)
+    return lines or [f"{id}: no source has named it"]
+
+
+def explain_address(membership: Membership, address: Address, now: float) -> list[str]:
+    """One line for each report at an address, and one for what holds there."""
+    where = f"{address[0]}:{address[1]}"
+    reports = membership.index.reports_at(address)
+    lines = [f"{where} {explain_report(membership, report, now)}" for report in reports]
+    for removal in membership.index.removals_at(address, reports):
+        age = now - removal.reported_at
+        lines.append(f"{where} {removal.source}: {removal.member.id} ended {age:.0f} s ago")
+    change = membership.decide(address, now)
+    if change is None:
+        reason = ": ".join(membership.reason_for_absence(address, now))
+        return [*lines, f"{where} is not a member by {reason}"]
+    state = change.member.state.value
+    return [*lines, f"{where} is {change.member.id} {state} by {change.rule}: {change.reason}"]
+
+
+def explain_report(membership: Membership, report: SourceReport, now: float) -> str:
+    """What one source says, since when, and whether it is live."""
+    live = "live" if membership.sources[report.source].is_live(now) else "silent"
+    missing = "" if report.missing_since is None else f", left out for {now - report.missing_since:.0f} s"
+    member, age = report.member, now - report.reported_at
+    return f"{report.source} ({live}): {member.id} {member.state.value}, told {age:.0f} s ago{missing}"
--- a/paddlequay/discovery/resolver.py
+++ b/paddlequay/discovery/resolver.py
@@ -1,12 +1,12 @@
-"""A small stub resolver without sockets: what is asked when, of whom, and how long the answer holds.
+"""A small stub resolver without sockets: what is queried when, of whom, and how long the answer holds.
 
-`want` names keep being looked up for as long as they are wanted: refreshed before the earliest lifetime of
-their set ends, at a time drawn for each router, so that a fleet does not ask in step. Nothing a record said
-is used past its lifetime unless no server can be reached, and then for `stale` seconds at the most (RFC
-8767). Servers are asked by their health; what failed is remembered for a while and not asked again at once
-(RFC 9520). Truncated answers are asked again by TCP (RFC 7766).
+Subscribed names keep being looked up: refreshed before the shortest lifetime of their set ends, at a time
+drawn for each router, so that a fleet does not query in step. Nothing a record says is used past its lifetime
+unless no server can be reached, and then for `stale` seconds at most (RFC 8767). Servers are chosen by their
+health; what failed is remembered for a while and not queried again at once (RFC 9520). Truncated answers are
+queried again by TCP (RFC 7766).
 
-Events in (`want`, `received`, `failed`, `tick`), actions out (`Send`, `Known`).
+Events in (`subscribe`, `received`, `failed`, `tick`), actions out (`SendQuery`, `RecordSetKnown`).
 """
 
 import heapq
@@ -75,9 +75,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordSetKnown:
-    """What is known of a name now. `until`: Unix or monotonic second, the clock of `tick`, at which it ends.
+    """What is known of a name now. `until`: the second, by the clock of `tick`, at which it ends.
 
-    `records` are empty where the name or the type is not there; `stale` where no server could be asked and
+    `records` are empty where the name or the type is not there; `stale` where no server could be queried and
     the lifetime is over; `None` where nothing at all is known.
     """
 
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True)
 class ServerHealth:
-    """How a server does: smoothed answer time, and until when it is passed over."""
+    """How a server does: smoothed latency in seconds, and until when it is passed over."""
 
     smoothed_latency: float = 0.05
     failures: int = 0
@@ -105,7 +105,7 @@
 
 @dataclass(slots=True, eq=False)
 class CacheEntry:
-    """What is known of one set."""
+    """What is known of one record set."""
 
     answer: DnsAnswer | None = None
     received_at: float = -math.inf
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True, eq=False)
 class Lookup:
-    """One question on its way."""
+    """One query in flight."""
 
     key: Key
     question: DnsQuestion
@@ -154,7 +154,7 @@
     # --- what is wanted ---
 
     def subscribe(self, name: Name, kind: RecordType, now: float) -> list[ResolverAction]:
-        """Keep a set looked up, until `unwant` has come as often. ValueError past the bound."""
+        """Keep a record set looked up until `unsubscribe` came as often. Raises ValueError past the bound."""
         self.actions = []
         key = (name.canonicalize(), kind)
         entry = self.entries.get(key)
@@ -171,16 +171,19 @@
         return self.actions
 
     def unsubscribe(self, name: Name, kind: RecordType) -> None:
+        """One subscriber less; an unknown name is no error."""
         entry = self.entries.get((name.canonicalize(), kind))
         if entry is not None and entry.references:
             entry.references -= 1
             self.referenced_names -= not entry.references
 
     def known(self, name: Name, kind: RecordType) -> RecordSetKnown | None:
+        """What was announced last of a record set."""
         entry = self.entries.get((name.canonicalize(), kind))
         return None if entry is None else entry.announced
 
     def entry(self, key: Key) -> CacheEntry:
+        """The entry of a record set, a new one where there is none; idle ones are dropped past the bound."""
         entry = self.entries.get(key)
         if entry is None:
             entry = self.entries[key] = CacheEntry()
@@ -197,6 +200,7 @@
     # --- asking ---
 
     def start_lookup(self, key: Key, now: float) -> None:
+        """Look a record set up, unless that is under way or too many lookups are."""
         entry = self.entries[key]
         if entry.in_flight:
             return
@@ -206,34 +210,42 @@
         entry.in_flight = True
         self.send_query(key, now, [], 0, False)
 
-    def send_query(self, key: Key, now: float, tried: list[Server], tries: int, tcp: bool) -> None:
-        """Ask the best server not tried yet, or the best of all where each was."""
-        server = self.choose_server(tried, now) if not tcp else tried[-1]
+    def send_query(self, key: Key, now: float, tried_servers: list[Server], attempts: int, tcp: bool) -> None:
+        """Query the best server not tried yet, or the best of all where each was."""
+        server = self.choose_server(tried_servers, now) if not tcp else tried_servers[-1]
         health = self.health[server]
         self.last_number += 1
         name = randomize_case(key[0], self.rng)
         question = DnsQuestion(name, key[1], self.rng.getrandbits(16), server)
-        longest = self.limits.udp_timeout * (3 if tcp else 1)
-        lookup = Lookup(key, question, tcp, now, tries + 1, [*tried, server], health.edns, now + longest)
+        timeout = self.limits.udp_timeout * (3 if tcp else 1)
+        lookup = Lookup(
+            key, question, tcp, now, attempts + 1, [*tried_servers, server], health.edns, now + timeout
+        )
         self.lookups[self.last_number] = lookup
         self.counts["sent_tcp" if tcp else "sent_udp"] += 1
         health.counts["asked"] += 1
         self.actions.append(
-            SendQuery(self.last_number, server, build_query(question, health.edns), tcp, longest)
+            SendQuery(self.last_number, server, build_query(question, health.edns), tcp, timeout)
         )
         self.schedule(key, lookup.times_out_at)
 
-    def choose_server(self, tried: list[Server], now: float) -> Server:
+    def choose_server(self, tried_servers: list[Server], now: float) -> Server:
         """By health: who is not passed over first, then who answers soonest, in bands that keep the order."""
 
         def rank(server: Server) -> tuple[bool, bool, int, int]:
             health = self.health[server]
             band = int(math.log2(max(health.smoothed_latency, 0.001) * 1000))
-            return (server in tried, now < health.backoff_until, band // 2, self.servers.index(server))
+            return (
+                server in tried_servers,
+                now < health.backoff_until,
+                band // 2,
+                self.servers.index(server),
+            )
 
         return min(self.servers, key=rank)
 
     def schedule(self, key: Key, when: float) -> None:
+        """Look at a record set again at a time."""
         self.last_number += 1
         heapq.heappush(self.timers, (when, self.last_number, key))
 
@@ -275,13 +287,14 @@
         return self.actions
 
     def record_success(self, lookup: Lookup, now: float) -> None:
+        """A server has answered."""
         health = self.health[lookup.question.server]
         health.smoothed_latency += 0.3 * (max(0.0, now - lookup.sent_at) - health.smoothed_latency)
         health.failures = 0
         health.backoff_until = -math.inf
 
     def record_failure(self, lookup: Lookup, why: str, now: float) -> None:
-        """Another server's turn, or the end of this question for now."""
+        """Another server's turn, or the end of this lookup for now."""
         limits, health = self.limits, self.health[lookup.question.server]
         health.failures += 1
         health.counts[why] += 1
@@ -303,7 +316,7 @@
         self.announce(lookup.key, entry, now, why)
 
     def store_with_extras(self, key: Key, answer: DnsAnswer, now: float) -> None:
-        """Keep an answer, and what came along with it where nothing better is known."""
+        """Store an answer, and what came along with it where nothing better is known."""
         self.store(key, answer, now)
         for extra in answer.extras:
             other = (extra.name.canonicalize(), extra.type)
@@ -314,21 +327,24 @@
                 self.store(other, DnsAnswer(AnswerKind.RECORDS, extra.records, ttl), now)
 
     def store(self, key: Key, answer: DnsAnswer, now: float) -> None:
+        """Store an answer for its lifetime, and schedule its refresh."""
         limits = self.limits
         entry = self.entry(key)
         spread = limits.first_refresh if entry.answer is None or entry.failures else limits.refresh
         entry.in_flight, entry.failures = False, 0
-        most = limits.max_lifetime if answer.kind is AnswerKind.RECORDS else limits.max_negative_lifetime
+        max_lifetime = (
+            limits.max_lifetime if answer.kind is AnswerKind.RECORDS else limits.max_negative_lifetime
+        )
         # The floor spares servers; a removed record leaves at its lifetime or the floor, whichever is later.
-        life = min(most, max(limits.min_lifetime, float(answer.ttl)))
-        entry.answer, entry.received_at, entry.expires_at = answer, now, now + life
-        entry.refresh_at = now + max(limits.min_lifetime * 0.9, life * self.rng.uniform(*spread))
+        lifetime = min(max_lifetime, max(limits.min_lifetime, float(answer.ttl)))
+        entry.answer, entry.received_at, entry.expires_at = answer, now, now + lifetime
+        entry.refresh_at = now + max(limits.min_lifetime * 0.9, lifetime * self.rng.uniform(*spread))
         self.schedule(key, entry.refresh_at)
         self.schedule(key, entry.expires_at)
         self.announce(key, entry, now, answer.reason)
 
     def announce(self, key: Key, entry: CacheEntry, now: float, why: str) -> None:
-        """Tell what is known, where that is news."""
+        """Announce what is known, where that has changed."""
         answer = entry.answer
         if answer is None:
             known = RecordSetKnown(*key, None, now, reason=why)
@@ -338,22 +354,26 @@
             known = RecordSetKnown(*key, answer.records, entry.expires_at + self.limits.stale, True, why)
         else:
             known = RecordSetKnown(*key, None, now, reason=why or "over")
-        told = entry.announced
+        announced = entry.announced
         entry.announced = known
-        if told is None or (told.records, told.stale) != (known.records, known.stale) or not known.stale:
+        if (
+            announced is None
+            or (announced.records, announced.stale) != (known.records, known.stale)
+            or not known.stale
+        ):
             self.actions.append(known)
 
     def may_serve_stale(self, entry: CacheEntry, now: float) -> bool:
         """Whether records may be used past their lifetime: no server has said anything else meanwhile."""
         answer = entry.answer
-        unheard = entry.failures > 0 or entry.in_flight
+        unanswered = entry.failures > 0 or entry.in_flight
         records = answer is not None and answer.kind is AnswerKind.RECORDS
-        return records and unheard and now < entry.expires_at + self.limits.stale
+        return records and unanswered and now < entry.expires_at + self.limits.stale
 
     # --- time ---
 
     def tick(self, now: float) -> list[ResolverAction]:
-        """What is due: tries that are over, sets to ask for again, sets whose lifetime has ended."""
+        """What is due: attempts that are over, record sets to look up again, lifetimes that have ended."""
         self.actions = []
         for number in [n for n, lookup in self.lookups.items() if lookup.times_out_at <= now]:
             self.counts["timeouts"] += 1
@@ -375,6 +395,6 @@
         return self.actions
 
     def next_due(self) -> float:
-        """When `tick` has something to do."""
+        """When `tick` next has something to do."""
         first = self.timers[0][0] if self.timers else math.inf
         return min([first, *(lookup.times_out_at for lookup in self.lookups.values())])
--- a/paddlequay/discovery/srv.py
+++ b/paddlequay/discovery/srv.py
@@ -18,11 +18,11 @@
 from dns.rdtypes.IN.SRV import SRV
 
 from paddlequay.discovery.answers import Name
-from paddlequay.discovery.membership import Address, ReportedMember
+from paddlequay.discovery.reports import Address, ReportedMember
 from paddlequay.discovery.resolver import RecordSetKnown, RecordType
 from paddlequay.routing.interface import MemberState
 
-TARGETS_MOST = 2000  # of one service
+MAX_TARGETS = 2000  # of one service
 ADDRESS_KINDS = (dns.rdatatype.A, dns.rdatatype.AAAA)
 LIGHT = 0.01  # of the mean: a weight of 0 among others gets hardly anything (RFC 2782), and is not left out
 FIELD = re.compile(r"(zone|cell|kind|started)=([A-Za-z0-9_.-]{1,64})")
@@ -70,12 +70,12 @@
 
     @property
     def resolved_share(self) -> float:
-        """The share of targets that have an address."""
+        """The share of its targets that have an address."""
         return sum(target.address is not None for target in self.targets) / max(1, len(self.targets))
 
 
-def box_id(name: Name, port: int) -> str:
-    """The id of a target, by name and port: it stays when addresses change."""
+def member_id(name: Name, port: int) -> str:
+    """The id of a target among members."""
     text = name.to_text(omit_final_dot=True).lower()
     return f"{re.sub(r'[^a-z0-9-]', '_', text)[:56]}_{port}"
 
@@ -101,7 +101,7 @@
         self.not_offered = False
 
     def required_names(self) -> set[tuple[Name, RecordType]]:
-        """The sets that this service needs now."""
+        """The record sets that it needs now."""
         wanted: set[tuple[Name, RecordType]] = {(self.service.name.canonicalize(), dns.rdatatype.SRV)}
         kinds: list[RecordType] = []
         if self.service.family in ("v4", "both"):
@@ -116,7 +116,7 @@
         return wanted
 
     def update(self, known: RecordSetKnown) -> bool:
-        """News of a set; whether it concerns this service."""
+        """A record set has changed; whether it is one of the service's."""
         key = (known.name, known.type)
         if key == (self.service.name.canonicalize(), dns.rdatatype.SRV):
             if known.records is None and self.srv is not None and known.until <= self.srv.until:
@@ -130,18 +130,18 @@
         return True
 
     def build_tiers(self, known: RecordSetKnown) -> None:
-        """Targets by priority, from the SRV set."""
+        """Targets by priority, from the SRV records."""
         records = [record.data for record in known.records or () if isinstance(record.data, SRV)]
         # One record with the target `.` says that the service is decidedly not there.
         self.not_offered = len(records) == 1 and records[0].target == dns.name.root
         records = [srv for srv in records if srv.target != dns.name.root and srv.port]
-        self.cut = max(0, len(records) - TARGETS_MOST)
+        self.cut = max(0, len(records) - MAX_TARGETS)
         records.sort(key=lambda srv: (srv.priority, srv.target, srv.port))
         by_priority: dict[int, Tier] = {}
-        seen: set[tuple[Name, int]] = set()
-        for srv in records[:TARGETS_MOST]:
-            if (srv.target, srv.port) not in seen:
-                seen.add((srv.target, srv.port))
+        known_names: set[tuple[Name, int]] = set()
+        for srv in records[:MAX_TARGETS]:
+            if (srv.target, srv.port) not in known_names:
+                known_names.add((srv.target, srv.port))
                 by_priority.setdefault(srv.priority, Tier(srv.priority)).targets.append(Target(srv))
         self.tiers = list(by_priority.values())
         if self.active >= len(self.tiers):
@@ -150,7 +150,7 @@
         self.sets = {key: value for key, value in self.sets.items() if key[0] in names}
 
     def members(self, now: float) -> list[ReportedMember]:
-        """The boxes of the tier that is in use, as they are known now."""
+        """The members that the service gives now, by the tier in use."""
         for tier in self.tiers:
             for target in tier.targets:
                 target.address = self.address(target.srv)
@@ -160,20 +160,20 @@
         tier = self.tiers[self.active]
         total = sum(target.srv.weight for target in tier.targets)
         mean = total / len(tier.targets)
-        boxes = []
+        members = []
         for target in tier.targets:
             if target.address is None:
                 continue
             # Shares about 1: weights of one service must not outweigh those of another source.
             weight = 1.0 if not total else max(LIGHT, target.srv.weight / mean)
-            boxes.append(self.member(target, target.address, weight))
-        ids = {box.id for box in boxes}
+            members.append(self.member(target, target.address, weight))
+        ids = {member.id for member in members}
         self.chosen_addresses = {id: at for id, at in self.chosen_addresses.items() if id in ids}
-        return boxes
+        return members
 
     def address(self, srv: SRV) -> Address | None:
         """The address of a target: the one it had if that is still an answer, else the least."""
-        name, id = srv.target.canonicalize(), box_id(srv.target, srv.port)
+        name, id = srv.target.canonicalize(), member_id(srv.target, srv.port)
         found: list[str] = []
         for kind in ADDRESS_KINDS:
             known = self.sets.get((name, kind))
@@ -190,8 +190,10 @@
         return chosen
 
     def choose_tier(self, now: float) -> None:
-        """Which priority is in use. Down as soon as too few targets are found, up only once that has
-        lasted."""
+        """Choose the priority in use.
+
+        Down as soon as too few targets are found, up only once that has lasted.
+        """
         limits = self.limits
         better = next(
             (
@@ -216,21 +218,22 @@
             self.active, self.recovered_since = worse[0], None
 
     def member(self, target: Target, address: Address, weight: float) -> ReportedMember:
-        told: dict[str, str] = {}
+        """A target as a member, with what its name and TXT records say."""
+        attributes: dict[str, str] = {}
         text = target.srv.target.to_text(omit_final_dot=True).lower()
         if self.service.naming is not None:
             match = self.service.naming.match(text)
             if match is not None:
-                told.update({name: value for name, value in match.groupdict().items() if value})
+                attributes.update({name: value for name, value in match.groupdict().items() if value})
         known = self.sets.get((target.srv.target.canonicalize(), dns.rdatatype.TXT))
         if known is not None:
-            told.update(fields(known))
-        cell, started = told.get("cell", ""), told.get("started", "")
+            attributes.update(txt_fields(known))
+        cell, started = attributes.get("cell", ""), attributes.get("started", "")
         return ReportedMember(
-            id=box_id(target.srv.target, target.srv.port),
+            id=member_id(target.srv.target, target.srv.port),
             address=address,
-            kind=told.get("kind", self.service.kind),
-            zone=told.get("zone", self.service.zone),
+            kind=attributes.get("kind", self.service.kind),
+            zone=attributes.get("zone", self.service.zone),
             cell=int(cell) if cell.isdigit() and len(cell) < 7 else None,
             weight=weight,
             started=float(started) if started.isdigit() and len(started) < 12 else None,
@@ -238,12 +241,12 @@
         )
 
 
-def fields(known: RecordSetKnown) -> Iterable[tuple[str, str]]:
-    """`name=value` words of TXT records that mean something here; all else in them is left alone."""
+def txt_fields(known: RecordSetKnown) -> Iterable[tuple[str, str]]:
+    """`name=value` words of TXT records that mean something here; all else in them is ignored."""
     for record in known.records or ():
         if isinstance(record.data, TXT):
             for piece in record.data.strings:
-                for word in piece.decode("ascii", "replace").split():
-                    match = FIELD.fullmatch(word)
+                for token in piece.decode("ascii", "replace").split():
+                    match = FIELD.fullmatch(token)
                     if match is not None:
                         yield match[1], match[2]
--- a/paddlequay/lab/sources.py
+++ b/paddlequay/lab/sources.py
@@ -15,7 +15,8 @@
 import numpy as np
 
 from paddlequay.discovery.answers import DnsQuestion, build_query, parse_answer
-from paddlequay.discovery.membership import Membership, ReportedMember, SourceRule
+from paddlequay.discovery.membership import Membership
+from paddlequay.discovery.reports import ReportedMember, SourceRule
 from paddlequay.discovery.resolver import Resolver, SendQuery
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.lab.dns import DnsServer
--- a/paddlequay/net/dns.py
+++ b/paddlequay/net/dns.py
@@ -1,4 +1,4 @@
-"""Carries the resolver's questions: UDP from a socket of its own for each, TCP where that is asked for."""
+"""The resolver's driver: UDP from a socket of its own for each query, TCP where that is requested."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,7 @@
 
 
 class QueryProtocol(asyncio.DatagramProtocol):
-    """One question's socket, connected to its server: the kernel passes on what comes from there only."""
+    """One query's socket, connected to its server: the kernel passes on what comes from there only."""
 
     def __init__(self, driver: "ResolverDriver", send: SendQuery) -> None:
         self.driver, self.send = driver, send
@@ -32,10 +32,12 @@
         self.datagrams_read = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the query."""
         self.transport = cast(asyncio.DatagramTransport, transport)
         self.transport.sendto(self.send.data)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
+        """A datagram came; it may be no answer."""
         self.datagrams_read += 1
         driver = self.driver
         if self.datagrams_read <= MAX_DATAGRAMS:
@@ -44,18 +46,20 @@
             self.close()
 
     def error_received(self, exc: Exception) -> None:
+        """The server cannot be reached."""
         self.close()
         why = type(exc).__name__
         self.driver.execute(self.driver.resolver.failed(self.send.number, why, self.driver.now()))
 
     def close(self) -> None:
+        """Close the socket."""
         if self.transport is not None:
             self.transport.close()
         self.driver.sockets.pop(self.send.number, None)
 
 
 class ResolverDriver:
-    """The resolver's sockets and its clock; `on_known` hears what it comes to know."""
+    """The resolver's sockets and its clock; `on_known` gets what it announces."""
 
     def __init__(
         self,
@@ -70,7 +74,7 @@
         self.wake_up = asyncio.Event()
 
     def execute(self, actions: list[ResolverAction]) -> None:
-        """Carry out what the resolver asks for."""
+        """Carry out the resolver's actions."""
         for action in list(actions):
             if isinstance(action, SendQuery):
                 work = self.query_by_tcp(action) if action.tcp else self.query_by_udp(action)
@@ -80,6 +84,7 @@
         self.wake_up.set()
 
     async def query_by_udp(self, send: SendQuery) -> None:
+        """One query from a socket of its own."""
         loop = asyncio.get_running_loop()
         try:
             _, protocol = await loop.create_datagram_endpoint(
@@ -90,7 +95,7 @@
             self.execute(self.resolver.failed(send.number, type(error).__name__, self.now()))
 
     async def query_by_tcp(self, send: SendQuery) -> None:
-        """One question on one connection (RFC 7766 allows more; truncated answers are rare)."""
+        """One query on one connection (RFC 7766 allows more; truncated answers are rare)."""
         family = socket.AF_INET6 if ":" in send.server[0] else socket.AF_INET
         stream: IOStream | None = None
         try:
@@ -141,6 +146,7 @@
             )
 
     def close(self) -> None:
+        """Close all sockets."""
         for each in list(self.sockets.values()):
             each.close()
         for task in self.background.tasks:
--- a/paddlequay/net/members.py
+++ b/paddlequay/net/members.py
@@ -9,7 +9,9 @@
 from pathlib import Path
 
 from paddlequay.discovery.answers import Name
-from paddlequay.discovery.membership import Membership, MembershipChange, ReportedMember, TooManyMembersError
+from paddlequay.discovery.explanation import explain
+from paddlequay.discovery.membership import Membership
+from paddlequay.discovery.reports import MembershipChange, ReportedMember, TooManyMembersError
 from paddlequay.discovery.resolver import RecordSetKnown, RecordType, Resolver
 from paddlequay.discovery.srv import ServiceWatch as ServiceFollower
 from paddlequay.errors import RecordError
@@ -35,7 +37,7 @@
 
 
 class MemberSources:
-    """All sources of one router."""
+    """All sources of members of one router."""
 
     def __init__(
         self,
@@ -54,7 +56,7 @@
         self.driver: ResolverDriver | None = None
         self.subscribed: set[tuple[Name, RecordType]] = set()
         self.pending_changes: dict[str, MembershipChange] = {}  # by id; bounded by the members
-        self.has_dns_news = False
+        self.dns_changed = False
         self.needs_save = False
         self.saved_at = self.dns_reported_at = 0.0
         self.background = TaskSupervisor(counters)
@@ -68,6 +70,7 @@
         return self.exchange.scheduler.monotonic() + self.exchange.attempts.clock_offset
 
     def has_source(self, source: str) -> bool:
+        """Whether the settings name a source."""
         return source in self.membership.sources
 
     def make_resolver(self) -> None:
@@ -82,13 +85,14 @@
             self.driver = ResolverDriver(resolver, self.counters, self.now, self.on_record_set)
 
     def start(self) -> None:
-        """Begin to ask and to keep time."""
+        """Begin to look up and to keep time."""
         self.background.supervise("members", self.tick_periodically)
         if self.driver is not None:
             self.background.supervise("resolver", self.driver.run)
             self.update_subscriptions()
 
     def stop(self) -> None:
+        """End all tasks and sockets."""
         for task in self.background.tasks:
             task.cancel()
         if self.driver is not None:
@@ -96,64 +100,71 @@
 
     # --- what sources say ---
 
-    def report(self, source: str, boxes: Iterable[ReportedMember], full: bool) -> None:
+    def report(self, source: str, members: Iterable[ReportedMember], full: bool) -> None:
+        """A report of a source; one of too many members still binds those that are known."""
         if not self.has_source(source):
             return
-        boxes, now = tuple(boxes), self.now()
+        members, now = tuple(members), self.now()
         try:
-            self.apply(self.membership.report(source, boxes, full, now))
+            self.apply(self.membership.report(source, members, full, now))
         except TooManyMembersError as error:
             if self.counters.add_once("members_refused"):
                 log.event(LOGGER, logging.WARNING, "members_refused", why=str(error))
             # What it says of those that are members holds all the same: drains and ends above all.
-            words = self.membership.sources[source].reports
-            named = [box for box in boxes if box.id in words]
+            reports = self.membership.sources[source].reports
+            named = [member for member in members if member.id in reports]
             self.apply(self.membership.report(source, named, False, now))
 
     def on_endpoint_list(self, item: EndpointList) -> None:
+        """The endpoint list has changed."""
         if not self.has_source("list"):
             return
-        words = self.membership.sources["list"].reports
+        reports = self.membership.sources["list"].reports
         drained = [
-            replace(words[id].member, state=MemberState.DRAINING) for id in item.draining_ids if id in words
+            replace(reports[id].member, state=MemberState.DRAINING)
+            for id in item.draining_ids
+            if id in reports
         ]
         self.report("list", [*map(reported_member, item.endpoints), *drained], item.full)
 
     def on_alive(self) -> None:
+        """The endpoint list has no news."""
         if self.has_source("list"):
             self.apply(self.membership.alive("list", self.now()))
 
     def on_record_set(self, known: RecordSetKnown) -> None:
-        """News of a set of records."""
+        """A record set has changed."""
         if any([service.update(known) for service in self.services]):  # each service hears of it
-            self.has_dns_news = True
+            self.dns_changed = True
 
     def update_subscriptions(self) -> None:
-        """Ask for what the services need now, and no longer for what they do not."""
+        """Subscribe to what the services need now, and no longer to what they do not."""
         assert self.driver is not None
         resolver, now = self.driver.resolver, self.now()
-        wants: set[tuple[Name, RecordType]] = set().union(
+        required: set[tuple[Name, RecordType]] = set().union(
             *(service.required_names() for service in self.services)
         )
-        for name, kind in self.subscribed - wants:
+        for name, kind in self.subscribed - required:
             resolver.unsubscribe(name, kind)
-        for name, kind in wants - self.subscribed:
+        for name, kind in required - self.subscribed:
             try:
                 self.driver.execute(resolver.subscribe(name, kind, now))
             except ValueError as error:
                 if self.counters.add_once("names_refused"):
                     log.event(LOGGER, logging.WARNING, "names_refused", why=str(error))
-        self.subscribed = wants
+        self.subscribed = required
 
     def is_dns_fresh(self) -> bool:
         """Whether all services are known by answers that still hold: else DNS says nothing new."""
         now = self.now()
-        heard = [service.srv for service in self.services]
+        record_sets = [service.srv for service in self.services]
         return all(
-            srv is not None and srv.records is not None and not srv.stale and now < srv.until for srv in heard
+            srv is not None and srv.records is not None and not srv.stale and now < srv.until
+            for srv in record_sets
         )
 
     async def tick_periodically(self) -> None:
+        """Tick for as long as the program runs."""
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             try:
@@ -163,15 +174,18 @@
                     LOGGER.exception("members_failed")
 
     def tick(self) -> None:
+        """What time alone changes, and a report of DNS where it is due."""
         now = self.now()
         if self.driver is not None:
             self.update_subscriptions()
             if not self.is_dns_fresh():
                 pass  # DNS says nothing: what it said holds as the rule has it
-            elif self.has_dns_news or now - self.dns_reported_at > REPORT_INTERVAL_S:
+            elif self.dns_changed or now - self.dns_reported_at > REPORT_INTERVAL_S:
                 # Tiers fall back and return by time as well: looked at now and then where nothing came.
-                self.has_dns_news, self.dns_reported_at = False, now
-                self.report("dns", [box for service in self.services for box in service.members(now)], True)
+                self.dns_changed, self.dns_reported_at = False, now
+                self.report(
+                    "dns", [member for service in self.services for member in service.members(now)], True
+                )
             else:
                 self.apply(self.membership.alive("dns", now))
         self.apply(self.membership.tick(now))
@@ -182,7 +196,7 @@
     def apply(self, changes: list[MembershipChange]) -> None:
         """Changes to pool and exchange, the pool first: a decision may send to whom it names.
 
-        Those that could not be told are told again at each beat: the membership has them already.
+        Those that could not be announced are announced again at each tick: the membership has them already.
         """
         for change in changes:
             self.pending_changes.pop(change.member.id, None)
@@ -220,6 +234,7 @@
 
     @property
     def path(self) -> Path:
+        """The file of members of the last run."""
         assert self.settings.folder is not None
         return self.settings.folder / f"members-{self.name}"
 
@@ -238,6 +253,7 @@
             log.event(LOGGER, logging.WARNING, "members_unreadable", path=self.path, why=str(error)[:200])
 
     async def save(self) -> None:
+        """Save the members; a failure is counted and logged."""
         body = json.dumps(self.membership.snapshot(), separators=(",", ":")).encode()
         try:
             await asyncio.to_thread(files.save, self.path, RECORD_KIND, RECORD_FORMAT, body)
@@ -248,22 +264,23 @@
     # --- changed while serving ---
 
     def reload(self, settings: DiscoverySettings) -> None:
-        """Other sources from now on. What those that stay have said holds; others' words go as if never told.
+        """Other sources from now on.
 
-        Members that both know are not told anew, so that nothing in use is closed.
+        What those that stay have reported holds; others' reports go as if never made. Members that both know
+        are not announced anew, so that nothing in use is closed.
         """
         now, old = self.now(), self.membership
         new = Membership(settings.rules, settings.limits)
         for name, source in old.sources.items():
             if name in new.sources and source.reports:
                 new.report(
-                    name, [word.member for word in source.reports.values()], True, source.last_heard_at
+                    name, [report.member for report in source.reports.values()], True, source.last_heard_at
                 )
                 new.sources[name].last_heard_at = source.last_heard_at
-        for (name, id), word in old.removals.items():
+        for (name, id), report in old.index.removals.items():
             if name in new.sources and id not in new.sources[name].reports:
-                new.record_removal((name, id), word)
-        new.settle(dict.fromkeys([*new.reports_by_address]), now)
+                new.index.record_removal(report)
+        new.settle(dict.fromkeys([*new.index.reports_by_address]), now)
         new.started_at = old.started_at
         before = {change.member.id: change for change in old.members.values()}
         after = {change.member.id: change for change in new.members.values()}
@@ -290,10 +307,10 @@
         now = self.now()
         sources = {
             name: {
-                "live": self.membership.is_live(source, now),
+                "live": source.is_live(now),
                 "words": len(source.reports),
                 "heard_s_ago": round(now - source.last_heard_at, 1) if source.has_reported else None,
-                "left_out": sum(word.missing_since is not None for word in source.reports.values()),
+                "left_out": sum(report.missing_since is not None for report in source.reports.values()),
                 "refused": source.rejected_reports,
             }
             for name, source in self.membership.sources.items()
@@ -313,14 +330,16 @@
 
     def explain(self, id: str) -> str:
         """`GET /-/members/ID`: which source said what, and which rule won."""
-        return "\n".join(self.membership.explain(id, self.now()))
+        return "\n".join(explain(self.membership, id, self.now()))
 
 
-def as_removed(box: ReportedMember) -> ReportedMember:
-    return replace(box, state=MemberState.REMOVED)
+def as_removed(member: ReportedMember) -> ReportedMember:
+    """A member, removed."""
+    return replace(member, state=MemberState.REMOVED)
 
 
 def reported_member(listed: Endpoint) -> ReportedMember:
+    """An endpoint as a source's report."""
     member = listed.member
     return ReportedMember(
         member.name,
@@ -335,7 +354,17 @@
 
 
 def endpoint_of(change: MembershipChange) -> Endpoint:
-    box = change.member
+    """A change as an endpoint."""
+    member = change.member
     return Endpoint(
-        Member(box.id, box.zone, box.kind, box.cell, box.state, box.weight, box.started or 0.0), box.address
+        Member(
+            member.id,
+            member.zone,
+            member.kind,
+            member.cell,
+            member.state,
+            member.weight,
+            member.started or 0.0,
+        ),
+        member.address,
     )
--- a/paddlequay/schema/sources.py
+++ b/paddlequay/schema/sources.py
@@ -9,7 +9,7 @@
 import dns.name
 
 from paddlequay.config.values import Address, address
-from paddlequay.discovery.membership import MembershipLimits, SourceRule
+from paddlequay.discovery.reports import MembershipLimits, SourceRule
 from paddlequay.discovery.srv import Service
 from paddlequay.errors import ConfigError
 from paddlequay.schema import paddlequay_pb2 as schema
--- a/tests/crossings/test_list_members.py
+++ b/tests/crossings/test_list_members.py
@@ -10,7 +10,7 @@
 from rig_list import entry, roster
 from test_watch import made
 
-from paddlequay.discovery.membership import MembershipLimits, SourceRule
+from paddlequay.discovery.reports import MembershipLimits, SourceRule
 from paddlequay.discovery.resolver import SendQuery
 from paddlequay.net import dns
 from paddlequay.net.caches import ConnectionPool
--- a/tests/golden/golden_samples.py
+++ b/tests/golden/golden_samples.py
@@ -18,7 +18,8 @@
 
 from paddlequay.cluster.notes import NOTES, Note
 from paddlequay.cluster.wire import Codec, Head
-from paddlequay.discovery.membership import Membership, ReportedMember, SourceRule
+from paddlequay.discovery.membership import Membership
+from paddlequay.discovery.reports import ReportedMember, SourceRule
 from paddlequay.hierarchy.moves import MoveLimits, Moves
 from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, delta_data, next_shape, whole
 from paddlequay.lifecycle.operator_state import OperatorState, Override
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -7,7 +7,8 @@
 from golden_samples import DATA, FLEET_SIZE, MARKS, SAMPLES, link_messages, membership, shape, trained_router
 
 from paddlequay.cluster.wire import Codec
-from paddlequay.discovery.membership import Membership, SourceRule
+from paddlequay.discovery.membership import Membership
+from paddlequay.discovery.reports import SourceRule
 from paddlequay.errors import RecordError
 from paddlequay.hierarchy.moves import MoveLimits, Moves
 from paddlequay.hierarchy.shape import Shape, ShapeLimits, delta_data, next_shape, read_delta, whole
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,8 +10,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from paddlequay.discovery.membership import (
-    Membership,
+from paddlequay.discovery.explanation import explain
+from paddlequay.discovery.membership import Membership
+from paddlequay.discovery.reports import (
     MembershipChange,
     MembershipLimits,
     ReportedMember,
@@ -55,7 +56,7 @@
         assert not members.report("dns", [box(other)], True, float(now))
         assert READY not in told(members.tick(float(now))).values()
         assert READY not in held(members).values()
-    assert "by drain" in "\n".join(members.explain(other, 200.0))
+    assert "by drain" in "\n".join(explain(members, other, 200.0))
     assert told(members.report("list", [box("s-1")], False, 201.0)) == {"s-1": READY}
 
 
@@ -77,7 +78,7 @@
     assert (change.member.id, change.member.state, change.member.address[1]) == ("s-1", READY, 3)
     (change,) = members.report("list", [], True, 2.0)
     assert change.member.address[1] == 2  # the list no longer names it: DNS's place holds
-    assert "dns" in members.explain("s-1", 2.0)[0]
+    assert "dns" in explain(members, "s-1", 2.0)[0]
 
 
 def test_the_same_address_under_two_ids_is_one_box_under_the_first_sources_id() -> None:
@@ -92,7 +93,7 @@
 def test_only_a_source_that_may_add_takes_a_box_in_and_any_may_drain_it() -> None:
     members = Membership((SourceRule("list"), SourceRule("dns", adds=False)))
     assert members.report("dns", [box("b")], True, 0.0) == []
-    assert members.explain("b", 0.0)[-1].endswith("authority: only sources that may not add name it")
+    assert explain(members, "b", 0.0)[-1].endswith("authority: only sources that may not add name it")
     members.report("list", [box("b")], True, 0.0)
     assert told(members.report("dns", [box("b", state=DRAINING)], True, 1.0)) == {"b": DRAINING}
 
@@ -115,7 +116,7 @@
     members.report("dns", fleet(10), True, 0.0)
     for now in range(1, 30):
         assert members.report("dns", [], True, float(now)) == []
-    assert "by mass" in members.explain("b3", 29.0)[-1]
+    assert "by mass" in explain(members, "b3", 29.0)[-1]
     assert members.report("dns", fleet(10), True, 30.0) == []  # it was a fault
     for now in range(31, 61):
         members.report("dns", [], True, float(now))
@@ -177,7 +178,7 @@
     assert len(again.recover(members.snapshot(), "kept", 300.0)) == 3
     again.report("dns", [box("b", 2), box("d", 4)], True, 350.0)
     ages = {change.member.id: change.member.started for change in again.members.values()}
-    assert ages["b"] == 200.0 and ages["d"] == 350.0 and "by kept" in again.explain("a", 350.0)[-1]
+    assert ages["b"] == 200.0 and ages["d"] == 350.0 and "by kept" in explain(again, "a", 350.0)[-1]
     with pytest.raises(ValueError, match="cannot be read"):
         again.recover({"members": [1]}, "kept", 351.0)
 
@@ -255,11 +256,11 @@
     def nothing_out_is_usable_by_its_id(self) -> None:
         for (source, id), _ in self.out.items():
             word = self.members.sources[source].reports.get(id)
-            ended = (source, id) in self.members.removals
+            ended = (source, id) in self.members.index.removals
             assert word is not None or ended, "a drain was forgotten"
             for change in self.members.members.values():
                 if change.member.id == id and change.member.state is READY:
-                    naming = {s for (s, _) in self.members.reports_by_address[change.member.address]}
+                    naming = {s for (s, _) in self.members.index.reports_by_address[change.member.address]}
                     assert ended and source in naming, (source, id, change)
 
     @invariant()
@@ -267,7 +268,9 @@
         assert {c.member.id: a for a, c in self.members.members.items()} == self.members.address_by_id
         for source in self.members.sources.values():
             for id, word in source.reports.items():
-                assert self.members.reports_by_address[word.member.address][source.rule.name, id] is word
+                assert (
+                    self.members.index.reports_by_address[word.member.address][source.rule.name, id] is word
+                )
 
 
 TestSources = Sources.TestCase
@@ -277,7 +280,7 @@
 def test_taken_without_its_guard_the_drain_is_lost_and_found_so() -> None:
     """The check above can fail: with the rule on drains out, a drained box is usable at once."""
     members = Membership(RULES)
-    members.reports_about = lambda address, words: iter(())  # type: ignore[method-assign]
+    members.index.reports_about = lambda address, reports: iter(())  # type: ignore[method-assign]
     members.report("dns", [box("s-1")], True, 0.0)
     members.report("list", [box("s-1", state=DRAINING)], True, 1.0)
     assert held(members) == {"s-1": READY}
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -14,7 +14,7 @@
 
 from paddlequay.discovery.answers import AnswerKind, DnsQuestion, build_query, parse_answer, randomize_case
 from paddlequay.discovery.resolver import RecordSetKnown, Resolver, ResolverLimits, SendQuery
-from paddlequay.discovery.srv import Service, ServiceWatch, TierLimits, box_id
+from paddlequay.discovery.srv import Service, ServiceWatch, TierLimits, member_id
 from paddlequay.lab.dns import DnsServer
 from paddlequay.net.dns import ResolverDriver
 from paddlequay.observability.counters import Counters
@@ -328,7 +328,9 @@
     assert made.members(2.0)[0].address == before.address  # still an answer: it does not move
     made.update(known(name("b1.plaza.example."), A, "127.0.0.99"))
     moved = made.members(3.0)[0]
-    assert moved.id == before.id == box_id(name("B1.plaza.example."), 9) and moved.address[0] == "127.0.0.99"
+    assert (
+        moved.id == before.id == member_id(name("B1.plaza.example."), 9) and moved.address[0] == "127.0.0.99"
+    )
 
 
 @pytest.mark.parametrize(("family", "host"), [("v4", "127.0.0.1"), ("v6", "::1"), ("both", "127.0.0.1")])
