--- a/paddlequay/discovery/answers.py
+++ b/paddlequay/discovery/answers.py
@@ -146,6 +146,7 @@
 
 
 def believed(question: DnsQuestion, message: dns.message.Message, rcode: dns.rcode.Rcode) -> DnsAnswer:
+    """What a message that answers the question says, as far as it may be believed."""
     if rcode not in (dns.rcode.NOERROR, dns.rcode.NXDOMAIN):
         meaning = AnswerKind.LAME if rcode in (dns.rcode.REFUSED, dns.rcode.NOTAUTH) else AnswerKind.FAILED
         return DnsAnswer(meaning, reason=dns.rcode.to_text(rcode))
--- a/paddlequay/observability/log.py
+++ b/paddlequay/observability/log.py
@@ -11,6 +11,7 @@
     """`ts=... level=... part=... event=...` and then the record's own fields."""
 
     def format(self, record: logging.LogRecord) -> str:
+        """One record as a line."""
         second = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         pairs = {
             "ts": f"{second}.{int(record.msecs):03d}Z",
--- a/paddlequay/requests/messages.py
+++ b/paddlequay/requests/messages.py
@@ -111,15 +111,25 @@
 class Timer(Protocol):
     """A timer that can be cancelled."""
 
-    def cancel(self) -> None: ...
+    def cancel(self) -> None:
+        """Cancel it; one that has fired is no error."""
+        ...
 
 
 class Scheduler(Protocol):
     """Clocks and timers, in seconds: `monotonic` for durations, `unix` for the times of purges and starts."""
 
-    def monotonic(self) -> float: ...
-    def unix(self) -> float: ...
-    def call_later(self, delay: float, call: Callable[[], None]) -> Timer: ...
+    def monotonic(self) -> float:
+        """A clock that never goes back."""
+        ...
+
+    def unix(self) -> float:
+        """Unix time."""
+        ...
+
+    def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
+        """Call back after `delay` seconds."""
+        ...
 
 
 class AttemptCarrier(Protocol):
@@ -130,13 +140,17 @@
         """Whether something has come that was not read yet."""
         ...
 
-    def abandon(self, attempt: "UpstreamAttempt") -> bool: ...
+    def abandon(self, attempt: "UpstreamAttempt") -> bool:
+        """Drop an attempt; whether nothing came on the carrier since it was written."""
+        ...
 
 
 class UpstreamPool(Protocol):
     """Carries attempts to caches; it sets itself or a part of it as their carrier."""
 
-    def start(self, attempt: "UpstreamAttempt") -> None: ...
+    def start(self, attempt: "UpstreamAttempt") -> None:
+        """Write an attempt as soon as a connection takes it; may raise."""
+        ...
 
 
 class RequestInterceptor(Protocol):
