--- a/paddlequay/__main__.py
+++ b/paddlequay/__main__.py
@@ -1,4 +1,4 @@
-"""Start of the program: the router, or with words on the command line one of its commands."""
+"""Start of the program: the router, or with words on the command line one of its sub-commands."""
 
 import os
 import sys
@@ -7,6 +7,7 @@
 
 
 def main() -> int:
+    """Run the router, or a sub-command; the exit code."""
     if len(sys.argv) > 1:
         # Everything but the router itself: what that needs is not loaded where it only routes.
         try:
--- a/paddlequay/discovery/__init__.py
+++ b/paddlequay/discovery/__init__.py
@@ -1,2 +1,1 @@
-"""Sources of members, and the one membership made of what they say. Decisions without I/O; drivers in
-`net/`."""
+"""Sources of members, and the one membership made of what they say; drivers are in `net/`."""
--- a/paddlequay/discovery/answers.py
+++ b/paddlequay/discovery/answers.py
@@ -192,8 +192,10 @@
 
 
 def soa_lifetime(section: Iterable[dns.rrset.RRset], name: Name) -> int | None:
-    """How long a negative answer holds: the lesser of the SOA's lifetime and its MINIMUM (RFC 2308, section
-    5)."""
+    """How long a negative answer holds, in seconds; None without an SOA record.
+
+    The lesser of the SOA's lifetime and its MINIMUM (RFC 2308, section 5).
+    """
     for each in section:
         if each.rdtype == dns.rdatatype.SOA and name.is_subdomain(each.name) and len(each):
             return min(lifetime(each.ttl), int(each[0].minimum))
--- a/paddlequay/discovery/srv.py
+++ b/paddlequay/discovery/srv.py
@@ -1,9 +1,9 @@
-"""From SRV records to boxes (RFC 2782): priorities as fall-back tiers, weights as shares, `.` as "not
-offered".
+"""From SRV records to members (RFC 2782).
 
-A service is a name such as `_box._tcp.plaza.example`. Its targets are looked up for their addresses, each
-with a lifetime of its own, and for a TXT record where that is wanted. What comes out is a list of boxes
-with ids that stay as they are when addresses change.
+Priorities are fall-back tiers, weights are shares, `.` is "not offered". A service is a name such as
+`_cache._tcp.zone.example`. Its targets are looked up for their addresses, each with a lifetime of its own,
+and for a TXT record where that is set. What comes out is a list of members with ids that stay as they are
+when addresses change.
 """
 
 import re
--- a/paddlequay/lab/reshape.py
+++ b/paddlequay/lab/reshape.py
@@ -118,7 +118,7 @@
     capacity = 1.35 * max(1.0, len(fills) / plain.plan.tiers / span * 2.0)
     worst = 0.0
     for began, name in plaza.revived:
-        for start in range(0, 20):
+        for start in range(20):
             share = min(1.0, 0.062 + (1 - 0.062) * (start + 1) / 20.0)
             low = began + start
             asked = sum(
--- a/paddlequay/net/console.py
+++ b/paddlequay/net/console.py
@@ -34,15 +34,22 @@
     shutting_down: bool
     replaced: bool
 
-    def closed_reason(self) -> str: ...
+    def closed_reason(self) -> str:
+        """Why this process takes no clients; empty while it does."""
+        ...
+
     @property
-    def open_summary(self) -> str: ...
+    def open_summary(self) -> str:
+        """What is open yet."""
+        ...
 
 
 class OverrideConfirmer(Protocol):
     """The other process of the same router, where there is one."""
 
-    async def confirm(self, name: str, mark: Override) -> bool: ...
+    async def confirm(self, name: str, mark: Override) -> bool:
+        """Whether it applies an override."""
+        ...
 
 
 class Console:
--- a/paddlequay/net/members.py
+++ b/paddlequay/net/members.py
@@ -134,8 +134,9 @@
 
     def on_record_set(self, known: RecordSetKnown) -> None:
         """A record set has changed."""
-        if any([service.update(known) for service in self.services]):  # each service hears of it
-            self.dns_changed = True
+        for service in self.services:
+            if service.update(known):
+                self.dns_changed = True
 
     def update_subscriptions(self) -> None:
         """Subscribe to what the services need now, and no longer to what they do not."""
--- a/paddlequay/net/watch_client.py
+++ b/paddlequay/net/watch_client.py
@@ -44,7 +44,9 @@
     """An event with a number; numbers go up."""
 
     @property
-    def number(self) -> int: ...
+    def number(self) -> int:
+        """Its place in the sequence of events."""
+        ...
 
 
 E = TypeVar("E", bound=NumberedEvent)
@@ -54,7 +56,9 @@
 class EventParser(Protocol[N]):
     """Takes bytes as they come and gives the events of complete lines. Raises nothing."""
 
-    def feed(self, data: bytes) -> Iterator[N]: ...
+    def feed(self, data: bytes) -> Iterator[N]:
+        """The events that are complete with these bytes."""
+        ...
 
 
 class WatchConnection(IOStream):
--- a/paddlequay/policy/source_selection.py
+++ b/paddlequay/policy/source_selection.py
@@ -47,7 +47,8 @@
         """The ladder: sibling, hashed parent, next parent, origin; then a stale copy; then past the edges.
 
         What is merely busy sheds its load: forwarded, it would reach the parents and the origin as client
-        traffic and as second fills, and jam them as well, but for what the link is known to have room for."""
+        traffic and as second fills, and jam them as well, but for what the link is known to have room for.
+        """
         state = self.state
         edge, edge_busy = self.pick_edge(request, now)
         cause: RejectCause = "edge_busy" if edge_busy else "no_edge" if edge is None else "no_source"
--- a/paddlequay/programs/tier.py
+++ b/paddlequay/programs/tier.py
@@ -228,7 +228,7 @@
         """`GET /-/hierarchy`: the shape, homes, moves under way, leases and loops."""
         node, now = self.node, self.scheduler.unix()
         counts = node.seen.counts
-        shares = {name: 0 for name in node.moves.members}
+        shares = dict.fromkeys(node.moves.members, 0)
         for key in range(256):
             home = node.moves.homes.home(key * 0x9E3779B97F4A7C15 % (1 << 64))
             if home is not None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -254,7 +254,7 @@
 
     @invariant()
     def nothing_out_is_usable_by_its_id(self) -> None:
-        for (source, id), _ in self.out.items():
+        for source, id in self.out:
             word = self.members.sources[source].reports.get(id)
             ended = (source, id) in self.members.index.removals
             assert word is not None or ended, "a drain was forgotten"
--- a/tests/test_policy_ladder.py
+++ b/tests/test_policy_ladder.py
@@ -59,7 +59,7 @@
     for attempt in range(3):
         (fetch,) = fetches(driver.end(fetch, Outcome.REJECTED, ReplyDetail.SOURCE_UNREACHABLE, attempt))
         sources.append(fetch.source)
-    assert {name for name in sources[:3]} == {parent.name for parent in PARENTS}
+    assert set(sources[:3]) == {parent.name for parent in PARENTS}
     assert sources[3] == ORIGIN.name
 
 
