--- a/paddlequay/cli/discovery.py
+++ b/paddlequay/cli/discovery.py
@@ -32,7 +32,8 @@
     import dns.exception
     import dns.name
 
-    from paddlequay.discovery.resolver import RecordSetKnown, RecordType, Resolver
+    from paddlequay.discovery.resolver import Resolver
+    from paddlequay.discovery.resolver_types import RecordSetKnown, RecordType
     from paddlequay.discovery.srv import Service, ServiceWatch
     from paddlequay.net.dns import ResolverDriver
     from paddlequay.observability.counters import Counters
--- a/paddlequay/discovery/srv.py
+++ b/paddlequay/discovery/srv.py
@@ -19,7 +19,7 @@
 
 from paddlequay.discovery.answers import Name
 from paddlequay.discovery.reports import Address, ReportedMember
-from paddlequay.discovery.resolver import RecordSetKnown, RecordType
+from paddlequay.discovery.resolver_types import RecordSetKnown, RecordType
 from paddlequay.routing.interface import MemberState
 
 MAX_TARGETS = 2000  # of one service
--- a/paddlequay/lab/sources.py
+++ b/paddlequay/lab/sources.py
@@ -17,7 +17,8 @@
 from paddlequay.discovery.answers import DnsQuestion, build_query, parse_answer
 from paddlequay.discovery.membership import Membership
 from paddlequay.discovery.reports import ReportedMember, SourceRule
-from paddlequay.discovery.resolver import Resolver, SendQuery
+from paddlequay.discovery.resolver import Resolver
+from paddlequay.discovery.resolver_types import SendQuery
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.lab.dns import DnsServer
 from paddlequay.lab.load import Tally
--- a/paddlequay/net/dns.py
+++ b/paddlequay/net/dns.py
@@ -11,7 +11,8 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from paddlequay.discovery.answers import MAX_ANSWER
-from paddlequay.discovery.resolver import RecordSetKnown, Resolver, ResolverAction, SendQuery
+from paddlequay.discovery.resolver import Resolver
+from paddlequay.discovery.resolver_types import RecordSetKnown, ResolverAction, SendQuery
 from paddlequay.lifecycle.background import TaskSupervisor
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
@@ -134,7 +135,7 @@
     def print(self) -> None:
         """The resolver's counts and each server's health, as one log line each."""
         log.event(LOGGER, logging.INFO, "resolver", **dict(sorted(self.resolver.counts.items())))
-        for (host, port), health in self.resolver.health.items():
+        for (host, port), health in self.resolver.servers.health.items():
             log.event(
                 LOGGER,
                 logging.INFO,
--- a/paddlequay/net/members.py
+++ b/paddlequay/net/members.py
@@ -12,7 +12,8 @@
 from paddlequay.discovery.explanation import explain
 from paddlequay.discovery.membership import Membership
 from paddlequay.discovery.reports import MembershipChange, ReportedMember, TooManyMembersError
-from paddlequay.discovery.resolver import RecordSetKnown, RecordType, Resolver
+from paddlequay.discovery.resolver import Resolver
+from paddlequay.discovery.resolver_types import RecordSetKnown, RecordType
 from paddlequay.discovery.srv import ServiceWatch as ServiceFollower
 from paddlequay.errors import RecordError
 from paddlequay.lifecycle.background import TaskSupervisor
--- a/tests/crossings/test_list_members.py
+++ b/tests/crossings/test_list_members.py
@@ -11,7 +11,7 @@
 from test_watch import made
 
 from paddlequay.discovery.reports import MembershipLimits, SourceRule
-from paddlequay.discovery.resolver import SendQuery
+from paddlequay.discovery.resolver_types import SendQuery
 from paddlequay.net import dns
 from paddlequay.net.caches import ConnectionPool
 from paddlequay.net.endpoint_watch import EndpointWatch
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -13,7 +13,8 @@
 from hypothesis import strategies as st
 
 from paddlequay.discovery.answers import AnswerKind, DnsQuestion, build_query, parse_answer, randomize_case
-from paddlequay.discovery.resolver import RecordSetKnown, Resolver, ResolverLimits, SendQuery
+from paddlequay.discovery.resolver import Resolver
+from paddlequay.discovery.resolver_types import RecordSetKnown, ResolverLimits, SendQuery
 from paddlequay.discovery.srv import Service, ServiceWatch, TierLimits, member_id
 from paddlequay.lab.dns import DnsServer
 from paddlequay.net.dns import ResolverDriver
@@ -265,7 +266,7 @@
         net.want(name(f"n{number}.plaza.example."), A)
         net.run(0.1)
         net.resolver.unsubscribe(name(f"n{number}.plaza.example."), A)
-    assert len(net.resolver.entries) <= 21
+    assert len(net.resolver.cache.entries) <= 21
     net.put(str(HOST), "A", 5, "127.0.0.1")
     net.want(HOST, A)
     net.run(1)
