--- /dev/null
+++ b/paddlequay/discovery/reconfiguration.py
@@ -0,0 +1,45 @@
+"""Other sources for a membership in service."""
+
+from collections.abc import Iterable
+from dataclasses import replace
+
+from paddlequay.discovery.membership import Membership
+from paddlequay.discovery.reports import MembershipChange, MembershipLimits, SourceRule
+from paddlequay.routing.interface import MemberState
+
+
+def with_sources(
+    old: Membership, rules: Iterable[SourceRule], limits: MembershipLimits, now: float
+) -> tuple[Membership, list[MembershipChange]]:
+    """A membership with other sources, and the changes that follow.
+
+    What sources that stay have reported holds; others' reports go as if never made. Members that both know
+    are not announced anew, so that nothing in use is closed.
+    """
+    new = Membership(rules, limits)
+    for name, source in old.sources.items():
+        if name in new.sources and source.reports:
+            members = [report.member for report in source.reports.values()]
+            new.report(name, members, True, source.last_heard_at)
+            new.sources[name].last_heard_at = source.last_heard_at
+    for (name, id), removal in old.index.removals.items():
+        if name in new.sources and id not in new.sources[name].reports:
+            new.index.record_removal(removal)
+    new.settle(dict.fromkeys([*new.index.reports_by_address]), now)
+    new.started_at = old.started_at
+    return new, changes_between(old, new)
+
+
+def changes_between(old: Membership, new: Membership) -> list[MembershipChange]:
+    """The members that left, then those that came or are another."""
+    before = {change.member.id: change for change in old.members.values()}
+    after = {change.member.id: change for change in new.members.values()}
+    changes = []
+    for id, change in before.items():
+        if id not in after:
+            removed = replace(change.member, state=MemberState.REMOVED)
+            changes.append(MembershipChange(removed, "authority", "its source was taken out"))
+    for id, change in after.items():
+        if id not in before or before[id].member != change.member:
+            changes.append(change)
+    return changes
--- a/paddlequay/net/members.py
+++ b/paddlequay/net/members.py
@@ -3,36 +3,28 @@
 import asyncio
 import json
 import logging
-import random
 from collections.abc import Iterable
 from dataclasses import replace
-from pathlib import Path
 
-from paddlequay.discovery.answers import Name
 from paddlequay.discovery.explanation import explain
 from paddlequay.discovery.membership import Membership
+from paddlequay.discovery.reconfiguration import with_sources
 from paddlequay.discovery.reports import MembershipChange, ReportedMember, TooManyMembersError
-from paddlequay.discovery.resolver import Resolver
-from paddlequay.discovery.resolver_types import RecordSetKnown, RecordType
-from paddlequay.discovery.srv import ServiceWatch as ServiceFollower
-from paddlequay.errors import RecordError
 from paddlequay.lifecycle.background import TaskSupervisor
 from paddlequay.net.caches import ConnectionPool
-from paddlequay.net.dns import ResolverDriver
+from paddlequay.net.dns_source import DnsSource
 from paddlequay.net.endpoint_watch import EndpointWatch, apply_one_by_one
+from paddlequay.net.saved_members import SavedMembers
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.endpoint_watch import Endpoint, EndpointList
 from paddlequay.requests.exchange import Exchange
 from paddlequay.routing.interface import Member, MemberState
 from paddlequay.schema.sources import DiscoverySettings
-from paddlequay.store import files
 
 LOGGER = logging.getLogger(__name__)
 
-RECORD_KIND, RECORD_FORMAT = "members", 1
 TICK_INTERVAL_S = 0.25
-REPORT_INTERVAL_S = 2.0
 SAVE_INTERVAL_S = 5.0
 MAX_SHOWN = 2000  # members that a call to the console lists
 
@@ -43,27 +35,24 @@
     def __init__(
         self,
         settings: DiscoverySettings,
-        follower: EndpointWatch,
+        endpoint_watch: EndpointWatch,
         exchange: Exchange,
         pool: ConnectionPool,
         counters: Counters,
         name: str,
     ) -> None:
         self.exchange, self.pool, self.counters = exchange, pool, counters
-        self.endpoint_watch, self.name = follower, name
+        self.endpoint_watch, self.name = endpoint_watch, name
         self.settings = settings
         self.membership = Membership(settings.rules, settings.limits)
-        self.services: list[ServiceFollower] = []
-        self.driver: ResolverDriver | None = None
-        self.subscribed: set[tuple[Name, RecordType]] = set()
+        self.dns = DnsSource(settings, counters, self.now)
+        self.saved = self.make_saved()
         self.pending_changes: dict[str, MembershipChange] = {}  # by id; bounded by the members
-        self.dns_changed = False
         self.needs_save = False
-        self.saved_at = self.dns_reported_at = 0.0
+        self.saved_at = 0.0
         self.background = TaskSupervisor(counters)
-        self.make_resolver()
-        follower.on_endpoint_list = self.on_endpoint_list
-        follower.on_alive = self.on_alive
+        endpoint_watch.on_endpoint_list = self.on_endpoint_list
+        endpoint_watch.on_alive = self.on_alive
         self.recover()
 
     def now(self) -> float:
@@ -74,30 +63,33 @@
         """Whether the settings name a source."""
         return source in self.membership.sources
 
-    def make_resolver(self) -> None:
-        """The resolver and services that the settings name."""
-        if self.driver is not None:
-            self.driver.close()
-        self.services = [ServiceFollower(service) for service in self.settings.services]
-        self.subscribed = set()
-        self.driver = None
-        if self.settings.servers:
-            resolver = Resolver(self.settings.servers, random.SystemRandom())
-            self.driver = ResolverDriver(resolver, self.counters, self.now, self.on_record_set)
+    def make_saved(self) -> SavedMembers | None:
+        """The file of members, where the settings name a folder."""
+        folder = self.settings.folder
+        return None if folder is None else SavedMembers(folder, self.name, self.counters)
+
+    def recover(self) -> None:
+        """Begin with the members of the last run, in case no source can be reached."""
+        data = self.saved.load() if self.saved is not None else None
+        if self.saved is None or data is None:
+            return
+        try:
+            self.apply(self.membership.recover(data, "kept", self.now()))
+        except ValueError as error:
+            return self.saved.report_unreadable(error)
+        count = len(self.membership.members)
+        log.event(LOGGER, logging.INFO, "members_from_file", count=count)
 
     def start(self) -> None:
         """Begin to look up and to keep time."""
         self.background.supervise("members", self.tick_periodically)
-        if self.driver is not None:
-            self.background.supervise("resolver", self.driver.run)
-            self.update_subscriptions()
+        self.dns.start(self.background)
 
     def stop(self) -> None:
         """End all tasks and sockets."""
         for task in self.background.tasks:
             task.cancel()
-        if self.driver is not None:
-            self.driver.close()
+        self.dns.close()
 
     # --- what sources say ---
 
@@ -133,38 +125,6 @@
         if self.has_source("list"):
             self.apply(self.membership.alive("list", self.now()))
 
-    def on_record_set(self, known: RecordSetKnown) -> None:
-        """A record set has changed."""
-        for service in self.services:
-            if service.update(known):
-                self.dns_changed = True
-
-    def update_subscriptions(self) -> None:
-        """Subscribe to what the services need now, and no longer to what they do not."""
-        assert self.driver is not None
-        resolver, now = self.driver.resolver, self.now()
-        required: set[tuple[Name, RecordType]] = set().union(
-            *(service.required_names() for service in self.services)
-        )
-        for name, kind in self.subscribed - required:
-            resolver.unsubscribe(name, kind)
-        for name, kind in required - self.subscribed:
-            try:
-                self.driver.execute(resolver.subscribe(name, kind, now))
-            except ValueError as error:
-                if self.counters.add_once("names_refused"):
-                    log.event(LOGGER, logging.WARNING, "names_refused", why=str(error))
-        self.subscribed = required
-
-    def is_dns_fresh(self) -> bool:
-        """Whether all services are known by answers that still hold: else DNS says nothing new."""
-        now = self.now()
-        record_sets = [service.srv for service in self.services]
-        return all(
-            srv is not None and srv.records is not None and not srv.stale and now < srv.until
-            for srv in record_sets
-        )
-
     async def tick_periodically(self) -> None:
         """Tick for as long as the program runs."""
         while True:
@@ -178,22 +138,22 @@
     def tick(self) -> None:
         """What time alone changes, and a report of DNS where it is due."""
         now = self.now()
-        if self.driver is not None:
-            self.update_subscriptions()
-            if not self.is_dns_fresh():
-                pass  # DNS says nothing: what it said holds as the rule has it
-            elif self.dns_changed or now - self.dns_reported_at > REPORT_INTERVAL_S:
-                # Tiers fall back and return by time as well: looked at now and then where nothing came.
-                self.dns_changed, self.dns_reported_at = False, now
-                self.report(
-                    "dns", [member for service in self.services for member in service.members(now)], True
-                )
-            else:
-                self.apply(self.membership.alive("dns", now))
+        if self.dns.driver is not None:
+            self.tick_dns(now)
         self.apply(self.membership.tick(now))
-        if self.needs_save and now - self.saved_at > SAVE_INTERVAL_S and self.settings.folder is not None:
+        if self.needs_save and now - self.saved_at > SAVE_INTERVAL_S and self.saved is not None:
             self.needs_save, self.saved_at = False, now
-            self.background.spawn("members_save", self.save())
+            self.background.spawn("members_save", self.saved.save(self.membership.snapshot()))
+
+    def tick_dns(self, now: float) -> None:
+        """What DNS says now. While it says nothing, its reports hold as the rules have it."""
+        self.dns.update_subscriptions()
+        if not self.dns.is_fresh():
+            return
+        if self.dns.is_report_due():
+            self.report("dns", self.dns.report(), True)
+        else:
+            self.apply(self.membership.alive("dns", now))
 
     def apply(self, changes: list[MembershipChange]) -> None:
         """Changes to pool and exchange, the pool first: a decision may send to whom it names.
@@ -232,37 +192,6 @@
                 why=change.reason,
             )
 
-    # --- kept over restarts ---
-
-    @property
-    def path(self) -> Path:
-        """The file of members of the last run."""
-        assert self.settings.folder is not None
-        return self.settings.folder / f"members-{self.name}"
-
-    def recover(self) -> None:
-        """Begin with the members of the last run, in case no source can be reached."""
-        if self.settings.folder is None:
-            return
-        try:
-            body = files.load(self.path, RECORD_KIND, RECORD_FORMAT)
-            if body is not None:
-                self.apply(self.membership.recover(json.loads(body), "kept", self.now()))
-                count = len(self.membership.members)
-                log.event(LOGGER, logging.INFO, "members_from_file", count=count)
-        except (OSError, RecordError, ValueError, TooManyMembersError) as error:
-            self.counters.add("members_unreadable")
-            log.event(LOGGER, logging.WARNING, "members_unreadable", path=self.path, why=str(error)[:200])
-
-    async def save(self) -> None:
-        """Save the members; a failure is counted and logged."""
-        body = json.dumps(self.membership.snapshot(), separators=(",", ":")).encode()
-        try:
-            await asyncio.to_thread(files.save, self.path, RECORD_KIND, RECORD_FORMAT, body)
-        except OSError as error:
-            self.counters.add("members_not_saved")
-            log.event(LOGGER, logging.WARNING, "members_not_saved", path=self.path, why=str(error))
-
     # --- changed while serving ---
 
     def reload(self, settings: DiscoverySettings) -> None:
@@ -271,38 +200,17 @@
         What those that stay have reported holds; others' reports go as if never made. Members that both know
         are not announced anew, so that nothing in use is closed.
         """
-        now, old = self.now(), self.membership
-        new = Membership(settings.rules, settings.limits)
-        for name, source in old.sources.items():
-            if name in new.sources and source.reports:
-                new.report(
-                    name, [report.member for report in source.reports.values()], True, source.last_heard_at
-                )
-                new.sources[name].last_heard_at = source.last_heard_at
-        for (name, id), report in old.index.removals.items():
-            if name in new.sources and id not in new.sources[name].reports:
-                new.index.record_removal(report)
-        new.settle(dict.fromkeys([*new.index.reports_by_address]), now)
-        new.started_at = old.started_at
-        before = {change.member.id: change for change in old.members.values()}
-        after = {change.member.id: change for change in new.members.values()}
-        changes = [
-            MembershipChange(as_removed(change.member), "authority", "its source was taken out")
-            for id, change in before.items()
-            if id not in after
-        ]
-        changes += [
-            change for id, change in after.items() if id not in before or before[id].member != change.member
-        ]
+        membership, changes = with_sources(self.membership, settings.rules, settings.limits, self.now())
         dns_changed = (settings.servers, settings.services) != (self.settings.servers, self.settings.services)
-        self.settings, self.membership = settings, new
+        self.settings, self.membership = settings, membership
+        self.saved = self.make_saved()
         if dns_changed:
             self.stop()
-            self.make_resolver()
+            self.dns = DnsSource(settings, self.counters, self.now)
             self.start()
         self.apply(changes)
 
-    # --- told to people ---
+    # --- for operators ---
 
     def page(self) -> str:
         """`GET /-/members`: sources and members, as one line of JSON."""
@@ -335,11 +243,6 @@
         return "\n".join(explain(self.membership, id, self.now()))
 
 
-def as_removed(member: ReportedMember) -> ReportedMember:
-    """A member, removed."""
-    return replace(member, state=MemberState.REMOVED)
-
-
 def reported_member(listed: Endpoint) -> ReportedMember:
     """An endpoint as a source's report."""
     member = listed.member
