--- a/paddlequay/net/caches.py
+++ b/paddlequay/net/caches.py
@@ -9,6 +9,7 @@
 from paddlequay.config.values import Address
 from paddlequay.lifecycle.operator_state import EJECTED_PREFIX
 from paddlequay.net.connection import UpstreamConnection
+from paddlequay.net.connection_health import is_stalled, is_unresponsive, unanswered_since
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.endpoint_watch import Endpoint
@@ -121,15 +122,16 @@
         Never over unread bytes: they are read first, and judged at the next heartbeat.
         """
         limits = self.pool.limits
-        heard = max((connection.last_read_at for connection in self.connections), default=now)
-        all_silent = False
-        if now - heard > limits.silence_check_after:
-            since = [each for connection in self.connections for each in connection.unanswered_since(heard)]
-            all_silent = len(since) >= limits.instance_unanswered and self.is_unresponsive(since, now)
+        last = max((connection.last_read_at for connection in self.connections), default=now)
+        all_unresponsive = False
+        if now - last > limits.silence_check_after:
+            waiting = [each for connection in self.connections for each in unanswered_since(connection, last)]
+            enough = len(waiting) >= limits.instance_unanswered
+            all_unresponsive = enough and self.is_unresponsive(waiting, now)
         for connection in self.connections[:]:
-            if connection.is_stalled(now):
+            if is_stalled(connection, now):
                 cause = "stalled_answers"
-            elif connection.is_unresponsive(now) or (all_silent and connection.in_flight):
+            elif is_unresponsive(connection, now) or (all_unresponsive and connection.in_flight):
                 cause = "unresponsive_connections"
             elif self.restarted and connection.in_flight:
                 cause = "restarted_connections"
@@ -232,9 +234,9 @@
 
     def close_excess_idle(self) -> None:
         """Close idle connections beyond the quota, the longest idle first."""
-        held = self.connections()
-        idle = sorted((c for c in held if c.is_idle), key=lambda connection: connection.last_used_at)
-        for connection in idle[: max(0, len(held) - self.quotas.cache_connections)]:
+        connections = self.connections()
+        idle = sorted((c for c in connections if c.is_idle), key=lambda connection: connection.last_used_at)
+        for connection in idle[: max(0, len(connections) - self.quotas.cache_connections)]:
             connection.stream.close()
 
     def has_capacity(self) -> bool:
--- a/paddlequay/net/connection.py
+++ b/paddlequay/net/connection.py
@@ -79,7 +79,7 @@
         self.is_up = False
         self.unresponsive = False
         self.only_never_resend = False  # all that went out on it must not be executed twice
-        self.last_heard_at = self.last_used_at = pool.now()
+        self.last_received_at = self.last_used_at = pool.now()
         self.last_read_at = -math.inf  # the last byte; accepting a connection is none
         self.unexpected_answers = 0  # since the last other one
         self.answer_began_at = -math.inf  # the first byte of the answer that is coming
@@ -118,7 +118,7 @@
             self.stream.set_nodelay(True)
             self.pool.counters.add("connected")
             self.is_up = True
-            self.last_heard_at = self.last_used_at = self.pool.now()
+            self.last_received_at = self.last_used_at = self.pool.now()
             self.write_waiting()
             await self.read()
         except StreamClosedError:
@@ -143,12 +143,12 @@
             except BaseException:
                 self.pending_read = None  # it keeps the error, which keeps the frames that lead here
                 raise
-            self.last_heard_at = self.last_read_at = self.pool.now()
+            self.last_received_at = self.last_read_at = self.pool.now()
             self.unresponsive = False
             if not self.parser.has_begun:
-                self.answer_began_at = self.last_heard_at
+                self.answer_began_at = self.last_received_at
             for answer in self.parser.feed(data):
-                self.answer_began_at = self.last_heard_at
+                self.answer_began_at = self.last_received_at
                 self.handle_answer(answer)
             reads += 1
             if len(data) == self.limits.read_size or reads % 4 == 0:
@@ -263,7 +263,7 @@
 
     def abandon(self, attempt: UpstreamAttempt) -> bool:
         """Give an attempt up; whether nothing at all came since it was written."""
-        quiet = attempt.written_at is not None and self.last_heard_at <= attempt.written_at
+        quiet = attempt.written_at is not None and self.last_received_at <= attempt.written_at
         if self.in_flight.get(attempt.id) is attempt:
             del self.in_flight[attempt.id]
             # A machine that vanished leaves its connections open and sends nothing on them: one that has
@@ -286,44 +286,6 @@
             self.waiting.remove(attempt)
         return quiet
 
-    def unanswered_since(self, heard: float) -> list[UpstreamAttempt]:
-        """What is in flight and was written after the last byte received."""
-        return [
-            each
-            for each in self.in_flight.values()
-            if each.written_at is not None and each.written_at >= heard
-        ]
-
-    def is_unresponsive(self, now: float) -> bool:
-        """Whether what is in flight shows it: several written since the last byte, and long ago.
-
-        Left to their time-outs, they counted against the sources of their fills, whose limits were cut for
-        it.
-        """
-        if now - self.last_heard_at <= self.limits.silence_check_after:
-            return False
-        since = self.unanswered_since(self.last_heard_at)
-        return len(since) >= self.limits.connection_unanswered and self.instance.is_unresponsive(since, now)
-
-    def is_stalled(self, now: float) -> bool:
-        """Whether the answer that is coming has stopped, or comes too slowly to be waited for.
-
-        All that is in flight behind it waits for its rest. At twice the rate so far, as an honest one may
-        begin slowly, that has to come while its own request may wait, or within `silence_check_after` where
-        nobody waits for it. Else a byte now and then holds a connection with thirty requests on it until
-        their time-outs.
-        """
-        took = now - self.answer_began_at
-        if not self.parser.has_begun or took <= self.limits.cache_stall_timeout:
-            return False
-        if now - self.last_heard_at > self.limits.cache_stall_timeout:
-            return True
-        share = self.parser.progress
-        rest = took / share - took if share else math.inf
-        attempt = self.in_flight.get(self.parser.current_id or "")
-        left = 0.0 if attempt is None else attempt.expires_at - now
-        return rest > 2 * max(left, self.limits.silence_check_after)
-
     @property
     def is_idle(self) -> bool:
         """Whether it is up and carries nothing."""
--- a/tests/crossings/test_cache_silence.py
+++ b/tests/crossings/test_cache_silence.py
@@ -17,7 +17,7 @@
 def silent_for(rig: Rig, time: float) -> None:
     """The connections to the box, and what is out on them, as if so much time had passed."""
     for connection in rig.pool.instances["box"].connections:
-        connection.last_heard_at -= time
+        connection.last_received_at -= time
         connection.last_read_at -= time
         for attempt in connection.in_flight.values():
             attempt.started_at -= time
