--- a/paddlequay/net/clients.py
+++ b/paddlequay/net/clients.py
@@ -211,7 +211,7 @@
         for session in list(self.sessions):
             if session.is_backpressured:
                 session.submit_waiting()
-            since = session.partial_since
+            since = session.input.partial_since
             if since is None and not session.has_sent_message:
                 since = session.connected_at
             if (
--- a/paddlequay/net/session.py
+++ b/paddlequay/net/session.py
@@ -3,7 +3,6 @@
 import asyncio
 import contextlib
 import logging
-import math
 import socket
 from collections import OrderedDict
 from functools import partial
@@ -11,10 +10,10 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from paddlequay.net.answer_writer import AnswerWriter
+from paddlequay.net.client_input import ClientInput
 from paddlequay.net.client_messages import FieldError, format_answer, parse_request
 from paddlequay.net.idle_sessions import IdleSession
 from paddlequay.net.session_front import SessionFront
-from paddlequay.net.socket_state import peek_unread
 from paddlequay.net.waiting_calls import WaitingCalls
 from paddlequay.observability import log
 from paddlequay.protocol import clients as wire
@@ -24,11 +23,8 @@
 
 LOGGER = logging.getLogger(__name__)
 
-# Seconds. A client that has left, or cancelled, is to cause no attempt 0.1 s later: these stay well under.
-MAX_READ_AHEAD_S = 0.03  # for which calls wait while more is there to be read: a cancel may follow them
-RECHECK_AFTER_S = 0.01  # after which a client seen to be connected is checked anew
 MIN_TIME_TO_LIVE_S = 0.001
-LINGER_S = 0.3  # what still comes is read for so long where a fault ends a connection
+LINGER_S = 0.3  # in seconds: what still comes is read for so long where a fault ends a connection
 MESSAGES_PER_PAUSE = 16  # read in one `rejection_pause` from a client that is only rejected
 
 
@@ -40,30 +36,23 @@
     """
 
     __slots__ = (
-        "backlog_messages", "backlog_since", "checked_at", "connected_at", "consecutive_rejections",
-        "ended", "front", "has_sent_message", "idle_queue", "is_backpressured", "last_used_at",
-        "linger_timer", "messages_since_pause", "open_requests", "parser", "partial_reads",
-        "partial_since", "pending_read", "stream", "waiting_calls", "writer",
+        "connected_at", "consecutive_rejections", "ended", "front", "has_sent_message", "idle_queue", "input",
+        "is_backpressured", "last_used_at", "linger_timer", "messages_since_pause", "open_requests", "stream",
+        "waiting_calls", "writer",
     )  # fmt: skip
 
     def __init__(self, front: SessionFront, stream: IOStream) -> None:
         self.front, self.stream = front, stream
-        self.parser = wire.ClientMessageParser(front.limits.max_client_frame)
+        self.input = ClientInput(stream, front.limits, front.now)
         self.writer = AnswerWriter(front, stream)
         self.waiting_calls = WaitingCalls(front)
         self.open_requests: dict[int, PendingRequest | None] = {}
         self.last_used_at = self.connected_at = front.now()
         self.has_sent_message = False  # whether a complete message has come
-        self.partial_since: float | None = None  # when the last byte came of an incomplete message
-        self.partial_reads = 0  # in which that message has come so far
         self.idle_queue: OrderedDict[IdleSession, None] | None = None  # its state, while nothing is owed
         self.consecutive_rejections = 0  # rejections and errors since the last other answer
         self.messages_since_pause = 0
         self.is_backpressured = False  # calls wait until the client takes its answers
-        self.pending_read: asyncio.Future[bytes] | None = None  # under way, or with bytes not handled yet
-        self.backlog_since: float | None = None  # since when there was always more to be read,
-        self.backlog_messages = 0  # and the messages read since
-        self.checked_at = -math.inf  # when the client was connected, with nothing unread
         self.ended = False  # it gets no more, and what it sends is not handled
         self.linger_timer: asyncio.TimerHandle | None = None
 
@@ -96,42 +85,34 @@
                 # A client that is only rejected is read more slowly, which costs nobody else.
                 self.messages_since_pause = 0
                 await asyncio.sleep(limits.rejection_pause)
-            elif self.backlog_since is not None and (len(data) >= limits.client_read_size or reads % 4 == 0):
+            elif self.input.backlog_since is not None and (
+                len(data) >= limits.client_read_size or reads % 4 == 0
+            ):
                 # A read of what is there does not yield: one client would keep the loop to itself.
                 await asyncio.sleep(0)
 
     async def read(self) -> bytes:
         """The next bytes. Once nothing more has come, what was read before is submitted."""
-        limits, stream = self.front.limits, self.stream
-        # The rest of a long message comes in few pieces, calls by the chunk: others have their turn.
-        long_message = len(self.parser.partial) >= limits.client_read_size
-        chunk = limits.max_client_frame if long_message else limits.client_read_size
-        stream.read_chunk_size = chunk
-        self.pending_read = reading = asyncio.ensure_future(stream.read_bytes(chunk, partial=True))
-        now = self.front.now()
+        reading = self.input.start_read()
         if not reading.done():
-            self.backlog_since, self.backlog_messages, self.checked_at = None, 0, now
-            if not self.has_sent_message and not self.partial_reads:
+            if not self.has_sent_message and not self.input.partial_reads:
                 # Silent only now: what came with the connect is read first, and nobody is closed for it.
                 self.update_idle_queue()
             self.submit_waiting()
-        else:
-            self.handle_backlog(now)
+        elif self.input.has_read_ahead():
+            self.handle_backlog()
         try:
             return await reading
         finally:
-            self.pending_read = None
+            self.input.pending_read = None
             del reading  # it keeps its error, which keeps this frame: the cycle collector comes seldom
 
-    def handle_backlog(self, now: float) -> None:
-        """There is more to be read already: calls wait for it, but not for longer than `MAX_READ_AHEAD_S`."""
+    def handle_backlog(self) -> None:
+        """More is to be read still, but calls have waited for it for long enough."""
         limits = self.front.limits
-        self.backlog_since = now if self.backlog_since is None else self.backlog_since
-        if now - self.backlog_since <= MAX_READ_AHEAD_S:
-            return
         # A flood hides what was cancelled: nothing begins for it, nor goes on.
         only_rejected = self.consecutive_rejections >= limits.max_consecutive_rejections
-        if only_rejected and self.backlog_messages > 2 * limits.client_streams:
+        if only_rejected and self.input.backlog_messages > 2 * limits.client_streams:
             self.abandon_all()
         else:
             self.submit_waiting()
@@ -140,10 +121,9 @@
         """Handle the messages that are complete with these bytes."""
         self.last_used_at = self.front.now()
         try:
-            for message in self.parser.feed(data):
+            for message in self.input.messages(data):
                 self.has_sent_message = True
                 self.messages_since_pause += 1
-                self.backlog_messages += 1
                 self.handle_message(message)
         except MalformedMessageError as error:
             # Nothing after it can be told apart: this connection ends, and no other.
@@ -154,8 +134,7 @@
             self.front.counters.add("client_errors")
             LOGGER.exception("client_message_failed")
             return self.end()
-        self.partial_since = self.last_used_at if self.parser.partial else None
-        self.partial_reads = self.partial_reads + 1 if self.parser.partial else 0
+        self.input.note_partial_message(self.last_used_at)
         self.update_idle_queue()
 
     @property
@@ -174,8 +153,9 @@
         states = self.front.idle_sessions
         if self.ended:
             self.idle_queue = states.lingering
-        elif self.partial_reads:
-            self.idle_queue = states.message_progressing if self.partial_reads > 1 else states.message_begun
+        elif self.input.partial_reads:
+            is_progressing = self.input.partial_reads > 1
+            self.idle_queue = states.message_progressing if is_progressing else states.message_begun
         else:
             self.idle_queue = states.idle if self.has_sent_message else states.silent
         self.idle_queue[self] = None
@@ -248,38 +228,11 @@
         """Hand a request to the exchange."""
         # The answer may come before `submit` returns: then the place is gone again and stays so.
         self.open_requests[number] = None
-        answer, disconnected = partial(self.answer, number), partial(self.is_disconnected, number)
+        answer, disconnected = partial(self.answer, number), partial(self.input.is_disconnected, number)
         pending = self.front.exchange.submit(request, answer, disconnected)
         if number in self.open_requests:
             self.open_requests[number] = pending
 
-    def is_disconnected(self, number: int) -> bool:
-        """Whether the client has closed its connection or cancelled this request, read or not.
-
-        One system call where nothing is unread, and none where that was seen `RECHECK_AFTER_S` ago.
-        """
-        if self.stream.closed():
-            return True
-        now = self.front.now()
-        if now - self.checked_at < RECHECK_AFTER_S:
-            return False
-        unread = self.unread_bytes()
-        if unread is None:
-            self.stream.close()
-            return True
-        if not unread:
-            self.checked_at = now
-            return False
-        return wire.CANCEL in unread and number in self.parser.cancelled_in(unread)
-
-    def unread_bytes(self) -> bytes | None:
-        """What has come and was not handled, or the first of it; None where the client has gone."""
-        unread = peek_unread(self.stream.socket, 2 * self.front.limits.client_read_size)
-        reading = self.pending_read
-        if unread is None or reading is None or not reading.done():
-            return unread
-        return unread if reading.cancelled() or reading.exception() else reading.result() + unread
-
     def withdraw_all(self) -> None:
         """The client waits for nothing any more."""
         for pending in list(self.open_requests.values()):
@@ -335,10 +288,9 @@
 
     def at_rest(self) -> bool:
         """Whether nothing is owed, unsent or unread; holds for the turn of the loop in which it is called."""
-        # While a read is under way, it has brought nothing and the stream holds nothing.
-        if self.has_open_requests or self.writer.unsent_bytes or self.ended or not self.stream.reading():
+        if self.has_open_requests or self.writer.unsent_bytes or self.ended:
             return False
-        return not peek_unread(self.stream.socket, 1)
+        return self.input.is_quiet()
 
     def close_at_rest(self) -> bool:
         """The one way of closing where nothing is wrong. Half a message is not a request taken."""
@@ -352,7 +304,7 @@
 
         Thousands that send a byte each would push out clients with requests.
         """
-        if self.has_sent_message or self.stream.closed() or self.parser.completes(self.unread_bytes() or b""):
+        if self.has_sent_message or self.stream.closed() or self.input.completes_message():
             return self.close_at_rest()
         self.stream.close()
         return True
@@ -366,7 +318,7 @@
         """Close at a moment that costs nobody a request; a new connection is about to bring one."""
         age = self.front.now() - self.connected_at
         is_new = not self.has_sent_message and age < self.front.limits.new_connection_age
-        if is_new or self.parser.partial or not self.close_at_rest():
+        if is_new or self.input.parser.partial or not self.close_at_rest():
             return False
         self.front.counters.add("closed_quiet_clients")
         return True
--- a/paddlequay/programs/shutdown.py
+++ b/paddlequay/programs/shutdown.py
@@ -64,7 +64,7 @@
         front.near_end = now() - began > limits.shutdown_timeout - REJECT_BEFORE_END
         front.close_quiet_connections()
         patient = now() - began < limits.shutdown_timeout - DROP_PARTIAL_BEFORE_END
-        only_partial = all(session.parser.partial and not patient for session in front.sessions)
+        only_partial = all(session.input.parser.partial and not patient for session in front.sessions)
         if not front.exchange.pending and only_partial:
             return
         await asyncio.sleep(POLL_INTERVAL_S)
