--- a/paddlequay/net/clients.py
+++ b/paddlequay/net/clients.py
@@ -12,6 +12,7 @@
 from paddlequay.net.idle_sessions import IdleSessions
 from paddlequay.net.listener import BACKLOG, Acceptor
 from paddlequay.net.session import ClientSession
+from paddlequay.net.session_reader import SessionReader
 from paddlequay.observability.counters import Counters
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import AnswerStatus, FinalAnswer
@@ -186,7 +187,7 @@
     async def serve(self, session: ClientSession) -> None:
         """Serve one connection until its end."""
         try:
-            await session.run()
+            await SessionReader(session).run()
         finally:
             self.sessions.discard(session)
             if session.idle_queue is not None:
--- a/paddlequay/net/session.py
+++ b/paddlequay/net/session.py
@@ -1,13 +1,12 @@
-"""One client connection: messages in, one answer each, until its end."""
+"""One client connection: its requests, one answer to each, and how it is closed."""
 
 import asyncio
 import contextlib
-import logging
 import socket
 from collections import OrderedDict
 from functools import partial
 
-from tornado.iostream import IOStream, StreamClosedError
+from tornado.iostream import IOStream
 
 from paddlequay.net.answer_writer import AnswerWriter
 from paddlequay.net.client_input import ClientInput
@@ -15,29 +14,21 @@
 from paddlequay.net.idle_sessions import IdleSession
 from paddlequay.net.session_front import SessionFront
 from paddlequay.net.waiting_calls import WaitingCalls
-from paddlequay.observability import log
 from paddlequay.protocol import clients as wire
 from paddlequay.protocol.msgpack import MalformedMessageError
 from paddlequay.requests.messages import AnswerStatus, Buffer, ClientRequest, FinalAnswer, PendingRequest
 from paddlequay.routing.interface import AbandonRequest, Idempotency
 
-LOGGER = logging.getLogger(__name__)
-
 MIN_TIME_TO_LIVE_S = 0.001
 LINGER_S = 0.3  # in seconds: what still comes is read for so long where a fault ends a connection
-MESSAGES_PER_PAUSE = 16  # read in one `rejection_pause` from a client that is only rejected
 
 
 class ClientSession:
-    """One client connection and the requests that are open on it.
-
-    All that has come is read before what it requests is submitted: a cancel, or the client's end of the
-    connection, holds for what stands before it. Half a close counts as a close, as nothing tells them apart.
-    """
+    """One client connection and the requests that are open on it. `SessionReader` reads for it."""
 
     __slots__ = (
         "connected_at", "consecutive_rejections", "ended", "front", "has_sent_message", "idle_queue", "input",
-        "is_backpressured", "last_used_at", "linger_timer", "messages_since_pause", "open_requests", "stream",
+        "is_backpressured", "last_used_at", "linger_timer", "open_requests", "stream",
         "waiting_calls", "writer",
     )  # fmt: skip
 
@@ -51,91 +42,14 @@
         self.has_sent_message = False  # whether a complete message has come
         self.idle_queue: OrderedDict[IdleSession, None] | None = None  # its state, while nothing is owed
         self.consecutive_rejections = 0  # rejections and errors since the last other answer
-        self.messages_since_pause = 0
         self.is_backpressured = False  # calls wait until the client takes its answers
         self.ended = False  # it gets no more, and what it sends is not handled
         self.linger_timer: asyncio.TimerHandle | None = None
 
-    async def run(self) -> None:
-        """Read and handle messages until the end of the connection."""
-        try:
-            await self.read_messages()
-        except StreamClosedError:
-            pass
-        except Exception:  # this connection ends, and no other
-            self.front.counters.add("client_errors")
-            LOGGER.exception("client_connection_failed")
-        finally:
-            self.stream.close()
-            if self.linger_timer is not None:
-                self.linger_timer.cancel()
-            self.waiting_calls.clear()
-            self.withdraw_all()
-
-    async def read_messages(self) -> None:
-        """Read for as long as the connection is open, and let other connections have their turn."""
-        limits, reads = self.front.limits, 0
-        while True:
-            data = await self.read()
-            reads += 1
-            if not self.ended:
-                self.feed(data)
-            only_rejected = self.consecutive_rejections >= limits.max_consecutive_rejections
-            if only_rejected and self.messages_since_pause >= MESSAGES_PER_PAUSE:
-                # A client that is only rejected is read more slowly, which costs nobody else.
-                self.messages_since_pause = 0
-                await asyncio.sleep(limits.rejection_pause)
-            elif self.input.backlog_since is not None and (
-                len(data) >= limits.client_read_size or reads % 4 == 0
-            ):
-                # A read of what is there does not yield: one client would keep the loop to itself.
-                await asyncio.sleep(0)
-
-    async def read(self) -> bytes:
-        """The next bytes. Once nothing more has come, what was read before is submitted."""
-        reading = self.input.start_read()
-        if not reading.done():
-            if not self.has_sent_message and not self.input.partial_reads:
-                # Silent only now: what came with the connect is read first, and nobody is closed for it.
-                self.update_idle_queue()
-            self.submit_waiting()
-        elif self.input.has_read_ahead():
-            self.handle_backlog()
-        try:
-            return await reading
-        finally:
-            self.input.pending_read = None
-            del reading  # it keeps its error, which keeps this frame: the cycle collector comes seldom
-
-    def handle_backlog(self) -> None:
-        """More is to be read still, but calls have waited for it for long enough."""
-        limits = self.front.limits
-        # A flood hides what was cancelled: nothing begins for it, nor goes on.
-        only_rejected = self.consecutive_rejections >= limits.max_consecutive_rejections
-        if only_rejected and self.input.backlog_messages > 2 * limits.client_streams:
-            self.abandon_all()
-        else:
-            self.submit_waiting()
-
-    def feed(self, data: bytes) -> None:
-        """Handle the messages that are complete with these bytes."""
-        self.last_used_at = self.front.now()
-        try:
-            for message in self.input.messages(data):
-                self.has_sent_message = True
-                self.messages_since_pause += 1
-                self.handle_message(message)
-        except MalformedMessageError as error:
-            # Nothing after it can be told apart: this connection ends, and no other.
-            if self.front.counters.add_once("bad_client_bytes"):
-                log.event(LOGGER, logging.WARNING, "bad_client_bytes", why=str(error))
-            return self.end()
-        except Exception:  # whatever a message raises ends its own connection alone
-            self.front.counters.add("client_errors")
-            LOGGER.exception("client_message_failed")
-            return self.end()
-        self.input.note_partial_message(self.last_used_at)
-        self.update_idle_queue()
+    @property
+    def is_only_rejected(self) -> bool:
+        """Whether the client has had nothing but rejections and errors for long."""
+        return self.consecutive_rejections >= self.front.limits.max_consecutive_rejections
 
     @property
     def has_open_requests(self) -> bool:
@@ -337,6 +251,14 @@
         self.update_idle_queue()
         self.shut_down_write()
 
+    def close(self) -> None:
+        """Close at once: the client waits for nothing any more."""
+        self.stream.close()
+        if self.linger_timer is not None:
+            self.linger_timer.cancel()
+        self.waiting_calls.clear()
+        self.withdraw_all()
+
     def shut_down_write(self) -> None:
         """Tell the client that nothing follows the answers that it has."""
         if not self.writer.unsent_bytes and not self.stream.closed():
