--- a/tests/crossings/rig_clients.py
+++ b/tests/race_conditions/rig_clients.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from test_watch import KINDS, MEMBERS, Side
+from test_interceptor import KINDS, MEMBERS, Side
 
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.operator_state import OperatorState
--- a/tests/crossings/rig_ready.py
+++ b/tests/race_conditions/rig_virtual_fleet.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from rig_ready_pipe import Clock, Pipe
+from rig_shared_uplink import Clock, Pipe
 
 from paddlequay.policy import Router
 from paddlequay.routing.interface import (
--- a/tests/crossings/test_cache_connect.py
+++ b/tests/race_conditions/test_cache_connect.py
@@ -20,7 +20,7 @@
     assert not rig.only(name).is_up and rig.peers[name].accept() is not None
 
 
-def test_a_connection_that_comes_up_once_its_only_attempt_has_gone_is_kept_counted_and_closed(
+def test_a_connection_made_after_its_only_attempt_ended_is_counted_and_closed(
     tmp_path: Path,
 ) -> None:
     async def scene(rig: Rig) -> None:
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("kind", ["video", "charge"])
-def test_what_waited_for_a_member_is_not_written_to_its_old_address_once_its_name_is_back_elsewhere(
+def test_attempts_that_waited_are_not_written_to_the_old_address_of_a_moved_member(
     tmp_path: Path, kind: str
 ) -> None:
     """The exchange asks by name whether a member may be sent to: the new run would vouch for the old one."""
@@ -67,7 +67,7 @@
     play(tmp_path, scene)
 
 
-def test_what_waited_for_a_member_that_has_started_anew_counts_as_not_sent(tmp_path: Path) -> None:
+def test_attempts_that_waited_for_a_restarted_member_count_as_not_sent(tmp_path: Path) -> None:
     """Its older run's end is no failure of the newer one's."""
 
     async def scene(rig: Rig) -> None:
@@ -86,7 +86,7 @@
     play(tmp_path, scene)
 
 
-def test_what_waits_for_a_member_that_begins_to_drain_is_not_written(tmp_path: Path) -> None:
+def test_attempts_that_wait_for_a_draining_member_are_not_written(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         rig.ask("1")
         await under_way(rig)
@@ -98,7 +98,7 @@
     play(tmp_path, scene)
 
 
-def test_a_step_decided_while_what_waits_is_being_written_goes_out_exactly_once(tmp_path: Path) -> None:
+def test_an_attempt_started_while_the_queue_is_written_is_sent_exactly_once(tmp_path: Path) -> None:
     """The source drains: `order` ends each attempt, and the next one begins inside the loop that writes."""
 
     async def scene(rig: Rig) -> None:
@@ -143,7 +143,7 @@
     play(tmp_path, scene)
 
 
-def test_no_small_write_is_held_back_by_the_system(tmp_path: Path) -> None:
+def test_connections_to_caches_disable_nagles_algorithm(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         rig.ask("1")
         await under_way(rig)
@@ -161,7 +161,7 @@
     play(tmp_path, scene)
 
 
-def test_connections_that_end_with_the_program_begin_nothing_new(tmp_path: Path) -> None:
+def test_connections_closed_by_the_shutdown_start_no_attempt(tmp_path: Path) -> None:
     """The loop cancels their tasks: what was out is the client's to repeat, and no attempt follows."""
 
     async def scene(rig: Rig) -> None:
--- a/tests/crossings/test_cache_descriptors.py
+++ b/tests/race_conditions/test_cache_descriptors.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("method", ["video", "charge"])
-def test_a_request_without_a_descriptor_for_its_cache_is_refused_at_once_and_the_next_one_served(
+def test_without_a_descriptor_a_request_is_rejected_at_once_and_the_next_is_served(
     p: Platform, method: str
 ) -> None:
     client = p.client()
@@ -67,7 +67,7 @@
     assert client.answer()[3][0] == b"x"
 
 
-def test_an_idle_connection_to_one_member_makes_room_for_one_to_another(p: Platform) -> None:
+def test_an_idle_connection_gives_its_descriptor_to_another_member(p: Platform) -> None:
     client = p.client()
     client.ask()
     p.box.answer("HIT", "-", b"x")
@@ -79,7 +79,7 @@
         assert client.answer()[3][0] == b"y"
 
 
-def test_what_is_out_is_answered_and_the_connections_that_are_there_carry_the_rest(p: Platform) -> None:
+def test_without_descriptors_open_connections_carry_further_requests(p: Platform) -> None:
     client = p.client()
     charge = client.ask("charge")
     connection, words = p.origin.line()
--- a/tests/crossings/test_cache_idle.py
+++ b/tests/race_conditions/test_cache_idle.py
@@ -18,7 +18,9 @@
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset])
 @pytest.mark.parametrize("kind", ["video", "charge", "page"])
-def test_a_write_meets_no_close_that_has_come_already(tmp_path: Path, kind: str, end: type) -> None:
+def test_no_request_is_written_on_a_connection_already_closed_by_its_peer(
+    tmp_path: Path, kind: str, end: type
+) -> None:
     """The peer's end lies in the socket unread, as the request comes in the same turn: it was never sent."""
 
     async def scene(rig: Rig) -> None:
@@ -62,7 +64,7 @@
     play(tmp_path, scene)
 
 
-def test_a_cache_that_closes_a_new_connection_before_the_first_write_is_not_asked_without_end(
+def test_retries_are_bounded_where_a_cache_closes_each_new_connection(
     tmp_path: Path,
 ) -> None:
     """Only a connection that has carried something is replaced for free: else the loop would be endless."""
@@ -82,7 +84,7 @@
 
 
 @pytest.mark.parametrize("old", [False, True])
-def test_what_must_not_run_twice_goes_on_no_connection_older_than_fresh(tmp_path: Path, old: bool) -> None:
+def test_non_idempotent_requests_use_fresh_connections_only(tmp_path: Path, old: bool) -> None:
     """Both sides of `cache_fresh`: an end that is still on its way is seen by nobody."""
 
     async def scene(rig: Rig) -> None:
@@ -96,7 +98,7 @@
     play(tmp_path, scene)
 
 
-def test_an_end_that_crosses_the_write_fails_the_charge_and_sends_it_to_nobody_else(tmp_path: Path) -> None:
+def test_a_close_that_crosses_a_write_fails_the_request_without_a_retry(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         first = await rig.served("store", "1", "charge")
         rig.ask("2", "charge")  # written: the end comes after it
@@ -109,7 +111,7 @@
     play(tmp_path, scene)
 
 
-def test_a_charge_that_lies_partly_in_the_buffer_as_its_connection_is_reset_may_have_run(
+def test_a_partly_buffered_write_may_have_run_when_its_connection_is_reset(
     tmp_path: Path,
 ) -> None:
     async def scene(rig: Rig) -> None:
@@ -135,7 +137,7 @@
     play(tmp_path, scene)
 
 
-def test_what_waits_goes_out_after_a_cancel_that_the_socket_took_in_part(tmp_path: Path) -> None:
+def test_queued_requests_follow_a_partly_written_cancel(tmp_path: Path) -> None:
     """The write that `write_waiting` hangs on is done while a QUIT behind it is not: it goes on then too."""
 
     async def scene(rig: Rig) -> None:
@@ -166,7 +168,7 @@
     play(tmp_path, scene)
 
 
-def test_an_idle_connection_closed_over_unread_bytes_harms_nobody(tmp_path: Path) -> None:
+def test_an_idle_connection_closed_with_unread_bytes_fails_no_request(tmp_path: Path) -> None:
     """Half a line of a cache lies unread as its idle connection is closed to make room."""
 
     async def scene(rig: Rig) -> None:
--- a/tests/crossings/test_cache_words.py
+++ b/tests/race_conditions/test_cache_replies.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("fields", ["-", "tag=ffffffffffffffff", "detail=HIT,minted=1000", "tag="])
-def test_a_client_s_copy_is_current_only_where_the_cache_has_named_it(tmp_path: Path, fields: str) -> None:
+def test_not_modified_is_valid_only_for_a_version_that_the_request_named(tmp_path: Path, fields: str) -> None:
     async def scene(rig: Rig) -> None:
         rig.ask("1", known_tag=SEEN)
         connection = await rig.asked("box", "1")
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("fields", ["-", "tag=", f"tag={SEEN}"])
-def test_no_copy_is_current_for_who_has_named_none(tmp_path: Path, fields: str) -> None:
+def test_not_modified_is_invalid_without_a_version_in_the_request(tmp_path: Path, fields: str) -> None:
     async def scene(rig: Rig) -> None:
         rig.ask("1")
         connection = await rig.asked("box", "1")
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("late", ["HIT - 1\r\nz", "LATE - 0\r\n", "FAULT - 0\r\n", "NONE - 0\r\n"])
-def test_what_answers_a_request_that_was_given_up_is_passed_over(tmp_path: Path, late: str) -> None:
+def test_an_answer_to_an_abandoned_request_is_ignored(tmp_path: Path, late: str) -> None:
     """Also once its id is asked again, which goes on another connection."""
 
     async def scene(rig: Rig) -> None:
@@ -62,7 +62,7 @@
     play(tmp_path, scene)
 
 
-def test_a_second_answer_serves_no_other_request_and_ends_nothing(tmp_path: Path) -> None:
+def test_a_duplicate_answer_serves_no_other_request_and_closes_nothing(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         connection = await rig.served("box", "1")
         rig.ask("2")
@@ -74,7 +74,7 @@
     play(tmp_path, scene)
 
 
-def test_answers_without_end_that_nobody_asked_for_end_their_connection(tmp_path: Path) -> None:
+def test_endless_unsolicited_answers_close_their_connection(tmp_path: Path) -> None:
     """Each is whole and harmless; without end, they keep the core from all others."""
 
     async def scene(rig: Rig) -> None:
@@ -94,7 +94,7 @@
     play(tmp_path, scene)
 
 
-def test_a_charge_that_came_too_late_never_ran_and_goes_another_way(tmp_path: Path) -> None:
+def test_a_write_refused_as_late_did_not_run_and_is_retried(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         rig.ask("1", "charge")
         connection = await rig.asked("store", "1")
@@ -106,9 +106,7 @@
 
 
 @pytest.mark.parametrize("allowed", [True, False])
-def test_what_is_over_is_given_up_at_its_cache_whatever_may_be_cancelled(
-    tmp_path: Path, allowed: bool
-) -> None:
+def test_an_attempt_past_its_timeout_is_cancelled_at_its_cache(tmp_path: Path, allowed: bool) -> None:
     """Also where the settings let nothing be cancelled: what is not given up is out, and a second copy."""
 
     async def scene(rig: Rig) -> None:
--- a/tests/crossings/test_cache_silence.py
+++ b/tests/race_conditions/test_cache_silence.py
@@ -25,9 +25,7 @@
 
 
 @pytest.mark.parametrize("answered", [True, False])
-def test_no_connection_is_ended_as_silent_over_answers_that_lie_unread(
-    tmp_path: Path, answered: bool
-) -> None:
+def test_a_connection_with_unread_answers_does_not_count_as_silent(tmp_path: Path, answered: bool) -> None:
     """The loop was late: what came meanwhile is in the socket, not in the reader."""
 
     async def scene(rig: Rig) -> None:
@@ -49,7 +47,7 @@
     play(tmp_path, scene)
 
 
-def test_no_answer_counts_as_stalled_while_its_rest_lies_unread(tmp_path: Path) -> None:
+def test_an_answer_with_unread_bytes_does_not_count_as_stalled(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         rig.ask("1")
         connection = await rig.asked("box", "1")
@@ -64,7 +62,7 @@
     play(tmp_path, scene)
 
 
-def test_answers_of_the_run_before_that_lie_unread_count(tmp_path: Path) -> None:
+def test_unread_answers_of_the_previous_incarnation_count(tmp_path: Path) -> None:
     """The list tells of a new start while the older run's answer lies unread; then nothing more can come."""
 
     async def scene(rig: Rig) -> None:
@@ -99,7 +97,7 @@
 @pytest.mark.parametrize(
     "start", [b"1 HIT - 200000\r\n", b"", b"77 HIT - 200000\r\n"], ids=["body", "line", "nobody's body"]
 )
-def test_an_answer_that_never_ends_is_ended_long_before_the_time_outs(tmp_path: Path, start: bytes) -> None:
+def test_an_endless_answer_is_cut_off_long_before_the_timeouts(tmp_path: Path, start: bytes) -> None:
     """A byte now and then kept its connection, and all that was out on it, until their own time-outs."""
 
     async def scene(rig: Rig) -> None:
@@ -140,7 +138,7 @@
     )
 
 
-def test_the_rest_of_an_answer_given_up_holds_up_nothing_behind_it(tmp_path: Path) -> None:
+def test_the_rest_of_an_abandoned_answer_delays_no_other(tmp_path: Path) -> None:
     """Its client has left: the rest is let come where it comes soon, and else ends with its connection."""
 
     async def scene(rig: Rig) -> None:
@@ -161,7 +159,7 @@
     play(tmp_path, scene, kinds=kinds, limits=Limits(silence_check_after=0.3))
 
 
-def test_the_real_program_goes_round_a_cache_whose_answer_never_ends() -> None:
+def test_the_program_routes_around_a_cache_with_an_endless_answer() -> None:
     with platform() as p:
         client = p.client()
         for number in range(3):
--- a/tests/crossings/test_clients_answers.py
+++ b/tests/race_conditions/test_client_answers.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("large", [1, 2**31, 2**32 - 1, 2**32, 2**64 - 1])
-def test_an_id_that_is_free_again_gets_its_own_answer_alone(tmp_path: Path, large: int) -> None:
+def test_a_reused_id_gets_only_its_own_answer(tmp_path: Path, large: int) -> None:
     """Cancelled and asked anew while the answer to the first is on its way; the largest ids too."""
 
     async def scene(rig: Rig) -> None:
@@ -59,7 +59,7 @@
     play(tmp_path, scene)
 
 
-def test_half_a_request_at_the_end_is_not_a_request_taken(tmp_path: Path) -> None:
+def test_an_incomplete_request_at_the_end_is_not_a_request(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         for cut in (1, 5, len(call(2)) - 1):
             client, session = await rig.client()
@@ -72,7 +72,7 @@
     play(tmp_path, scene)
 
 
-def test_a_message_a_byte_at_a_time_is_taken_and_others_do_not_wait(tmp_path: Path) -> None:
+def test_a_message_sent_a_byte_at_a_time_is_read_without_delaying_others(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         slow, session = await rig.client()
         slow.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "too much", "others need it", "router"])
-def test_unsent_bytes_are_given_back_however_a_connection_ends(tmp_path: Path, how: str) -> None:
+def test_unsent_bytes_are_released_however_a_connection_ends(tmp_path: Path, how: str) -> None:
     """`play` looks at the end that nothing is counted any more."""
 
     async def scene(rig: Rig) -> None:
@@ -129,7 +129,7 @@
     play(tmp_path, scene)
 
 
-def test_a_fault_of_our_own_in_one_session_ends_that_one_alone_with_an_answer_to_what_was_open(
+def test_an_internal_error_ends_one_session_and_answers_its_open_requests(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene(rig: Rig) -> None:
--- a/tests/crossings/test_clients_leaving.py
+++ b/tests/race_conditions/test_client_cancels.py
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("end", ["close", "half a close", "reset"])
 @pytest.mark.parametrize("many", [25, 120])  # one chunk of what is read at once, and several
-def test_who_sends_much_at_once_and_goes_draws_no_attempt(tmp_path: Path, end: str, many: int) -> None:
+def test_a_burst_followed_by_a_disconnect_starts_no_attempt(tmp_path: Path, end: str, many: int) -> None:
     async def scene(rig: Rig) -> None:
         client, session = await rig.client()
         taken = session.stream.socket
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("many", [8, 31])  # within one chunk of what is read at once, and beyond
-def test_a_cancel_further_back_in_the_same_burst_holds(tmp_path: Path, many: int) -> None:
+def test_a_cancel_later_in_the_same_burst_applies(tmp_path: Path, many: int) -> None:
     async def scene(rig: Rig) -> None:
         client, session = await rig.client()
         calls = [call(number, seen="4be0c1927d55a6f3") for number in range(1, many + 1)]
@@ -60,7 +60,7 @@
     play(tmp_path, scene)
 
 
-def test_a_cancel_behind_bodies_of_many_chunks_holds(tmp_path: Path) -> None:
+def test_a_cancel_behind_bodies_of_many_chunks_applies(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         client, _ = await rig.client()
         body = bytes(48_000)
@@ -76,7 +76,9 @@
 @pytest.mark.parametrize(
     "how", ["close", "close behind bytes", "reset", "cancel", "cancel read by the stream"]
 )
-def test_no_further_attempt_begins_for_who_left_while_the_loop_was_held_up(tmp_path: Path, how: str) -> None:
+def test_no_retry_starts_for_a_client_that_disconnected_while_the_loop_was_blocked(
+    tmp_path: Path, how: str
+) -> None:
     """The first attempt's end and the client's word come in one turn, the attempt's end first."""
 
     async def scene(rig: Rig) -> None:
@@ -119,7 +121,7 @@
     play(tmp_path, scene)
 
 
-def test_what_waits_for_its_connection_is_not_written_once_its_client_has_closed(tmp_path: Path) -> None:
+def test_a_request_that_waits_for_its_connection_is_not_written_after_a_close(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         client, session = await rig.client()
         client.sendall(call(1))
@@ -150,7 +152,7 @@
     return client, session.stream.socket
 
 
-def test_a_cancel_is_heard_while_its_client_is_held_back(tmp_path: Path) -> None:
+def test_a_cancel_applies_during_backpressure(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         client, _ = await held_back(rig)
         client.sendall(cancel(1, 6))
@@ -166,7 +168,7 @@
 
 
 @pytest.mark.parametrize("end", ["close", "reset"])
-def test_the_end_of_a_client_that_is_held_back_is_heard(tmp_path: Path, end: str) -> None:
+def test_a_disconnect_is_noticed_during_backpressure(tmp_path: Path, end: str) -> None:
     async def scene(rig: Rig) -> None:
         client, taken = await held_back(rig)
         client.shutdown(socket.SHUT_WR) if end == "close" else reset(client)
@@ -178,7 +180,7 @@
     play(tmp_path, scene, **HELD)
 
 
-def test_what_is_held_back_is_refused_in_time_and_at_once_where_connections_are_to_go(tmp_path: Path) -> None:
+def test_backpressured_requests_are_rejected_in_time_and_at_once_in_a_drain(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         client, _ = await held_back(rig)
         (session,) = rig.front.sessions
@@ -197,7 +199,7 @@
     play(tmp_path, scene, **HELD)
 
 
-def test_what_is_held_back_is_bounded_in_bytes_and_in_number(tmp_path: Path) -> None:
+def test_backpressured_requests_are_bounded_in_bytes_and_number(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         client, _ = await held_back(rig)
         (session,) = rig.front.sessions
@@ -214,7 +216,7 @@
     play(tmp_path, scene, max_body_bytes=200_000, **HELD)
 
 
-def test_a_flood_hides_no_cancel_for_long(tmp_path: Path) -> None:
+def test_a_flood_does_not_delay_a_cancel_for_long(tmp_path: Path) -> None:
     """A cancel may lie behind more than is read in time: what is owed is given up, and nothing goes on."""
     many = 8_000
     junk = b"".join(call(number, method="nosuch") for number in range(2, many)) + cancel(1)
@@ -235,7 +237,7 @@
     play(tmp_path, scene)
 
 
-def test_alive_is_answered_in_the_middle_of_a_burst_that_is_held_back(tmp_path: Path) -> None:
+def test_a_readiness_query_is_answered_during_backpressure(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         client, _ = await held_back(rig)
         client.sendall(call(8) + msgpack.pack([0, 9, "alive", [{}]]) + call(10))
@@ -246,7 +248,7 @@
     play(tmp_path, scene, **HELD)
 
 
-def test_the_program_sends_nothing_on_of_a_burst_whose_sender_has_gone() -> None:
+def test_the_program_forwards_nothing_of_a_burst_from_a_disconnected_client() -> None:
     with platform() as p:
         p.client()
         p.process.send_signal(signal.SIGSTOP)  # all of it lies there when the loop goes on
--- a/tests/crossings/test_clients_closing.py
+++ b/tests/race_conditions/test_client_closing.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("read", [False, True])
-def test_who_makes_room_is_not_the_one_whose_request_has_just_come(tmp_path: Path, read: bool) -> None:
+def test_a_connection_with_an_unread_request_is_not_closed_for_another(tmp_path: Path, read: bool) -> None:
     """Unread in the system, or read in this very turn by the stream and not by its session yet."""
 
     async def scene(rig: Rig) -> None:
@@ -51,7 +51,7 @@
     play(tmp_path, scene, client_connections=2)
 
 
-def test_room_is_made_though_the_first_candidates_have_just_sent_something(tmp_path: Path) -> None:
+def test_a_later_candidate_is_closed_if_the_first_have_unread_bytes(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         all_ = [await idle(rig) for _ in range(4)]
         for client, taken in all_[:3]:
@@ -64,7 +64,7 @@
     play(tmp_path, scene, client_connections=4)
 
 
-def test_who_comes_while_nobody_is_at_rest_waits_at_the_door_until_somebody_is(tmp_path: Path) -> None:
+def test_a_new_connection_waits_in_the_backlog_until_another_is_idle(tmp_path: Path) -> None:
     """Taken in to be turned away, its first request was lost with no answer."""
 
     async def scene(rig: Rig) -> None:
@@ -89,7 +89,7 @@
     play(tmp_path, scene, client_connections=2)
 
 
-def test_who_sends_a_byte_at_the_moment_of_another_s_connect_pushes_nobody_out(tmp_path: Path) -> None:
+def test_a_connection_with_one_byte_displaces_no_other(tmp_path: Path) -> None:
     """Passed over for a byte that is unread, those that say nothing whole left the idle one to make room."""
 
     async def scene(rig: Rig) -> None:
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("state", ["idle", "mute", "half"])
-def test_the_sweep_leaves_a_connection_on_which_something_has_just_come(tmp_path: Path, state: str) -> None:
+def test_the_sweep_keeps_a_connection_with_unread_bytes(tmp_path: Path, state: str) -> None:
     async def scene(rig: Rig) -> None:
         if state == "mute":
             client, session = await rig.client()
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("state", ["idle", "mute", "half"])
-def test_the_sweep_closes_who_has_said_nothing_for_long(tmp_path: Path, state: str) -> None:
+def test_the_sweep_closes_long_silent_connections(tmp_path: Path, state: str) -> None:
     async def scene(rig: Rig) -> None:
         client = (await rig.client())[0] if state == "mute" else (await idle(rig))[0]
         if state == "half":
@@ -146,7 +146,7 @@
     play(tmp_path, scene, client_idle_timeout=0.05, client_silence_timeout=0.05)
 
 
-def test_an_answer_just_written_outlives_the_fault_that_ends_its_connection(tmp_path: Path) -> None:
+def test_an_answer_just_written_survives_the_error_that_ends_its_connection(tmp_path: Path) -> None:
     """The request before it was withdrawn and got nothing, and the close over what came behind reset all."""
 
     async def scene(rig: Rig) -> None:
@@ -164,7 +164,7 @@
     play(tmp_path, scene)
 
 
-def test_a_faulty_client_that_does_not_close_is_closed_within_the_bound(tmp_path: Path) -> None:
+def test_a_lingering_connection_is_closed_within_the_bound(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         client, session = await rig.client()
         began = time.monotonic()
@@ -177,7 +177,7 @@
     play(tmp_path, scene)
 
 
-def test_what_is_at_its_end_makes_room_before_who_asks(tmp_path: Path) -> None:
+def test_lingering_connections_are_closed_for_others_first(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         usual, _ = await idle(rig)
         client, _ = await rig.client()
@@ -192,7 +192,7 @@
     play(tmp_path, scene, client_connections=2)
 
 
-def test_the_end_of_a_drain_answers_what_is_open_and_resets_nobody(tmp_path: Path) -> None:
+def test_the_end_of_a_drain_answers_open_requests_and_resets_no_connection(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         client, session = await rig.client()
         client.sendall(call(1))
@@ -213,7 +213,7 @@
 
 @pytest.mark.parametrize("first", [False, True])  # what it sends, or of who has connected and asked nothing
 @pytest.mark.parametrize("moment", ["unread", "read by the stream"])
-def test_a_quiet_connection_is_not_closed_in_the_moment_its_request_comes(
+def test_a_quiet_connection_is_not_closed_as_its_request_arrives(
     tmp_path: Path, moment: str, first: bool
 ) -> None:
     async def scene(rig: Rig) -> None:
@@ -244,7 +244,7 @@
     play(tmp_path, scene)
 
 
-def test_what_comes_once_new_work_is_turned_away_is_refused_and_not_sent_on(tmp_path: Path) -> None:
+def test_requests_read_while_rejecting_are_rejected_and_not_forwarded(tmp_path: Path) -> None:
     async def scene(rig: Rig) -> None:
         client, taken = await idle(rig)
         client.sendall(call(2))
--- a/tests/crossings/test_client_gone.py
+++ b/tests/race_conditions/test_client_disconnect.py
@@ -2,13 +2,13 @@
 
 from pathlib import Path
 
-from test_watch import ask, made
+from test_interceptor import ask, made
 
 from paddlequay.requests.messages import AttemptResult, FinalAnswer
 from paddlequay.routing.interface import Outcome
 
 
-def test_no_further_attempt_begins_for_a_client_that_left_before_the_first_one_s_end(tmp_path: Path) -> None:
+def test_no_retry_starts_after_the_client_disconnected(tmp_path: Path) -> None:
     exchange, looker, side = made(tmp_path)
     gone: list[bool] = []
     exchange.submit(ask("a"), list[FinalAnswer]().append, lambda: bool(gone))
@@ -23,7 +23,7 @@
     assert looker.heard[-1] == ("a", "over")
 
 
-def test_what_waited_for_its_connection_is_not_written_once_its_client_has_left(tmp_path: Path) -> None:
+def test_a_request_that_waits_for_its_connection_is_dropped_after_a_disconnect(tmp_path: Path) -> None:
     exchange, _, side = made(tmp_path)
     gone: list[bool] = []
     exchange.submit(ask("a"), list[FinalAnswer]().append, lambda: bool(gone))
--- a/tests/crossings/test_configuration.py
+++ b/tests/race_conditions/test_configuration.py
@@ -14,7 +14,7 @@
 
 import pytest
 from harness import ROOT, SETTINGS, platform
-from rig_settings import CLASSES, FULL, SPOILT, WHOLE, changed, read
+from rig_configuration import CLASSES, FULL, SPOILT, WHOLE, changed, read
 
 from paddlequay.config.limits import Limits
 from paddlequay.config.loader import Config
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("value", [*SPOILT, "dropped"])
-def test_whatever_a_field_holds_it_is_used_or_said_in_one_line(value: str, tmp_path: Path) -> None:
+def test_any_field_value_is_used_or_rejected_in_one_line(value: str, tmp_path: Path) -> None:
     used = 0
     for path in paths(WHOLE):
         data = changed(path, SPOILT.get(value), drop=value == "dropped")
@@ -113,13 +113,13 @@
 
 
 @pytest.mark.parametrize("name", FILES)
-def test_a_file_that_is_no_configuration_is_said_in_one_line(name: str, tmp_path: Path) -> None:
+def test_an_invalid_configuration_file_is_rejected_in_one_line(name: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError) as caught:
         read(tmp_path, FILES[name])
     assert len(str(caught.value).splitlines()) == 1 and len(str(caught.value)) <= 300
 
 
-def test_what_is_not_known_is_passed_over(tmp_path: Path) -> None:
+def test_unknown_fields_are_ignored(tmp_path: Path) -> None:
     plain = read(tmp_path, WHOLE)
     data = copy.deepcopy(WHOLE)
     for where in (data, data["settings"], *(data["settings"][each] for each in ("limits", "rules", "extra"))):
@@ -129,7 +129,7 @@
     assert read(tmp_path, data) == plain
 
 
-def test_what_is_missing_is_not_zero(tmp_path: Path) -> None:
+def test_a_missing_field_is_not_zero(tmp_path: Path) -> None:
     needed = {key: FULL[key] for key in ("locality", "classes")}
     settings = read(tmp_path, WHOLE | {"settings": needed}).settings
     assert (
@@ -180,9 +180,7 @@
 
 
 @pytest.mark.parametrize("name", ["", "a b", "a,b", "a\r\nQUIT x", "hold"])
-def test_a_class_that_no_line_to_a_cache_can_name_or_that_is_there_already_is_refused(
-    name: str, tmp_path: Path
-) -> None:
+def test_an_unrepresentable_or_duplicate_class_is_rejected(name: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="classes"):
         read(tmp_path, changed(("settings", "classes", 2, "name"), name))
 
@@ -202,7 +200,9 @@
 
 
 @pytest.mark.parametrize("bad", BAD)
-def test_a_start_with_what_cannot_be_used_ends_with_one_line_and_exit_2(bad: str, tmp_path: Path) -> None:
+def test_a_start_with_an_invalid_configuration_ends_with_one_line_and_exit_code_2(
+    bad: str, tmp_path: Path
+) -> None:
     file = tmp_path / "config.json"
     with socket.create_server(("127.0.0.1", 0)) as taken:
         port = taken.getsockname()[1]
@@ -222,7 +222,7 @@
 
 
 @pytest.mark.parametrize("bad", ["no class", "a huge deadline", "sockets without end"])
-def test_a_reload_of_what_cannot_be_used_leaves_the_old_configuration_and_one_line(bad: str) -> None:
+def test_a_reload_of_an_invalid_configuration_keeps_the_old_one_and_logs_one_line(bad: str) -> None:
     with platform() as p:
         p.ready()
         data = changed(*BAD[bad]) | {"bulletin": "127.0.0.1:9"}
--- a/tests/crossings/test_limits_told.py
+++ b/tests/race_conditions/test_derived_limits.py
@@ -9,7 +9,7 @@
 from harness import SETTINGS, platform, until
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from rig_settings import FULL
+from rig_configuration import FULL
 
 from paddlequay.config import limits as told
 from paddlequay.config.limits import Limits, limits_from, shutdown_times
@@ -20,7 +20,7 @@
 
 @settings(deadline=None, derandomize=True)
 @given(st.floats(0.05, 100.0))
-def test_at_an_end_each_step_comes_in_order_and_the_last_before_sigkill(longest: float) -> None:
+def test_shutdown_phases_come_in_order_and_the_last_before_sigkill(longest: float) -> None:
     times, killed = shutdown_times(longest), min(3.0, longest) + 0.7
     assert times["shutdown_timeout"] + ending.FLUSH_TIME < killed
     assert 0 < times["accept_after_term"] <= times["serve_after_term"] < times["shutdown_timeout"]
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("longest", [3.0, 6.0, 10.0])
-def test_with_deadlines_of_three_seconds_and_more_the_end_is_the_longest(longest: float) -> None:
+def test_with_deadlines_of_three_seconds_and_more_the_shutdown_is_the_longest(longest: float) -> None:
     assert shutdown_times(longest)["shutdown_timeout"] == pytest.approx(3.5)
 
 
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("sockets", [0, 5, 35])
-def test_too_few_descriptors_are_refused(sockets: int) -> None:
+def test_too_few_descriptors_are_rejected(sockets: int) -> None:
     with pytest.raises(ConfigError, match=r"limits\.sockets"):
         limits(sockets=sockets)
 
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(("streams", "used"), [(1, 1), (32, 32), (100_000, 512)])
-def test_no_more_is_out_on_a_connection_than_ids_are_remembered(streams: int, used: int) -> None:
+def test_requests_in_flight_on_a_connection_never_exceed_the_remembered_ids(streams: int, used: int) -> None:
     assert limits(streamsPerConn=streams).cache_streams == used
 
 
@@ -77,7 +77,7 @@
     assert limits(dialTimeout=dial).connect_timeout == waits
 
 
-def test_what_the_program_holds_by_itself_is_what_is_kept_for_it() -> None:
+def test_the_programs_own_descriptors_match_their_reserve() -> None:
     with platform() as p:
         p.ready()
         p.bulletin.accepted.get(timeout=5)
@@ -85,7 +85,7 @@
     assert held <= told.NON_CONSOLE_DESCRIPTORS
 
 
-def test_an_end_with_short_deadlines_and_a_client_that_reads_nothing_comes_by_itself() -> None:
+def test_a_shutdown_with_short_deadlines_does_not_wait_for_a_client_that_reads_nothing() -> None:
     """Answers wait for a client that takes none: what is flushed at the end ends before SIGKILL does it."""
     longest = 0.5
     classes = [each | {"deadline": longest, "aim": 0.2} for each in SETTINGS["classes"]]
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("sockets", [36, 60, 100])
-def test_with_few_descriptors_clients_that_fill_their_part_leave_room_for_the_rest(sockets: int) -> None:
+def test_with_few_descriptors_clients_at_their_quota_leave_the_reserve_free(sockets: int) -> None:
     with platform(limits={"sockets": sockets, "memory_mb": 192}) as p:
         p.ready()
         resource.prlimit(p.process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
--- a/tests/crossings/test_descriptors.py
+++ b/tests/race_conditions/test_descriptors.py
@@ -7,7 +7,7 @@
 
 import pytest
 from harness import WAIT, Client, Platform, platform, until
-from rig_end import asked, reply, served
+from rig_shutdown import asked, reply, served
 
 from paddlequay.protocol import msgpack
 
@@ -37,7 +37,7 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def test_a_door_with_no_descriptor_left_waits_and_nobody_else_notices(p: Platform) -> None:
+def test_a_listener_without_descriptors_waits_and_affects_no_open_connection(p: Platform) -> None:
     """Each turn of the loop tried again and logged its trace, at a full core."""
     early = p.client()
     connection, words = asked(p, early)
@@ -61,7 +61,7 @@
     assert not any("Traceback" in line for line in p.log)
 
 
-def test_an_end_takes_in_who_waits_at_the_door_though_no_descriptor_is_left(p: Platform) -> None:
+def test_a_shutdown_accepts_the_backlog_though_no_descriptor_is_left(p: Platform) -> None:
     """The first refused accept left the rest of the queue to be reset."""
     early = p.client()
     served(p, early)
--- a/tests/crossings/test_list_lines.py
+++ b/tests/race_conditions/test_endpoint_events.py
@@ -5,14 +5,14 @@
 import time
 
 import pytest
-from rig_list import Bulletin, Recorder, Told, play, recall, roster, silent
-from test_list_reading import DEEP, NUMBERED
+from rig_endpoints import Bulletin, Recorder, Told, play, recall, roster, silent
+from test_endpoint_parsing import DEEP, NUMBERED
 
 from paddlequay.net import watch_client as lines
 from paddlequay.protocol.endpoint_watch import EndpointList
 
 
-def test_events_in_pieces_twice_and_from_before_are_had_once_each() -> None:
+def test_split_duplicate_and_old_events_apply_once_each() -> None:
     async def pieces(told: Told) -> None:
         whole = (
             b"".join(
@@ -37,7 +37,7 @@
     play(work())
 
 
-def test_an_event_that_breaks_off_is_asked_for_anew() -> None:
+def test_an_incomplete_event_is_requested_again() -> None:
     async def half(told: Told) -> None:
         told.tell(roster(1))
         told.writer.write(b'{"no":2,"roster":{"instances":[')
@@ -56,7 +56,7 @@
     play(work())
 
 
-def test_a_number_that_is_skipped_is_asked_for_before_what_stands_behind_it_is_taken() -> None:
+def test_a_skipped_event_is_requested_before_later_ones_apply() -> None:
     async def skipping(told: Told) -> None:
         told.tell(roster(1), roster(3), {"no": 3})
         await silent(told)
@@ -73,7 +73,7 @@
     play(work())
 
 
-def test_numbers_that_every_connection_skips_do_not_exist_and_are_not_asked_for_again() -> None:
+def test_numbers_skipped_on_every_connection_are_not_requested_again() -> None:
     async def skipping(told: Told) -> None:
         told.tell(*(roster(number) for number in (2, 4, 6, 8) if number > told.after), {"no": 8})
         await silent(told)
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("line", [b"garbage", DEEP, b'{"no":"2"}'], ids=["garbage", "deep", "text"])
-def test_what_stands_behind_a_spoilt_line_that_comes_each_time_is_had(line: bytes) -> None:
+def test_events_behind_a_permanently_malformed_line_apply(line: bytes) -> None:
     async def spoilt(told: Told) -> None:
         told.tell(*([roster(1)] if not told.after else []), line, roster(2), {"no": 2})
         await silent(told)
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("line", [NUMBERED[0], NUMBERED[3]], ids=["list", "kind"])
-def test_an_event_that_says_nothing_here_is_passed_over_and_the_connection_stays(line: bytes) -> None:
+def test_an_irrelevant_event_is_ignored_and_the_connection_stays_open(line: bytes) -> None:
     async def strange(told: Told) -> None:
         told.tell(roster(1), line, roster(3), {"no": 3})
         await silent(told)
@@ -120,7 +120,7 @@
     play(work())
 
 
-def test_an_event_that_fails_once_is_had_the_next_time() -> None:
+def test_an_event_that_fails_once_applies_the_next_time() -> None:
     """It was counted as had before it was in force, and never asked for again."""
     failures = [2, 3]
 
@@ -142,7 +142,7 @@
     play(work())
 
 
-def test_an_event_that_fails_each_time_is_passed_over_after_growing_pauses() -> None:
+def test_an_event_that_always_fails_is_skipped_after_backoff() -> None:
     at: list[float] = []
 
     def fail(news: EndpointList) -> None:
@@ -166,7 +166,7 @@
     play(work())
 
 
-def test_a_failing_sign_of_life_ends_no_task_and_loses_no_event() -> None:
+def test_a_failing_heartbeat_handler_ends_no_task_and_loses_no_event() -> None:
     async def beats(told: Told) -> None:
         told.tell(*(roster(number) for number in (1, 2) if number > told.after), {"no": 2})
         if told.after == 2:
--- a/tests/crossings/test_list_reading.py
+++ b/tests/race_conditions/test_endpoint_parsing.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 import pytest
-from rig_list import entry, roster
+from rig_endpoints import entry, roster
 
 from paddlequay.protocol.endpoint_watch import (
     EndpointList,
@@ -47,13 +47,13 @@
 
 
 @pytest.mark.parametrize("line", NUMBERLESS + NUMBERED, ids=lambda line: line[:24].decode("latin-1"))
-def test_a_line_that_cannot_be_used_is_said_so_and_those_behind_it_come(line: bytes) -> None:
+def test_an_invalid_line_is_logged_and_later_lines_apply(line: bytes) -> None:
     first, second = WatchEventParser(1 << 20).feed(line + b'\n{"no":3}\n')
     assert isinstance(first, UnusableLine) and first.number == (2 if line in NUMBERED else None)
     assert len(first.reason) <= 200 and second == WatchHeartbeat(3)
 
 
-def test_a_line_that_is_too_long_is_passed_over_to_its_end_and_is_not_kept() -> None:
+def test_a_too_long_line_is_skipped_without_buffering() -> None:
     reader = WatchEventParser(1000)
     assert not list(reader.feed(b"x" * 900)) and not list(reader.feed(b"x" * 900))
     assert not reader.buffer
@@ -88,14 +88,14 @@
 
 
 @pytest.mark.parametrize(("bad", "drains"), ENTRIES)
-def test_an_entry_that_cannot_be_used_does_not_take_the_others_with_it(bad: Any, drains: bool) -> None:
+def test_an_invalid_entry_does_not_affect_the_others(bad: Any, drains: bool) -> None:
     news = parse_event(roster(2, entry("box-1"), bad, entry("box-2", lifecycle="terminated", hostPort=None)))
     assert isinstance(news, EndpointList) and news.unusable_count == 1 and news.unusable_reason
     assert [one.member.name for one in news.endpoints] == ["box-1", "box-2"]
     assert news.draining_ids == (("bad",) if drains else ())
 
 
-def test_of_an_id_that_an_event_names_twice_the_last_word_holds() -> None:
+def test_the_last_of_duplicate_entries_in_an_event_applies() -> None:
     drain, use = entry("a", lifecycle="terminating"), entry("a", weight=3)
     for words, state in (([drain, use], "ready"), ([use, drain], "draining")):
         news = parse_event(roster(2, *words))
--- a/tests/crossings/test_list_program.py
+++ b/tests/race_conditions/test_endpoint_program.py
@@ -40,7 +40,7 @@
     assert client.answer()[3][0] == b"y" and p.box.lines.empty()
 
 
-def test_a_drain_is_had_in_time_though_each_step_is_at_its_worst() -> None:
+def test_a_drain_applies_in_time_with_each_step_at_its_slowest() -> None:
     """Half a line byte by byte; then late and silent; dropped after `after N`; heartbeats ahead of events."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
@@ -103,7 +103,7 @@
     return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def test_discovery_that_goes_while_clients_fill_all_descriptors_is_followed_when_it_is_back(
+def test_discovery_lost_while_clients_fill_the_descriptors_is_watched_again(
     p: Platform,
 ) -> None:
     """A descriptor that came free as the connection ended went to a client that waited for one, and the
@@ -143,7 +143,7 @@
         each.close()
 
 
-def test_a_drain_that_says_little_more_than_its_id_binds_and_the_rest_of_its_event_too(p: Platform) -> None:
+def test_a_drain_with_little_more_than_an_id_applies_with_the_rest_of_its_event(p: Platform) -> None:
     client = p.client()
     client.ask()
     p.box.answer("HIT", "-", b"x")
@@ -157,7 +157,7 @@
     goes_to_the_other(p, client)
 
 
-def test_a_drain_and_a_return_in_one_read_leave_a_charge_its_one_answer(p: Platform) -> None:
+def test_a_drain_and_a_return_in_one_read_leave_a_write_one_answer(p: Platform) -> None:
     client = p.client()
     client.ask("charge")
     p.origin.answer("NONE")
@@ -177,7 +177,7 @@
     assert client.answer()[3][0] == b"x" and not client.answered()
 
 
-def test_an_id_started_anew_in_one_read_ends_what_its_old_connections_hold_once(p: Platform) -> None:
+def test_a_restart_in_one_read_ends_the_attempts_of_old_connections_once(p: Platform) -> None:
     client = p.client()
     client.ask("charge")
     p.origin.answer("NONE")
@@ -206,7 +206,7 @@
     assert answers == {1, 2, 3} and not client.answered()
 
 
-def test_a_list_of_thousands_in_one_event_holds_nobody_up_for_long(p: Platform) -> None:
+def test_an_event_with_thousands_of_members_does_not_block_the_loop_for_long(p: Platform) -> None:
     """Measured by the router's own processor time, which other work on the machine does not change."""
     client = p.client()
     nowhere = {"lifecycle": "in_service", "zone": "far", "machineType": "box", "cell": 0}
@@ -223,7 +223,7 @@
     assert client.answer()[3][0] == b"x"
 
 
-def test_a_late_bulletin_leaves_no_watch_behind(p: Platform) -> None:
+def test_a_late_endpoint_source_leaves_no_extra_watch(p: Platform) -> None:
     """Each watch is silent, until one of them tells: all others are closed, and so are their descriptors."""
     p.client()
     silent = [p.publish() for _ in range(3)]
--- a/tests/crossings/test_list_members.py
+++ b/tests/race_conditions/test_endpoint_updates.py
@@ -7,8 +7,8 @@
 from typing import Any, cast
 
 import pytest
-from rig_list import entry, roster
-from test_watch import made
+from rig_endpoints import entry, roster
+from test_interceptor import made
 
 from paddlequay.discovery.reports import MembershipLimits, SourceRule
 from paddlequay.discovery.resolver_types import SendQuery
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("discovery", [False, True])
-def test_a_list_that_broke_off_in_the_pool_is_in_force_whole_after_the_next_try(
+def test_an_update_interrupted_in_the_pool_applies_completely_at_the_next_attempt(
     tmp_path: Path, discovery: bool
 ) -> None:
     """The membership has it after the first try, and told nothing of it at the second."""
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("discovery", [False, True])
-def test_a_member_that_fails_each_time_takes_no_other_with_it_and_drains_all_the_same(
+def test_a_member_that_always_fails_affects_no_other_and_still_drains(
     tmp_path: Path, discovery: bool
 ) -> None:
     follower, exchange, pool = discovered(tmp_path)[:3] if discovery else followed(tmp_path)
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("discovery", [False, True])
-def test_a_drain_by_id_alone_keeps_what_is_known_of_its_member(tmp_path: Path, discovery: bool) -> None:
+def test_a_drain_by_id_alone_keeps_the_members_fields(tmp_path: Path, discovery: bool) -> None:
     follower, exchange, pool = discovered(tmp_path)[:3] if discovery else followed(tmp_path)
     instance = pool.instances["b"]
     drains = [{"instanceId": name, "lifecycle": TERMINATING} for name in ("b", "nobody")]
@@ -126,7 +126,7 @@
     assert exchange.write_checks.is_usable("b") and pool.instances["b"] is instance
 
 
-def test_a_report_past_the_bound_of_members_is_refused_but_for_those_it_drains(tmp_path: Path) -> None:
+def test_a_report_over_the_member_bound_applies_only_its_drains(tmp_path: Path) -> None:
     follower, exchange, _, _ = discovered(tmp_path, most=4)
     many = [entry(f"m{n}", hostPort=f"10.1.0.{n}:80") for n in range(1, 9)]
     tell(follower, roster(2, *many, entry("a", lifecycle=TERMINATING), entry("b", lifecycle="terminated")))
@@ -134,7 +134,7 @@
     assert exchange.counters.counts["members_refused"] == 1
 
 
-def test_a_question_by_tcp_for_which_no_descriptor_is_left_has_failed_and_is_over(
+def test_a_tcp_query_without_a_descriptor_fails_and_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its task died of the error, and the question was open until its time was over."""
--- a/tests/crossings/test_list_watches.py
+++ b/tests/race_conditions/test_endpoint_watches.py
@@ -4,8 +4,8 @@
 import time
 
 import pytest
-from rig_list import Bulletin, Recorder, Told, entry, play, roster, silent, until
-from test_standing import full_listener
+from rig_endpoints import Bulletin, Recorder, Told, entry, play, roster, silent, until
+from test_drains import full_listener
 
 from paddlequay.net import watch_client as lines
 from paddlequay.protocol.endpoint_watch import EndpointList
@@ -13,7 +13,7 @@
 # --- moved to another address (SIGHUP) ---
 
 
-def test_moved_between_two_events_of_one_read_nothing_more_of_the_old_one_is_taken() -> None:
+def test_after_an_address_change_no_further_event_of_the_old_source_applies() -> None:
     async def old(told: Told) -> None:
         told.tell(roster(1), roster(2), roster(3))
         await told.ended()
@@ -40,7 +40,7 @@
     play(work())
 
 
-def test_moved_while_an_event_waits_for_the_next_turn_it_is_not_taken_from_the_old_one() -> None:
+def test_an_event_that_waits_during_an_address_change_does_not_apply() -> None:
     async def old(told: Told) -> None:
         told.tell(*(roster(number) for number in range(1, 10)))
         await told.ended()
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("moment", ["connect", "after", "pause"])
-def test_moved_while_a_connection_is_made_the_new_one_is_asked_at_once(moment: str) -> None:
+def test_an_address_change_during_a_connect_connects_to_the_new_one_at_once(moment: str) -> None:
     async def new(told: Told) -> None:
         told.tell(roster(1), {"no": 1})
         await silent(told)
@@ -96,7 +96,7 @@
         play(work())
 
 
-def test_moved_to_the_address_that_is_followed_the_connection_stays() -> None:
+def test_a_change_to_the_current_address_keeps_the_connection() -> None:
     async def one(told: Told) -> None:
         told.tell(roster(1), {"no": 1})
         await silent(told)
@@ -115,7 +115,7 @@
 # --- silence ---
 
 
-def test_bytes_that_make_no_line_do_not_keep_a_watch_and_the_one_that_tells_is_kept_alone(
+def test_a_watch_without_complete_lines_is_replaced_by_one_with_events(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Any byte put the silence off: half a line at a time, a dead watch lived for ever."""
@@ -172,7 +172,7 @@
     play(work())
 
 
-def test_refused_and_dropped_connections_are_tried_again_after_a_pause_each() -> None:
+def test_refused_and_dropped_watches_are_retried_with_backoff() -> None:
     async def drop(told: Told) -> None:
         told.writer.close()
 
@@ -188,7 +188,7 @@
     play(work())
 
 
-def test_a_follower_that_was_ended_follows_again_where_it_stopped() -> None:
+def test_a_cancelled_watch_resumes_at_its_last_event() -> None:
     """Its reserved socket was closed and kept: begun again it failed at once with the first watch."""
 
     async def one(told: Told) -> None:
--- a/tests/crossings/test_own_failures.py
+++ b/tests/race_conditions/test_fault_isolation.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from rig_repeats import FEE, PAGE, Rig, entry
+from rig_retries import FEE, PAGE, Rig, entry
 
 from paddlequay.requests.messages import (
     AnswerStatus,
@@ -19,7 +19,7 @@
     """What nobody expects."""
 
 
-def test_a_failed_start_ends_its_own_attempt_alone_and_proves_it_idle(tmp_path: Path) -> None:
+def test_a_failed_start_ends_only_its_attempt_as_not_sent(tmp_path: Path) -> None:
     """No descriptor for a connection: nothing was written, so even a fee may go on elsewhere."""
     rig = Rig(tmp_path, (FEE,), direct=True)
     start, failed = rig.side.start, list[UpstreamAttempt]()
@@ -37,7 +37,7 @@
     assert rig.side.write(again) is again and not rig.replies["a"]
 
 
-def test_a_start_that_failed_after_its_write_may_have_run(tmp_path: Path) -> None:
+def test_an_attempt_that_failed_after_its_write_may_have_run(tmp_path: Path) -> None:
     rig = Rig(tmp_path, (FEE,), direct=True)
     start = rig.side.start
 
@@ -71,7 +71,7 @@
     assert {attempt.id for attempt in rig.side.waiting if not attempt.ended} == {"a0", "a1", "a2", "a3"}
 
 
-def test_an_answer_that_cannot_be_given_keeps_nobody_else_from_theirs(tmp_path: Path) -> None:
+def test_a_failed_answer_callback_affects_no_other_request(tmp_path: Path) -> None:
     """The end of its attempt is told to the decisions all the same: what it held there comes free."""
     rig = Rig(tmp_path, (PAGE,))
 
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("event", ["request", "end"])
-def test_a_decision_that_fails_answers_its_request_and_gives_its_attempts_up(
+def test_a_failed_decision_answers_its_request_and_cancels_its_attempts(
     tmp_path: Path, event: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path, (PAGE,))
@@ -116,7 +116,7 @@
     assert len(rig.exchange.router.requests) == 1
 
 
-def test_a_decision_on_the_list_that_fails_leaves_what_is_open_to_its_time_outs(
+def test_a_failed_membership_decision_leaves_open_requests_to_their_timeouts(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path, (PAGE, FEE))
--- a/tests/crossings/test_twin_crossing.py
+++ b/tests/race_conditions/test_hot_restart_races.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from harness import WAIT, platform
-from rig_end import asked, reply, served
+from rig_shutdown import asked, reply, served
 
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.operator_state import OperatorState
@@ -22,7 +22,7 @@
     )
 
 
-def test_who_comes_while_another_takes_over_waits_for_that_one(tmp_path: Path) -> None:
+def test_a_third_process_waits_for_the_takeover_in_progress(tmp_path: Path) -> None:
     """Turned away by the older process, it took itself for the only one, and served beside two others."""
 
     async def play() -> None:
@@ -44,7 +44,7 @@
     asyncio.run(asyncio.wait_for(play(), WAIT))
 
 
-def test_where_the_older_process_goes_before_its_first_word_the_newer_one_is_alone_at_once(
+def test_a_successor_is_alone_at_once_if_its_predecessor_exits_before_its_first_message(
     tmp_path: Path,
 ) -> None:
     async def play() -> None:
@@ -65,7 +65,7 @@
     asyncio.run(asyncio.wait_for(play(), WAIT))
 
 
-def test_a_message_that_cannot_be_acted_on_ends_the_link_in_order(tmp_path: Path) -> None:
+def test_an_unusable_hot_restart_message_closes_the_link_in_order(tmp_path: Path) -> None:
     """The link counted as open for good, and with it a newer process that takes clients."""
 
     async def play() -> None:
@@ -89,7 +89,7 @@
     asyncio.run(asyncio.wait_for(play(), WAIT))
 
 
-def test_sigterm_to_the_older_process_before_the_newer_one_is_ready_loses_nothing() -> None:
+def test_sigterm_to_the_predecessor_before_its_successor_is_ready_loses_no_request() -> None:
     """What the older one holds is answered; the newer one waits no longer than the older one lives."""
     with platform() as p:
         p.ready()
--- a/tests/crossings/test_keyed.py
+++ b/tests/race_conditions/test_idempotency_keys.py
@@ -8,7 +8,7 @@
 KEY = "3b7741a4889c44dc1282a4512cfe3f49"
 
 
-def test_a_keyed_request_and_its_repeat_carry_their_key_to_the_cache() -> None:
+def test_a_request_and_its_retry_carry_the_idempotency_key() -> None:
     settings = copy.deepcopy(SETTINGS)
     settings["classes"][1] |= {"idempotency": "idempotency_key", "dedupScope": "all", "window": 1.0}
     with platform(settings=settings) as p:
@@ -23,7 +23,7 @@
         assert client.answer() == [1, 2, None, [b"done", {}]]
 
 
-def test_a_key_that_would_break_the_line_to_a_cache_is_an_error_and_the_connection_lives() -> None:
+def test_an_unrepresentable_idempotency_key_is_an_error_and_the_connection_stays_open() -> None:
     with platform() as p:
         client = p.client()
         for key in ("a,via=origin-1", "a b", "a\r\nQUIT 1", ""):
--- a/tests/crossings/test_known_red.py
+++ b/tests/race_conditions/test_known_red.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("more", [(), ("--whole-suite",), ("-n", "2", "--whole-suite")])
-def test_a_listed_test_is_run_passed_over_and_printed(more: tuple[str, ...], tmp_path: Path) -> None:
+def test_a_listed_test_is_run_tolerated_and_printed(more: tuple[str, ...], tmp_path: Path) -> None:
     done = run(tmp_path, LINE.format(RED), more=more)
     assert done.returncode == 0
     assert done.stdout.count("known to be red") == 1 and LINE.format(RED) in done.stdout.splitlines()
@@ -66,7 +66,7 @@
     assert done.returncode == 1 and f"no test has this name: {name}" in done.stdout
 
 
-def test_a_run_of_a_part_asks_for_no_more_than_that_part(tmp_path: Path) -> None:
+def test_a_partial_run_checks_only_its_own_tests(tmp_path: Path) -> None:
     assert run(tmp_path, LINE.format(RED), more=(GREEN,)).returncode == 0
 
 
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("case", UNUSABLE)
-def test_a_file_that_cannot_be_used_fails_the_run_before_any_test(case: str, tmp_path: Path) -> None:
+def test_an_invalid_file_fails_the_run_before_any_test(case: str, tmp_path: Path) -> None:
     done = run(tmp_path, *UNUSABLE[case])
     assert done.returncode == pytest.ExitCode.USAGE_ERROR and "KNOWN-RED.txt: " in done.stderr
     assert "test_tiny" not in done.stdout
--- a/tests/crossings/test_sizes.py
+++ b/tests/race_conditions/test_large_requests.py
@@ -12,7 +12,7 @@
 from driver import EVERYBODY, settings
 from harness import platform
 from hypothesis import strategies as st
-from rig_ready import Asked, Kind, World
+from rig_virtual_fleet import Asked, Kind, World
 
 from paddlequay.policy import Router
 from paddlequay.policy.attempts import AttemptManager
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize(("routers", "seed"), [(4, 1), (4, 4), (20, 1), (20, 3)])
 @pytest.mark.parametrize("day", DAYS)
-def test_the_largest_are_answered_beside_their_class_and_each_class_beside_the_whole(
+def test_the_largest_requests_of_a_class_and_each_class_get_their_answered_share(
     day: str, routers: int, seed: int
 ) -> None:
     load, trouble, least = DAYS[day]
@@ -161,7 +161,7 @@
 
 @hypothesis.given(KIND, st.sampled_from([None, 1, 2, 3, 6]), st.floats(0.2, 30.0))
 @hypothesis.settings(max_examples=150, deadline=None, derandomize=True)
-def test_no_attempt_is_cut_short_that_nothing_can_follow(
+def test_an_attempt_without_a_possible_retry_is_not_cut_short(
     kind: RequestClass, most: int | None, slow: float
 ) -> None:
     """A charge that may never run twice was failed after half of its time by an origin that was only slow."""
@@ -174,15 +174,13 @@
 
 @hypothesis.given(KIND, st.floats(0.2, 30.0))
 @hypothesis.settings(max_examples=150, deadline=None, derandomize=True)
-def test_an_answer_that_takes_over_half_of_the_time_comes_whatever_was_learned(
-    kind: RequestClass, slow: float
-) -> None:
+def test_an_answer_that_takes_over_half_of_the_deadline_is_awaited(kind: RequestClass, slow: float) -> None:
     """Cut at just under half, the largest were cut twice, and each time begun from nothing."""
     assert max(waits(kind, None, slow)) >= 0.57 * kind.deadline
 
 
 @pytest.mark.parametrize("count", [1, 10])
-def test_any_number_of_classes_in_any_order_and_answers_without_a_delay_do_no_harm(count: int) -> None:
+def test_any_classes_in_any_order_and_immediate_answers_are_harmless(count: int) -> None:
     """What took no time at all is no work of nothing, which all that is measured beside it is divided by."""
     kinds = tuple(
         RequestClass(
@@ -208,7 +206,7 @@
         assert router.state.latency.mean_work > 0.0 and not router.requests
 
 
-def test_a_charge_whose_answer_only_takes_long_is_waited_for_on_real_sockets() -> None:
+def test_a_write_with_a_slow_answer_is_awaited_on_real_sockets() -> None:
     """Withheld for longer than time-outs used to last, the one answer that there can be was given up."""
     with platform() as made:
         client = made.client()
--- a/tests/crossings/test_log_lines.py
+++ b/tests/race_conditions/test_log_lines.py
@@ -32,12 +32,12 @@
     assert quoted(value) == word
 
 
-def test_of_a_long_value_the_two_ends_are_kept() -> None:
+def test_a_long_value_is_shortened_in_the_middle() -> None:
     word = quoted("first" + "x" * 10**6 + "last")
     assert len(word) < VALUE_MOST + 20 and word.startswith('"first') and word.endswith('last"')
 
 
-def test_a_trace_is_one_line_and_its_end_is_kept() -> None:
+def test_a_traceback_is_one_line_shortened_at_its_start() -> None:
     record = logging.LogRecord("paddlequay.x", logging.ERROR, "x.py", 1, "failed", (), None)
     try:
         raise ValueError("x" * 10**6 + "\nthe cause")
@@ -47,7 +47,7 @@
     assert len(line) < VALUE_MOST + 200 and len(line.splitlines()) == 1 and "the cause" in line
 
 
-def test_a_long_event_that_cannot_be_read_leaves_a_short_line() -> None:
+def test_a_long_malformed_event_is_logged_as_a_short_line() -> None:
     with platform() as p:
         event = {"no": 2, "recall": {"item": "00", "issued": "x" * 10**6}}
         p.publish(event).sendall(json.dumps(event).encode())
--- a/tests/crossings/test_no_cycles.py
+++ b/tests/race_conditions/test_no_cycles.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("way", [closed, reset])
-def test_a_client_s_connection_that_has_ended_is_freed(tmp_path: Path, way: Any) -> None:
+def test_an_ended_client_connection_is_freed_without_the_cycle_collector(tmp_path: Path, way: Any) -> None:
     async def scene(rig: rig_clients.Rig) -> None:
         end = way(rig)
         for _ in range(COUNT):
@@ -57,7 +57,7 @@
     rig_clients.play(tmp_path, scene)
 
 
-def test_a_connection_to_a_cache_that_has_ended_is_freed(tmp_path: Path) -> None:
+def test_an_ended_cache_connection_is_freed_without_the_cycle_collector(tmp_path: Path) -> None:
     async def scene(rig: rig_caches.Rig) -> None:
         for number in range(COUNT):
             rig.ask(str(number))
--- a/tests/crossings/test_purges.py
+++ b/tests/race_conditions/test_purges.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from test_watch import Clock, Side
+from test_interceptor import Clock, Side
 
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.operator_state import OperatorState
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("of", [(KEY, None), (None, GROUP)])
 @pytest.mark.parametrize("since", [0.5, 5.9, 6.2, 60.0])
-def test_no_copy_older_than_a_purge_will_do_however_long_ago_it_was(
+def test_no_copy_older_than_a_purge_is_accepted_at_any_later_time(
     tmp_path: Path, of: tuple[int | None, int | None], since: float
 ) -> None:
     """A cache that hung for the six seconds in which others dropped such copies served one after them."""
@@ -81,7 +81,7 @@
     assert order(exchange, side, "video").max_age == pytest.approx(since)
 
 
-def test_a_purge_makes_no_copy_good_that_the_class_holds_too_old(tmp_path: Path) -> None:
+def test_a_purge_does_not_extend_the_maximum_age_of_a_class(tmp_path: Path) -> None:
     exchange, side = made(tmp_path)
     exchange.record_purge(KEY, None, NOW - 3.0)
     assert order(exchange, side, "page").max_age == pytest.approx(3.0)
@@ -91,7 +91,7 @@
     assert order(exchange, side, "charge").max_age is None  # no copies of it are kept
 
 
-def test_purges_are_bounded_and_the_latest_kept(tmp_path: Path) -> None:
+def test_purges_are_bounded_and_the_latest_stay(tmp_path: Path) -> None:
     exchange, side = made(tmp_path)
     for key in range(1000, 1000 + 2 * MAX_PURGES):
         exchange.record_purge(key, None, NOW - 20.0)
--- a/tests/crossings/test_ready.py
+++ b/tests/race_conditions/test_readiness.py
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("discovery", [nobody, silent, full])
-def test_says_yes_by_what_stands_in_its_configuration_while_discovery_is_away(
+def test_the_program_is_ready_from_its_configuration_while_discovery_is_down(
     discovery: Callable[[], contextlib.AbstractContextManager[str]],
 ) -> None:
     with discovery() as bulletin, platform(bulletin=bulletin) as made:
@@ -99,14 +99,14 @@
         assert made.box.line()[1][0] == "ASK"  # and it serves by that list
 
 
-def test_a_list_of_thousands_in_the_configuration_is_taken_in_before_the_first_yes() -> None:
+def test_a_configuration_with_thousands_of_members_applies_before_readiness() -> None:
     known = long_known(members=3000, purges=3000)
     with nobody() as bulletin, platform(bulletin=bulletin, known=known) as made:
         assert alive(made.client()) is True
         assert cpu_of(made.process) < ALONE_S
 
 
-def test_an_empty_list_does_not_hold_the_first_yes_back() -> None:
+def test_an_empty_endpoint_list_does_not_delay_readiness() -> None:
     with nobody() as bulletin, platform(bulletin=bulletin, known={"no": 0, "items": []}) as made:
         client = made.client()
         assert alive(client) is True
@@ -115,7 +115,7 @@
         assert answer[2][0] == "TryLater"  # said at once, and harmless
 
 
-def test_many_started_at_once_on_one_core_are_ready_for_what_they_use_of_it() -> None:
+def test_processes_started_together_on_one_core_become_ready_in_their_share_of_it() -> None:
     """Who waits for the core waits for the others' starts: what each uses of it is what counts."""
     allowed = os.sched_getaffinity(0)
     with contextlib.ExitStack() as stack:
@@ -146,7 +146,7 @@
             made.process.kill()
 
 
-def test_a_burst_of_clients_that_come_again_at_the_start_is_served_and_holds_no_yes_back() -> None:
+def test_reconnecting_clients_at_startup_are_served_without_delaying_readiness() -> None:
     """All stand in the listen queue with a request each when the process accepts for the first time."""
     with nobody() as bulletin, platform(bulletin=bulletin) as made:
         made.client().socket.close()  # it listens
@@ -178,7 +178,7 @@
         assert not made.counted("rejected_connections")
 
 
-def test_connections_without_a_byte_that_fill_the_queue_at_the_start_hold_no_yes_back() -> None:
+def test_silent_connections_in_the_backlog_at_startup_do_not_delay_readiness() -> None:
     with nobody() as bulletin, platform(bulletin=bulletin) as made:
         first = made.client()
         made.process.send_signal(signal.SIGSTOP)
@@ -191,7 +191,7 @@
             client.socket.close()
 
 
-def test_what_a_killed_process_left_in_its_folder_does_not_hold_the_next_one_back() -> None:
+def test_files_of_a_killed_process_do_not_delay_the_next_one() -> None:
     with nobody() as bulletin, platform(bulletin=bulletin) as made:
         made.client()
         made.process.kill()
@@ -202,7 +202,7 @@
         assert "beside_predecessor=False" in made.logged("event=serving beside_predecessor=False")
 
 
-def test_an_older_process_that_hangs_holds_the_newer_one_back_for_a_bounded_time() -> None:
+def test_a_hanging_predecessor_delays_its_successor_for_a_bounded_time() -> None:
     with nobody() as bulletin, platform(bulletin=bulletin) as made:
         assert alive(made.client()) is True
         older = made.process
--- a/tests/crossings/test_repeats.py
+++ b/tests/race_conditions/test_retries.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from rig_repeats import FEE, PAGE, Rig, entry, keyed
+from rig_retries import FEE, PAGE, Rig, entry, keyed
 
 from paddlequay.requests.messages import AnswerStatus, UpstreamAttempt
 from paddlequay.routing.interface import Member, MemberState, Outcome
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize(
     ("group", "verdict"), [("all", AnswerStatus.REJECTED), ("zone", AnswerStatus.FAILED)]
 )
-def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_written(
+def test_a_retry_connected_after_its_window_is_not_written(
     tmp_path: Path, group: str, verdict: AnswerStatus
 ) -> None:
     rig = Rig(tmp_path, (keyed(group, 0.3),))
@@ -33,7 +33,7 @@
     assert not rig.exchange.pending and not rig.side.waiting
 
 
-def test_a_repeat_whose_connection_comes_up_inside_the_window_is_written(tmp_path: Path) -> None:
+def test_a_retry_connected_inside_its_window_is_written(tmp_path: Path) -> None:
     rig = Rig(tmp_path, (keyed("all", 0.3),))
     lost(rig)
     rig.clock.move(0.15)
@@ -52,7 +52,7 @@
     assert [reply.status for reply in rig.replies["a"]] == [AnswerStatus.REJECTED]
 
 
-def test_what_never_ran_binds_no_window(tmp_path: Path) -> None:
+def test_an_attempt_that_did_not_run_opens_no_window(tmp_path: Path) -> None:
     rig = Rig(tmp_path, (keyed("all", 0.3),))
     rig.ask("hold")
     rig.side.end(rig.side.waiting[0], Outcome.CONNECT_FAILED)
@@ -63,7 +63,7 @@
 @pytest.mark.parametrize(
     ("group", "moved"), [("zone", {"zone": "there"}), ("cell", {"cell": 9}), ("cell", {"cell": None})]
 )
-def test_a_repeat_is_not_written_to_a_member_that_has_left_the_group_since(
+def test_a_retry_is_not_written_to_a_member_that_left_the_group(
     tmp_path: Path, group: str, moved: dict[str, object]
 ) -> None:
     rig = Rig(tmp_path, (keyed(group, 1.0),))
@@ -88,7 +88,7 @@
     assert rig.side.write() is again
 
 
-def test_members_whose_place_is_not_told_are_of_no_group(tmp_path: Path) -> None:
+def test_members_without_a_location_belong_to_no_group(tmp_path: Path) -> None:
     members = (Member("box-0", None, "box"), Member("box-1", None, "box"), entry("o", "hub", None, "origin"))
     for group in ("zone", "cell", None):
         rig = Rig(tmp_path, (keyed(group, 1.0),), members=members)
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("kind", ["fee", "hold", "page"])
 @pytest.mark.parametrize("part", ["target", "source"])
-def test_nothing_is_written_to_or_filled_from_a_member_that_started_anew_since_it_was_chosen(
+def test_a_member_restarted_since_selection_is_neither_target_nor_source(
     tmp_path: Path, kind: str, part: str
 ) -> None:
     rig = Rig(tmp_path, (keyed("all"), FEE, PAGE))
@@ -117,7 +117,7 @@
     assert rig.side.waiting or rig.replies["a"], "goes on elsewhere, or is answered at once"
 
 
-def test_a_non_idempotent_request_is_not_written_again_when_its_member_starts_anew(tmp_path: Path) -> None:
+def test_a_non_idempotent_request_is_not_retried_after_a_member_restart(tmp_path: Path) -> None:
     rig = Rig(tmp_path, (FEE,), direct=True)
     rig.ask("fee")
     first = rig.side.write()
@@ -127,7 +127,7 @@
     assert not rig.side.waiting and [reply.status for reply in rig.replies["a"]] == [AnswerStatus.FAILED]
 
 
-def test_a_drain_and_a_return_while_an_attempt_waits_is_no_other_run(tmp_path: Path) -> None:
+def test_a_drain_and_a_return_during_a_wait_is_the_same_incarnation(tmp_path: Path) -> None:
     rig = Rig(tmp_path, (FEE,), direct=True)
     rig.ask("fee")
     for state in (MemberState.DRAINING, MemberState.READY):
@@ -135,7 +135,7 @@
     assert rig.side.write() is not None
 
 
-def test_nothing_is_written_to_a_cache_that_has_moved_to_another_zone_since_it_was_chosen(
+def test_nothing_is_written_to_a_cache_that_changed_zones_since_selection(
     tmp_path: Path,
 ) -> None:
     rig = Rig(tmp_path, (keyed("all"), FEE, PAGE))
--- a/tests/crossings/test_repeats_program.py
+++ b/tests/race_conditions/test_retries_program.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(("window", "written"), [(WINDOW, False), (30.0, True)])
-def test_a_repeat_is_written_only_while_its_window_lasts(window: float, written: bool) -> None:
+def test_a_retry_is_written_only_inside_its_window(window: float, written: bool) -> None:
     settings = copy.deepcopy(SETTINGS)
     settings["classes"][1] |= {"idempotency": "idempotency_key", "dedupScope": "all", "window": window}
     settings["limits"]["dialTimeout"] = 1.9
--- a/tests/crossings/test_repeats_properties.py
+++ b/tests/race_conditions/test_retries_properties.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from rig_repeats import DEADLINE, MEMBERS, Rig, Write, entry
+from rig_retries import DEADLINE, MEMBERS, Rig, Write, entry
 
 from paddlequay.lifecycle.operator_state import EJECTED_PREFIX
 from paddlequay.requests.messages import AnswerStatus, UpstreamAttempt
@@ -27,7 +27,7 @@
 Step = tuple[Any, ...]
 
 
-def crossing(draw: Random) -> Step:
+def race(draw: Random) -> Step:
     """What may come between any two steps of an attempt."""
     match draw.randrange(9):
         case 0 | 1:
@@ -53,7 +53,7 @@
     made: list[Step] = [("ask", draw.choice(NAMES), draw.randrange(3)), ("up", LATEST)]
     made.append(("answer", LATEST, draw.choice(LOSSES)))
     for _ in range(draw.randrange(3)):
-        made.append(crossing(draw) if draw.random() < 0.4 else ("move", draw.choice(MOVES)))
+        made.append(race(draw) if draw.random() < 0.4 else ("move", draw.choice(MOVES)))
     return [*made, ("up", LATEST)]
 
 
@@ -70,7 +70,7 @@
         case 11 if draw.random() < 0.2:
             return ("surrender",)
         case _:
-            return crossing(draw)
+            return race(draw)
 
 
 def drawn(draw: Random) -> list[Step]:
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_what_may_run_twice_is_never_written_again_whatever_crosses_it(seed: int) -> None:
+def test_non_idempotent_requests_are_never_written_twice_in_any_event_order(seed: int) -> None:
     draw, repeats = Random(seed), 0
     for _ in range(60):
         group, window, turn = draw.choice(("all", "zone", "cell")), draw.choice(WINDOWS), draw.randrange(5)
--- a/tests/crossings/test_ending.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -12,7 +12,7 @@
 
 import pytest
 from harness import WAIT, Client, Party, Platform, platform, until
-from rig_end import Restless, call, rows, served, short
+from rig_shutdown import Restless, call, rows, served, short
 
 from paddlequay.config.limits import limits_from
 from paddlequay.config.settings import parse_settings
@@ -77,7 +77,7 @@
     return client
 
 
-def test_what_comes_while_the_last_answers_go_out_is_refused_and_not_sent_on() -> None:
+def test_requests_during_the_last_answers_are_rejected_and_not_forwarded() -> None:
     """With deadlines of a second or less it was sent on after all else was given up, and lost at the end."""
     with platform(settings=short(0.6)) as p:
         slow, half, other = fill(p), p.client(), p.client()
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("deadline", [0.4, 1.0])
-def test_all_that_is_open_at_members_that_hang_is_answered(deadline: float) -> None:
+def test_open_requests_at_hanging_members_are_answered(deadline: float) -> None:
     """Also what comes last, 0.6 s after SIGTERM."""
     with platform(settings=short(deadline)) as p:
         clients = [p.client() for _ in range(6)]
@@ -116,7 +116,7 @@
         assert all(client.answer() is None for client in clients) and p.process.wait(WAIT) == 0
 
 
-def test_clients_that_rest_until_they_are_closed_have_an_end_and_nothing_they_send_then_is_sent_on() -> None:
+def test_idle_clients_closed_by_the_shutdown_see_an_end_and_nothing_is_forwarded() -> None:
     with platform() as p:
         clients = [p.client() for _ in range(10)]
         for client in clients[:5]:  # the others have said nothing yet
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("deadline", [0.05, 0.1, 0.3, 0.6, 1.0, 2.0, 3.0, 8.0])
-def test_the_end_is_over_before_the_kill_whatever_the_deadlines(deadline: float) -> None:
+def test_the_shutdown_completes_before_sigkill_for_any_deadlines(deadline: float) -> None:
     """With a client that is never quiet, and a request that no member answers. SIGKILL comes 0.7 s after the
     longest deadline, which counts as 3 s where it is longer; requests come for up to 0.6 s, 0.05 s late."""
     loop, at = Loop(), dict[str, float]()
--- a/tests/crossings/test_signals.py
+++ b/tests/race_conditions/test_signals.py
@@ -13,7 +13,7 @@
 
 import pytest
 from harness import ROOT, WAIT, Party, Platform, platform
-from rig_end import asked, reply, served
+from rig_shutdown import asked, reply, served
 
 from paddlequay.lab.plaza import free_port
 
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("name", ["SIGTERM", "SIGHUP", "SIGUSR1"])
-def test_a_signal_while_the_configuration_is_read_is_acted_on_once_it_can_be(
+def test_a_signal_during_configuration_takes_effect_afterwards(
     p: Platform, name: str, tmp_path: Path
 ) -> None:
     """SIGTERM and SIGUSR1 killed it; a SIGHUP was lost, and with it the move to another discovery."""
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("beside_main", ["", THREAD], ids=["alone", "beside a library's thread"])
 @pytest.mark.parametrize("name", ["SIGTERM", "SIGHUP", "SIGUSR1"])
-def test_a_signal_while_modules_are_loaded_kills_nothing(
+def test_a_signal_during_imports_does_not_kill_the_process(
     p: Platform, name: str, beside_main: str, tmp_path: Path
 ) -> None:
     """SIGHUP ended the router before its first line."""
@@ -91,7 +91,7 @@
     assert name != "SIGUSR1" or "why=signal" in said
 
 
-def test_signals_without_end_up_to_the_exit_end_it_in_order(p: Platform) -> None:
+def test_repeated_signals_do_not_disturb_the_shutdown(p: Platform) -> None:
     """Once the event loop is closed their default actions came back: a second SIGTERM or a SIGHUP there was
     an exit by a signal."""
     client = p.client()
@@ -115,7 +115,7 @@
     assert code == 0 and not any("Traceback" in line for line in p.log)
 
 
-def test_sigterm_while_taking_over_leaves_the_older_process_as_it_was(p: Platform) -> None:
+def test_sigterm_during_a_takeover_leaves_the_predecessor_unchanged(p: Platform) -> None:
     """It went on for up to 2.5 s, took the door for a moment, and had the older one close its connections."""
     p.ready()
     older, client = p.process, p.client()
@@ -129,7 +129,7 @@
     assert older.poll() is None
 
 
-def test_sigterm_while_looking_for_an_older_process_ends_at_once(p: Platform, tmp_path: Path) -> None:
+def test_sigterm_while_searching_for_a_predecessor_exits_at_once(p: Platform, tmp_path: Path) -> None:
     silent = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     silent.bind(str(tmp_path / "paddlequay-n0.sock"))
     silent.listen()
@@ -142,7 +142,7 @@
     silent.close()
 
 
-def test_sigterm_in_a_drain_answers_what_is_open(p: Platform) -> None:
+def test_sigterm_during_a_drain_answers_open_requests(p: Platform) -> None:
     client = p.client()
     connection, words = asked(p, client)
     assert p.call("/-/drain")[0] == 200
--- a/tests/crossings/test_cold_fleet.py
+++ b/tests/race_conditions/test_slow_start_fleet.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 import pytest
-from rig_cold import Fleet, Site, over
+from rig_slow_start import Fleet, Site, over
 
 from paddlequay.routing.interface import MemberState, SlowStart
 
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(("site", "routers", "play", "unequal"), PLAYS)
-def test_all_that_reaches_a_cold_member_stays_within_its_budget(
+def test_all_calls_to_a_member_in_slow_start_stay_within_its_budget(
     site: str, routers: int, play: Callable[[Fleet], None], unequal: float
 ) -> None:
     """Its plaza lost for five seconds, an edge was sent half as much again as it bears.
--- a/tests/crossings/test_background.py
+++ b/tests/race_conditions/test_supervised_tasks.py
@@ -9,14 +9,14 @@
 
 import pytest
 from harness import Client, platform, until
-from rig_end import asked, reply, served
+from rig_shutdown import asked, reply, served
 from test_descriptors import full, lower
 
 from paddlequay.lifecycle.background import MIN_BACKOFF_S, TaskSupervisor
 from paddlequay.observability.counters import Counters
 
 
-def test_what_ends_is_told_once_and_begun_again_after_pauses(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_task_that_ends_is_logged_once_and_restarted_with_backoff(caplog: pytest.LogCaptureFixture) -> None:
     """By an error, by itself, and by the cancelling of what it waited for: each time it goes on."""
     at: list[float] = []
 
@@ -48,7 +48,7 @@
     assert all(pause >= least * MIN_BACKOFF_S for pause, least in zip(pauses, (1.9, 3.9, 7.9), strict=True))
 
 
-def test_an_error_that_nobody_waits_for_is_told(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_unobserved_error_is_logged(caplog: pytest.LogCaptureFixture) -> None:
     async def work() -> None:
         raise ValueError("alone")
 
@@ -75,7 +75,7 @@
 """
 
 
-def test_a_beat_that_fails_is_not_the_last(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_heartbeat_is_not_the_last(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The task ended unseen: no connection was watched and no load told from then on."""
     (tmp_path / "sitecustomize.py").write_text(BEATS)
     monkeypatch.setenv("PYTHONPATH", os.pathsep.join((str(tmp_path), os.getcwd())))
@@ -87,7 +87,7 @@
         assert p.end() == 0
 
 
-def test_the_list_is_followed_again_where_clients_fill_the_descriptors() -> None:
+def test_the_endpoint_watch_recovers_where_clients_fill_the_descriptors() -> None:
     """One refused socket while discovery was away ended the following for good."""
     with platform(limits={"sockets": 300, "memory_mb": 192}) as p:
         early = p.client()
--- a/tests/crossings/test_time_out.py
+++ b/tests/race_conditions/test_timeout_races.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from rig_repeats import FEE, PAGE, Rig
+from rig_retries import FEE, PAGE, Rig
 
 from paddlequay.requests.attempts import READ_FIRST_S
 from paddlequay.requests.messages import AnswerStatus, AttemptResult, UpstreamAttempt
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("kind", [PAGE, FEE])
-def test_an_answer_that_has_come_by_its_time_out_counts(tmp_path: Path, kind: RequestClass) -> None:
+def test_an_answer_received_by_its_timeout_counts(tmp_path: Path, kind: RequestClass) -> None:
     rig = Rig(tmp_path, (kind,))
     rig.exchange.attempts.end(at_its_time(rig, kind), AttemptResult(Outcome.SERVED, b"x"))
     assert [reply.status for reply in rig.replies["a"]] == [AnswerStatus.SERVED]
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("kind", [PAGE, FEE])
-def test_what_has_come_for_others_puts_a_time_out_off_once(tmp_path: Path, kind: RequestClass) -> None:
+def test_unread_bytes_for_other_requests_postpone_a_timeout_once(tmp_path: Path, kind: RequestClass) -> None:
     rig = Rig(tmp_path, (kind,))
     attempt = at_its_time(rig, kind)
     rig.clock.move(1.5 * READ_FIRST_S)  # there is something unread all the while
--- a/tests/test_channel_front.py
+++ b/tests/test_channel_front.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from test_watch import Looker, Side, ask, made
+from test_interceptor import Looker, Side, ask, made
 
 from paddlequay.cluster.ahead import channel_of
 from paddlequay.cluster.channels import Channels
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -132,7 +132,7 @@
     return found
 
 
-def test_dns_adds_boxes_and_what_the_list_drains_gets_nothing_though_dns_names_it(
+def test_dns_adds_members_and_a_drained_one_gets_nothing_though_dns_lists_it(
     zone: Zone, start: Callable[..., Both]
 ) -> None:
     extra = Party()
@@ -189,7 +189,7 @@
         party.listener.close()
 
 
-def test_a_box_that_moves_with_requests_out_is_asked_at_its_new_address(
+def test_a_member_that_moves_with_requests_in_flight_is_used_at_its_new_address(
     zone: Zone, start: Callable[..., Both]
 ) -> None:
     old, new = Party(), Party()
@@ -289,7 +289,7 @@
     assert said in text and text.count("\n") == 1 and done.returncode == (0 if "can be" in said else 2)
 
 
-def test_resolve_prints_what_the_router_would_find(zone: Zone) -> None:
+def test_resolve_prints_the_members_that_the_router_would_use(zone: Zone) -> None:
     zone.boxes(60, host1="127.0.0.1:9")
     words = [sys.executable, "-m", "paddlequay", "discovery", "resolve", SERVICE]
     at = "{}:{}".format(*zone.server.address)
--- a/tests/test_standing.py
+++ b/tests/test_drains.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("silent", [0, 1])
-def test_a_drain_written_to_a_silent_bulletin_is_had_before_it_counts_as_told(
+def test_a_drain_written_to_a_silent_endpoint_source_applies_before_its_deadline(
     p: Platform, silent: int
 ) -> None:
     """The list's word may stand unread behind a connection that fell silent, and behind the one made anew."""
@@ -84,7 +84,7 @@
         yield listener
 
 
-def test_a_drain_stops_what_waits_for_its_connection_to_come_up() -> None:
+def test_a_drain_stops_requests_that_wait_for_their_connection() -> None:
     """join+mass: connections come up as late as 1 s, and sends to what drains must end within 0.5 s."""
     settings = copy.deepcopy(SETTINGS)
     settings["limits"]["dialTimeout"] = 4.0
@@ -118,7 +118,7 @@
             connection.close()
 
 
-def test_a_time_out_that_its_client_had_set_does_not_pass_for_a_silent_connection(p: Platform) -> None:
+def test_a_timeout_from_a_client_deadline_does_not_count_as_a_silent_connection(p: Platform) -> None:
     """join+mass: clients that gave 0.1 to 0.5 s got connections given up, and each cost a handshake."""
     client = p.client()
     client.ask(ttl="150")
--- a/tests/test_silence.py
+++ b/tests/test_failure_detector.py
@@ -7,7 +7,7 @@
 from paddlequay.routing.failure_detector import MAX_SAMPLES, LatencyDistribution, RelativeLatency
 
 
-def test_few_large_requests_without_an_answer_are_no_silence_and_many_small_ones_are() -> None:
+def test_many_small_unanswered_requests_are_suspicious_and_few_large_ones_are_not() -> None:
     """calm+mass: 185 live connections were ended, 706 requests with them: four videos out for 0.9 s each."""
     waits = LatencyDistribution(0.3, ("video", "photo"))
     for number in range(200):
@@ -18,7 +18,7 @@
     assert waits.is_unresponsive([("video", 6.0)] * 4)
 
 
-def test_a_member_that_is_slow_by_itself_is_given_as_many_times_longer() -> None:
+def test_a_slow_member_is_allowed_proportionally_longer() -> None:
     waits = LatencyDistribution(0.3, ("photo",))
     for _ in range(100):
         waits.record("photo", 0.1)
@@ -27,7 +27,7 @@
     )
 
 
-def test_a_pace_begins_at_its_first_value() -> None:
+def test_a_latency_ratio_starts_at_its_first_sample() -> None:
     """Begun at zero, a member passed for fast until dozens of answers had come."""
     member, usual = RelativeLatency(), RelativeLatency()
     assert member.ratio_to(usual) == 1.0
@@ -37,7 +37,7 @@
     assert member.ratio_to(usual) == pytest.approx(4.0)
 
 
-def test_waits_forget_and_hold_no_more_than_their_classes() -> None:
+def test_latency_distributions_decay_and_stay_bounded_per_class() -> None:
     waits = LatencyDistribution(0.3, ("photo",))
     for _ in range(10 * int(MAX_SAMPLES)):
         waits.record("photo", 0.1)
@@ -50,7 +50,7 @@
 
 
 @given(st.floats(0, 100), st.floats(0, 100), st.lists(st.floats(0, 100), max_size=50))
-def test_longer_waits_never_surprise_less(age: float, more: float, took: list[float]) -> None:
+def test_longer_waits_never_lower_the_suspicion(age: float, more: float, took: list[float]) -> None:
     waits = LatencyDistribution(0.3, ("a",))
     for each in took:
         waits.record("a", each)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -90,7 +90,9 @@
 @pytest.mark.parametrize("routers", [3, 30, 200])
 @pytest.mark.parametrize("rate", [40.0, 400.0])
 @pytest.mark.parametrize("restarts", ["parent", "edge"])
-def test_all_routers_together_leave_a_cold_member_standing(routers: int, rate: float, restarts: str) -> None:
+def test_all_routers_together_do_not_overload_a_member_in_slow_start(
+    routers: int, rate: float, restarts: str
+) -> None:
     """h324f1d: 191 routers had each saved up one request for one cold parent, and sent them together."""
     made = fleet(routers, members(), notes=False)
     chance = random.Random(7)
@@ -124,7 +126,7 @@
 
 
 @pytest.mark.parametrize("routers", [1, 20, 200])
-def test_what_is_out_at_an_edge_is_bounded_for_any_number_of_routers(routers: int) -> None:
+def test_requests_in_flight_at_an_edge_are_bounded_for_any_number_of_routers(routers: int) -> None:
     """i5566fa: sixteen places a router, times the routers of a location, were far more than an edge holds."""
     made = fleet(routers, members(edges=1))
     out = 0
@@ -144,9 +146,7 @@
         (0.1, 0.1, MAX_REPORT_AGE_S, True),
     ],
 )
-def test_an_edge_that_reports_room_is_not_held_to_be_full(
-    cores: float, link: float, age: float, held: bool
-) -> None:
+def test_an_edge_that_reports_capacity_is_not_full(cores: float, link: float, age: float, held: bool) -> None:
     """A calm day, seed 3: half of it was refused for limits while the edges reported a tenth of their use."""
     (router,) = fleet(1, members(edges=1, parents=40))
     (fetch,) = ask(router, "first", 1, 2.0)
@@ -159,7 +159,7 @@
     assert (sent < 30) if held else (sent == 100)
 
 
-def test_a_full_edge_is_not_skipped_and_its_source_is_not_blamed() -> None:
+def test_a_full_edge_is_not_ejected_and_its_source_not_blamed() -> None:
     """i633f50: edges that turned requests away were skipped, and the hits they held were lost."""
     (router,) = fleet(1, members())
     for number in range(3 * EJECTION_FAILURES):
@@ -170,7 +170,7 @@
     assert not any(server.ejected for server in router.state.members.upstreams.values())
 
 
-def test_without_notes_a_refusal_names_the_source_and_the_next_parent_is_asked() -> None:
+def test_without_reply_details_a_rejection_blames_the_source_and_the_next_parent_is_used() -> None:
     """tarjeta-branches-later big-1: a dead parent shows only as refusals of its fills."""
     (router,) = fleet(1, members(), notes=False)
     (fetch,) = ask(router, "r1", 5, 2.0)
@@ -179,7 +179,7 @@
     assert again.source.startswith("parent") and again.source != fetch.source
 
 
-def test_while_the_origin_is_out_only_held_and_old_copies_are_asked_for_and_then_it_comes_back() -> None:
+def test_while_the_origin_is_down_only_cached_copies_are_requested_until_it_recovers() -> None:
     """i633f50: misses waited at an origin that did not answer, in places that hits needed."""
     (router,) = fleet(1, members())
     now = 2.0
@@ -199,7 +199,7 @@
     assert not ask(router, "after", 53, now)[0].only_if_cached
 
 
-def test_a_member_that_started_anew_is_believed_to_hold_nothing() -> None:
+def test_a_restarted_member_counts_as_empty() -> None:
     """Judged when a holder is looked up: the table of objects is not walked when a member leaves."""
     (router,) = fleet(1, members())
     (fetch,) = ask(router, "r1", 5, 2.0)
@@ -212,7 +212,7 @@
     assert router.state.hot_objects.holders(seen, router.state.members.upstreams, 2.2) == []
 
 
-def test_members_that_leave_do_not_raise_what_the_rest_may_bear() -> None:
+def test_removed_members_do_not_raise_the_limits_of_the_rest() -> None:
     """h2d8a66: the load of the edges that had just left was held to be the last, cold one's."""
     (router,) = fleet(1, members(edges=4))
     for number in range(400):
@@ -236,7 +236,7 @@
         assert ask(router, "r1", 5, 2.0)
 
 
-def test_objects_read_long_ago_are_forgotten() -> None:
+def test_state_of_objects_read_long_ago_expires() -> None:
     """churn+long: most objects are new, and a table that keeps each grows all day."""
     (router,) = fleet(1, members())
     for number in range(400):
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("count", [0, 1, 4, 13, 300])
 @pytest.mark.parametrize("cold", [{}, {"n0": 0.1, "n3": 0.5, "n9": 0.9}])
-def test_the_order_is_that_of_a_plain_sort_through_any_changes(count: int, cold: dict[str, float]) -> None:
+def test_the_order_equals_a_plain_sort_through_any_changes(count: int, cold: dict[str, float]) -> None:
     homes = homes_of(count)
     rng = random.Random(count)
     for step in range(60):
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("count", [6, 40, 200])
-def test_a_newcomer_takes_its_share_and_nothing_else_moves(count: int) -> None:
+def test_a_new_member_takes_its_share_and_no_other_key_moves(count: int) -> None:
     homes = homes_of(count)
     before = {key: homes.home(key) for key in KEYS}
     homes.put("new", "new")
@@ -57,7 +57,7 @@
     assert all(homes.home(key) == before[key] for key in KEYS)
 
 
-def test_shares_follow_weights_and_a_cold_member_grows_into_its_own() -> None:
+def test_shares_follow_weights_and_slow_start_ramps_up_to_them() -> None:
     homes = homes_of(16, n1=3.0)
     counts = Counter(homes.home(key) for key in KEYS)
     assert 2.2 < counts["n1"] / (sum(counts.values()) - counts["n1"]) * 15 < 3.9
@@ -83,7 +83,9 @@
     assert homes.sorted_anew - walked <= 10
 
 
-def test_what_is_remembered_is_bounded_and_a_long_absence_is_no_harm(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_remembered_orders_are_bounded_and_a_long_absence_is_harmless(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("paddlequay.placement.homes.REMEMBERED_MOST", 64)
     homes = homes_of(30)
     for key in KEYS[:500]:
@@ -95,7 +97,7 @@
     assert all(list(homes.order(key)) == plainly(homes, key, {}) for key in KEYS[:500])
 
 
-def test_a_member_removed_while_an_order_is_walked_is_passed_over() -> None:
+def test_a_member_removed_during_iteration_is_skipped() -> None:
     homes = homes_of(20)
     walk = homes.order(KEYS[0])
     next(walk)
--- a/tests/test_watch.py
+++ b/tests/test_interceptor.py
@@ -109,7 +109,7 @@
     return ClientRequest(id, kind, 2.0, "0000000000000007", 7, 0, None)
 
 
-def test_a_request_over_a_limit_of_the_fleet_is_refused_at_once_with_a_time_and_never_taken_in(
+def test_a_request_over_a_fleet_limit_is_rejected_at_once_with_a_retry_after(
     tmp_path: Path,
 ) -> None:
     exchange, looker, side = made(tmp_path)
@@ -121,7 +121,9 @@
     assert exchange.counters.counts["rejected.fleet_limit"] == 1
 
 
-def test_a_write_over_a_limit_counts_as_refused_and_the_request_goes_another_way(tmp_path: Path) -> None:
+def test_an_attempt_over_a_limit_counts_as_rejected_and_the_request_is_retried_elsewhere(
+    tmp_path: Path,
+) -> None:
     exchange, looker, side = made(tmp_path)
     replies: list[FinalAnswer] = []
     exchange.submit(ask("a"), replies.append)
@@ -132,7 +134,7 @@
     assert len(side.started) == 2 and exchange.attempts.prepare_write(side.started[1]) is not None
 
 
-def test_each_end_is_heard_once_and_the_requests_own_end_too(tmp_path: Path) -> None:
+def test_interceptors_see_each_attempt_end_and_request_end_once(tmp_path: Path) -> None:
     exchange, looker, side = made(tmp_path)
     replies: list[FinalAnswer] = []
     exchange.submit(ask("a"), replies.append)
@@ -145,7 +147,7 @@
     assert looker.heard == [("box", "served"), ("a", "over")]
 
 
-def test_a_client_that_leaves_gives_back_what_its_attempts_were_lent(tmp_path: Path) -> None:
+def test_a_disconnected_client_returns_the_permits_of_its_attempts(tmp_path: Path) -> None:
     exchange, looker, side = made(tmp_path)
     item = exchange.submit(ask("a"), lambda _: None)
     assert item is not None and exchange.attempts.prepare_write(side.started[0]) is not None
--- a/tests/test_leaves.py
+++ b/tests/test_leaves.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from test_watch import ask, made
+from test_interceptor import ask, made
 
 from paddlequay.cluster.limits import Limits
 from paddlequay.cluster.settings import By, ClusterSettings, LimitRule, Mode
--- a/tests/test_link.py
+++ b/tests/test_link_load.py
@@ -14,7 +14,9 @@
 
 
 @pytest.mark.parametrize(("told", "fits"), [(8000.0, 4.0), (0.0, None), (None, None)])
-def test_the_own_locations_link_is_read_and_0_is_not_told(told: float | None, fits: float | None) -> None:
+def test_the_own_locations_link_capacity_is_read_and_0_means_unknown(
+    told: float | None, fits: float | None
+) -> None:
     data = json.loads(json.dumps(SETTINGS))
     data["extra"] |= {"oneFlowKbPerS": 2000.0, "inletKbPerS": [0.0, told]}
     if told is None:
@@ -25,7 +27,7 @@
     )
 
 
-def test_fills_are_shed_once_those_out_fill_the_link_and_let_in_again_as_they_end() -> None:
+def test_fills_are_shed_while_those_in_flight_fill_the_link() -> None:
     """big-2: in a release fills went on into links of ten transfers, and limits cut for it shed hits."""
     driver = sized(link=2.0)
     driver.router.state.limits.contending_routers[CacheTier.EDGE] = (
@@ -45,7 +47,7 @@
     assert again.target != again.source
 
 
-def test_what_no_note_proves_held_goes_by_the_link_too_and_with_notes_does_not() -> None:
+def test_only_a_reply_detail_proves_that_a_request_does_not_use_the_link() -> None:
     for notes in (False, True):
         driver = sized(link=1.0, detailed_replies=notes)
         driver.serve(driver.fetch(7))
@@ -54,7 +56,7 @@
         assert (again.source == again.target) is not notes
 
 
-def test_fills_from_siblings_take_nothing_of_the_link() -> None:
+def test_fills_from_siblings_use_no_link_capacity() -> None:
     driver = sized(link=10.0)
     driver.serve(driver.fetch())
     driver.list(*[Member(f"new-{n}", "here", "cache", 0, MemberState.READY, FITS) for n in range(40)])
@@ -62,7 +64,7 @@
     assert second.only_if_cached and driver.router.state.zone_link.fills_in_flight == 0
 
 
-def test_what_no_cache_keeps_is_shed_before_what_one_does_and_the_dearest_class_first() -> None:
+def test_uncached_objects_are_shed_first_and_the_costliest_class_before_others() -> None:
     link = LinkLoad(transfer_capacity=10.0, router_count=2.0, fills_in_flight=7)
     assert (
         link.utilization() == 1.4
@@ -73,7 +75,7 @@
 
 
 @pytest.mark.parametrize("link", [None, 100.0])
-def test_past_busy_edges_goes_only_what_the_link_is_known_to_have_room_for(link: float | None) -> None:
+def test_requests_bypass_busy_edges_only_within_the_known_link_capacity(link: float | None) -> None:
     """big-1: two of three edges of a location died, and the third shed 525 requests beside an idle link."""
     driver = sized(link)
     past = refused = 0
@@ -84,7 +86,7 @@
     assert (past > 0) is (link is not None) and (refused > 0 or link is not None)
 
 
-def test_nothing_goes_past_busy_edges_once_the_link_has_no_room_for_it() -> None:
+def test_no_request_bypasses_busy_edges_through_a_full_link() -> None:
     driver = sized(link=64.0)
     link, past = driver.router.state.zone_link, 0
     for key in range(300):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("state", [DRAINING, GONE])
 @pytest.mark.parametrize("other", ["s-1", "host-1"])
-def test_a_drain_or_an_end_holds_whatever_the_other_source_names(state: MemberState, other: str) -> None:
+def test_a_drain_or_shutdown_applies_whatever_the_other_source_lists(state: MemberState, other: str) -> None:
     members = Membership(RULES)
     members.report("list", [box("s-1")], True, 0.0)
     members.report("dns", [box(other)], True, 0.0)
@@ -60,7 +60,7 @@
     assert told(members.report("list", [box("s-1")], False, 201.0)) == {"s-1": READY}
 
 
-def test_a_drain_holds_for_an_id_that_another_source_places_elsewhere() -> None:
+def test_a_drain_applies_to_an_id_with_another_address_in_another_source() -> None:
     members = Membership(RULES)
     members.report("dns", [box("s-1", 2)], True, 0.0)
     assert told(members.report("list", [box("s-1", 1, DRAINING)], True, 1.0)) == {"s-1": DRAINING}
@@ -69,7 +69,7 @@
     assert held(members) == {}
 
 
-def test_the_first_source_is_believed_about_an_address_and_a_move_is_told_once() -> None:
+def test_the_first_source_decides_an_address_and_a_change_is_logged_once() -> None:
     members = Membership(RULES)
     members.report("dns", [box("s-1", 2)], True, 0.0)
     (change,) = members.report("list", [box("s-1", 1)], True, 0.0)
@@ -81,7 +81,7 @@
     assert "dns" in explain(members, "s-1", 2.0)[0]
 
 
-def test_the_same_address_under_two_ids_is_one_box_under_the_first_sources_id() -> None:
+def test_one_address_under_two_ids_is_one_member_with_the_first_sources_id() -> None:
     members = Membership(RULES)
     members.report("dns", [box("host-1")], True, 0.0)
     assert told(members.report("list", [box("s-1")], True, 1.0)) == {"host-1": GONE, "s-1": READY}
@@ -90,7 +90,7 @@
     assert told(members.report("list", [box("s-2")], False, 3.0)) == {"s-2": READY}
 
 
-def test_only_a_source_that_may_add_takes_a_box_in_and_any_may_drain_it() -> None:
+def test_only_a_source_that_may_add_adds_a_member_and_any_may_drain_it() -> None:
     members = Membership((SourceRule("list"), SourceRule("dns", adds=False)))
     assert members.report("dns", [box("b")], True, 0.0) == []
     assert explain(members, "b", 0.0)[-1].endswith("authority: only sources that may not add name it")
@@ -98,7 +98,7 @@
     assert told(members.report("dns", [box("b", state=DRAINING)], True, 1.0)) == {"b": DRAINING}
 
 
-def test_a_silent_source_keeps_its_word_for_a_time_and_then_its_boxes_leave_one_by_one() -> None:
+def test_members_of_a_silent_source_stay_for_a_time_and_then_leave_one_by_one() -> None:
     members = Membership(RULES, MembershipLimits(expiry_interval=2.0))
     members.report("dns", fleet(10), True, 0.0)
     members.report("list", [box("b0", 100)], True, 0.0)
@@ -111,7 +111,7 @@
     assert all(later - earlier <= 1 for earlier, later in pairwise(gone))
 
 
-def test_an_empty_answer_is_held_and_believed_only_once_it_lasts() -> None:
+def test_an_empty_report_is_accepted_only_once_it_lasts() -> None:
     members = Membership(RULES, MembershipLimits(confirm_after=30.0))
     members.report("dns", fleet(10), True, 0.0)
     for now in range(1, 30):
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize(
     ("left_out", "held_back"), [(1, False), (2, False), (3, False), (4, True), (10, True)]
 )
-def test_a_few_that_leave_do_so_at_once_and_many_are_held(left_out: int, held_back: bool) -> None:
+def test_few_removals_apply_at_once_and_many_are_delayed(left_out: int, held_back: bool) -> None:
     members = Membership(RULES)
     members.report("dns", fleet(10), True, 0.0)
     assert (members.report("dns", fleet(10 - left_out), True, 1.0) == []) == held_back
@@ -135,7 +135,7 @@
     assert len(members.report("dns", words, False, 2.0)) >= 10 - left_out
 
 
-def test_many_that_leave_one_after_the_other_within_the_window_are_held_as_well() -> None:
+def test_many_successive_removals_within_the_window_are_delayed() -> None:
     members = Membership(RULES, MembershipLimits(mass_window=10.0))
     members.report("dns", fleet(10), True, 0.0)
     for step in range(1, 8):
@@ -143,7 +143,7 @@
     assert len(members.members) == 7
 
 
-def test_a_box_that_flaps_is_kept_out_longer_each_time_but_leaves_at_once() -> None:
+def test_a_flapping_member_returns_later_each_time_but_leaves_at_once() -> None:
     members = Membership(RULES, MembershipLimits(min_mass=100))
     now, outs = 0.0, 0
     members.report("list", [box("b")], True, now)
@@ -168,7 +168,7 @@
     assert held(members) == {"a": READY, "b": DRAINING}
 
 
-def test_who_comes_later_without_a_known_age_starts_cold_and_who_is_known_does_not() -> None:
+def test_a_later_member_of_unknown_age_starts_in_slow_start_and_a_known_one_does_not() -> None:
     members = Membership(RULES)
     members.report("dns", [box("a", 1)], True, 100.0)
     members.report("dns", [box("a", 1), box("b", 2), box("c", 3, started=7.0)], True, 200.0)
@@ -183,7 +183,7 @@
         again.recover({"members": [1]}, "kept", 351.0)
 
 
-def test_too_many_members_are_refused_whole() -> None:
+def test_a_report_with_too_many_members_is_rejected_completely() -> None:
     members = Membership(RULES, MembershipLimits(max_members=10))
     members.report("dns", fleet(8), True, 0.0)
     with pytest.raises(TooManyMembersError):
@@ -277,7 +277,7 @@
 TestSources.settings = settings(max_examples=150, stateful_step_count=25, deadline=None, derandomize=True)
 
 
-def test_taken_without_its_guard_the_drain_is_lost_and_found_so() -> None:
+def test_the_model_search_finds_the_lost_drain_without_its_guard() -> None:
     """The check above can fail: with the rule on drains out, a drained box is usable at once."""
     members = Membership(RULES)
     members.index.reports_about = lambda address, reports: iter(())  # type: ignore[method-assign]
@@ -286,7 +286,7 @@
     assert held(members) == {"s-1": READY}
 
 
-def test_random_reports_of_a_large_fleet_end_as_the_last_words_have_it() -> None:
+def test_random_reports_of_a_large_fleet_end_as_the_last_reports_say() -> None:
     rng = random.Random(5)
     members = Membership(RULES, MembershipLimits(min_mass=10_000, max_flaps=10_000))
     last: dict[str, ReportedMember] = {}
--- a/tests/test_origin.py
+++ b/tests/test_origin_load.py
@@ -38,7 +38,7 @@
         (0.9, ReplyDetail.FILLED, False),  # a parent's own wait is no word on the origin
     ],
 )
-def test_while_fills_wait_past_the_aim_parents_are_asked_for_what_they_hold(
+def test_while_fill_waits_exceed_the_objective_parents_serve_cached_objects(
     waited: float, note: ReplyDetail, held: bool
 ) -> None:
     """join+vast: after all copies went void fills waited 0.7 s, and the origin got half as much done."""
@@ -55,7 +55,7 @@
         assert isinstance(last, Reject)
 
 
-def test_a_wait_longer_than_its_answer_took_is_not_believed() -> None:
+def test_a_wait_longer_than_its_answer_took_is_ignored() -> None:
     """`lag` is what a cache writes: taken as told, 1e300 s kept fills from the origin for minutes."""
     driver = Driver(detailed_replies=True)
     fetch = driver.fetch(1)
@@ -73,7 +73,7 @@
     assert not driver.fetch(2).only_if_cached
 
 
-def test_what_cannot_be_kept_is_not_held_back_and_old_waits_are_forgotten() -> None:
+def test_uncacheable_requests_are_not_shed_and_old_waits_expire() -> None:
     driver = crowded(0.9)
     (charge,) = driver.ask(5, kind="pays")
     assert isinstance(charge, Fetch) and not charge.only_if_cached
@@ -82,7 +82,7 @@
     assert isinstance(fetch, Fetch) and not fetch.only_if_cached
 
 
-def test_shedding_grows_over_the_span_and_waits_recover_within_seconds() -> None:
+def test_shedding_grows_over_the_interval_and_waits_recover_within_seconds() -> None:
     waits = OriginWait()
     assert not waits.sheds(0.3, 0.0, 1.0)
     for step in range(50):
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(("x1", "held"), [(0.3, True), (9.0, False)])
-def test_fills_given_up_tell_of_the_origin_only_where_cache_and_link_are_well(x1: float, held: bool) -> None:
+def test_abandoned_fills_count_for_the_origin_only_with_healthy_cache_and_link(x1: float, held: bool) -> None:
     """join+vast: with nothing coming through any more nothing was heard, and all began to fetch again."""
     driver = Driver(
         members=(*EDGES, *PARENTS, ORIGIN), router_count=194, zone_router_count=14, detailed_replies=True
@@ -121,7 +121,7 @@
     assert driver.router.state.origin_wait.sheds(0.3, 0.5, driver.now) == held
 
 
-def test_a_fill_given_up_never_tells_that_the_wait_is_shorter() -> None:
+def test_an_abandoned_fill_never_shortens_the_estimated_wait() -> None:
     waits = OriginWait()
     for step in range(20):
         waits.record(1.6, 1.0 + step * 0.2)
--- a/tests/test_load.py
+++ b/tests/test_overload.py
@@ -6,7 +6,7 @@
 from paddlequay.lifecycle.overload import OverloadGuard
 
 
-def test_a_full_core_sheds_more_at_each_beat_and_a_free_one_less_until_none() -> None:
+def test_a_full_core_sheds_more_at_each_heartbeat_and_a_free_one_less() -> None:
     limits = Limits()
     load = OverloadGuard(limits, seed=1)
     now = cpu = 0.0
@@ -24,7 +24,7 @@
     assert load.shed_share == 0.0 and not load.should_shed()
 
 
-def test_a_late_beat_tells_the_same_where_others_use_the_core() -> None:
+def test_a_late_heartbeat_counts_as_overload_where_others_use_the_core() -> None:
     limits = Limits()
     load = OverloadGuard(limits, seed=1)
     load.sample(1.0, 0.5)
@@ -32,7 +32,7 @@
     assert load.shed_share > 0.0
 
 
-def test_a_part_of_a_core_that_is_full_is_full() -> None:
+def test_a_full_part_of_a_core_counts_as_a_full_core() -> None:
     """Measured against a whole core, a router that is granted a third of one never seemed busy."""
     limits = Limits(cores=0.3)
     load = OverloadGuard(limits, seed=1)
@@ -41,7 +41,7 @@
     assert load.shed_share > 0.0
 
 
-def test_a_beat_that_comes_late_sheds_for_all_the_time_it_missed_and_says_so() -> None:
+def test_a_late_heartbeat_sheds_for_the_missed_time_and_logs_it() -> None:
     """term: at a core that was full, beats came late, so it was relieved late and took caches for silent."""
     limits = Limits()
     load = OverloadGuard(limits, seed=1)
--- a/tests/test_policy_attempts.py
+++ b/tests/test_policy_attempts.py
@@ -8,7 +8,7 @@
 from paddlequay.routing.interface import ClientDisconnected, Fail, Fetch, Outcome, Purged, Reject, ReplyDetail
 
 
-def test_what_a_lost_connection_ended_is_sent_once_more_beyond_the_budget() -> None:
+def test_a_request_of_a_lost_connection_gets_one_retry_beyond_the_budget() -> None:
     """garble+fleet: thirty requests on one connection used up the budget, and the rest were refused."""
     driver = Driver()
     driver.router.attempts.retry_budget = 0.0
@@ -36,19 +36,19 @@
     assert driver.fetch().max_age == pytest.approx(0.1)
 
 
-def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() -> None:
+def test_a_non_idempotent_request_that_may_have_run_fails_without_a_retry() -> None:
     driver = Driver()
     actions = driver.end(driver.fetch(kind="pays"), Outcome.RESET)
     assert [type(action) for action in actions if not isinstance(action, Fetch)] == [Fail]
     assert not fetches(actions)
 
 
-def test_an_unsafe_request_that_did_not_run_is_sent_again() -> None:
+def test_a_non_idempotent_request_that_did_not_run_is_retried() -> None:
     driver = Driver()
     assert fetches(driver.end(driver.fetch(kind="pays"), Outcome.CONNECT_FAILED))
 
 
-def test_a_keyed_request_is_repeated_inside_its_window_only() -> None:
+def test_a_request_with_an_idempotency_key_is_retried_inside_its_window_only() -> None:
     driver = Driver()
     fetch = driver.fetch(kind="orders")
     driver.now += 0.5
@@ -58,7 +58,7 @@
     assert not fetches(actions) and any(isinstance(action, Reject) for action in actions)
 
 
-def test_further_attempts_end_with_their_budget_but_for_one_look_at_what_is_held() -> None:
+def test_retries_end_with_their_budget_except_for_one_cache_lookup() -> None:
     driver = Driver()
     again = []
     for key in range(100):
--- a/tests/test_policy_limits.py
+++ b/tests/test_policy_limits.py
@@ -7,7 +7,9 @@
 
 
 @pytest.mark.parametrize("routers_here", [1, 200])
-def test_a_quiet_router_among_many_refuses_nothing_while_nothing_is_out_or_late(routers_here: int) -> None:
+def test_an_idle_router_among_many_rejects_nothing_while_nothing_is_in_flight_or_late(
+    routers_here: int,
+) -> None:
     """calm+mass, 200 routers: 23.5% refused with no fault, by chance on a share of the limit under one."""
     driver = Driver(router_count=200, zone_router_count=routers_here)
     for key in range(1000):
@@ -19,7 +21,7 @@
             driver.serve(fetch, ReplyDetail.HIT)
 
 
-def test_a_share_under_one_request_still_sheds_while_a_members_answers_are_late() -> None:
+def test_a_quota_under_one_request_still_sheds_while_answers_are_late() -> None:
     """The guard of a jam stays: many routers behind a late member each send less of what comes."""
     driver = Driver(members=(EDGES[0], ORIGIN), router_count=200, zone_router_count=67, bypass_allowed=False)
     fetch = driver.fetch()
@@ -51,7 +53,7 @@
 
 
 @pytest.mark.parametrize(("waited", "at_fault"), [(1.5, "source"), (None, "source"), (0.1, "target")])
-def test_a_late_filled_answer_is_held_against_the_source_only_if_it_waited_for_it(
+def test_a_late_fill_counts_against_the_source_only_if_it_waited_for_it(
     waited: float | None, at_fault: str
 ) -> None:
     """upgrade+hand: one edge bore its whole location and was late, and parents' limits were cut for it."""
--- a/tests/test_policy_members.py
+++ b/tests/test_policy_members.py
@@ -26,7 +26,7 @@
 from paddlequay.routing.state import CacheTier
 
 
-def test_a_draining_or_gone_member_is_neither_target_nor_source() -> None:
+def test_a_draining_or_removed_member_is_neither_target_nor_source() -> None:
     driver = Driver()
     home = driver.fetch()
     draining = Member(home.source, "hub", "parent", 0, MemberState.DRAINING)
@@ -35,7 +35,7 @@
     assert later.source != home.source and later.target != home.target
 
 
-def test_a_member_back_from_a_drain_is_used_at_once_with_no_memory_of_before() -> None:
+def test_a_member_back_from_a_drain_is_used_at_once_without_earlier_state() -> None:
     """Put back by operators it was left unused, skipped for failures from before."""
     driver = Driver()
     home = driver.fetch(key=7).target
@@ -54,7 +54,7 @@
     assert all(fetch.source != home for fetch in map(driver.fetch, range(20)))
 
 
-def test_a_process_that_takes_over_goes_on_with_the_limits_that_were_found() -> None:
+def test_a_successor_continues_with_the_limits_of_its_predecessor() -> None:
     """upgrade+hand: from the first limits again, a third of what one cache alone could take was refused."""
     members = (*EDGES[:1], *PARENTS, ORIGIN)
     older, newer = Driver(members), Driver(members)
@@ -84,7 +84,7 @@
     assert rates[0] == rates[1] > 0.0
 
 
-def test_a_location_that_is_all_cold_is_sent_less_than_it_bore_warm() -> None:
+def test_a_location_wholly_in_slow_start_gets_less_than_it_bore_warm() -> None:
     """Where all are cold none bears the load: dividing it by the few warm shares would send too much."""
     driver = Driver()
     for n in range(1000):
@@ -100,7 +100,7 @@
     assert 0 < sent <= 100 * 0.3 * 2.5 / 2 / 0.75 + 4 * 4
 
 
-def test_what_starts_cold_gets_its_share_of_the_load_and_no_more() -> None:
+def test_a_member_in_slow_start_gets_its_share_of_the_load_and_no_more() -> None:
     driver = Driver()
 
     def second(seed: int) -> list[Fetch]:
@@ -122,7 +122,7 @@
     assert sum(fetch.target == cold.name for fetch in second(40000)) > early
 
 
-def test_a_router_that_knows_no_load_yet_sends_nothing_to_a_cold_parent() -> None:
+def test_a_router_without_known_load_sends_nothing_to_a_parent_in_slow_start() -> None:
     cold = tuple(Member(p.name, p.zone, p.kind, 0, MemberState.READY, started=100.0) for p in PARENTS)
     driver = Driver((*EDGES, *cold, ORIGIN))
     assert driver.fetch().source == ORIGIN.name
@@ -139,7 +139,7 @@
     assert all(server.in_flight == 0 for server in driver.router.state.members.upstreams.values())
 
 
-def test_a_list_that_must_be_asked_for_is_asked_for_and_again_after_a_failure() -> None:
+def test_an_endpoint_list_that_must_be_polled_is_polled_again_after_a_failure() -> None:
     driver = Driver(must_subscribe=True)
     assert Subscribe() in driver.started
     (timer,) = driver.router.handle(MembersChanged((), failed=True), driver.now)
@@ -147,7 +147,7 @@
     assert driver.router.handle(TimerFired(timer.token), driver.now + 1) == [Subscribe()]
 
 
-def test_settings_that_make_no_sense_are_refused_with_the_field() -> None:
+def test_invalid_settings_are_rejected_with_the_field() -> None:
     with pytest.raises(ValueError, match="deadline"):
         Router(settings(classes=(RequestClass("x", 0.1, 0.0, Idempotency.IDEMPOTENT),)), 1)
     with pytest.raises(ValueError, match="routers"):
@@ -157,7 +157,9 @@
 
 
 @pytest.mark.parametrize(("x0", "sent"), [(0.0, 0), (0.4, 20), (None, 20)])
-def test_an_edge_that_comes_back_empty_is_cold_before_the_list_says_so(x0: float | None, sent: int) -> None:
+def test_an_edge_that_restarts_empty_is_in_slow_start_before_its_watch_event(
+    x0: float | None, sent: int
+) -> None:
     """zone+vast: the first edge back got its whole plaza's requests, 3.5 times what it could do, and fell."""
     driver = Driver(members=(EDGES[0], *PARENTS, ORIGIN))
     server = driver.router.state.members.upstreams["edge-0"]
--- a/tests/test_policy_health.py
+++ b/tests/test_policy_outliers.py
@@ -46,7 +46,7 @@
     assert (driver.fetch(key=7).source != source) == skipped
 
 
-def test_a_dead_edge_is_skipped_and_what_waits_there_is_recalled() -> None:
+def test_a_dead_edge_is_ejected_and_its_pending_requests_are_recalled() -> None:
     driver = Driver()
     held = [driver.fetch(key) for key in range(20)]
     dead = held[0].target
@@ -61,7 +61,7 @@
     assert all(driver.fetch(key).target != dead for key in range(20))
 
 
-def test_one_broken_connection_is_one_failure_however_much_was_out_on_it() -> None:
+def test_one_broken_connection_is_one_failure_whatever_was_in_flight_on_it() -> None:
     """rude+garble+fleet: each broken connection got a healthy member skipped and all else there recalled."""
     driver = Driver()
     fetched = [driver.fetch(key) for key in range(20)]
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("silent", [True, False])
-def test_a_time_out_on_a_silent_connection_is_not_held_against_the_source(silent: bool) -> None:
+def test_a_timeout_on_a_silent_connection_does_not_count_against_the_source(silent: bool) -> None:
     """r969070: parents were held to be jammed for a connection to an edge that had gone silent."""
     driver = Driver(detailed_replies=True)
     fetch = driver.fetch()
@@ -89,7 +89,7 @@
     assert (source.concurrency_limit == limit and not source.failures) is silent
 
 
-def test_a_plain_error_is_held_against_a_member_only_if_it_serves_nobody() -> None:
+def test_an_error_without_detail_counts_only_against_a_member_that_serves_nobody() -> None:
     """rude+garble+fleet: what no cache can use is answered 'error' by each that it is sent to."""
     driver = Driver(detailed_replies=True)
     good = driver.fetch()
@@ -117,7 +117,7 @@
     assert driver.fetch().target == home.target
 
 
-def test_a_silent_member_is_skipped() -> None:
+def test_a_silent_member_is_ejected() -> None:
     driver = Driver()
     home = driver.fetch()
     held = [driver.fetch() for _ in range(2 * EJECTION_FAILURES)]
@@ -128,7 +128,7 @@
     assert (later.target, later.source) != (home.target, home.source)
 
 
-def test_by_the_fleets_word_the_own_trial_comes_first_and_one_failure_skips() -> None:
+def test_after_a_gossiped_fault_the_health_check_comes_first_and_one_failure_ejects() -> None:
     driver = Driver()
     home = driver.fetch().source
     driver.now += RECENT_SUCCESS_S + 0.1
@@ -145,7 +145,7 @@
     assert driver.fetch().source == home
 
 
-def test_who_has_served_this_router_lately_is_not_skipped_by_the_fleets_word() -> None:
+def test_a_member_that_served_lately_is_not_ejected_by_gossip() -> None:
     driver = Driver()
     fetch = driver.fetch()
     driver.serve(fetch, ReplyDetail.FILLED)
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize("silent", [True, False])
-def test_a_time_out_that_its_client_had_set_too_short_is_held_against_nobody(silent: bool) -> None:
+def test_a_timeout_from_a_too_short_client_deadline_counts_against_nobody(silent: bool) -> None:
     """join+mass: 1,300 first attempts in 8 s were over before any answer was due, and edges were skipped."""
     driver = Driver(detailed_replies=True)
     know = driver.router.state
--- a/tests/test_policy_sizes.py
+++ b/tests/test_policy_sizes.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(("weights", "known"), [("nominal", True), ("off", False), (None, False)])
-def test_limits_start_from_the_size_of_a_way_out_only_where_weights_tell_it(
+def test_limits_start_from_the_uplink_size_only_where_weights_give_it(
     weights: str | None, known: bool
 ) -> None:
     servers = sized(weights=weights).router.state.members.upstreams
@@ -60,7 +60,7 @@
         )
 
 
-def test_late_answers_cut_no_limit_below_what_the_way_out_bears_at_full_pace() -> None:
+def test_late_answers_cut_no_limit_below_the_uplink_capacity() -> None:
     """rough-1: limits of parents of 16 and 22 transfers were cut to 2, and 506 of 729 refusals came of it."""
     driver = sized()
     late(driver, 60)
@@ -68,7 +68,7 @@
     assert min(limits) == MIN_LIMIT_PER_TRANSFER * FITS
 
 
-def test_a_parents_limit_is_not_sought_past_its_told_size_while_nothing_can_lower_it() -> None:
+def test_a_parents_limit_does_not_grow_past_its_configured_size_without_feedback() -> None:
     limits, servers = (driver := sized()).router.state.limits, driver.router.state.members.upstreams
     for sought in (servers["parent-0"], servers[ORIGIN.name]):
         sought.in_flight, start = sought.concurrency_limit, sought.concurrency_limit
@@ -79,7 +79,7 @@
         assert (sought.concurrency_limit < start * math.exp(21 * LIMIT_GROWTH)) is told
 
 
-def test_without_a_note_late_answers_are_not_held_against_the_parents() -> None:
+def test_late_answers_without_a_reply_detail_do_not_count_against_parents() -> None:
     driver = sized()
     late(driver, 60)
     for parent in SIZED_PARENTS:
@@ -87,7 +87,7 @@
         assert server.late_share == 0.0 and server.concurrency_limit == MIN_LIMIT_PER_TRANSFER * 20.0
 
 
-def test_without_notes_a_parent_that_timed_out_is_cleared_by_answers_in_time() -> None:
+def test_without_reply_details_timely_answers_clear_a_parent_that_timed_out() -> None:
     """Blamed for fills that fail and never credited, it stayed late for good, and idle parents shed."""
     driver = Driver(detailed_replies=False, router_count=12, zone_router_count=4)
     for number in range(6):
@@ -106,7 +106,7 @@
     assert served > 20 and parent.late_share < 0.15
 
 
-def test_sizes_that_make_no_sense_are_no_sizes_and_limits_keep_their_bounds() -> None:
+def test_invalid_sizes_are_ignored_and_limits_keep_their_bounds() -> None:
     for weight in (-1.0, 0.0, 0.001, 1e9):
         members = tuple(replace(each, weight=weight) for each in EVERYBODY)
         driver = Driver(members, weights="nominal", flow_kb_per_s=300.0)
--- a/tests/test_policy_ladder.py
+++ b/tests/test_policy_source_selection.py
@@ -52,7 +52,7 @@
     assert again.target == second.target and again.source.startswith("parent")
 
 
-def test_the_ladder_goes_over_the_other_parents_to_the_origin() -> None:
+def test_fallback_goes_through_the_other_parents_to_the_origin() -> None:
     driver = Driver()
     fetch = driver.fetch()
     sources = [fetch.source]
@@ -63,7 +63,7 @@
     assert sources[3] == ORIGIN.name
 
 
-def test_an_edge_whose_fill_places_are_taken_is_not_blamed_but_passed_over() -> None:
+def test_an_edge_at_its_fill_limit_is_skipped_without_blame() -> None:
     driver = Driver()
     fetch = driver.fetch()
     (again,) = fetches(driver.end(fetch, Outcome.REJECTED, ReplyDetail.FILL_LIMIT))
@@ -76,14 +76,14 @@
     assert fetch.target == fetch.source and fetch.target.startswith("parent")
 
 
-def test_uncacheable_requests_pass_the_caches_by() -> None:
+def test_uncacheable_requests_bypass_the_caches() -> None:
     fetch = Driver().fetch(kind="orders")
     assert fetch.target == fetch.source == ORIGIN.name and fetch.retention == 0
     through = Driver(bypass_allowed=False).fetch(kind="orders")
     assert through.target.startswith("edge") and through.source == ORIGIN.name and through.retention == 0
 
 
-def test_what_is_busy_sheds_and_hands_nothing_to_the_origin() -> None:
+def test_busy_members_shed_load_and_pass_none_to_the_origin() -> None:
     """Incidents and big-1: overflow went to the origin and to parents as client traffic and jammed them."""
     driver = Driver()
     actions = [action for key in range(300) for action in driver.ask(key)]
@@ -93,13 +93,13 @@
     assert all(fetch.source != ORIGIN.name and fetch.target.startswith("edge") for fetch in sent)
 
 
-def test_no_candidate_at_all_is_refused_at_once_with_a_time_to_come_back() -> None:
+def test_without_a_candidate_a_request_is_rejected_at_once_with_a_retry_after() -> None:
     (action,) = Driver(members=()).ask()
     assert isinstance(action, Reject) and 0 < (action.retry_after or 0) <= 2.0
     assert action.cause == "no_edge"
 
 
-def test_a_charge_that_the_origin_refuses_goes_by_no_parent_that_is_skipped() -> None:
+def test_a_write_that_the_origin_refuses_uses_no_ejected_parent() -> None:
     """join+vast: 63 charges went to a parent that had failed every fill for seconds, and so failed."""
     driver, ways = Driver(), set()
     driver.router.state.members.upstreams["parent-1"].ejected = True
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -22,7 +22,7 @@
         yield made
 
 
-def test_a_request_is_passed_on_unchanged_and_its_bytes_come_back_whole(p: Platform) -> None:
+def test_a_request_is_forwarded_unchanged_and_its_bytes_come_back_complete(p: Platform) -> None:
     client = p.client()
     client.ask(call="9b1f03aa5c7e2d41", row="7f3a9c21e0b4d655", slice="3", seen="4be0c1927d55a6f3")
     body = bytes(range(256)) * 900
@@ -44,7 +44,7 @@
     assert client.answer() == [1, 1, None, [body, {}]]
 
 
-def test_a_write_goes_untouched_to_the_origin(p: Platform) -> None:
+def test_a_write_is_forwarded_unchanged_to_the_origin(p: Platform) -> None:
     client = p.client()
     client.ask("charge", b"\x00\r\nQUIT 1\r\n" * 3000)
     words = p.origin.answer("HIT", "-", b"done")
@@ -53,14 +53,14 @@
     assert client.answer() == [1, 1, None, [b"done", {}]]
 
 
-def test_a_copy_that_the_client_holds_is_told_to_be_current(p: Platform) -> None:
+def test_a_client_with_a_current_copy_gets_not_modified(p: Platform) -> None:
     client = p.client()
     client.ask(seen="4be0c1927d55a6f3")
     p.box.answer("VALID", "tag=4be0c1927d55a6f3,detail=HIT")
     assert client.answer() == [1, 1, None, [b"", {"current": "1"}]]
 
 
-def test_bodies_that_wait_are_bounded_by_the_memory_granted() -> None:
+def test_queued_bodies_are_bounded_by_the_memory_quota() -> None:
     with platform(limits={"sockets": 60, "memory_mb": 1}) as p:
         client = p.client()
         for number in range(4):
@@ -77,9 +77,7 @@
 @pytest.mark.parametrize(
     ("word", "verdict"), [("SHED", "TryLater"), ("NONE", "TryLater"), ("FAULT", "Aborted")]
 )
-def test_a_write_is_refused_only_where_it_is_proved_not_to_have_run(
-    p: Platform, word: str, verdict: str
-) -> None:
+def test_a_write_is_rejected_only_where_it_provably_did_not_run(p: Platform, word: str, verdict: str) -> None:
     client = p.client()
     client.ask("charge")
     p.origin.answer(word)
@@ -91,7 +89,7 @@
     assert ("pushback" in error[1]) == (verdict == "TryLater")
 
 
-def test_a_write_whose_connection_broke_is_not_sent_again(p: Platform) -> None:
+def test_a_write_whose_connection_broke_is_not_retried(p: Platform) -> None:
     client = p.client()
     client.ask("charge")
     connection, _ = p.origin.line()
@@ -101,7 +99,7 @@
     assert p.origin.lines.empty() and p.box.lines.empty()
 
 
-def test_a_write_goes_out_on_no_connection_that_has_been_idle(p: Platform) -> None:
+def test_a_write_uses_no_connection_that_has_been_idle(p: Platform) -> None:
     """wide+reset+stale: 25 of 27 writes that were lost met the reset of a connection long idle."""
     client = p.client()
     used = []
@@ -115,7 +113,7 @@
     assert len(set(used)) == 12
 
 
-def test_a_connection_that_only_writes_went_to_ends_once_it_is_too_old_for_the_next(p: Platform) -> None:
+def test_a_connection_used_only_for_writes_closes_once_it_is_too_old_for_the_next(p: Platform) -> None:
     """disco+vast: forty routers' idle ones filled the origin's table, and it refused every charge."""
     client, made = p.client(), {}
     for method, party in (("charge", p.origin), ("video", p.box)):
@@ -144,7 +142,7 @@
     assert len({id(connection) for connection, _ in asked}) == 1
 
 
-def test_a_cancelled_request_is_given_up_at_the_cache_and_gets_no_answer(p: Platform) -> None:
+def test_a_cancelled_request_is_cancelled_at_the_cache_and_gets_no_answer(p: Platform) -> None:
     client = p.client()
     number = client.ask()
     connection, words = p.box.line()
@@ -157,7 +155,7 @@
     assert client.answer() == [1, 2, None, [b"y", {}]]
 
 
-def test_silence_everywhere_ends_in_one_refusal_before_the_client_gives_up(p: Platform) -> None:
+def test_with_all_members_silent_a_request_is_rejected_before_its_deadline(p: Platform) -> None:
     client = p.client()
     began = time.monotonic()
     client.ask(ttl="700")
@@ -167,7 +165,7 @@
     assert answer[2][0] == "TryLater" and int(answer[2][1]["pushback"]) > 0
 
 
-def test_refusals_are_counted_apart_by_whether_any_attempt_was_sent(p: Platform) -> None:
+def test_rejections_are_counted_by_whether_an_attempt_was_sent(p: Platform) -> None:
     """calm+mass: 23.6% refused; the counts split 7,314 never sent on from 3,194 given up after attempts."""
     client = p.client()
     client.ask(ttl="700")
@@ -194,7 +192,7 @@
     until(refused_untried, "a refusal with no candidate is counted as never sent on")
 
 
-def test_more_answers_than_asked_for_are_passed_over_and_an_id_never_comes_twice(p: Platform) -> None:
+def test_unsolicited_answers_are_ignored_and_ids_are_never_reused(p: Platform) -> None:
     """rude+garble+fleet: a second copy, or an answer under an unknown id, ended all good answers after it."""
     client = p.client()
     client.ask()
@@ -232,7 +230,7 @@
     assert p.counted("bad_cache_lines") == 1 and p.counted("ended.reset") == 1
 
 
-def test_a_connection_silent_under_many_requests_is_ended_before_their_time_outs(p: Platform) -> None:
+def test_a_connection_silent_under_many_requests_closes_before_their_timeouts(p: Platform) -> None:
     """r969070: its time-outs were blamed on the parents, and their limits were cut."""
     client = p.client()
     for number in range(8):
@@ -246,7 +244,7 @@
     assert p.counted("ended.timeout") == 0
 
 
-def test_a_spoilt_answer_ends_few_others(p: Platform) -> None:
+def test_a_malformed_answer_fails_few_other_requests(p: Platform) -> None:
     """garble+fleet: up to 32 requests went out on one connection, and each spoilt answer ended them all."""
     client = p.client()
     for number in range(12):
@@ -263,7 +261,7 @@
 
 
 @pytest.mark.parametrize("part", [b"0000000000000001 HIT - 5\r\nab", b"00000000000"])
-def test_an_answer_that_stops_short_ends_its_connection_before_the_time_out(p: Platform, part: bytes) -> None:
+def test_an_incomplete_answer_closes_its_connection_before_the_timeout(p: Platform, part: bytes) -> None:
     """What came next on it would be read as the rest of that answer."""
     client = p.client()
     client.ask(ttl="3000")
@@ -274,13 +272,13 @@
     assert p.counted("stalled_answers") == 1 and p.counted("ended.timeout") == 0
 
 
-def test_a_heartbeat_past_what_came_asks_for_the_rest(p: Platform) -> None:
+def test_a_heartbeat_with_a_newer_number_requests_the_missing_events(p: Platform) -> None:
     p.client()
     p.publish({"no": 3})
     assert p.bulletin.line()[1] == ["after", "1"]
 
 
-def test_heartbeats_of_both_forms_keep_the_bulletin_and_silence_ends_it(p: Platform) -> None:
+def test_heartbeats_of_both_forms_keep_the_watch_and_silence_ends_it(p: Platform) -> None:
     p.client()
     connection = p.publish({"no": 1}, 1, {"no": 2, "recall": {"lot": 1, "issued": 1}}, {"no": 2})
     until(lambda: p.counted("purges") == 1, "the purge is taken in")
@@ -290,7 +288,7 @@
     connection.close()
 
 
-def test_a_draining_cache_gets_nothing_new_and_a_purge_binds_the_age(p: Platform) -> None:
+def test_a_draining_cache_gets_no_new_requests_and_a_purge_limits_the_age(p: Platform) -> None:
     client = p.client()
     issued = int(time.time() * 1000)
     other = p.entry("box-2", p.parent)
@@ -306,7 +304,7 @@
     assert client.answer()[3][0] == b"x" and p.box.lines.empty()
 
 
-def test_a_cache_started_anew_at_the_same_address_is_another(p: Platform) -> None:
+def test_a_cache_restarted_at_the_same_address_is_another_instance(p: Platform) -> None:
     client = p.client()
     client.ask()
     old, _ = p.box.line()  # silent from now on
@@ -321,7 +319,7 @@
     assert new is not old
 
 
-def test_after_sigterm_late_connections_are_served_and_the_end_is_clean(p: Platform) -> None:
+def test_after_sigterm_late_connections_are_served_and_the_shutdown_is_clean(p: Platform) -> None:
     early = p.client()
     early.ask()
     p.box.line()
@@ -340,7 +338,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_bad_configuration_is_one_plain_line_and_exit_2(fault: str, tmp_path: Any) -> None:
+def test_an_invalid_configuration_is_one_log_line_and_exit_code_2(fault: str, tmp_path: Any) -> None:
     settings = {
         "locality": "here",
         "classes": [{"name": "a", "aim": 1, "deadline": 2, "idempotency": "read_like"}],
@@ -365,7 +363,7 @@
     assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("paddlequay: ")
 
 
-def test_sighup_follows_the_new_bulletin_on_the_same_numbers_and_ends_no_request(p: Platform) -> None:
+def test_sighup_watches_the_new_endpoint_source_and_fails_no_request(p: Platform) -> None:
     """Unhandled, the signal ended the program and lost what it held."""
     client = p.client()
     client.ask()
@@ -389,7 +387,7 @@
     moved.listener.close()
 
 
-def test_a_command_without_its_libraries_says_in_one_line_what_to_install() -> None:
+def test_a_command_without_its_libraries_names_them_in_one_line() -> None:
     """In the environment that `build` makes, `--help` and every command died with a traceback."""
     code = "import sys; sys.modules['click'] = None; sys.argv[1:] = ['--help']\n"
     code += "from paddlequay.__main__ import main; sys.exit(main())"
--- a/tests/test_program_clients.py
+++ b/tests/test_program_clients.py
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize(
     "junk", [b"\xc1", b"GET / HTTP/1.1\r\n\r\n", b"\x94\x00\x01\xdb\xff\xff\xff\xff", b"\x91" * 9]
 )
-def test_bad_client_bytes_end_that_connection_only(p: Platform, junk: bytes) -> None:
+def test_malformed_client_bytes_close_that_connection_only(p: Platform, junk: bytes) -> None:
     good, bad = p.client(), p.client()
     good.ask()
     bad.socket.sendall(junk)
@@ -53,7 +53,7 @@
         ("charge", {"body": bytes(48_001)}),
     ],
 )
-def test_what_cannot_be_used_gets_an_error_and_the_connection_lives(
+def test_an_invalid_call_gets_an_error_and_the_connection_stays_open(
     p: Platform, method: str, fields: dict[str, Any]
 ) -> None:
     client = p.client()
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("start", [b"", b"\x94\x00\x01\xa5vi", b"\xc4"])
-def test_clients_that_send_nothing_whole_are_closed_and_push_out_no_other(start: bytes) -> None:
+def test_clients_without_a_complete_message_are_closed_and_displace_no_other(start: bytes) -> None:
     """Connections come by the hundreds and say nothing, and may hold a third of the descriptors."""
     with platform() as p:
         usual = p.client()
@@ -96,7 +96,7 @@
         assert time.monotonic() - began < 3.0
 
 
-def test_a_cache_whose_answers_are_slow_is_not_taken_for_a_silent_one(p: Platform) -> None:
+def test_a_cache_with_slow_answers_does_not_count_as_silent(p: Platform) -> None:
     """upgrade+hand: in a jam connections were ended as silent, and what was out on them was sent again."""
     client = p.client()
     first = 1
@@ -112,7 +112,7 @@
     assert p.counted("unresponsive_connections") == 0
 
 
-def test_who_asks_as_it_connects_is_answered_however_many_connect_at_once(p: Platform) -> None:
+def test_a_request_sent_with_the_connect_is_answered_however_many_connect_at_once(p: Platform) -> None:
     """crowd+term: counted as mute until its first read, it made room for the next and was closed unread."""
     p.client()
     p.process.send_signal(signal.SIGSTOP)  # all of them wait to be accepted
@@ -123,7 +123,7 @@
     assert [client.answer()[2][0] for client in clients] == ["Aborted"] * 60
 
 
-def test_a_request_that_comes_in_slow_pieces_is_served_whoever_connects_meanwhile(p: Platform) -> None:
+def test_a_request_in_slow_pieces_is_served_whoever_connects_meanwhile(p: Platform) -> None:
     """It was closed 1.5 s after its first byte, however it moved, or made room for who said nothing."""
     client = p.client()
     fields = {"call": f"{9:016x}", "ttl": "2000", "row": f"{9:016x}", "slice": "0", "set": "17"}
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -174,7 +174,9 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(STEPS, st.booleans())
-def test_the_rules_hold_over_any_sequence(steps: list[tuple[object, ...]], direct: bool) -> None:
+def test_the_invariants_hold_for_any_sequence_of_events(
+    steps: list[tuple[object, ...]], direct: bool
+) -> None:
     world = World(direct=direct)
     for step in steps:
         world.step(step)
@@ -197,7 +199,7 @@
 
 @settings(max_examples=50, deadline=None, derandomize=True)
 @given(STEPS)
-def test_nothing_is_left_over_when_all_is_answered(steps: list[tuple[object, ...]]) -> None:
+def test_no_state_is_left_once_all_requests_are_answered(steps: list[tuple[object, ...]]) -> None:
     world = World(direct=True)
     for step in steps:
         world.step(step)
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -2,7 +2,6 @@
 
 import asyncio
 import random
-import re
 import time
 from typing import Any
 
@@ -15,7 +14,6 @@
 from paddlequay.discovery.answers import AnswerKind, DnsQuestion, build_query, parse_answer, randomize_case
 from paddlequay.discovery.resolver import Resolver
 from paddlequay.discovery.resolver_types import RecordSetKnown, ResolverLimits, SendQuery
-from paddlequay.discovery.srv import Service, ServiceWatch, TierLimits, member_id
 from paddlequay.lab.dns import DnsServer
 from paddlequay.net.dns import ResolverDriver
 from paddlequay.observability.counters import Counters
@@ -87,7 +85,7 @@
         return sorted(str(record.data) for record in known.records)
 
 
-def test_a_set_is_asked_for_again_before_its_lifetime_ends_and_a_removed_record_leaves_by_then() -> None:
+def test_a_record_set_is_refreshed_before_its_ttl_ends_and_a_removed_record_leaves() -> None:
     net = Net()
     net.put(str(HOST), "A", 10, "127.0.0.1", "127.0.0.2")
     net.want(HOST, A)
@@ -108,7 +106,7 @@
 @pytest.mark.parametrize(
     ("ttl", "least", "most"), [(0, 90, 120), (1 << 31, 90, 120), ((1 << 31) - 1, 0, 1), (5, 20, 30)]
 )
-def test_lifetimes_are_held_between_floor_and_ceiling(ttl: int, least: int, most: int) -> None:
+def test_ttls_are_clamped_between_floor_and_ceiling(ttl: int, least: int, most: int) -> None:
     net = Net()
     net.put(str(HOST), "A", ttl, "127.0.0.1")
     net.want(HOST, A)
@@ -119,7 +117,7 @@
 @pytest.mark.parametrize(
     "fault", ["servfail", "refused", "garbage", "half", "lame", "loop", "silent", "truncated-everywhere"]
 )
-def test_what_one_server_cannot_answer_another_does_and_the_bad_one_is_passed_over(fault: str) -> None:
+def test_a_faulty_server_is_skipped_and_another_answers(fault: str) -> None:
     net = Net(2)
     net.put(str(HOST), "A", 2, "127.0.0.1")
     net.servers[0].fault = fault
@@ -133,7 +131,7 @@
     assert net.last() == ["127.0.0.1"]
 
 
-def test_an_outage_is_borne_with_stale_records_and_few_questions_and_an_end_to_them() -> None:
+def test_an_outage_is_bridged_with_stale_records_and_few_queries_for_a_bounded_time() -> None:
     net = Net(2, stale=300.0)
     net.put(str(HOST), "A", 5, "127.0.0.1")
     net.want(HOST, A)
@@ -155,7 +153,7 @@
     assert net.last() is None  # older than is allowed
 
 
-def test_truncated_by_udp_is_asked_by_tcp_and_where_that_is_refused_elsewhere() -> None:
+def test_a_truncated_answer_is_queried_by_tcp_or_else_at_another_server() -> None:
     net = Net(2)
     net.put(str(HOST), "A", 60, "127.0.0.1")
     net.servers[0].fault = "truncated"
@@ -171,7 +169,7 @@
 
 
 @pytest.mark.parametrize("fault", ["spoofed-id", "spoofed-question", "spoofed-first", "wrong-case"])
-def test_a_forged_answer_that_comes_first_is_passed_over(fault: str) -> None:
+def test_a_forged_answer_that_comes_first_is_ignored(fault: str) -> None:
     net = Net()
     net.put(str(HOST), "A", 60, "127.0.0.1")
     net.servers[0].fault = fault
@@ -183,7 +181,7 @@
         assert net.last() == ["127.0.0.1"] and net.resolver.counts["answers.not_ours"] == 1
 
 
-def test_two_servers_that_disagree_are_believed_one_at_a_time_and_never_mixed() -> None:
+def test_answers_of_two_servers_that_disagree_are_never_mixed() -> None:
     net = Net(2)
     for number, server in enumerate(net.servers):
         server.put(str(HOST), "A", 2, f"127.0.{number}.1", f"127.0.{number}.2")
@@ -196,7 +194,7 @@
     assert seen == {("127.0.0.1", "127.0.0.2"), ("127.0.1.1", "127.0.1.2")}
 
 
-def test_an_answer_from_another_server_or_twice_is_not_looked_at() -> None:
+def test_an_answer_from_another_server_or_a_duplicate_is_ignored() -> None:
     net = Net()
     net.put(str(HOST), "A", 60, "127.0.0.1")
     net.carry(net.resolver.subscribe(HOST, A, net.now))
@@ -209,7 +207,7 @@
 
 
 @pytest.mark.parametrize(("fault", "asked"), [("nxdomain", 5), ("empty", 5)])
-def test_negative_answers_hold_for_their_soas_lifetime(fault: str, asked: int) -> None:
+def test_negative_answers_are_cached_for_the_ttl_of_their_soa(fault: str, asked: int) -> None:
     net = Net()
     net.servers[0].fault, net.servers[0].negative_ttl = fault, 10
     net.want(HOST, A)
@@ -217,7 +215,7 @@
     assert net.last() == [] and 4 <= len(net.sent) <= 7
 
 
-def test_chains_of_aliases_are_followed_so_far() -> None:
+def test_alias_chains_are_followed_up_to_a_bound() -> None:
     for length, found in ((1, True), (7, True), (12, False)):
         net = Net()
         for step in range(length):
@@ -228,7 +226,7 @@
         assert (net.last(name("c0.plaza.example.")) == ["127.0.0.1"]) is found
 
 
-def test_additional_records_are_believed_in_bailiwick_and_for_named_targets_only() -> None:
+def test_additional_records_are_used_only_in_bailiwick_and_for_listed_targets() -> None:
     net = Net()
     net.put(str(NAME), "SRV", 60, "0 0 9000 box-1.plaza.example.", "0 0 9000 box.other.example.")
     net.put("box-1.plaza.example.", "A", 30, "127.0.0.1")
@@ -242,7 +240,7 @@
     assert net.last(name("box.other.example.")) is None and net.last(name("box-9.plaza.example.")) is None
 
 
-def test_a_fleet_does_not_ask_in_step() -> None:
+def test_queries_of_a_fleet_are_spread_by_jitter() -> None:
     times = []
     for seed in range(200):
         net = Net(seed=seed)
@@ -254,7 +252,7 @@
     assert max(counts) <= 1.5 * sum(counts) / len(counts)
 
 
-def test_what_is_wanted_and_kept_is_bounded_and_the_clock_may_go_back() -> None:
+def test_queries_and_cached_records_are_bounded_and_the_clock_may_go_back() -> None:
     net = Net(max_names=10, max_cached=20)
     for number in range(10):
         net.want(name(f"n{number}.plaza.example."), A)
@@ -280,7 +278,7 @@
 
 @settings(max_examples=1500, deadline=None, derandomize=True)
 @given(st.data())
-def test_no_bytes_raise_past_the_reader(data: st.DataObject) -> None:
+def test_no_datagram_raises_past_the_resolver(data: st.DataObject) -> None:
     server = DnsServer()
     server.put(str(HOST), "A", 60, "127.0.0.1", "127.0.0.2")
     good = server.answers(build_query(QUESTION, True), True)[0][1]
@@ -295,103 +293,8 @@
     assert answer.kind in AnswerKind and answer.ttl >= 0
 
 
-# --- services ---
-
-
-def known(name: dns.name.Name, kind: dns.rdatatype.RdataType, *data: str) -> RecordSetKnown:
-    server = DnsServer()
-    if data:
-        server.put(str(name), dns.rdatatype.to_text(kind), 60, *data)
-    question = DnsQuestion(name.canonicalize(), kind, 1, ("127.0.0.1", 53))
-    answer = parse_answer(question, server.answers(build_query(question, True), True)[0][1], question.server)
-    return RecordSetKnown(name.canonicalize(), kind, answer.records, 100.0)
-
-
-def follower(*srv: str, **also: Any) -> ServiceWatch:
-    made = ServiceWatch(Service(NAME, "box", "plaza", **also), TierLimits(return_after=30.0))
-    assert made.update(known(NAME, SRV, *srv))
-    for number in range(1, 7):
-        made.update(known(name(f"b{number}.plaza.example."), A, f"127.0.0.{number}"))
-    return made
-
-
-def ids(boxes: list[Any]) -> list[str]:
-    return [box.id.split("_")[0] for box in boxes]
-
-
-def test_weights_are_shares_with_a_little_for_0_and_ids_stay_over_address_changes() -> None:
-    made = follower("1 30 9 b1.plaza.example.", "1 10 9 b2.plaza.example.", "1 0 9 b3.plaza.example.")
-    weights = [box.weight for box in made.members(0.0)]
-    assert weights[0] == pytest.approx(3 * (weights[1] or 0)) and weights[2] == 0.01
-    assert [box.weight for box in follower("1 0 9 b1.plaza.example.").members(0.0)] == [1.0]
-    (before, *_) = made.members(1.0)
-    made.update(known(name("b1.plaza.example."), A, "127.0.0.1", "127.0.0.0"))
-    assert made.members(2.0)[0].address == before.address  # still an answer: it does not move
-    made.update(known(name("b1.plaza.example."), A, "127.0.0.99"))
-    moved = made.members(3.0)[0]
-    assert (
-        moved.id == before.id == member_id(name("B1.plaza.example."), 9) and moved.address[0] == "127.0.0.99"
-    )
-
-
-@pytest.mark.parametrize(("family", "host"), [("v4", "127.0.0.1"), ("v6", "::1"), ("both", "127.0.0.1")])
-def test_targets_are_found_by_the_family_that_is_wanted(family: str, host: str) -> None:
-    made = follower("1 1 9 b1.plaza.example.", family=family)
-    made.update(known(name("b1.plaza.example."), dns.rdatatype.AAAA, "::1"))
-    assert [box.address for box in made.members(0.0)] == [(host, 9)]
-    made.update(known(name("b1.plaza.example."), A))
-    assert [box.address for box in made.members(1.0)] == ([] if family == "v4" else [("::1", 9)])
-
-
-def test_priorities_fall_back_at_once_and_return_only_once_it_lasts() -> None:
-    made = follower(
-        "1 1 9 b1.plaza.example.",
-        "1 1 9 b2.plaza.example.",
-        "5 1 9 b3.plaza.example.",
-        "9 1 9 b4.plaza.example.",
-    )
-    assert ids(made.members(0.0)) == ["b1", "b2"]
-    for number in (1, 2):
-        made.update(known(name(f"b{number}.plaza.example."), A))
-    assert ids(made.members(1.0)) == ["b3"]
-    made.update(known(name("b1.plaza.example."), A, "127.0.0.1"))
-    assert ids(made.members(2.0)) == ["b3"]
-    made.update(known(name("b2.plaza.example."), A, "127.0.0.2"))
-    assert ids(made.members(3.0)) == ["b3"] and ids(made.members(20.0)) == ["b3"]
-    made.update(known(name("b2.plaza.example."), A))
-    made.members(25.0)
-    made.update(known(name("b2.plaza.example."), A, "127.0.0.2"))
-    assert ids(made.members(34.0)) == ["b3"] and ids(made.members(63.0)) == ["b3"]
-    assert ids(made.members(64.1)) == ["b1", "b2"]
-
-
-def test_not_offered_ports_of_0_doubles_and_too_many() -> None:
-    made = follower("0 0 0 .")
-    assert made.not_offered and made.members(0.0) == []
-    made = follower("1 1 0 b1.plaza.example.", "1 1 9 b2.plaza.example.", "1 5 9 b2.plaza.example.")
-    assert ids(made.members(0.0)) == ["b2"]
-    assert {kind for _, kind in made.required_names()} == {SRV, A}
-
-
-def test_zone_cell_and_kind_come_by_the_name_or_by_txt() -> None:
-    made = follower(
-        "1 1 9 b1.plaza.example.",
-        "1 1 9 b2.plaza.example.",
-        txt=True,
-        naming=re.compile(r"b(?P<cell>\d+)\.(?P<zone>\w+)"),
-    )
-    told = 'zone=east cell=7 started=1700000000 junk=1 "kind=parent"'
-    made.update(known(name("b2.plaza.example."), TXT, told.replace('"', "").join('""')))
-    one, two = made.members(0.0)
-    assert (one.kind, one.zone, one.cell, one.started) == ("box", "plaza", 1, None)
-    assert (two.kind, two.zone, two.cell, two.started) == ("parent", "east", 7, 1700000000.0)
-
-
-# --- over sockets ---
-
-
 @pytest.mark.parametrize("fault", ["", "truncated", "spoofed-first"])
-def test_over_sockets(fault: str) -> None:
+def test_the_resolver_over_sockets(fault: str) -> None:
     async def play() -> list[RecordSetKnown]:
         server = DnsServer()
         await server.start()
--- a/tests/test_settings_drawn.py
+++ b/tests/test_settings_drawn.py
@@ -194,7 +194,7 @@
 
 @hypothesis.settings(max_examples=250, deadline=None, derandomize=True)
 @hypothesis.given(SETTINGS, STEPS)
-def test_the_rules_hold_whatever_the_settings_give_or_leave_out(
+def test_the_invariants_hold_for_any_settings(
     told: say.RoutingSettings, steps: list[tuple[object, ...]]
 ) -> None:
     world = World(told)
--- a/tests/test_settings_given.py
+++ b/tests/test_settings_given.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(("grace", "oldest"), [(30.0, 38.0), (0.0, None), (None, None)])
-def test_an_old_copy_will_do_only_where_there_is_a_time_for_it_and_no_source_is_left(
+def test_stale_copies_are_served_only_within_their_time_and_without_a_source(
     grace: float | None, oldest: float | None
 ) -> None:
     driver = Driver(
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("parallel", [True, False, None])
-def test_no_second_attempt_goes_out_beside_the_first_however_long_that_takes(parallel: bool | None) -> None:
+def test_no_hedged_request_is_sent_where_settings_forbid_it(parallel: bool | None) -> None:
     driver = Driver(parallel_attempts=parallel)
     first = driver.fetch()
     for _ in range(30):
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("cpu", [0.1, None])
-def test_a_members_own_word_that_it_has_room_keeps_it_open_and_without_one_what_is_out_tells(
+def test_reported_capacity_keeps_a_member_open_and_else_requests_in_flight_decide(
     cpu: float | None,
 ) -> None:
     driver = Driver(members=(EDGES[0], ORIGIN), bypass_allowed=False)
--- a/tests/test_cold.py
+++ b/tests/test_slow_start.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("turned_away", [0.0, 0.5, 0.9])
-def test_what_is_turned_away_does_not_lower_what_a_cold_member_is_sent(turned_away: float) -> None:
+def test_rejections_do_not_lower_the_slow_start_budget(turned_away: float) -> None:
     """join+vast: with three of four edges new, refusals lowered the load seen, and the load seen the pace.
 
     Four edges of capacity 10, used by half; then three are replaced at once, and only what the last one and
@@ -47,7 +47,7 @@
     assert pace <= 1.01 * RATE_SAFETY_SHARE * 2.5 * share * 10.0  # and under the rule's multiple
 
 
-def test_untold_or_hardly_used_members_say_nothing_of_their_capacity() -> None:
+def test_members_without_reports_or_load_show_no_capacity() -> None:
     """A division by next to no use would send a cold member anything."""
     for used in (0.0, MIN_REPORTED_USE / 2):
         cold = SlowStartLimiter(RAMP)
@@ -56,7 +56,7 @@
         assert cold.allowed_rate(now, now) == pytest.approx(RATE_SAFETY_SHARE * 2.5 * 0.17 * 0.5, rel=0.1)
 
 
-def test_what_others_do_while_no_member_is_there_says_nothing_of_what_members_bear() -> None:
+def test_load_while_no_member_exists_shows_no_capacity() -> None:
     """All edges of a plaza lost: what went past it was taken for theirs, at no use of their ways out."""
     cold = SlowStartLimiter(RAMP)
     cold.set_members([None] * 4, 100.0)
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_forty_routers_of_unequal_traffic_add_up_to_what_cold_members_bear(seed: int) -> None:
+def test_budgets_of_forty_unequal_routers_add_up_to_the_slow_start_limit(seed: int) -> None:
     """Six edges of capacity 10 come back cold at once; routers see a third to three times the mean."""
     rng = random.Random(seed)
     shares = [rng.uniform(0.33, 3.0) for _ in range(40)]
--- a/tests/test_room.py
+++ b/tests/test_zone_load.py
@@ -60,7 +60,7 @@
     raise AssertionError(f"only {heard} were asked")
 
 
-def test_with_the_link_full_the_home_is_asked_for_what_it_holds_and_nothing_is_filled() -> None:
+def test_with_a_full_link_the_preferred_edge_serves_cached_objects_without_fills() -> None:
     """calm+mass: fills went on into a link with forty times the transfers that fit, and hits were refused."""
     driver = crowd()
     say(driver, FULL_LINK)
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(("load", "passed"), [(IDLE, True), (FULL_LINK, False)])
-def test_a_busy_home_is_passed_over_for_the_next_only_with_room_in_the_link(
+def test_a_busy_preferred_edge_is_skipped_only_while_the_link_has_capacity(
     load: dict[str, float], passed: bool
 ) -> None:
     """calm+mass: the next edge filled the object a second time, through the link that was short."""
@@ -87,7 +87,7 @@
     assert any(fetch.target != home[key] for key, fetch in again) == passed
 
 
-def test_an_edge_that_says_it_has_room_is_not_full_by_this_routers_own_requests() -> None:
+def test_an_edge_that_reports_capacity_is_not_full_by_this_routers_own_requests() -> None:
     """A share of a limit under one request turned away what the edge could bear."""
     driver = crowd()
     say(driver, IDLE | {"cpu": 0.7})
@@ -95,7 +95,7 @@
     assert not any(isinstance(each, Reject) for each in actions)
 
 
-def test_edges_that_say_they_are_jammed_shed_at_once_and_are_believed_for_a_while() -> None:
+def test_a_report_of_saturation_sheds_load_at_once_and_expires() -> None:
     driver = crowd()
     say(driver, JAM)
     actions = [each for key in range(60) for each in driver.ask(key)]
@@ -108,7 +108,7 @@
     assert asked(driver, range(60, 70))
 
 
-def test_where_few_routers_meet_what_each_has_out_tells_and_words_do_not_shed() -> None:
+def test_with_few_routers_in_flight_requests_decide_and_reports_do_not_shed() -> None:
     """The platform's own days have one or two routers at an edge."""
     driver = Driver(
         members=(*EDGES, *PARENTS, ORIGIN), router_count=4, zone_router_count=1, bypass_allowed=False
@@ -132,7 +132,7 @@
     return {name: room.weight_share(name) for name in sizes}
 
 
-def test_objects_lean_to_the_larger_machine_until_all_are_used_alike() -> None:
+def test_placement_weights_favour_larger_machines_until_utilisation_is_equal() -> None:
     """calm+mass: equal shares jammed a small machine (use 1.0, 30 held) beside one of use 0.3 with 6."""
     shares = shares_after(15.0, seed=1)
     assert max(shares.values()) == shares["large"] == 1.0
@@ -140,7 +140,7 @@
     assert shares["small"] == pytest.approx(0.4, abs=0.12)  # four to ten
 
 
-def test_routers_that_hear_at_other_times_and_with_other_noise_come_to_about_the_same_homes() -> None:
+def test_routers_with_different_report_times_and_noise_prefer_about_the_same_edges() -> None:
     members = [(name, name, 1.0) for name in ("small", "usual", "other", "large")]
     homes: Homes[str] = Homes()
     homes.reset(members)
@@ -153,7 +153,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.floats(-1e9, 1e9), st.floats(0, 100)), max_size=60))
-def test_shares_stay_within_their_bounds_whatever_is_told(words: list[tuple[str, float, float]]) -> None:
+def test_weights_stay_within_their_bounds_for_any_reports(words: list[tuple[str, float, float]]) -> None:
     room, now = ZoneLoad(), 0.0
     for name, use, after in words:
         now += after
@@ -163,7 +163,7 @@
         assert math.exp(-2 * MAX_WEIGHT_BIAS) - 1e-9 <= room.weight_share(name) <= 1.0
 
 
-def test_words_of_members_that_have_gone_are_not_kept() -> None:
+def test_reports_of_removed_members_are_dropped() -> None:
     driver = crowd()
     say(driver, IDLE)
     assert len(driver.router.state.zone_load.reports) == len(EDGES)
@@ -172,7 +172,7 @@
     assert not driver.router.state.zone_load.reports
 
 
-def test_routers_that_heard_one_word_shed_the_same_share_together() -> None:
+def test_routers_with_the_same_report_shed_the_same_share() -> None:
     """Two hundred routers on one word: the sum falls evenly over the span, and none decides for itself."""
     shares = []
     low, high = LINK_SPAN
@@ -185,7 +185,7 @@
 
 
 @given(st.floats(0, 1e6), st.floats(0, 1), st.floats(0, 1e3))
-def test_more_load_never_lets_more_through(load: float, luck: float, more: float) -> None:
+def test_more_load_never_admits_more(load: float, luck: float, more: float) -> None:
     less, much = ZoneLoad(), ZoneLoad()
     for room, value in ((less, load), (much, load + more)):
         room.report("a", {"active": value, "cpu": 1.0, "x1": value}, 0.0)
@@ -206,7 +206,7 @@
 
 
 @pytest.mark.parametrize(("x1", "passes"), [(0.3, True), (1.2, False), (30.0, False)])
-def test_nothing_passes_the_edges_by_through_a_link_that_fills_use(x1: float, passes: bool) -> None:
+def test_no_request_bypasses_the_edges_through_a_link_that_fills_use(x1: float, passes: bool) -> None:
     """zone+vast: what went past cold edges kept the link twenty times full: no edge was filled again."""
     driver, causes, by = lost_zone(x1), Counter[str](), Counter[str]()
     for key in range(40):
@@ -219,7 +219,7 @@
     assert (by, causes) == (({"parent": 40}, {}) if passes else ({}, {"link_full": 40}))
 
 
-def test_a_full_link_sheds_first_what_has_most_bytes_for_its_worth() -> None:
+def test_a_full_link_sheds_the_most_bytes_per_priority_weight_first() -> None:
     """Photos are an eighth of the bytes and half of the requests: shed alike, they gave the link no room."""
     room = ZoneLoad(14)
     room.report("edge-0", FULL_LINK, 1.0)
@@ -235,7 +235,7 @@
     assert dear == {"pages": pytest.approx(0.25), "films": 1.0}
 
 
-def test_where_no_class_is_kept_a_busy_edge_is_no_error() -> None:
+def test_a_busy_edge_is_no_error_without_a_cacheable_class() -> None:
     """What has most bytes was looked for among the classes kept, of which there need be none."""
     driver = Driver(
         members=EDGES, classes=(UNSAFE,), router_count=194, zone_router_count=14, bypass_allowed=False
@@ -247,7 +247,7 @@
 
 
 @pytest.mark.parametrize(("x0", "looks"), [(0.0, 0), (1.0, 30)])
-def test_at_a_full_link_a_cold_edge_is_asked_only_where_it_may_hold_something(x0: float, looks: int) -> None:
+def test_at_a_full_link_a_warming_edge_gets_only_what_it_may_have_cached(x0: float, looks: int) -> None:
     """A look takes of what a cold edge bears as much as a fill: empty ones had nothing left for fills."""
     driver = lost_zone(FULL_LINK["x1"], x0)
     driver.router.state.members.slow_start[CacheTier.EDGE].load_per_member = 100.0
