--- a/paddlequay/discovery/explanation.py
+++ b/paddlequay/discovery/explanation.py
@@ -1,7 +1,12 @@
 """For operators: what each source says of a member, and which rule of the membership won."""
 
+from typing import Any
+
+from paddlequay.discovery.absence import reason_for_absence
 from paddlequay.discovery.membership import Membership
-from paddlequay.discovery.reports import Address, SourceReport
+from paddlequay.discovery.reports import Address, MembershipChange, SourceReport, SourceState
+
+MAX_SHOWN = 2000  # members that a call to the console lists
 
 
 def explain(membership: Membership, id: str, now: float) -> list[str]:
@@ -21,14 +26,15 @@
 def explain_address(membership: Membership, address: Address, now: float) -> list[str]:
     """One line for each report at an address, and one for what holds there."""
     where = f"{address[0]}:{address[1]}"
-    reports = membership.index.reports_at(address)
+    index = membership.index
+    reports = index.reports_at(address)
     lines = [f"{where} {explain_report(membership, report, now)}" for report in reports]
-    for removal in membership.index.removals_at(address, reports):
+    for removal in index.removals_at(address, reports):
         age = now - removal.reported_at
         lines.append(f"{where} {removal.source}: {removal.member.id} ended {age:.0f} s ago")
     change = membership.decide(address, now)
     if change is None:
-        reason = ": ".join(membership.reason_for_absence(address, now))
+        reason = ": ".join(reason_for_absence(index, membership.flaps, address, now))
         return [*lines, f"{where} is not a member by {reason}"]
     state = change.member.state.value
     return [*lines, f"{where} is {change.member.id} {state} by {change.rule}: {change.reason}"]
@@ -40,3 +46,35 @@
     missing = "" if report.missing_since is None else f", left out for {now - report.missing_since:.0f} s"
     member, age = report.member, now - report.reported_at
     return f"{report.source} ({live}): {member.id} {member.state.value}, told {age:.0f} s ago{missing}"
+
+
+def membership_page(membership: Membership, now: float) -> dict[str, Any]:
+    """Sources and members, the first `MAX_SHOWN` of them, as JSON's values."""
+    changes = list(membership.members.values())
+    return {
+        "sources": {name: source_page(source, now) for name, source in membership.sources.items()},
+        "count": len(changes),
+        "members": [member_page(change) for change in changes[:MAX_SHOWN]],
+    }
+
+
+def source_page(source: SourceState, now: float) -> dict[str, Any]:
+    """One source, as JSON's values."""
+    return {
+        "live": source.is_live(now),
+        "words": len(source.reports),
+        "heard_s_ago": round(now - source.last_heard_at, 1) if source.has_reported else None,
+        "left_out": sum(report.missing_since is not None for report in source.reports.values()),
+        "refused": source.rejected_reports,
+    }
+
+
+def member_page(change: MembershipChange) -> dict[str, Any]:
+    """One member and why it is one, as JSON's values."""
+    return {
+        "id": change.member.id,
+        "at": f"{change.member.address[0]}:{change.member.address[1]}",
+        "state": change.member.state.value,
+        "rule": change.rule,
+        "why": change.reason,
+    }
--- a/paddlequay/discovery/membership.py
+++ b/paddlequay/discovery/membership.py
@@ -18,16 +18,16 @@
 A change costs what it touches: nothing here walks through all members but `snapshot`.
 """
 
-import heapq
-from collections import OrderedDict
 from collections.abc import Iterable
 from dataclasses import replace
 from typing import Any
 
+from paddlequay.discovery.absence import reason_for_absence
+from paddlequay.discovery.address_timers import AddressTimers
+from paddlequay.discovery.flapping import FlapGuard
 from paddlequay.discovery.report_index import ReportIndex
 from paddlequay.discovery.reports import (
     Address,
-    FlapHistory,
     MembershipChange,
     MembershipLimits,
     ReportedMember,
@@ -36,9 +36,10 @@
     SourceState,
     TooManyMembersError,
 )
+from paddlequay.discovery.snapshot import members_from_data, members_to_data
+from paddlequay.discovery.start_times import StartTimes
 from paddlequay.routing.interface import MemberState
 
-MAX_FLAP_HISTORIES = 20_000
 JUST_SILENT_S = 0.001
 
 Touched = dict[Address, None]  # addresses to decide anew, in the order in which they were touched
@@ -53,11 +54,9 @@
         self.index = ReportIndex(self.sources)
         self.members: dict[Address, MembershipChange] = {}  # what was announced last; never a removed one
         self.address_by_id: dict[str, Address] = {}  # of the members
-        self.flap_histories: OrderedDict[Address, FlapHistory] = OrderedDict()
-        self.timers: list[tuple[float, int, Address]] = []
-        self.last_serial = 0
-        self.recovered: dict[str, ReportedMember] = {}  # from the last run, by id: their age is known
-        self.started_at: float | None = None
+        self.flaps = FlapGuard(self.limits)
+        self.start_times = StartTimes(self.limits)
+        self.timers = AddressTimers()
 
     # --- what sources say ---
 
@@ -68,7 +67,7 @@
 
         Raises `TooManyMembersError`, which leaves everything as it was.
         """
-        self.started_at = now if self.started_at is None else self.started_at
+        self.start_times.note_report(now)
         state = self.sources[source]
         members = tuple(members)
         ids = {member.id for member in members}
@@ -125,7 +124,7 @@
 
     def handle_omissions(self, ids: list[str], source: SourceState, now: float, touched: Touched) -> None:
         """Members that a full report does not repeat: removed, or retained where too many are."""
-        is_mass = self.is_mass_removal(ids, source, now)
+        is_mass = source.is_mass_removal(ids, self.limits, now)
         for id in ids:
             report = source.reports[id]
             if report.missing_since is None:
@@ -135,20 +134,9 @@
             if not retained or now - report.missing_since >= self.limits.confirm_after:
                 self.drop(report, source, touched)
             else:
-                self.schedule(report.missing_since + self.limits.confirm_after, report.member.address)
+                self.timers.schedule(report.missing_since + self.limits.confirm_after, report.member.address)
                 touched[report.member.address] = None
 
-    def is_mass_removal(self, ids: list[str], source: SourceState, now: float) -> bool:
-        """Whether a source leaves out so many within the window that a fault is likelier."""
-        limits, omissions = self.limits, source.omissions
-        while omissions and now - omissions[0][0] > limits.mass_window:
-            omissions.popleft()
-        fresh = [id for id in ids if source.reports[id].missing_since is None]
-        missing = len(omissions) + len(fresh)
-        total = max(1, len(source.reports) + sum(id not in source.reports for _, id in omissions))
-        omissions.extend((now, id) for id in fresh)
-        return missing >= limits.min_mass and missing > limits.mass_share * total
-
     def drop(self, report: SourceReport, source: SourceState, touched: Touched) -> None:
         """A report is over. A drain that its source no longer names was no return: the member is removed."""
         del source.reports[report.member.id]
@@ -160,9 +148,7 @@
 
     def tick(self, now: float) -> list[MembershipChange]:
         """What time alone changes: reports that expire, pauses that end, what is confirmed."""
-        touched: Touched = {}
-        while self.timers and self.timers[0][0] <= now:
-            touched[heapq.heappop(self.timers)[2]] = None
+        touched: Touched = dict.fromkeys(self.timers.due(now))
         for source in self.sources.values():
             rule = source.rule
             expires_at = source.last_heard_at + rule.silent_after + rule.retain_for
@@ -173,11 +159,6 @@
                 self.drop(source.reports[next(iter(source.reports))], source, touched)
         return self.settle(touched, now)
 
-    def schedule(self, when: float, address: Address) -> None:
-        """Decide anew for an address at a time."""
-        self.last_serial += 1
-        heapq.heappush(self.timers, (when, self.last_serial, address))
-
     def settle(self, touched: Touched, now: float) -> list[MembershipChange]:
         """Decide anew for each address that was touched. Removals are announced before additions."""
         after = {address: self.decide(address, now) for address in touched}
@@ -187,7 +168,7 @@
             if before is not None and (change is None or change.member.id != before.member.id):
                 del self.members[address], self.address_by_id[before.member.id]
                 removed[before.member.id] = self.removal_of(before, change, address, now)
-                self.record_flap(address, now)
+                self.flaps.record(address, now)
         added = []
         for address, change in after.items():
             if change is None or self.address_by_id.get(change.member.id, address) != address:
@@ -196,7 +177,7 @@
             self.address_by_id[change.member.id] = address
             self.members[address] = change
             if before is None:
-                self.record_flap(address, now)
+                self.flaps.record(address, now)
             if before is None or before.member != change.member:
                 removed.pop(change.member.id, None)  # it has moved, and is announced at its new address only
                 added.append(change)
@@ -207,7 +188,7 @@
     ) -> MembershipChange:
         """The removal of a member, and why: by what stands there now, or as nothing does."""
         if change is None:
-            rule, reason = self.reason_for_absence(address, now)
+            rule, reason = reason_for_absence(self.index, self.flaps, address, now)
         else:
             rule, reason = change.rule, change.reason
         return MembershipChange(replace(before.member, state=MemberState.REMOVED), rule, reason)
@@ -229,100 +210,36 @@
         if address not in self.members and self.is_paused(address, now):
             return None
         if rule == "authority":
-            rule, reason = self.doubt(first, now) or (rule, reason)
-        member = replace(first.member, state=state, started=self.start_time(first, address, now))
+            rule, reason = self.sources[first.source].doubt(first, now) or (rule, reason)
         announced = self.members.get(address)
+        last = None if announced is None else announced.member
+        started = self.start_times.start_time(first, address, last, now)
+        member = replace(first.member, state=state, started=started)
         if announced is not None and announced.member == member:
             return replace(announced, rule=rule, reason=reason)
         return MembershipChange(member, rule, reason)
 
-    def doubt(self, report: SourceReport, now: float) -> tuple[str, str] | None:
-        """The rule by which a doubtful report holds all the same, and why; None where it is not doubtful."""
-        source = self.sources[report.source]
-        if report.missing_since is not None:
-            return "mass", f"{report.source} leaves it out since {now - report.missing_since:.0f} s"
-        if not source.is_live(now):
-            return "kept", f"{report.source} is silent since {now - source.last_heard_at:.0f} s"
-        return None
-
     def is_paused(self, address: Address, now: float) -> bool:
         """Whether an address is kept out for flapping; if so, it is decided anew once that is over."""
-        flaps = self.flap_histories.get(address)
-        if flaps is None or now >= flaps.paused_until:
+        paused_until = self.flaps.paused_until(address, now)
+        if paused_until is None:
             return False
-        self.schedule(flaps.paused_until, address)
+        self.timers.schedule(paused_until, address)
         return True
 
-    def start_time(self, report: SourceReport, address: Address, now: float) -> float:
-        """When the member started, in Unix seconds.
-
-        One of unknown age that comes later is taken for new: it gets slow start, and is warm a while later.
-        What the first reports of all name has been running for as long as anybody knows.
-        """
-        if report.member.started is not None:
-            return report.member.started
-        announced = self.members.get(address)
-        if announced is not None and announced.member.started is not None:
-            return announced.member.started
-        known = self.recovered.get(report.member.id)
-        if known is not None and known.address == address and known.started is not None:
-            return known.started
-        first = self.started_at is None or now - self.started_at <= self.limits.mass_window
-        return 0.0 if first else now
-
-    def record_flap(self, address: Address, now: float) -> None:
-        """Count a coming or going; too many of them earn a pause."""
-        limits = self.limits
-        flaps = self.flap_histories.setdefault(address, FlapHistory())
-        self.flap_histories.move_to_end(address)
-        while len(self.flap_histories) > MAX_FLAP_HISTORIES:
-            self.flap_histories.popitem(last=False)
-        flaps.changed_at.append(now)
-        while now - flaps.changed_at[0] > limits.flap_window:
-            flaps.changed_at.popleft()
-        if len(flaps.changed_at) > 2 * limits.max_flaps:
-            flaps.pause = min(limits.max_flap_pause, max(limits.flap_pause, 2 * flaps.pause))
-            flaps.paused_until = now + flaps.pause
-            flaps.changed_at.clear()
-
-    def reason_for_absence(self, address: Address, now: float) -> tuple[str, str]:
-        """The rule by which nothing stands at an address, and why."""
-        reports = self.index.reports_at(address)
-        for removal in self.index.removals_at(address, reports):
-            return "drain", f"{removal.source} has ended {removal.member.id}"
-        flaps = self.flap_histories.get(address)
-        if reports and flaps is not None and now < flaps.paused_until:
-            return "flapping", f"kept out for {flaps.paused_until - now:.0f} s more"
-        if any(self.index.is_shadowed(report) for report in reports):
-            return "address", "an earlier source places the same id elsewhere"
-        if reports:
-            return "authority", "only sources that may not add name it"
-        return "authority", "no source names it"
-
     # --- saved over a restart ---
 
     def snapshot(self) -> dict[str, Any]:
         """The members, as they are saved."""
-        return {
-            "members": [
-                [m.id, m.address[0], m.address[1], m.kind, m.zone, m.cell, m.weight, m.started, m.state.value]
-                for m in (change.member for change in self.members.values())
-            ]
-        }
+        return members_to_data(change.member for change in self.members.values())
 
     def recover(self, data: Any, source: str, now: float) -> list[MembershipChange]:
         """Begin with the members of an earlier run, as reports of `source`, which is silent already.
 
         Raises ValueError where the data cannot be read; then nothing is taken.
         """
-        try:
-            members = [
-                ReportedMember(str(i), (str(h), int(p)), k, z, c, w, s, MemberState(state))
-                for i, h, p, k, z, c, w, s, state in data["members"]
-            ]
-        except (KeyError, TypeError, ValueError) as error:
-            raise ValueError(f"members that cannot be read: {type(error).__name__} {error}") from None
-        self.recovered = {member.id: member for member in members}
+        members = members_from_data(data)
+        self.start_times.recovered = {member.id: member for member in members}
         changes = self.report(source, members, True, now)
         silent_since = now - self.sources[source].rule.silent_after - JUST_SILENT_S
         self.sources[source].last_heard_at = silent_since
--- a/paddlequay/discovery/reconfiguration.py
+++ b/paddlequay/discovery/reconfiguration.py
@@ -26,7 +26,7 @@
         if name in new.sources and id not in new.sources[name].reports:
             new.index.record_removal(removal)
     new.settle(dict.fromkeys([*new.index.reports_by_address]), now)
-    new.started_at = old.started_at
+    new.start_times.first_report_at = old.start_times.first_report_at
     return new, changes_between(old, new)
 
 
--- a/paddlequay/discovery/reports.py
+++ b/paddlequay/discovery/reports.py
@@ -92,14 +92,24 @@
         """Whether it has given a sign of life within `silent_after` seconds."""
         return now - self.last_heard_at <= self.rule.silent_after
 
-
-@dataclass(slots=True)
-class FlapHistory:
-    """When a member came and went lately, and until when it is kept out for that."""
-
-    changed_at: deque[float] = field(default_factory=deque)
-    pause: float = 0.0
-    paused_until: float = -math.inf
+    def is_mass_removal(self, ids: list[str], limits: MembershipLimits, now: float) -> bool:
+        """Whether it leaves out so many ids within the window that a fault is likelier; counts those new."""
+        omissions = self.omissions
+        while omissions and now - omissions[0][0] > limits.mass_window:
+            omissions.popleft()
+        fresh = [id for id in ids if self.reports[id].missing_since is None]
+        missing = len(omissions) + len(fresh)
+        total = max(1, len(self.reports) + sum(id not in self.reports for _, id in omissions))
+        omissions.extend((now, id) for id in fresh)
+        return missing >= limits.min_mass and missing > limits.mass_share * total
+
+    def doubt(self, report: SourceReport, now: float) -> tuple[str, str] | None:
+        """The rule by which its doubtful report holds all the same, and why; None for others."""
+        if report.missing_since is not None:
+            return "mass", f"{report.source} leaves it out since {now - report.missing_since:.0f} s"
+        if not self.is_live(now):
+            return "kept", f"{report.source} is silent since {now - self.last_heard_at:.0f} s"
+        return None
 
 
 class TooManyMembersError(PaddlequayError, ValueError):
--- /dev/null
+++ b/paddlequay/discovery/snapshot.py
@@ -0,0 +1,28 @@
+"""Members as they are saved over a restart: lists of plain values, whose order is the stored form."""
+
+from collections.abc import Iterable
+from typing import Any
+
+from paddlequay.discovery.reports import ReportedMember
+from paddlequay.routing.interface import MemberState
+
+
+def members_to_data(members: Iterable[ReportedMember]) -> dict[str, Any]:
+    """Members as JSON's values."""
+    return {
+        "members": [
+            [m.id, m.address[0], m.address[1], m.kind, m.zone, m.cell, m.weight, m.started, m.state.value]
+            for m in members
+        ]
+    }
+
+
+def members_from_data(data: Any) -> list[ReportedMember]:
+    """Members from JSON's values; raises ValueError where they cannot be read."""
+    try:
+        return [
+            ReportedMember(str(i), (str(h), int(p)), k, z, c, w, s, MemberState(state))
+            for i, h, p, k, z, c, w, s, state in data["members"]
+        ]
+    except (KeyError, TypeError, ValueError) as error:
+        raise ValueError(f"members that cannot be read: {type(error).__name__} {error}") from None
--- a/paddlequay/net/members.py
+++ b/paddlequay/net/members.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from paddlequay.discovery.explanation import explain
+from paddlequay.discovery.explanation import explain, membership_page
 from paddlequay.discovery.membership import Membership
 from paddlequay.discovery.reconfiguration import with_sources
 from paddlequay.discovery.reports import MembershipChange, ReportedMember, TooManyMembersError
@@ -26,7 +26,6 @@
 
 TICK_INTERVAL_S = 0.25
 SAVE_INTERVAL_S = 5.0
-MAX_SHOWN = 2000  # members that a call to the console lists
 
 
 class MemberSources:
@@ -214,29 +213,7 @@
 
     def page(self) -> str:
         """`GET /-/members`: sources and members, as one line of JSON."""
-        now = self.now()
-        sources = {
-            name: {
-                "live": source.is_live(now),
-                "words": len(source.reports),
-                "heard_s_ago": round(now - source.last_heard_at, 1) if source.has_reported else None,
-                "left_out": sum(report.missing_since is not None for report in source.reports.values()),
-                "refused": source.rejected_reports,
-            }
-            for name, source in self.membership.sources.items()
-        }
-        changes = list(self.membership.members.values())
-        members = [
-            {
-                "id": change.member.id,
-                "at": f"{change.member.address[0]}:{change.member.address[1]}",
-                "state": change.member.state.value,
-                "rule": change.rule,
-                "why": change.reason,
-            }
-            for change in changes[:MAX_SHOWN]
-        ]
-        return json.dumps({"sources": sources, "count": len(changes), "members": members})
+        return json.dumps(membership_page(self.membership, self.now()))
 
     def explain(self, id: str) -> str:
         """`GET /-/members/ID`: which source said what, and which rule won."""
