--- a/paddlequay/net/clients.py
+++ b/paddlequay/net/clients.py
@@ -10,7 +10,7 @@
 from paddlequay.lifecycle.overload import OverloadGuard
 from paddlequay.net.answer_writer import AnswerWriter
 from paddlequay.net.idle_sessions import IdleSessions
-from paddlequay.net.listener import BACKLOG, Acceptor
+from paddlequay.net.listener import BACKLOG, Acceptor, accept_backlog
 from paddlequay.net.session import ClientSession
 from paddlequay.net.session_reader import SessionReader
 from paddlequay.observability.counters import Counters
@@ -143,20 +143,8 @@
         if self.acceptor is not None:
             self.acceptor.stop()
             self.acceptor = None
-        while True:
-            try:
-                taken = self.listener.accept()[0]
-            except BlockingIOError:
-                break
-            except ConnectionAbortedError:
-                continue
-            except OSError:
-                if not self.close_one_idle():
-                    if not last:
-                        return False
-                    break
-            else:
-                self.on_accept(taken)
+        if not accept_backlog(self.listener, self.on_accept, self.close_one_idle) and not last:
+            return False
         self.listener.close()
         self.listener = None
         return True
--- a/paddlequay/net/listener.py
+++ b/paddlequay/net/listener.py
@@ -117,6 +117,24 @@
         return True
 
 
+def accept_backlog(
+    listener: socket.socket, on_accept: Callable[[socket.socket], None], free_descriptor: Callable[[], bool]
+) -> bool:
+    """Accept all connections that wait now; False where some are left, as no descriptor could be freed."""
+    while True:
+        try:
+            accepted = listener.accept()[0]
+        except BlockingIOError:
+            return True
+        except ConnectionAbortedError:
+            continue
+        except OSError:
+            if not free_descriptor():
+                return False
+        else:
+            on_accept(accepted)
+
+
 def steer_to_newest(listener: socket.socket) -> None:
     """Have the newer of two listeners take all new connections.
 
--- a/paddlequay/net/watch_client.py
+++ b/paddlequay/net/watch_client.py
@@ -21,6 +21,7 @@
 
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
+from paddlequay.net.spare_socket import SpareSocket
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.endpoint_watch import (
@@ -89,7 +90,7 @@
         self.is_lost = False  # nothing came lately, and that is logged
         self.failed_watches = 0  # in a row, for an event that could not be applied
         self.watches: list[WatchConnection] = []  # open, the latest begun last
-        self.spare_socket: socket.socket | None = None  # for the next watch, where all descriptors are taken
+        self.spare_socket = SpareSocket()  # for the next watch, where all descriptors are taken
         self.next_watch_at = 0.0  # when the next watch begins, by the loop's clock
         self.wake_up = asyncio.Event()
         self.is_current = asyncio.Event()  # all events that were out at some time since the start have come
@@ -128,7 +129,7 @@
     async def follow(self) -> None:
         """Keep a watch up for as long as the program runs."""
         loop = asyncio.get_running_loop()
-        self.reserve_socket()
+        self.spare_socket.reserve()
         try:
             while True:
                 wait = self.next_watch_at - loop.time()
@@ -142,33 +143,23 @@
         finally:
             for watch in self.watches[:]:
                 self.drop(watch)
-            if self.spare_socket is not None:
-                self.spare_socket.close()
-                self.spare_socket = None
+            self.spare_socket.close()
             self.next_watch_at = 0.0  # followed again, it begins at once
 
-    def reserve_socket(self) -> None:
-        """Have a descriptor for the next watch, if there is one."""
-        if self.spare_socket is None:
-            with contextlib.suppress(OSError):
-                self.spare_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-
     def start_watch(self) -> None:
         """Begin one more watch; the one that read nothing for longest is dropped for it."""
         now = asyncio.get_running_loop().time()
         self.next_watch_at = now + SUSPECT_AFTER_S
         if self.watches:
             self.report_lost("silent")
-            if len(self.watches) >= MAX_WATCHES or self.spare_socket is None:
+            if len(self.watches) >= MAX_WATCHES or self.spare_socket.socket is None:
                 self.drop(min(self.watches, key=lambda watch: watch.read_at))
         try:
-            made = self.spare_socket or socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            made = self.spare_socket.take()
         except OSError as error:
             self.next_watch_at = now + RETRY_PAUSE_S
             return self.report_lost(type(error).__name__)
-        self.spare_socket = None
-        self.reserve_socket()
-        watch = WatchConnection(made, self.reserve_socket, now)
+        watch = WatchConnection(made, self.spare_socket.reserve, now)
         self.watches.append(watch)
         task = asyncio.ensure_future(self.listen(watch, self.address))
         task.add_done_callback(functools.partial(self.on_watch_ended, watch))
--- a/paddlequay/protocol/msgpack.py
+++ b/paddlequay/protocol/msgpack.py
@@ -57,9 +57,11 @@
         return at
 
     def length(self, width: int) -> int:
+        """A length of `width` bytes."""
         return int(_LENGTHS[width].unpack_from(self.data, self.take(width))[0])
 
     def text(self, count: int) -> str:
+        """A string of `count` bytes of UTF-8."""
         at = self.take(count)
         try:
             return str(self.data[at : at + count], "utf-8")
@@ -67,11 +69,13 @@
             raise MalformedMessageError("a string is not UTF-8") from None
 
     def items(self, count: int, depth: int) -> list[Any]:
+        """The values of an array, or those of a map, keys before values."""
         if count > MAX_ITEMS:
             raise MalformedMessageError(f"{count} items in one message part")
         return [self.value(depth + 1) for _ in range(count)]
 
     def pairs(self, count: int, depth: int) -> dict[Any, Any]:
+        """The map of `count` keys."""
         flat = self.items(2 * count, depth)
         try:
             return dict(zip(flat[::2], flat[1::2], strict=True))
@@ -79,6 +83,7 @@
             raise MalformedMessageError("a map's key is a map or a list") from None
 
     def value(self, depth: int) -> Any:
+        """The next value, with all that it contains; `depth` is its own."""
         if depth > MAX_DEPTH:
             raise MalformedMessageError("nested too deeply")
         self.values += 1
--- a/paddlequay/requests/exchange.py
+++ b/paddlequay/requests/exchange.py
@@ -14,6 +14,7 @@
 from paddlequay.observability.counters import Counters
 from paddlequay.policy import Router
 from paddlequay.requests.attempts import AttemptRunner
+from paddlequay.requests.intake import RequestIntake
 from paddlequay.requests.messages import (
     AnswerStatus,
     ClientRequest,
@@ -63,13 +64,11 @@
         self.router = router
         self.operator_state = operator_state
         operator_state.on_change.append(self.override_changed)
-        self.quotas = quotas
         self.limits = limits
         self.scheduler = scheduler
         self.counters = counters
-        self.pending: dict[str, PendingRequest] = {}
-        self.open_ids: set[str] = set()
-        self.body_bytes = 0  # of the bodies of pending requests
+        self.intake = RequestIntake(limits, quotas, counters)
+        self.pending = self.intake.by_serial
         self.write_checks = WriteChecks(operator_state, limits, scheduler)
         self.members = self.write_checks.members
         self.attempts = AttemptRunner(self, router.classes, self.write_checks, limits, scheduler, counters)
@@ -92,7 +91,7 @@
         """
         now = self.scheduler.monotonic()
         self.counters.add(f"received.{request.class_name}")
-        answer = self.answer_at_once(request)
+        answer = self.intake.answer_at_once(request)
         if answer is not None:
             send_answer(answer)
             return None
@@ -105,9 +104,7 @@
             self.counters.add("rejected.fleet_limit")
             send_answer(FinalAnswer(AnswerStatus.REJECTED, retry_after=wait))
             return None
-        self.open_ids.add(request.id)
-        self.body_bytes += len(request.body)
-        self.pending[serial] = pending
+        self.intake.add(pending)
         self.deliver(request_event(serial, request, left))
         if serial in self.pending:
             # Whatever the decisions do, one final answer goes out before the client gives up.
@@ -115,20 +112,6 @@
             pending.deadline_timer = self.scheduler.call_later(delay, lambda: self.fail_overdue(pending))
         return pending
 
-    def answer_at_once(self, request: ClientRequest) -> FinalAnswer | None:
-        """The answer to a request that is not taken in: too much is pending, or its id is."""
-        full = self.body_bytes + len(request.body) > self.limits.max_body_bytes * self.quotas.memory_share
-        if full or len(self.pending) >= self.limits.max_open_requests:
-            # Bodies wait here for their upstreams: thirty-two of 48,000 bytes on each connection are more
-            # than a small router has.
-            self.counters.add("rejected.too_many_open")
-            return FinalAnswer(AnswerStatus.REJECTED, retry_after=self.limits.busy_retry_after)
-        if request.id in self.open_ids:
-            # The first request's answer must not serve another object, nor a second one's end end the first.
-            self.counters.add("rejected.id_open")
-            return FinalAnswer(AnswerStatus.FAILED)
-        return None
-
     def withdraw(self, pending: PendingRequest) -> None:
         """The client no longer waits: nothing is owed, and attempts in flight are abandoned."""
         if pending.serial in self.pending:
@@ -246,9 +229,8 @@
         # Never forwarded is priced apart from given up after attempts: the fleet loses by both.
         tried = "attempted" if pending.attempts else "unattempted"
         self.counters.add(f"rejected.{tried}.{action.cause}")
-        detail = pending.last_detail
-        answer = FinalAnswer(AnswerStatus.REJECTED, retry_after=action.retry_after, detail=detail)
-        self.answer(pending, answer)
+        retry_after, detail = action.retry_after, pending.last_detail
+        self.answer(pending, FinalAnswer(AnswerStatus.REJECTED, retry_after=retry_after, detail=detail))
 
     def answer(self, pending: PendingRequest, answer: FinalAnswer) -> None:
         """Give a request its one final answer."""
@@ -261,9 +243,7 @@
 
     def release(self, pending: PendingRequest) -> None:
         """The request is over; attempts that are still in flight are abandoned."""
-        del self.pending[pending.serial]
-        self.open_ids.discard(pending.request.id)
-        self.body_bytes -= len(pending.request.body)
+        self.intake.remove(pending)
         if pending.deadline_timer is not None:
             pending.deadline_timer.cancel()
         self.attempts.release(pending)
--- a/tests/race_conditions/rig_clients.py
+++ b/tests/race_conditions/rig_clients.py
@@ -189,7 +189,11 @@
         assert (front.unsent_bytes, front.queued_bytes, len(front.sessions)) == (0, 0, 0)
         idle = front.idle_sessions
         assert not (idle.silent or idle.message_begun or idle.message_progressing or idle.idle)
-        assert not rig.exchange.pending and not rig.exchange.open_ids and rig.exchange.body_bytes == 0
+        assert (
+            not rig.exchange.pending
+            and not rig.exchange.intake.open_ids
+            and rig.exchange.intake.body_bytes == 0
+        )
 
     asyncio.run(run())
 
--- a/tests/race_conditions/test_client_disconnect.py
+++ b/tests/race_conditions/test_client_disconnect.py
@@ -29,4 +29,6 @@
     exchange.submit(ask("a"), list[FinalAnswer]().append, lambda: bool(gone))
     gone.append(True)
     assert exchange.attempts.prepare_write(side.started[0]) is None
-    assert not exchange.pending and not exchange.open_ids and exchange.counters.counts["withdrawn"] == 1
+    assert (
+        not exchange.pending and not exchange.intake.open_ids and exchange.counters.counts["withdrawn"] == 1
+    )
--- a/tests/race_conditions/test_endpoint_watches.py
+++ b/tests/race_conditions/test_endpoint_watches.py
@@ -200,7 +200,7 @@
             follower = Recorder(bulletin.address)
             async with follower:
                 await follower.has(1)
-            assert follower.spare_socket is None and not follower.watches
+            assert follower.spare_socket.socket is None and not follower.watches
             began = time.monotonic()
             async with follower:
                 await follower.has(1, 2)
--- a/tests/race_conditions/test_retries_properties.py
+++ b/tests/race_conditions/test_retries_properties.py
@@ -192,7 +192,7 @@
         assert set(self.asked) == set(self.answered) | self.left
         late = [id for id, at in self.answered.items() if at > self.asked[id][1] + DEADLINE + 0.05]
         assert not late, "answered after its time"
-        assert not (self.exchange.pending or self.exchange.open_ids or self.exchange.body_bytes)
+        assert not (self.exchange.pending or self.exchange.intake.open_ids or self.exchange.intake.body_bytes)
         assert not (self.side.waiting or self.side.out)
         router = self.exchange.router
         assert not router.requests
--- a/tests/test_channel_front.py
+++ b/tests/test_channel_front.py
@@ -127,7 +127,7 @@
     limit = box.concurrency_limit
     rig.leases.term = None
     assert rig.exchange.attempts.prepare_write(ahead) is None
-    assert ahead.id not in rig.exchange.open_ids and not rig.front.out and not rig.told
+    assert ahead.id not in rig.exchange.intake.open_ids and not rig.front.out and not rig.told
     assert len(rig.side.started) == count and box.failures == 0 and box.concurrency_limit == limit
     assert rig.read(9).started[-1].id == "client 9"  # and nothing is asked ahead without it
 
--- a/tests/test_interceptor.py
+++ b/tests/test_interceptor.py
@@ -117,7 +117,7 @@
     looker.wait = 0.4
     assert exchange.submit(ask("a", "charge"), replies.append) is None
     assert [(reply.status, reply.retry_after) for reply in replies] == [(AnswerStatus.REJECTED, 0.4)]
-    assert not exchange.pending and not exchange.open_ids and not side.started and not looker.heard
+    assert not exchange.pending and not exchange.intake.open_ids and not side.started and not looker.heard
     assert exchange.counters.counts["rejected.fleet_limit"] == 1
 
 
