--- a/paddlequay/net/caches.py
+++ b/paddlequay/net/caches.py
@@ -10,6 +10,7 @@
 from paddlequay.lifecycle.operator_state import EJECTED_PREFIX
 from paddlequay.net.connection import UpstreamConnection
 from paddlequay.net.connection_health import is_stalled, is_unresponsive, unanswered_since
+from paddlequay.net.connection_reader import ConnectionReader
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.endpoint_watch import Endpoint
@@ -175,7 +176,7 @@
 
     def spawn(self, connection: UpstreamConnection) -> None:
         """Run a connection until its end."""
-        task = asyncio.ensure_future(connection.run())
+        task = asyncio.ensure_future(ConnectionReader(connection).run())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
--- a/paddlequay/net/connection.py
+++ b/paddlequay/net/connection.py
@@ -12,7 +12,6 @@
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
 from paddlequay.net.cache_messages import parse_result, request_fields
-from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol import caches as wire
 from paddlequay.requests.exchange import Exchange
@@ -63,6 +62,8 @@
 class UpstreamConnection:
     """One connection to an instance, with the attempts that wait for it and those in flight on it.
 
+    `ConnectionReader` connects it and reads for it.
+
     Raises OSError where the system gives no socket for it.
     """
 
@@ -106,53 +107,15 @@
         """Attempts that wait for it or are in flight on it."""
         return len(self.in_flight) + len(self.waiting)
 
-    async def run(self) -> None:
-        """Connect, then read until the end."""
-        try:
-            await asyncio.wait_for(self.stream.connect(self.instance.address), self.limits.connect_timeout)
-        except (TimeoutError, StreamClosedError, OSError) as error:
-            self.pool.counters.add("connect_failed")
-            log.event(LOGGER, logging.INFO, "connect_failed", to=self.instance.name, why=type(error).__name__)
-            return self.finish()
-        try:
-            self.stream.set_nodelay(True)
-            self.pool.counters.add("connected")
-            self.is_up = True
-            self.last_received_at = self.last_used_at = self.pool.now()
-            self.write_waiting()
-            await self.read()
-        except StreamClosedError:
-            pass
-        except wire.CacheProtocolError as error:
-            if self.pool.counters.add_once("bad_cache_lines"):
-                log.event(LOGGER, logging.WARNING, "bad_cache_line", at=self.instance.name, why=str(error))
-        except Exception:
-            self.pool.counters.add("cache_errors")
-            LOGGER.exception("cache_connection_failed")
-        self.finish()
-
-    async def read(self) -> None:
-        """Read answers for as long as the connection is open."""
-        reads = 0
-        while True:
-            self.pending_read = asyncio.ensure_future(
-                self.stream.read_bytes(self.limits.read_size, partial=True)
-            )
-            try:
-                data = await self.pending_read
-            except BaseException:
-                self.pending_read = None  # it keeps the error, which keeps the frames that lead here
-                raise
-            self.last_received_at = self.last_read_at = self.pool.now()
-            self.unresponsive = False
-            if not self.parser.has_begun:
-                self.answer_began_at = self.last_received_at
-            for answer in self.parser.feed(data):
-                self.answer_began_at = self.last_received_at
-                self.handle_answer(answer)
-            reads += 1
-            if len(data) == self.limits.read_size or reads % 4 == 0:
-                await asyncio.sleep(0)  # a read of what is there does not yield: others have a turn
+    def handle_data(self, data: bytes) -> None:
+        """Handle the answers that are complete with these bytes; raises `CacheProtocolError`."""
+        self.last_received_at = self.last_read_at = self.pool.now()
+        self.unresponsive = False
+        if not self.parser.has_begun:
+            self.answer_began_at = self.last_received_at
+        for answer in self.parser.feed(data):
+            self.answer_began_at = self.last_received_at
+            self.handle_answer(answer)
 
     def finish(self) -> None:
         """The connection is over: what is in flight may have been executed, what waits has not."""
--- a/paddlequay/net/watch_client.py
+++ b/paddlequay/net/watch_client.py
@@ -21,6 +21,7 @@
 
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
+from paddlequay.net.loss_report import LossReport
 from paddlequay.net.spare_socket import SpareSocket
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
@@ -87,7 +88,7 @@
     def __init__(self, address: Address, limits: Limits, counters: Counters, name: str) -> None:
         self.address, self.limits, self.counters, self.name = address, limits, counters, name
         self.last_number = 0  # the last event that is in force, or skipped for good
-        self.is_lost = False  # nothing came lately, and that is logged
+        self.loss = LossReport(name, counters)
         self.failed_watches = 0  # in a row, for an event that could not be applied
         self.watches: list[WatchConnection] = []  # open, the latest begun last
         self.spare_socket = SpareSocket()  # for the next watch, where all descriptors are taken
@@ -151,14 +152,14 @@
         now = asyncio.get_running_loop().time()
         self.next_watch_at = now + SUSPECT_AFTER_S
         if self.watches:
-            self.report_lost("silent")
+            self.loss.lost("silent", self.last_number)
             if len(self.watches) >= MAX_WATCHES or self.spare_socket.socket is None:
                 self.drop(min(self.watches, key=lambda watch: watch.read_at))
         try:
             made = self.spare_socket.take()
         except OSError as error:
             self.next_watch_at = now + RETRY_PAUSE_S
-            return self.report_lost(type(error).__name__)
+            return self.loss.lost(type(error).__name__, self.last_number)
         watch = WatchConnection(made, self.spare_socket.reserve, now)
         self.watches.append(watch)
         task = asyncio.ensure_future(self.listen(watch, self.address))
@@ -170,13 +171,6 @@
         self.watches.remove(watch)
         watch.close()
 
-    def report_lost(self, why: str) -> None:
-        """No watch brings anything: count it, and log it once."""
-        self.counters.add(f"{self.name}_lost")
-        if not self.is_lost:  # once: it is tried again five times a second
-            log.event(LOGGER, logging.INFO, f"{self.name}_lost", why=why, last=self.last_number)
-        self.is_lost = True
-
     def on_watch_ended(self, watch: WatchConnection, task: asyncio.Task[None]) -> None:
         """A watch is over. If no later one is under way, the next one begins after a pause."""
         watch.close()
@@ -187,7 +181,7 @@
         self.watches.remove(watch)
         pause = RETRY_PAUSE_S
         if isinstance(error, OSError | StreamClosedError):
-            self.report_lost(type(error).__name__)
+            self.loss.lost(type(error).__name__, self.last_number)
         elif error is not None:
             pause = min(MAX_RETRY_PAUSE_S, RETRY_PAUSE_S * 2**self.failed_watches)
             self.failed_watches = min(self.failed_watches + 1, 2 * MAX_ATTEMPTS)
@@ -232,9 +226,7 @@
         for other in self.watches[:]:
             if other is not watch:
                 self.drop(other)
-        if self.is_lost:
-            self.is_lost = False
-            log.event(LOGGER, logging.INFO, f"{self.name}_restored", last=self.last_number)
+        self.loss.restored(self.last_number)
 
     # --- events ---
 
