--- a/paddlequay/net/answer_writer.py
+++ b/paddlequay/net/answer_writer.py
@@ -1,5 +1,7 @@
 """Answers on their way to one client: written without waiting, bounded where it does not take them."""
 
+import contextlib
+import socket
 from collections.abc import Callable, Collection
 from typing import Protocol
 
@@ -9,9 +11,8 @@
 from paddlequay.observability.counters import Counters
 from paddlequay.requests.messages import Buffer
 
-MAX_JOINED_SIZE = (
-    16 * 1024
-)  # pieces up to this size are copied into one write: a packet costs more than a copy
+# In bytes: pieces up to this size are copied into one write, as a packet costs more than a copy.
+MAX_JOINED_SIZE = 16 * 1024
 
 
 class WriterFront(Protocol):
@@ -92,3 +93,9 @@
         self.front.unsent_bytes -= size
         self.last_taken_at = self.front.now()
         on_taken()
+
+    def shut_down(self) -> None:
+        """Tell the client that nothing follows, once it has been sent all of its answers."""
+        if not self.unsent_bytes and not self.stream.closed():
+            with contextlib.suppress(OSError):
+                self.stream.socket.shutdown(socket.SHUT_WR)
--- a/paddlequay/net/idle_sessions.py
+++ b/paddlequay/net/idle_sessions.py
@@ -45,6 +45,16 @@
         self.message_progressing: OrderedDict[IdleSession, None] = OrderedDict()  # several pieces of it
         self.idle: OrderedDict[IdleSession, None] = OrderedDict()  # after a complete message
 
+    def queue_for(
+        self, has_ended: bool, partial_reads: int, has_sent_message: bool
+    ) -> OrderedDict[IdleSession, None]:
+        """The queue of a connection's state; `partial_reads`: in which an incomplete message has come."""
+        if has_ended:
+            return self.lingering
+        if partial_reads:
+            return self.message_progressing if partial_reads > 1 else self.message_begun
+        return self.idle if has_sent_message else self.silent
+
     def close_one(self, now: float, recent_progress: float) -> ClosedSession | None:
         """Close one connection on which nothing is owed, with no search among them all.
 
--- /dev/null
+++ b/paddlequay/net/open_requests.py
@@ -0,0 +1,62 @@
+"""Requests of a client connection that the exchange has, by message number."""
+
+from collections.abc import Callable
+
+from paddlequay.requests.exchange import Exchange
+from paddlequay.requests.messages import ClientRequest, FinalAnswer, PendingRequest
+from paddlequay.routing.interface import AbandonRequest
+
+
+class OpenRequests:
+    """The numbers whose clients are owed an answer, each with its request at the exchange."""
+
+    __slots__ = ("by_number", "exchange")
+
+    def __init__(self, exchange: Exchange) -> None:
+        self.exchange = exchange
+        self.by_number: dict[int, PendingRequest | None] = {}
+
+    def __len__(self) -> int:
+        return len(self.by_number)
+
+    def __contains__(self, number: int) -> bool:
+        return number in self.by_number
+
+    def submit(
+        self,
+        number: int,
+        request: ClientRequest,
+        answer: Callable[[FinalAnswer], None],
+        is_disconnected: Callable[[], bool],
+    ) -> None:
+        """Hand a request to the exchange."""
+        # The answer may come before `submit` returns: then the place is gone again and stays so.
+        self.by_number[number] = None
+        pending = self.exchange.submit(request, answer, is_disconnected)
+        if number in self.by_number:
+            self.by_number[number] = pending
+
+    def remove(self, number: int) -> None:
+        """A request has its answer; one that is not open is no error."""
+        self.by_number.pop(number, None)
+
+    def cancel(self, number: int) -> None:
+        """The client waits for one no longer; one that is not open is no error."""
+        pending = self.by_number.pop(number, None)
+        if pending is not None:
+            self.exchange.withdraw(pending)
+
+    def withdraw_all(self) -> None:
+        """The client waits for nothing any more."""
+        for pending in list(self.by_number.values()):
+            if pending is not None:
+                self.exchange.withdraw(pending)
+        self.by_number.clear()
+
+    def abandon_all(self) -> None:
+        """Give all their final answers now."""
+        for pending in list(self.by_number.values()):
+            if pending is not None:
+                self.exchange.counters.add("abandoned")
+                self.exchange.deliver(AbandonRequest(pending.serial))
+        self.withdraw_all()
--- a/paddlequay/net/session.py
+++ b/paddlequay/net/session.py
@@ -1,8 +1,6 @@
 """One client connection: its requests, one answer to each, and how it is closed."""
 
 import asyncio
-import contextlib
-import socket
 from collections import OrderedDict
 from functools import partial
 
@@ -12,12 +10,13 @@
 from paddlequay.net.client_input import ClientInput
 from paddlequay.net.client_messages import FieldError, format_answer, parse_request
 from paddlequay.net.idle_sessions import IdleSession
+from paddlequay.net.open_requests import OpenRequests
 from paddlequay.net.session_front import SessionFront
 from paddlequay.net.waiting_calls import WaitingCalls
 from paddlequay.protocol import clients as wire
 from paddlequay.protocol.msgpack import MalformedMessageError
-from paddlequay.requests.messages import AnswerStatus, Buffer, ClientRequest, FinalAnswer, PendingRequest
-from paddlequay.routing.interface import AbandonRequest, Idempotency
+from paddlequay.requests.messages import AnswerStatus, Buffer, FinalAnswer
+from paddlequay.routing.interface import Idempotency
 
 MIN_TIME_TO_LIVE_S = 0.001
 LINGER_S = 0.3  # in seconds: what still comes is read for so long where a fault ends a connection
@@ -37,7 +36,7 @@
         self.input = ClientInput(stream, front.limits, front.now)
         self.writer = AnswerWriter(front, stream)
         self.waiting_calls = WaitingCalls(front)
-        self.open_requests: dict[int, PendingRequest | None] = {}
+        self.open_requests = OpenRequests(front.exchange)
         self.last_used_at = self.connected_at = front.now()
         self.has_sent_message = False  # whether a complete message has come
         self.idle_queue: OrderedDict[IdleSession, None] | None = None  # its state, while nothing is owed
@@ -65,28 +64,13 @@
         if self.stream.closed() or (not self.ended and busy):
             return
         states = self.front.idle_sessions
-        if self.ended:
-            self.idle_queue = states.lingering
-        elif self.input.partial_reads:
-            is_progressing = self.input.partial_reads > 1
-            self.idle_queue = states.message_progressing if is_progressing else states.message_begun
-        else:
-            self.idle_queue = states.idle if self.has_sent_message else states.silent
+        self.idle_queue = states.queue_for(self.ended, self.input.partial_reads, self.has_sent_message)
         self.idle_queue[self] = None
 
-    def handle_message(self, message: wire.ClientMessage) -> None:
-        """One complete message."""
-        match message:
-            case wire.ReadinessQuery():
-                self.send(wire.readiness_answer(message.number, self.front.accepts_requests()))
-            case wire.CallsCancelled():
-                for number in message.numbers:
-                    self.waiting_calls.remove(number)
-                    pending = self.open_requests.pop(number, None)
-                    if pending is not None:
-                        self.front.exchange.withdraw(pending)
-            case wire.ClientCall():
-                self.queue_call(message)
+    def cancel(self, number: int) -> None:
+        """The client waits for a call no longer."""
+        self.waiting_calls.remove(number)
+        self.open_requests.cancel(number)
 
     def queue_call(self, call: wire.ClientCall) -> None:
         """Check a call, and have it wait for what else has come. Raises `MalformedMessageError`."""
@@ -134,35 +118,16 @@
             elif not self.is_backpressured:
                 self.waiting_calls.remove(number)
                 call.request.time_to_live = max(MIN_TIME_TO_LIVE_S, left)
-                self.submit(number, call.request)
+                answer, gone = partial(self.answer, number), partial(self.input.is_disconnected, number)
+                self.open_requests.submit(number, call.request, answer, gone)
             elif left <= front.limits.answer_margin + front.limits.sweep_interval:
                 self.reject_waiting(number, "not_taken")
 
-    def submit(self, number: int, request: ClientRequest) -> None:
-        """Hand a request to the exchange."""
-        # The answer may come before `submit` returns: then the place is gone again and stays so.
-        self.open_requests[number] = None
-        answer, disconnected = partial(self.answer, number), partial(self.input.is_disconnected, number)
-        pending = self.front.exchange.submit(request, answer, disconnected)
-        if number in self.open_requests:
-            self.open_requests[number] = pending
-
-    def withdraw_all(self) -> None:
-        """The client waits for nothing any more."""
-        for pending in list(self.open_requests.values()):
-            if pending is not None:
-                self.front.exchange.withdraw(pending)
-        self.open_requests.clear()
-
     def abandon_all(self) -> None:
         """Give all that is owed its final answer now."""
         for number in list(self.waiting_calls):
             self.reject_waiting(number, "given_up")
-        for pending in list(self.open_requests.values()):
-            if pending is not None:
-                self.front.counters.add("abandoned")
-                self.front.exchange.deliver(AbandonRequest(pending.serial))
-        self.withdraw_all()
+        self.open_requests.abandon_all()
 
     def reject_waiting(self, number: int, cause: str) -> None:
         """Reject what was not handed to the exchange."""
@@ -177,7 +142,7 @@
 
     def answer(self, number: int, answer: FinalAnswer) -> None:
         """Send the final answer of a call."""
-        self.open_requests.pop(number, None)
+        self.open_requests.remove(number)
         served = answer.status in (AnswerStatus.SERVED, AnswerStatus.NOT_MODIFIED)
         self.consecutive_rejections = 0 if served else self.consecutive_rejections + 1
         self.send(*format_answer(number, answer))
@@ -190,7 +155,7 @@
     def on_taken(self) -> None:
         """The system has taken an answer whole: go on with what waited for that."""
         if self.ended:
-            return self.shut_down_write()
+            return self.writer.shut_down()
         unsent = self.writer.unsent_bytes
         if self.is_backpressured and unsent <= self.front.limits.max_client_unsent / 2:
             self.is_backpressured = False
@@ -202,9 +167,8 @@
 
     def at_rest(self) -> bool:
         """Whether nothing is owed, unsent or unread; holds for the turn of the loop in which it is called."""
-        if self.has_open_requests or self.writer.unsent_bytes or self.ended:
-            return False
-        return self.input.is_quiet()
+        busy = self.has_open_requests or self.writer.unsent_bytes or self.ended
+        return not busy and self.input.is_quiet()
 
     def close_at_rest(self) -> bool:
         """The one way of closing where nothing is wrong. Half a message is not a request taken."""
@@ -249,7 +213,7 @@
         self.ended = True
         self.linger_timer = asyncio.get_running_loop().call_later(LINGER_S, self.stream.close)
         self.update_idle_queue()
-        self.shut_down_write()
+        self.writer.shut_down()
 
     def close(self) -> None:
         """Close at once: the client waits for nothing any more."""
@@ -257,10 +221,4 @@
         if self.linger_timer is not None:
             self.linger_timer.cancel()
         self.waiting_calls.clear()
-        self.withdraw_all()
-
-    def shut_down_write(self) -> None:
-        """Tell the client that nothing follows the answers that it has."""
-        if not self.writer.unsent_bytes and not self.stream.closed():
-            with contextlib.suppress(OSError):
-                self.stream.socket.shutdown(socket.SHUT_WR)
+        self.open_requests.withdraw_all()
--- a/paddlequay/net/session_reader.py
+++ b/paddlequay/net/session_reader.py
@@ -7,6 +7,7 @@
 
 from paddlequay.net.session import ClientSession
 from paddlequay.observability import log
+from paddlequay.protocol import clients as wire
 from paddlequay.protocol.msgpack import MalformedMessageError
 
 LOGGER = logging.getLogger(__name__)
@@ -90,7 +91,7 @@
             for message in self.input.messages(data):
                 session.has_sent_message = True
                 self.messages_since_pause += 1
-                session.handle_message(message)
+                self.handle_message(message)
         except MalformedMessageError as error:
             # Nothing after it can be told apart: this connection ends, and no other.
             if self.front.counters.add_once("bad_client_bytes"):
@@ -102,3 +103,15 @@
             return session.end()
         self.input.note_partial_message(session.last_used_at)
         session.update_idle_queue()
+
+    def handle_message(self, message: wire.ClientMessage) -> None:
+        """One complete message. Raises `MalformedMessageError`."""
+        session = self.session
+        match message:
+            case wire.ReadinessQuery():
+                session.send(wire.readiness_answer(message.number, self.front.accepts_requests()))
+            case wire.CallsCancelled():
+                for number in message.numbers:
+                    session.cancel(number)
+            case wire.ClientCall():
+                session.queue_call(message)
--- a/tests/race_conditions/test_retries_program.py
+++ b/tests/race_conditions/test_retries_program.py
@@ -1,4 +1,4 @@
-"""The real program: the connection for a keyed request's repeat comes up when its window is over."""
+"""The real program: the connection for a retry with an idempotency key comes up when its window is over."""
 
 import contextlib
 import copy
