--- a/paddlequay/cluster/notes.py
+++ b/paddlequay/cluster/notes.py
@@ -7,9 +7,33 @@
 """
 
 from dataclasses import dataclass
-from typing import ClassVar
+from typing import Annotated, ClassVar
 
 TEXT_MOST = 64  # bytes of a text field
+FIELD_MOST = (1 << 63) - 1
+DIGEST_MOST = (1 << 64) - 1
+
+
+@dataclass(frozen=True, slots=True)
+class IntRange:
+    """Which whole numbers a field may hold, both ends included."""
+
+    least: int
+    most: int
+
+
+@dataclass(frozen=True, slots=True)
+class PeerRange:
+    """A field holds the number of a router, from 0 to below the size of the fleet."""
+
+
+# What a field may hold, by its annotation; a plain int holds 0 to `FIELD_MOST`. This is part of the wire's
+# form, whatever the fields are named.
+Digest = Annotated[int, IntRange(0, DIGEST_MOST)]
+PeerNumber = Annotated[int, PeerRange()]
+StandingNumber = Annotated[int, IntRange(1, 3)]
+TroubleNumber = Annotated[int, IntRange(0, 4)]  # 0: none; else a `Trouble`
+Flag = Annotated[int, IntRange(0, 1)]
 
 
 class Note:
@@ -37,7 +61,7 @@
 
     KIND: ClassVar[int] = 2
     number: int
-    peer: int
+    peer: PeerNumber
     incarnation: int
 
 
@@ -47,7 +71,7 @@
 
     KIND: ClassVar[int] = 3
     number: int
-    peer: int
+    peer: PeerNumber
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,10 +79,10 @@
     """What is believed of a peer: `standing` 1 alive, 2 suspect, 3 dead, in that incarnation, first `by`."""
 
     KIND: ClassVar[int] = 4
-    peer: int
+    peer: PeerNumber
     incarnation: int
-    standing: int
-    by: int
+    standing: StandingNumber
+    by: PeerNumber
 
 
 # --- leases (PaxosLease; `ballot` grows, and is the term of who takes the lease with it) ---
@@ -67,7 +91,7 @@
 @dataclass(frozen=True, slots=True)
 class Prepare(Note):
     KIND: ClassVar[int] = 10
-    lease: int
+    lease: Digest
     ballot: int
 
 
@@ -76,10 +100,10 @@
     """No lower ballot any more; `holder` has, under `held`, `left_ms` at most of its lease; 0: nobody."""
 
     KIND: ClassVar[int] = 11
-    lease: int
+    lease: Digest
     ballot: int
     held: int
-    holder: int
+    holder: PeerNumber
     left_ms: int
 
 
@@ -88,7 +112,7 @@
     """Accept the sender as holder for `term_ms` from its receipt on."""
 
     KIND: ClassVar[int] = 12
-    lease: int
+    lease: Digest
     ballot: int
     term_ms: int
     number: int  # of this proposal: renewals under one ballot are told apart
@@ -97,7 +121,7 @@
 @dataclass(frozen=True, slots=True)
 class Accept(Note):
     KIND: ClassVar[int] = 13
-    lease: int
+    lease: Digest
     ballot: int
     number: int
 
@@ -107,7 +131,7 @@
     """`promised` is higher, or (`out_ms` above 0) the acceptor started lately and stays out for so long."""
 
     KIND: ClassVar[int] = 14
-    lease: int
+    lease: Digest
     ballot: int
     promised: int
     out_ms: int
@@ -118,9 +142,9 @@
     """The holder gives the lease back before its end, for `heir` to take where that is not its own number."""
 
     KIND: ClassVar[int] = 15
-    lease: int
+    lease: Digest
     ballot: int
-    heir: int
+    heir: PeerNumber
 
 
 # --- limits ---
@@ -131,7 +155,7 @@
     """What a router would use of a limit: milli-requests a second, or requests out at once."""
 
     KIND: ClassVar[int] = 20
-    limit: int
+    limit: Digest
     number: int  # of this note: the answer names it, and lives from when it was sent
     milli: int
     term: int  # of the holder last heard, 0 none
@@ -142,7 +166,7 @@
     """A share of a limit beside the floor, for `life_ms` from when `Need` number `number` was sent."""
 
     KIND: ClassVar[int] = 21
-    limit: int
+    limit: Digest
     number: int
     term: int
     milli: int  # a second, or requests out at once in thousandths
@@ -158,9 +182,9 @@
     """What the sender itself has seen of a subject in the last `age_ms`."""
 
     KIND: ClassVar[int] = 30
-    subject: int
+    subject: Digest
     start: int  # which life of the subject, by the list: its start in Unix milliseconds, 0 untold
-    trouble: int  # 0: it serves
+    trouble: TroubleNumber  # 0: it serves
     count: int  # of attempts that this rests on
     age_ms: int
     others: int  # members of the same kind that the sender has had served by in that time
@@ -174,10 +198,10 @@
     """The owner's word: which box holds a channel's parts up to `part`, under its term."""
 
     KIND: ClassVar[int] = 40
-    channel: int
+    channel: Digest
     term: int
     part: int
-    box: int  # digest of the member's name
+    box: Digest  # digest of the member's name
     life_ms: int
 
 
@@ -186,7 +210,7 @@
     """The owner asks another router to warm up for a bundle of channels and take it over."""
 
     KIND: ClassVar[int] = 41
-    bundle: int
+    bundle: Digest
     term: int
     load: int  # requests a second, thousandths
 
@@ -196,9 +220,9 @@
     """Who was offered a bundle is warm (`yes` 1), or declines (0)."""
 
     KIND: ClassVar[int] = 42
-    bundle: int
+    bundle: Digest
     term: int
-    yes: int
+    yes: Flag
 
 
 @dataclass(frozen=True, slots=True)
@@ -206,7 +230,7 @@
     """The new owner has filled its first part under `term`: the one before it stops."""
 
     KIND: ClassVar[int] = 43
-    bundle: int
+    bundle: Digest
     term: int
     former: int
 
@@ -230,9 +254,9 @@
     KIND: ClassVar[int] = 50
     epoch: int
     term: int
-    table: int  # digest of the compiled table
-    rules: int  # digest of the rule text
-    stage: int
+    table: Digest  # digest of the compiled table
+    rules: Digest  # digest of the rule text
+    stage: Flag
 
 
 @dataclass(frozen=True, slots=True)
@@ -242,7 +266,7 @@
     KIND: ClassVar[int] = 51
     epoch: int
     term: int
-    table: int
+    table: Digest
     active: int  # the epoch that it uses
 
 
--- a/paddlequay/cluster/wire.py
+++ b/paddlequay/cluster/wire.py
@@ -17,12 +17,12 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import MISSING, dataclass, fields
 from enum import Enum, IntEnum
-from typing import Any, get_type_hints
+from typing import Any, get_args, get_type_hints
 
 import msgpack  # type: ignore[import-untyped]
 
-from paddlequay.cluster.notes import NOTES, TEXT_MOST, Note
-from paddlequay.cluster.types import Fleet, Peer, Trouble
+from paddlequay.cluster.notes import FIELD_MOST, NOTES, TEXT_MOST, IntRange, Note, PeerRange
+from paddlequay.cluster.types import Fleet, Peer
 
 VERSION = 1  # written; read too are the one before it and, where a release prepares it, the one after
 DATAGRAM_MOST = 256  # bytes, the platform's bound
@@ -43,12 +43,6 @@
 # refuse what it says from then on, and their own counters keep their room (2^63 by 4096 routers is 2^51).
 CLOCK_MOST = 1 << 48
 
-FIELD_MOST = (1 << 63) - 1
-DIGEST_MOST = (1 << 64) - 1
-DIGESTS = frozenset({"lease", "limit", "subject", "channel", "bundle", "box", "table", "rules"})
-PEERS = frozenset({"peer", "by", "holder", "heir"})  # numbers of routers
-RANGES = {"standing": (1, 3), "trouble": (0, int(max(Trouble))), "yes": (0, 1), "stage": (0, 1)}
-
 LIMITS: dict[str, Any] = {
     "use_list": False,
     "raw": False,
@@ -128,22 +122,32 @@
     required: int  # fields without a default, which come first
 
 
+def field_of(annotation: Any, size: int) -> Field | None:
+    """What a field with this annotation may hold in a fleet of `size` routers; None without a form."""
+    if annotation in (str, bytes):
+        return Field(annotation, 0, TEXT_MOST)
+    if annotation is int:
+        return Field(int, 0, FIELD_MOST)
+    match get_args(annotation):
+        case (type() as base, IntRange(least=least, most=most)) if base is int:
+            return Field(int, least, most)
+        case (type() as base, PeerRange()) if base is int:
+            return Field(int, 0, size - 1)
+    return None
+
+
 def shape_of(kind: type[Note], size: int) -> Shape:
     """From a note's annotations; raises `TypeError` for a field that the wire has no form for."""
-    hints = get_type_hints(kind)
+    hints = get_type_hints(kind, include_extras=True)
     names = tuple(field.name for field in fields(kind))  # type: ignore[arg-type]
-    told = []
+    found = []
     for name in names:
-        if hints[name] is int:
-            most = DIGEST_MOST if name in DIGESTS else size - 1 if name in PEERS else FIELD_MOST
-            least, most = RANGES.get(name, (0, most))
-            told.append(Field(int, least, most))
-        elif hints[name] in (str, bytes):
-            told.append(Field(hints[name], 0, TEXT_MOST))
-        else:
+        field = field_of(hints[name], size)
+        if field is None:
             raise TypeError(f"{kind.__name__}.{name}: {hints[name]} has no form on the wire")
+        found.append(field)
     required = sum(field.default is MISSING for field in fields(kind))  # type: ignore[arg-type]
-    return Shape(kind, names, tuple(told), required)
+    return Shape(kind, names, tuple(found), required)
 
 
 class Codec:
--- a/paddlequay/net/sharing.py
+++ b/paddlequay/net/sharing.py
@@ -21,10 +21,16 @@
     PEERS_MOST,
     Action,
     Fleet,
+    HolderSeen,
+    LeaseLost,
+    LeaseTaken,
     Local,
     Name,
+    Owned,
     Peer,
+    PeerChanged,
     Say,
+    SelfChanged,
     TableChanged,
     VerdictChanged,
 )
@@ -49,6 +55,18 @@
 NAMES_MOST = 20_000  # of members by digest
 TRY_PAUSE = 0.1  # seconds between two tries to join beside an older process
 
+# What log lines and counters call each kind of finding, whatever its type is named.
+EVENT_NAMES: dict[type[Local], str] = {
+    PeerChanged: "PeerChanged",
+    SelfChanged: "SelfChanged",
+    LeaseTaken: "LeaseTaken",
+    LeaseLost: "LeaseLost",
+    HolderSeen: "HolderSeen",
+    VerdictChanged: "VerdictChanged",
+    Owned: "Owned",
+    TableChanged: "TableChanged",
+}
+
 
 class Sharing:
     """One router's share in the cluster. Raises ValueError where settings and peers do not fit.
@@ -307,7 +325,7 @@
 
     def say(self, news: News) -> None:
         """A line for what changes, at most one of a kind in some seconds."""
-        name = news.event if isinstance(news, Say) else type(news).__name__
+        name = news.event if isinstance(news, Say) else EVENT_NAMES[type(news)]
         self.counters.add(f"cluster.{name}")
         now = self.loop.time()
         if now - self.logged.get(name, -LOG_PAUSE) >= LOG_PAUSE:
--- a/tests/cluster/test_sharing.py
+++ b/tests/cluster/test_sharing.py
@@ -9,14 +9,16 @@
 import time
 from collections.abc import Awaitable, Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, get_args
 
 import pytest
 
+from paddlequay.cluster.types import Local
 from paddlequay.lab import cluster_audit as audit
 from paddlequay.lab.cluster import BURST, LEASE, RATE, RULES, TELL_S, Charges, Script, dead_parent
 from paddlequay.lab.fleet_rig import FleetRig, Moment, watch
 from paddlequay.lab.plaza import Plan
+from paddlequay.net.sharing import EVENT_NAMES
 
 Play = Callable[["World"], Awaitable[None]]
 
@@ -215,3 +217,8 @@
     asyncio.run(run())
     log = (tmp_path / "router-0.log").read_text()
     assert "acceptors [0, 1, 2]: there are 2 peers" in log
+
+
+def test_every_finding_has_an_event_name_of_its_own() -> None:
+    assert set(EVENT_NAMES) == set(get_args(Local))
+    assert len(set(EVENT_NAMES.values())) == len(EVENT_NAMES)
--- a/tests/cluster/test_wire.py
+++ b/tests/cluster/test_wire.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from paddlequay.cluster import wire as w
-from paddlequay.cluster.notes import NOTES, TEXT_MOST, Evidence, Load, Note, Ping
+from paddlequay.cluster.notes import DIGEST_MOST, FIELD_MOST, NOTES, TEXT_MOST, Evidence, Load, Note, Ping
 from paddlequay.cluster.types import Fleet, Trouble
 from paddlequay.cluster.wire import Codec, Head, Heard, Refusal, Wire
 
@@ -50,7 +50,7 @@
 ANY_NOTE = st.sampled_from(list(KINDS)).flatmap(
     lambda kind: st.builds(KINDS[kind], *(made(field) for field in CODEC.shapes[kind].fields))
 )
-COUNTS = st.integers(0, w.FIELD_MOST)
+COUNTS = st.integers(0, FIELD_MOST)
 HEADS = st.builds(Head, st.just(1), st.integers(0, SIZE - 1), COUNTS, COUNTS, COUNTS)
 
 
@@ -92,12 +92,7 @@
 
 
 JUNK = st.recursive(
-    st.none()
-    | st.booleans()
-    | st.floats()
-    | st.integers(-(1 << 63), w.DIGEST_MOST)
-    | st.text()
-    | st.binary(),
+    st.none() | st.booleans() | st.floats() | st.integers(-(1 << 63), DIGEST_MOST) | st.text() | st.binary(),
     lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.text(max_size=3), inner, max_size=2),
     max_leaves=20,
 )
@@ -137,7 +132,7 @@
     assert CODEC.read(sent(shape.make(*right))).notes == (shape.make(*right),)
     for at, field in enumerate(shape.fields):
         wrong: list[object] = [None, True, 0.5, [1], -1, "é" * 33, bytes(65)]
-        wrong += [field.most + 1] if field.most < w.DIGEST_MOST else []
+        wrong += [field.most + 1] if field.most < DIGEST_MOST else []
         for value in wrong:
             values = [*right[:at], value, *right[at + 1 :]]
             assert refusal(signed([1, 1, 1, 1, 0, [2, 1, 1, 1], [kind, *values]])) is Refusal.MALFORMED
@@ -187,9 +182,9 @@
     older = Codec("quay", SIZE)
     (note,) = older.read(sent(Evidence(1, 2, Trouble.COLD, 3, 4, 5))).notes
     assert isinstance(note, Evidence) and type(note.trouble) is int  # a named number is sent as a number
-    assert {
-        name for shape in older.shapes.values() for name in shape.names
-    } >= w.DIGESTS | w.PEERS | w.RANGES.keys()
+    ranges = {(f.least, f.most) for shape in older.shapes.values() for f in shape.fields if f.type is int}
+    small = {(0, 1), (1, 3), (0, int(max(Trouble))), (0, SIZE - 1)}
+    assert ranges == small | {(0, FIELD_MOST), (0, DIGEST_MOST)}
     assert older.read(sent(Ping(1, 0), Label("a", b""), Load(1, 2))) == Heard(
         HEAD, (Ping(1, 0), Load(1, 2)), 1
     )
--- a/tests/race_conditions/test_retries_program.py
+++ b/tests/race_conditions/test_retries_program.py
@@ -10,7 +10,7 @@
 from harness import SETTINGS, WAIT, Party, Platform, platform, until
 
 # Seconds of the 2 that a request has: what is looked at before it ends takes a moment. Less than 1.0, at
-# which the kernel sends an unanswered SYN again: a queue emptied only after that gets no connection until 3.0 s.
+# which the kernel sends an unanswered SYN again: a queue emptied after that gets no connection until 3.0 s.
 WINDOW = 0.9
 
 
