--- a/tests/race_conditions/test_slow_start_fleet.py
+++ b/tests/race_conditions/test_slow_start_fleet.py
@@ -10,7 +10,8 @@
 from functools import partial
 
 import pytest
-from rig_slow_start import Fleet, Site, over
+from rig_slow_start import Fleet, over
+from rig_slow_start_site import Site
 
 from paddlequay.routing.interface import MemberState, SlowStart
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,17 +1,17 @@
-"""The node in the middle without sockets: trails, copies, purges, leases and moves."""
+"""The node in the middle without sockets: leases of fills, moves, and the node as a whole."""
 
 import random
 from typing import Any
 
 import pytest
+from test_copies import copy
 
-from paddlequay.hierarchy.copies import OVERHEAD, Copies, Copy, Purges
 from paddlequay.hierarchy.leases import Leases, May, Toward
 from paddlequay.hierarchy.moves import CLAIMS_MOST, EPOCHS_MOST, MoveLimits, Moves
 from paddlequay.hierarchy.node import Answer, Fill, Got, NodeLimits, Want, Word
 from paddlequay.hierarchy.node import Node as Tier
 from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, next_shape
-from paddlequay.hierarchy.trail import HOPS_MOST, TEXT_MOST, Key, Keyring, Trail, TrailError
+from paddlequay.hierarchy.trail import HOPS_MOST, Key, Trail
 from paddlequay.lab.search import first, random_run, small_worlds
 from paddlequay.lab.world import World
 from paddlequay.routing.interface import ReplyDetail
@@ -20,124 +20,6 @@
 TRAIL = Trail(1234567, ("a", "b-2", "c_3"))
 
 
-# --- trails ---
-
-
-@pytest.mark.parametrize("now", [50.0, 150.0, 250.0])
-def test_a_trail_is_read_as_written_while_keys_follow_one_another(now: float) -> None:
-    ring = Keyring([OLD, NEW])
-    text = ring.write(TRAIL, "id object 3", now)
-    assert ring.read(text, "id object 3", now) == TRAIL
-    assert text.startswith("k1" if now < 100 else "k2") and not set(text) & set(" ,=\r\n")
-    # Who has only one of the two keys still reads what is signed while both hold.
-    later = Keyring([NEW])
-    if now > 100:
-        assert later.read(text, "id object 3", now) == TRAIL
-
-
-def forged(change: Any) -> str:
-    return str(change(Keyring([OLD]).write(TRAIL, "x", 50)))
-
-
-@pytest.mark.parametrize(
-    "text",
-    [
-        "",
-        ":::",
-        "garbage",
-        "k1:1:a",
-        forged(lambda text: text.replace("a~b-2", "a")),
-        forged(lambda text: text.replace("1234567", "1234566")),
-        forged(lambda text: text[:-1] + ("0" if text[-1] != "0" else "1")),
-        forged(lambda text: text.replace("k1", "k9")),
-        forged(lambda text: text.replace("k1:", "-:")),
-        "-:1:a:-",
-        "k1:1:a~a:" + "0" * 32,
-        "k1:99999999999999999999:a:" + "0" * 32,
-        "k1:\u0661:a:" + "0" * 32,
-        "k1:1:a b:" + "0" * 32,
-        "k1:1:" + "~".join(f"n{i}" for i in range(TEXT_MOST)) + ":0",
-    ],
-)
-def test_forged_too_long_and_garbage_trails_are_refused(text: str) -> None:
-    with pytest.raises(TrailError, match=r"^[^\n]{1,120}$"):
-        Keyring([OLD]).read(text, "x", 50)
-
-
-def test_a_trail_holds_for_its_own_request_only_and_a_key_that_is_over_for_none() -> None:
-    text = Keyring([OLD]).write(TRAIL, "x", 50)
-    for about, now in (("y", 50), ("x", 201)):
-        with pytest.raises(TrailError):
-            Keyring([OLD, NEW]).read(text, about, now)
-    with pytest.raises(TrailError, match="all keys are over"):
-        Keyring([OLD]).write(TRAIL, "x", 201)
-    with pytest.raises(TrailError, match="no key is known here"):
-        Keyring().read(text, "x", 50)
-
-
-@pytest.mark.parametrize("key", [Key("a b", b"x" * 16), Key("a", b"short"), Key("a", b"x" * 16, 5, 5)])
-def test_a_key_that_cannot_be_used_is_refused(key: Key) -> None:
-    with pytest.raises(TrailError):
-        Keyring([key])
-
-
-# --- copies ---
-
-
-def copy(size: int = 100, minted: float = 10.0, rank: int = 1, group: int | None = None) -> Copy:
-    return Copy(bytes(size), "t", minted, group, rank)
-
-
-def test_low_ranks_go_first_then_what_was_used_longest_ago_and_never_for_a_lower_rank() -> None:
-    copies = Copies(4 * (100 + OVERHEAD))
-    for name, rank in (("low", 0), ("one", 1), ("two", 1), ("top", 3)):
-        assert copies.put((name, 0), copy(rank=rank))
-    copies.get(("one", 0))
-    assert copies.put(("new", 0), copy(rank=1)) and copies.peek(("low", 0)) is None
-    assert copies.put(("newer", 0), copy(rank=1)) and copies.peek(("two", 0)) is None
-    assert not copies.put(("cold", 0), copy(rank=0))
-    assert not copies.put(("huge", 0), copy(size=10_000, rank=3)) and len(copies) == 4
-    assert copies.bytes == 4 * (100 + OVERHEAD) and copies.evicted == 2
-
-
-def test_an_older_copy_never_replaces_a_newer_one_and_a_rank_is_not_lost() -> None:
-    copies = Copies(10_000)
-    assert copies.put(("a", 0), copy(minted=10, rank=3)) and not copies.put(("a", 0), copy(minted=9))
-    assert copies.put(("a", 0), copy(minted=11, rank=0))
-    kept = copies.peek(("a", 0))
-    assert kept is not None and kept.minted == 11 and kept.rank == 3 and len(copies) == 1
-
-
-def test_purges_drop_older_copies_of_an_object_or_a_group_also_where_it_is_not_known() -> None:
-    copies = Copies(100_000)
-    for name, part, minted, group in (
-        ("a", 0, 5, 1),
-        ("a", 1, 9, 1),
-        ("b", 0, 5, 1),
-        ("c", 0, 5, 2),
-        ("d", 0, 5, None),
-    ):
-        copies.put((name, part), copy(minted=minted, group=group))
-    assert copies.purge("a", None, 7.0) == 1 and copies.peek(("a", 1)) is not None
-    assert copies.purge(None, 1, 7.0) == 2  # b, and d that may belong to any
-    assert {place[0] for place, _ in copies.held()} == {"a", "c"}
-    assert copies.purge(None, None, 7.0) == 0
-    copies.drop(("c", 0))
-    copies.drop(("a", 1))
-    assert copies.bytes == 0 and not copies.by_object and not copies.by_group
-
-
-def test_purges_are_remembered_within_bounds_and_fold_into_one_of_everything() -> None:
-    purges = Purges(memory=6.0, most=3)
-    for at in range(5):
-        purges.add(f"o{at}", None, 100.0 + at, 105.0)
-    assert len(purges.at) == 3 and purges.of_object("o0") == 101.0 and purges.of_object("o4") == 104.0
-    purges.add(None, 7, 106.0, 106.0)
-    assert purges.floor("o9", 7) == 106.0 and purges.floor("o9", 8) < 106.0 == purges.floor("o9", None)
-    purges.add("x", None, 200.0, 200.0)
-    assert len(purges.at) == 1
-
-
 # --- leases ---
 
 
