--- a/paddlequay/discovery/membership.py
+++ b/paddlequay/discovery/membership.py
@@ -124,7 +124,7 @@
 
     def handle_omissions(self, ids: list[str], source: SourceState, now: float, touched: Touched) -> None:
         """Members that a full report does not repeat: removed, or retained where too many are."""
-        is_mass = source.is_mass_removal(ids, self.limits, now)
+        is_mass = source.record_omissions(ids, self.limits, now)
         for id in ids:
             report = source.reports[id]
             if report.missing_since is None:
--- a/paddlequay/discovery/reports.py
+++ b/paddlequay/discovery/reports.py
@@ -92,8 +92,8 @@
         """Whether it has given a sign of life within `silent_after` seconds."""
         return now - self.last_heard_at <= self.rule.silent_after
 
-    def is_mass_removal(self, ids: list[str], limits: MembershipLimits, now: float) -> bool:
-        """Whether it leaves out so many ids within the window that a fault is likelier; counts those new."""
+    def record_omissions(self, ids: list[str], limits: MembershipLimits, now: float) -> bool:
+        """Record that it leaves these ids out; whether so many within the window that a fault is likelier."""
         omissions = self.omissions
         while omissions and now - omissions[0][0] > limits.mass_window:
             omissions.popleft()
--- a/paddlequay/net/client_input.py
+++ b/paddlequay/net/client_input.py
@@ -2,7 +2,7 @@
 
 import asyncio
 import math
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 
 from tornado.iostream import IOStream
 
@@ -54,12 +54,6 @@
         """Whether there was always more to be read for longer than calls may wait for it."""
         return self.backlog_since is not None and self.now() - self.backlog_since > MAX_READ_AHEAD_S
 
-    def messages(self, data: bytes) -> Iterator[wire.ClientMessage]:
-        """The messages that are complete with these bytes. Raises `MalformedMessageError`."""
-        for message in self.parser.feed(data):
-            self.backlog_messages += 1
-            yield message
-
     def note_partial_message(self, now: float) -> None:
         """Bytes were handled at this time: whether an incomplete message is left, and for how many reads."""
         self.partial_since = now if self.parser.partial else None
--- a/paddlequay/net/session_reader.py
+++ b/paddlequay/net/session_reader.py
@@ -88,8 +88,9 @@
         session = self.session
         session.last_used_at = self.front.now()
         try:
-            for message in self.input.messages(data):
+            for message in self.input.parser.feed(data):
                 session.has_sent_message = True
+                self.input.backlog_messages += 1
                 self.messages_since_pause += 1
                 self.handle_message(message)
         except MalformedMessageError as error:
