--- a/paddlequay/cli/discovery.py
+++ b/paddlequay/cli/discovery.py
@@ -35,7 +35,7 @@
     from paddlequay.discovery.resolver import Resolver
     from paddlequay.discovery.resolver_types import RecordSetKnown, RecordType
     from paddlequay.discovery.srv import Service, ServiceWatch
-    from paddlequay.net.dns import ResolverDriver
+    from paddlequay.net.endpoints.dns import ResolverDriver
     from paddlequay.observability.counters import Counters
 
     try:
--- a/paddlequay/cluster/node.py
+++ b/paddlequay/cluster/node.py
@@ -1,7 +1,7 @@
 """All parts of one router's cluster as one: notes in, datagrams out, what one part finds told to the others.
 
-Pure like its parts: `net/peers.py` brings datagrams and time. What the router itself is to know comes back
-from each call as news; what it asks at the moment of use it asks of the parts (`limits`, `verdicts`, ...).
+Pure like its parts: `net/cluster/peers.py` brings datagrams and time. What the router itself is to know comes
+back from each call as news; what it asks at the moment of use it asks of the parts (`limits`, `verdicts`).
 """
 
 import random
--- a/paddlequay/lab/cluster_model_world.py
+++ b/paddlequay/lab/cluster_model_world.py
@@ -1,8 +1,9 @@
 """A fleet of real cluster nodes on one simulated clock: machines, processes, links, and what befalls them.
 
-Each router is a `cluster.node.Node` with its wire and outbox, driven as `net/peers.py` does it: one datagram
-at a time, one timer. Datagrams are bytes. True time runs from 0; each machine's clock has a rate (within the
-drift) and an offset of its own, and runs on while its process stands still. All chance comes from one seed.
+Each router is a `cluster.node.Node` with its wire and outbox, driven as `net/cluster/peers.py` does it: one
+datagram at a time, one timer. Datagrams are bytes. True time runs from 0; each machine's clock has a rate
+(within the drift) and an offset of its own, and runs on while its process stands still. All chance comes from
+one seed.
 """
 
 import hashlib
@@ -22,7 +23,7 @@
 
 UNIX = 1_700_000_000.0  # true time 0; a start's Unix time is true up to `UNIX_OFF`
 UNIX_OFF = 0.2  # seconds by which machines' calendars differ
-LEAST_PAUSE = 0.001  # seconds between two calls of the timer, as in net/peers.py
+LEAST_PAUSE = 0.001  # seconds between two calls of the timer, as in net/cluster/peers.py
 READ_S = 0.0002  # seconds that a process takes for a datagram that waited
 BUFFER = 256  # datagrams that a socket holds: a kernel's 208 KiB at some 800 bytes each
 SLICE = 0.25  # seconds; a process on a shared core runs for a fifth of each
@@ -171,7 +172,7 @@
         """Whether it runs at this instant."""
         return box.node is not None and self.ready(box) <= self.now
 
-    # --- calls, as net/peers.py has them ---
+    # --- calls, as net/cluster/peers.py has them ---
 
     def call(self, box: Box, at: float) -> None:
         if at < box.pending:
--- /dev/null
+++ b/paddlequay/net/clients/__init__.py
@@ -0,0 +1,1 @@
+"""Drivers of client connections: accepting, reading, answering and draining."""
--- a/paddlequay/net/clients.py
+++ b/paddlequay/net/clients/client_front.py
@@ -8,11 +8,11 @@
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.operator_state import DRAIN, OperatorState
 from paddlequay.lifecycle.overload import OverloadGuard
-from paddlequay.net.answer_writer import AnswerWriter
-from paddlequay.net.idle_sessions import IdleSessions
+from paddlequay.net.clients.answer_writer import AnswerWriter
+from paddlequay.net.clients.idle_sessions import IdleSessions
+from paddlequay.net.clients.session import ClientSession
+from paddlequay.net.clients.session_reader import SessionReader
 from paddlequay.net.listener import BACKLOG, Acceptor, accept_backlog
-from paddlequay.net.session import ClientSession
-from paddlequay.net.session_reader import SessionReader
 from paddlequay.observability.counters import Counters
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import AnswerStatus, FinalAnswer
--- a/paddlequay/net/session.py
+++ b/paddlequay/net/clients/session.py
@@ -6,13 +6,13 @@
 
 from tornado.iostream import IOStream
 
-from paddlequay.net.answer_writer import AnswerWriter
-from paddlequay.net.client_input import ClientInput
-from paddlequay.net.client_messages import FieldError, format_answer, parse_request
-from paddlequay.net.idle_sessions import IdleSession
-from paddlequay.net.open_requests import OpenRequests
-from paddlequay.net.session_front import SessionFront
-from paddlequay.net.waiting_calls import WaitingCalls
+from paddlequay.net.clients.answer_writer import AnswerWriter
+from paddlequay.net.clients.client_input import ClientInput
+from paddlequay.net.clients.client_messages import FieldError, format_answer, parse_request
+from paddlequay.net.clients.idle_sessions import IdleSession
+from paddlequay.net.clients.open_requests import OpenRequests
+from paddlequay.net.clients.session_front import SessionFront
+from paddlequay.net.clients.waiting_calls import WaitingCalls
 from paddlequay.protocol import clients as wire
 from paddlequay.protocol.msgpack import MalformedMessageError
 from paddlequay.requests.messages import AnswerStatus, Buffer, FinalAnswer
--- a/paddlequay/net/session_front.py
+++ b/paddlequay/net/clients/session_front.py
@@ -3,9 +3,9 @@
 from typing import Protocol
 
 from paddlequay.lifecycle.overload import OverloadGuard
-from paddlequay.net.answer_writer import WriterFront
-from paddlequay.net.idle_sessions import IdleSessions
-from paddlequay.net.waiting_calls import QueueFront
+from paddlequay.net.clients.answer_writer import WriterFront
+from paddlequay.net.clients.idle_sessions import IdleSessions
+from paddlequay.net.clients.waiting_calls import QueueFront
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import FinalAnswer
 
--- a/paddlequay/net/session_reader.py
+++ b/paddlequay/net/clients/session_reader.py
@@ -5,7 +5,7 @@
 
 from tornado.iostream import StreamClosedError
 
-from paddlequay.net.session import ClientSession
+from paddlequay.net.clients.session import ClientSession
 from paddlequay.observability import log
 from paddlequay.protocol import clients as wire
 from paddlequay.protocol.msgpack import MalformedMessageError
--- /dev/null
+++ b/paddlequay/net/cluster/__init__.py
@@ -0,0 +1,1 @@
+"""Drivers of what routers share: datagrams, permits, channels and placement tables."""
--- a/paddlequay/net/sharing.py
+++ b/paddlequay/net/cluster/sharing.py
@@ -36,8 +36,8 @@
 )
 from paddlequay.cluster.wire import Head
 from paddlequay.config.loader import Config, Peering
-from paddlequay.net.leaves import Leaves
-from paddlequay.net.peers import Peers
+from paddlequay.net.cluster.leaves import Leaves
+from paddlequay.net.cluster.peers import Peers
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.placement.homes import digest
@@ -46,8 +46,8 @@
 from paddlequay.routing.interface import Outcome, OutlierReported, ReplyDetail
 
 if TYPE_CHECKING:
-    from paddlequay.net.channels import ChannelFront
-    from paddlequay.net.placing import Placing
+    from paddlequay.net.cluster.channels import ChannelFront
+    from paddlequay.net.cluster.placing import Placing
 
 LOGGER = logging.getLogger(__name__)
 
@@ -102,7 +102,7 @@
         self.front: ChannelFront | None = None
         self.placing: Placing | None = None
         if settings.rules is not None:
-            from paddlequay.net import placing
+            from paddlequay.net.cluster import placing
 
             self.placing = placing.Placing(
                 settings.rules, config.settings, exchange, counters, self.act, self.loop.time
@@ -158,7 +158,7 @@
         if rule is None or node.leases is None:
             return
         from paddlequay.cluster.channels import Channels
-        from paddlequay.net.channels import ChannelFront
+        from paddlequay.net.cluster.channels import ChannelFront
 
         now, drawn = self.loop.time(), random.Random(self.seed ^ node.liveness.incarnation)
         part = Channels(self.fleet, self.settings.bounds, rule, node.leases, drawn, now)
--- a/paddlequay/net/sharing_page.py
+++ b/paddlequay/net/cluster/sharing_page.py
@@ -7,7 +7,7 @@
 
 if TYPE_CHECKING:
     from paddlequay.cluster.node import Node
-    from paddlequay.net.sharing import Sharing
+    from paddlequay.net.cluster.sharing import Sharing
 
 WORDS_MOST = 200  # subjects shown
 SHOWN = ("cluster.", "limit.", "channels.", "placement_", "peers.")  # counters
--- a/paddlequay/net/dns_source.py
+++ b/paddlequay/net/endpoints/dns_source.py
@@ -10,7 +10,7 @@
 from paddlequay.discovery.resolver_types import RecordSetKnown, RecordType
 from paddlequay.discovery.srv import ServiceWatch
 from paddlequay.lifecycle.background import TaskSupervisor
-from paddlequay.net.dns import ResolverDriver
+from paddlequay.net.endpoints.dns import ResolverDriver
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.schema.sources import DiscoverySettings
--- a/paddlequay/net/endpoint_watch.py
+++ b/paddlequay/net/endpoints/endpoint_watch.py
@@ -7,8 +7,8 @@
 
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
-from paddlequay.net.caches import ConnectionPool
-from paddlequay.net.watch_client import EventParser, WatchClient
+from paddlequay.net.endpoints.watch_client import EventParser, WatchClient
+from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol import endpoint_watch as wire
--- a/paddlequay/net/members.py
+++ b/paddlequay/net/endpoints/members.py
@@ -11,10 +11,10 @@
 from paddlequay.discovery.reconfiguration import with_sources
 from paddlequay.discovery.reports import MembershipChange, ReportedMember, TooManyMembersError
 from paddlequay.lifecycle.background import TaskSupervisor
-from paddlequay.net.caches import ConnectionPool
-from paddlequay.net.dns_source import DnsSource
-from paddlequay.net.endpoint_watch import EndpointWatch, apply_one_by_one
-from paddlequay.net.saved_members import SavedMembers
+from paddlequay.net.endpoints.dns_source import DnsSource
+from paddlequay.net.endpoints.endpoint_watch import EndpointWatch, apply_one_by_one
+from paddlequay.net.endpoints.saved_members import SavedMembers
+from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.endpoint_watch import Endpoint, EndpointList
--- a/paddlequay/net/watch_client.py
+++ b/paddlequay/net/endpoints/watch_client.py
@@ -21,8 +21,8 @@
 
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
-from paddlequay.net.loss_report import LossReport
-from paddlequay.net.spare_socket import SpareSocket
+from paddlequay.net.endpoints.loss_report import LossReport
+from paddlequay.net.endpoints.spare_socket import SpareSocket
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.endpoint_watch import (
--- /dev/null
+++ b/paddlequay/net/hierarchy/__init__.py
@@ -0,0 +1,1 @@
+"""Drivers of a hierarchy's node: its front for fills and the feed of its shape."""
--- a/paddlequay/net/feed.py
+++ b/paddlequay/net/hierarchy/feed.py
@@ -6,7 +6,7 @@
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
 from paddlequay.hierarchy.shape import Shape, ShapeLimits, Shaper, Took
-from paddlequay.net.watch_client import RETRY_PAUSE_S, EventParser, WatchClient
+from paddlequay.net.endpoints.watch_client import RETRY_PAUSE_S, EventParser, WatchClient
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol import endpoint_watch as bulletin
--- a/paddlequay/net/tier.py
+++ b/paddlequay/net/hierarchy/tier_front.py
@@ -16,8 +16,8 @@
 from paddlequay.hierarchy.node import Action, Answer, Claim, Fill, Got, Meet, Node, Want, Word
 from paddlequay.hierarchy.shape import NAME
 from paddlequay.hierarchy.trail import Keyring, TrailError
-from paddlequay.net.caches import ConnectionPool
 from paddlequay.net.listener import Acceptor
+from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.placement.homes import key_of
--- /dev/null
+++ b/paddlequay/net/upstreams/__init__.py
@@ -0,0 +1,1 @@
+"""Drivers of connections to edge caches, parents and the origin."""
--- a/paddlequay/net/connection.py
+++ b/paddlequay/net/upstreams/connection.py
@@ -11,7 +11,7 @@
 
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
-from paddlequay.net.cache_messages import parse_result, request_fields
+from paddlequay.net.upstreams.cache_messages import parse_result, request_fields
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol import caches as wire
 from paddlequay.requests.exchange import Exchange
--- a/paddlequay/net/connection_health.py
+++ b/paddlequay/net/upstreams/connection_health.py
@@ -2,7 +2,7 @@
 
 import math
 
-from paddlequay.net.connection import UpstreamConnection
+from paddlequay.net.upstreams.connection import UpstreamConnection
 from paddlequay.requests.messages import UpstreamAttempt
 
 
--- a/paddlequay/net/connection_reader.py
+++ b/paddlequay/net/upstreams/connection_reader.py
@@ -5,7 +5,7 @@
 
 from tornado.iostream import StreamClosedError
 
-from paddlequay.net.connection import UpstreamConnection
+from paddlequay.net.upstreams.connection import UpstreamConnection
 from paddlequay.observability import log
 from paddlequay.protocol import caches as wire
 
--- a/paddlequay/net/caches.py
+++ b/paddlequay/net/upstreams/pool.py
@@ -8,9 +8,9 @@
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
 from paddlequay.lifecycle.operator_state import EJECTED_PREFIX
-from paddlequay.net.connection import UpstreamConnection
-from paddlequay.net.connection_health import is_stalled, is_unresponsive, unanswered_since
-from paddlequay.net.connection_reader import ConnectionReader
+from paddlequay.net.upstreams.connection import UpstreamConnection
+from paddlequay.net.upstreams.connection_health import is_stalled, is_unresponsive, unanswered_since
+from paddlequay.net.upstreams.connection_reader import ConnectionReader
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.endpoint_watch import Endpoint
--- a/paddlequay/programs/handover.py
+++ b/paddlequay/programs/handover.py
@@ -11,16 +11,16 @@
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.background import TaskSupervisor
 from paddlequay.net import listener as listeners
-from paddlequay.net.caches import ConnectionPool
-from paddlequay.net.clients import ClientFront
-from paddlequay.net.endpoint_watch import EndpointWatch
+from paddlequay.net.clients.client_front import ClientFront
+from paddlequay.net.endpoints.endpoint_watch import EndpointWatch
 from paddlequay.net.hot_restart import HotRestart
+from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability import log
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.quotas import MIN_CACHE_CONNECTIONS, QuotaInUse
 
 if TYPE_CHECKING:
-    from paddlequay.net.sharing import Sharing
+    from paddlequay.net.cluster.sharing import Sharing
 
 LOGGER = logging.getLogger("paddlequay.main")
 
--- a/paddlequay/programs/router.py
+++ b/paddlequay/programs/router.py
@@ -20,12 +20,12 @@
 from paddlequay.lifecycle.operator_state import OperatorState
 from paddlequay.lifecycle.overload import OverloadGuard
 from paddlequay.net import listener as listeners
-from paddlequay.net.caches import ConnectionPool
-from paddlequay.net.clients import ClientFront
+from paddlequay.net.clients.client_front import ClientFront
 from paddlequay.net.console import Console
-from paddlequay.net.endpoint_watch import EndpointWatch
+from paddlequay.net.endpoints.endpoint_watch import EndpointWatch
 from paddlequay.net.hot_restart import HotRestart
 from paddlequay.net.scheduler import LoopScheduler
+from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.policy import Router
@@ -36,8 +36,8 @@
 from paddlequay.requests.quotas import ProcessQuotas
 
 if TYPE_CHECKING:
-    from paddlequay.net.members import MemberSources
-    from paddlequay.net.sharing import Sharing
+    from paddlequay.net.cluster.sharing import Sharing
+    from paddlequay.net.endpoints.members import MemberSources
 
 LOGGER = logging.getLogger("paddlequay.main")
 
@@ -96,7 +96,7 @@
         path = os.environ.get(DISCOVERY_VARIABLE)
         if not path:
             return None
-        from paddlequay.net.members import MemberSources
+        from paddlequay.net.endpoints.members import MemberSources
         from paddlequay.schema.sources import read_discovery
 
         settings = read_discovery(Path(path))
@@ -111,8 +111,8 @@
         path = os.environ.get(CLUSTER_VARIABLE)
         if not path:
             return None
-        from paddlequay.net.sharing import Sharing
-        from paddlequay.net.sharing_page import page
+        from paddlequay.net.cluster.sharing import Sharing
+        from paddlequay.net.cluster.sharing_page import page
         from paddlequay.schema.cluster import read_cluster
 
         settings = read_cluster(Path(path))
--- a/paddlequay/programs/shutdown.py
+++ b/paddlequay/programs/shutdown.py
@@ -4,7 +4,7 @@
 import logging
 
 from paddlequay.config.limits import Limits
-from paddlequay.net.clients import ClientFront
+from paddlequay.net.clients.client_front import ClientFront
 from paddlequay.net.hot_restart import HotRestart
 from paddlequay.observability import log
 
--- a/paddlequay/programs/tier.py
+++ b/paddlequay/programs/tier.py
@@ -20,11 +20,11 @@
 from paddlequay.hierarchy.trail import Keyring
 from paddlequay.lifecycle.operator_state import EJECTED_PREFIX, OperatorState, Override
 from paddlequay.net import listener as listeners
-from paddlequay.net.caches import ConnectionPool
 from paddlequay.net.console import Console
-from paddlequay.net.feed import Feed
+from paddlequay.net.hierarchy.feed import Feed
+from paddlequay.net.hierarchy.tier_front import TierFront
 from paddlequay.net.scheduler import LoopScheduler
-from paddlequay.net.tier import TierFront
+from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol import endpoint_watch as bulletin
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -12,7 +12,7 @@
 from paddlequay.cluster.types import NEVER, Bounds, Fleet, Peer, Tell, Urgency
 from paddlequay.cluster.wire import Codec, Head, Wire
 from paddlequay.config.values import Address
-from paddlequay.net.peers import Peers
+from paddlequay.net.cluster.peers import Peers
 from paddlequay.observability.counters import Counters
 
 LONGEST = 20.0  # seconds until a condition that does not come is a failure
--- a/tests/cluster/test_placing.py
+++ b/tests/cluster/test_placing.py
@@ -13,7 +13,7 @@
 from paddlequay.config.limits import Limits
 from paddlequay.errors import ConfigError
 from paddlequay.lifecycle.operator_state import OperatorState
-from paddlequay.net.placing import Placing
+from paddlequay.net.cluster.placing import Placing
 from paddlequay.observability.counters import Counters
 from paddlequay.placement.following import asked
 from paddlequay.policy import Router
--- a/tests/cluster/test_sharing.py
+++ b/tests/cluster/test_sharing.py
@@ -18,7 +18,7 @@
 from paddlequay.lab.cluster import BURST, LEASE, RATE, RULES, TELL_S, Charges, Script, dead_parent
 from paddlequay.lab.fleet_rig import FleetRig, Moment, watch
 from paddlequay.lab.plaza import Plan
-from paddlequay.net.sharing import EVENT_NAMES
+from paddlequay.net.cluster.sharing import EVENT_NAMES
 
 Play = Callable[["World"], Awaitable[None]]
 
--- a/tests/golden/golden_samples.py
+++ b/tests/golden/golden_samples.py
@@ -23,8 +23,8 @@
 from paddlequay.hierarchy.moves import MoveLimits, Moves
 from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, delta_data, next_shape, whole
 from paddlequay.lifecycle.operator_state import OperatorState, Override
-from paddlequay.net.cache_messages import request_fields
-from paddlequay.net.client_messages import format_answer
+from paddlequay.net.clients.client_messages import format_answer
+from paddlequay.net.upstreams.cache_messages import request_fields
 from paddlequay.policy import Router
 from paddlequay.protocol import caches, clients, console
 from paddlequay.protocol import hot_restart as twin
--- a/tests/race_conditions/rig_caches.py
+++ b/tests/race_conditions/rig_caches.py
@@ -12,9 +12,9 @@
 
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.operator_state import OperatorState
-from paddlequay.net.caches import ConnectionPool
-from paddlequay.net.connection import UpstreamConnection
 from paddlequay.net.scheduler import LoopScheduler
+from paddlequay.net.upstreams.connection import UpstreamConnection
+from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability.counters import Counters
 from paddlequay.policy import Router
 from paddlequay.protocol.endpoint_watch import Endpoint
--- a/tests/race_conditions/rig_clients.py
+++ b/tests/race_conditions/rig_clients.py
@@ -20,9 +20,9 @@
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.operator_state import OperatorState
 from paddlequay.lifecycle.overload import OverloadGuard
-from paddlequay.net.clients import ClientFront
+from paddlequay.net.clients.client_front import ClientFront
+from paddlequay.net.clients.session import ClientSession
 from paddlequay.net.scheduler import LoopScheduler
-from paddlequay.net.session import ClientSession
 from paddlequay.observability.counters import Counters
 from paddlequay.policy import Router
 from paddlequay.protocol import msgpack
--- a/tests/race_conditions/rig_endpoints.py
+++ b/tests/race_conditions/rig_endpoints.py
@@ -7,7 +7,7 @@
 from typing import Any, cast
 
 from paddlequay.config.limits import Limits
-from paddlequay.net.endpoint_watch import EndpointWatch
+from paddlequay.net.endpoints.endpoint_watch import EndpointWatch
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.endpoint_watch import EndpointList
 
--- a/tests/race_conditions/test_endpoint_events.py
+++ b/tests/race_conditions/test_endpoint_events.py
@@ -8,7 +8,7 @@
 from rig_endpoints import Bulletin, Recorder, Told, play, recall, roster, silent
 from test_endpoint_parsing import DEEP, NUMBERED
 
-from paddlequay.net import watch_client as lines
+from paddlequay.net.endpoints import watch_client as lines
 from paddlequay.protocol.endpoint_watch import EndpointList
 
 
--- a/tests/race_conditions/test_endpoint_updates.py
+++ b/tests/race_conditions/test_endpoint_updates.py
@@ -12,10 +12,10 @@
 
 from paddlequay.discovery.reports import MembershipLimits, SourceRule
 from paddlequay.discovery.resolver_types import SendQuery
-from paddlequay.net import dns
-from paddlequay.net.caches import ConnectionPool
-from paddlequay.net.endpoint_watch import EndpointWatch
-from paddlequay.net.members import MemberSources
+from paddlequay.net.endpoints import dns
+from paddlequay.net.endpoints.endpoint_watch import EndpointWatch
+from paddlequay.net.endpoints.members import MemberSources
+from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.endpoint_watch import Endpoint, EndpointWatchError, WatchHeartbeat, parse_event
 from paddlequay.requests.exchange import Exchange
@@ -152,7 +152,7 @@
     async def work() -> None:
         resolver = Resolver()
         driver = dns.ResolverDriver(cast(Any, resolver), Counters(), lambda: 0.0, lambda _: None)
-        monkeypatch.setattr("paddlequay.net.dns.socket.socket", full)
+        monkeypatch.setattr("paddlequay.net.endpoints.dns.socket.socket", full)
         await driver.query_by_tcp(SendQuery(1, ("127.0.0.1", 53), b"", True, 1.0))
         assert resolver.why == "TCP OSError"
 
--- a/tests/race_conditions/test_endpoint_watches.py
+++ b/tests/race_conditions/test_endpoint_watches.py
@@ -7,7 +7,7 @@
 from rig_endpoints import Bulletin, Recorder, Told, entry, play, roster, silent, until
 from test_drains import full_listener
 
-from paddlequay.net import watch_client as lines
+from paddlequay.net.endpoints import watch_client as lines
 from paddlequay.protocol.endpoint_watch import EndpointList
 
 # --- moved to another address (SIGHUP) ---
--- a/tests/race_conditions/test_no_cycles.py
+++ b/tests/race_conditions/test_no_cycles.py
@@ -10,8 +10,8 @@
 import rig_caches
 import rig_clients
 
-from paddlequay.net.connection import UpstreamConnection
-from paddlequay.net.session import ClientSession
+from paddlequay.net.clients.session import ClientSession
+from paddlequay.net.upstreams.connection import UpstreamConnection
 
 COUNT = 20
 
--- a/tests/race_conditions/test_readiness.py
+++ b/tests/race_conditions/test_readiness.py
@@ -222,6 +222,6 @@
     told = "import sys, paddlequay.programs.router; print(*sys.modules)"
     out = subprocess.run([sys.executable, "-c", told], cwd=ROOT, capture_output=True, text=True, check=True)
     loaded = out.stdout.split()
-    assert "paddlequay.net.clients" in loaded  # all that routing needs is among it
+    assert "paddlequay.net.clients.client_front" in loaded  # all that routing needs is among it
     unused = [name for name in loaded for other in NOT_FOR_ROUTING if f"{name}.".startswith(f"{other}.")]
     assert not unused
--- a/tests/test_channel_front.py
+++ b/tests/test_channel_front.py
@@ -12,8 +12,8 @@
 from paddlequay.cluster.notes import Carried, Ready
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import Action, Bounds, Fleet, Peer, Tell
-from paddlequay.net.cache_messages import request_fields
-from paddlequay.net.channels import ChannelFront
+from paddlequay.net.cluster.channels import ChannelFront
+from paddlequay.net.upstreams.cache_messages import request_fields
 from paddlequay.placement.homes import digest
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import (
--- a/tests/test_leaves.py
+++ b/tests/test_leaves.py
@@ -8,7 +8,7 @@
 from paddlequay.cluster.limits import Limits
 from paddlequay.cluster.settings import By, ClusterSettings, LimitRule, Mode
 from paddlequay.cluster.types import Bounds, Fleet
-from paddlequay.net.leaves import LEAVE_S, OUT_PAUSE, Leaves
+from paddlequay.net.cluster.leaves import LEAVE_S, OUT_PAUSE, Leaves
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import AttemptResult, PendingRequest, UpstreamAttempt
 from paddlequay.routing.interface import Outcome, ReplyDetail
--- a/tests/test_resolver.py
+++ b/tests/test_resolver.py
@@ -15,7 +15,7 @@
 from paddlequay.discovery.resolver import Resolver
 from paddlequay.discovery.resolver_types import RecordSetKnown, ResolverLimits, SendQuery
 from paddlequay.lab.dns import DnsServer
-from paddlequay.net.dns import ResolverDriver
+from paddlequay.net.endpoints.dns import ResolverDriver
 from paddlequay.observability.counters import Counters
 
 SRV, A, TXT = dns.rdatatype.SRV, dns.rdatatype.A, dns.rdatatype.TXT
--- a/tests/tier/test_terms.py
+++ b/tests/tier/test_terms.py
@@ -6,8 +6,8 @@
 from paddlequay.hierarchy.moves import MoveLimits
 from paddlequay.hierarchy.node import Answer, Fill, Node, NodeLimits, Want, Word
 from paddlequay.hierarchy.terms import Terms
-from paddlequay.net.cache_messages import parse_result
-from paddlequay.net.tier import FieldError, read_channel
+from paddlequay.net.hierarchy.tier_front import FieldError, read_channel
+from paddlequay.net.upstreams.cache_messages import parse_result
 from paddlequay.policy import Router
 from paddlequay.protocol import caches as wire
 from paddlequay.routing.interface import CopyReported, Idempotency, ReplyDetail, RequestClass, RoutingSettings
