--- a/paddlequay/lab/homes.py
+++ b/paddlequay/lab/homes.py
@@ -26,7 +26,7 @@
     from paddlequay.interface import *
     from paddlequay.interface import Effect as Idempotency, Note as ReplyDetail, Settings as RoutingSettings
     from paddlequay.interface import State as MemberState
-from paddlequay.adapter import Router
+from paddlequay.policy import Router
 
 edges, parents, count, seed = map(int, sys.argv[1:])
 classes = (RequestClass("v", 0.6, 3.0, Idempotency("safe")),)
--- a/paddlequay/simshare.py
+++ b/paddlequay/simulator/sharing.py
@@ -9,12 +9,12 @@
 from paddlequay.cluster import evidence
 from paddlequay.cluster.node import News, Node
 from paddlequay.cluster.settings import ClusterSettings
-from paddlequay.cluster.simwire import Post, SimWire
 from paddlequay.cluster.types import NEVER, Action, Fleet, Name, VerdictChanged
 from paddlequay.placement.homes import digest
 from paddlequay.policy import Router
 from paddlequay.routing.interface import Action as Asked
 from paddlequay.routing.interface import AttemptEnded, Fetch, OutlierReported
+from paddlequay.simulator.peer_messages import Post, SimWire
 
 LEAST = 0.002  # seconds to the next alarm at least, as batches come no closer
 FETCHES_MOST = 20_000  # attempts that are out
--- a/tests/cluster/test_outbox.py
+++ b/tests/cluster/test_outbox.py
@@ -8,10 +8,10 @@
 
 from paddlequay.cluster.notes import Ack, Evidence, Load, Need, Note, Ping, Prepare, Propose, Rumour
 from paddlequay.cluster.outbox import ALL_MOST, LANE_MOST, ROUTINE_AGE, Outbox, Packet
-from paddlequay.cluster.simwire import CONTENT_MOST, SimWire, to_content
 from paddlequay.cluster.types import NEVER, Bounds, Fleet, Tell, Urgency
 from paddlequay.cluster.verdicts import TRANSIT_S
 from paddlequay.cluster.wire import DATAGRAM_MOST, Codec, Heard, Refusal, Wire
+from paddlequay.simulator.peer_messages import CONTENT_MOST, SimWire, to_content
 
 BOUNDS = Bounds()
 QUICK = settings(max_examples=60, derandomize=True, deadline=None)
--- a/tests/cluster/test_simshare.py
+++ b/tests/cluster/test_simshare.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from paddlequay import adapter
+from paddlequay.simulator import adapter
 
 SETTINGS = {
     "locality": "here",
--- a/tests/race_conditions/test_readiness.py
+++ b/tests/race_conditions/test_readiness.py
@@ -26,7 +26,7 @@
 START_CPU_S = 1.0
 NOT_FOR_ROUTING = (
     "paddlequay.cli", "paddlequay.lab", "paddlequay.schema", "paddlequay.cluster", "paddlequay.hierarchy",
-    "paddlequay.store", "paddlequay.discovery", "paddlequay.adapter",
+    "paddlequay.store", "paddlequay.discovery", "paddlequay.simulator", "paddlequay.adapter",
     "google", "click", "lark", "dns", "grpc", "numpy", "matplotlib", "unittest", "email",
 )  # fmt: skip
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from paddlequay.adapter import read_settings
+from paddlequay.simulator.adapter import read_settings
 
 ROOT = Path(__file__).parent.parent
 SETTINGS = {
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -22,7 +22,7 @@
     ("requests",),
     ("schema", "protocol"),
     ("net",),
-    ("simshare",),
+    ("simulator",),
     ("programs", "adapter"),
     ("lab",),
     ("cli",),
@@ -102,7 +102,7 @@
 
 def test_only_packages_and_the_entries_stand_at_the_top() -> None:
     top = {path.stem for path in PACKAGE.glob("*.py")}
-    assert top == {"__init__", "__main__", "adapter", "simshare"}
+    assert top == {"__init__", "__main__", "adapter"}
     assert not TAKEN_BACK & {path.stem for path in FILES if path.relative_to(PACKAGE).parts[0] in FINISHED}
 
 
