--- a/tests/test_cluster_settings.py
+++ b/tests/cluster/test_cluster_settings.py
@@ -8,7 +8,7 @@
 from paddlequay.errors import ConfigError
 from paddlequay.schema.cluster import read_cluster
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 GOOD = """cluster {
   name: "here"
   acceptor: 0
--- a/tests/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -10,7 +10,7 @@
 
 from paddlequay.simulator.adapter import read_settings
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 SETTINGS = {
     "locality": "here",
     "localities": ["hub", "here"],
