--- a/paddlequay/cluster/acceptor.py
+++ b/paddlequay/cluster/acceptor.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass
 
-from paddlequay.cluster.notes import Accept, Note, Prepare, Promise, Propose, Reject, Release
+from paddlequay.cluster.messages import Accept, PeerMessage, Prepare, Promise, Propose, Reject, Release
 from paddlequay.cluster.types import NEVER, Bounds, Name, Peer
 
 STATES_MOST = 8192  # leases that an acceptor votes on at once, about 2 MB; more are told to come later
@@ -91,7 +91,7 @@
     def rejoin(self, clock: int) -> int:
         return clock << 32 | RUN
 
-    def hear(self, sender: Peer, note: Note, clock: int, now: float) -> Note | None:
+    def handle_message(self, sender: Peer, note: PeerMessage, clock: int, now: float) -> PeerMessage | None:
         """Answer a proposer's note; one whose ballot is not its sender's is not answered."""
         self.tick(clock, now)
         if isinstance(note, Prepare) and (note.ballot == 0 or number(note.ballot) == sender):
@@ -102,7 +102,7 @@
             self._release(sender, note, now)
         return None
 
-    def _prepare(self, sender: Peer, note: Prepare, now: float) -> Note:
+    def _prepare(self, sender: Peer, note: Prepare, now: float) -> PeerMessage:
         """Promise, or tell who has the lock. Ballot 0 only asks: it is never high enough for a promise."""
         if self.floor is None:
             return Reject(note.lease, note.ballot, 0, millis(self.out(now)))
@@ -125,7 +125,7 @@
         self._used(vote, now)
         return Promise(note.lease, note.ballot, 0, 0, 0)
 
-    def _propose(self, note: Propose, now: float) -> Note | None:
+    def _propose(self, note: Propose, now: float) -> PeerMessage | None:
         term = note.term_ms / 1000
         if not 0 < term <= self.bounds.lease:
             return None  # longer than the stay-out covers: its sender is set otherwise
--- a/paddlequay/cluster/buckets.py
+++ b/paddlequay/cluster/buckets.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass
 
-from paddlequay.cluster.share import NOTHING, REQUEST, Share, Whole
+from paddlequay.cluster.quotas import NOTHING, REQUEST, Share, Whole
 from paddlequay.cluster.types import NEVER
 
 WINDOWS = 6  # averaged at most: 1.2 s, so that a shift too small to stand out is followed within 2 s
--- a/paddlequay/cluster/bundles.py
+++ b/paddlequay/cluster/bundles.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from paddlequay.cluster.ahead import Rate, lease_of
+from paddlequay.cluster.prefetch import Rate, lease_of
 from paddlequay.cluster.types import Action, Bounds, Name, Peer
 
 FOLLOWED_S = 3.5  # an owner counts on a follower so long: two words may be lost
--- a/paddlequay/cluster/channels.py
+++ b/paddlequay/cluster/channels.py
@@ -18,26 +18,26 @@
 import random
 from typing import ClassVar
 
-from paddlequay.cluster.ahead import Ahead, Boxes, Reads
 from paddlequay.cluster.bundles import Bundle, Bundles, LeasesOf
 from paddlequay.cluster.handoff import Handoff
-from paddlequay.cluster.notes import Carried, Load, Note, Offer, Ready, Took
+from paddlequay.cluster.messages import Carried, Load, Offer, PeerMessage, Ready, Took
+from paddlequay.cluster.prefetch import Ahead, Boxes, Reads
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import (
     NEVER,
     Action,
     Bounds,
+    ChannelOwnership,
     Fleet,
-    HolderSeen,
+    HolderObserved,
+    LeaseAcquired,
     LeaseLost,
-    LeaseTaken,
-    Local,
+    LocalEvent,
     Name,
-    Owned,
     Peer,
     PeerChanged,
-    Standing,
-    Tell,
+    PeerState,
+    SendMessage,
     Urgency,
 )
 
@@ -54,7 +54,7 @@
 class Channels:
     """The part of the cluster that owns live channels; `rng` is seeded anew for each run."""
 
-    HEARS: ClassVar[tuple[type[Note], ...]] = (Carried, Offer, Ready, Took, Load)
+    HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (Carried, Offer, Ready, Took, Load)
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
         if channel.number not in bundle.live:
             bundle.live.add(channel.number)
             if bundle.term:
-                self._news.append(Owned(channel.number, bundle.term))
+                self._news.append(ChannelOwnership(channel.number, bundle.term))
         return [] if term is None else self.reads.due(channel, term, now)
 
     def may_fill(self, ahead: Ahead, now: float) -> int | None:
@@ -110,10 +110,10 @@
         bundle.told = now
         word = Carried(ahead.channel, ahead.term, ahead.part, box, int(life * 1000))
         # Routine: under the bound on bytes a hint yields to all that decides something, and to a newer one.
-        out: list[Action] = [Tell(peer, word, Urgency.ROUTINE) for peer in bundle.following(now)]
+        out: list[Action] = [SendMessage(peer, word, Urgency.ROUTINE) for peer in bundle.following(now)]
         if bundle.former is not None and ahead.term == bundle.term:
             took = Took(bundle.lease, ahead.term, bundle.former.term)
-            out.append(Tell(bundle.former.former, took, Urgency.LEASE))
+            out.append(SendMessage(bundle.former.former, took, Urgency.LEASE))
             bundle.former = None
         return out
 
@@ -137,7 +137,7 @@
 
     # --- as a part ---
 
-    def hear(self, sender: Peer, incarnation: int, note: Note, now: float) -> list[Action]:
+    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
         match note:
             case Carried():
                 bundle = self.bundles.of(note.channel)
@@ -159,18 +159,18 @@
                     return self.handoff.over(known, now)
         return []
 
-    def on(self, news: Local, now: float) -> list[Action]:
+    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
         match news:
-            case LeaseTaken(lease=lease) if lease in self.bundles.by_lease:
+            case LeaseAcquired(lease=lease) if lease in self.bundles.by_lease:
                 return self._taken(self.bundles.by_lease[lease], news.term, now)
             case LeaseLost(lease=lease) if lease in self.bundles.by_lease:
                 return self._lost(self.bundles.by_lease[lease], news.term, now)
-            case HolderSeen(lease=lease) if lease in self.bundles.by_lease:
+            case HolderObserved(lease=lease) if lease in self.bundles.by_lease:
                 self.bundles.by_lease[lease].saw(news.term, now)
             case PeerChanged():
-                if news.standing is Standing.ALIVE:
+                if news.standing is PeerState.ALIVE:
                     self.handoff.away.discard(news.peer)
-                elif news.standing is not Standing.UNKNOWN:
+                elif news.standing is not PeerState.UNKNOWN:
                     self.handoff.away.add(news.peer)
         return []
 
@@ -221,8 +221,8 @@
         owner = bundle.owner
         if owner is not None and now - bundle.followed >= FOLLOW_S:
             bundle.followed = now
-            out.append(Tell(owner, Ready(bundle.lease, 0, 1), Urgency.NEWS))
-            out.append(Tell(owner, self.handoff.said(now), Urgency.ROUTINE))
+            out.append(SendMessage(owner, Ready(bundle.lease, 0, 1), Urgency.NEWS))
+            out.append(SendMessage(owner, self.handoff.said(now), Urgency.ROUTINE))
         lost = owner is None or owner in self.handoff.away or now - bundle.heard >= SILENT_S
         # A lost owner's lease runs on for a while: a bid before its end would find it, and nothing else.
         if lost and bundle.bids_from is None and not bundle.wanted and holder is None:
@@ -273,7 +273,7 @@
                     bundle.told = -NEVER  # it is told at the next look whom it has found
                 bundle.followers[sender] = now
             elif note.yes and bundle.overlap is None:
-                return [Tell(sender, Ready(bundle.lease, max(1, bundle.seen), 0), Urgency.NEWS)]
+                return [SendMessage(sender, Ready(bundle.lease, max(1, bundle.seen), 0), Urgency.NEWS)]
             return []
         if not note.yes and bundle.owner == sender:
             # It is the owner no more, or what an acceptor told was of a lost election. Who has followed it is
@@ -290,13 +290,13 @@
         bundle.owner, bundle.bids_from, bundle.overlap = None, None, None
         bundle.former, bundle.taking = bundle.taking, None
         self._wake(now)
-        return [Owned(channel, term) for channel in sorted(bundle.live)]
+        return [ChannelOwnership(channel, term) for channel in sorted(bundle.live)]
 
     def _lost(self, bundle: Bundle, term: int, now: float) -> list[Action]:
         if bundle.term == term:
             bundle.term, bundle.offered, bundle.former = 0, None, None
             bundle.heard = now
-        return [Owned(channel, 0) for channel in sorted(bundle.live)]
+        return [ChannelOwnership(channel, 0) for channel in sorted(bundle.live)]
 
     def _own(self, bundle: Bundle, now: float) -> list[Action]:
         """Say that the owner is there; give up what nobody reads here; go on with an offer."""
@@ -307,7 +307,7 @@
             bundle.told = now
             # No box, and no life: it only says that the owner is there.
             said = Carried(min(bundle.live), bundle.term, 0, 0, 0)
-            out += [Tell(peer, said, Urgency.ROUTINE) for peer in bundle.following(now)]
+            out += [SendMessage(peer, said, Urgency.ROUTINE) for peer in bundle.following(now)]
         offered = bundle.offered
         return out if offered is None else out + self.handoff.offering(bundle, offered, now)
 
--- a/paddlequay/cluster/epochs.py
+++ b/paddlequay/cluster/epochs.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 
 from paddlequay.cluster.acceptor import counter
-from paddlequay.cluster.notes import Has, Table
-from paddlequay.cluster.types import NEVER, Action, Bounds, Fleet, Name, Peer, Say, Tell, Urgency
+from paddlequay.cluster.messages import Has, Table
+from paddlequay.cluster.types import NEVER, Action, Bounds, Fleet, LogEvent, Name, Peer, SendMessage, Urgency
 from paddlequay.placement.homes import digest
 
 LEASE: Name = digest("tables")
@@ -175,7 +175,7 @@
                 # The holder before this one has declared a later epoch, which has not come here.
                 self.declared, self.tries = None, Tries()
             elif epoch < declared.epoch and note.active < mark(declared.epoch):
-                return [Tell(sender, declared.note(), Urgency.NEWS)]
+                return [SendMessage(sender, declared.note(), Urgency.NEWS)]
         return []
 
     def alive(self, peer: Peer, now: float) -> list[Action]:
@@ -184,11 +184,13 @@
         self.confirmed.pop(peer, None)
         actions: list[Action] = []
         if self.declared is not None:
-            actions.append(Tell(peer, self.declared.note(), Urgency.NEWS))
+            actions.append(SendMessage(peer, self.declared.note(), Urgency.NEWS))
             if self.tries.at == NEVER:
                 self.tries.start(now)
         if self.proposal is not None:
-            actions.append(Tell(peer, told(self.proposal.epoch, self.proposal.content, 0), Urgency.NEWS))
+            actions.append(
+                SendMessage(peer, told(self.proposal.epoch, self.proposal.content, 0), Urgency.NEWS)
+            )
         return actions
 
     # --- what follows ---
@@ -225,7 +227,7 @@
             made = self.declared = Declared(self.proposal.epoch, self.proposal.content)
             actions += self.settled(self.proposal, now)
             self.proposal = None
-            actions.append(Tell(None, made.note(), Urgency.NEWS))
+            actions.append(SendMessage(None, made.note(), Urgency.NEWS))
             self.tries.start(now)
             self.routine_at = now + self.routine
         if self.next <= now:
@@ -251,7 +253,7 @@
         self.proposal = Proposal(epoch_of(self.term, self.number), wanted, since, Tries())
         self.proposal.tries.start(now)
         self.proposed = now
-        return [Tell(None, told(self.proposal.epoch, wanted, 0), Urgency.NEWS)]
+        return [SendMessage(None, told(self.proposal.epoch, wanted, 0), Urgency.NEWS)]
 
     def ask_again(self, proposal: Proposal, now: float) -> list[Action]:
         """Those who have not answered, or had something else then."""
@@ -259,7 +261,7 @@
         agreeing = (proposal.epoch, proposal.content.table)
         alike = {peer for peer, each in self.answers.items() if (each.epoch, each.table) == agreeing}
         asked = [peer for peer in self.others() if peer not in alike]
-        actions: list[Action] = [Tell(peer, note, Urgency.NEWS) for peer in asked]
+        actions: list[Action] = [SendMessage(peer, note, Urgency.NEWS) for peer in asked]
         return actions + self.differ(now)
 
     def differ(self, now: float) -> list[Action]:
@@ -279,11 +281,11 @@
             ("most_alike", max(counts.values())),
             ("needed", self.majority),
         )
-        return [Say("tables_differ", fields)]
+        return [LogEvent("tables_differ", fields)]
 
     def settled(self, proposal: Proposal, now: float) -> list[Action]:
         took = round(now - proposal.since, 3)
-        return [Say("table_declared", (("epoch", mark(proposal.epoch)), ("took_s", took)))]
+        return [LogEvent("table_declared", (("epoch", mark(proposal.epoch)), ("took_s", took)))]
 
     def repeat(self, now: float) -> list[Action]:
         """The declaration: again to who has not confirmed it, now and then to all."""
@@ -292,14 +294,14 @@
         note = self.declared.note()
         if self.routine_at <= now:
             self.routine_at = now + self.routine
-            return [Tell(None, note, Urgency.ROUTINE), *self.differ(now)]
+            return [SendMessage(None, note, Urgency.ROUTINE), *self.differ(now)]
         if self.tries.at <= now:
             active = mark(self.declared.epoch)
             left = [peer for peer in self.others() if self.confirmed.get(peer) != active]
             self.tries.again(now)
             if not left:
                 self.tries = Tries()
-            return [Tell(peer, note, Urgency.NEWS) for peer in left]
+            return [SendMessage(peer, note, Urgency.NEWS) for peer in left]
         return []
 
     def others(self) -> list[Peer]:
--- a/paddlequay/cluster/evidence.py
+++ b/paddlequay/cluster/evidence.py
@@ -4,11 +4,11 @@
 tell of members that fail for everybody.
 """
 
-from paddlequay.cluster.types import Trouble
+from paddlequay.cluster.types import Fault
 from paddlequay.routing.interface import Fetch, Outcome, ReplyDetail
 
 FILLS = (ReplyDetail.FILLED, ReplyDetail.FILLED_FROM_ORIGIN)
-Found = tuple[str, bool, Trouble | None]  # a member, whether it has served, and what is wrong with it
+Found = tuple[str, bool, Fault | None]  # a member, whether it has served, and what is wrong with it
 
 
 def found(
@@ -25,18 +25,18 @@
             shown.append((origin, True, None))
         return shown
     if note is ReplyDetail.ORIGIN_FAILED:
-        return [(origin, False, Trouble.FAILING)] if origin is not None else []
+        return [(origin, False, Fault.FAILING)] if origin is not None else []
     if note is ReplyDetail.SOURCE_UNREACHABLE and fills:
-        return [(target, True, None), (source, False, Trouble.SILENT)]
+        return [(target, True, None), (source, False, Fault.SILENT)]
     if note is ReplyDetail.SOURCE_REJECTED and fills:
-        return [(target, True, None), (source, True, Trouble.FULL)]
+        return [(target, True, None), (source, True, Fault.FULL)]
     if outcome is Outcome.MISS:
         return [(target, True, None)]
     if outcome is Outcome.CONNECT_FAILED or silent:
-        return [(target, False, Trouble.SILENT)]
+        return [(target, False, Fault.SILENT)]
     if outcome is Outcome.RESET:
-        return [(target, False, Trouble.FAILING)]
+        return [(target, False, Fault.FAILING)]
     if outcome is Outcome.TIMEOUT and fills:
         # The target's connection is alive, and what it waits for is its source.
-        return [(source, False, Trouble.SILENT)]
+        return [(source, False, Fault.SILENT)]
     return []
--- a/paddlequay/cluster/granter.py
+++ b/paddlequay/cluster/granter.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from paddlequay.cluster.notes import Grant, Need
-from paddlequay.cluster.share import NOTHING, Share, Whole, divide, divide_burst
+from paddlequay.cluster.messages import QuotaGrant, QuotaRequest
+from paddlequay.cluster.quotas import NOTHING, Share, Whole, divide, divide_burst
 from paddlequay.cluster.types import NEVER, Bounds, Name, Peer
 
 Holds = Callable[[Name, float], int | None]  # the term of a lease that this router holds at this moment
@@ -110,7 +110,9 @@
         """How long after taking the lease a holder issues nothing."""
         return self.late(kept.life)
 
-    def need(self, kept: Kept, sender: Peer, incarnation: int, note: Need, now: float) -> Grant | None:
+    def need(
+        self, kept: Kept, sender: Peer, incarnation: int, note: QuotaRequest, now: float
+    ) -> QuotaGrant | None:
         """Answer a Need: with a share, maybe of nothing, or not at all."""
         term = self.holding(kept.lease, now)
         if term is None or note.term > term or not 0 <= sender < self.size:
@@ -122,7 +124,7 @@
         if now < self.terms[kept.lease][1] + self.waits(kept):
             return None
         share = self.granted(book, kept, sender, incarnation, now)
-        return Grant(note.limit, note.number, term, share.milli, share.burst, int(kept.life * 1000))
+        return QuotaGrant(note.limit, note.number, term, share.milli, share.burst, int(kept.life * 1000))
 
     def granted(self, book: Book, kept: Kept, sender: Peer, incarnation: int, now: float) -> Share:
         """What the sender gets now: its share as far as it is free, written down as out."""
@@ -149,7 +151,9 @@
                 burst += most.burst
         return Share(milli, burst)
 
-    def noted(self, book: Book, kept: Kept, sender: Peer, incarnation: int, note: Need, now: float) -> bool:
+    def noted(
+        self, book: Book, kept: Kept, sender: Peer, incarnation: int, note: QuotaRequest, now: float
+    ) -> bool:
         """Write down what a router needs; False for a Need that is no newer than the last."""
         want = max(0, min(note.milli, kept.whole.limit.milli) - kept.whole.floor.milli)
         asker = book.askers.get(sender)
--- a/paddlequay/cluster/handoff.py
+++ b/paddlequay/cluster/handoff.py
@@ -5,9 +5,9 @@
 """
 
 from paddlequay.cluster.bundles import FOLLOWED_S, Bundle, Bundles, LeasesOf, Offered, Taking
-from paddlequay.cluster.notes import Load, Offer, Ready
+from paddlequay.cluster.messages import Load, Offer, Ready
 from paddlequay.cluster.settings import ChannelRule
-from paddlequay.cluster.types import NEVER, Action, Peer, Say, Tell, Urgency
+from paddlequay.cluster.types import NEVER, Action, LogEvent, Peer, SendMessage, Urgency
 
 AT_ONCE = 4
 WARM_S = 0.1  # an offered bundle's bid has had its answer, and waits
@@ -47,7 +47,7 @@
         """Release without an heir; whoever reads the bundle is told to look for an owner."""
         gone = Ready(bundle.lease, bundle.term, 0)
         out = self.bundles.release(bundle, now, None)
-        out += [Tell(peer, gone, Urgency.NEWS) for peer in bundle.following(now)]
+        out += [SendMessage(peer, gone, Urgency.NEWS) for peer in bundle.following(now)]
         bundle.followers.clear()
         return out
 
@@ -97,7 +97,7 @@
 
     def give(self, bundle: Bundle, heir: Peer, now: float) -> list[Action]:
         bundle.offered = Offered(heir, now, now)
-        return [Tell(heir, self.offer(bundle, now), Urgency.LEASE)]
+        return [SendMessage(heir, self.offer(bundle, now), Urgency.LEASE)]
 
     def offer(self, bundle: Bundle, now: float) -> Offer:
         return Offer(bundle.lease, bundle.term, int(bundle.rate.now(now) * 1000))
@@ -108,7 +108,7 @@
             bundle.refused[offered.to], bundle.offered = now, None
         elif now - offered.said >= OFFER_AGAIN_S:
             offered.said = now
-            return [Tell(offered.to, self.offer(bundle, now), Urgency.LEASE)]
+            return [SendMessage(offered.to, self.offer(bundle, now), Urgency.LEASE)]
         return []
 
     def ready(self, sender: Peer, bundle: Bundle, note: Ready, now: float) -> list[Action]:
@@ -120,7 +120,7 @@
             bundle.refused[sender], bundle.offered = now, None
             return self.moves(now)
         out = self.bundles.release(bundle, now, sender)
-        return [*out, Say("channels-handed-on", (("bundle", bundle.lease), ("to", sender)))]
+        return [*out, LogEvent("channels-handed-on", (("bundle", bundle.lease), ("to", sender)))]
 
     def over(self, bundle: Bundle, now: float) -> list[Action]:
         """The overlap has ended: followers look for the new owner."""
@@ -128,7 +128,7 @@
             return []
         gone = Ready(bundle.lease, bundle.overlap.term, 0)
         bundle.overlap = None
-        out: list[Action] = [Tell(peer, gone, Urgency.NEWS) for peer in bundle.following(now)]
+        out: list[Action] = [SendMessage(peer, gone, Urgency.NEWS) for peer in bundle.following(now)]
         bundle.followers.clear()
         return out
 
@@ -143,7 +143,7 @@
             return [self.yes(bundle, taking)] if taking.ready else []
         busy = sum(each.taking is not None for each in self.bundles.all) >= AT_ONCE
         if self.draining or busy or not bundle.live or bundle.term:
-            return [Tell(sender, Ready(bundle.lease, note.term, 0), Urgency.LEASE)]
+            return [SendMessage(sender, Ready(bundle.lease, note.term, 0), Urgency.LEASE)]
         bundle.taking = Taking(sender, note.term, now)
         bundle.wanted, bundle.bids_from = True, None
         return self.leases.want(bundle.lease, now)
@@ -157,5 +157,5 @@
             return [self.yes(bundle, taking)] if taking.ready else []
         return []
 
-    def yes(self, bundle: Bundle, taking: Taking) -> Tell:
-        return Tell(taking.former, Ready(bundle.lease, taking.term, 1), Urgency.LEASE)
+    def yes(self, bundle: Bundle, taking: Taking) -> SendMessage:
+        return SendMessage(taking.former, Ready(bundle.lease, taking.term, 1), Urgency.LEASE)
--- a/paddlequay/cluster/leases.py
+++ b/paddlequay/cluster/leases.py
@@ -40,9 +40,19 @@
 from typing import ClassVar
 
 from paddlequay.cluster.acceptor import Acceptor, counter
-from paddlequay.cluster.notes import Accept, Note, Prepare, Promise, Propose, Reject, Release
+from paddlequay.cluster.messages import Accept, PeerMessage, Prepare, Promise, Propose, Reject, Release
 from paddlequay.cluster.proposer import Proposer
-from paddlequay.cluster.types import NEVER, Action, Bounds, Fleet, Local, Name, Peer, Tell, Urgency
+from paddlequay.cluster.types import (
+    NEVER,
+    Action,
+    Bounds,
+    Fleet,
+    LocalEvent,
+    Name,
+    Peer,
+    SendMessage,
+    Urgency,
+)
 
 
 class Leases:
@@ -51,7 +61,14 @@
     `rng` is seeded anew for each run of a process: it makes the run's nonce and the waits.
     """
 
-    HEARS: ClassVar[tuple[type[Note], ...]] = (Prepare, Promise, Propose, Accept, Reject, Release)
+    HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (
+        Prepare,
+        Promise,
+        Propose,
+        Accept,
+        Reject,
+        Release,
+    )
     acceptor_kind: ClassVar[type[Acceptor]] = Acceptor
     proposer_kind: ClassVar[type[Proposer]] = Proposer
 
@@ -63,7 +80,7 @@
     # --- for the parts that need leases ---
 
     def want(self, lease: Name, now: float) -> list[Action]:
-        """Try for a lease until it is dropped, and renew it while held. Refused (`Say`) past `BIDS_MOST`."""
+        """Bids for a lease until it is dropped, and renews it while held; logs a refusal past `BIDS_MOST`."""
         return self._settled(self.proposer.want(lease, now), now)
 
     def drop(self, lease: Name, now: float, heir: Peer | None = None) -> list[Action]:
@@ -79,9 +96,9 @@
         return self.proposer.holder(lease, now)
 
     def ask(self, lease: Name, now: float) -> list[Action]:
-        """Ask all acceptors who holds a lease, without bidding for it: told by `HolderSeen` and `holder`."""
+        """Asks all acceptors who holds a lease, without a bid; `HolderObserved` gives the answer."""
         note = Prepare(lease, 0)
-        return self._settled([Tell(each, note, Urgency.NEWS) for each in self.fleet.acceptors], now)
+        return self._settled([SendMessage(each, note, Urgency.NEWS) for each in self.fleet.acceptors], now)
 
     @property
     def clock(self) -> int:
@@ -94,10 +111,10 @@
 
     # --- as a part ---
 
-    def hear(self, sender: Peer, incarnation: int, note: Note, now: float) -> list[Action]:
+    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
         return self._settled(self._heard(sender, note, now), now)
 
-    def on(self, news: Local, now: float) -> list[Action]:
+    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
         return []  # liveness is a guess: leases go by their own clocks alone
 
     def tick(self, now: float) -> list[Action]:
@@ -108,15 +125,19 @@
     def due(self) -> float:
         return min(self.proposer.due(), self.acceptor.due() if self.acceptor is not None else NEVER)
 
-    def _heard(self, sender: Peer, note: Note, now: float) -> list[Action]:
+    def _heard(self, sender: Peer, note: PeerMessage, now: float) -> list[Action]:
         out: list[Action] = []
         if isinstance(note, Prepare | Propose | Release):
-            answer = self.acceptor.hear(sender, note, self.clock, now) if self.acceptor is not None else None
+            answer = (
+                self.acceptor.handle_message(sender, note, self.clock, now)
+                if self.acceptor is not None
+                else None
+            )
             self.proposer.saw_clock(counter(note.ballot))
             if answer is not None:
-                out.append(Tell(sender, answer, Urgency.LEASE))
+                out.append(SendMessage(sender, answer, Urgency.LEASE))
         if not isinstance(note, Prepare | Propose):
-            out += self.proposer.hear(sender, note, now)
+            out += self.proposer.handle_message(sender, note, now)
         return out
 
     def _settled(self, actions: list[Action], now: float) -> list[Action]:
@@ -125,7 +146,7 @@
         actions = actions[::-1]
         while actions:
             action = actions.pop()
-            if isinstance(action, Tell) and action.to == self.fleet.me:
+            if isinstance(action, SendMessage) and action.to == self.fleet.me:
                 actions += self._heard(self.fleet.me, action.note, now)[::-1]
             else:
                 out.append(action)
--- a/paddlequay/cluster/limits.py
+++ b/paddlequay/cluster/limits.py
@@ -15,21 +15,21 @@
 
 from paddlequay.cluster.buckets import Bucket, Places, Times
 from paddlequay.cluster.granter import Granter, Holds, Kept
-from paddlequay.cluster.notes import Grant, Need, Note
+from paddlequay.cluster.messages import PeerMessage, QuotaGrant, QuotaRequest
+from paddlequay.cluster.quotas import Share, whole
 from paddlequay.cluster.settings import By, LimitRule, Mode
-from paddlequay.cluster.share import Share, whole
 from paddlequay.cluster.types import (
     NEVER,
     Action,
     Bounds,
     Fleet,
-    HolderSeen,
+    HolderObserved,
+    LeaseAcquired,
     LeaseLost,
-    LeaseTaken,
-    Local,
+    LocalEvent,
     Name,
     Peer,
-    Tell,
+    SendMessage,
     Urgency,
 )
 
@@ -99,7 +99,7 @@
     than before.
     """
 
-    HEARS: tuple[type[Note], ...] = (Need, Grant)
+    HANDLED_MESSAGES: tuple[type[PeerMessage], ...] = (QuotaRequest, QuotaGrant)
     bucket: type[Bucket] = Bucket
     places: type[Places] = Places
     granters: type[Granter] = Granter
@@ -298,7 +298,7 @@
         self.want(limit, line, now + min(again, self.bounds.grant))
         lease = line.kept.lease
         term, holder = self.holders.get(lease, (0, self.fleet.me))
-        need = Need(limit, number, milli, term)
+        need = QuotaRequest(limit, number, milli, term)
         if self.granter.holding(lease, now) is not None:
             grant = self.granter.need(line.kept, self.fleet.me, self.incarnation, need, now)
             if grant is not None:
@@ -307,32 +307,32 @@
         line.vain = min(line.vain, now)
         patience = self.bounds.grant
         if holder != self.fleet.me and (now < line.vain + patience or now < line.loud + patience):
-            return [Tell(holder, need, Urgency.NEWS)]
+            return [SendMessage(holder, need, Urgency.NEWS)]
         if now < line.loud + patience:
             return []
         line.loud = now  # nobody known answers: ask all who may hold the lease
         voters = [peer for peer in self.fleet.acceptors if peer != self.fleet.me]
-        return [Tell(peer, need, Urgency.NEWS) for peer in voters or (None,)]
+        return [SendMessage(peer, need, Urgency.NEWS) for peer in voters or (None,)]
 
-    def hear(self, sender: Peer, incarnation: int, note: Note, now: float) -> list[Action]:
-        if isinstance(note, Need):
+    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
+        if isinstance(note, QuotaRequest):
             known = self.rules.get(note.limit >> VALUE_BITS)
             if known is None:
                 return []
             grant = self.granter.need(known[1], sender, incarnation, note, now)
-            return [] if grant is None else [Tell(sender, grant, Urgency.NEWS)]
-        if isinstance(note, Grant):
+            return [] if grant is None else [SendMessage(sender, grant, Urgency.NEWS)]
+        if isinstance(note, QuotaGrant):
             self.take(sender, note, now)
         return []
 
-    def since(self, line: Line, note: Grant, now: float) -> float | None:
+    def since(self, line: Line, note: QuotaGrant, now: float) -> float | None:
         """When a grant's life began; None for one that is void: for no Need, an old one, of a lower term."""
         term, _ = self.holders.get(line.kept.lease, (0, 0))
         if note.number <= line.number or note.term < term:
             return None
         return line.sent.get(note.number)
 
-    def take(self, sender: Peer, note: Grant, now: float) -> None:
+    def take(self, sender: Peer, note: QuotaGrant, now: float) -> None:
         """Use a grant, if it answers a Need of this process and is not over."""
         line = self.lines.get(note.limit)
         sent = self.since(line, note, now) if line is not None else None
@@ -354,12 +354,12 @@
         if term >= self.holders.get(lease, (0, 0))[0]:
             self.holders[lease] = term, holder
 
-    def on(self, news: Local, now: float) -> list[Action]:
-        if isinstance(news, LeaseTaken | LeaseLost | HolderSeen) and news.lease not in self.leases:
+    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
+        if isinstance(news, LeaseAcquired | LeaseLost | HolderObserved) and news.lease not in self.leases:
             return []
-        if isinstance(news, LeaseTaken):
+        if isinstance(news, LeaseAcquired):
             self.granter.taken(news.lease, news.term, now)
             self.seen(news.lease, self.fleet.me, news.term)
-        elif isinstance(news, HolderSeen):
+        elif isinstance(news, HolderObserved):
             self.seen(news.lease, news.holder, news.term)
         return []
--- a/paddlequay/cluster/liveness.py
+++ b/paddlequay/cluster/liveness.py
@@ -17,17 +17,17 @@
 from typing import ClassVar
 
 from paddlequay.cluster.members import INCARNATION_MOST, Member, Members, News, Questions, life, outdone
-from paddlequay.cluster.notes import Ack, Note, Ping, PingFor, Rumour
+from paddlequay.cluster.messages import Ack, MembershipUpdate, PeerMessage, Ping, PingFor
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import (
     NEVER,
     Action,
     Fleet,
-    Local,
+    LocalEvent,
     Peer,
+    PeerState,
     SelfChanged,
-    Standing,
-    Tell,
+    SendMessage,
     Urgency,
 )
 
@@ -43,7 +43,7 @@
 LATE_S = 0.1  # a tick later than that is a stall; a loaded event loop stays under it
 HEALTH_MOST = 7  # waits are at most 8 times as long, as Lifeguard has it
 
-_WORDS = {1: Standing.ALIVE, 2: Standing.SUSPECT, 3: Standing.DEAD}
+_WORDS = {1: PeerState.ALIVE, 2: PeerState.SUSPECT, 3: PeerState.DEAD}
 
 
 @dataclass(slots=True)
@@ -58,11 +58,11 @@
 class Liveness:
     """Which peers are alive, and whether this router is cut off; implements `Part`.
 
-    `seen` is to be called for each datagram, before its notes are handed to `hear`; the head of each datagram
-    that is sent carries `incarnation` as it stands then.
+    `seen` is to be called for each datagram, before its messages go to `handle_message`; the head of
+    each datagram that is sent carries `incarnation` as it stands then.
     """
 
-    HEARS: ClassVar[tuple[type[Note], ...]] = (Ping, Ack, PingFor, Rumour)
+    HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (Ping, Ack, PingFor, MembershipUpdate)
 
     def __init__(
         self, fleet: Fleet, settings: ClusterSettings, incarnation: int, rng: Random, now: float
@@ -88,12 +88,12 @@
 
     # --- what is asked ---
 
-    def standing(self, peer: Peer) -> Standing:
+    def standing(self, peer: Peer) -> PeerState:
         """What is believed of a peer; this router is alive to itself, numbers outside the fleet unknown."""
         if peer == self._me:
-            return Standing.ALIVE
+            return PeerState.ALIVE
         member = self._members.get(peer)
-        return member.standing if member else Standing.UNKNOWN
+        return member.standing if member else PeerState.UNKNOWN
 
     def incarnation_of(self, peer: Peer) -> int:
         """The highest incarnation known of a peer, 0 none."""
@@ -122,12 +122,12 @@
         self._heard_at = now
         if incarnation < member.incarnation:
             return actions  # delayed, or it has a clock set back; `Ping` tells it
-        if incarnation == member.incarnation and member.standing is Standing.DEAD:
+        if incarnation == member.incarnation and member.standing is PeerState.DEAD:
             # It was stopped or cut off: it is to refute, so that all others take it back as well.
             return actions + self._warn(sender, now)
         return actions + self._lives(sender, incarnation, now)
 
-    def hear(self, sender: Peer, incarnation: int, note: Note, now: float) -> list[Action]:
+    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
         self._woken(now)
         actions: list[Action] = []
         if self._members.get(sender) is None:
@@ -137,18 +137,18 @@
                 if self.incarnation < note.about <= INCARNATION_MOST:
                     self._outdo(note.about)
                 answer = Ack(note.number, self._me, self.incarnation)
-                actions.append(Tell(sender, answer, Urgency.LEASE))
+                actions.append(SendMessage(sender, answer, Urgency.LEASE))
                 actions += self._news.riders(sender)
             case PingFor():
                 if self._members.get(note.peer) is not None and note.peer != sender:
                     actions += self._ping(note.peer, now, sender, note.number)
             case Ack():
                 actions += self._acked(note, now)
-            case Rumour():
+            case MembershipUpdate():
                 actions += self._told(note, now)
         return actions
 
-    def on(self, news: Local, now: float) -> list[Action]:
+    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
         return []
 
     def tick(self, now: float) -> list[Action]:
@@ -159,7 +159,7 @@
         while self._hello and self._next_hello <= now:
             peer = self._hello.pop()
             self._next_hello += 1.0 / HELLO_PER_S
-            if self._members[peer].standing is Standing.UNKNOWN:
+            if self._members[peer].standing is PeerState.UNKNOWN:
                 actions += self._ping(peer, now)
         if self._probe is not None and self._probe.next <= now:
             actions += self._probe_on(self._probe, now)
@@ -194,14 +194,14 @@
 
     def _ping(self, peer: Peer, now: float, asker: Peer | None = None, number: int = 0) -> list[Action]:
         ping = Ping(self._questions.ask(peer, now, asker, number), self._members[peer].incarnation)
-        return [Tell(peer, ping, Urgency.NEWS), *self._news.riders(peer)]
+        return [SendMessage(peer, ping, Urgency.NEWS), *self._news.riders(peer)]
 
     def _ping_about(self, peer: Peer, now: float) -> list[Action]:
         """Ask directly and through others; their own answers tell whether this router is cut off."""
         actions = self._ping(peer, now)
         number = self._questions.last
         for helper in self._members.some(HELPERS, but=peer):
-            actions.append(Tell(helper, PingFor(number, peer), Urgency.NEWS))
+            actions.append(SendMessage(helper, PingFor(number, peer), Urgency.NEWS))
             actions += self._ping(helper, now)
         return actions
 
@@ -213,7 +213,7 @@
         if self._members.lost and not self._hello and self._periods % LOST_EVERY == 0:
             lost = self._rng.choice(sorted(self._members.lost))
             actions += self._ping(lost, now)
-            if self._members[lost].standing is Standing.DEAD:
+            if self._members[lost].standing is PeerState.DEAD:
                 actions += self._warn(lost, now)
         peer = self._members.turn()
         if peer is not None:
@@ -225,7 +225,7 @@
     def _probe_on(self, probe: _Probe, now: float) -> list[Action]:
         """The peer asked has had its time: ask again, or suspect it."""
         member = self._members[probe.peer]
-        if probe.answered or member.standing is not Standing.ALIVE:
+        if probe.answered or member.standing is not PeerState.ALIVE:
             self._probe = None
             self._health = max(0, self._health - probe.answered)
             return []
@@ -238,7 +238,7 @@
             return []  # it lives, though this router does not reach it
         if self._reached_at >= probe.sent:
             # Where nobody at all has answered, telling of it would only make the whole fleet refute.
-            self._news.spread(Rumour(probe.peer, member.incarnation, 2, self._me))
+            self._news.spread(MembershipUpdate(probe.peer, member.incarnation, 2, self._me))
         return self._suspect(probe.peer, member, now, own=True)
 
     def _acked(self, note: Ack, now: float) -> list[Action]:
@@ -249,7 +249,7 @@
             return []
         if asked.asker is not None:
             ack = Ack(asked.number, note.peer, note.incarnation)
-            return [Tell(asked.asker, ack, Urgency.LEASE), *self._news.riders(asked.asker)]
+            return [SendMessage(asked.asker, ack, Urgency.LEASE), *self._news.riders(asked.asker)]
         if now - self._reached_at > 2 * self._period:
             # This router was cut off for a while: what the suspects may have said then is lost too.
             for peer in self._members.suspects:
@@ -261,7 +261,7 @@
         member = self._members[note.peer]
         if note.incarnation < member.incarnation:
             return []
-        if note.incarnation == member.incarnation and member.standing is Standing.DEAD:
+        if note.incarnation == member.incarnation and member.standing is PeerState.DEAD:
             return self._warn(note.peer, now)
         return self._lives(note.peer, note.incarnation, now)
 
@@ -277,15 +277,15 @@
         member.incarnation = incarnation
         member.seen = now
         if refuted:
-            self._news.spread(Rumour(peer, incarnation, 1, peer))
-        if member.standing is Standing.ALIVE and not anew:
+            self._news.spread(MembershipUpdate(peer, incarnation, 1, peer))
+        if member.standing is PeerState.ALIVE and not anew:
             return []
         if not refuted:
             self._news.drop(peer)
-        return [self._members.stand(peer, Standing.ALIVE)]
+        return [self._members.stand(peer, PeerState.ALIVE)]
 
     def _suspect(self, peer: Peer, member: Member, now: float, own: bool) -> list[Action]:
-        actions: list[Action] = [self._members.stand(peer, Standing.SUSPECT)]
+        actions: list[Action] = [self._members.stand(peer, PeerState.SUSPECT)]
         wait = self._suspicion()
         member.began = now
         member.until = now + wait
@@ -300,13 +300,15 @@
             if self._reached_at < max(member.began, now - 2 * self._period):
                 member.until = now + self._period / 4
                 return actions
-            self._news.spread(Rumour(peer, member.incarnation, 3, self._me))
-            return [self._members.stand(peer, Standing.DEAD)]
+            self._news.spread(MembershipUpdate(peer, member.incarnation, 3, self._me))
+            return [self._members.stand(peer, PeerState.DEAD)]
         if member.retry <= now:
             member.retry = now + self._suspicion() / RETRIES
             actions += self._ping_about(peer, now) if member.own else self._ping(peer, now)
             if self._reached_at >= member.began:
-                actions.append(Tell(peer, Rumour(peer, member.incarnation, 2, self._me), Urgency.NEWS))
+                actions.append(
+                    SendMessage(peer, MembershipUpdate(peer, member.incarnation, 2, self._me), Urgency.NEWS)
+                )
         return actions
 
     def _warn(self, peer: Peer, now: float) -> list[Action]:
@@ -315,42 +317,42 @@
         if now - member.warned < self._period / 2:
             return []
         member.warned = now
-        said = 3 if member.standing is Standing.DEAD else 2
-        return [Tell(peer, Rumour(peer, member.incarnation, said, self._me), Urgency.NEWS)]
+        said = 3 if member.standing is PeerState.DEAD else 2
+        return [SendMessage(peer, MembershipUpdate(peer, member.incarnation, said, self._me), Urgency.NEWS)]
 
-    def _told(self, note: Rumour, now: float) -> list[Action]:
+    def _told(self, note: MembershipUpdate, now: float) -> list[Action]:
         standing = _WORDS.get(note.standing)
         if standing is None or not 0 < note.incarnation <= INCARNATION_MOST:
             return []
         if note.peer == self._me:
             behind = note.incarnation > self.incarnation
-            if behind or (note.incarnation == self.incarnation and standing is not Standing.ALIVE):
+            if behind or (note.incarnation == self.incarnation and standing is not PeerState.ALIVE):
                 self._outdo(note.incarnation)
             return []
         member = self._members.get(note.peer)
         if member is None or note.incarnation < member.incarnation:
             return []
         newer = note.incarnation > member.incarnation
-        if standing is Standing.ALIVE:
+        if standing is PeerState.ALIVE:
             if not newer:
                 return []
             return self._lives(note.peer, note.incarnation, now)
         if not newer:
-            if member.standing in (Standing.DEAD, standing):
+            if member.standing in (PeerState.DEAD, standing):
                 return []
             if now - member.seen <= self._period / 2:
                 return self._warn(note.peer, now)  # this router knows better: it has heard it just now
         member.incarnation = note.incarnation
         self._news.spread(note)
-        if standing is Standing.SUSPECT:
+        if standing is PeerState.SUSPECT:
             return self._suspect(note.peer, member, now, own=False)
-        return [self._members.stand(note.peer, Standing.DEAD)]
+        return [self._members.stand(note.peer, PeerState.DEAD)]
 
     def _outdo(self, incarnation: int) -> None:
         """Refute what is said of this router, or a number that it has had in an earlier life."""
         self.incarnation = outdone(self.incarnation, incarnation)
         self._health = min(HEALTH_MOST, self._health + 1)
-        self._news.spread(Rumour(self._me, self.incarnation, 1, self._me))
+        self._news.spread(MembershipUpdate(self._me, self.incarnation, 1, self._me))
 
     # --- this process's own health ---
 
--- a/paddlequay/cluster/members.py
+++ b/paddlequay/cluster/members.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from paddlequay.cluster.notes import Rumour
-from paddlequay.cluster.types import NEVER, Action, Peer, PeerChanged, Standing, Tell, Urgency
+from paddlequay.cluster.messages import MembershipUpdate
+from paddlequay.cluster.types import NEVER, Action, Peer, PeerChanged, PeerState, SendMessage, Urgency
 
 NEWS_MOST = 6  # rumours in a datagram: under 200 bytes
 ASKED_MOST = 1024  # pings that wait for an answer, own and others'
@@ -32,7 +32,7 @@
 class Member:
     """What is believed of a peer."""
 
-    standing: Standing = Standing.UNKNOWN
+    standing: PeerState = PeerState.UNKNOWN
     incarnation: int = 0
     seen: float = -NEVER  # when a sign of life came, of this incarnation
     began: float = -NEVER  # SUSPECT: since when
@@ -66,23 +66,23 @@
         return len(self._members) - len(self.lost) - len(self.suspects)
 
     def alive(self) -> list[Peer]:
-        return [peer for peer, member in self._members.items() if member.standing is Standing.ALIVE]
+        return [peer for peer, member in self._members.items() if member.standing is PeerState.ALIVE]
 
     def some(self, most: int, but: Peer | None = None) -> list[Peer]:
         """A few of those alive, at random."""
         alive = [peer for peer in self.alive() if peer != but]
         return self._rng.sample(alive, min(most, len(alive)))
 
-    def stand(self, peer: Peer, standing: Standing) -> PeerChanged:
+    def stand(self, peer: Peer, standing: PeerState) -> PeerChanged:
         """It is believed from now on."""
         member = self._members[peer]
         member.standing = standing
         member.until = member.retry = NEVER
         self.suspects.discard(peer)
         self.lost.discard(peer)
-        if standing is Standing.SUSPECT:
+        if standing is PeerState.SUSPECT:
             self.suspects.add(peer)
-        elif standing is Standing.DEAD:
+        elif standing is PeerState.DEAD:
             self.lost.add(peer)
         elif self._turns and peer not in self._turns:
             # As SWIM has it, so that new ones are asked after half a round on average.
@@ -96,7 +96,7 @@
             self._rng.shuffle(self._turns)
         while self._turns:
             peer = self._turns.pop()
-            if self._members[peer].standing is Standing.ALIVE:
+            if self._members[peer].standing is PeerState.ALIVE:
                 return peer
         return None
 
@@ -106,12 +106,12 @@
 
     def __init__(self, times: int) -> None:
         self._times = times
-        self._left: dict[Peer, tuple[Rumour, int]] = {}
+        self._left: dict[Peer, tuple[MembershipUpdate, int]] = {}
 
     def __bool__(self) -> bool:
         return bool(self._left)
 
-    def spread(self, rumour: Rumour) -> None:
+    def spread(self, rumour: MembershipUpdate) -> None:
         self._left[rumour.peer] = (rumour, self._times)
 
     def drop(self, peer: Peer) -> None:
@@ -124,7 +124,7 @@
                 self._left[peer] = (rumour, left - 1)
             else:
                 del self._left[peer]
-            yield Tell(to, rumour, Urgency.NEWS)
+            yield SendMessage(to, rumour, Urgency.NEWS)
 
 
 @dataclass(frozen=True, slots=True)
--- a/paddlequay/cluster/notes.py
+++ b/paddlequay/cluster/messages.py
@@ -31,12 +31,12 @@
 # form, whatever the fields are named.
 Digest = Annotated[int, IntRange(0, DIGEST_MOST)]
 PeerNumber = Annotated[int, PeerRange()]
-StandingNumber = Annotated[int, IntRange(1, 3)]
-TroubleNumber = Annotated[int, IntRange(0, 4)]  # 0: none; else a `Trouble`
+PeerStateNumber = Annotated[int, IntRange(1, 3)]
+FaultNumber = Annotated[int, IntRange(0, 4)]  # 0: none; else a `Fault`
 Flag = Annotated[int, IntRange(0, 1)]
 
 
-class Note:
+class PeerMessage:
     """A note; `KIND` tells them apart on the wire."""
 
     KIND: ClassVar[int]
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ping(Note):
+class Ping(PeerMessage):
     """Are you there? Answered by `Ack` with the same number."""
 
     KIND: ClassVar[int] = 1
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ack(Note):
+class Ack(PeerMessage):
     """I am; or, for a `PingFor`, `peer` is, in this incarnation."""
 
     KIND: ClassVar[int] = 2
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PingFor(Note):
+class PingFor(PeerMessage):
     """Ask `peer` in my place: my own ping was not answered."""
 
     KIND: ClassVar[int] = 3
@@ -75,13 +75,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rumour(Note):
+class MembershipUpdate(PeerMessage):
     """What is believed of a peer: `standing` 1 alive, 2 suspect, 3 dead, in that incarnation, first `by`."""
 
     KIND: ClassVar[int] = 4
     peer: PeerNumber
     incarnation: int
-    standing: StandingNumber
+    standing: PeerStateNumber
     by: PeerNumber
 
 
@@ -89,14 +89,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prepare(Note):
+class Prepare(PeerMessage):
     KIND: ClassVar[int] = 10
     lease: Digest
     ballot: int
 
 
 @dataclass(frozen=True, slots=True)
-class Promise(Note):
+class Promise(PeerMessage):
     """No lower ballot any more; `holder` has, under `held`, `left_ms` at most of its lease; 0: nobody."""
 
     KIND: ClassVar[int] = 11
@@ -108,7 +108,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Propose(Note):
+class Propose(PeerMessage):
     """Accept the sender as holder for `term_ms` from its receipt on."""
 
     KIND: ClassVar[int] = 12
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Accept(Note):
+class Accept(PeerMessage):
     KIND: ClassVar[int] = 13
     lease: Digest
     ballot: int
@@ -127,7 +127,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reject(Note):
+class Reject(PeerMessage):
     """`promised` is higher, or (`out_ms` above 0) the acceptor started lately and stays out for so long."""
 
     KIND: ClassVar[int] = 14
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Release(Note):
+class Release(PeerMessage):
     """The holder gives the lease back before its end, for `heir` to take where that is not its own number."""
 
     KIND: ClassVar[int] = 15
@@ -151,7 +151,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need(Note):
+class QuotaRequest(PeerMessage):
     """What a router would use of a limit: milli-requests a second, or requests out at once."""
 
     KIND: ClassVar[int] = 20
@@ -162,8 +162,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Grant(Note):
-    """A share of a limit beside the floor, for `life_ms` from when `Need` number `number` was sent."""
+class QuotaGrant(PeerMessage):
+    """A share of a limit beside the floor, for `life_ms` from when `QuotaRequest` `number` was sent."""
 
     KIND: ClassVar[int] = 21
     limit: Digest
@@ -178,13 +178,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Evidence(Note):
+class Evidence(PeerMessage):
     """What the sender itself has seen of a subject in the last `age_ms`."""
 
     KIND: ClassVar[int] = 30
     subject: Digest
     start: int  # which life of the subject, by the list: its start in Unix milliseconds, 0 untold
-    trouble: TroubleNumber  # 0: it serves
+    trouble: FaultNumber  # 0: it serves
     count: int  # of attempts that this rests on
     age_ms: int
     others: int  # members of the same kind that the sender has had served by in that time
@@ -194,7 +194,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Carried(Note):
+class Carried(PeerMessage):
     """The owner's word: which box holds a channel's parts up to `part`, under its term."""
 
     KIND: ClassVar[int] = 40
@@ -206,7 +206,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offer(Note):
+class Offer(PeerMessage):
     """The owner asks another router to warm up for a bundle of channels and take it over."""
 
     KIND: ClassVar[int] = 41
@@ -216,7 +216,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ready(Note):
+class Ready(PeerMessage):
     """Who was offered a bundle is warm (`yes` 1), or declines (0)."""
 
     KIND: ClassVar[int] = 42
@@ -226,7 +226,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Took(Note):
+class Took(PeerMessage):
     """The new owner has filled its first part under `term`: the one before it stops."""
 
     KIND: ClassVar[int] = 43
@@ -236,7 +236,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load(Note):
+class Load(PeerMessage):
     """How much a router carries as an owner, for who gives a bundle away."""
 
     KIND: ClassVar[int] = 44
@@ -248,7 +248,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Table(Note):
+class Table(PeerMessage):
     """The holder of the lease proposes, or (`stage` 1) declares active, a table under an epoch."""
 
     KIND: ClassVar[int] = 50
@@ -260,7 +260,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Has(Note):
+class Has(PeerMessage):
     """A router's answer: it has compiled the table of `epoch` to `table`, which may differ; 0: it cannot."""
 
     KIND: ClassVar[int] = 51
@@ -270,12 +270,12 @@
     active: int  # the epoch that it uses
 
 
-NOTES: dict[int, type[Note]] = {
+MESSAGE_TYPES: dict[int, type[PeerMessage]] = {
     kind.KIND: kind
     for kind in (
-        Ping, Ack, PingFor, Rumour,
+        Ping, Ack, PingFor, MembershipUpdate,
         Prepare, Promise, Propose, Accept, Reject, Release,
-        Need, Grant,
+        QuotaRequest, QuotaGrant,
         Evidence,
         Carried, Offer, Ready, Took, Load,
         Table, Has,
--- a/paddlequay/cluster/node.py
+++ b/paddlequay/cluster/node.py
@@ -11,16 +11,28 @@
 from paddlequay.cluster.limits import Limits
 from paddlequay.cluster.liveness import Liveness
 from paddlequay.cluster.members import first_incarnation
-from paddlequay.cluster.notes import Note
+from paddlequay.cluster.messages import PeerMessage
 from paddlequay.cluster.outbox import Outbox
 from paddlequay.cluster.settings import ClusterSettings
-from paddlequay.cluster.types import Action, Fleet, Local, Name, Part, Peer, Say, Tell, earliest
+from paddlequay.cluster.types import (
+    Action,
+    Fleet,
+    LocalEvent,
+    LogEvent,
+    Name,
+    Part,
+    Peer,
+    SendMessage,
+    earliest,
+)
 from paddlequay.cluster.verdicts import Verdicts
 from paddlequay.cluster.wire import Codec, Head, Wire
 
-News = Local | Say
+ClusterEvent = LocalEvent | LogEvent
 
-SETTLES_MOST = 10_000  # actions that follow from one event: past it a part answers itself without end
+MAX_FOLLOWING_ACTIONS = (
+    10_000  # actions that follow from one event: past it a part answers itself without end
+)
 
 
 class UnsettledError(RuntimeError):
@@ -66,17 +78,17 @@
                 first=first,
             )
         self.parts: list[Part] = [self.liveness]
-        self.hears: dict[type[Note], Part] = dict.fromkeys(Liveness.HEARS, self.liveness)
+        self.hears: dict[type[PeerMessage], Part] = dict.fromkeys(Liveness.HANDLED_MESSAGES, self.liveness)
         self.begun: list[Action] = []
         for part in (self.verdicts, self.leases, self.limits):
             if part is not None:
-                self.join(part, part.HEARS)
+                self.join(part, part.HANDLED_MESSAGES)
         if self.limits is not None and self.leases is not None and fleet.me in fleet.acceptors:
             # Only those who vote bid: two hundred bidders for each lease would be all the traffic there is.
             for lease in self.limits.leases:
                 self.begun += self.leases.want(lease, now)
 
-    def join(self, part: Part, hears: Sequence[type[Note]]) -> None:
+    def join(self, part: Part, hears: Sequence[type[PeerMessage]]) -> None:
         """One more part, which hears notes of these kinds."""
         self.parts.append(part)
         self.hears.update(dict.fromkeys(hears, part))
@@ -87,7 +99,9 @@
 
     # --- events ---
 
-    def hear(self, sender: Peer, head: Head, notes: Sequence[Note], now: float) -> list[News]:
+    def handle_message(
+        self, sender: Peer, head: Head, notes: Sequence[PeerMessage], now: float
+    ) -> list[ClusterEvent]:
         """A datagram has come, and was taken in."""
         if self.leases is not None:
             self.leases.saw_clock(head.clock)
@@ -95,10 +109,10 @@
         for note in notes:
             part = self.hears.get(type(note))
             if part is not None:
-                news += self.settle(part.hear(sender, head.incarnation, note, now), now)
+                news += self.settle(part.handle_message(sender, head.incarnation, note, now), now)
         return news
 
-    def tick(self, now: float) -> list[News]:
+    def tick(self, now: float) -> list[ClusterEvent]:
         """Time has passed."""
         news = self.settle(self.begun, now)
         self.begun = []
@@ -107,9 +121,9 @@
                 news += self.settle(part.tick(now), now)
         return news
 
-    def leave(self, now: float) -> list[News]:
+    def leave(self, now: float) -> list[ClusterEvent]:
         """Give back all leases, so that nobody has to wait for their end; bids are over."""
-        news: list[News] = []
+        news: list[ClusterEvent] = []
         if self.leases is not None and self.limits is not None:
             for lease in self.limits.leases:
                 news += self.settle(self.leases.drop(lease, now), now)
@@ -119,20 +133,20 @@
         """When `tick` is next to be called."""
         return earliest(self.parts) if not self.begun else float("-inf")
 
-    def settle(self, actions: Sequence[Action], now: float) -> list[News]:
+    def settle(self, actions: Sequence[Action], now: float) -> list[ClusterEvent]:
         """Let notes go, and tell all parts what one has found, until nothing follows any more."""
-        news: list[News] = []
+        news: list[ClusterEvent] = []
         waiting = list(actions)
         for place, action in enumerate(waiting):
-            if place >= SETTLES_MOST:
-                raise UnsettledError(f"{SETTLES_MOST} actions after one event, the last {action}")
-            if isinstance(action, Tell):
+            if place >= MAX_FOLLOWING_ACTIONS:
+                raise UnsettledError(f"{MAX_FOLLOWING_ACTIONS} actions after one event, the last {action}")
+            if isinstance(action, SendMessage):
                 self.outbox.put(action, now)
                 continue
             news.append(action)
-            if not isinstance(action, Say):
+            if not isinstance(action, LogEvent):
                 for part in self.parts:
-                    waiting += part.on(action, now)
+                    waiting += part.handle_event(action, now)
         self.wire.incarnation = self.liveness.incarnation
         if self.leases is not None:
             self.wire.clock = max(self.wire.clock, self.leases.clock)
--- a/paddlequay/cluster/outbox.py
+++ b/paddlequay/cluster/outbox.py
@@ -15,8 +15,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from paddlequay.cluster.notes import Note
-from paddlequay.cluster.types import NEVER, Bounds, Peer, Tell, Urgency
+from paddlequay.cluster.messages import PeerMessage
+from paddlequay.cluster.types import NEVER, Bounds, Peer, SendMessage, Urgency
 from paddlequay.cluster.wire import DATAGRAM_MOST, NOTES_MOST, Wire
 
 To = Peer | None  # None: all others
@@ -44,7 +44,7 @@
     since: float
 
 
-def subject(note: Note) -> object:
+def subject(note: PeerMessage) -> object:
     """What a newer note of the same kind replaces."""
     name = next((name for name in SUBJECTS if hasattr(note, name)), None)
     return note.KIND, None if name is None else getattr(note, name)
@@ -62,7 +62,7 @@
         self.number = 0
         self.swept = -math.inf
 
-    def put(self, to: To, note: Note, data: bytes, now: float) -> None:
+    def put(self, to: To, note: PeerMessage, data: bytes, now: float) -> None:
         """A full lane loses its oldest note; a full queue takes no more."""
         lane = self.lanes.get(to, {})
         self.number += 1
@@ -141,7 +141,7 @@
         ages = {Urgency.LEASE: bounds.lease, Urgency.NEWS: news, Urgency.ROUTINE: routine_age}
         self.queues = {each: Queue(each, ages[each], most, self.counts) for each in Urgency}
 
-    def put(self, tell: Tell, now: float) -> None:
+    def put(self, tell: SendMessage, now: float) -> None:
         """Let a note wait for `take`."""
         if tell.to is None:
             if self.fleet.size < 2:
--- a/paddlequay/cluster/proposer.py
+++ b/paddlequay/cluster/proposer.py
@@ -10,19 +10,19 @@
 from enum import Enum
 
 from paddlequay.cluster.acceptor import counter
-from paddlequay.cluster.notes import Accept, Note, Prepare, Promise, Propose, Reject, Release
+from paddlequay.cluster.messages import Accept, PeerMessage, Prepare, Promise, Propose, Reject, Release
 from paddlequay.cluster.types import (
     NEVER,
     Action,
     Bounds,
     Fleet,
-    HolderSeen,
+    HolderObserved,
+    LeaseAcquired,
     LeaseLost,
-    LeaseTaken,
+    LogEvent,
     Name,
     Peer,
-    Say,
-    Tell,
+    SendMessage,
     Urgency,
 )
 
@@ -102,7 +102,7 @@
         if lease in self.bids:
             return []
         if len(self.bids) >= BIDS_MOST:
-            return [Say("lease-refused", (("lease", lease), ("most", BIDS_MOST)))]
+            return [LogEvent("lease-refused", (("lease", lease), ("most", BIDS_MOST)))]
         bid = self.bids[lease] = Bid(lease, now)
         self._wake(bid, now)
         return []
@@ -138,7 +138,7 @@
 
     # --- notes of acceptors ---
 
-    def hear(self, sender: Peer, note: Note, now: float) -> list[Action]:
+    def handle_message(self, sender: Peer, note: PeerMessage, now: float) -> list[Action]:
         out: list[Action] = []
         if sender not in self.fleet.acceptors or not isinstance(note, Promise | Accept | Reject):
             return self._inherits(note, now) if isinstance(note, Release) else out
@@ -187,7 +187,7 @@
             bid.renews = made.sent + self._counted() / 3
             self._wake(bid, min(bid.renews, bid.until))
             self.hints.pop(bid.lease, None)
-            out.append(LeaseTaken(bid.lease, bid.ballot, bid.until))
+            out.append(LeaseAcquired(bid.lease, bid.ballot, bid.until))
 
     def enough(self) -> int:
         return self.fleet.majority
@@ -264,7 +264,7 @@
         """Start an election, under the former ballot where nothing higher was heard of."""
         if bid.spent:
             if self.clock + 1 >= CLOCK_MOST:
-                out.append(Say("lease-clock-spent"))
+                out.append(LogEvent("lease-clock-spent"))
                 bid.phase = Phase.WAITING
                 self._wake(bid, now + self.bounds.lease)
                 return
@@ -360,11 +360,11 @@
     def _silent(self, known: set[Peer]) -> list[Peer]:
         return [each for each in self.fleet.acceptors if each not in known]
 
-    def _tell(self, to: "tuple[Peer, ...] | list[Peer]", note: Note, out: list[Action]) -> None:
+    def _tell(self, to: "tuple[Peer, ...] | list[Peer]", note: PeerMessage, out: list[Action]) -> None:
         out.extend(self._to(each, note) for each in to)
 
-    def _to(self, peer: Peer, note: Note) -> Tell:
-        return Tell(peer, note, Urgency.LEASE)
+    def _to(self, peer: Peer, note: PeerMessage) -> SendMessage:
+        return SendMessage(peer, note, Urgency.LEASE)
 
     def _hint(self, note: Promise, now: float, out: list[Action]) -> None:
         """Remember whom an acceptor told of; of two that still count, the higher term."""
@@ -378,4 +378,4 @@
         if len(self.hints) > HINTS_MOST:
             del self.hints[next(iter(self.hints))]
         if known is None or known[1] != note.held:
-            out.append(HolderSeen(note.lease, note.holder, note.held))
+            out.append(HolderObserved(note.lease, note.holder, note.held))
--- a/paddlequay/cluster/share.py
+++ b/paddlequay/cluster/quotas.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from paddlequay.cluster.notes import TEXT_MOST
+from paddlequay.cluster.messages import TEXT_MOST
 from paddlequay.cluster.settings import LimitRule, Mode
 
 REQUEST = 1000  # thousandths
--- a/paddlequay/cluster/tables.py
+++ b/paddlequay/cluster/tables.py
@@ -23,23 +23,23 @@
 
 from paddlequay.cluster.acceptor import number as run_of
 from paddlequay.cluster.epochs import LEASE, NUMBERS, Content, Declared, Declarer, Holds, epoch_of, mark
-from paddlequay.cluster.notes import Has, Note, Table
+from paddlequay.cluster.messages import Has, PeerMessage, Table
 from paddlequay.cluster.types import (
     NEVER,
     Action,
     Bounds,
     Fleet,
-    HolderSeen,
+    HolderObserved,
+    LeaseAcquired,
     LeaseLost,
-    LeaseTaken,
-    Local,
+    LocalEvent,
+    LogEvent,
     Peer,
     PeerChanged,
-    Say,
+    PeerState,
     SelfChanged,
-    Standing,
+    SendMessage,
     TableChanged,
-    Tell,
     Urgency,
 )
 
@@ -64,7 +64,7 @@
     use before, `None` where none was or where it is the same table.
     """
 
-    HEARS: ClassVar[tuple[type[Note], ...]] = (Table, Has)
+    HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (Table, Has)
     declarers: ClassVar[type[Declarer]] = Declarer
 
     def __init__(self, fleet: Fleet, bounds: Bounds, holds: Holds, retake: Retake = no_retake) -> None:
@@ -114,32 +114,32 @@
 
     # --- as a part ---
 
-    def hear(self, sender: Peer, incarnation: int, note: Note, now: float) -> list[Action]:
+    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
         if isinstance(note, Table) and note.term and 0 < note.epoch < 1 << NUMBERS:
             return self._heard(sender, note, now)
         if isinstance(note, Has) and not note.epoch >> NUMBERS and self.declarer.held(now):
             if note.term > self.declarer.term and now - self.retaken_at >= RETAKE_PAUSE:
                 # Epochs of this term would be passed over there; the next term is above that one.
                 self.retaken_at = now
-                return [Say("table_term_low"), *self.retake(now)]
+                return [LogEvent("table_term_low"), *self.retake(now)]
             return self.declarer.heard(sender, incarnation, note, now) + self._declares(now)
         return []
 
-    def on(self, news: Local, now: float) -> list[Action]:
+    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
         match news:
-            case LeaseTaken(lease, term) if lease == LEASE:
+            case LeaseAcquired(lease, term) if lease == LEASE:
                 self.declarer.begin(term, self.active if now < self.until else None, now)
                 self.holder, self.term = self.fleet.me, max(self.term, term)
                 return self._declares(now)
             case LeaseLost(lease, term) if lease == LEASE and term == self.declarer.term:
                 self.declarer.end()
-            case HolderSeen(lease, holder, term) if lease == LEASE and term >= self.term:
+            case HolderObserved(lease, holder, term) if lease == LEASE and term >= self.term:
                 if holder != self.holder:
                     self.holder, self.term = holder, term
                     self._tell_soon(now)
             case SelfChanged(heard, reaches) if heard and reaches:
                 self._tell_soon(now)
-            case PeerChanged(peer, _, Standing.ALIVE) if self.declarer.held(now):
+            case PeerChanged(peer, _, PeerState.ALIVE) if self.declarer.held(now):
                 return self.declarer.alive(peer, now)
         return []
 
@@ -148,18 +148,18 @@
         if self.tell_at <= now:
             self.tell_at, self.told_at = NEVER, now
             if self.holder is not None and self.holder != self.fleet.me:
-                actions.append(Tell(self.holder, self._has(), Urgency.NEWS))
+                actions.append(SendMessage(self.holder, self._has(), Urgency.NEWS))
         if self.lacks_at <= now:
             self.lacks_at = NEVER
             if self.behind is not None:
                 rules, own = self.behind.content.rules, self.own.rules
                 why = "other rules" if rules and own and rules != own else "another list"
-                actions.append(Say("table_lacking", (("epoch", mark(self.behind.epoch)), ("why", why))))
+                actions.append(LogEvent("table_lacking", (("epoch", mark(self.behind.epoch)), ("why", why))))
         if self.until <= now and not self.ended and self.active is not None:
             self.ended = True
             why = "cut off" if self.behind is None else "another table was declared"
             fields = (("epoch", mark(self.active.epoch)), ("why", why))
-            actions.append(Say("table_given_up", fields))
+            actions.append(LogEvent("table_given_up", fields))
         return actions
 
     def due(self) -> float:
@@ -195,7 +195,7 @@
             actions += self._declared(Declared(epoch, Content(note.table, note.rules)), now)
         # Who asks is answered, also where it holds nothing any more: it may not know of the term.
         self.tell_at = NEVER if sender == self.holder else self.tell_at
-        return [*actions, Tell(sender, self._has(), Urgency.NEWS)]
+        return [*actions, SendMessage(sender, self._has(), Urgency.NEWS)]
 
     def _has(self) -> Has:
         """The highest epoch heard of: an answer to it, or the sign that an earlier one is over."""
--- a/paddlequay/cluster/types.py
+++ b/paddlequay/cluster/types.py
@@ -12,7 +12,7 @@
 from enum import Enum, IntEnum
 from typing import Protocol
 
-from paddlequay.cluster.notes import Note
+from paddlequay.cluster.messages import PeerMessage
 
 Peer = int  # a router's number: its place in `peers`, `me` in the settings
 Name = int  # 64 bits of a name's digest (placement.homes.digest): of a lease, a limit, a subject, a channel
@@ -29,7 +29,7 @@
     ROUTINE = 2  # what is repeated anyway
 
 
-class Standing(Enum):
+class PeerState(Enum):
     """What is believed of a peer."""
 
     UNKNOWN = "unknown"  # never heard of in this process's life
@@ -69,11 +69,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendMessage:
     """Send a note to one peer, or to all others (None). Never to oneself: a part plays its roles inside."""
 
     to: Peer | None
-    note: Note
+    note: PeerMessage
     urgency: Urgency = Urgency.ROUTINE
 
 
@@ -83,7 +83,7 @@
 
     peer: Peer
     incarnation: int
-    standing: Standing
+    standing: PeerState
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseTaken:
+class LeaseAcquired:
     """Leases: this router holds a lease from now until `until` at most, by its own clock, under a term.
 
     Said once a term; renewals move the end without a word. What matters at use is `Leases.holds`.
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HolderSeen:
+class HolderObserved:
     """Leases: another router was seen to hold a lease; a hint for whom to ask, never a proof."""
 
     lease: Name
@@ -128,12 +128,12 @@
     """Verdicts: the fleet's word on a subject, until `until` at most; None: there is no word any more."""
 
     subject: Name
-    trouble: "Trouble | None"
+    trouble: "Fault | None"
     until: float
 
 
 @dataclass(frozen=True, slots=True)
-class Owned:
+class ChannelOwnership:
     """Channels: this router owns a channel from now on, or (`term` 0) does not any more."""
 
     channel: Name
@@ -151,14 +151,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogEvent:
     """A line for the operators' log; the driver bounds how often."""
 
     event: str
     fields: tuple[tuple[str, object], ...] = ()
 
 
-class Trouble(IntEnum):
+class Fault(IntEnum):
     """What may be wrong with a source or a cache."""
 
     FAILING = 1  # answers, and fails
@@ -167,20 +167,27 @@
     FULL = 4  # its link is full
 
 
-Local = (
-    PeerChanged | SelfChanged | LeaseTaken | LeaseLost | HolderSeen | VerdictChanged | Owned | TableChanged
+LocalEvent = (
+    PeerChanged
+    | SelfChanged
+    | LeaseAcquired
+    | LeaseLost
+    | HolderObserved
+    | VerdictChanged
+    | ChannelOwnership
+    | TableChanged
 )
-Action = Tell | Say | Local
+Action = SendMessage | LogEvent | LocalEvent
 
 
 class Part(Protocol):
     """One part of the cluster. Each call returns what to do now; order matters."""
 
-    def hear(self, sender: Peer, incarnation: int, note: Note, now: float) -> list[Action]:
-        """A note came; only those of `HEARS` are handed in. Whatever it says, it raises nothing."""
+    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
+        """Handles a message of one of the `HANDLED_MESSAGES`; raises nothing, whatever it holds."""
         ...
 
-    def on(self, news: Local, now: float) -> list[Action]:
+    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
         """Another part has found something."""
         ...
 
--- a/paddlequay/cluster/verdicts.py
+++ b/paddlequay/cluster/verdicts.py
@@ -21,20 +21,20 @@
 from dataclasses import dataclass, field
 from typing import ClassVar
 
-from paddlequay.cluster.notes import Evidence, Note
+from paddlequay.cluster.messages import Evidence, PeerMessage
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import (
     NEVER,
     Action,
+    Fault,
     Fleet,
-    Local,
+    LocalEvent,
     Name,
     Peer,
     PeerChanged,
+    PeerState,
     SelfChanged,
-    Standing,
-    Tell,
-    Trouble,
+    SendMessage,
     Urgency,
     VerdictChanged,
 )
@@ -55,19 +55,19 @@
 COUNT_MOST = 1 << 20
 WITNESSES_LEAST = 2  # what one router has seen is its own business
 
-DOWN = (Trouble.FAILING, Trouble.SILENT)
+DOWN = (Fault.FAILING, Fault.SILENT)
 
 
 def alike(trouble: int) -> int:
     """What speaks for the same word: one may find a dead member failing, the other silent; 0: it serves."""
-    return Trouble.FAILING if trouble == Trouble.SILENT else trouble
+    return Fault.FAILING if trouble == Fault.SILENT else trouble
 
 
 @dataclass(frozen=True, slots=True)
 class Word:
     """The fleet's word, as it counts for this router now."""
 
-    trouble: Trouble
+    trouble: Fault
     witnesses: int
     age: float  # seconds, at most, of the oldest evidence in it
 
@@ -95,14 +95,14 @@
     said: dict[Peer, _Seen] = field(default_factory=dict)
     opened: float | None = None  # since when there are troubles enough for a word, whatever their weight
     since: float | None = None  # since when their weight is enough
-    word: Trouble | None = None  # as other parts know it
+    word: Fault | None = None  # as other parts know it
     until: float = 0.0
 
 
 class Verdicts:
     """Implements `Part`; `saw` takes in this router's own attempts."""
 
-    HEARS: ClassVar[tuple[type[Note], ...]] = (Evidence,)
+    HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (Evidence,)
 
     def __init__(self, fleet: Fleet, settings: ClusterSettings, now: float) -> None:
         self._fleet = fleet
@@ -143,7 +143,7 @@
         return self._settle(subject, entry, now)
 
     def saw(
-        self, subject: Name, start: int, kind: str, ok: bool, trouble: Trouble | None, now: float
+        self, subject: Name, start: int, kind: str, ok: bool, trouble: Fault | None, now: float
     ) -> list[Action]:
         """An attempt has ended: `start` is the subject's by the list, `trouble` may stand beside `ok`."""
         self._look(now)
@@ -152,7 +152,7 @@
         if 0 < start < entry.start:
             return []  # it was begun with an earlier life
         entry.start = max(entry.start, start)
-        found = int(trouble) if trouble is not None else 0 if ok else int(Trouble.FAILING)
+        found = int(trouble) if trouble is not None else 0 if ok else int(Fault.FAILING)
         entry.kind = kind
         if ok:
             entry.served = now
@@ -168,12 +168,12 @@
 
     # --- Part ---
 
-    def hear(self, sender: Peer, incarnation: int, note: Note, now: float) -> list[Action]:
+    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
         self._look(now)
         if not isinstance(note, Evidence) or not 0 <= sender < self._fleet.size or sender == self._fleet.me:
             return []
         known = self._incarnations.get(sender, 0)
-        if incarnation < known or note.trouble not in (0, *Trouble) or note.count < 1:
+        if incarnation < known or note.trouble not in (0, *Fault) or note.count < 1:
             return []
         self._incarnations[sender] = incarnation
         lay = self._stale[1] if now <= self._stale[0] else 0.0
@@ -192,12 +192,12 @@
         settled = self._settle(note.subject, entry, now)
         return self._tell(note.subject, entry, now) + settled
 
-    def on(self, news: Local, now: float) -> list[Action]:
+    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
         match news:
             case PeerChanged():
                 known = self._incarnations.get(news.peer, 0)
                 self._incarnations[news.peer] = max(known, news.incarnation)
-                if news.standing in (Standing.SUSPECT, Standing.DEAD):
+                if news.standing in (PeerState.SUSPECT, PeerState.DEAD):
                     self._doubted.add(news.peer)
                 else:
                     self._doubted.discard(news.peer)
@@ -290,7 +290,7 @@
             if len(witnesses) >= WITNESSES_LEAST and 2 * weight > whole:
                 said = [seen.trouble for seen in witnesses]
                 age = max(now - seen.at if seen is entry.own else self._age(seen, now) for seen in witnesses)
-                return Word(Trouble(max(sorted(set(said)), key=said.count)), len(witnesses), age)
+                return Word(Fault(max(sorted(set(said)), key=said.count)), len(witnesses), age)
         return None
 
     def _settle(self, name: Name, entry: _Subject, now: float) -> list[Action]:
@@ -366,4 +366,4 @@
         entry.told = _Seen(0, own.start, own.trouble, min(own.count, WEIGHT_MOST), now, others)
         age_ms = int((now - own.at) * 1000) + 1
         evidence = Evidence(name, own.start, own.trouble, own.count, age_ms, others)
-        return [Tell(None, evidence, Urgency.NEWS if changed else Urgency.ROUTINE)]
+        return [SendMessage(None, evidence, Urgency.NEWS if changed else Urgency.ROUTINE)]
--- a/paddlequay/cluster/wire.py
+++ b/paddlequay/cluster/wire.py
@@ -21,7 +21,7 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-from paddlequay.cluster.notes import FIELD_MOST, NOTES, TEXT_MOST, IntRange, Note, PeerRange
+from paddlequay.cluster.messages import FIELD_MOST, MESSAGE_TYPES, TEXT_MOST, IntRange, PeerMessage, PeerRange
 from paddlequay.cluster.types import Fleet, Peer
 
 VERSION = 1  # written; read too are the one before it and, where a release prepares it, the one after
@@ -91,7 +91,7 @@
 @dataclass(frozen=True, slots=True)
 class Heard:
     head: Head
-    notes: tuple[Note, ...]
+    notes: tuple[PeerMessage, ...]
     skipped: int  # notes of unknown kinds
 
 
@@ -116,7 +116,7 @@
 class Shape:
     """A kind of note, as its dataclass tells it."""
 
-    make: type[Note]
+    make: type[PeerMessage]
     names: tuple[str, ...]
     fields: tuple[Field, ...]
     required: int  # fields without a default, which come first
@@ -136,7 +136,7 @@
     return None
 
 
-def shape_of(kind: type[Note], size: int) -> Shape:
+def shape_of(kind: type[PeerMessage], size: int) -> Shape:
     """From a note's annotations; raises `TypeError` for a field that the wire has no form for."""
     hints = get_type_hints(kind, include_extras=True)
     names = tuple(field.name for field in fields(kind))  # type: ignore[arg-type]
@@ -160,7 +160,7 @@
         self,
         name: str,
         size: int,
-        kinds: Mapping[int, type[Note]] = NOTES,
+        kinds: Mapping[int, type[PeerMessage]] = MESSAGE_TYPES,
         writes: int = VERSION,
         reads: int = VERSION,
     ) -> None:
@@ -177,7 +177,7 @@
         digest.update(body)
         return digest.digest()
 
-    def pack_note(self, note: Note) -> bytes:
+    def pack_note(self, note: PeerMessage) -> bytes:
         """Raises `ValueError` for what every receiver would refuse, and for what no datagram holds."""
         shape = self.shapes.get(note.KIND)
         if shape is None or type(note) is not shape.make:
@@ -244,7 +244,7 @@
             return Refusal.MALFORMED
         return Refusal.NEWER if type(version) is int and version > self.reads else Refusal.MALFORMED
 
-    def read_note(self, item: object) -> Note | None:
+    def read_note(self, item: object) -> PeerMessage | None:
         """None for a kind that this release does not know."""
         if type(item) is not tuple or not item or type(item[0]) is not int or item[0] < 0:
             raise RefusedError(Refusal.MALFORMED)
--- a/paddlequay/lab/cluster_model.py
+++ b/paddlequay/lab/cluster_model.py
@@ -6,7 +6,7 @@
 import time
 from typing import Any
 
-from paddlequay.cluster.types import Standing
+from paddlequay.cluster.types import PeerState
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.lab.cluster_model_day import GRAY, day, gray, made
 from paddlequay.lab.cluster_model_drive import Auditor
@@ -87,8 +87,8 @@
         world.run(world.now + 4.0)
     return {
         "size": size,
-        "dead_first_s": auditor.first(size - 1, Standing.DEAD, killed),
-        "dead_95_s": auditor.first(size - 1, Standing.DEAD, killed, 0.95),
+        "dead_first_s": auditor.first(size - 1, PeerState.DEAD, killed),
+        "dead_95_s": auditor.first(size - 1, PeerState.DEAD, killed, 0.95),
         "word_95_s": auditor.worded_within(parent, 0.95),
         "false_words": len(auditor.false_words),
         "broken": broken(auditor),
--- a/paddlequay/lab/cluster_model_day.py
+++ b/paddlequay/lab/cluster_model_day.py
@@ -7,7 +7,7 @@
 
 from paddlequay.cluster.node import Node
 from paddlequay.cluster.settings import By, ClusterSettings, LimitRule
-from paddlequay.cluster.types import Standing
+from paddlequay.cluster.types import PeerState
 from paddlequay.lab.cluster_model_drive import Auditor
 from paddlequay.lab.cluster_model_world import Box, Net, World
 
@@ -100,17 +100,17 @@
     elif name == "zone flaps":
         world.flap(victim.zone, end)
     world.run(end)
-    dead = [by for _, by, of, standing in auditor.stood if of == who and standing is Standing.DEAD]
+    dead = [by for _, by, of, standing in auditor.stood if of == who and standing is PeerState.DEAD]
     wrong = {
         (by, of) for at, by, of, stood in auditor.stood
-        if stood is Standing.DEAD and of != who and world.boxes[of].zone != victim.zone and at > begin
+        if stood is PeerState.DEAD and of != who and world.boxes[of].zone != victim.zone and at > begin
     }  # fmt: skip
     selves = [at - begin for at, by, cut in auditor.selves if by == who and cut and at > begin]
     return {
         "failure": name,
-        "suspected_s": rounded(auditor.first(who, Standing.SUSPECT, begin)),
-        "dead_first_s": rounded(auditor.first(who, Standing.DEAD, begin)),
-        "dead_95_s": rounded(auditor.first(who, Standing.DEAD, begin, 0.95)),
+        "suspected_s": rounded(auditor.first(who, PeerState.SUSPECT, begin)),
+        "dead_first_s": rounded(auditor.first(who, PeerState.DEAD, begin)),
+        "dead_95_s": rounded(auditor.first(who, PeerState.DEAD, begin, 0.95)),
         "knows_itself_s": rounded(min(selves, default=None)),
         "dead_by": len(set(dead)),
         "others_dead": len({of for by, of in wrong if by != who}),
@@ -301,7 +301,7 @@
     world.at(3.0, faults.next)
     world.run(seconds)
     standing = all(
-        box.node is not None and box.node.liveness.standing(other.me) is Standing.ALIVE
+        box.node is not None and box.node.liveness.standing(other.me) is PeerState.ALIVE
         for box in world.boxes
         for other in world.boxes
     )
--- a/paddlequay/lab/cluster_model_drive.py
+++ b/paddlequay/lab/cluster_model_drive.py
@@ -10,17 +10,17 @@
 from dataclasses import dataclass
 
 from paddlequay.cluster.limits import Ticket
-from paddlequay.cluster.node import News, Node
+from paddlequay.cluster.node import ClusterEvent, Node
 from paddlequay.cluster.settings import By, LimitRule
 from paddlequay.cluster.types import (
+    Fault,
+    LeaseAcquired,
     LeaseLost,
-    LeaseTaken,
     Name,
     Peer,
     PeerChanged,
+    PeerState,
     SelfChanged,
-    Standing,
-    Trouble,
     VerdictChanged,
 )
 from paddlequay.cluster.verdicts import DOWN
@@ -60,7 +60,7 @@
         self.two_holders = self.terms_back = 0
         self.words: dict[Name, dict[Peer, float]] = defaultdict(dict)  # since when a router has one
         self.false_words: list[tuple[float, Peer, str]] = []
-        self.stood: list[tuple[float, Peer, Peer, Standing]] = []  # who believes what of whom
+        self.stood: list[tuple[float, Peer, Peer, PeerState]] = []  # who believes what of whom
         self.selves: list[tuple[float, Peer, bool]] = []  # who knows itself cut off
         self.wrong_deaths = 0
         self.counts: Counter[str] = Counter()
@@ -125,11 +125,11 @@
         if reached and not noise:
             return self.saw(box, box.lives, parent, True, None)
         silent = parent.silent or box.dark
-        trouble = Trouble.SILENT if silent else Trouble.FAILING
+        trouble = Fault.SILENT if silent else Fault.FAILING
         wait = SILENT_S if silent else REFUSED_S
         self.world.at(self.world.now + wait, self.saw, box, box.lives, parent, False, trouble)
 
-    def saw(self, box: Box, life: int, parent: Parent, ok: bool, trouble: Trouble | None) -> None:
+    def saw(self, box: Box, life: int, parent: Parent, ok: bool, trouble: Fault | None) -> None:
         node = box.node
         if node is None or node.verdicts is None or box.lives != life or not self.world.alive(box):
             return
@@ -145,10 +145,10 @@
 
     # --- what is found ---
 
-    def look(self, box: Box, news: Sequence[News]) -> None:
+    def look(self, box: Box, news: Sequence[ClusterEvent]) -> None:
         now = self.world.now
         for each in news:
-            if isinstance(each, LeaseTaken):
+            if isinstance(each, LeaseAcquired):
                 takes = self.takes[each.lease]
                 self.terms_back += bool(takes) and each.term <= takes[-1][2]
                 takes.append((now, box.me, each.term))
@@ -193,7 +193,7 @@
         now, peer = self.world.now, self.world.boxes[change.peer]
         self.stood.append((now, box.me, change.peer, change.standing))
         runs = peer.node is not None and peer.stopped <= now
-        if change.standing is Standing.DEAD and runs and now > max(peer.excused, box.excused):
+        if change.standing is PeerState.DEAD and runs and now > max(peer.excused, box.excused):
             self.wrong_deaths += 1
 
     # --- sums ---
@@ -203,7 +203,7 @@
         """The most of any limit, as a multiple of what it allows; over 1 is a breach."""
         return max((audit.most / audit.times for audit in self.audits.values()), default=0.0)
 
-    def first(self, peer: Peer, standing: Standing, since: float, most: float = 1.0) -> float | None:
+    def first(self, peer: Peer, standing: PeerState, since: float, most: float = 1.0) -> float | None:
         """Seconds until a share `most` of the other routers held a peer so; 1: the first of them."""
         seen: dict[Peer, float] = {}
         for at, by, of, stood in self.stood:
--- a/paddlequay/lab/cluster_model_world.py
+++ b/paddlequay/lab/cluster_model_world.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from paddlequay.cluster.node import News, Node
+from paddlequay.cluster.node import ClusterEvent, Node
 from paddlequay.cluster.outbox import Packet
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import NEVER, Fleet, Peer
@@ -98,7 +98,7 @@
         self.counting = False
         self.refused: Counter[str] = Counter()
         self.lost: Counter[str] = Counter()
-        self.watch: list[Callable[[Box, Sequence[News]], None]] = []
+        self.watch: list[Callable[[Box, Sequence[ClusterEvent]], None]] = []
         self.log = hashlib.blake2b(digest_size=16)
         self.logged = 0
         self.foreign = Codec("elsewhere", size)
@@ -187,7 +187,7 @@
         ready = self.ready(box)
         if ready > self.now:
             return self.call(box, ready + self.rng.random() * 0.001)
-        news: Sequence[News] = ()
+        news: Sequence[ClusterEvent] = ()
         began = time.process_time_ns()
         now = box.clock(self.now)
         due = box.node.due() <= now
@@ -213,14 +213,14 @@
             box.cpu += time.process_time_ns() - began
             self.flush(box, news)
 
-    def read(self, box: Box, node: Node, data: bytes, sender: Peer) -> Sequence[News]:
+    def read(self, box: Box, node: Node, data: bytes, sender: Peer) -> Sequence[ClusterEvent]:
         told = node.wire.read(data, sender)
         if isinstance(told, Refusal):
             self.refused[told.value] += 1
             return ()
-        return node.hear(told.head.sender, told.head, told.notes, box.clock(self.now))
+        return node.handle_message(told.head.sender, told.head, told.notes, box.clock(self.now))
 
-    def flush(self, box: Box, news: Sequence[News]) -> None:
+    def flush(self, box: Box, news: Sequence[ClusterEvent]) -> None:
         """After each call: what it found, what it sends, and when it is called next."""
         node = box.node
         assert node is not None
--- a/paddlequay/lab/lease_world.py
+++ b/paddlequay/lab/lease_world.py
@@ -10,9 +10,9 @@
 
 from paddlequay.cluster.acceptor import Acceptor, Vote, counter
 from paddlequay.cluster.leases import Leases
-from paddlequay.cluster.notes import Note, Propose
+from paddlequay.cluster.messages import PeerMessage, Propose
 from paddlequay.cluster.proposer import Bid, Proposer
-from paddlequay.cluster.types import Action, Bounds, Fleet, LeaseLost, LeaseTaken, Name, Peer, Tell
+from paddlequay.cluster.types import Action, Bounds, Fleet, LeaseAcquired, LeaseLost, Name, Peer, SendMessage
 
 BOUNDS = Bounds()
 SLOW, FAST = 1 - BOUNDS.drift, 1 + BOUNDS.drift
@@ -47,7 +47,7 @@
 class Message:
     sender: Peer
     to: Peer
-    note: Note
+    note: PeerMessage
     clock: int
 
 
@@ -108,9 +108,9 @@
     def do(self, me: Peer, act: Callable[[Leases, float], list[Action]]) -> None:
         process = self.processes[me]
         for action in act(process.leases, process.clock):
-            if isinstance(action, Tell) and action.to is not None:
+            if isinstance(action, SendMessage) and action.to is not None:
                 self.pending.append(Message(me, action.to, action.note, process.leases.clock))
-            elif isinstance(action, LeaseTaken):
+            elif isinstance(action, LeaseAcquired):
                 process.told[action.lease] = action.term
             elif isinstance(action, LeaseLost):
                 process.told.pop(action.lease, None)
@@ -143,7 +143,7 @@
             self.pending.append(message)  # it waits for the process to go on
             return
         self.head(message.to, message.clock)
-        self.do(message.to, lambda leases, now: leases.hear(message.sender, 0, message.note, now))
+        self.do(message.to, lambda leases, now: leases.handle_message(message.sender, 0, message.note, now))
 
     def head(self, to: Peer, clock: int) -> None:
         self.processes[to].heard = max(self.processes[to].heard, clock)
--- a/paddlequay/lab/limit_search.py
+++ b/paddlequay/lab/limit_search.py
@@ -12,9 +12,9 @@
 from paddlequay.cluster.buckets import Bucket, Places, Times
 from paddlequay.cluster.granter import Book, Granter, Kept
 from paddlequay.cluster.limits import Limits, Line
-from paddlequay.cluster.notes import Grant
+from paddlequay.cluster.messages import QuotaGrant
+from paddlequay.cluster.quotas import NOTHING, Share, Whole
 from paddlequay.cluster.settings import By, LimitRule, Mode
-from paddlequay.cluster.share import NOTHING, Share, Whole
 from paddlequay.cluster.types import Name, Peer
 from paddlequay.lab.limit_world import Proc, World
 
@@ -118,14 +118,14 @@
 class FromReceipt(Limits):
     """A grant lives from when it came."""
 
-    def since(self, line: Line, note: Grant, now: float) -> float | None:
+    def since(self, line: Line, note: QuotaGrant, now: float) -> float | None:
         return None if super().since(line, note, now) is None else now
 
 
 class AnyAnswer(Limits):
     """A grant is taken for the last Need, whichever it answers."""
 
-    def since(self, line: Line, note: Grant, now: float) -> float | None:
+    def since(self, line: Line, note: QuotaGrant, now: float) -> float | None:
         return line.asked_at if line.sent else None
 
 
--- a/paddlequay/lab/limit_world.py
+++ b/paddlequay/lab/limit_world.py
@@ -14,7 +14,16 @@
 
 from paddlequay.cluster.limits import Limits, Refused
 from paddlequay.cluster.settings import By, LimitRule
-from paddlequay.cluster.types import Action, Bounds, Fleet, HolderSeen, LeaseTaken, Name, Peer, Tell
+from paddlequay.cluster.types import (
+    Action,
+    Bounds,
+    Fleet,
+    HolderObserved,
+    LeaseAcquired,
+    Name,
+    Peer,
+    SendMessage,
+)
 from paddlequay.lab.limit_audit import Audit
 
 WHAT = ((By.CLASS, "c"), (By.TENANT, "t"), (By.SOURCE, "s"))
@@ -64,7 +73,7 @@
         self.steps = 0
         self.loss = self.twice = 0.0
         self.tail = 0.02  # of notes that are late by up to 2.5 s
-        self.link: Callable[[Proc, Proc, Tell], float | None] = self.chance
+        self.link: Callable[[Proc, Proc, SendMessage], float | None] = self.chance
         self.chosen: Peer | None = None  # takes the leases first
         self.audits = {rule.name: Audit(rule) for rule in rules}
         self.holder: dict[Name, tuple[Peer, int, int, float]] = {}  # who, incarnation, term, until
@@ -166,7 +175,7 @@
 
     def send(self, proc: Proc, actions: list[Action]) -> None:
         for action in actions:
-            assert isinstance(action, Tell)
+            assert isinstance(action, SendMessage)
             for other in self.procs:
                 if other is proc or action.to not in (None, other.me) or other.side != proc.side:
                     continue
@@ -175,20 +184,20 @@
                     if late is not None:
                         self.carry(proc, other, action, late)
 
-    def chance(self, proc: Proc, other: Proc, tell: Tell) -> float | None:
+    def chance(self, proc: Proc, other: Proc, tell: SendMessage) -> float | None:
         """How late a note is, None: lost."""
         if self.rng.random() < max(self.loss, proc.loss, other.loss):
             return None
         late = 2.5 if self.rng.random() < self.tail else 0.01
         return self.rng.random() * late + other.far * self.rng.uniform(0.5, 1)
 
-    def carry(self, proc: Proc, other: Proc, tell: Tell, delay: float) -> None:
+    def carry(self, proc: Proc, other: Proc, tell: SendMessage, delay: float) -> None:
         sender, incarnation = proc.me, proc.incarnation
 
         def come() -> None:
             if self.awake(other, come):
                 now = other.clock(self.now)
-                self.send(other, other.limits.hear(sender, incarnation, tell.note, now))
+                self.send(other, other.limits.handle_message(sender, incarnation, tell.note, now))
                 self.arm(other)
 
         self.at(self.now + delay, come)
@@ -214,7 +223,9 @@
                 proc.leases[lease] = term, here + self.bounds.lease * (1 - self.bounds.drift)
                 self.holder[lease] = proc.me, proc.incarnation, term, self.now + self.bounds.lease
                 if taken:
-                    proc.limits.on(LeaseTaken(lease, term, here + self.bounds.lease), here)
+                    proc.limits.handle_event(LeaseAcquired(lease, term, here + self.bounds.lease), here)
                     for other in ready:
                         if other is not proc and self.rng.random() < 0.8:
-                            other.limits.on(HolderSeen(lease, proc.me, term), other.clock(self.now))
+                            other.limits.handle_event(
+                                HolderObserved(lease, proc.me, term), other.clock(self.now)
+                            )
--- a/paddlequay/lab/table_world.py
+++ b/paddlequay/lab/table_world.py
@@ -16,14 +16,14 @@
     Action,
     Bounds,
     Fleet,
-    LeaseTaken,
-    Local,
+    LeaseAcquired,
+    LocalEvent,
+    LogEvent,
     Peer,
     PeerChanged,
-    Say,
-    Standing,
+    PeerState,
+    SendMessage,
     TableChanged,
-    Tell,
     earliest,
 )
 from paddlequay.cluster.wire import Codec, Heard, Wire
@@ -52,7 +52,7 @@
         self.waiting: list[Callable[[], None]] = []
         self.due = float("inf")
         self.epoch = 0
-        self.said: list[Say] = []
+        self.said: list[LogEvent] = []
         self.moves: list[TableChanged] = []
 
     @property
@@ -71,21 +71,21 @@
             return
         now, todo = self.clock, act(self.clock)
         for action in todo:
-            if isinstance(action, Tell):
+            if isinstance(action, SendMessage):
                 self.outbox.put(action, now)
-            elif isinstance(action, Say):
+            elif isinstance(action, LogEvent):
                 self.said.append(action)
             else:
                 self.found(action)
-                todo += self.leases.on(action, now) + self.tables.on(action, now)
+                todo += self.leases.handle_event(action, now) + self.tables.handle_event(action, now)
         self.wire.clock = max(self.wire.clock, self.leases.clock)
         for packet in self.outbox.take(now):
             for to in range(self.world.size) if packet.to is None else (packet.to,):
                 self.world.send(self.me, to, packet.data)
         self.schedule()
 
-    def found(self, news: Local) -> None:
-        if isinstance(news, LeaseTaken):
+    def found(self, news: LocalEvent) -> None:
+        if isinstance(news, LeaseAcquired):
             self.world.takes += 1
         if not isinstance(news, TableChanged):
             return
@@ -109,7 +109,7 @@
             self.due = float("inf")
             self.do(lambda now: self.leases.tick(now) + self.tables.tick(now))
 
-    def hear(self, sender: Peer, data: bytes) -> None:
+    def handle_message(self, sender: Peer, data: bytes) -> None:
         self.do(lambda now: self.read(sender, data, now))
 
     def read(self, sender: Peer, data: bytes, now: float) -> list[Action]:
@@ -117,9 +117,9 @@
         if isinstance(heard, Heard):
             self.leases.saw_clock(heard.head.clock)
             for note in heard.notes:
-                part = self.leases if isinstance(note, self.leases.HEARS) else self.tables
-                if isinstance(note, part.HEARS):
-                    actions += part.hear(sender, heard.head.incarnation, note, now)
+                part = self.leases if isinstance(note, self.leases.HANDLED_MESSAGES) else self.tables
+                if isinstance(note, part.HANDLED_MESSAGES):
+                    actions += part.handle_message(sender, heard.head.incarnation, note, now)
         return actions
 
     def use(self) -> tuple[int | None, int | None]:
@@ -185,7 +185,7 @@
     def send(self, sender: Peer, to: Peer, data: bytes) -> None:
         if sender != to and (sender, to) not in self.cuts and self.rng.random() >= self.loss:
             late = self.rng.uniform(*self.delay)
-            self.at(self.time + late, lambda: self.processes[to].hear(sender, data))
+            self.at(self.time + late, lambda: self.processes[to].handle_message(sender, data))
 
     def part(self, *sides: Iterable[Peer]) -> None:
         side = {peer: n for n, peers in enumerate(sides) for peer in peers}
@@ -215,8 +215,8 @@
 
     def detected(self, peer: Peer) -> None:
         def told(to: Process) -> None:
-            news = PeerChanged(peer, self.processes[peer].incarnation, Standing.ALIVE)
-            to.do(lambda now: to.tables.on(news, now))
+            news = PeerChanged(peer, self.processes[peer].incarnation, PeerState.ALIVE)
+            to.do(lambda now: to.tables.handle_event(news, now))
 
         for other in range(self.size):
             if other != peer:
--- a/paddlequay/net/cluster/channels.py
+++ b/paddlequay/net/cluster/channels.py
@@ -6,8 +6,8 @@
 
 from collections.abc import Callable, Sequence
 
-from paddlequay.cluster.ahead import Ahead, channel_of
 from paddlequay.cluster.channels import Channels
+from paddlequay.cluster.prefetch import Ahead, channel_of
 from paddlequay.cluster.types import Action, Name
 from paddlequay.observability.counters import Counters
 from paddlequay.placement.homes import digest
--- a/paddlequay/net/cluster/peers.py
+++ b/paddlequay/net/cluster/peers.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol, cast
 
-from paddlequay.cluster.notes import Note
+from paddlequay.cluster.messages import PeerMessage
 from paddlequay.cluster.outbox import Outbox, Packet
-from paddlequay.cluster.types import NEVER, Peer, Tell
+from paddlequay.cluster.types import NEVER, Peer, SendMessage
 from paddlequay.cluster.wire import Head, Refusal, Wire
 from paddlequay.config.values import Address
 from paddlequay.observability import log
@@ -33,7 +33,7 @@
 class Owner(Protocol):
     """Who the datagrams are for. Called one at a time; what is told meanwhile goes out after the call."""
 
-    def hear(self, sender: Peer, head: Head, notes: tuple[Note, ...]) -> None: ...
+    def handle_message(self, sender: Peer, head: Head, notes: tuple[PeerMessage, ...]) -> None: ...
 
     def tick(self) -> None:
         """Its `due` has come."""
@@ -143,7 +143,7 @@
                 self.counters.add("peers.opened")
                 return
 
-    def tell(self, tells: Sequence[Tell]) -> None:
+    def tell(self, tells: Sequence[SendMessage]) -> None:
         """Let notes go out as soon as they may."""
         now = self.now()
         for tell in tells:
@@ -160,7 +160,7 @@
         if told.skipped:
             self.counters.add("peers.skipped", told.skipped)
         try:
-            self.owner.hear(told.head.sender, told.head, told.notes)
+            self.owner.handle_message(told.head.sender, told.head, told.notes)
         except Exception:  # the next datagram may be in order
             self.failed()
         self.flush()
--- a/paddlequay/net/cluster/placing.py
+++ b/paddlequay/net/cluster/placing.py
@@ -94,7 +94,7 @@
 
         self.node, self.mover, self.waits = node, None, None
         self.tables = Tables(node.fleet, node.settings.bounds, node.holds, retake)
-        node.join(self.tables, Tables.HEARS)
+        node.join(self.tables, Tables.HANDLED_MESSAGES)
         now = self.clock()
         if node.leases is not None and node.fleet.me in node.fleet.acceptors:
             node.begun += node.leases.want(LEASE, now)
--- a/paddlequay/net/cluster/sharing.py
+++ b/paddlequay/net/cluster/sharing.py
@@ -14,22 +14,22 @@
 from typing import TYPE_CHECKING
 
 from paddlequay.cluster import evidence
-from paddlequay.cluster.node import News, Node
-from paddlequay.cluster.notes import Note as PeerNote
+from paddlequay.cluster.messages import PeerMessage as PeerNote
+from paddlequay.cluster.node import ClusterEvent, Node
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import (
     PEERS_MOST,
     Action,
+    ChannelOwnership,
     Fleet,
-    HolderSeen,
+    HolderObserved,
+    LeaseAcquired,
     LeaseLost,
-    LeaseTaken,
-    Local,
+    LocalEvent,
+    LogEvent,
     Name,
-    Owned,
     Peer,
     PeerChanged,
-    Say,
     SelfChanged,
     TableChanged,
     VerdictChanged,
@@ -56,14 +56,14 @@
 TRY_PAUSE = 0.1  # seconds between two tries to join beside an older process
 
 # What log lines and counters call each kind of finding, whatever its type is named.
-EVENT_NAMES: dict[type[Local], str] = {
+EVENT_NAMES: dict[type[LocalEvent], str] = {
     PeerChanged: "PeerChanged",
     SelfChanged: "SelfChanged",
-    LeaseTaken: "LeaseTaken",
+    LeaseAcquired: "LeaseTaken",
     LeaseLost: "LeaseLost",
-    HolderSeen: "HolderSeen",
+    HolderObserved: "HolderSeen",
     VerdictChanged: "VerdictChanged",
-    Owned: "Owned",
+    ChannelOwnership: "Owned",
     TableChanged: "TableChanged",
 }
 
@@ -162,7 +162,7 @@
 
         now, drawn = self.loop.time(), random.Random(self.seed ^ node.liveness.incarnation)
         part = Channels(self.fleet, self.settings.bounds, rule, node.leases, drawn, now)
-        node.join(part, Channels.HEARS)
+        node.join(part, Channels.HANDLED_MESSAGES)
 
         def tell(actions: Sequence[Action]) -> None:
             self.act(node, actions)
@@ -289,7 +289,7 @@
 
     # --- what the cluster has found ---
 
-    def told(self, news: Sequence[News]) -> None:
+    def told(self, news: Sequence[ClusterEvent]) -> None:
         for each in news:
             self.say(each)
             if isinstance(each, VerdictChanged):
@@ -323,9 +323,9 @@
                 self.name(name)
         return self.names.get(subject)
 
-    def say(self, news: News) -> None:
+    def say(self, news: ClusterEvent) -> None:
         """A line for what changes, at most one of a kind in some seconds."""
-        name = news.event if isinstance(news, Say) else EVENT_NAMES[type(news)]
+        name = news.event if isinstance(news, LogEvent) else EVENT_NAMES[type(news)]
         self.counters.add(f"cluster.{name}")
         now = self.loop.time()
         if now - self.logged.get(name, -LOG_PAUSE) >= LOG_PAUSE:
@@ -339,8 +339,8 @@
     def __init__(self, sharing: Sharing, node: Node) -> None:
         self.sharing, self.node = sharing, node
 
-    def hear(self, sender: Peer, head: Head, notes: tuple[PeerNote, ...]) -> None:
-        self.sharing.told(self.node.hear(sender, head, notes, self.sharing.loop.time()))
+    def handle_message(self, sender: Peer, head: Head, notes: tuple[PeerNote, ...]) -> None:
+        self.sharing.told(self.node.handle_message(sender, head, notes, self.sharing.loop.time()))
 
     def tick(self) -> None:
         self.sharing.told(self.node.tick(self.sharing.loop.time()))
@@ -349,8 +349,8 @@
         return self.node.due()
 
 
-def fields(news: Local | Say) -> Iterable[tuple[str, object]]:
+def fields(news: LocalEvent | LogEvent) -> Iterable[tuple[str, object]]:
     """What a line shows of it."""
-    if isinstance(news, Say):
+    if isinstance(news, LogEvent):
         return news.fields
     return [(name, getattr(news, name)) for name in news.__slots__]
--- a/paddlequay/simulator/sharing.py
+++ b/paddlequay/simulator/sharing.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from paddlequay.cluster import evidence
-from paddlequay.cluster.node import News, Node
+from paddlequay.cluster.node import ClusterEvent, Node
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import NEVER, Action, Fleet, Name, VerdictChanged
 from paddlequay.placement.homes import digest
@@ -39,7 +39,11 @@
     def note_from(self, sender: int, content: str, now: float) -> list[OutlierReported]:
         """A message of another instance."""
         heard = self.wire.note_from(sender, content)
-        return [] if heard is None else self.told(self.node.hear(sender, heard.head, heard.notes, now), now)
+        return (
+            []
+            if heard is None
+            else self.told(self.node.handle_message(sender, heard.head, heard.notes, now), now)
+        )
 
     def tick(self, now: float) -> list[OutlierReported]:
         """An alarm of the cluster's is due."""
@@ -81,7 +85,7 @@
         """A request has had its final answer: its attempts' numbers are free."""
         self.counts.pop(request, None)
 
-    def told(self, news: list[News], now: float) -> list[OutlierReported]:
+    def told(self, news: list[ClusterEvent], now: float) -> list[OutlierReported]:
         verdicts, words = self.node.verdicts, []
         for each in news:
             if isinstance(each, VerdictChanged) and verdicts is not None:
--- a/tests/cluster/simnet.py
+++ b/tests/cluster/simnet.py
@@ -12,8 +12,8 @@
 from random import Random
 from typing import Any
 
-from paddlequay.cluster.notes import Note
-from paddlequay.cluster.types import NEVER, Action, Local, Peer, Say, Tell
+from paddlequay.cluster.messages import PeerMessage
+from paddlequay.cluster.types import NEVER, Action, LocalEvent, LogEvent, Peer, SendMessage
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
     stalled: float = 0.0  # until then it does nothing; what comes waits
     dead: bool = False
     due: float = NEVER  # of the tick that is scheduled
-    waiting: list[tuple[Peer, int, list[Note]]] = field(default_factory=list)
+    waiting: list[tuple[Peer, int, list[PeerMessage]]] = field(default_factory=list)
 
 
 class Net:
@@ -34,14 +34,14 @@
         seed: int,
         drop: float = 0.0,
         delay: tuple[float, float] = (0.0002, 0.002),
-        size: Callable[[int, list[Note]], int] | None = None,
+        size: Callable[[int, list[PeerMessage]], int] | None = None,
     ) -> None:
         self.rng = Random(seed)
         self.drop, self.delay, self.size = drop, delay, size
         self.now = 0.0
         self.routers: dict[Peer, Router] = {}
         self.cuts: set[tuple[Peer, Peer]] = set()
-        self.log: list[tuple[float, Peer, Local]] = []
+        self.log: list[tuple[float, Peer, LocalEvent]] = []
         self.datagrams = self.bytes = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
@@ -85,23 +85,23 @@
 
     def act(self, peer: Peer, router: Router, actions: Iterable[Action]) -> None:
         """Do what a part of `router` asked for: also for calls of one's own, such as `Verdicts.saw`."""
-        notes: dict[Peer, list[Note]] = {}
+        notes: dict[Peer, list[PeerMessage]] = {}
         todo = list(actions)
         while todo:
             action = todo.pop(0)
-            if isinstance(action, Tell):
+            if isinstance(action, SendMessage):
                 others = [other for other in self.routers if other != peer]
                 for to in others if action.to is None else [action.to]:
                     notes.setdefault(to, []).append(action.note)
-            elif not isinstance(action, Say):
+            elif not isinstance(action, LogEvent):
                 self.log.append((self.now, peer, action))
                 for part in router.parts:
-                    todo += part.on(action, self.now)
+                    todo += part.handle_event(action, self.now)
         for to, told in notes.items():
             self._send(peer, router.incarnation(), to, told)
         self._schedule(peer, router)
 
-    def _send(self, sender: Peer, incarnation: int, to: Peer, notes: list[Note]) -> None:
+    def _send(self, sender: Peer, incarnation: int, to: Peer, notes: list[PeerMessage]) -> None:
         self.datagrams += 1
         if self.size is not None:
             self.bytes += self.size(incarnation, notes)
@@ -110,7 +110,9 @@
             when = self.now + self.rng.uniform(*self.delay)
             self.at(when, lambda: self.deliver(to, router, sender, incarnation, notes))
 
-    def deliver(self, to: Peer, router: Router, sender: Peer, incarnation: int, notes: list[Note]) -> None:
+    def deliver(
+        self, to: Peer, router: Router, sender: Peer, incarnation: int, notes: list[PeerMessage]
+    ) -> None:
         if router.dead:
             return
         if self.now < router.stalled:
@@ -121,8 +123,8 @@
             if hasattr(part, "seen"):
                 actions += part.seen(sender, incarnation, self.now)
             for note in notes:
-                if isinstance(note, part.HEARS):
-                    actions += part.hear(sender, incarnation, note, self.now)
+                if isinstance(note, part.HANDLED_MESSAGES):
+                    actions += part.handle_message(sender, incarnation, note, self.now)
         self.act(to, router, actions)
 
     def _wake(self, peer: Peer, router: Router) -> None:
--- a/tests/cluster/test_channels.py
+++ b/tests/cluster/test_channels.py
@@ -7,12 +7,12 @@
 
 from paddlequay.cluster import channels as rules
 from paddlequay.cluster import handoff
-from paddlequay.cluster.ahead import Ahead, Boxes, Rate, Reads, channel_of
 from paddlequay.cluster.bundles import Bundle
 from paddlequay.cluster.channels import Channels
-from paddlequay.cluster.notes import Carried, Load, Offer, Ready
+from paddlequay.cluster.messages import Carried, Load, Offer, Ready
+from paddlequay.cluster.prefetch import Ahead, Boxes, Rate, Reads, channel_of
 from paddlequay.cluster.settings import ChannelRule
-from paddlequay.cluster.types import Action, Fleet, PeerChanged, Standing, Tell
+from paddlequay.cluster.types import Action, Fleet, PeerChanged, PeerState, SendMessage
 from paddlequay.lab.channel_world import BOUNDS, BOX, World
 
 RULE = ChannelRule(("video",), bundles=8)
@@ -117,7 +117,9 @@
     heir = min(others)
     world.all[owner].rate, world.all[heir].rate = 0.95, 1.05
     for reader in set(range(5)) - {owner, heir}:
-        world.all[owner].channels.on(PeerChanged(reader, 1, Standing.SUSPECT), world.all[owner].clock)
+        world.all[owner].channels.handle_event(
+            PeerChanged(reader, 1, PeerState.SUSPECT), world.all[owner].clock
+        )
     world.slow = {(owner, heir), (heir, owner)}
     world.act(owner, world.all[owner].channels.drain(world.all[owner].clock))
     assert world.run(9.0, lambda: world.moved(owner))
@@ -206,8 +208,8 @@
     assert all(p.channels.carried(ahead.channel, ahead.part, p.clock) == BOX for p in world.all)
     other = world.all[(owner + 1) % 5].channels
     now = world.all[(owner + 1) % 5].clock
-    other.hear(9, 0, Carried(ahead.channel, ahead.term - 1, ahead.part, BOX + 1, 3000), now)
-    other.hear(9, 0, Carried(ahead.channel, ahead.term - 1, ahead.part + 9, BOX + 1, 3000), now)
+    other.handle_message(9, 0, Carried(ahead.channel, ahead.term - 1, ahead.part, BOX + 1, 3000), now)
+    other.handle_message(9, 0, Carried(ahead.channel, ahead.term - 1, ahead.part + 9, BOX + 1, 3000), now)
     assert other.carried(ahead.channel, ahead.part, now) == BOX
     assert other.carried(ahead.channel, ahead.part + 9, now) is None
 
@@ -250,7 +252,7 @@
         for me, process in enumerate(world.all):
             for peer in set(range(5)) - {me}:
                 word = Load(1000_000 * ((half + peer) % 2), 0)  # nothing and very much, in turn
-                process.channels.hear(peer, 0, word, process.clock)
+                process.channels.handle_message(peer, 0, word, process.clock)
         world.run(0.5)
     moves = Counter(me for _, me in gives)
     assert 2 <= max(moves.values()) <= 30 * 1.05 / handoff.MOVE_S + 1
@@ -326,14 +328,16 @@
     leases.by = bundle.owner = 3
     for part in (1, 2, 3):
         channels.asked("a", "video", part, 100.0)
-    channels.hear(3, 0, Ready(bundle.lease, 5, 0), 100.0)
+    channels.handle_message(3, 0, Ready(bundle.lease, 5, 0), 100.0)
     for tenth in range(1, 6):
         channels.tick(100.0 + tenth / 10)
     assert leases.wants == [bundle.lease]
 
 
 def offers(actions: list[Action]) -> list[int | None]:
-    return [action.to for action in actions if isinstance(action, Tell) and isinstance(action.note, Offer)]
+    return [
+        action.to for action in actions if isinstance(action, SendMessage) and isinstance(action.note, Offer)
+    ]
 
 
 def test_only_what_evens_the_load_is_moved_to_who_is_alive_and_reads() -> None:
@@ -357,10 +361,12 @@
     channels, _, _ = made(8, (1.0,) * 8)
     assert offers(channels.drain(100.0)) == [1] * handoff.AT_ONCE
     channels, leases, (bundle,) = made()
-    (word,) = channels.hear(3, 0, Offer(bundle.lease, 5, 0), 100.0)
-    assert isinstance(word, Tell) and word.note == Ready(bundle.lease, 5, 0) and not leases.wants
+    (word,) = channels.handle_message(3, 0, Offer(bundle.lease, 5, 0), 100.0)
+    assert isinstance(word, SendMessage) and word.note == Ready(bundle.lease, 5, 0) and not leases.wants
     bundle.live.add(7)
-    assert not channels.hear(3, 0, Offer(bundle.lease, 6, 0), 100.0) and leases.wants == [bundle.lease]
+    assert not channels.handle_message(3, 0, Offer(bundle.lease, 6, 0), 100.0) and leases.wants == [
+        bundle.lease
+    ]
 
 
 def test_a_router_that_is_asked_for_a_word_it_cannot_give_says_so() -> None:
@@ -369,6 +375,6 @@
     other = (owner + 1) % 5
     channels, now = world.all[other].channels, world.all[other].clock
     bundle = channels.bundles.all[0]
-    (answer,) = channels.hear(owner, 0, Ready(bundle.lease, 0, 1), now)
+    (answer,) = channels.handle_message(owner, 0, Ready(bundle.lease, 0, 1), now)
     assert isinstance(answer.note, Ready) and answer.note.yes == 0  # type: ignore[union-attr]
-    assert channels.hear(owner, 0, Ready(12345, 0, 1), now) == []  # another plaza's bundle
+    assert channels.handle_message(owner, 0, Ready(12345, 0, 1), now) == []  # another plaza's bundle
--- a/tests/cluster/test_cluster_model.py
+++ b/tests/cluster/test_cluster_model.py
@@ -7,7 +7,7 @@
 from paddlequay.cluster import granter, limits, proposer
 from paddlequay.cluster.leases import Leases
 from paddlequay.cluster.node import Node
-from paddlequay.cluster.types import Standing
+from paddlequay.cluster.types import PeerState
 from paddlequay.lab.cluster_model import found, moved, steady
 from paddlequay.lab.cluster_model_day import Day, day, gray, made
 from paddlequay.lab.cluster_model_drive import Auditor
@@ -128,4 +128,4 @@
     assert world.refused["foreign"] > 1000 and not auditor.wrong_deaths
     for box in world.boxes:
         assert isinstance(box.node, Node)
-        assert all(box.node.liveness.standing(peer) is Standing.ALIVE for peer in range(5))
+        assert all(box.node.liveness.standing(peer) is PeerState.ALIVE for peer in range(5))
--- a/tests/cluster/test_fleet_limits.py
+++ b/tests/cluster/test_fleet_limits.py
@@ -5,9 +5,9 @@
 import pytest
 
 from paddlequay.cluster.limits import Limits
-from paddlequay.cluster.notes import Grant, Need
+from paddlequay.cluster.messages import QuotaGrant, QuotaRequest
 from paddlequay.cluster.settings import By, LimitRule, Mode
-from paddlequay.cluster.types import Tell
+from paddlequay.cluster.types import SendMessage
 from paddlequay.lab import limit_search as broken
 from paddlequay.lab.limit_world import Proc, World
 
@@ -18,7 +18,7 @@
 PLACES = LimitRule("places", By.SOURCE, "s", at_once=8, floor=0.0)
 OPEN = LimitRule("open", By.CLASS, "c", rate=100.0, burst=30.0, floor=0.0, mode=Mode.OPEN, over=1.2)
 
-Link = Callable[[Proc, Proc, Tell], float | None]
+Link = Callable[[Proc, Proc, SendMessage], float | None]
 
 
 def world(kind: type[Limits], rule: LimitRule, size: int, seed: int = 1, **more: float) -> World:
@@ -37,10 +37,10 @@
     """From now on what `who` sends or gets of this kind is lost."""
     start = made.now
 
-    def link(proc: Proc, other: Proc, tell: Tell) -> float | None:
+    def link(proc: Proc, other: Proc, tell: SendMessage) -> float | None:
         if isinstance(tell.note, kind) and who in (proc.me, other.me) and made.now >= start:
             return None
-        return grants if isinstance(tell.note, Grant) and other.me == who else 0.001
+        return grants if isinstance(tell.note, QuotaGrant) and other.me == who else 0.001
 
     return link
 
@@ -48,9 +48,11 @@
 def late_answers(kind: type[Limits], rule: LimitRule = RATE) -> World:
     """Answers take half a second, the last ones asked for are all that comes; another takes the share."""
     made = world(kind, rule, 3)
-    made.link = lambda proc, other, tell: 0.5 if isinstance(tell.note, Grant) and other.me == 1 else 0.001
+    made.link = (
+        lambda proc, other, tell: 0.5 if isinstance(tell.note, QuotaGrant) and other.me == 1 else 0.001
+    )
     loads(made, 0, 300, 0)
-    made.run(2.0).link = cut(made, 1, Need, grants=0.5)
+    made.run(2.0).link = cut(made, 1, QuotaRequest, grants=0.5)
     made.run(2.3)
     loads(made, 0, 300, 300)
     return made.run(4.0)
@@ -60,7 +62,7 @@
     """A router's share is lowered, and it does not hear so."""
     made = world(kind, STEEP, 3)
     loads(made, 0, 4000, 0)
-    made.run(2.0).link = cut(made, 1, Grant)
+    made.run(2.0).link = cut(made, 1, QuotaGrant)
     loads(made, 0, 4000, 4000)
     return made.run(3.0)
 
@@ -86,7 +88,7 @@
             proc.rate = rate
         made.run(0.8)
         loads(made, 0, 4000, 0)
-        made.run(1.3).link = cut(made, 1, Need)
+        made.run(1.3).link = cut(made, 1, QuotaRequest)
         made.run(1.7 + step * 0.01)
         loads(made, 0, 4000, 4000)
         made.arrive(made.procs[2])
@@ -165,7 +167,7 @@
     """A router that is cut off starts requests that end after its grant."""
     made = world(kind, PLACES, 3)
     loads(made, 0, 100, lasts=0.1)
-    made.run(2.0).link = cut(made, 1, Need)
+    made.run(2.0).link = cut(made, 1, QuotaRequest)
     loads(made, 0, 100, lasts=1.0)
     made.run(2.2)
     loads(made, 0, 100, 100, lasts=1.0)
--- a/tests/cluster/test_leases.py
+++ b/tests/cluster/test_leases.py
@@ -8,8 +8,25 @@
 from paddlequay.cluster import acceptor, proposer
 from paddlequay.cluster.acceptor import counter
 from paddlequay.cluster.leases import Leases
-from paddlequay.cluster.notes import NOTES, Accept, Note, Prepare, Promise, Propose, Reject, Release
-from paddlequay.cluster.types import Bounds, Fleet, HolderSeen, LeaseLost, LeaseTaken, Say, Tell
+from paddlequay.cluster.messages import (
+    MESSAGE_TYPES,
+    Accept,
+    PeerMessage,
+    Prepare,
+    Promise,
+    Propose,
+    Reject,
+    Release,
+)
+from paddlequay.cluster.types import (
+    Bounds,
+    Fleet,
+    HolderObserved,
+    LeaseAcquired,
+    LeaseLost,
+    LogEvent,
+    SendMessage,
+)
 from paddlequay.lab.lease_world import World
 
 T = Bounds().lease
@@ -190,7 +207,7 @@
         said += leases.tick(now)
     term = leases.holds(7, now)
     assert term is not None and leases.holder(7, now) == 0
-    assert [type(each) for each in said] == [LeaseTaken]
+    assert [type(each) for each in said] == [LeaseAcquired]
     assert leases.drop(7, now) == [LeaseLost(7, term)]
     assert leases.holds(7, now) is None
 
@@ -261,12 +278,15 @@
     ],
 )
 def test_an_acceptor_takes_a_proposal_only_while_its_ballot_stands(
-    notes: list[tuple[float, Note]], answers: list[type[Note]]
+    notes: list[tuple[float, PeerMessage]], answers: list[type[PeerMessage]]
 ) -> None:
     leases = single()
     leases.tick(2.0)
     said = [
-        each.note for now, note in notes for each in leases.hear(1, 0, note, now) if isinstance(each, Tell)
+        each.note
+        for now, note in notes
+        for each in leases.handle_message(1, 0, note, now)
+        if isinstance(each, SendMessage)
     ]
     assert [type(each) for each in said] == answers
     assert all(each.held != 0 for each in said if isinstance(each, Promise) and each.ballot != ME)
@@ -276,10 +296,10 @@
     leases = single()
     leases.tick(2.0)
     for note in (ASK, TAKE, Release(7, ME, 2)):
-        leases.hear(1, 0, note, 2.0)
+        leases.handle_message(1, 0, note, 2.0)
     for now, sender, kind in ((2.1, 3, Reject), (2.1, 2, Promise), (2.4, 3, Promise)):
-        (told,) = leases.hear(sender, 0, Prepare(7, 6 << 32 | sender << 16), now)
-        assert isinstance(told, Tell) and type(told.note) is kind
+        (told,) = leases.handle_message(sender, 0, Prepare(7, 6 << 32 | sender << 16), now)
+        assert isinstance(told, SendMessage) and type(told.note) is kind
 
 
 def test_who_only_asks_is_told_the_holder_and_disturbs_nothing() -> None:
@@ -287,11 +307,11 @@
     leases.tick(2.0)
     ballot = 5 << 32 | 1 << 16
     for note in (Prepare(7, ballot), Propose(7, ballot, 1500, 0)):
-        leases.hear(1, 0, note, 2.0)
-    assert leases.ask(7, 2.1) == [HolderSeen(7, 1, ballot)]
+        leases.handle_message(1, 0, note, 2.0)
+    assert leases.ask(7, 2.1) == [HolderObserved(7, 1, ballot)]
     assert leases.holder(7, 2.1) == 1 and leases.holder(7, 4.0) is None
-    (told,) = leases.hear(1, 0, Prepare(7, 0), 2.1)
-    assert isinstance(told, Tell) and isinstance(told.note, Promise) and told.note.holder == 1
+    (told,) = leases.handle_message(1, 0, Prepare(7, 0), 2.1)
+    assert isinstance(told, SendMessage) and isinstance(told.note, Promise) and told.note.holder == 1
 
 
 def test_what_is_remembered_has_bounds_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -303,11 +323,11 @@
     voting = leases.acceptor
     assert voting is not None
     for name in range(9):
-        leases.hear(1, 0, Prepare(name, 9 << 32 | 1 << 16), 2.0)
-        leases.hear(0, 0, Promise(name, 1, 9 << 32 | 1 << 16, 1, 1500), 2.0)
+        leases.handle_message(1, 0, Prepare(name, 9 << 32 | 1 << 16), 2.0)
+        leases.handle_message(0, 0, Promise(name, 1, 9 << 32 | 1 << 16, 1, 1500), 2.0)
         said = leases.want(name, 2.0)
     assert len(voting.votes) == 3 and len(leases.proposer.hints) == 3 and len(leases.proposer.bids) == 3
-    assert [type(each) for each in said] == [Say]
+    assert [type(each) for each in said] == [LogEvent]
     for name in range(3):
         leases.drop(name, 2.0)
     leases.tick(2.0 + 2.1 * T)
@@ -318,13 +338,13 @@
     rng = random.Random(3)
     leases = single()
     leases.want(0, 0.0)
-    kinds: list[type[Note]] = [NOTES[kind] for kind in range(10, 16)]
+    kinds: list[type[PeerMessage]] = [MESSAGE_TYPES[kind] for kind in range(10, 16)]
     for turn in range(5000):
         kind = rng.choice(kinds)
         values = [rng.choice((0, 1, 1 << 16, 1 << 32 | 1 << 16, (1 << 63) - 1)) for _ in kind.__slots__]
-        leases.hear(1, 0, kind(*values), 2.0 + turn / 1000)
+        leases.handle_message(1, 0, kind(*values), 2.0 + turn / 1000)
         leases.tick(2.0 + turn / 1000)
     fresh = single()
     fresh.tick(2.0)
-    assert fresh.hear(1, 0, Prepare(7, 5 << 32), 2.0) == []  # a ballot of router 0
-    assert fresh.hear(1, 0, Release(7, 5 << 32, 1), 2.0) == []
+    assert fresh.handle_message(1, 0, Prepare(7, 5 << 32), 2.0) == []  # a ballot of router 0
+    assert fresh.handle_message(1, 0, Release(7, 5 << 32, 1), 2.0) == []
--- a/tests/cluster/test_limits_part.py
+++ b/tests/cluster/test_limits_part.py
@@ -5,10 +5,10 @@
 from paddlequay.cluster.buckets import Asked
 from paddlequay.cluster.granter import Granter, Kept
 from paddlequay.cluster.limits import Limits, Refused, Ticket, lease_of, limit_of
-from paddlequay.cluster.notes import Grant, Need
+from paddlequay.cluster.messages import QuotaGrant, QuotaRequest
+from paddlequay.cluster.quotas import NOTHING, Share, whole
 from paddlequay.cluster.settings import By, LimitRule
-from paddlequay.cluster.share import NOTHING, Share, whole
-from paddlequay.cluster.types import Action, Bounds, Fleet, HolderSeen, LeaseTaken, Tell
+from paddlequay.cluster.types import Action, Bounds, Fleet, HolderObserved, LeaseAcquired, SendMessage
 
 RATE = LimitRule("rate", By.CLASS, "c", rate=100.0, burst=30.0, floor=0.0)
 
@@ -71,15 +71,15 @@
         assert isinstance(limits.admit(By.TENANT, value, now, 1.0), Ticket)
 
 
-def told(actions: list[Action]) -> Need:
+def told(actions: list[Action]) -> QuotaRequest:
     (tell,) = actions
-    assert isinstance(tell, Tell) and isinstance(tell.note, Need)
+    assert isinstance(tell, SendMessage) and isinstance(tell.note, QuotaRequest)
     return tell.note
 
 
 def test_answers_to_no_need_are_void_and_nobody_without_demand_asks() -> None:
     limits = alone(RATE, holds=None, size=3)
-    limits.on(HolderSeen(lease_of(RATE), 2, 5), 10.0)
+    limits.handle_event(HolderObserved(lease_of(RATE), 2, 5), 10.0)
     assert limits.due() == float("inf")
     assert isinstance(limits.admit(By.CLASS, "c", 10.0, 1.0), Refused)
     assert limits.due() == 10.0
@@ -87,17 +87,17 @@
     assert need.limit == limit_of(lease_of(RATE), "c") and need.term == 5
     limit, number = need.limit, need.number
     for void in (
-        Grant(limit, number + 1, 5, 50_000, 9_000, 600),
-        Grant(limit, number, 4, 50_000, 9_000, 600),
-        Grant(limit + 1, number, 5, 50_000, 9_000, 600),
+        QuotaGrant(limit, number + 1, 5, 50_000, 9_000, 600),
+        QuotaGrant(limit, number, 4, 50_000, 9_000, 600),
+        QuotaGrant(limit + 1, number, 5, 50_000, 9_000, 600),
     ):
-        limits.hear(2, 1, void, 10.1)
+        limits.handle_message(2, 1, void, 10.1)
         assert limits.lines[limit].store.extra == NOTHING
     # More than there is, for longer than there is, is no more than what there is.
-    limits.hear(2, 1, Grant(limit, number, 5, 2**62, 2**62, 2**40), 10.1)
+    limits.handle_message(2, 1, QuotaGrant(limit, number, 5, 2**62, 2**62, 2**40), 10.1)
     store = limits.lines[limit].store
     assert store.extra == Share(100_000, 30_000) and store.until == pytest.approx(10.57)
-    limits.hear(2, 1, Grant(limit, number, 5, 1, 1, 600), 10.1)
+    limits.handle_message(2, 1, QuotaGrant(limit, number, 5, 1, 1, 600), 10.1)
     assert store.extra == Share(100_000, 30_000)
     # No demand any more: the last Needs end, and so does the share.
     now = 10.2
@@ -110,15 +110,15 @@
 def test_a_refused_demand_that_was_told_and_answered_is_not_told_again_before_its_time() -> None:
     """Twenty Needs a second from each router that is refused were most of the traffic between routers."""
     limits = alone(RATE, holds=None, size=3)
-    limits.on(HolderSeen(lease_of(RATE), 2, 5), 10.0)
+    limits.handle_event(HolderObserved(lease_of(RATE), 2, 5), 10.0)
     needs = 0
     for step in range(500):
         now = 10.0 + step / 100
         limits.admit(By.CLASS, "c", now, 1.0)
-        for need in [action.note for action in limits.tick(now) if isinstance(action, Tell)]:
-            assert isinstance(need, Need)
+        for need in [action.note for action in limits.tick(now) if isinstance(action, SendMessage)]:
+            assert isinstance(need, QuotaRequest)
             needs += 1
-            limits.hear(2, 1, Grant(need.limit, need.number, 5, 20_000, 1_000, 600), now)
+            limits.handle_message(2, 1, QuotaGrant(need.limit, need.number, 5, 20_000, 1_000, 600), now)
     assert 10 < needs < 25
 
 
@@ -129,7 +129,7 @@
     for step in range(600):
         now = 10.0 + step / 100
         limits.admit(By.CLASS, "c", now, 1.0)
-        sent += [(now, action.to) for action in limits.tick(now) if isinstance(action, Tell)]
+        sent += [(now, action.to) for action in limits.tick(now) if isinstance(action, SendMessage)]
     assert {to for _, to in sent} == {3, 5}
     assert len(sent) <= 2 * 11
 
@@ -140,36 +140,38 @@
     granter = Granter(Bounds(), 4, lambda lease, now: term[0])
     limit = limit_of(kept.lease, "c")
     granter.taken(kept.lease, 3, 0.0)
-    assert granter.need(kept, 1, 1, Need(limit, 1, 90_000, 0), 0.65) is None
-    first = granter.need(kept, 1, 1, Need(limit, 2, 90_000, 0), 0.67)
+    assert granter.need(kept, 1, 1, QuotaRequest(limit, 1, 90_000, 0), 0.65) is None
+    first = granter.need(kept, 1, 1, QuotaRequest(limit, 2, 90_000, 0), 0.67)
     assert first is not None and first.milli == 100_000
-    assert granter.need(kept, 1, 1, Need(limit, 2, 90_000, 0), 0.68) is None
-    second = granter.need(kept, 2, 1, Need(limit, 1, 90_000, 0), 0.7)
+    assert granter.need(kept, 1, 1, QuotaRequest(limit, 2, 90_000, 0), 0.68) is None
+    second = granter.need(kept, 2, 1, QuotaRequest(limit, 1, 90_000, 0), 0.7)
     assert second is not None and second.milli == 0
-    lowered = granter.need(kept, 1, 1, Need(limit, 3, 90_000, 0), 0.8)
+    lowered = granter.need(kept, 1, 1, QuotaRequest(limit, 3, 90_000, 0), 0.8)
     assert lowered is not None and lowered.milli == 50_000
-    still = granter.need(kept, 2, 1, Need(limit, 2, 90_000, 0), 0.67 + 0.65)
+    still = granter.need(kept, 2, 1, QuotaRequest(limit, 2, 90_000, 0), 0.67 + 0.65)
     assert still is not None and still.milli == 0
-    free = granter.need(kept, 2, 1, Need(limit, 3, 90_000, 0), 0.67 + 0.67)
+    free = granter.need(kept, 2, 1, QuotaRequest(limit, 3, 90_000, 0), 0.67 + 0.67)
     assert free is not None and free.milli == 50_000
-    assert granter.need(kept, 2, 1, Need(limit, 4, 90_000, 9), 1.4) is None  # it has heard a later holder
+    assert (
+        granter.need(kept, 2, 1, QuotaRequest(limit, 4, 90_000, 9), 1.4) is None
+    )  # it has heard a later holder
     term[0] = None
-    assert granter.need(kept, 2, 1, Need(limit, 5, 90_000, 3), 1.4) is None
+    assert granter.need(kept, 2, 1, QuotaRequest(limit, 5, 90_000, 3), 1.4) is None
     term[0] = 8
-    assert granter.need(kept, 2, 1, Need(limit, 6, 90_000, 3), 1.5) is None
-    assert granter.need(kept, 2, 1, Need(limit, 7, 90_000, 3), 2.17) is not None
+    assert granter.need(kept, 2, 1, QuotaRequest(limit, 6, 90_000, 3), 1.5) is None
+    assert granter.need(kept, 2, 1, QuotaRequest(limit, 7, 90_000, 3), 2.17) is not None
 
 
 def test_holder_feeds_itself_and_routers_that_hear_of_no_holder_ask_all() -> None:
     limits = alone(RATE, size=2)
-    limits.on(LeaseTaken(lease_of(RATE), 1, 2.0), 0.0)
+    limits.handle_event(LeaseAcquired(lease_of(RATE), 1, 2.0), 0.0)
     assert isinstance(limits.admit(By.CLASS, "c", 1.0, 1.0), Refused)
     assert limits.tick(1.0) == []
     assert isinstance(limits.admit(By.CLASS, "c", 1.1, 1.0), Ticket)
     lost = alone(RATE, holds=None, size=2)
     lost.admit(By.CLASS, "c", 1.0, 1.0)
     (tell,) = lost.tick(1.0)
-    assert isinstance(tell, Tell) and tell.to is None
+    assert isinstance(tell, SendMessage) and tell.to is None
     lost.admit(By.CLASS, "c", 1.1, 1.0)
     assert lost.tick(1.3) == []
 
@@ -208,7 +210,7 @@
     for number, (peer, now) in enumerate(
         ((0, 0.0), (1, 0.1), (0, 0.2), (1, 0.67), (2, 0.7), (0, 0.75), (2, 0.9))
     ):
-        grant = granter.need(kept, peer, 1, Need(limit, number + 1, 90_000, 0), now)
+        grant = granter.need(kept, peer, 1, QuotaRequest(limit, number + 1, 90_000, 0), now)
         assert grant is not None
         bursts.append(grant.burst_milli)
     # At 0.9 the first's two shares are 1750 and 1166, the second's is 1750: nothing whole is left.
--- a/tests/cluster/test_liveness.py
+++ b/tests/cluster/test_liveness.py
@@ -10,11 +10,11 @@
 
 from paddlequay.cluster.liveness import Liveness
 from paddlequay.cluster.members import NEWS_MOST, News, Questions, first_incarnation, life
-from paddlequay.cluster.notes import Ack, Note, Ping, PingFor, Rumour
+from paddlequay.cluster.messages import Ack, MembershipUpdate, PeerMessage, Ping, PingFor
 from paddlequay.cluster.settings import ClusterSettings
-from paddlequay.cluster.types import Fleet, PeerChanged, SelfChanged, Standing, Tell
+from paddlequay.cluster.types import Fleet, PeerChanged, PeerState, SelfChanged, SendMessage
 
-ALIVE, SUSPECT, DEAD = Standing.ALIVE, Standing.SUSPECT, Standing.DEAD
+ALIVE, SUSPECT, DEAD = PeerState.ALIVE, PeerState.SUSPECT, PeerState.DEAD
 Parts = dict[int, Liveness]
 
 
@@ -34,7 +34,7 @@
     return net, parts
 
 
-def changes(net: Net, peer: int, since: float = 0.0) -> list[Standing]:
+def changes(net: Net, peer: int, since: float = 0.0) -> list[PeerState]:
     """What was found of a peer, by whomever."""
     return [a.standing for t, _, a in net.log if isinstance(a, PeerChanged) and a.peer == peer and t >= since]
 
@@ -147,14 +147,20 @@
 def test_old_word_is_void_and_word_against_what_was_just_heard_too() -> None:
     part = alone()
     part.seen(1, 50 << 16, 0.0)
-    for said in (Rumour(1, 49 << 16, 3, 2), Rumour(1, 50 << 16, 3, 2), Rumour(1, 50 << 16, 2, 2)):
-        part.hear(2, 1, said, 0.1)
+    for said in (
+        MembershipUpdate(1, 49 << 16, 3, 2),
+        MembershipUpdate(1, 50 << 16, 3, 2),
+        MembershipUpdate(1, 50 << 16, 2, 2),
+    ):
+        part.handle_message(2, 1, said, 0.1)
         assert part.standing(1) is ALIVE
-    part.hear(2, 1, Rumour(1, 49 << 16, 3, 2), 2.0)
+    part.handle_message(2, 1, MembershipUpdate(1, 49 << 16, 3, 2), 2.0)
     assert part.standing(1) is ALIVE
-    part.hear(2, 1, Rumour(1, 50 << 16, 3, 2), 2.0)
+    part.handle_message(2, 1, MembershipUpdate(1, 50 << 16, 3, 2), 2.0)
     assert part.standing(1) is DEAD
-    assert [a.note for a in part.seen(1, 50 << 16, 2.1) if isinstance(a, Tell)] == [Rumour(1, 50 << 16, 3, 0)]
+    assert [a.note for a in part.seen(1, 50 << 16, 2.1) if isinstance(a, SendMessage)] == [
+        MembershipUpdate(1, 50 << 16, 3, 0)
+    ]
     assert part.standing(1) is DEAD  # a late datagram raises nobody; only a refutation does
     part.seen(1, (50 << 16) + 1, 2.2)
     assert part.standing(1) is ALIVE
@@ -163,20 +169,20 @@
 def test_answer_that_nobody_asked_for_is_no_sign_of_life() -> None:
     part = alone()
     for number in range(100):
-        assert part.hear(1, 5, Ack(number, 2, 5), 0.0) == []
-    assert part.standing(2) is Standing.UNKNOWN
+        assert part.handle_message(1, 5, Ack(number, 2, 5), 0.0) == []
+    assert part.standing(2) is PeerState.UNKNOWN
 
 
 def test_own_incarnation_outdoes_what_is_said_of_it_within_bounds() -> None:
     part = alone()
     own = part.incarnation
-    part.hear(1, 5, Ping(1, own), 0.0)
-    for absurd in (Ping(1, 2**63 - 1), Rumour(0, 2**63 - 1, 3, 1)):
-        part.hear(1, 5, absurd, 0.0)
+    part.handle_message(1, 5, Ping(1, own), 0.0)
+    for absurd in (Ping(1, 2**63 - 1), MembershipUpdate(0, 2**63 - 1, 3, 1)):
+        part.handle_message(1, 5, absurd, 0.0)
     assert part.incarnation == own
-    part.hear(1, 5, Ping(1, own + 3), 0.0)
+    part.handle_message(1, 5, Ping(1, own + 3), 0.0)
     assert part.incarnation == own + 4
-    part.hear(1, 5, Rumour(0, own + 4, 2, 1), 0.0)
+    part.handle_message(1, 5, MembershipUpdate(0, own + 4, 2, 1), 0.0)
     assert part.incarnation == own + 5
 
 
@@ -193,16 +199,16 @@
     part = alone(size)
 
     def answer(now: float) -> None:
-        part.hear(3, 1 << 16, Ack(part._questions.ask(3, now, None, 0), 3, 1 << 16), now)
+        part.handle_message(3, 1 << 16, Ack(part._questions.ask(3, now, None, 0), 3, 1 << 16), now)
 
     for step in range(int(10.7 / 0.05)):
         now = step * 0.05
         part.tick(now)
         if step == 20:
-            part.hear(2, 1 << 16, Rumour(1, 1 << 16, 2, 2), now)
+            part.handle_message(2, 1 << 16, MembershipUpdate(1, 1 << 16, 2, 2), now)
         if step in (round(answered / 0.05), 200):
             answer(now)
-        assert part.standing(1) is (SUSPECT if step >= 20 else Standing.UNKNOWN)
+        assert part.standing(1) is (SUSPECT if step >= 20 else PeerState.UNKNOWN)
     for step in range(30):  # the suspicion lasts anew from the first answer on
         answer(10.7 + step * 0.1)
         part.tick(10.7 + step * 0.1)
@@ -211,16 +217,16 @@
 
 def test_who_was_told_of_a_suspicion_asks_the_suspect_too() -> None:
     part = alone()
-    part.hear(2, 1 << 16, Rumour(1, 1 << 16, 2, 2), 0.0)
+    part.handle_message(2, 1 << 16, MembershipUpdate(1, 1 << 16, 2, 2), 0.0)
     actions = [a for step in range(16) for a in part.tick(step * 0.05)]
-    pings = [a.note for a in actions if isinstance(a, Tell) and a.to == 1 and isinstance(a.note, Ping)]
+    pings = [a.note for a in actions if isinstance(a, SendMessage) and a.to == 1 and isinstance(a.note, Ping)]
     assert [ping.about for ping in pings] == [1 << 16]
 
 
 def test_late_ticks_make_more_patient_and_answers_less() -> None:
     def wait(part: Liveness, now: float) -> float:
         part.seen(1, 1 << 16, now)
-        part.hear(1, 1 << 16, Rumour(1, 2 << 16, 2, 2), now)
+        part.handle_message(1, 1 << 16, MembershipUpdate(1, 2 << 16, 2, 2), now)
         return part._members[1].until - now
 
     fresh, stalled = alone(), alone()
@@ -231,7 +237,7 @@
 def test_everything_kept_has_a_bound() -> None:
     news = News(3)
     for peer in range(20):
-        news.spread(Rumour(peer, 1, 2, 0))
+        news.spread(MembershipUpdate(peer, 1, 2, 0))
     told = [list(news.riders(1)) for _ in range(20)]
     assert max(map(len, told)) == NEWS_MOST and sum(map(len, told)) == 60 and not news
     questions = Questions(5.0, 0)
@@ -240,24 +246,30 @@
     assert sum(questions.answered(number, 1) is not None for number in numbers) == 1024
 
 
-NOTES = st.one_of(
+MESSAGE_TYPES = st.one_of(
     st.builds(Ping, st.integers(0, 2**63 - 1), st.integers(0, 2**63 - 1)),
     st.builds(Ack, st.integers(0, 9), st.integers(0, 2**12), st.integers(0, 2**63 - 1)),
     st.builds(PingFor, st.integers(0, 9), st.integers(0, 2**12)),
-    st.builds(Rumour, st.integers(0, 6), st.integers(0, 2**63 - 1), st.integers(0, 9), st.integers(0, 9)),
+    st.builds(
+        MembershipUpdate, st.integers(0, 6), st.integers(0, 2**63 - 1), st.integers(0, 9), st.integers(0, 9)
+    ),
 )
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.integers(0, 6), st.integers(0, 2**63 - 1), NOTES, st.floats(0, 3)), max_size=40))
+@given(
+    st.lists(
+        st.tuples(st.integers(0, 6), st.integers(0, 2**63 - 1), MESSAGE_TYPES, st.floats(0, 3)), max_size=40
+    )
+)
 def test_whatever_comes_raises_nothing_and_the_incarnation_only_grows(
-    steps: list[tuple[int, int, Note, float]],
+    steps: list[tuple[int, int, PeerMessage, float]],
 ) -> None:
     part, now = alone(), 0.0
     for sender, incarnation, note, step in steps:
         now, before = now + step, part.incarnation
-        actions = part.seen(sender, incarnation, now) + part.hear(sender, incarnation, note, now)
+        actions = part.seen(sender, incarnation, now) + part.handle_message(sender, incarnation, note, now)
         actions += part.tick(now)
         assert before <= part.incarnation < 2**63 and math.isfinite(part.due())
-        assert all(a.to in (1, 2, 3) for a in actions if isinstance(a, Tell))
+        assert all(a.to in (1, 2, 3) for a in actions if isinstance(a, SendMessage))
         assert part.count_alive == len(part.alive())
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from paddlequay.cluster.notes import Load, Note, Ping
+from paddlequay.cluster.messages import Load, PeerMessage, Ping
 from paddlequay.cluster.outbox import Outbox
-from paddlequay.cluster.types import NEVER, Bounds, Fleet, Peer, Tell, Urgency
+from paddlequay.cluster.types import NEVER, Bounds, Fleet, Peer, SendMessage, Urgency
 from paddlequay.cluster.wire import Codec, Head, Wire
 from paddlequay.config.values import Address
 from paddlequay.net.cluster.peers import Peers
@@ -22,12 +22,12 @@
     """Keeps what it hears; may be set to fail, and to be due."""
 
     def __init__(self) -> None:
-        self.heard: list[tuple[Peer, Note]] = []
+        self.heard: list[tuple[Peer, PeerMessage]] = []
         self.at = NEVER
         self.ticks = 0
         self.fails = False
 
-    def hear(self, sender: Peer, head: Head, notes: tuple[Note, ...]) -> None:
+    def handle_message(self, sender: Peer, head: Head, notes: tuple[PeerMessage, ...]) -> None:
         if self.fails:
             raise RuntimeError("made to fail")
         assert head.sender == sender
@@ -58,8 +58,8 @@
         box = Outbox(wire, 16_000, Bounds(), now())
         super().__init__(listen, peers, to_all, wire, box, Counters(), self.ears, now)
 
-    def say(self, to: Peer | None, note: Note) -> None:
-        self.tell([Tell(to, note, Urgency.NEWS)])
+    def say(self, to: Peer | None, note: PeerMessage) -> None:
+        self.tell([SendMessage(to, note, Urgency.NEWS)])
 
     def count(self, name: str) -> int:
         return self.counters.counts[f"peers.{name}"]
--- a/tests/cluster/test_share.py
+++ b/tests/cluster/test_share.py
@@ -4,8 +4,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from paddlequay.cluster.quotas import NOTHING, REQUEST, Share, divide, divide_burst, whole
 from paddlequay.cluster.settings import By, LimitRule, Mode
-from paddlequay.cluster.share import NOTHING, REQUEST, Share, divide, divide_burst, whole
 
 WANTS = st.dictionaries(st.integers(0, 60), st.integers(0, 200_000), max_size=20)
 
--- a/tests/cluster/test_sharing.py
+++ b/tests/cluster/test_sharing.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from paddlequay.cluster.types import Local
+from paddlequay.cluster.types import LocalEvent
 from paddlequay.lab import cluster_audit as audit
 from paddlequay.lab.cluster import BURST, LEASE, RATE, RULES, TELL_S, Charges, Script, dead_parent
 from paddlequay.lab.fleet_rig import FleetRig, Moment, watch
@@ -220,5 +220,5 @@
 
 
 def test_every_finding_has_an_event_name_of_its_own() -> None:
-    assert set(EVENT_NAMES) == set(get_args(Local))
+    assert set(EVENT_NAMES) == set(get_args(LocalEvent))
     assert len(set(EVENT_NAMES.values())) == len(EVENT_NAMES)
--- a/tests/cluster/test_verdicts.py
+++ b/tests/cluster/test_verdicts.py
@@ -11,14 +11,22 @@
 from paddlequay.cluster import verdicts
 from paddlequay.cluster.liveness import Liveness
 from paddlequay.cluster.members import first_incarnation
-from paddlequay.cluster.notes import Evidence
+from paddlequay.cluster.messages import Evidence
 from paddlequay.cluster.settings import ClusterSettings
-from paddlequay.cluster.types import Fleet, PeerChanged, SelfChanged, Standing, Tell, Trouble, VerdictChanged
+from paddlequay.cluster.types import (
+    Fault,
+    Fleet,
+    PeerChanged,
+    PeerState,
+    SelfChanged,
+    SendMessage,
+    VerdictChanged,
+)
 from paddlequay.cluster.verdicts import SETTLE_S, Verdicts
 
 PARENT, OTHER = 1, 2
 SET = ClusterSettings("test", ())
-BAD = int(Trouble.FAILING)
+BAD = int(Fault.FAILING)
 
 
 class Bench:
@@ -31,7 +39,7 @@
         self.found: list[VerdictChanged] = []
 
     def do(self, actions: list) -> None:  # type: ignore[type-arg]
-        self.told += [a.note for a in actions if isinstance(a, Tell) and isinstance(a.note, Evidence)]
+        self.told += [a.note for a in actions if isinstance(a, SendMessage) and isinstance(a.note, Evidence)]
         self.found += [a for a in actions if isinstance(a, VerdictChanged)]
 
     def past(self, seconds: float = SETTLE_S + 0.01) -> None:
@@ -44,13 +52,15 @@
     def says(self, peer: int, trouble: int = BAD, **fields: int) -> None:
         note = {"start": 0, "count": 1, "age_ms": 10, "others": 1} | fields
         incarnation = note.pop("incarnation", 1)
-        self.do(self.part.hear(peer, incarnation, Evidence(PARENT, trouble=trouble, **note), self.now))
+        self.do(
+            self.part.handle_message(peer, incarnation, Evidence(PARENT, trouble=trouble, **note), self.now)
+        )
 
-    def saw(self, ok: bool, subject: int = PARENT, start: int = 0, trouble: Trouble | None = None) -> None:
+    def saw(self, ok: bool, subject: int = PARENT, start: int = 0, trouble: Fault | None = None) -> None:
         self.do(self.part.saw(subject, start, "parent", ok, trouble, self.now))
 
     @property
-    def word(self) -> Trouble | None:
+    def word(self) -> Fault | None:
         word = self.part.word(PARENT, self.now)
         return word.trouble if word else None
 
@@ -94,12 +104,12 @@
     bench.saw(False)
     bench.says(1)
     bench.past()
-    assert bench.word is Trouble.FAILING and bench.part.earlier_skip(PARENT, bench.now)
+    assert bench.word is Fault.FAILING and bench.part.earlier_skip(PARENT, bench.now)
     bench.says(2)
     bench.says(3)
     bench.saw(True)
     assert bench.word is None and not bench.part.earlier_skip(PARENT, bench.now)
-    assert [a.trouble for a in bench.found] == [Trouble.FAILING, None]
+    assert [a.trouble for a in bench.found] == [Fault.FAILING, None]
 
 
 def test_served_before_the_word_fell_does_not_overrule() -> None:
@@ -108,7 +118,7 @@
     for peer in (1, 2, 3):
         bench.says(peer)
     bench.past()
-    assert bench.word is Trouble.FAILING
+    assert bench.word is Fault.FAILING
 
 
 def test_nothing_is_used_that_may_be_older_than_the_bound() -> None:
@@ -120,7 +130,7 @@
     assert bench.part.word(PARENT, 1.40) is not None
     assert bench.part.word(PARENT, 1.45) is None  # (1.45 + 0.01) * 1.05 + 0.5 > 2
     bench.past(2.0)
-    assert [a.trouble for a in bench.found] == [Trouble.FAILING, None]
+    assert [a.trouble for a in bench.found] == [Fault.FAILING, None]
     assert bench.found[0].until <= 2.0
     late = Bench()
     late.says(1, age_ms=1500)
@@ -142,7 +152,7 @@
     bench.says(1)
     bench.says(2)
     bench.past()
-    assert bench.word is Trouble.FAILING
+    assert bench.word is Fault.FAILING
 
 
 def test_earlier_lives_of_subject_and_witness_are_void() -> None:
@@ -153,11 +163,11 @@
         if void == "stale note":
             bench.says(2, 0, start=5, incarnation=6)
         bench.past()
-        assert bench.word is Trouble.FAILING
+        assert bench.word is Fault.FAILING
         if void == "subject":
             bench.says(3, 0, start=6)
         elif void == "witness":
-            bench.do(bench.part.on(PeerChanged(2, 8, Standing.ALIVE), bench.now))
+            bench.do(bench.part.handle_event(PeerChanged(2, 8, PeerState.ALIVE), bench.now))
         elif void == "list":
             bench.do(bench.part.began(PARENT, 6, bench.now))
         assert (bench.word is None) == (void != "stale note")
@@ -169,11 +179,11 @@
     bench.says(2, others=0)
     bench.past()
     assert bench.word is None
-    for standing in (Standing.SUSPECT, Standing.DEAD):
+    for standing in (PeerState.SUSPECT, PeerState.DEAD):
         bench = Bench()
         bench.says(1)
         bench.says(2)
-        bench.do(bench.part.on(PeerChanged(2, 1, standing), bench.now))
+        bench.do(bench.part.handle_event(PeerChanged(2, 1, standing), bench.now))
         bench.past()
         assert bench.word is None
 
@@ -186,7 +196,7 @@
     if how == "last served has failed":
         bench.saw(False, OTHER)
     if how == "told so":
-        bench.do(bench.part.on(SelfChanged(True, False), 0.0))
+        bench.do(bench.part.handle_event(SelfChanged(True, False), 0.0))
     bench.saw(False)
     bench.says(1)
     bench.past()
@@ -223,10 +233,10 @@
 
 def test_full_and_cold_are_words_but_no_skips() -> None:
     bench = Bench()
-    bench.says(1, int(Trouble.FULL))
-    bench.saw(True, trouble=Trouble.FULL)
+    bench.says(1, int(Fault.FULL))
+    bench.saw(True, trouble=Fault.FULL)
     bench.past()
-    assert bench.word is Trouble.FULL and not bench.part.earlier_skip(PARENT, bench.now)
+    assert bench.word is Fault.FULL and not bench.part.earlier_skip(PARENT, bench.now)
 
 
 EVIDENCE = st.builds(
@@ -241,7 +251,7 @@
 def test_whatever_is_heard_raises_nothing(steps: list[tuple[int, int, Evidence, float]]) -> None:
     bench = Bench()
     for sender, incarnation, note, step in steps:
-        bench.do(bench.part.hear(sender, incarnation, note, bench.now))
+        bench.do(bench.part.handle_message(sender, incarnation, note, bench.now))
         bench.past(step)
         assert bench.part.due() >= bench.now
 
@@ -256,7 +266,7 @@
 def test_subjects_and_witnesses_have_bounds() -> None:
     bench = Bench(200)
     for subject in range(1000):
-        bench.do(bench.part.hear(1, 1, Evidence(subject, 0, BAD, 1, 0, 1), 0.0))
+        bench.do(bench.part.handle_message(1, 1, Evidence(subject, 0, BAD, 1, 0, 1), 0.0))
     for peer in range(1, 200):
         bench.says(peer)
     assert len(bench.part._subjects) <= verdicts.SUBJECTS_MOST >= len(bench.part._active)
--- a/tests/cluster/test_wire.py
+++ b/tests/cluster/test_wire.py
@@ -10,8 +10,17 @@
 from hypothesis import strategies as st
 
 from paddlequay.cluster import wire as w
-from paddlequay.cluster.notes import DIGEST_MOST, FIELD_MOST, NOTES, TEXT_MOST, Evidence, Load, Note, Ping
-from paddlequay.cluster.types import Fleet, Trouble
+from paddlequay.cluster.messages import (
+    DIGEST_MOST,
+    FIELD_MOST,
+    MESSAGE_TYPES,
+    TEXT_MOST,
+    Evidence,
+    Load,
+    PeerMessage,
+    Ping,
+)
+from paddlequay.cluster.types import Fault, Fleet
 from paddlequay.cluster.wire import Codec, Head, Heard, Refusal, Wire
 
 SIZE = 5
@@ -19,14 +28,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Label(Note):
+class Label(PeerMessage):
     KIND: ClassVar[int] = 200
     text: str
     blob: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class LongerPing(Note):
+class LongerPing(PeerMessage):
     """A ping as a later release may have it."""
 
     KIND: ClassVar[int] = 1
@@ -35,7 +44,7 @@
     rest: int = 7
 
 
-KINDS: dict[int, type[Note]] = NOTES | {200: Label}
+KINDS: dict[int, type[PeerMessage]] = MESSAGE_TYPES | {200: Label}
 CODEC = Codec("quay", SIZE, KINDS)
 HEAD = Head(1, 1, 1, 1, 0)
 
@@ -66,7 +75,7 @@
         return error.refusal
 
 
-def sent(*notes: Note, codec: Codec = CODEC, head: Head = HEAD) -> bytes:
+def sent(*notes: PeerMessage, codec: Codec = CODEC, head: Head = HEAD) -> bytes:
     return codec.pack(head, [codec.pack_note(note) for note in notes])
 
 
@@ -76,7 +85,7 @@
 
 @QUICK
 @given(HEADS, st.lists(ANY_NOTE, max_size=w.NOTES_MOST))
-def test_what_is_packed_is_read_and_never_over_the_bound(head: Head, notes: list[Note]) -> None:
+def test_what_is_packed_is_read_and_never_over_the_bound(head: Head, notes: list[PeerMessage]) -> None:
     packed = [CODEC.pack_note(note) for note in notes]
     length = w.TAG_SIZE + (1 if len(notes) < 11 else 3) + len(CODEC.pack_head(head)) + sum(map(len, packed))
     if length > w.DATAGRAM_MOST:
@@ -112,7 +121,7 @@
 
 @QUICK
 @given(st.lists(ANY_NOTE, min_size=1, max_size=2), st.data())
-def test_a_changed_or_cut_datagram_is_refused(notes: list[Note], data: st.DataObject) -> None:
+def test_a_changed_or_cut_datagram_is_refused(notes: list[PeerMessage], data: st.DataObject) -> None:
     whole = sent(*notes)
     at = data.draw(st.integers(0, len(whole) - 1))
     flipped = bytearray(whole)
@@ -180,10 +189,10 @@
     assert CODEC.read(sent(LongerPing(3, 4, 5), codec=newer)).notes == (Ping(3, 4),)
     assert newer.read(sent(Ping(3, 4))).notes == (LongerPing(3, 4, 7),)
     older = Codec("quay", SIZE)
-    (note,) = older.read(sent(Evidence(1, 2, Trouble.COLD, 3, 4, 5))).notes
+    (note,) = older.read(sent(Evidence(1, 2, Fault.COLD, 3, 4, 5))).notes
     assert isinstance(note, Evidence) and type(note.trouble) is int  # a named number is sent as a number
     ranges = {(f.least, f.most) for shape in older.shapes.values() for f in shape.fields if f.type is int}
-    small = {(0, 1), (1, 3), (0, int(max(Trouble))), (0, SIZE - 1)}
+    small = {(0, 1), (1, 3), (0, int(max(Fault))), (0, SIZE - 1)}
     assert ranges == small | {(0, FIELD_MOST), (0, DIGEST_MOST)}
     assert older.read(sent(Ping(1, 0), Label("a", b""), Load(1, 2))) == Heard(
         HEAD, (Ping(1, 0), Load(1, 2)), 1
--- a/tests/golden/golden_samples.py
+++ b/tests/golden/golden_samples.py
@@ -16,7 +16,7 @@
 from driver import EVERYBODY, settings
 from test_adapter import batch, provision, query
 
-from paddlequay.cluster.notes import NOTES, Note
+from paddlequay.cluster.messages import MESSAGE_TYPES, PeerMessage
 from paddlequay.cluster.wire import Codec, Head
 from paddlequay.discovery.membership import Membership
 from paddlequay.discovery.reports import ReportedMember, SourceRule
@@ -64,7 +64,7 @@
         yield twin.pack(message).decode().removesuffix("\n")
 
 
-def note_samples() -> Iterator[tuple[Note, Note]]:
+def note_samples() -> Iterator[tuple[PeerMessage, PeerMessage]]:
     """Each datagram kind twice: with every field at its least, and at its greatest value."""
     for shape in Codec("golden", FLEET_SIZE).shapes.values():
         least = [field.least if field.type is int else field.type() for field in shape.fields]
@@ -75,7 +75,7 @@
 def datagrams() -> Iterator[str]:
     """Kind, fields with type and range, and a whole datagram with two notes of the kind, in hex."""
     codec = Codec("golden", FLEET_SIZE)
-    for number, (least, most) in zip(NOTES, note_samples(), strict=True):
+    for number, (least, most) in zip(MESSAGE_TYPES, note_samples(), strict=True):
         fields = [(field.type.__name__, field.least, field.most) for field in codec.shapes[number].fields]
         head = Head(1, 3, 5, 70 + number, 9)
         data = codec.pack(head, [codec.pack_note(least), codec.pack_note(most)])
