--- a/paddlequay/hierarchy/copies.py
+++ b/paddlequay/hierarchy/copies.py
@@ -13,7 +13,7 @@
 
 K = TypeVar("K")
 
-Place = tuple[str, int | None]
+PartKey = tuple[str, int | None]
 """An object and one of its parts."""
 
 RANKS = 4
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Copy:
+class CachedCopy:
     """One part of an object. `minted` is the Unix second at which the store gave it out."""
 
     body: bytes | bytearray | memoryview
@@ -39,39 +39,39 @@
 OVERHEAD = 512
 
 
-def unlist(index: dict[K, set[Place]], name: K, place: Place) -> None:
+def unlist(index: dict[K, set[PartKey]], name: K, place: PartKey) -> None:
     index[name].discard(place)
     if not index[name]:
         del index[name]
 
 
-class Copies:
+class CopyCache:
     """All copies of a node within `most` bytes."""
 
     def __init__(self, most: int) -> None:
         self.most = most
         self.bytes = 0
         self.evicted = 0
-        self.places: dict[Place, Copy] = {}
-        self.by_use: tuple[OrderedDict[Place, None], ...] = tuple(OrderedDict() for _ in range(RANKS))
-        self.by_object: dict[str, set[Place]] = {}
-        self.by_group: dict[int | None, set[Place]] = {}
+        self.places: dict[PartKey, CachedCopy] = {}
+        self.by_use: tuple[OrderedDict[PartKey, None], ...] = tuple(OrderedDict() for _ in range(RANKS))
+        self.by_object: dict[str, set[PartKey]] = {}
+        self.by_group: dict[int | None, set[PartKey]] = {}
 
     def __len__(self) -> int:
         return len(self.places)
 
-    def get(self, place: Place) -> Copy | None:
+    def get(self, place: PartKey) -> CachedCopy | None:
         """The copy, used now."""
         copy = self.places.get(place)
         if copy is not None:
             self.by_use[copy.rank].move_to_end(place)
         return copy
 
-    def peek(self, place: Place) -> Copy | None:
+    def peek(self, place: PartKey) -> CachedCopy | None:
         """The copy, left in its order."""
         return self.places.get(place)
 
-    def put(self, place: Place, copy: Copy) -> bool:
+    def put(self, place: PartKey, copy: CachedCopy) -> bool:
         """Keep a copy if it fits without displacing higher ranks; an older one never replaces a newer one."""
         known = self.places.get(place)
         if known is not None:
@@ -92,7 +92,7 @@
         self.bytes += copy.size
         return True
 
-    def fits(self, copy: Copy, known: Copy | None) -> bool:
+    def fits(self, copy: CachedCopy, known: CachedCopy | None) -> bool:
         """Whether what may go makes room enough."""
         free = self.most - self.bytes + (known.size if known is not None else 0)
         if copy.size <= free:
@@ -105,7 +105,7 @@
                     return True
         return False
 
-    def drop(self, place: Place) -> None:
+    def drop(self, place: PartKey) -> None:
         copy = self.places.pop(place, None)
         if copy is None:
             return
@@ -128,11 +128,11 @@
             self.drop(place)
         return len(old)
 
-    def held(self) -> Iterator[tuple[Place, Copy]]:
+    def held(self) -> Iterator[tuple[PartKey, CachedCopy]]:
         return iter(self.places.items())
 
 
-class Purges:
+class PurgeHistory:
     """When objects and groups were purged last; the oldest time at which a copy of a place may be minted.
 
     Bounds: `most` purges, each for `memory` seconds, after which no copy from before it is left anywhere.
--- a/paddlequay/hierarchy/terms.py
+++ b/paddlequay/hierarchy/fencing_tokens.py
@@ -11,7 +11,7 @@
 KEPT_S = 60.0  # after the last word of a channel: far longer than any fill lives that was written before
 
 
-class Terms:
+class FencingTokens:
     """The highest term seen of each channel; bounded by `most` channels and `kept` seconds."""
 
     def __init__(self, most: int = CHANNELS_MOST, kept: float = KEPT_S) -> None:
--- a/paddlequay/hierarchy/leases.py
+++ b/paddlequay/hierarchy/fill_leases.py
@@ -13,15 +13,15 @@
 from enum import Enum
 from typing import Generic, TypeVar
 
-from paddlequay.hierarchy.copies import Place
-from paddlequay.hierarchy.trail import Trail
+from paddlequay.hierarchy.copies import PartKey
+from paddlequay.hierarchy.fill_path import FillPath
 
 T = TypeVar("T")
 
 PURGES_MOST = 64  # noted at one fill
 
 
-class Toward(Enum):
+class WaitTarget(Enum):
     """Whom a fill waits for."""
 
     LOOK = "look"  # what another holds: waits at most for a fill that waits for the store
@@ -29,7 +29,7 @@
     STORE = "store"  # waits for nobody
 
 
-class May(Enum):
+class LeaseDecision(Enum):
     """What one who asks may do about a lease."""
 
     JOIN = "join"
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rung:
+class FillSource:
     """One step of a fill's ladder: ask `target`; `held`: only for what it holds, claiming the object by
     it."""
 
@@ -49,24 +49,24 @@
 
 
 @dataclass(slots=True, eq=False)
-class Lease(Generic[T]):
+class FillLease(Generic[T]):
     """A fill under way, and who waits for it."""
 
-    place: Place
+    place: PartKey
     number: int
-    trail: Trail
+    trail: FillPath
     began: float
     floor: float = 0.0  # the Unix second from which on the copy asked for must be minted
-    toward: Toward = Toward.LOOK
+    toward: WaitTarget = WaitTarget.LOOK
     target: str = ""  # whom it asks now
-    youngest: Trail | None = None  # of the fills elsewhere that wait for this one
+    youngest: FillPath | None = None  # of the fills elsewhere that wait for this one
     joined: list[T] = field(default_factory=list)
-    rungs: deque[Rung] = field(default_factory=deque)  # whom it may still ask
+    rungs: deque[FillSource] = field(default_factory=deque)  # whom it may still ask
     detours: int = 0  # whom it has asked beside these
     # Purges during the fill: of which group (None: of the object itself), when, and how many had joined.
     purges: list[tuple[int | None, float, int]] = field(default_factory=list)
 
-    def turn(self, toward: Toward, target: str) -> Trail:
+    def turn(self, toward: WaitTarget, target: str) -> FillPath:
         """The fill asks somebody else now; the trail that goes with it.
 
         Before it waits for a node, it becomes younger than all who wait for it: they joined while it was
@@ -74,8 +74,8 @@
         """
         self.toward, self.target = toward, target
         youngest = self.youngest
-        if toward is Toward.NODE and youngest is not None and not youngest.older(self.trail):
-            self.trail = Trail(youngest.stamp + 1, self.trail.hops)
+        if toward is WaitTarget.NODE and youngest is not None and not youngest.older(self.trail):
+            self.trail = FillPath(youngest.stamp + 1, self.trail.hops)
         return self.trail
 
     def purged_before(self, count: int, group: int | None) -> float:
@@ -90,47 +90,47 @@
         )
 
 
-class Leases(Generic[T]):
+class FillLeases(Generic[T]):
     """All fills under way. Bounds: `most` fills, `joiners` waiting for each."""
 
     def __init__(self, most: int, joiners: int) -> None:
         self.most, self.joiners = most, joiners
-        self.current: dict[Place, Lease[T]] = {}  # the one that may be joined
-        self.by_number: dict[int, Lease[T]] = {}
+        self.current: dict[PartKey, FillLease[T]] = {}  # the one that may be joined
+        self.by_number: dict[int, FillLease[T]] = {}
         self.numbers = 0
 
     def __len__(self) -> int:
         return len(self.by_number)
 
-    def may(self, place: Place, trail: Trail | None, look: bool = False) -> May:
+    def may(self, place: PartKey, trail: FillPath | None, look: bool = False) -> LeaseDecision:
         """What an ask may do; `trail` is None where nobody waits for the one who asks.
 
         A look waits for no fill that waits for a node: so those may be joined who look themselves.
         """
         lease = self.current.get(place)
         if lease is None:
-            return May.BEGIN if len(self.by_number) < self.most else May.FULL
-        closes = lease.toward is Toward.NODE and trail is not None and not trail.older(lease.trail)
-        if closes or (look and lease.toward is not Toward.STORE):
-            return May.DIE
-        return May.JOIN if len(lease.joined) < self.joiners else May.FULL
+            return LeaseDecision.BEGIN if len(self.by_number) < self.most else LeaseDecision.FULL
+        closes = lease.toward is WaitTarget.NODE and trail is not None and not trail.older(lease.trail)
+        if closes or (look and lease.toward is not WaitTarget.STORE):
+            return LeaseDecision.DIE
+        return LeaseDecision.JOIN if len(lease.joined) < self.joiners else LeaseDecision.FULL
 
-    def begin(self, place: Place, trail: Trail, now: float, waiter: T) -> Lease[T]:
+    def begin(self, place: PartKey, trail: FillPath, now: float, waiter: T) -> FillLease[T]:
         """A new fill; whoever asks for this place from now on joins it."""
         self.numbers += 1
-        lease: Lease[T] = Lease(place, self.numbers, trail, now)
+        lease: FillLease[T] = FillLease(place, self.numbers, trail, now)
         lease.joined.append(waiter)
         self.current[place] = self.by_number[lease.number] = lease
         return lease
 
-    def join(self, place: Place, waiter: T, trail: Trail | None) -> Lease[T]:
+    def join(self, place: PartKey, waiter: T, trail: FillPath | None) -> FillLease[T]:
         lease = self.current[place]
         lease.joined.append(waiter)
         if trail is not None and (lease.youngest is None or lease.youngest.older(trail)):
             lease.youngest = trail
         return lease
 
-    def end(self, number: int) -> Lease[T] | None:
+    def end(self, number: int) -> FillLease[T] | None:
         """A fill is over, however it ended; None where it is not known any more."""
         lease = self.by_number.pop(number, None)
         if lease is not None and self.current.get(lease.place) is lease:
@@ -157,7 +157,7 @@
                 hit += 1
         return hit
 
-    def under_way(self) -> Iterator[Lease[T]]:
+    def under_way(self) -> Iterator[FillLease[T]]:
         return iter(self.by_number.values())
 
     def oldest(self, now: float) -> float:
--- a/paddlequay/hierarchy/wants.py
+++ b/paddlequay/hierarchy/fill_requests.py
@@ -5,12 +5,12 @@
 from enum import Enum
 from typing import Any
 
-from paddlequay.hierarchy.copies import Copy, Place
-from paddlequay.hierarchy.trail import Trail
+from paddlequay.hierarchy.copies import CachedCopy, PartKey
+from paddlequay.hierarchy.fill_path import FillPath
 from paddlequay.routing.interface import ReplyDetail
 
 
-class Word(Enum):
+class ReplyStatus(Enum):
     """What an answer says, in the words of the caches' protocol."""
 
     HIT = "HIT"
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
+class OwnershipClaim:
     """By which version of the shape a node is an object's home, and where it listens."""
 
     version: int
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Meet:
+class PeerIntroduction:
     """A node that this one's shape does not name yet has claimed an object; it may be asked from now on."""
 
     name: str
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Want:
+class FillRequest:
     """What is asked of a node. `token` is the driver's own word for who asks.
 
     `floor`: no copy minted before this Unix second will do. `trail` is None where a box or a router asks.
@@ -65,8 +65,8 @@
     floor: float
     until: float
     fill: bool = True  # False: only what is held, or being filled
-    trail: Trail | None = None
-    claim: "Claim | None" = None  # the asker says that it is the home of this object
+    trail: FillPath | None = None
+    claim: OwnershipClaim | None = None  # the asker says that it is the home of this object
     channel: tuple[int, int] | None = None  # filled ahead for this live channel, under this term
     known: str | None = None
     rank: int = 1
@@ -78,28 +78,28 @@
     waits: bool = False
 
     @property
-    def place(self) -> Place:
+    def place(self) -> PartKey:
         return self.name, self.part
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Reply:
     """The one answer to a want."""
 
-    want: Want
-    word: Word
-    copy: Copy | None = None
+    want: FillRequest
+    word: ReplyStatus
+    copy: CachedCopy | None = None
     detail: str = ""
     lag: float = 0.0
     hint: str = ""  # with LOOP: whom the fill here waits for
 
 
 @dataclass(frozen=True, slots=True)
-class Fill:
+class StartFill:
     """Begin a fill: ask whom `Node.step` names in turn for a copy minted at `floor` or later."""
 
     number: int
-    place: Place
+    place: PartKey
     class_name: str
     floor: float
     claim: int
@@ -107,16 +107,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Got:
+class FillResult:
     """How a fill ended: a copy, or why there is none."""
 
-    copy: Copy | None = None
+    copy: CachedCopy | None = None
     note: ReplyDetail | None = None
     refused: bool = False
     from_store: bool = False
 
 
-Action = Answer | Fill | Meet
+Action = Reply | StartFill | PeerIntroduction
 FAILURES = {
     ReplyDetail.SOURCE_REJECTED: "UP_BUSY",
     ReplyDetail.SOURCE_UNREACHABLE: "UP_DOWN",
@@ -126,7 +126,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class NodeCounters:
     """What happened, for counters and the console."""
 
     counts: Counter[str] = field(default_factory=Counter)
--- a/paddlequay/hierarchy/moves.py
+++ b/paddlequay/hierarchy/migration.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from paddlequay.hierarchy.shape import Shape
+from paddlequay.hierarchy.topology import Topology
 from paddlequay.placement.homes import Homes
 
 EPOCHS_MOST = 8  # earlier shapes of a group that are looked through
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MoveLimits:
+class MigrationLimits:
     """Times in seconds; rates in looks a second."""
 
     window: float = 60.0  # an earlier home is asked for this long after it was left
@@ -50,14 +50,14 @@
     return homes
 
 
-class Moves:
+class MigrationPlan:
     """The earlier homes of a group's objects, as one of its members sees them.
 
     Bounds: `EPOCHS_MOST` epochs, and no longer than `window`; `CLAIMS_MOST` claims, and no longer than
     `claim`.
     """
 
-    def __init__(self, own: str, limits: MoveLimits) -> None:
+    def __init__(self, own: str, limits: MigrationLimits) -> None:
         self.own, self.limits = own, limits
         self.epochs: deque[Epoch] = deque(maxlen=EPOCHS_MOST)  # the latest first
         self.version = 0
@@ -66,7 +66,7 @@
         self.claims: OrderedDict[tuple[str, int | None], tuple[str, int, float]] = OrderedDict()
         self.tokens: dict[str, tuple[float, float]] = {}
 
-    def follow(self, shape: Shape, group: str, now: float) -> bool:
+    def follow(self, shape: Topology, group: str, now: float) -> bool:
         """Take a shape as the current one; whether the homes of the group changed by it."""
         members = {node.name: node.weight for node in shape.group(group) if node.ready}
         changed = members != self.members
--- a/paddlequay/hierarchy/node.py
+++ b/paddlequay/hierarchy/node.py
@@ -1,7 +1,7 @@
 """The node in the middle, without sockets: what it answers from memory, what it joins, and when it fills.
 
 Events in, actions out. A driver hands in what is asked (`ask`, `quit`), how fills go (`directed`, `ended`),
-news (`follow`, `purged`) and the time (`tick`); it carries out `Answer` and `Fill`. Whom a fill asks, in
+news (`follow`, `purged`) and the time (`tick`); it carries out `Reply` and `StartFill`. Whom a fill asks, in
 which order, is told by `rungs`; whether one of them may be used now is for the decision module behind the
 exchange.
 """
@@ -9,30 +9,28 @@
 import heapq
 from collections.abc import Iterable, Mapping
 
-from paddlequay.hierarchy.copies import Copies, Copy, Purges
-from paddlequay.hierarchy.leases import Lease, Leases, May, Rung, Toward
-from paddlequay.hierarchy.moves import MoveLimits, Moves
-from paddlequay.hierarchy.shape import Shape
-from paddlequay.hierarchy.terms import Terms
-from paddlequay.hierarchy.trail import HOPS_MOST, Trail
-from paddlequay.hierarchy.wants import (
+from paddlequay.hierarchy.copies import CachedCopy, CopyCache, PurgeHistory
+from paddlequay.hierarchy.fencing_tokens import FencingTokens
+from paddlequay.hierarchy.fill_leases import FillLease, FillLeases, FillSource, LeaseDecision, WaitTarget
+from paddlequay.hierarchy.fill_path import MAX_HOPS, FillPath
+from paddlequay.hierarchy.fill_requests import (
     FAILURES,
     Action,
-    Answer,
-    Claim,
-    Fill,
-    Got,
-    Meet,
+    FillRequest,
+    FillResult,
+    NodeCounters,
     NodeLimits,
-    Seen,
-    Want,
-    Word,
+    OwnershipClaim,
+    PeerIntroduction,
+    Reply,
+    ReplyStatus,
+    StartFill,
 )
+from paddlequay.hierarchy.migration import MigrationLimits, MigrationPlan
+from paddlequay.hierarchy.topology import Topology
 from paddlequay.placement.homes import arrival, digest, key_of, place, slot_of
 from paddlequay.routing.interface import ReplyDetail
 
-__all__ = ["Action", "Answer", "Claim", "Fill", "Got", "Meet", "Node", "NodeLimits", "Want", "Word"]
-
 MET_MOST = 64
 DETOURS_MOST = 6  # rungs that one fill takes beside its ladder
 STAND_INS = 3  # homes that are asked in turn before a node goes to the store itself
@@ -51,30 +49,30 @@
         self,
         name: str,
         limits: NodeLimits,
-        moves: MoveLimits,
+        moves: MigrationLimits,
         started: float = 0.0,
         group: str = "",
     ) -> None:
         self.name, self.limits, self.started = name, limits, started
-        self.shape = Shape()
+        self.shape = Topology()
         self.group = group  # of its own, known also while no shape names it yet
-        self.moves = Moves(name, moves)
-        self.copies = Copies(limits.bytes)
-        self.purges = Purges(limits.purge_memory)
-        self.leases: Leases[Want] = Leases(limits.fills, limits.joiners)
-        self.terms = Terms()
+        self.moves = MigrationPlan(name, moves)
+        self.copies = CopyCache(limits.bytes)
+        self.purges = PurgeHistory(limits.purge_memory)
+        self.leases: FillLeases[FillRequest] = FillLeases(limits.fills, limits.joiners)
+        self.terms = FencingTokens()
         self.waiting = 0
-        self.ends: list[tuple[float, int, Want]] = []
+        self.ends: list[tuple[float, int, FillRequest]] = []
         self.serial = 0
         self.stamp = 0
-        self.seen = Seen()
+        self.seen = NodeCounters()
         self.actions: list[Action] = []
         self.met: dict[str, tuple[str, int]] = {}  # claimants that the shape does not name yet
         self.barred: set[str] = set()  # whom operators leave out
 
     # --- news ---
 
-    def follow(self, shape: Shape, now: float) -> None:
+    def follow(self, shape: Topology, now: float) -> None:
         """Act on a shape from now on. Fills under way go on: what they bring is as good as before."""
         self.shape = shape
         self.met = {name: at for name, at in self.met.items() if name not in shape.nodes}
@@ -91,25 +89,25 @@
 
     # --- what is asked ---
 
-    def ask(self, want: Want, now: float) -> list[Action]:
+    def ask(self, want: FillRequest, now: float) -> list[Action]:
         """Take a want; its answer comes in these actions or in later ones, exactly once."""
         self.actions = []
         self.seen.add("asked")
         if want.channel is not None and not self.terms.takes(*want.channel, now):
             self.seen.add("old_terms")
-            self.answer(want, Word.NONE, detail="OLD_TERM")
+            self.answer(want, ReplyStatus.NONE, detail="OLD_TERM")
             return self.actions
-        if want.trail is not None and (self.name in want.trail.hops or len(want.trail.hops) >= HOPS_MOST):
+        if want.trail is not None and (self.name in want.trail.hops or len(want.trail.hops) >= MAX_HOPS):
             # The loop is found where it closes: the one before takes its next rung at once.
             self.seen.add("loops_found")
-            self.answer(want, Word.NONE, detail="LOOP")
+            self.answer(want, ReplyStatus.NONE, detail="LOOP")
             return self.actions
         if want.trail is not None and want.claim is not None:
             self.claimed(want, want.trail.last, want.claim, now)
         self.serve(want, now)
         return self.actions
 
-    def claimed(self, want: Want, by: str, claim: Claim, now: float) -> None:
+    def claimed(self, want: FillRequest, by: str, claim: OwnershipClaim, now: float) -> None:
         """Another node says that it is the home: it fills, and is asked from now on."""
         if not self.moves.claim(want.place, by, claim.version, now):
             return self.seen.add("claims_old")
@@ -117,40 +115,40 @@
         if by not in self.shape.nodes and claim.version > self.shape.version:
             # News of it is on its way. Unknown it could not be asked, and this node would fill a second time.
             if self.met.get(by) != claim.address:
-                self.actions.append(Meet(by, claim.address))
+                self.actions.append(PeerIntroduction(by, claim.address))
             self.met[by] = claim.address
             while len(self.met) > MET_MOST:
                 del self.met[next(iter(self.met))]
 
-    def serve(self, want: Want, now: float) -> None:
+    def serve(self, want: FillRequest, now: float) -> None:
         copy = self.copies.get(want.place)
         group = copy.group if copy is not None else None
         purged = self.purges.floor(want.name, group)
         if copy is not None and copy.minted >= max(want.floor, purged):
-            return self.answer(want, Word.HIT, copy, "HIT")
+            return self.answer(want, ReplyStatus.HIT, copy, "HIT")
         if copy is not None and want.grace and copy.minted >= max(want.floor - want.grace, purged):
             if want.renew:
                 self.renew(want, now)
-            return self.answer(want, Word.HIT, copy, "STALE")
+            return self.answer(want, ReplyStatus.HIT, copy, "STALE")
         may = self.leases.may(want.place, want.trail, look=not want.fill)
-        if may is May.JOIN:
+        if may is LeaseDecision.JOIN:
             self.seen.add("joined")
             self.wait(want)
             self.leases.join(want.place, want, want.trail)
-        elif may is May.DIE:
+        elif may is LeaseDecision.DIE:
             # It may be no ring: whom the fill here waits for, the asker can ask in its turn.
             self.seen.add("rings_refused")
-            self.answer(want, Word.NONE, detail="LOOP", hint=self.leases.current[want.place].target)
+            self.answer(want, ReplyStatus.NONE, detail="LOOP", hint=self.leases.current[want.place].target)
         elif not want.fill:
-            self.answer(want, Word.NONE, detail="UP_MISS")
-        elif may is May.FULL or self.waiting >= self.limits.waiting:
+            self.answer(want, ReplyStatus.NONE, detail="UP_MISS")
+        elif may is LeaseDecision.FULL or self.waiting >= self.limits.waiting:
             self.seen.add("full")
-            self.answer(want, Word.SHED, detail="NO_FILL")
+            self.answer(want, ReplyStatus.SHED, detail="NO_FILL")
         else:
             self.wait(want)
             self.begin(want, now)
 
-    def wait(self, want: Want) -> None:
+    def wait(self, want: FillRequest) -> None:
         want.waits = True
         self.waiting += 1
         self.serial += 1
@@ -160,24 +158,26 @@
             self.ends = [end for end in self.ends if not end[2].over]
             heapq.heapify(self.ends)
 
-    def unwait(self, want: Want) -> None:
+    def unwait(self, want: FillRequest) -> None:
         self.waiting -= want.waits
         want.waits = False
 
-    def renew(self, want: Want, now: float) -> None:
+    def renew(self, want: FillRequest, now: float) -> None:
         """Fill anew behind an answer that an ageing copy gave."""
-        if self.leases.may(want.place, want.trail) is May.BEGIN:
-            behind = Want(None, want.name, want.part, want.class_name, now, now, trail=want.trail, over=True)
+        if self.leases.may(want.place, want.trail) is LeaseDecision.BEGIN:
+            behind = FillRequest(
+                None, want.name, want.part, want.class_name, now, now, trail=want.trail, over=True
+            )
             self.seen.add("renewed")
             self.begin(behind, now)
 
-    def begin(self, want: Want, now: float) -> None:
+    def begin(self, want: FillRequest, now: float) -> None:
         """One fill for all who want this place from now on."""
         trail = want.trail
         if trail is None:
             # Unique by the node's name and a stamp that never comes twice here.
             self.stamp = max(self.stamp + 1, int(now * 1e6))
-            trail = Trail(self.stamp, ())
+            trail = FillPath(self.stamp, ())
         trail = trail.through(self.name)
         purged = self.purges.of_object(want.name)
         lease = self.leases.begin(want.place, trail, now, want)
@@ -185,7 +185,7 @@
         lease.rungs.extend(self.rungs(want, trail, now))
         self.seen.add("fills")
         self.actions.append(
-            Fill(
+            StartFill(
                 number=lease.number,
                 place=want.place,
                 class_name=want.class_name,
@@ -195,7 +195,7 @@
             )
         )
 
-    def rungs(self, want: Want, trail: Trail, now: float) -> Iterable[Rung]:
+    def rungs(self, want: FillRequest, trail: FillPath, now: float) -> Iterable[FillSource]:
         """Whom a fill asks in turn.
 
         A home asks those who may hold the object from before, then its parents in the order of their homes,
@@ -206,32 +206,32 @@
             key_of(want.name)
         )  # as routers have it, so that they ask whom this node takes for the home
         own = self.shape.nodes.get(self.name)
-        rungs: dict[str, Rung] = {}
+        rungs: dict[str, FillSource] = {}
         claimant = self.moves.claimed(want.place, now)
         if claimant is not None and self.usable(claimant, trail):
-            rungs[claimant] = Rung(claimant)
+            rungs[claimant] = FillSource(claimant)
         home = self.moves.homes.home(key)
         if home == self.name:
             new = now - self.started < self.limits.new
             for name in self.moves.earlier(key, lambda each: self.usable(each, trail), new, now):
-                rungs.setdefault(name, Rung(name, held=True))
+                rungs.setdefault(name, FillSource(name, held=True))
         else:
             # Where the home fails, the next on the hash stands in for it, at all nodes alike.
             for name in self.moves.homes.first_names(key, STAND_INS):
                 if name == self.name:
                     break
                 if self.usable(name, trail):
-                    rungs.setdefault(name, Rung(name))
+                    rungs.setdefault(name, FillSource(name))
         parents = {node.name: node.weight for node in self.shape.parents_of(self.name)} if own else {}
         for name in ranked(parents, key):
             if self.usable(name, trail):
-                rungs.setdefault(name, Rung(name))
+                rungs.setdefault(name, FillSource(name))
         stores = {node.name: node.weight for node in self.shape.stores() if node.ready}
         for name in ranked(stores, key):
-            rungs.setdefault(name, Rung(name, store=True))
+            rungs.setdefault(name, FillSource(name, store=True))
         return rungs.values()
 
-    def usable(self, name: str, trail: Trail) -> bool:
+    def usable(self, name: str, trail: FillPath) -> bool:
         """Whether a node may be asked at all: listed, not draining, not left out, not waiting for this."""
         node = self.shape.nodes.get(name)
         ready = node.ready if node is not None else name in self.met
@@ -242,14 +242,14 @@
             return False
         return True
 
-    def quit(self, want: Want) -> None:
+    def quit(self, want: FillRequest) -> None:
         """Who asked no longer waits. The fill runs on: what it brings is kept."""
         want.over = True
         self.unwait(want)
 
     # --- fills ---
 
-    def step(self, number: int, hint: str = "") -> tuple[Rung, Trail] | None:
+    def step(self, number: int, hint: str = "") -> tuple[FillSource, FillPath] | None:
         """Whom a fill asks next, and the trail that goes with it; None where nobody is left.
 
         `hint`: the one that was asked waits for this other one. Followed from node to node hints lead to a
@@ -260,26 +260,26 @@
         if lease is None:
             return None
         rung = self.beside(lease, hint) if hint else None
-        if hint == self.name and lease.toward is Toward.LOOK and lease.detours < DETOURS_MOST:
+        if hint == self.name and lease.toward is WaitTarget.LOOK and lease.detours < DETOURS_MOST:
             # Two looked at each other. By now the other one has gone on, and holds or fills the object.
             lease.detours += DETOURS_MOST // 2
-            rung = Rung(lease.target, held=True)
+            rung = FillSource(lease.target, held=True)
         if rung is None and lease.rungs:
             claimant = self.moves.claimed(lease.place, lease.began) if lease.rungs[0].store else None
             rung = self.beside(lease, claimant) if claimant is not None else None
             rung = rung or lease.rungs.popleft()
         if rung is None:
             return None
-        toward = Toward.STORE if rung.store else Toward.LOOK if rung.held else Toward.NODE
+        toward = WaitTarget.STORE if rung.store else WaitTarget.LOOK if rung.held else WaitTarget.NODE
         return rung, lease.turn(toward, rung.target)
 
-    def beside(self, lease: Lease[Want], name: str) -> Rung | None:
+    def beside(self, lease: FillLease[FillRequest], name: str) -> FillSource | None:
         """A rung beside the ladder; the same one may come twice: by then it may wait for the store."""
         if name == self.name or lease.detours >= DETOURS_MOST or not self.usable(name, lease.trail):
             return None
         lease.detours += 1
         self.seen.add("detours")
-        return Rung(name)
+        return FillSource(name)
 
     def unreached(self, number: int, target: str) -> None:
         """One that a fill asked could not be reached: its claim no longer holds."""
@@ -287,7 +287,7 @@
         if lease is not None:
             self.moves.release(lease.place, target)
 
-    def ended(self, number: int, got: Got, now: float) -> list[Action]:
+    def ended(self, number: int, got: FillResult, now: float) -> list[Action]:
         """A fill is over: each who waits gets its answer, or a fill of its own where this one is too old."""
         self.actions = []
         lease = self.leases.end(number)
@@ -309,14 +309,22 @@
             self.filled(want, lease, copy, got, purged, now)
         return self.actions
 
-    def keep(self, lease: Lease[Want], copy: Copy) -> None:
+    def keep(self, lease: FillLease[FillRequest], copy: CachedCopy) -> None:
         wants = [want for want in lease.joined if want.keep]
         if wants:
             copy.rank = max(want.rank for want in wants)
             if not self.copies.put(lease.place, copy):
                 self.seen.add("not_kept")
 
-    def filled(self, want: Want, lease: Lease[Want], copy: Copy, got: Got, purged: float, now: float) -> None:
+    def filled(
+        self,
+        want: FillRequest,
+        lease: FillLease[FillRequest],
+        copy: CachedCopy,
+        got: FillResult,
+        purged: float,
+        now: float,
+    ) -> None:
         if want.over:
             return
         if copy.minted < max(want.floor, purged):
@@ -326,13 +334,13 @@
                 want.restarts += 1
                 self.again(want, now)
             else:
-                self.answer(want, Word.NONE, detail="UP_MISS")
+                self.answer(want, ReplyStatus.NONE, detail="UP_MISS")
             return
         first = want is lease.joined[0]
         detail = ("MISS_ORIGIN" if got.from_store else "MISS") if first else "COLLAPSED"
-        self.answer(want, Word.HIT, copy, detail, now - lease.began)
+        self.answer(want, ReplyStatus.HIT, copy, detail, now - lease.began)
 
-    def failed(self, want: Want, lease: Lease[Want], got: Got, now: float) -> None:
+    def failed(self, want: FillRequest, lease: FillLease[FillRequest], got: FillResult, now: float) -> None:
         if want.over:
             return
         # Who joined may have time, or ways, that the first one had not.
@@ -341,11 +349,13 @@
             want.restarts += 1
             return self.again(want, now)
         if got.refused:
-            return self.answer(want, Word.SHED, detail="UP_BUSY")
+            return self.answer(want, ReplyStatus.SHED, detail="UP_BUSY")
         note = FAILURES.get(got.note) if got.note is not None else None
-        self.answer(want, Word.FAULT if note == "ORIGIN_ERR" else Word.NONE, detail=note or "UP_DOWN")
+        self.answer(
+            want, ReplyStatus.FAULT if note == "ORIGIN_ERR" else ReplyStatus.NONE, detail=note or "UP_DOWN"
+        )
 
-    def again(self, want: Want, now: float) -> None:
+    def again(self, want: FillRequest, now: float) -> None:
         self.unwait(want)
         self.seen.add("fills_again")
         # Its entry among the ends is still there, and harmless: that looks at `over` only.
@@ -358,22 +368,22 @@
             want = heapq.heappop(self.ends)[2]
             if not want.over:
                 self.seen.add("late")
-                self.answer(want, Word.LATE)
+                self.answer(want, ReplyStatus.LATE)
         return self.actions
 
     def answer(
         self,
-        want: Want,
-        word: Word,
-        copy: Copy | None = None,
+        want: FillRequest,
+        word: ReplyStatus,
+        copy: CachedCopy | None = None,
         detail: str = "",
         lag: float = 0.0,
         hint: str = "",
     ) -> None:
         if want.over:
             return
-        if word is Word.HIT and copy is not None and want.known is not None and want.known == copy.tag:
-            word = Word.VALID
+        if word is ReplyStatus.HIT and copy is not None and want.known is not None and want.known == copy.tag:
+            word = ReplyStatus.VALID
         self.quit(want)
         self.seen.add(f"answered.{word.value}")
-        self.actions.append(Answer(want, word, copy, detail, lag, hint))
+        self.actions.append(Reply(want, word, copy, detail, lag, hint))
--- a/paddlequay/hierarchy/climb.py
+++ b/paddlequay/hierarchy/source_fallback.py
@@ -9,10 +9,10 @@
 import math
 from collections.abc import Iterable
 
-from paddlequay.hierarchy.leases import Rung
+from paddlequay.hierarchy.fill_leases import FillSource
+from paddlequay.hierarchy.fill_path import FillPath
 from paddlequay.hierarchy.node import Node
-from paddlequay.hierarchy.shape import Shape
-from paddlequay.hierarchy.trail import Trail
+from paddlequay.hierarchy.topology import Topology
 from paddlequay.policy import Router
 from paddlequay.routing.interface import (
     AttemptEnded,
@@ -30,7 +30,7 @@
 LOST = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
 
 
-def members_of(shape: Shape, own: str, group: str) -> Iterable[str]:
+def members_of(shape: Topology, own: str, group: str) -> Iterable[str]:
     """Whom a node may ask: its group, the parents of that group and their groups, and the stores."""
     groups = {group}
     parents: set[str] = set()
@@ -42,20 +42,20 @@
             yield name
 
 
-def member(shape: Shape, name: str) -> Member:
+def member(shape: Topology, name: str) -> Member:
     """A node of the shape as the decisions see it."""
     node = shape.nodes[name]
     kind = STORE_KIND if node.store else NODE_KIND
     return Member(name, None, kind, None, node.state, node.weight, node.started)
 
 
-class Climber(Router):
+class FallbackRouter(Router):
     """`policy.Router` with the rungs of a node in place of the plain ladder."""
 
     def __init__(self, settings: RoutingSettings, seed: int, node: Node) -> None:
         super().__init__(settings, seed)
         self.node = node
-        self.now_on: dict[str, tuple[Rung, Trail]] = {}  # the rung that each request is on
+        self.now_on: dict[str, tuple[FillSource, FillPath]] = {}  # the rung that each request is on
         self.hints: dict[str, str] = {}
 
     def on_members(self, event: MembersChanged) -> None:
@@ -90,7 +90,7 @@
         self.actions.append(Fail(name))
         self.close(name)
 
-    def ask(self, item: RequestState, server: Upstream, rung: Rung) -> None:
+    def ask(self, item: RequestState, server: Upstream, rung: FillSource) -> None:
         """One attempt; a node is allowed to fill by naming the store as the source, a look names none."""
         self.attempts.register(item, AttemptState(server, server, self.now, False))
         origins = self.state.members.origins
--- a/paddlequay/hierarchy/shape.py
+++ b/paddlequay/hierarchy/topology.py
@@ -22,12 +22,12 @@
 STATE_WORDS = {state: word for word, state in STATES.items()}
 
 
-class ShapeError(ValueError):
+class TopologyError(ValueError):
     """A shape, or a change to one, that cannot be used; one line that says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class ShapeLimits:
+class TopologyLimits:
     """Bounds of what a feed or a file may bring."""
 
     nodes: int = 20_000
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Node:
+class NodeSpec:
     """One cache of the hierarchy, or a store. `started` is Unix seconds, 0 where it has always run."""
 
     name: str
@@ -61,25 +61,25 @@
 
     version: int
     base: int | None
-    put: tuple[Node, ...] = ()
+    put: tuple[NodeSpec, ...] = ()
     drop: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class Topology:
     """One version of the graph."""
 
     version: int = 0
-    nodes: Mapping[str, Node] = field(default_factory=lambda: MappingProxyType({}))
+    nodes: Mapping[str, NodeSpec] = field(default_factory=lambda: MappingProxyType({}))
 
-    def group(self, name: str) -> Iterator[Node]:
+    def group(self, name: str) -> Iterator[NodeSpec]:
         """The members of a group, in the order in which they came."""
         return (node for node in self.nodes.values() if node.group == name and not node.store)
 
-    def stores(self) -> Iterator[Node]:
+    def stores(self) -> Iterator[NodeSpec]:
         return (node for node in self.nodes.values() if node.store)
 
-    def parents_of(self, name: str) -> Iterator[Node]:
+    def parents_of(self, name: str) -> Iterator[NodeSpec]:
         """The caches that a node may fill from, the stores left out."""
         node = self.nodes.get(name)
         for parent in node.parents if node is not None else ():
@@ -87,42 +87,42 @@
                 yield self.nodes[parent]
 
 
-def next_shape(shape: Shape, delta: Delta, limits: ShapeLimits) -> Shape:
+def next_shape(shape: Topology, delta: Delta, limits: TopologyLimits) -> Topology:
     """The shape after a delta; ShapeError where it may not be, and then the old one stays as it is."""
     nodes = {} if delta.base is None else dict(shape.nodes)
     for name in delta.drop:
         if nodes.pop(name, None) is None:
-            raise ShapeError(f"version {delta.version} drops {name}, which is not there")
+            raise TopologyError(f"version {delta.version} drops {name}, which is not there")
     for node in delta.put:
         nodes[node.name] = node
     if len(nodes) > limits.nodes:
-        raise ShapeError(f"version {delta.version} has {len(nodes)} nodes, more than {limits.nodes}")
+        raise TopologyError(f"version {delta.version} has {len(nodes)} nodes, more than {limits.nodes}")
     if not any(node.store for node in nodes.values()):
-        raise ShapeError(f"version {delta.version} has no store")
+        raise TopologyError(f"version {delta.version} has no store")
     gone = set(delta.drop) if delta.base is not None else set()
     # What is not named again was sound in the shape before, unless a parent of it has gone.
     looked = nodes.values() if gone or delta.base is None else [nodes[node.name] for node in delta.put]
     for node in looked:
         check_node(node, nodes, delta.version, limits)
     check_ways(nodes, [node.name for node in looked], delta.version, limits.depth)
-    return Shape(delta.version, MappingProxyType(nodes))
+    return Topology(delta.version, MappingProxyType(nodes))
 
 
-def check_node(node: Node, nodes: Mapping[str, Node], version: int, limits: ShapeLimits) -> None:
+def check_node(node: NodeSpec, nodes: Mapping[str, NodeSpec], version: int, limits: TopologyLimits) -> None:
     if node.store and node.parents:
-        raise ShapeError(f"version {version}: store {node.name} has parents")
+        raise TopologyError(f"version {version}: store {node.name} has parents")
     if not node.store and not node.parents:
-        raise ShapeError(f"version {version}: {node.name} has no parent")
+        raise TopologyError(f"version {version}: {node.name} has no parent")
     if len(node.parents) > limits.parents:
-        raise ShapeError(f"version {version}: {node.name} has {len(node.parents)} parents")
+        raise TopologyError(f"version {version}: {node.name} has {len(node.parents)} parents")
     for parent in node.parents:
         if parent == node.name:
-            raise ShapeError(f"version {version}: {node.name} is its own parent")
+            raise TopologyError(f"version {version}: {node.name} is its own parent")
         if parent not in nodes:
-            raise ShapeError(f"version {version}: {node.name} has parent {parent}, which is not there")
+            raise TopologyError(f"version {version}: {node.name} has parent {parent}, which is not there")
 
 
-def check_ways(nodes: Mapping[str, Node], start: Iterable[str], version: int, deepest: int) -> None:
+def check_ways(nodes: Mapping[str, NodeSpec], start: Iterable[str], version: int, deepest: int) -> None:
     """No cycle, and no way up longer than `deepest`, on any way up from `start`.
 
     A cycle that a change closes goes through a node that it names, so that nothing else is walked; a walk
@@ -145,17 +145,17 @@
                 ahead.pop()
                 height[name] = 1 + max((height[each] for each in nodes[name].parents), default=-1)
                 if height[name] > deepest:
-                    raise ShapeError(f"version {version}: {name} is {height[name]} steps below a store")
+                    raise TopologyError(f"version {version}: {name} is {height[name]} steps below a store")
             elif parent in on_way:
                 ring = [*way[way.index(parent) :], parent]
-                raise ShapeError(f"version {version}: a cycle: {' > '.join(ring[:8])}")
+                raise TopologyError(f"version {version}: a cycle: {' > '.join(ring[:8])}")
             elif parent not in height:
                 way.append(parent)
                 on_way.add(parent)
                 ahead.append(iter(nodes[parent].parents))
 
 
-class Took(Enum):
+class DeltaOutcome(Enum):
     """What became of a delta."""
 
     APPLIED = "applied"
@@ -164,7 +164,7 @@
     REFUSED = "refused"
 
 
-class Shaper:
+class TopologyTracker:
     """The current shape, and deltas on their way to it.
 
     Bounds: `held` deltas with `held_nodes` nodes wait; past that the one furthest ahead is dropped, which its
@@ -172,40 +172,40 @@
     for a whole shape, or for a delta that is built on what stands.
     """
 
-    def __init__(self, limits: ShapeLimits, shape: Shape | None = None) -> None:
+    def __init__(self, limits: TopologyLimits, shape: Topology | None = None) -> None:
         self.limits = limits
-        self.shape = shape or Shape()
+        self.shape = shape or Topology()
         self.held: OrderedDict[int, Delta] = OrderedDict()  # by the version that they are built on
         self.said = ""  # why the last one was refused, dropped or held
 
-    def take(self, delta: Delta) -> Took:
+    def take(self, delta: Delta) -> DeltaOutcome:
         """Apply a delta, and all held ones that then fit."""
         took = self.step(delta)
-        while took is Took.APPLIED and self.held:
+        while took is DeltaOutcome.APPLIED and self.held:
             later = self.held.pop(self.shape.version, None)
-            if later is None or self.step(later) is not Took.APPLIED:
+            if later is None or self.step(later) is not DeltaOutcome.APPLIED:
                 break
         for base in [base for base in self.held if self.held[base].version <= self.shape.version]:
             del self.held[base]
         return took
 
-    def step(self, delta: Delta) -> Took:
+    def step(self, delta: Delta) -> DeltaOutcome:
         if delta.version <= self.shape.version:
             self.said = f"version {delta.version} came after {self.shape.version}"
-            return Took.OLD
+            return DeltaOutcome.OLD
         if delta.base is not None and delta.base != self.shape.version:
             if delta.base < self.shape.version:
                 self.said = f"version {delta.version} is built on {delta.base}, not on {self.shape.version}"
-                return Took.REFUSED
+                return DeltaOutcome.REFUSED
             return self.hold(delta)
         try:
             self.shape = next_shape(self.shape, delta, self.limits)
-        except ShapeError as error:
+        except TopologyError as error:
             self.said = str(error)
-            return Took.REFUSED
-        return Took.APPLIED
+            return DeltaOutcome.REFUSED
+        return DeltaOutcome.APPLIED
 
-    def hold(self, delta: Delta) -> Took:
+    def hold(self, delta: Delta) -> DeltaOutcome:
         assert delta.base is not None
         known = self.held.get(delta.base)
         if known is None or known.version < delta.version:
@@ -216,8 +216,8 @@
             del self.held[furthest]
             if furthest == delta.base:
                 self.said = f"version {delta.version} was dropped: too many wait for {self.shape.version}"
-                return Took.REFUSED
-        return Took.HELD
+                return DeltaOutcome.REFUSED
+        return DeltaOutcome.HELD
 
     @property
     def nodes_held(self) -> int:
@@ -230,39 +230,39 @@
 def need(item: Any, name: str, kind: type, where: str) -> Any:
     value = item.get(name)
     if not isinstance(value, kind) or isinstance(value, bool) is not (kind is bool):
-        raise ShapeError(f"{where}: {name}: expected {kind.__name__}, got {str(value)[:60]!r}")
+        raise TopologyError(f"{where}: {name}: expected {kind.__name__}, got {str(value)[:60]!r}")
     return value
 
 
 def read_name(value: Any, where: str) -> str:
     if not isinstance(value, str) or not NAME.fullmatch(value):
-        raise ShapeError(f"{where}: expected 1 to 64 letters, digits, - and _, got {str(value)[:70]!r}")
+        raise TopologyError(f"{where}: expected 1 to 64 letters, digits, - and _, got {str(value)[:70]!r}")
     return value
 
 
 def read_number(item: Mapping[str, Any], name: str, default: float, where: str) -> float:
     value = item.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < math.inf:
-        raise ShapeError(f"{where}: {name}: expected a number from 0 up, got {str(value)[:60]!r}")
+        raise TopologyError(f"{where}: {name}: expected a number from 0 up, got {str(value)[:60]!r}")
     return float(value)
 
 
-def read_node(item: Any, limits: ShapeLimits) -> Node:
+def read_node(item: Any, limits: TopologyLimits) -> NodeSpec:
     """A node from JSON; ShapeError with node and field."""
     if not isinstance(item, dict):
-        raise ShapeError(f"node: expected an object, got {str(item)[:60]!r}")
+        raise TopologyError(f"node: expected an object, got {str(item)[:60]!r}")
     name = read_name(item.get("id"), "node: id")
     where = f"node {name}"
     host, colon, port = str(item.get("at", "")).rpartition(":")
     if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise ShapeError(f"{where}: at: expected host:port, got {str(item.get('at'))[:60]!r}")
+        raise TopologyError(f"{where}: at: expected host:port, got {str(item.get('at'))[:60]!r}")
     parents = item.get("parents", [])
     if not isinstance(parents, list) or len(parents) > limits.parents:
-        raise ShapeError(f"{where}: parents: expected a list of at most {limits.parents}")
+        raise TopologyError(f"{where}: parents: expected a list of at most {limits.parents}")
     state = item.get("state", "in_service")
     if state not in STATES:
-        raise ShapeError(f"{where}: state: expected one of {', '.join(STATES)}, got {str(state)[:60]!r}")
-    return Node(
+        raise TopologyError(f"{where}: state: expected one of {', '.join(STATES)}, got {str(state)[:60]!r}")
+    return NodeSpec(
         name=name,
         address=(host, int(port)),
         group=read_name(item.get("group", "caches"), f"{where}: group"),
@@ -274,27 +274,27 @@
     )
 
 
-def read_delta(item: Any, limits: ShapeLimits) -> Delta:
+def read_delta(item: Any, limits: TopologyLimits) -> Delta:
     """A change from JSON; ShapeError with the field."""
     if not isinstance(item, dict):
-        raise ShapeError(f"shape: expected an object, got {str(item)[:60]!r}")
+        raise TopologyError(f"shape: expected an object, got {str(item)[:60]!r}")
     version = need(item, "version", int, "shape")
     base = None if item.get("base") is None else need(item, "base", int, "shape")
     if not 0 < version < 1 << 62 or (base is not None and not 0 <= base < version):
-        raise ShapeError(f"shape: version {version} cannot be built on {base}")
+        raise TopologyError(f"shape: version {version} cannot be built on {base}")
     put, drop = item.get("put", []), item.get("drop", [])
     if not isinstance(put, list) or not isinstance(drop, list):
-        raise ShapeError("shape: put, drop: expected lists")
+        raise TopologyError("shape: put, drop: expected lists")
     if len(put) > limits.nodes or len(drop) > limits.nodes:
-        raise ShapeError(f"shape: more than {limits.nodes} nodes")
+        raise TopologyError(f"shape: more than {limits.nodes} nodes")
     nodes = tuple(read_node(each, limits) for each in put)
     if len({node.name for node in nodes}) < len(nodes):
-        raise ShapeError("shape: put: a node is named twice")
+        raise TopologyError("shape: put: a node is named twice")
     names = tuple(dict.fromkeys(read_name(each, "shape: drop") for each in drop))
     return Delta(version, base, nodes, names)
 
 
-def node_data(node: Node) -> dict[str, Any]:
+def node_data(node: NodeSpec) -> dict[str, Any]:
     at = f"{node.address[0]}:{node.address[1]}"
     data: dict[str, Any] = {"id": node.name, "at": at, "group": node.group}
     if node.store:
@@ -317,12 +317,12 @@
     return data
 
 
-def whole(shape: Shape) -> Delta:
+def whole(shape: Topology) -> Delta:
     """A shape as the delta that brings it from nothing."""
     return Delta(shape.version, None, tuple(shape.nodes.values()))
 
 
-def difference(old: Shape, new: Shape) -> Delta:
+def difference(old: Topology, new: Topology) -> Delta:
     """The delta that leads from one shape to a later one."""
     put = tuple(node for name, node in new.nodes.items() if old.nodes.get(name) != node)
     return Delta(new.version, old.version, put, tuple(name for name in old.nodes if name not in new.nodes))
--- a/paddlequay/lab/channel_world.py
+++ b/paddlequay/lab/channel_world.py
@@ -14,7 +14,7 @@
 from paddlequay.cluster.prefetch import Ahead
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import Action, Bounds, Fleet, Peer, SendMessage
-from paddlequay.hierarchy.terms import Terms
+from paddlequay.hierarchy.fencing_tokens import FencingTokens
 
 BOUNDS = Bounds()
 STEP = 0.01  # seconds of true time; what is measured is exact to two of them
@@ -76,7 +76,7 @@
         self.blocked: set[tuple[Peer, Peer]] = set()
         self.slow: set[tuple[Peer, Peer]] = set()  # a second late
         self.pending: list[tuple[float, Callable[[], None]]] = []
-        self.tier = Terms()
+        self.tier = FencingTokens()
         self.fills: list[Fill] = []
         self.asks: list[tuple[float, Peer]] = []  # elections begun
         self.readers = set(range(size))
--- a/paddlequay/lab/fleet.py
+++ b/paddlequay/lab/fleet.py
@@ -8,9 +8,9 @@
 
 import numpy as np
 
-from paddlequay.hierarchy.moves import MoveLimits
-from paddlequay.hierarchy.node import NodeLimits
-from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, next_shape
+from paddlequay.hierarchy.fill_requests import NodeLimits
+from paddlequay.hierarchy.migration import MigrationLimits
+from paddlequay.hierarchy.topology import Delta, NodeSpec, Topology, TopologyLimits, next_shape
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.lab.world import STORE, World
 from paddlequay.placement.homes import Homes, key_of
@@ -25,7 +25,7 @@
     def __init__(self, seed: int) -> None:
         super().__init__(
             NodeLimits(fill_longest=1e9),
-            MoveLimits(window=60.0, claim=10.0, look_rate=200.0, look_burst=50.0),
+            MigrationLimits(window=60.0, claim=10.0, look_rate=200.0, look_burst=50.0),
         )
         self.rng = np.random.default_rng(seed)
         self.queue: list[tuple[float, int, object]] = []
@@ -50,13 +50,13 @@
 class Routers:
     """What routers see that know this shape: the lower groups, and each member's share while it is cold."""
 
-    def __init__(self, shape: Shape) -> None:
-        self.homes = [Homes[Node]() for _ in range(GROUPS)]
+    def __init__(self, shape: Topology) -> None:
+        self.homes = [Homes[NodeSpec]() for _ in range(GROUPS)]
         for group, homes in enumerate(self.homes):
             homes.reset((node.name, node, node.weight) for node in shape.group(f"g{group}"))
 
     def home(self, group: int, key: int, now: float) -> str:
-        def share(node: Node) -> float:
+        def share(node: NodeSpec) -> float:
             if not node.started:
                 return 1.0
             return min(1.0, START + (1 - START) * (now - node.started) / WARM_AFTER)
@@ -72,12 +72,12 @@
     upper = [f"up{n}" for n in range(nodes - per * GROUPS)]
     where = ("127.0.0.1", 1)
     rng = np.random.default_rng(setup.seed)
-    put = [Node(STORE, where, "stores", store=True)]
-    put += [Node(name, where, "upper", (STORE,)) for name in upper]
+    put = [NodeSpec(STORE, where, "stores", store=True)]
+    put += [NodeSpec(name, where, "upper", (STORE,)) for name in upper]
     for group in range(GROUPS):
         parents = (*upper[group % 5 :: 5][:20], STORE)
-        put += [Node(f"g{group}n{n}", where, f"g{group}", parents) for n in range(per)]
-    before = next_shape(Shape(), Delta(1, None, tuple(put)), ShapeLimits())
+        put += [NodeSpec(f"g{group}n{n}", where, f"g{group}", parents) for n in range(per)]
+    before = next_shape(Topology(), Delta(1, None, tuple(put)), TopologyLimits())
     world = Timed(setup.seed)
     for name in before.nodes:
         if name != STORE:
@@ -93,7 +93,7 @@
         replace(before.nodes[f"g{group}n0"], name=f"g{group}new", started=half, weight=1.0)
         for group in range(GROUPS)
     ]
-    after = next_shape(before, Delta(2, 1, (*changed, *fresh)), ShapeLimits())
+    after = next_shape(before, Delta(2, 1, (*changed, *fresh)), TopologyLimits())
     cost: list[float] = []
 
     def learn(name: str) -> None:
--- a/paddlequay/lab/plaza.py
+++ b/paddlequay/lab/plaza.py
@@ -18,7 +18,15 @@
 
 import numpy as np
 
-from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, delta_data, difference, next_shape
+from paddlequay.hierarchy.topology import (
+    Delta,
+    NodeSpec,
+    Topology,
+    TopologyLimits,
+    delta_data,
+    difference,
+    next_shape,
+)
 from paddlequay.lab.load import KINDS, Load
 from paddlequay.lab.standins import Box, News, Store
 from paddlequay.protocol.endpoint_watch import STATES
@@ -90,7 +98,7 @@
         self.routers: list[asyncio.subprocess.Process] = []
         self.consoles: dict[int, int] = {}
         self.until_longest = 15.0  # seconds that a process may take to be ready
-        self.shape = Shape()
+        self.shape = Topology()
         self.listed: dict[str, dict[str, Any]] = {}
         self.killed: list[tuple[float, str]] = []
         self.revived: list[tuple[float, str]] = []
@@ -111,7 +119,7 @@
         aimag = [f"aimag-{number}" for number in range(self.plan.tiers)]
         for name in (*regional, *aimag):
             self.tiers[name] = self.made(name)
-        nodes = [Node(STORE, self.store.address, "stores", store=True)]
+        nodes = [NodeSpec(STORE, self.store.address, "stores", store=True)]
         nodes += [self.node(name, "regional", (STORE,)) for name in regional]
         nodes += [self.node(name, "aimag", (*regional, STORE)) for name in aimag]
         await self.reshape(Delta(1, None, tuple(nodes)))
@@ -138,8 +146,8 @@
             "  cold { start: 0.062 warm_after_s: 20 multiple: 2 window_s: 2 }\n}\n"
         )
 
-    def node(self, name: str, group: str, parents: tuple[str, ...], **also: Any) -> Node:
-        return Node(name, ("127.0.0.1", self.tiers[name].port), group, parents, **also)
+    def node(self, name: str, group: str, parents: tuple[str, ...], **also: Any) -> NodeSpec:
+        return NodeSpec(name, ("127.0.0.1", self.tiers[name].port), group, parents, **also)
 
     async def start_tier(self, tier: Tier) -> None:
         tier.started = time.time()
@@ -237,7 +245,7 @@
     async def reshape(self, delta: Delta) -> None:
         """A change of the shape: told to the tiers by the feed, and to routers as parents in the bulletin."""
         before = self.shape
-        self.shape = next_shape(before, delta, ShapeLimits())
+        self.shape = next_shape(before, delta, TopologyLimits())
         await self.feed.tell(
             shape=delta_data(delta if delta.base is None else difference(before, self.shape))
         )
@@ -263,7 +271,7 @@
                 roster={"generation": self.shape.version, "reset": first, "instances": changed + gone}
             )
 
-    async def change(self, put: tuple[Node, ...] = (), drop: tuple[str, ...] = ()) -> None:
+    async def change(self, put: tuple[NodeSpec, ...] = (), drop: tuple[str, ...] = ()) -> None:
         await self.reshape(Delta(self.shape.version + 1, self.shape.version, put, drop))
 
     async def purge(self, name: str) -> None:
@@ -276,7 +284,7 @@
 
     # --- reshaping ---
 
-    def random_change(self) -> tuple[Node, ...]:
+    def random_change(self) -> tuple[NodeSpec, ...]:
         """One tier weighs otherwise, or takes another of its own as a parent, or lets go of it."""
         tier = [node for node in self.shape.nodes.values() if node.group == "aimag" and node.ready]
         some = tier[int(self.rng.integers(len(tier)))]
--- a/paddlequay/lab/search.py
+++ b/paddlequay/lab/search.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass
 from functools import partial
 
-from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, next_shape
+from paddlequay.hierarchy.topology import Delta, NodeSpec, Topology, TopologyLimits, next_shape
 from paddlequay.lab.world import STORE, World
 
-LIMITS = ShapeLimits()
+LIMITS = TopologyLimits()
 OBJECTS = tuple(f"{n:016x}" for n in range(3))
 
 
@@ -27,19 +27,21 @@
     fills: int
 
 
-def node(name: str, parents: tuple[str, ...] = (STORE,), group: str = "aimag", weight: float = 1.0) -> Node:
-    return Node(name, ("127.0.0.1", 1), group, parents, weight=weight)
+def node(
+    name: str, parents: tuple[str, ...] = (STORE,), group: str = "aimag", weight: float = 1.0
+) -> NodeSpec:
+    return NodeSpec(name, ("127.0.0.1", 1), group, parents, weight=weight)
 
 
-def first(names: tuple[str, ...], above: tuple[str, ...] = ()) -> Shape:
+def first(names: tuple[str, ...], above: tuple[str, ...] = ()) -> Topology:
     """A tier of nodes, and one above it where wanted."""
-    store = Node(STORE, ("127.0.0.1", 1), "store", store=True)
+    store = NodeSpec(STORE, ("127.0.0.1", 1), "store", store=True)
     upper = tuple(node(name, group="regional") for name in above)
     lower = tuple(node(name, (*above, STORE) if above else (STORE,)) for name in names)
-    return next_shape(Shape(), Delta(1, None, (store, *upper, *lower)), LIMITS)
+    return next_shape(Topology(), Delta(1, None, (store, *upper, *lower)), LIMITS)
 
 
-def reshaped(rng: random.Random, shape: Shape, spare: tuple[str, ...], drops: bool) -> Shape:
+def reshaped(rng: random.Random, shape: Topology, spare: tuple[str, ...], drops: bool) -> Topology:
     """One change: a node comes, goes where `drops`, weighs otherwise, or gets another parent.
 
     Who leaves the shape may not be asked any more, so that what it alone held is filled a second time: for
@@ -57,9 +59,9 @@
         # One of the tier becomes another's parent: the other way round in the next shape, and two briefly
         # name each other.
         child, parent = rng.sample(lower, 2)
-        put: tuple[Node, ...] = (
-            Node(child.name, child.address, child.group, (parent.name, *plain(child, lower))),
-            Node(parent.name, parent.address, parent.group, plain(parent, lower)),
+        put: tuple[NodeSpec, ...] = (
+            NodeSpec(child.name, child.address, child.group, (parent.name, *plain(child, lower))),
+            NodeSpec(parent.name, parent.address, parent.group, plain(parent, lower)),
         )
         delta = Delta(shape.version + 1, shape.version, put)
     else:
@@ -69,7 +71,7 @@
     return next_shape(shape, delta, LIMITS)
 
 
-def plain(each: Node, lower: list[Node]) -> tuple[str, ...]:
+def plain(each: NodeSpec, lower: list[NodeSpec]) -> tuple[str, ...]:
     tier = {other.name for other in lower}
     return tuple(parent for parent in each.parents if parent not in tier)
 
@@ -186,11 +188,11 @@
             choices[-1] += 1
 
 
-def scripts() -> Iterator[tuple[tuple[str, ...], list[Shape], dict[str, bool], tuple[str, ...]]]:
+def scripts() -> Iterator[tuple[tuple[str, ...], list[Topology], dict[str, bool], tuple[str, ...]]]:
     """Two nodes that name each other, a home that moves, and a third that comes."""
     before = first(("a", "b"))
-    ab = [Node("a", ("127.0.0.1", 1), "aimag", ("b", STORE)), node("b")]
-    ba = [node("a"), Node("b", ("127.0.0.1", 1), "aimag", ("a", STORE))]
+    ab = [NodeSpec("a", ("127.0.0.1", 1), "aimag", ("b", STORE)), node("b")]
+    ba = [node("a"), NodeSpec("b", ("127.0.0.1", 1), "aimag", ("a", STORE))]
     named = [
         next_shape(before, Delta(2, 1, tuple(ab)), LIMITS),
         next_shape(before, Delta(3, 1, tuple(ba)), LIMITS),
--- a/paddlequay/lab/standins.py
+++ b/paddlequay/lab/standins.py
@@ -15,8 +15,9 @@
 from functools import partial
 from typing import Any
 
-from paddlequay.hierarchy.copies import Copies, Copy, Purges
-from paddlequay.protocol import caches, serving
+from paddlequay.hierarchy.copies import CachedCopy, CopyCache, PurgeHistory
+from paddlequay.protocol import cache_server as serving
+from paddlequay.protocol import caches
 
 Reply = tuple[str, dict[str, str], bytes]
 LINE, BODY = 8192, 1024 * 1024
@@ -188,8 +189,8 @@
     where: Callable[[str], tuple[str, int] | None]
     store: str
     fresh: Mapping[str, float]
-    copies: Copies = field(default_factory=lambda: Copies(16 * 1024 * 1024))
-    purges: Purges = field(default_factory=lambda: Purges(8.0))
+    copies: CopyCache = field(default_factory=lambda: CopyCache(16 * 1024 * 1024))
+    purges: PurgeHistory = field(default_factory=lambda: PurgeHistory(8.0))
     links: dict[tuple[str, int], Link] = field(default_factory=dict)
     fills: dict[tuple[str, int | None], asyncio.Task[Reply]] = field(default_factory=dict)
     asked: list[tuple[float, str]] = field(default_factory=list)  # when, and the source that was named
@@ -224,7 +225,7 @@
             return "NONE", {"detail": "UP_MISS"}, b""
         return word, told | {"detail": "COLLAPSED"} if joined and word == "HIT" else told, body
 
-    def hit(self, copy: Copy, detail: str) -> Reply:
+    def hit(self, copy: CachedCopy, detail: str) -> Reply:
         fields = {"tag": copy.tag, "minted": str(round(copy.minted * 1000)), "detail": detail}
         fields["use"] = f"inflight:{len(self.fills)};util:0.10;x0:0.50;x1:0.10"
         return "HIT", fields, bytes(copy.body)
@@ -255,7 +256,9 @@
             detail = {"SHED": "UP_BUSY", "NONE": "UP_MISS"}.get(answer.status, "ORIGIN_ERR")
             return "SHED" if answer.status == "SHED" else "NONE", {"detail": detail}, b""
         minted = int(answer.fields["minted"]) / 1000.0
-        copy = Copy(bytes(answer.body), answer.fields["tag"], minted, rank=int(asked.fields.get("tier", 1)))
+        copy = CachedCopy(
+            bytes(answer.body), answer.fields["tag"], minted, rank=int(asked.fields.get("tier", 1))
+        )
         if minted >= self.purges.of_object(place[0]):
             self.copies.put(place, copy)
         word, fields, body = self.hit(copy, "MISS_ORIGIN" if source == self.store else "MISS")
--- a/paddlequay/lab/world.py
+++ b/paddlequay/lab/world.py
@@ -10,12 +10,23 @@
 from dataclasses import dataclass
 from typing import Any
 
-from paddlequay.hierarchy.copies import Copy
-from paddlequay.hierarchy.leases import Rung
-from paddlequay.hierarchy.moves import MoveLimits
-from paddlequay.hierarchy.node import Action, Answer, Claim, Fill, Got, Meet, Node, NodeLimits, Want, Word
-from paddlequay.hierarchy.shape import Shape
-from paddlequay.hierarchy.trail import Trail
+from paddlequay.hierarchy.copies import CachedCopy
+from paddlequay.hierarchy.fill_leases import FillSource
+from paddlequay.hierarchy.fill_path import FillPath
+from paddlequay.hierarchy.fill_requests import (
+    Action,
+    FillRequest,
+    FillResult,
+    NodeLimits,
+    OwnershipClaim,
+    PeerIntroduction,
+    Reply,
+    ReplyStatus,
+    StartFill,
+)
+from paddlequay.hierarchy.migration import MigrationLimits
+from paddlequay.hierarchy.node import Node
+from paddlequay.hierarchy.topology import Topology
 
 STORE = "store"
 
@@ -26,7 +37,7 @@
 
     node: str
     run: int
-    fill: Fill
+    fill: StartFill
 
 
 @dataclass(slots=True, eq=False)
@@ -52,9 +63,9 @@
 class World:
     """Nodes, a store, and messages between them that wait to be delivered."""
 
-    def __init__(self, limits: NodeLimits | None = None, moves: MoveLimits | None = None) -> None:
+    def __init__(self, limits: NodeLimits | None = None, moves: MigrationLimits | None = None) -> None:
         self.limits = limits or NodeLimits(fill_longest=1e9, purge_memory=1e9)
-        self.move_limits = moves or MoveLimits(window=1e9, claim=1e9, look_rate=1e9, look_burst=1e9)
+        self.move_limits = moves or MigrationLimits(window=1e9, claim=1e9, look_rate=1e9, look_burst=1e9)
         self.nodes: dict[str, Node] = {}
         self.runs: Counter[str] = Counter()
         self.dead: set[str] = set()
@@ -65,7 +76,7 @@
         self.fills: list[StoreFill] = []
         # What the store has given out and is on its way: place, to whom, of which epoch.
         self.outstanding: Counter[tuple[str, int | None, str, int]] = Counter()
-        self.answers: list[Answer] = []
+        self.answers: list[Reply] = []
         self.told: dict[str, dict[str, float]] = defaultdict(dict)  # purges that a node has been told of
         self.unanswered = 0
         self.stale: list[str] = []
@@ -74,7 +85,7 @@
 
     # --- building and news ---
 
-    def add(self, name: str, shape: Shape, started: float = 0.0) -> Node:
+    def add(self, name: str, shape: Topology, started: float = 0.0) -> Node:
         own = shape.nodes.get(name)
         group = own.group if own is not None else "aimag"
         node = self.nodes[name] = Node(name, self.limits, self.move_limits, started, group)
@@ -89,7 +100,7 @@
         node.follow(shape, self.now)
         return node
 
-    def follow(self, name: str, shape: Shape) -> None:
+    def follow(self, name: str, shape: Topology) -> None:
         """A node learns of a shape; one that it has is no news."""
         if name not in self.dead and self.nodes[name].shape.version < shape.version:
             self.nodes[name].follow(shape, self.now)
@@ -114,7 +125,7 @@
         for lease in self.nodes[name].leases.under_way():
             for want in lease.joined:
                 if not want.over:
-                    self.answered(name, Answer(want, Word.NONE, detail="unreached"))
+                    self.answered(name, Reply(want, ReplyStatus.NONE, detail="unreached"))
         for message in [m for m in self.pending if m.what.startswith(f"to {name} ")]:
             self.pending.remove(message)
             self.send(f"refused {message.what}", message.act)
@@ -146,7 +157,7 @@
 
         def arrive() -> None:
             floor = self.told[node].get(name, 0.0)
-            want = Want(("box", node, floor), name, part, "video", 0.0, self.now + 1e9)
+            want = FillRequest(("box", node, floor), name, part, "video", 0.0, self.now + 1e9)
             if node in self.dead:
                 self.unanswered -= 1
             else:
@@ -156,12 +167,12 @@
 
     def carry(self, node: str, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Fill):
+            if isinstance(action, StartFill):
                 self.climb(Climb(node, self.runs[node], action))
-            elif not isinstance(action, Meet):
+            elif not isinstance(action, PeerIntroduction):
                 self.answered(node, action)
 
-    def answered(self, node: str, answer: Answer) -> None:
+    def answered(self, node: str, answer: Reply) -> None:
         token: Any = answer.want.token
         if token is None:
             return
@@ -172,7 +183,7 @@
                 self.stale.append(f"{node} {answer.want.name}")
             return
         climb, run, target = token
-        copy = answer.copy if answer.word in (Word.HIT, Word.VALID) else None
+        copy = answer.copy if answer.word in (ReplyStatus.HIT, ReplyStatus.VALID) else None
         self.send(
             f"to {climb.node} answer {answer.word.value} {answer.detail}",
             lambda: self.back(climb, run, target, copy, answer.detail, answer.hint),
@@ -180,7 +191,7 @@
         )
 
     def back(
-        self, climb: Climb, run: int, target: str, copy: Copy | None, detail: str, hint: str = ""
+        self, climb: Climb, run: int, target: str, copy: CachedCopy | None, detail: str, hint: str = ""
     ) -> None:
         """An answer reaches the node that climbs."""
         if target == STORE and copy is not None:
@@ -192,7 +203,9 @@
             node.unreached(climb.fill.number, target)
         if copy is None or copy.minted < climb.fill.floor:
             return self.climb(climb, hint)
-        got = Got(Copy(copy.body, copy.tag, copy.minted, copy.group, 1), from_store=target == STORE)
+        got = FillResult(
+            CachedCopy(copy.body, copy.tag, copy.minted, copy.group, 1), from_store=target == STORE
+        )
         self.carry(climb.node, node.ended(climb.fill.number, got, self.now))
 
     def climb(self, climb: Climb, hint: str = "") -> None:
@@ -200,7 +213,7 @@
         node, fill = self.nodes[climb.node], climb.fill
         step = node.step(fill.number, hint)
         if step is None:
-            return self.carry(climb.node, node.ended(fill.number, Got(), self.now))
+            return self.carry(climb.node, node.ended(fill.number, FillResult(), self.now))
         rung, trail = step
         self.send(
             f"to {rung.target} {'look' if rung.held else 'fill'} {fill.place[0]} from {climb.node}",
@@ -208,7 +221,7 @@
             self.delay(climb.node, rung.target),
         )
 
-    def arrive(self, climb: Climb, rung: Rung, run: int, trail: Trail) -> None:
+    def arrive(self, climb: Climb, rung: FillSource, run: int, trail: FillPath) -> None:
         fill, target = climb.fill, rung.target
         if rung.store:
             return self.give(climb)
@@ -219,7 +232,7 @@
                 self.delay(target, climb.node),
             )
             return
-        want = Want(
+        want = FillRequest(
             (climb, run, target),
             *fill.place,
             fill.class_name,
@@ -227,7 +240,7 @@
             self.now + 1e9,
             fill=not rung.held,
             trail=trail,
-            claim=Claim(fill.claim, ("127.0.0.1", 1)) if rung.held else None,
+            claim=OwnershipClaim(fill.claim, ("127.0.0.1", 1)) if rung.held else None,
         )
         self.carry(target, self.nodes[target].ask(want, self.now))
 
@@ -246,7 +259,7 @@
                 living.append(other)
         self.fills.append(StoreFill(name, part, epoch, climb.node, tuple(living)))
         self.outstanding[(name, part, climb.node, epoch)] += 1
-        copy = Copy(b"x", str(epoch), self.now)
+        copy = CachedCopy(b"x", str(epoch), self.now)
         self.send(
             f"to {climb.node} answer of the store",
             lambda: self.back(climb, climb.run, STORE, copy, ""),
--- a/paddlequay/net/hierarchy/tier_front.py
+++ b/paddlequay/net/hierarchy/tier_front.py
@@ -11,17 +11,27 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from paddlequay.config.limits import Limits
-from paddlequay.hierarchy.climb import Climber
-from paddlequay.hierarchy.copies import Copy
-from paddlequay.hierarchy.node import Action, Answer, Claim, Fill, Got, Meet, Node, Want, Word
-from paddlequay.hierarchy.shape import NAME
-from paddlequay.hierarchy.trail import Keyring, TrailError
+from paddlequay.hierarchy.copies import CachedCopy
+from paddlequay.hierarchy.fill_path import FillPathError, Keyring
+from paddlequay.hierarchy.fill_requests import (
+    Action,
+    FillRequest,
+    FillResult,
+    OwnershipClaim,
+    PeerIntroduction,
+    Reply,
+    ReplyStatus,
+    StartFill,
+)
+from paddlequay.hierarchy.node import Node
+from paddlequay.hierarchy.source_fallback import FallbackRouter
+from paddlequay.hierarchy.topology import NAME
 from paddlequay.net.listener import Acceptor
 from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.placement.homes import key_of
-from paddlequay.protocol import serving as wire
+from paddlequay.protocol import cache_server as wire
 from paddlequay.protocol.caches import Buffer, CacheProtocolError
 from paddlequay.protocol.endpoint_watch import Endpoint
 from paddlequay.requests.exchange import Exchange
@@ -61,12 +71,12 @@
     return " ".join((id, *(fields.get(name, "") for name in ("queue", "path", "blk", "claim"))))
 
 
-def read_claim(text: str) -> Claim:
+def read_claim(text: str) -> OwnershipClaim:
     version, at, address = text.partition("@")
     host, colon, port = address.rpartition(":")
     if not (at and colon and host and version.isdigit() and port.isdigit() and len(version) < 19):
         raise FieldError(f"claim: expected VERSION@HOST:PORT, got {text[:60]!r}")
-    return Claim(int(version), (host, int(port)))
+    return OwnershipClaim(int(version), (host, int(port)))
 
 
 class Session:
@@ -75,7 +85,7 @@
     def __init__(self, front: "TierFront", stream: IOStream) -> None:
         self.front, self.stream, self.limits = front, stream, front.limits
         self.reader = wire.Reader(self.limits.max_cache_line, self.limits.max_client_body)
-        self.wants: dict[str, Want] = {}
+        self.wants: dict[str, FillRequest] = {}
         self.unsent = 0
         self.heard = front.now()
 
@@ -130,7 +140,7 @@
             return self.write(line.id, "SHED", {"detail": "NO_FILL"})
         try:
             want = front.want(self, line)
-        except TrailError as error:
+        except FillPathError as error:
             front.counters.add("bad_trails")
             log.event(LOGGER, logging.WARNING, "bad_trail", why=str(error))
             return self.write(line.id, "FAULT", {"detail": "BAD_HOPS"})
@@ -172,7 +182,7 @@
     def __init__(
         self,
         node: Node,
-        climber: Climber,
+        climber: FallbackRouter,
         exchange: Exchange,
         pool: ConnectionPool,
         keyring: Keyring,
@@ -234,7 +244,7 @@
 
     # --- requests ---
 
-    def want(self, session: Session, line: wire.Asked) -> Want:
+    def want(self, session: Session, line: wire.Asked) -> FillRequest:
         """What is asked, in the node's terms. FieldError, TrailError."""
         fields = line.fields
         kind = self.classes.get(fields.get("queue", ""))
@@ -254,7 +264,7 @@
             trail = self.keyring.read(fields["hops"], about(line.id, fields), now)
         elif "claim" in fields:
             raise FieldError("claim: nobody has signed for it")
-        return Want(
+        return FillRequest(
             token=(session, line.id),
             name=name,
             part=whole_number(fields, "blk", self.limits.max_part),
@@ -275,14 +285,14 @@
     def carry(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Answer():
+                case Reply():
                     self.answer(action)
-                case Fill():
+                case StartFill():
                     self.fill(action)
-                case Meet():
+                case PeerIntroduction():
                     self.meet(action)
 
-    def answer(self, action: Answer) -> None:
+    def answer(self, action: Reply) -> None:
         if action.want.token is None:
             return
         session, id = action.want.token
@@ -296,7 +306,7 @@
             fields |= {"tag": copy.tag, "minted": str(round(copy.minted * 1000))}
             if copy.group is not None:
                 fields["lot"] = str(copy.group)
-            body = copy.body if action.word is Word.HIT else b""
+            body = copy.body if action.word is ReplyStatus.HIT else b""
             if action.lag:
                 fields["lag"] = f"{action.lag * 1000:.1f}"
         if action.hint:
@@ -304,7 +314,7 @@
         fields["use"] = self.report()
         session.write(id, action.word.value, fields, body)
 
-    def fill(self, action: Fill) -> None:
+    def fill(self, action: StartFill) -> None:
         """A fill is a request of this node's own to the exchange: the same rules, limits and one answer."""
         self.fill_ids += 1
         self.fills_out += 1
@@ -323,7 +333,7 @@
         )
         self.exchange.submit(ask, lambda reply: self.filled(action, reply))
 
-    def extra(self, action: Fill, id: str, target: str) -> Mapping[str, str]:
+    def extra(self, action: StartFill, id: str, target: str) -> Mapping[str, str]:
         """What a fill tells another node beside the order: its trail, and its claim. Nothing to a store."""
         lease = self.node.leases.by_number.get(action.number)
         listed = self.node.shape.nodes.get(target)
@@ -337,23 +347,23 @@
         told["hops"] = self.keyring.write(lease.trail, about(id, fields | told), self.unix())
         return told
 
-    def filled(self, action: Fill, reply: FinalAnswer) -> None:
+    def filled(self, action: StartFill, reply: FinalAnswer) -> None:
         self.fills_out -= 1
-        got = Got(note=reply.detail, refused=reply.status is AnswerStatus.REJECTED)
+        got = FillResult(note=reply.detail, refused=reply.status is AnswerStatus.REJECTED)
         if reply.status is AnswerStatus.SERVED and reply.stamp is not None:
             stamp = reply.stamp
             listed = self.node.shape.nodes.get(reply.served_by)
-            got = Got(
-                Copy(reply.body, stamp.tag, stamp.issued_at, stamp.group),
+            got = FillResult(
+                CachedCopy(reply.body, stamp.tag, stamp.issued_at, stamp.group),
                 from_store=listed is not None and listed.store,
             )
         elif reply.status is AnswerStatus.SERVED:
             # No word on which copy it is: it could be from before any purge.
             self.counters.add("fills_without_stamp")
-            got = Got(note=ReplyDetail.ORIGIN_FAILED)
+            got = FillResult(note=ReplyDetail.ORIGIN_FAILED)
         self.carry(self.node.ended(action.number, got, self.unix()))
 
-    def meet(self, action: Meet) -> None:
+    def meet(self, action: PeerIntroduction) -> None:
         """A claimant that the shape does not name yet may be asked from now on."""
         met = Member(action.name, None, "node", None, None, 1.0, self.unix())
         self.counters.add("met")
--- a/paddlequay/net/hierarchy/feed.py
+++ b/paddlequay/net/hierarchy/topology_feed.py
@@ -5,12 +5,12 @@
 
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
-from paddlequay.hierarchy.shape import Shape, ShapeLimits, Shaper, Took
+from paddlequay.hierarchy.topology import DeltaOutcome, Topology, TopologyLimits, TopologyTracker
 from paddlequay.net.endpoints.watch_client import RETRY_PAUSE_S, EventParser, WatchClient
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol import endpoint_watch as bulletin
-from paddlequay.protocol import feed
+from paddlequay.protocol import topology_feed as feed
 from paddlequay.protocol.endpoint_watch import UnusableLine, WatchHeartbeat
 
 LOGGER = logging.getLogger(__name__)
@@ -24,19 +24,19 @@
     def __init__(
         self,
         address: Address,
-        shaper: Shaper,
-        shape_limits: ShapeLimits,
+        shaper: TopologyTracker,
+        shape_limits: TopologyLimits,
         limits: Limits,
         counters: Counters,
         now: Callable[[], float],
     ) -> None:
         super().__init__(address, limits, counters, "feed")
         self.shaper, self.shape_limits, self.now = shaper, shape_limits, now
-        self.on_shape: Callable[[Shape], None] = lambda _: None
+        self.on_shape: Callable[[Topology], None] = lambda _: None
         self.on_purge: Callable[[bulletin.PurgeEvent], None] = lambda _: None
         self.whole_at = -WHOLE_PAUSE
         # What a feed tells from its beginning, until all of it has come: beside the shape that stands.
-        self.beside: Shaper | None = None
+        self.beside: TopologyTracker | None = None
         self.begin_anew()
 
     def begin_anew(self) -> None:
@@ -48,7 +48,7 @@
         """
         self.last_number = 0
         self.asks = False
-        self.beside = Shaper(self.shape_limits) if self.shaper.shape.version else None
+        self.beside = TopologyTracker(self.shape_limits) if self.shaper.shape.version else None
 
     def make_parser(
         self,
@@ -96,12 +96,12 @@
     def shaped(self, item: feed.Shaped) -> None:
         shaper = self.beside or self.shaper
         before = shaper.shape
-        took, why = Took.REFUSED, item.why
+        took, why = DeltaOutcome.REFUSED, item.why
         if item.delta is not None:
             took = shaper.take(item.delta)
             why = shaper.said
         self.counters.add(f"shapes.{took.value}")
-        if took in (Took.REFUSED, Took.HELD):
+        if took in (DeltaOutcome.REFUSED, DeltaOutcome.HELD):
             log.event(LOGGER, logging.WARNING, f"shape_{took.value}", why=why)
             # Something was missed, or never told: everything from the start holds a whole shape.
             if item.delta is not None and item.delta.base not in (None, before.version):
--- a/paddlequay/programs/tier.py
+++ b/paddlequay/programs/tier.py
@@ -14,15 +14,23 @@
 from paddlequay.config.limits import RESERVED_DESCRIPTORS, Limits
 from paddlequay.config.values import Address
 from paddlequay.errors import ConfigError, RecordError
-from paddlequay.hierarchy.climb import NODE_KIND, STORE_KIND, Climber, member, members_of
+from paddlequay.hierarchy.fill_path import Keyring
 from paddlequay.hierarchy.node import Node
-from paddlequay.hierarchy.shape import Shape, ShapeError, Shaper, delta_data, next_shape, read_delta, whole
-from paddlequay.hierarchy.trail import Keyring
+from paddlequay.hierarchy.source_fallback import NODE_KIND, STORE_KIND, FallbackRouter, member, members_of
+from paddlequay.hierarchy.topology import (
+    Topology,
+    TopologyError,
+    TopologyTracker,
+    delta_data,
+    next_shape,
+    read_delta,
+    whole,
+)
 from paddlequay.lifecycle.operator_state import EJECTED_PREFIX, OperatorState, Override
 from paddlequay.net import listener as listeners
 from paddlequay.net.console import Console
-from paddlequay.net.hierarchy.feed import Feed
 from paddlequay.net.hierarchy.tier_front import TierFront
+from paddlequay.net.hierarchy.topology_feed import Feed
 from paddlequay.net.scheduler import LoopScheduler
 from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability import log
@@ -78,7 +86,7 @@
         folder = settings.folder
         self.operation = OperatorState((folder or Path("/nonexistent")) / f"paddlequay-{settings.name}.json")
         self.node = Node(settings.name, settings.node, settings.moves, self.began, settings.group)
-        self.climber = Climber(
+        self.climber = FallbackRouter(
             RoutingSettings(
                 zone="",
                 classes=settings.classes,
@@ -116,7 +124,7 @@
         self.saved = folder / f"shape-{settings.name}" if folder is not None else None
         self.saving: asyncio.Task[None] | None = None
         self.unsaved = False
-        self.shaper = Shaper(settings.shape)
+        self.shaper = TopologyTracker(settings.shape)
         self.recover()
         self.feed = Feed(
             settings.feed, self.shaper, settings.shape, self.limits, self.counters, self.scheduler.monotonic
@@ -139,14 +147,14 @@
 
     # --- news ---
 
-    def shaped(self, shape: Shape) -> None:
+    def shaped(self, shape: Topology) -> None:
         """Act on a shape from now on, and keep it for the next start."""
         self.take(shape)
         self.unsaved = True
         if self.saved is not None and (self.saving is None or self.saving.done()):
             self.saving = asyncio.ensure_future(self.save())
 
-    def take(self, shape: Shape) -> None:
+    def take(self, shape: Topology) -> None:
         """The pool first: a decision that follows from the news may send to whom it names."""
         self.node.follow(shape, self.scheduler.unix())
         names = list(members_of(shape, self.node.name, self.node.group))
@@ -182,9 +190,11 @@
             if body is None:
                 return
             data = json.loads(body)
-            shape = next_shape(Shape(), read_delta(data["shape"], self.settings.shape), self.settings.shape)
+            shape = next_shape(
+                Topology(), read_delta(data["shape"], self.settings.shape), self.settings.shape
+            )
             self.node.moves.restore(data["epochs"], self.scheduler.unix())
-        except (OSError, RecordError, ShapeError, ValueError, KeyError, TypeError) as error:
+        except (OSError, RecordError, TopologyError, ValueError, KeyError, TypeError) as error:
             self.counters.add("shape_unreadable")
             log.event(LOGGER, logging.WARNING, "shape_unreadable", path=self.saved, why=str(error)[:200])
             return
--- a/paddlequay/protocol/feed.py
+++ b/paddlequay/protocol/topology_feed.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from paddlequay.hierarchy.shape import Delta, ShapeError, ShapeLimits, read_delta
+from paddlequay.hierarchy.topology import Delta, TopologyError, TopologyLimits, read_delta
 from paddlequay.protocol.endpoint_watch import (
     EndpointWatchError,
     LineParser,
@@ -29,7 +29,7 @@
     why: str = ""
 
 
-def read_item(item: Any, limits: ShapeLimits) -> WatchEvent | Shaped:
+def read_item(item: Any, limits: TopologyLimits) -> WatchEvent | Shaped:
     """One event. A change that cannot be used is news of its own: it must not end the feed."""
     if isinstance(item, dict) and "shape" in item:
         number = number_of(item)
@@ -37,7 +37,7 @@
             raise EndpointWatchError(f"a shape without a number: {str(item)[:80]}")
         try:
             return Shaped(number, read_delta(item["shape"], limits))
-        except ShapeError as error:
+        except TopologyError as error:
             return Shaped(number, None, str(error))
     return parse_event(item)
 
@@ -45,7 +45,7 @@
 class Reader(LineParser):
     """Gives whole lines' news."""
 
-    def __init__(self, most: int, limits: ShapeLimits) -> None:
+    def __init__(self, most: int, limits: TopologyLimits) -> None:
         super().__init__(most)
         self.limits = limits
 
--- a/paddlequay/schema/cluster.py
+++ b/paddlequay/schema/cluster.py
@@ -7,7 +7,7 @@
 from paddlequay.cluster.settings import By, ChannelRule, ClusterSettings, LimitRule, Mode
 from paddlequay.cluster.types import PEERS_MOST, Bounds
 from paddlequay.errors import ConfigError
-from paddlequay.hierarchy.shape import NAME
+from paddlequay.hierarchy.topology import NAME
 from paddlequay.schema import paddlequay_pb2 as schema
 from paddlequay.schema.read import Lines, parsed
 
--- a/paddlequay/schema/read.py
+++ b/paddlequay/schema/read.py
@@ -8,10 +8,10 @@
 
 from paddlequay.config.values import Address, address
 from paddlequay.errors import ConfigError
-from paddlequay.hierarchy.moves import MoveLimits
-from paddlequay.hierarchy.node import NodeLimits
-from paddlequay.hierarchy.shape import NAME, ShapeLimits
-from paddlequay.hierarchy.trail import Key, Keyring, TrailError
+from paddlequay.hierarchy.fill_path import FillPathError, Keyring, SigningKey
+from paddlequay.hierarchy.fill_requests import NodeLimits
+from paddlequay.hierarchy.migration import MigrationLimits
+from paddlequay.hierarchy.topology import NAME, TopologyLimits
 from paddlequay.routing.interface import Idempotency, RequestClass, SlowStart
 from paddlequay.schema import paddlequay_pb2 as schema
 
@@ -32,10 +32,10 @@
     sockets: int
     cores: float
     classes: tuple[RequestClass, ...]
-    keys: tuple[Key, ...]
-    moves: MoveLimits
+    keys: tuple[SigningKey, ...]
+    moves: MigrationLimits
     node: NodeLimits
-    shape: ShapeLimits
+    shape: TopologyLimits
     cold: SlowStart
 
 
@@ -138,11 +138,11 @@
         try:
             with open(folder / key.file, "rb") as file:
                 secret = file.read(KEY_MOST).strip()
-            keys.append(Key(key.id, secret, key.since_unix, key.until_unix or math.inf))
+            keys.append(SigningKey(key.id, secret, key.since_unix, key.until_unix or math.inf))
             Keyring(keys)
         except OSError as error:
             raise lines.error(f"{at}.file", f"{key.file}: {error.strerror}", key.file) from None
-        except TrailError as error:
+        except FillPathError as error:
             raise lines.error(f"{at}.id", str(error), key.id) from None
     if len({key.id for key in keys}) < len(keys):
         raise lines.error("tier.hop_key", "two keys with one id")
@@ -168,7 +168,7 @@
         cores=positive(tier.cores, "tier.cores", 1.0),
         classes=tuple(classes),
         keys=tuple(keys),
-        moves=MoveLimits(
+        moves=MigrationLimits(
             window=positive(moves.window_s, "tier.moves.window_s", 60.0),
             claim=positive(moves.claim_s, "tier.moves.claim_s", 10.0),
             look_rate=positive(moves.look_rate, "tier.moves.look_rate", 200.0),
@@ -182,7 +182,7 @@
             new=positive(moves.window_s, "tier.moves.window_s", 60.0),
             fill_longest=positive(bounds.fill_longest_s, "tier.bounds.fill_longest_s", 6.0),
         ),
-        shape=ShapeLimits(
+        shape=TopologyLimits(
             nodes=int(positive(bounds.nodes, "tier.bounds.nodes", 20_000)),
             depth=int(positive(bounds.depth, "tier.bounds.depth", 6)),
         ),
--- a/tests/golden/golden_samples.py
+++ b/tests/golden/golden_samples.py
@@ -20,8 +20,16 @@
 from paddlequay.cluster.wire import Codec, Head
 from paddlequay.discovery.membership import Membership
 from paddlequay.discovery.reports import ReportedMember, SourceRule
-from paddlequay.hierarchy.moves import MoveLimits, Moves
-from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, delta_data, next_shape, whole
+from paddlequay.hierarchy.migration import MigrationLimits, MigrationPlan
+from paddlequay.hierarchy.topology import (
+    Delta,
+    NodeSpec,
+    Topology,
+    TopologyLimits,
+    delta_data,
+    next_shape,
+    whole,
+)
 from paddlequay.lifecycle.operator_state import OperatorState, Override
 from paddlequay.net.clients.client_messages import format_answer
 from paddlequay.net.upstreams.cache_messages import request_fields
@@ -108,19 +116,19 @@
     yield json.dumps(membership().snapshot(), separators=(",", ":"))
 
 
-def shape() -> Shape:
+def shape() -> Topology:
     """A store, and two nodes of which one drains."""
     nodes = (
-        Node("o", ("127.0.0.1", 9), store=True, group="g"),
-        Node("r", ("127.0.0.1", 10), parents=("o",), weight=2.0, started=3.5),
-        Node("a", ("127.0.0.1", 11), parents=("r", "o"), state=MemberState.DRAINING),
+        NodeSpec("o", ("127.0.0.1", 9), store=True, group="g"),
+        NodeSpec("r", ("127.0.0.1", 10), parents=("o",), weight=2.0, started=3.5),
+        NodeSpec("a", ("127.0.0.1", 11), parents=("r", "o"), state=MemberState.DRAINING),
     )
-    return next_shape(Shape(), Delta(4, None, nodes), ShapeLimits())
+    return next_shape(Topology(), Delta(4, None, nodes), TopologyLimits())
 
 
 def saved_shape() -> Iterator[str]:
     """The shape of a hierarchy as a tier's node saves it, and a record's bytes."""
-    moves = Moves("a", MoveLimits())
+    moves = MigrationPlan("a", MigrationLimits())
     moves.restore([{"version": 3, "left": 1.5, "members": {"a": 1.0, "r": 2.0}}], 2.0)
     body = json.dumps({"shape": delta_data(whole(shape())), "epochs": moves.data()}, separators=(",", ":"))
     yield body
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -10,8 +10,8 @@
 from paddlequay.discovery.membership import Membership
 from paddlequay.discovery.reports import SourceRule
 from paddlequay.errors import RecordError
-from paddlequay.hierarchy.moves import MoveLimits, Moves
-from paddlequay.hierarchy.shape import Shape, ShapeLimits, delta_data, next_shape, read_delta, whole
+from paddlequay.hierarchy.migration import MigrationLimits, MigrationPlan
+from paddlequay.hierarchy.topology import Topology, TopologyLimits, delta_data, next_shape, read_delta, whole
 from paddlequay.lifecycle.operator_state import OperatorState
 from paddlequay.policy import Router
 from paddlequay.protocol import hot_restart as twin
@@ -69,9 +69,9 @@
 def test_a_saved_shape_is_read_and_written_alike() -> None:
     body, head = sample("saved_shape.txt").splitlines()
     data = json.loads(body)
-    read = next_shape(Shape(), read_delta(data["shape"], ShapeLimits()), ShapeLimits())
+    read = next_shape(Topology(), read_delta(data["shape"], TopologyLimits()), TopologyLimits())
     assert read == shape() and delta_data(whole(read)) == data["shape"]
-    moves = Moves("a", MoveLimits())
+    moves = MigrationPlan("a", MigrationLimits())
     moves.restore(data["epochs"], 2.0)
     assert moves.data() == data["epochs"]
     record = head.encode() + b"\n" + body.encode()
--- a/tests/hierarchy/test_copies.py
+++ b/tests/hierarchy/test_copies.py
@@ -1,14 +1,14 @@
 """Copies at a node: which are evicted first, versions, and purges."""
 
-from paddlequay.hierarchy.copies import OVERHEAD, Copies, Copy, Purges
+from paddlequay.hierarchy.copies import OVERHEAD, CachedCopy, CopyCache, PurgeHistory
 
 
-def copy(size: int = 100, minted: float = 10.0, rank: int = 1, group: int | None = None) -> Copy:
-    return Copy(bytes(size), "t", minted, group, rank)
+def copy(size: int = 100, minted: float = 10.0, rank: int = 1, group: int | None = None) -> CachedCopy:
+    return CachedCopy(bytes(size), "t", minted, group, rank)
 
 
 def test_low_ranks_go_first_then_what_was_used_longest_ago_and_never_for_a_lower_rank() -> None:
-    copies = Copies(4 * (100 + OVERHEAD))
+    copies = CopyCache(4 * (100 + OVERHEAD))
     for name, rank in (("low", 0), ("one", 1), ("two", 1), ("top", 3)):
         assert copies.put((name, 0), copy(rank=rank))
     copies.get(("one", 0))
@@ -20,7 +20,7 @@
 
 
 def test_an_older_copy_never_replaces_a_newer_one_and_a_rank_is_not_lost() -> None:
-    copies = Copies(10_000)
+    copies = CopyCache(10_000)
     assert copies.put(("a", 0), copy(minted=10, rank=3)) and not copies.put(("a", 0), copy(minted=9))
     assert copies.put(("a", 0), copy(minted=11, rank=0))
     kept = copies.peek(("a", 0))
@@ -28,7 +28,7 @@
 
 
 def test_purges_drop_older_copies_of_an_object_or_a_group_also_where_it_is_not_known() -> None:
-    copies = Copies(100_000)
+    copies = CopyCache(100_000)
     for name, part, minted, group in (
         ("a", 0, 5, 1),
         ("a", 1, 9, 1),
@@ -47,7 +47,7 @@
 
 
 def test_purges_are_remembered_within_bounds_and_fold_into_one_of_everything() -> None:
-    purges = Purges(memory=6.0, most=3)
+    purges = PurgeHistory(memory=6.0, most=3)
     for at in range(5):
         purges.add(f"o{at}", None, 100.0 + at, 105.0)
     assert len(purges.at) == 3 and purges.of_object("o0") == 101.0 and purges.of_object("o4") == 104.0
--- a/tests/hierarchy/test_terms.py
+++ b/tests/hierarchy/test_fencing_tokens.py
@@ -3,9 +3,10 @@
 import pytest
 from rig_tier import Rig, made_one, made_rig
 
-from paddlequay.hierarchy.moves import MoveLimits
-from paddlequay.hierarchy.node import Answer, Fill, Node, NodeLimits, Want, Word
-from paddlequay.hierarchy.terms import Terms
+from paddlequay.hierarchy.fencing_tokens import FencingTokens
+from paddlequay.hierarchy.fill_requests import FillRequest, NodeLimits, Reply, ReplyStatus, StartFill
+from paddlequay.hierarchy.migration import MigrationLimits
+from paddlequay.hierarchy.node import Node
 from paddlequay.net.hierarchy.tier_front import FieldError, read_channel
 from paddlequay.net.upstreams.cache_messages import parse_result
 from paddlequay.policy import Router
@@ -17,14 +18,14 @@
 
 
 def test_a_lower_term_is_refused_and_the_same_one_taken() -> None:
-    terms = Terms()
+    terms = FencingTokens()
     assert terms.takes(1, 5, 0.0) and terms.takes(1, 5, 1.0) and terms.takes(1, 7, 2.0)
     assert not terms.takes(1, 6, 3.0) and terms.takes(1, 7, 3.0)
     assert terms.takes(2, 1, 3.0)  # each channel has its own
 
 
 def test_what_is_remembered_has_a_bound_and_an_end() -> None:
-    terms = Terms(most=3, kept=10.0)
+    terms = FencingTokens(most=3, kept=10.0)
     for channel in range(5):
         terms.takes(channel, 9, 0.0)
     assert len(terms) == 3 and terms.takes(0, 1, 1.0) and not terms.takes(4, 1, 1.0)
@@ -33,17 +34,17 @@
 
 
 def test_a_node_answers_a_lower_term_as_a_miss_and_begins_nothing() -> None:
-    node = Node("a", NodeLimits(), MoveLimits())
+    node = Node("a", NodeLimits(), MigrationLimits())
 
     def ask(term: int | None, part: int) -> list[object]:
         channel = None if term is None else (77, term)
-        want = Want("who", "00", part, "video", 0.0, 9.0, channel=channel)
+        want = FillRequest("who", "00", part, "video", 0.0, 9.0, channel=channel)
         return list(node.ask(want, 1.0))
 
-    assert isinstance(ask(8, 1)[0], Fill)
+    assert isinstance(ask(8, 1)[0], StartFill)
     (answer,) = ask(7, 2)
-    assert isinstance(answer, Answer) and (answer.word, answer.detail) == (Word.NONE, "OLD_TERM")
-    assert isinstance(ask(None, 2)[0], Fill)  # who names no channel goes the ordinary way
+    assert isinstance(answer, Reply) and (answer.word, answer.detail) == (ReplyStatus.NONE, "OLD_TERM")
+    assert isinstance(ask(None, 2)[0], StartFill)  # who names no channel goes the ordinary way
     assert node.seen.counts["old_terms"] == 1
     reader = wire.CacheAnswerParser(1000, 1000)
     (told,) = reader.feed(b"x NONE detail=OLD_TERM 0\r\n\r\n")
--- a/tests/hierarchy/test_trail.py
+++ b/tests/hierarchy/test_fill_path.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from paddlequay.hierarchy.trail import TEXT_MOST, Key, Keyring, Trail, TrailError
+from paddlequay.hierarchy.fill_path import TEXT_MOST, FillPath, FillPathError, Keyring, SigningKey
 
-OLD, NEW = Key("k1", b"an old secret....", 0, 200), Key("k2", b"a newer secret...", 100, 300)
-TRAIL = Trail(1234567, ("a", "b-2", "c_3"))
+OLD, NEW = SigningKey("k1", b"an old secret....", 0, 200), SigningKey("k2", b"a newer secret...", 100, 300)
+TRAIL = FillPath(1234567, ("a", "b-2", "c_3"))
 
 
 @pytest.mark.parametrize("now", [50.0, 150.0, 250.0])
@@ -47,22 +47,24 @@
     ],
 )
 def test_forged_too_long_and_garbage_trails_are_refused(text: str) -> None:
-    with pytest.raises(TrailError, match=r"^[^\n]{1,120}$"):
+    with pytest.raises(FillPathError, match=r"^[^\n]{1,120}$"):
         Keyring([OLD]).read(text, "x", 50)
 
 
 def test_a_trail_holds_for_its_own_request_only_and_a_key_that_is_over_for_none() -> None:
     text = Keyring([OLD]).write(TRAIL, "x", 50)
     for about, now in (("y", 50), ("x", 201)):
-        with pytest.raises(TrailError):
+        with pytest.raises(FillPathError):
             Keyring([OLD, NEW]).read(text, about, now)
-    with pytest.raises(TrailError, match="all keys are over"):
+    with pytest.raises(FillPathError, match="all keys are over"):
         Keyring([OLD]).write(TRAIL, "x", 201)
-    with pytest.raises(TrailError, match="no key is known here"):
+    with pytest.raises(FillPathError, match="no key is known here"):
         Keyring().read(text, "x", 50)
 
 
-@pytest.mark.parametrize("key", [Key("a b", b"x" * 16), Key("a", b"short"), Key("a", b"x" * 16, 5, 5)])
-def test_a_key_that_cannot_be_used_is_refused(key: Key) -> None:
-    with pytest.raises(TrailError):
+@pytest.mark.parametrize(
+    "key", [SigningKey("a b", b"x" * 16), SigningKey("a", b"short"), SigningKey("a", b"x" * 16, 5, 5)]
+)
+def test_a_key_that_cannot_be_used_is_refused(key: SigningKey) -> None:
+    with pytest.raises(FillPathError):
         Keyring([key])
--- a/tests/hierarchy/test_tier.py
+++ b/tests/hierarchy/test_tier.py
@@ -12,7 +12,7 @@
 from harness import ROOT, WAIT, Party, told, until
 from rig_tier import SECRET, Feed, Rig, made_one, made_rig, node
 
-from paddlequay.hierarchy.trail import Key, Keyring, Trail
+from paddlequay.hierarchy.fill_path import FillPath, Keyring, SigningKey
 
 rig = pytest.fixture(made_rig, name="rig")
 one = pytest.fixture(made_one, name="one")
@@ -122,7 +122,7 @@
     for number in range(40):
         asker.ask(f"q{number}")
     connection, words = peer.line()
-    trail = Keyring([Key("k1", SECRET)]).read(
+    trail = Keyring([SigningKey("k1", SECRET)]).read(
         told(words)["hops"], f"{words[1]} video {7:016x} 0 ", time.time()
     )
     assert trail.hops == ("a",) and "via" in told(words)
@@ -155,7 +155,9 @@
 
 def test_who_stands_in_the_trail_is_told_of_the_loop(one: Rig) -> None:
     asker = one.asker()
-    trail = Keyring([Key("k1", SECRET)]).write(Trail(1, ("a", "b")), f"q1 video {7:016x} 0 ", time.time())
+    trail = Keyring([SigningKey("k1", SECRET)]).write(
+        FillPath(1, ("a", "b")), f"q1 video {7:016x} 0 ", time.time()
+    )
     asker.ask("q1", hops=trail)
     word, fields = asker.answer()[1:3]
     use = dict(pair.split(":") for pair in fields.pop("use").split(";"))
@@ -192,8 +194,11 @@
     one.processes["a"].send_signal(signal.SIGHUP)
     one.logged("event=reloaded")
     asker = one.asker()
-    for id, key in (("q1", Key("k1", SECRET)), ("q2", Key("k2", b"another secret, much newer"))):
-        trail = Keyring([key]).write(Trail(1, ("a",)), f"{id} video {7:016x} 0 ", time.time())
+    for id, key in (
+        ("q1", SigningKey("k1", SECRET)),
+        ("q2", SigningKey("k2", b"another secret, much newer")),
+    ):
+        trail = Keyring([key]).write(FillPath(1, ("a",)), f"{id} video {7:016x} 0 ", time.time())
         asker.ask(id, hops=trail)
         assert asker.answer()[2]["detail"] == "LOOP"
     one.settings("a", listen="lisn")
--- a/tests/hierarchy/test_shape.py
+++ b/tests/hierarchy/test_topology.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from paddlequay.hierarchy.shape import (
+from paddlequay.hierarchy.topology import (
     Delta,
-    Node,
-    Shape,
-    ShapeError,
-    ShapeLimits,
-    Shaper,
-    Took,
+    DeltaOutcome,
+    NodeSpec,
+    Topology,
+    TopologyError,
+    TopologyLimits,
+    TopologyTracker,
     delta_data,
     difference,
     next_shape,
@@ -22,19 +22,19 @@
 )
 from paddlequay.routing.interface import MemberState
 
-LIMITS = ShapeLimits()
+LIMITS = TopologyLimits()
 
 
-def node(name: str, *parents: str, **also: Any) -> Node:
-    return Node(name, ("127.0.0.1", 9), parents=parents, store=not parents, **also)
+def node(name: str, *parents: str, **also: Any) -> NodeSpec:
+    return NodeSpec(name, ("127.0.0.1", 9), parents=parents, store=not parents, **also)
 
 
 START = Delta(1, None, (node("o"), node("r", "o"), node("a", "r", "o"), node("b", "r", "o")))
 
 
-def shaper(**limits: int) -> Shaper:
-    made = Shaper(ShapeLimits(**limits))
-    assert made.take(START) is Took.APPLIED
+def shaper(**limits: int) -> TopologyTracker:
+    made = TopologyTracker(TopologyLimits(**limits))
+    assert made.take(START) is DeltaOutcome.APPLIED
     return made
 
 
@@ -48,8 +48,8 @@
         (Delta(2, 1, (node("a", "x"),)), "has parent x, which is not there"),
         (Delta(2, 1, (), ("r",)), "has parent r, which is not there"),
         (Delta(2, 1, (), ("x",)), "drops x, which is not there"),
-        (Delta(2, 1, (Node("o", ("h", 1), parents=("r",), store=True),)), "store o has parents"),
-        (Delta(2, 1, (Node("a", ("h", 1)),)), "a has no parent"),
+        (Delta(2, 1, (NodeSpec("o", ("h", 1), parents=("r",), store=True),)), "store o has parents"),
+        (Delta(2, 1, (NodeSpec("a", ("h", 1)),)), "a has no parent"),
         (Delta(2, None, (node("a", "b"), node("b", "a"))), "no store"),
         (Delta(2, 1, tuple(node(f"n{i}", "o") for i in range(20))), "more than 20"),
         (Delta(2, 1, (node("c", "a"), node("d", "c"), node("e", "d"))), "steps below a store"),
@@ -59,16 +59,16 @@
 def test_an_unusable_shape_is_refused_in_one_line_and_leaves_the_old_one(delta: Delta, said: str) -> None:
     made = shaper(nodes=20, depth=4, parents=4)
     before = made.shape
-    assert made.take(delta) is Took.REFUSED
+    assert made.take(delta) is DeltaOutcome.REFUSED
     assert said in made.said and "\n" not in made.said and made.shape is before
-    assert made.take(Delta(3, 2, (node("c", "o"),))) is Took.HELD  # built on what was refused
-    assert made.take(Delta(4, 1, (node("d", "o"),))) is Took.APPLIED
+    assert made.take(Delta(3, 2, (node("c", "o"),))) is DeltaOutcome.HELD  # built on what was refused
+    assert made.take(Delta(4, 1, (node("d", "o"),))) is DeltaOutcome.APPLIED
     assert set(made.shape.nodes) == {"o", "r", "a", "b", "d"} and not made.held
 
 
 def test_deltas_in_any_order_and_twice_end_in_the_same_shape() -> None:
     steps = [START]
-    shape = next_shape(Shape(), START, LIMITS)
+    shape = next_shape(Topology(), START, LIMITS)
     for version in range(2, 30):
         put = (node(f"n{version}", "r", "o"), node("a", "o", weight=float(version)))
         steps.append(Delta(version, version - 1, put, (f"n{version - 3}",) if version > 5 else ()))
@@ -77,10 +77,10 @@
         rng = random.Random(seed)
         mixed = steps + rng.sample(steps, 10)
         rng.shuffle(mixed)
-        made = Shaper(ShapeLimits(held=40))
+        made = TopologyTracker(TopologyLimits(held=40))
         took = [made.take(delta) for delta in mixed]
         assert made.shape == shape and not made.held
-        assert Took.REFUSED not in took
+        assert DeltaOutcome.REFUSED not in took
 
 
 def test_what_waits_is_bounded_and_a_whole_shape_goes_over_all() -> None:
@@ -88,24 +88,24 @@
     for version in range(10, 30):
         made.take(Delta(version + 1, version, (node(f"n{version}", "o"),)))
     assert len(made.held) == 4 and min(made.held) == 10
-    assert made.take(Delta(50, 49, tuple(node(f"m{i}", "o") for i in range(11)))) is Took.REFUSED
-    assert made.take(Delta(40, None, (node("o"), node("z", "o")))) is Took.APPLIED
+    assert made.take(Delta(50, 49, tuple(node(f"m{i}", "o") for i in range(11)))) is DeltaOutcome.REFUSED
+    assert made.take(Delta(40, None, (node("o"), node("z", "o")))) is DeltaOutcome.APPLIED
     assert set(made.shape.nodes) == {"o", "z"} and not made.held
-    assert made.take(START) is Took.OLD
+    assert made.take(START) is DeltaOutcome.OLD
 
 
 def test_ten_thousand_nodes_in_one_delta_and_a_chain_deeper_than_the_stack() -> None:
     many = tuple(node(f"n{i}", "r", "o", group=f"g{i % 50}") for i in range(10_000))
     made = shaper()
-    assert made.take(Delta(2, 1, many)) is Took.APPLIED
+    assert made.take(Delta(2, 1, many)) is DeltaOutcome.APPLIED
     again = read_delta(json.loads(json.dumps(delta_data(whole(made.shape)))), LIMITS)
-    assert next_shape(Shape(), again, LIMITS) == made.shape
+    assert next_shape(Topology(), again, LIMITS) == made.shape
     chain = tuple(node(f"n{i}", f"n{i + 1}" if i < 9_999 else "o") for i in range(10_000))
-    assert made.take(Delta(3, 2, chain)) is Took.REFUSED and "steps below" in made.said
+    assert made.take(Delta(3, 2, chain)) is DeltaOutcome.REFUSED and "steps below" in made.said
 
 
 def test_a_difference_leads_from_one_shape_to_the_other() -> None:
-    old = next_shape(Shape(), START, LIMITS)
+    old = next_shape(Topology(), START, LIMITS)
     new = next_shape(old, Delta(2, 1, (node("a", "o", state=MemberState.DRAINING),), ("b",)), LIMITS)
     assert next_shape(old, difference(old, new), LIMITS) == new
 
@@ -138,6 +138,6 @@
     ],
 )
 def test_json_that_is_no_shape_is_told_with_its_field(item: Any, said: str) -> None:
-    with pytest.raises(ShapeError, match=r"^[^\n]{1,200}$") as error:
+    with pytest.raises(TopologyError, match=r"^[^\n]{1,200}$") as error:
         read_delta(item, LIMITS)
     assert said in str(error.value)
