--- a/paddlequay/hierarchy/__init__.py
+++ b/paddlequay/hierarchy/__init__.py
@@ -1,1 +1,1 @@
-"""Who fills from whom, and how that changes in service: pure decisions, no sockets, clocks or files."""
+"""The changing cache hierarchy: which cache fills from which. Pure decisions, no sockets, clocks or files."""
--- a/paddlequay/hierarchy/fencing_tokens.py
+++ b/paddlequay/hierarchy/fencing_tokens.py
@@ -1,35 +1,63 @@
-"""Terms of channels: a node refuses what an owner that has been followed by another one still sends.
+"""Fencing tokens of live channels: a node rejects fills that a channel's former owner still sends.
 
-Who fills a live channel ahead does so under a term, and each owner's term is higher than the one's before it.
-An owner checks that it still is one right before it writes; between that check and the arrival lie queues and
-stops that it cannot see, so whoever takes the fill compares.
+The owner of a channel prefetches its parts under a fencing token (`term` on the wire), and each owner's token
+is higher than those of the owners before it. An owner checks its lease right before it writes; queues and
+pauses between that check and the arrival are outside its view, so the receiving node compares the tokens.
 """
 
 from collections import OrderedDict
+from dataclasses import dataclass
 
-CHANNELS_MOST = 16_384  # remembered, some 2 MB; past it the one not heard of for longest is forgotten
-KEPT_S = 60.0  # after the last word of a channel: far longer than any fill lives that was written before
+MAX_CHANNELS = 16_384  # some 2 MB; past it the channel seen least recently is forgotten
+TOKEN_MEMORY_S = 60.0  # far longer than any fill that was sent under an earlier token can be in flight
+
+
+@dataclass(frozen=True, slots=True)
+class SeenToken:
+    """The highest token of a channel, and when a fill last came under it (seconds)."""
+
+    token: int
+    last_seen: float
 
 
 class FencingTokens:
-    """The highest term seen of each channel; bounded by `most` channels and `kept` seconds."""
+    """The highest fencing token seen of each channel.
 
-    def __init__(self, most: int = CHANNELS_MOST, kept: float = KEPT_S) -> None:
-        self.most, self.kept = most, kept
-        self.seen: OrderedDict[int, tuple[int, float]] = OrderedDict()
+    Args:
+        max_channels: How many channels are remembered.
+        memory_s: For how many seconds after its last accepted fill a channel is remembered.
+    """
+
+    def __init__(self, max_channels: int = MAX_CHANNELS, memory_s: float = TOKEN_MEMORY_S) -> None:
+        self.max_channels = max_channels
+        self.memory_s = memory_s
+        self.highest: OrderedDict[int, SeenToken] = OrderedDict()  # the channel seen least recently first
 
     def __len__(self) -> int:
-        return len(self.seen)
-
-    def takes(self, channel: int, term: int, now: float) -> bool:
-        """Whether a fill under this term may be taken: no higher one was seen of its channel."""
-        while self.seen and now - next(iter(self.seen.values()))[1] > self.kept:
-            self.seen.popitem(last=False)
-        known = self.seen.get(channel)
-        if known is not None and term < known[0]:
-            return False  # the old owner's word keeps nothing alive
-        self.seen[channel] = (term, now)
-        self.seen.move_to_end(channel)
-        if len(self.seen) > self.most:
-            self.seen.popitem(last=False)
+        return len(self.highest)
+
+    def accepts(self, channel: int, token: int, now: float) -> bool:
+        """Returns whether a fill may be accepted: no higher token of its channel is known.
+
+        A rejected fill does not extend the memory of its channel, so that a former owner which goes on
+        sending is not remembered for ever.
+
+        Args:
+            channel: The channel's number.
+            token: The fencing token that the fill was sent under.
+            now: The time in seconds.
+        """
+        self._forget_expired(now)
+        known = self.highest.get(channel)
+        if known is not None and token < known.token:
+            return False
+        self.highest[channel] = SeenToken(token, now)
+        self.highest.move_to_end(channel)
+        if len(self.highest) > self.max_channels:
+            self.highest.popitem(last=False)
         return True
+
+    def _forget_expired(self, now: float) -> None:
+        """Drops the channels that had no accepted fill for `memory_s` seconds."""
+        while self.highest and now - next(iter(self.highest.values())).last_seen > self.memory_s:
+            self.highest.popitem(last=False)
--- a/paddlequay/hierarchy/fill_path.py
+++ b/paddlequay/hierarchy/fill_path.py
@@ -1,11 +1,12 @@
-"""The trail of a fill: which nodes it has passed, signed, so that a loop is found where it closes.
+"""The path of a fill: the nodes that it has passed, signed, so that a loop is detected where it closes.
 
-A path vector, as CDN-Loop (RFC 8586) has it for HTTP, but bound to one request, bounded and authenticated: a
-node that finds itself stops the fill there. A count of hops alone would let a loop of two run round to the
-bound, with a fill at each step. The trail also carries a stamp, the time and node at which it began: of two
-fills that would wait for each other, the older one waits (wait-die, Rosenkrantz et al., 1978).
+A path vector as CDN-Loop (RFC 8586) defines it for HTTP, but bound to one request, bounded in length and
+authenticated. A node that finds itself in the path rejects the fill. A hop count alone would let a loop of
+two nodes run up to the bound, with one fill at each step. The path also carries the time and node at which it
+began: of two fills that would wait for each other only the older one may wait (wait-die, Rosenkrantz et al.,
+1978).
 
-On the wire, a word without spaces, commas or equals signs: KEY:STAMP:NODE~NODE:MAC
+On the wire a path is one word without spaces, commas or equals signs: KEY:STARTED_US:NODE~NODE:MAC
 """
 
 import hashlib
@@ -14,111 +15,168 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from paddlequay.hierarchy.topology import NAME
+from paddlequay.hierarchy.errors import FillPathError
+from paddlequay.hierarchy.topology import NODE_NAME
 
-MAX_HOPS = 12  # twice the deepest shape: a fill may go to a peer at every level
-TEXT_MOST = 1024
-MAC_HEX = 32  # 128 bits of HMAC-SHA256 (RFC 2104; truncation: RFC 2104, section 5)
-STAMP_MOST = (1 << 63) - 1
+MAX_HOPS = 12  # twice the deepest topology: a fill may go to a peer at every level
+MAX_TEXT_CHARS = 1024
+MAC_HEX_DIGITS = 32  # 128 bits of HMAC-SHA256 (truncated as in RFC 2104, section 5)
+MAX_STARTED_US = (1 << 63) - 1
+MAX_STARTED_DIGITS = 19
+MIN_SECRET_BYTES = 16
 UNSIGNED = "-"
 KEY_ID = re.compile(r"[A-Za-z0-9_-]{1,16}")
-SECRET_LEAST = 16
-
-
-class FillPathError(ValueError):
-    """A trail that cannot be read, or that nobody who has the key has signed."""
+TEXT_PARTS_COUNT = 4
 
 
 @dataclass(frozen=True, slots=True)
 class FillPath:
-    """Hops from the first on; `stamp` is the Unix microsecond at which the first began its fill."""
+    """The nodes that a fill has passed, the first one first.
+
+    `started_us` is the Unix time in microseconds at which the first node began its fill.
+    """
 
-    stamp: int
+    started_us: int
     hops: tuple[str, ...]
 
     @property
-    def last(self) -> str:
+    def last_hop(self) -> str:
+        """The node that sent the request on."""
         return self.hops[-1]
 
-    def older(self, other: "FillPath") -> bool:
-        """Whether this one began before another; the first node decides where the time is the same."""
-        return (self.stamp, self.hops[0]) < (other.stamp, other.hops[0])
+    def is_older_than(self, other: "FillPath") -> bool:
+        """Returns whether this fill began before another; the first node decides between equal times."""
+        return (self.started_us, self.hops[0]) < (other.started_us, other.hops[0])
 
-    def through(self, node: str) -> "FillPath":
-        """This trail, one hop on."""
-        return FillPath(self.stamp, (*self.hops, node))
+    def extended_by(self, node: str) -> "FillPath":
+        """Returns this path with one more hop."""
+        return FillPath(self.started_us, (*self.hops, node))
 
 
 @dataclass(frozen=True, slots=True)
 class SigningKey:
-    """A secret shared by all nodes. It signs from `since` on and is believed until `until` (Unix seconds)."""
+    """A secret that all nodes share; it signs from `signs_from` on and is valid before `valid_until`.
+
+    Both times are Unix seconds.
+    """
 
     id: str
     secret: bytes
-    since: float = 0.0
-    until: float = float("inf")
+    signs_from: float = 0.0
+    valid_until: float = float("inf")
+
+    def check(self) -> None:
+        """Raises `FillPathError` where the key cannot be used."""
+        if not KEY_ID.fullmatch(self.id):
+            raise FillPathError("expected 1 to 16 letters, digits, - and _", f"key {self.id[:20]!r}")
+        if len(self.secret) < MIN_SECRET_BYTES:
+            raise FillPathError(f"expected {MIN_SECRET_BYTES} bytes or more", f"key {self.id}")
+        if not self.signs_from < self.valid_until:
+            raise FillPathError("expires before it begins to sign", f"key {self.id}")
 
 
 class Keyring:
-    """Keys that overlap: the latest that holds signs, each that is not over is believed.
+    """Signing keys with overlapping lifetimes: the latest one signs, every valid one is accepted.
 
-    A key is believed before it signs, so that nodes whose clocks differ, or which have read their keys later,
-    agree while one follows another. Without any key trails are not signed and none that is signed is
-    believed.
+    A key is accepted before it signs, so that nodes whose clocks differ, or which have read their keys later,
+    agree during a key change. Without any key paths are not signed, and no signed one is accepted.
+
+    Raises:
+        FillPathError: One of the keys cannot be used.
     """
 
     def __init__(self, keys: Iterable[SigningKey] = ()) -> None:
         self.keys = {key.id: key for key in keys}
         for key in self.keys.values():
-            if not KEY_ID.fullmatch(key.id):
-                raise FillPathError(f"key {key.id[:20]!r}: expected 1 to 16 letters, digits, - and _")
-            if len(key.secret) < SECRET_LEAST:
-                raise FillPathError(f"key {key.id}: expected {SECRET_LEAST} bytes or more")
-            if not key.since < key.until:
-                raise FillPathError(f"key {key.id}: is over before it begins")
-
-    def signer(self, now: float) -> SigningKey | None:
-        """The key that signs now; the one that began last, or the first to come where none has begun."""
-        alive = [key for key in self.keys.values() if now < key.until]
-        begun = [key for key in alive if key.since <= now]
+            key.check()
+
+    def signing_key(self, now: float) -> SigningKey | None:
+        """Returns the key that signs at `now` (Unix seconds): the latest one that has begun to sign.
+
+        Where none has begun yet, it is the one that begins first; None where all have expired.
+        """
+        valid = [key for key in self.keys.values() if now < key.valid_until]
+        begun = [key for key in valid if key.signs_from <= now]
         if begun:
-            return max(begun, key=lambda key: (key.since, key.id))
-        return min(alive, key=lambda key: (key.since, key.id), default=None)
+            return max(begun, key=_signing_order)
+        return min(valid, key=_signing_order, default=None)
 
-    def write(self, trail: FillPath, about: str, now: float) -> str:
-        """The trail as a word, signed for one request; `about` tells that request from all others."""
-        key = self.signer(now)
+    def encode(self, path: FillPath, context: str, now: float) -> str:
+        """Returns the path as a word, signed for one request.
+
+        Args:
+            path: The path.
+            context: Text that tells the request from all others; the signature covers it.
+            now: The time in Unix seconds.
+
+        Raises:
+            FillPathError: All keys have expired.
+        """
+        key = self.signing_key(now)
         if key is None and self.keys:
             raise FillPathError("all keys are over")
-        head = f"{UNSIGNED if key is None else key.id}:{trail.stamp}:{'~'.join(trail.hops)}"
-        return f"{head}:{UNSIGNED if key is None else sign(key, head, about)}"
-
-    def read(self, text: str, about: str, now: float) -> FillPath:
-        """A trail from a word, where its signature holds for this request; TrailError otherwise."""
-        if len(text) > TEXT_MOST:
-            raise FillPathError(f"{len(text)} characters, more than {TEXT_MOST}")
+        hops = "~".join(path.hops)
+        if key is None:
+            return f"{UNSIGNED}:{path.started_us}:{hops}:{UNSIGNED}"
+        signed = f"{key.id}:{path.started_us}:{hops}"
+        return f"{signed}:{_signature(key, signed, context)}"
+
+    def decode(self, text: str, context: str, now: float) -> FillPath:
+        """Returns the path that a word holds, where its signature holds for this request.
+
+        Args:
+            text: The word.
+            context: Text that tells the request from all others.
+            now: The time in Unix seconds.
+
+        Raises:
+            FillPathError: The word cannot be read, or its signature does not hold.
+        """
+        if len(text) > MAX_TEXT_CHARS:
+            raise FillPathError(f"{len(text)} characters, more than {MAX_TEXT_CHARS}")
         parts = text.split(":")
-        if len(parts) != 4:
-            raise FillPathError(f"expected KEY:STAMP:HOPS:MAC, got {text[:60]!r}")
-        id, stamp, hops, mac = parts
-        if not (stamp.isascii() and stamp.isdigit() and len(stamp) < 20 and int(stamp) <= STAMP_MOST):
-            raise FillPathError(f"stamp: expected microseconds, got {stamp[:30]!r}")
-        names = tuple(hops.split("~"))
-        if not all(map(NAME.fullmatch, names)):
-            raise FillPathError(f"hops: expected names, got {hops[:60]!r}")
-        if len(set(names)) < len(names):
-            raise FillPathError("hops: a node stands there twice")
-        if self.keys:
-            key = self.keys.get(id)
-            if key is None or now >= key.until:
-                raise FillPathError(f"key {id[:20]!r} is not known, or is over")
-            if not hmac.compare_digest(sign(key, f"{id}:{stamp}:{hops}", about), mac):
-                raise FillPathError("the signature does not hold")
-        elif id != UNSIGNED or mac != UNSIGNED:
-            raise FillPathError("signed, and no key is known here")
-        return FillPath(int(stamp), names)
-
-
-def sign(key: SigningKey, head: str, about: str) -> str:
-    message = f"{len(head)}:{head}{about}".encode()
-    return hmac.new(key.secret, message, hashlib.sha256).hexdigest()[:MAC_HEX]
+        if len(parts) != TEXT_PARTS_COUNT:
+            raise FillPathError("expected KEY:STAMP:HOPS:MAC", value=text)
+        key_id, started, hops, mac = parts
+        path = FillPath(_decode_start(started), _decode_hops(hops))
+        self._check_signature(key_id, f"{key_id}:{started}:{hops}", mac, context, now)
+        return path
+
+    def _check_signature(self, key_id: str, signed: str, mac: str, context: str, now: float) -> None:
+        """Raises `FillPathError` unless the signature holds, or unless it is absent where no key is known."""
+        if not self.keys:
+            if key_id != UNSIGNED or mac != UNSIGNED:
+                raise FillPathError("signed, and no key is known here")
+            return
+        key = self.keys.get(key_id)
+        if key is None or now >= key.valid_until:
+            raise FillPathError("unknown or expired", f"key {key_id[:20]!r}")
+        if not hmac.compare_digest(_signature(key, signed, context), mac):
+            raise FillPathError("the signature does not hold")
+
+
+def _signing_order(key: SigningKey) -> tuple[float, str]:
+    return key.signs_from, key.id
+
+
+def _decode_start(text: str) -> int:
+    """Returns the start of a path in Unix microseconds."""
+    is_number = text.isascii() and text.isdigit() and len(text) <= MAX_STARTED_DIGITS
+    if not is_number or int(text) > MAX_STARTED_US:
+        raise FillPathError("expected microseconds", "stamp", text)
+    return int(text)
+
+
+def _decode_hops(text: str) -> tuple[str, ...]:
+    """Returns the hops of a path: names of nodes, each one once."""
+    names = tuple(text.split("~"))
+    if not all(map(NODE_NAME.fullmatch, names)):
+        raise FillPathError("expected names", "hops", text)
+    if len(set(names)) < len(names):
+        raise FillPathError("a node stands there twice", "hops")
+    return names
+
+
+def _signature(key: SigningKey, signed: str, context: str) -> str:
+    message = f"{len(signed)}:{signed}{context}".encode()
+    return hmac.new(key.secret, message, hashlib.sha256).hexdigest()[:MAC_HEX_DIGITS]
--- /dev/null
+++ b/paddlequay/hierarchy/purge_history.py
@@ -0,0 +1,78 @@
+"""The purges of the last seconds: how old a copy of an object may be to answer a request."""
+
+import math
+from collections import OrderedDict
+from typing import NamedTuple
+
+MAX_PURGES = 20_000
+
+
+class PurgeTarget(NamedTuple):
+    """What a purge concerns: an object, or where `object_name` is None a group."""
+
+    object_name: str | None
+    group: int | None
+
+
+class PurgeHistory:
+    """When objects and groups were purged last.
+
+    Past `max_purges` the oldest purges are merged into one of everything: that costs fills, and no stale
+    copy is served.
+
+    Args:
+        memory_s: For how many seconds a purge is remembered; no older copy is left anywhere after it.
+        max_purges: How many purges are remembered.
+    """
+
+    def __init__(self, memory_s: float, max_purges: int = MAX_PURGES) -> None:
+        self.memory_s = memory_s
+        self.max_purges = max_purges
+        self.issued_at: OrderedDict[PurgeTarget, float] = OrderedDict()  # the purge heard of first, first
+        self.latest_of_any_group = -math.inf  # it holds for copies whose group is not known
+        self.latest_of_everything = -math.inf
+
+    def add(self, object_name: str | None, group: int | None, issued_at: float, now: float) -> None:
+        """Records a purge.
+
+        Args:
+            object_name: The object that is purged; None where a group is.
+            group: The group that is purged, where `object_name` is None.
+            issued_at: When the purge was issued, in Unix seconds.
+            now: The time in Unix seconds.
+        """
+        target = PurgeTarget(object_name, None if object_name is not None else group)
+        self.issued_at[target] = max(issued_at, self.issued_at.pop(target, -math.inf))
+        if object_name is None:
+            self.latest_of_any_group = max(self.latest_of_any_group, issued_at)
+        self._forget_oldest(now)
+
+    def latest_of_object(self, object_name: str) -> float:
+        """Returns the latest purge of an object itself, in Unix seconds; for a fill of an unknown group."""
+        return max(self.latest_of_everything, self._latest(PurgeTarget(object_name, None)))
+
+    def min_minted_at(self, object_name: str, group: int | None) -> float:
+        """Returns the Unix second before which no copy of an object may have been minted.
+
+        Args:
+            object_name: The object.
+            group: The group of the copy; None where it is not known, and then purges of all groups count.
+        """
+        by_object = self.latest_of_object(object_name)
+        if group is None:
+            return max(self.latest_of_any_group, by_object)
+        return max(self._latest(PurgeTarget(None, group)), by_object)
+
+    def _latest(self, target: PurgeTarget) -> float:
+        return self.issued_at.get(target, -math.inf)
+
+    def _forget_oldest(self, now: float) -> None:
+        """Drops purges that are too old, and merges those past the bound into one of everything."""
+        while self.issued_at:
+            oldest = next(iter(self.issued_at.values()))
+            is_expired = now - oldest > self.memory_s
+            if not is_expired and len(self.issued_at) <= self.max_purges:
+                return
+            self.issued_at.popitem(last=False)
+            if not is_expired:
+                self.latest_of_everything = max(self.latest_of_everything, oldest)
--- a/paddlequay/hierarchy/source_fallback.py
+++ b/paddlequay/hierarchy/source_fallback.py
@@ -1,16 +1,13 @@
-"""The ladder of a node in the middle, climbed by the decision module itself.
+"""Source fallback: a node's fills go from source to source under the rules of `policy.Router`.
 
-The node names whom a fill may ask, and in which order; whether that one may be used now is for
-`policy.Router`: failures, trials, limits, the pace of cold members, time-outs and purges are what they are
-for a router. So a node is a front of the same exchange, and no second set of rules for health grows beside
-the first.
+The node names the sources of a fill and their order. Whether one of them may be used now is decided as for a
+router: failures, probes, concurrency limits, slow start, time-outs and purges. So a node is a front of the
+same exchange and has no second set of rules for health.
 """
 
-import math
-from collections.abc import Iterable
+from collections.abc import Iterator
 
 from paddlequay.hierarchy.fill_leases import FillSource
-from paddlequay.hierarchy.fill_path import FillPath
 from paddlequay.hierarchy.node import Node
 from paddlequay.hierarchy.topology import Topology
 from paddlequay.policy import Router
@@ -25,107 +22,140 @@
 )
 from paddlequay.routing.state import AttemptState, RequestState, Upstream
 
-NODE_KIND, STORE_KIND = "node", "store"
-LIMIT_FIRST = 200.0  # out at one member by all of a group: a node serves hundreds at once from memory
-LOST = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
+CACHE_KIND = "node"
+ORIGIN_KIND = "store"
+# In flight at one member, sent by all of a group: a node serves hundreds at once from memory.
+INITIAL_CONCURRENCY_LIMIT = 200.0
+FILL_RETENTION = 1
+MIN_AGE_S = 0.001
+UNREACHABLE_OUTCOMES = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
 
 
-def members_of(shape: Topology, own: str, group: str) -> Iterable[str]:
-    """Whom a node may ask: its group, the parents of that group and their groups, and the stores."""
-    groups = {group}
-    parents: set[str] = set()
-    for node in shape.group(group):
-        parents.update(node.parents)
-    groups.update(shape.nodes[name].group for name in parents)
-    for name, node in shape.nodes.items():
-        if name != own and (node.store or node.group in groups):
+def possible_sources(topology: Topology, own_name: str, group: str) -> Iterator[str]:
+    """Returns the nodes that a node may ask at all.
+
+    They are its group, the parents of that group and the groups of these, and the origins.
+    """
+    parents = {parent for node in topology.caches_of_group(group) for parent in node.parents}
+    groups = {group} | {topology.nodes[name].group for name in parents}
+    for name, node in topology.nodes.items():
+        if name != own_name and (node.is_origin or node.group in groups):
             yield name
 
 
-def member(shape: Topology, name: str) -> Member:
-    """A node of the shape as the decisions see it."""
-    node = shape.nodes[name]
-    kind = STORE_KIND if node.store else NODE_KIND
-    return Member(name, None, kind, None, node.state, node.weight, node.started)
+def member_of(topology: Topology, name: str) -> Member:
+    """Returns a node of the topology as the routing policy sees it."""
+    node = topology.nodes[name]
+    return Member(
+        name=name,
+        kind=ORIGIN_KIND if node.is_origin else CACHE_KIND,
+        state=node.state,
+        weight=node.weight,
+        started=node.started_at,
+    )
 
 
 class FallbackRouter(Router):
-    """`policy.Router` with the rungs of a node in place of the plain ladder."""
+    """`policy.Router` with the sources that a node names in place of the routes of a two-tier cache.
+
+    Args:
+        settings: The settings of the policy.
+        seed: The seed of its random draws.
+        node: Names the sources of fills.
+    """
 
     def __init__(self, settings: RoutingSettings, seed: int, node: Node) -> None:
         super().__init__(settings, seed)
         self.node = node
-        self.now_on: dict[str, tuple[FillSource, FillPath]] = {}  # the rung that each request is on
-        self.hints: dict[str, str] = {}
+        self.next_hops: dict[str, str] = {}  # by request: the node that the last source waits for
 
     def on_members(self, event: MembersChanged) -> None:
-        servers = self.state.members.upstreams
-        before = set(servers)
+        """Follows the list; the concurrency limits of new members begin at a node's."""
+        upstreams = self.state.members.upstreams
+        known = set(upstreams)
         super().on_members(event)
-        new = [server for name, server in servers.items() if name not in before]
-        self.state.limits.inherit_state(new, {f"limit {server.member.name}": LIMIT_FIRST for server in new})
+        new = [upstream for name, upstream in upstreams.items() if name not in known]
+        limits = {f"limit {upstream.member.name}": INITIAL_CONCURRENCY_LIMIT for upstream in new}
+        self.state.limits.inherit_state(new, limits)
 
     def update_contention(self) -> None:
-        """All of the group ask the same members."""
-        self.state.limits.set_contention(1, 1, 1, requesters=max(1, len(self.node.moves.members)))
-
-    def advance(self, item: RequestState) -> None:
-        """The next rung that may be used now. What is busy sheds: handed on, it would be a second fill."""
-        name = item.received.id
-        number = item.received.fill
-        if number is None or (item.attempts and not self.attempts.may_retry(item, self.now)):
-            return self.give_up(item, "retries_exhausted")
-        hint = self.hints.pop(name, "")
-        while (step := self.node.step(number, hint)) is not None:
-            hint = ""
-            rung, _ = self.now_on[name] = step
-            server = self.state.members.upstreams.get(rung.target)
-            if server is None or not server.ready or not self.selector.is_open(server, item, self.now):
+        """Tells the limits how many nodes ask the same members: all of the group."""
+        group_size = len(self.node.source_selector.migration.weights)
+        self.state.limits.set_contention(1, 1, 1, requesters=max(1, group_size))
+
+    def advance(self, request: RequestState) -> None:
+        """Sends the next attempt of a fill, or fails it.
+
+        A busy source that would fill is not passed over but ends the fill: the next source would be asked for
+        a second fill of the same object.
+        """
+        number = request.received.fill
+        has_retries = not request.attempts or self.attempts.may_retry(request, self.now)
+        if number is None or not has_retries:
+            self.give_up(request, "retries_exhausted")
+            return
+        next_hop = self.next_hops.pop(request.received.id, "")
+        while (step := self.node.next_source(number, next_hop)) is not None:
+            next_hop = ""
+            upstream = self._usable_upstream(step.source, request)
+            if upstream is None:
                 continue
-            if self.state.limits.is_busy(server, item, self.now):
-                if rung.held:
-                    continue
-                return self.give_up(item, "edge_busy")
-            return self.ask(item, server, rung)
-        self.actions.append(Fail(name))
-        self.close(name)
-
-    def ask(self, item: RequestState, server: Upstream, rung: FillSource) -> None:
-        """One attempt; a node is allowed to fill by naming the store as the source, a look names none."""
-        self.attempts.register(item, AttemptState(server, server, self.now, False))
-        origins = self.state.members.origins
-        through = origins[0].member.name if origins and not rung.store else rung.target
-        self.actions.append(
-            Fetch(
-                request=item.received.id,
-                target=rung.target,
-                source=rung.target if rung.held else through,
-                retention=1,
-                timeout=self.attempts.timeout(item, self.now),
-                max_age=self.age(item),
-                coalesce=True,
-                only_if_cached=rung.held,
-            )
-        )
-
-    def age(self, item: RequestState) -> float | None:
-        """The oldest copy that will do, in seconds; what was purged since the fill began counts."""
-        lease = self.node.leases.by_number.get(item.received.fill or 0)
-        floor = -math.inf
-        if lease is not None:
-            floor = max(lease.floor, self.node.purges.of_object(lease.place[0]))
-        return max(0.001, self.now - floor) if floor > 0 else None
+            if not self.state.limits.is_busy(upstream, request, self.now):
+                self._send(request, upstream, step.source)
+                return
+            if not step.source.only_if_cached:
+                self.give_up(request, "edge_busy")
+                return
+        self.actions.append(Fail(request.received.id))
+        self.close(request.received.id)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        item = self.requests.get(event.request)
-        if item is not None and item.received.fill is not None:
-            if event.outcome in LOST:
-                self.node.unreached(item.received.fill, event.target)
+        """Tells the node of a source that could not be reached, then settles the attempt."""
+        request = self.requests.get(event.request)
+        if request is not None and request.received.fill is not None:
+            if event.outcome in UNREACHABLE_OUTCOMES:
+                self.node.on_unreachable(request.received.fill, event.target)
             if event.loop_hint:
-                self.hints[event.request] = event.loop_hint
+                self.next_hops[event.request] = event.loop_hint
         super().on_attempt_ended(event)
 
-    def close(self, request: str) -> None:
-        self.now_on.pop(request, None)
-        self.hints.pop(request, None)
-        super().close(request)
+    def close(self, request_id: str) -> None:
+        """Ends a request."""
+        self.next_hops.pop(request_id, None)
+        super().close(request_id)
+
+    def _usable_upstream(self, source: FillSource, request: RequestState) -> Upstream | None:
+        """Returns the upstream of a source, where it is listed, ready and not ejected."""
+        upstream = self.state.members.upstreams.get(source.target)
+        if upstream is None or not upstream.ready:
+            return None
+        return upstream if self.selector.is_open(upstream, request, self.now) else None
+
+    def _send(self, request: RequestState, upstream: Upstream, source: FillSource) -> None:
+        """Sends one attempt. Naming an origin as the source allows a node to fill."""
+        self.attempts.register(request, AttemptState(upstream, upstream, self.now, False))
+        fetch = Fetch(
+            request=request.received.id,
+            target=source.target,
+            source=self._fetch_source(source),
+            retention=FILL_RETENTION,
+            timeout=self.attempts.timeout(request, self.now),
+            max_age=self._max_age(request),
+            coalesce=True,
+            only_if_cached=source.only_if_cached,
+        )
+        self.actions.append(fetch)
+
+    def _fetch_source(self, source: FillSource) -> str:
+        """Returns what a target fills from: an origin, or itself where it is to give a cached copy only."""
+        origins = self.state.members.origins
+        if source.only_if_cached or source.is_origin or not origins:
+            return source.target
+        return origins[0].member.name
+
+    def _max_age(self, request: RequestState) -> float | None:
+        """Returns how old the copy may be, in seconds; purges since the fill began count."""
+        min_minted_at = self.node.min_minted_at(request.received.fill or 0)
+        if min_minted_at is None or min_minted_at <= 0:
+            return None
+        return max(MIN_AGE_S, self.now - min_minted_at)
--- /dev/null
+++ b/paddlequay/hierarchy/source_selection.py
@@ -0,0 +1,213 @@
+"""Source selection: which nodes a fill asks, one after another, before it goes to the origin.
+
+The rules name the candidates and their order. Whether one of them may be used now (health, limits, slow
+start) is decided by `policy.Router` behind the exchange.
+"""
+
+from collections.abc import Iterable, Iterator, Mapping
+from dataclasses import dataclass
+
+from paddlequay.hierarchy.copy_cache import PartKey
+from paddlequay.hierarchy.fill_leases import FillLease, FillSource, SourceKind
+from paddlequay.hierarchy.fill_path import FillPath
+from paddlequay.hierarchy.fill_requests import FillRequest, OwnershipClaim, PeerIntroduction
+from paddlequay.hierarchy.migration import MigrationLimits, MigrationPlan
+from paddlequay.hierarchy.ownership_claims import OwnershipClaims
+from paddlequay.hierarchy.topology import NodeSpec, Topology
+from paddlequay.observability.counters import Counters
+from paddlequay.placement.homes import arrival, digest, object_key, placement_key, slot_of
+
+MAX_INTRODUCED_PEERS = 64
+MAX_DETOURS = 6  # sources that one fill asks beside those in its list
+OWN_HINT_DETOURS = MAX_DETOURS // 2  # what a repeated look-up at the same node is charged
+STAND_IN_COUNT = 3  # homes that are asked in turn before a node goes to the origin itself
+
+
+@dataclass(frozen=True, slots=True)
+class FillStep:
+    """The source that a fill asks next, and the path that goes with the request."""
+
+    source: FillSource
+    path: FillPath
+
+
+class SourceSelector:
+    """Chooses the sources of a node's fills.
+
+    Args:
+        own_name: The name of this node.
+        group: Its group, known also while no topology names the node.
+        started_at: When the node started, in Unix seconds.
+        new_node_s: For how many seconds after that the next nodes on the hash may hold its objects.
+        limits: Bounds of migration.
+        counters: The node's counters.
+    """
+
+    def __init__(
+        self,
+        own_name: str,
+        group: str,
+        started_at: float,
+        new_node_s: float,
+        limits: MigrationLimits,
+        counters: Counters,
+    ) -> None:
+        self.own_name = own_name
+        self.group = group
+        self.started_at = started_at
+        self.new_node_s = new_node_s
+        self.counters = counters
+        self.topology = Topology()
+        self.migration = MigrationPlan(own_name, limits)
+        self.claims = OwnershipClaims(own_name, limits.claim_s)
+        # The addresses of claimants that the topology does not name yet, the first introduced first.
+        self.introduced_peers: dict[str, tuple[str, int]] = {}
+        self.ejected: set[str] = set()  # nodes that operators have taken out
+
+    def follow(self, topology: Topology, now: float) -> None:
+        """Adopts a topology; `now` is in Unix seconds. Fills in flight go on with their sources."""
+        self.topology = topology
+        self.claims.topology_version = topology.version
+        self.introduced_peers = {
+            name: address for name, address in self.introduced_peers.items() if name not in topology.nodes
+        }
+        own = topology.nodes.get(self.own_name)
+        if own is not None:
+            self.group = own.group
+        if self.migration.follow(topology, self.group, now):
+            self.counters.add("homes_changed")
+
+    def accept_claim(
+        self, key: PartKey, claimant: str, claim: OwnershipClaim, now: float
+    ) -> PeerIntroduction | None:
+        """Records that another node claims to be an object's home, unless a later topology says otherwise.
+
+        Returns:
+            The order to make the claimant known, where it is one that the topology does not name yet.
+            Without it this node could not ask the claimant and would fill a second time.
+        """
+        if not self.claims.accept(key, claimant, claim.topology_version, now):
+            self.counters.add("claims_old")
+            return None
+        self.counters.add("claims_believed")
+        is_ahead = claim.topology_version > self.topology.version
+        if claimant in self.topology.nodes or not is_ahead:
+            return None
+        is_known = self.introduced_peers.get(claimant) == claim.address
+        self.introduced_peers[claimant] = claim.address
+        while len(self.introduced_peers) > MAX_INTRODUCED_PEERS:
+            del self.introduced_peers[next(iter(self.introduced_peers))]
+        return None if is_known else PeerIntroduction(claimant, claim.address)
+
+    def sources(self, request: FillRequest, path: FillPath, now: float) -> list[FillSource]:
+        """Returns the nodes that a fill asks in turn, each one once.
+
+        First the claimant of the object, where there is one. Then a home asks the nodes that may hold the
+        object from before, and any other node asks the homes. Then the parents follow in the order of their
+        homes, and the origins last.
+
+        Args:
+            request: The request that begins the fill.
+            path: The path of the fill, this node included; nodes in it wait for this fill and are not asked.
+            now: The time in Unix seconds.
+        """
+        # The key that routers use, so that they ask the node that this one takes for the home.
+        hash_key = placement_key(object_key(request.object_name))
+        sources: dict[str, FillSource] = {}
+        claimant = self.claims.claimant(request.key, now)
+        if claimant is not None and self.may_ask(claimant, path):
+            sources[claimant] = FillSource(claimant)
+        if self.migration.homes.first_home(hash_key) == self.own_name:
+            for name in self._earlier_homes(hash_key, path, now):
+                sources.setdefault(name, FillSource(name, only_if_cached=True))
+        else:
+            for name in self._homes(hash_key, path):
+                sources.setdefault(name, FillSource(name))
+        for name in self._parents(hash_key, path):
+            sources.setdefault(name, FillSource(name))
+        origins = (node for node in self.topology.origins() if node.is_ready)
+        for name in _in_home_order(origins, hash_key):
+            sources.setdefault(name, FillSource(name, is_origin=True))
+        return list(sources.values())
+
+    def may_ask(self, name: str, path: FillPath) -> bool:
+        """Returns whether a fill may ask a node: a ready one, not ejected, and not in the fill's path.
+
+        A node in the path waits for this fill, so that asking it would close a loop.
+        """
+        node = self.topology.nodes.get(name)
+        is_ready = node.is_ready if node is not None else name in self.introduced_peers
+        if not is_ready or name in self.ejected:
+            return False
+        if name in path.hops:
+            self.counters.add("loops_cut")
+            return False
+        return True
+
+    def next_source(self, lease: FillLease[FillRequest], next_hop: str) -> FillSource | None:
+        """Returns the source that a fill asks next; None where none is left.
+
+        Args:
+            lease: The fill's lease.
+            next_hop: The node that the last source waits for, where that source rejected the fill because of
+                a possible ring; empty otherwise. Followed from node to node these hints lead to a fill that
+                waits for the origin, which may be joined, or back here: then the ring is real, and this fill
+                is the one that goes on to the origin.
+        """
+        if next_hop:
+            source = self._follow_hint(lease, next_hop)
+            if source is not None:
+                return source
+        if not lease.sources:
+            return None
+        return self._late_claimant(lease) or lease.sources.popleft()
+
+    def _earlier_homes(self, hash_key: int, path: FillPath, now: float) -> list[str]:
+        """Returns the nodes that may hold an object of this home from before."""
+        self.claims.forget_expired(now)
+        is_new = now - self.started_at < self.new_node_s
+        return self.migration.earlier_homes(hash_key, lambda name: self.may_ask(name, path), is_new, now)
+
+    def _homes(self, hash_key: int, path: FillPath) -> Iterator[str]:
+        """Returns the homes before this node: where the first fails, all nodes ask the same stand-in."""
+        for name in self.migration.homes.first_home_names(hash_key, STAND_IN_COUNT):
+            if name == self.own_name:
+                return
+            if self.may_ask(name, path):
+                yield name
+
+    def _parents(self, hash_key: int, path: FillPath) -> list[str]:
+        parents = self.topology.parent_caches(self.own_name)
+        return [name for name in _in_home_order(parents, hash_key) if self.may_ask(name, path)]
+
+    def _follow_hint(self, lease: FillLease[FillRequest], next_hop: str) -> FillSource | None:
+        if next_hop != self.own_name:
+            return self._detour(lease, next_hop)
+        if lease.source_kind is not SourceKind.CACHED_COPY or lease.detour_count >= MAX_DETOURS:
+            return None
+        # Two homes asked each other. By now the other one has gone on, and holds or fills the object.
+        lease.detour_count += OWN_HINT_DETOURS
+        return FillSource(lease.source, only_if_cached=True)
+
+    def _late_claimant(self, lease: FillLease[FillRequest]) -> FillSource | None:
+        """Returns the node that has claimed the object since the fill began, before the origin is asked."""
+        if not lease.sources[0].is_origin:
+            return None
+        claimant = self.claims.claimant(lease.key, lease.started_at)
+        return self._detour(lease, claimant) if claimant is not None else None
+
+    def _detour(self, lease: FillLease[FillRequest], name: str) -> FillSource | None:
+        """Returns a source beside the list, within the bound; it may be one that was asked before."""
+        is_exhausted = lease.detour_count >= MAX_DETOURS
+        if name == self.own_name or is_exhausted or not self.may_ask(name, lease.path):
+            return None
+        lease.detour_count += 1
+        self.counters.add("detours")
+        return FillSource(name)
+
+
+def _in_home_order(nodes: Iterable[NodeSpec], hash_key: int) -> list[str]:
+    """Returns the names of a few nodes in the order in which they are homes of an object."""
+    slot = slot_of(hash_key)
+    weights: Mapping[str, float] = {node.name: node.weight for node in nodes}
+    return sorted(weights, key=lambda name: (arrival(digest(name), slot, weights[name]), name))
--- a/paddlequay/hierarchy/topology.py
+++ b/paddlequay/hierarchy/topology.py
@@ -1,328 +1,177 @@
-"""The shape of the hierarchy: a versioned graph of who may fill from whom.
+"""The topology of the hierarchy: a versioned graph of the caches and the nodes that they may fill from.
 
-Nodes belong to a group, whose members share the homes of objects, and name the parents they fill from; the
-stores, which hold everything, end every way. A shape is never changed: a delta gives the next one or is
-refused with one line that says why. Deltas may come late, twice or out of order, and may be built on what
-was refused.
+Nodes belong to a group, whose members share the homes of objects, and name their parents. Origins (`store` in
+settings and on the wire) hold everything and end every path. A topology is immutable: a delta gives the next
+one, or is rejected with a reason in one line.
 """
 
-import math
 import re
-from collections import OrderedDict
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
-from enum import Enum
 from types import MappingProxyType
-from typing import Any
 
+from paddlequay.hierarchy.errors import TopologyError
 from paddlequay.routing.interface import MemberState
 
-NAME = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_-]{0,63}")
-STATES = {"in_service": MemberState.READY, "terminating": MemberState.DRAINING}
-STATE_WORDS = {state: word for word, state in STATES.items()}
-
-
-class TopologyError(ValueError):
-    """A shape, or a change to one, that cannot be used; one line that says why."""
+NODE_NAME = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_-]{0,63}")
+DEFAULT_GROUP = "caches"
+MAX_SHOWN_CYCLE_NODES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class TopologyLimits:
-    """Bounds of what a feed or a file may bring."""
+    """Bounds of what a feed or a file may bring.
+
+    Attributes:
+        nodes: The most nodes of a topology.
+        parents: The most parents of one node.
+        depth: The most steps from a node up to an origin.
+        pending_deltas: The most deltas that wait for the one they are built on.
+        pending_nodes: The most nodes in all of these.
+    """
 
     nodes: int = 20_000
-    parents: int = 64  # of one node
-    depth: int = 6  # steps from a node up to a store
-    held: int = 64  # deltas that wait for the one they are built on
-    held_nodes: int = 20_000  # nodes in all of these
+    parents: int = 64
+    depth: int = 6
+    pending_deltas: int = 64
+    pending_nodes: int = 20_000
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSpec:
-    """One cache of the hierarchy, or a store. `started` is Unix seconds, 0 where it has always run."""
+    """A cache of the hierarchy or an origin, as the topology lists it.
+
+    `started_at` is in Unix seconds, 0 where the node has always run.
+    """
 
     name: str
     address: tuple[str, int]
-    group: str = "caches"
+    group: str = DEFAULT_GROUP
     parents: tuple[str, ...] = ()
-    store: bool = False
+    is_origin: bool = False
     state: MemberState = MemberState.READY
     weight: float = 1.0
-    started: float = 0.0
+    started_at: float = 0.0
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
+        """Whether the node takes new requests."""
         return self.state is MemberState.READY
 
 
 @dataclass(frozen=True, slots=True)
-class Delta:
-    """A change: from version `base` (None: whatever it is, all nodes are named) to `version`."""
+class TopologyDelta:
+    """A change from `base_version` to `version`; with base None it names all nodes of the new version."""
 
     version: int
-    base: int | None
-    put: tuple[NodeSpec, ...] = ()
-    drop: tuple[str, ...] = ()
+    base_version: int | None
+    changed: tuple[NodeSpec, ...] = ()
+    removed: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """One version of the graph."""
+    """One version of the graph; version 0 is the empty one, before any is known."""
 
     version: int = 0
     nodes: Mapping[str, NodeSpec] = field(default_factory=lambda: MappingProxyType({}))
 
-    def group(self, name: str) -> Iterator[NodeSpec]:
-        """The members of a group, in the order in which they came."""
-        return (node for node in self.nodes.values() if node.group == name and not node.store)
+    def caches_of_group(self, group: str) -> Iterator[NodeSpec]:
+        """Returns the caches of a group, in the order in which they came."""
+        return (node for node in self.nodes.values() if node.group == group and not node.is_origin)
 
-    def stores(self) -> Iterator[NodeSpec]:
-        return (node for node in self.nodes.values() if node.store)
+    def origins(self) -> Iterator[NodeSpec]:
+        """Returns the origins, in the order in which they came."""
+        return (node for node in self.nodes.values() if node.is_origin)
 
-    def parents_of(self, name: str) -> Iterator[NodeSpec]:
-        """The caches that a node may fill from, the stores left out."""
+    def parent_caches(self, name: str) -> Iterator[NodeSpec]:
+        """Returns the caches that a node may fill from; origins among its parents are left out."""
         node = self.nodes.get(name)
         for parent in node.parents if node is not None else ():
-            if not self.nodes[parent].store:
+            if not self.nodes[parent].is_origin:
                 yield self.nodes[parent]
 
 
-def next_shape(shape: Topology, delta: Delta, limits: TopologyLimits) -> Topology:
-    """The shape after a delta; ShapeError where it may not be, and then the old one stays as it is."""
-    nodes = {} if delta.base is None else dict(shape.nodes)
-    for name in delta.drop:
+def full_delta(topology: Topology) -> TopologyDelta:
+    """Returns a topology as the delta that gives it whatever there was before."""
+    return TopologyDelta(topology.version, None, tuple(topology.nodes.values()))
+
+
+def delta_between(old: Topology, new: Topology) -> TopologyDelta:
+    """Returns the delta that leads from one topology to a later one."""
+    changed = tuple(node for name, node in new.nodes.items() if old.nodes.get(name) != node)
+    removed = tuple(name for name in old.nodes if name not in new.nodes)
+    return TopologyDelta(new.version, old.version, changed, removed)
+
+
+def apply_delta(topology: Topology, delta: TopologyDelta, limits: TopologyLimits) -> Topology:
+    """Returns the topology after a delta; the old one stays as it is.
+
+    Raises:
+        TopologyError: The topology would break a rule or a limit.
+    """
+    where = f"version {delta.version}"
+    is_full = delta.base_version is None
+    nodes = {} if is_full else dict(topology.nodes)
+    for name in delta.removed:
         if nodes.pop(name, None) is None:
-            raise TopologyError(f"version {delta.version} drops {name}, which is not there")
-    for node in delta.put:
-        nodes[node.name] = node
+            raise TopologyError(f"drops {name}, which is not there", where)
+    nodes.update((node.name, node) for node in delta.changed)
     if len(nodes) > limits.nodes:
-        raise TopologyError(f"version {delta.version} has {len(nodes)} nodes, more than {limits.nodes}")
-    if not any(node.store for node in nodes.values()):
-        raise TopologyError(f"version {delta.version} has no store")
-    gone = set(delta.drop) if delta.base is not None else set()
-    # What is not named again was sound in the shape before, unless a parent of it has gone.
-    looked = nodes.values() if gone or delta.base is None else [nodes[node.name] for node in delta.put]
-    for node in looked:
-        check_node(node, nodes, delta.version, limits)
-    check_ways(nodes, [node.name for node in looked], delta.version, limits.depth)
+        raise TopologyError(f"has {len(nodes)} nodes, more than {limits.nodes}", where)
+    if not any(node.is_origin for node in nodes.values()):
+        raise TopologyError("has no store", where)
+    # A node that the delta does not name was valid before, unless one of its parents has been removed.
+    must_check_all = is_full or bool(delta.removed)
+    checked = list(nodes.values()) if must_check_all else [nodes[node.name] for node in delta.changed]
+    for node in checked:
+        _check_parents(node, nodes, where, limits)
+    _check_depth(nodes, [node.name for node in checked], where, limits.depth)
     return Topology(delta.version, MappingProxyType(nodes))
 
 
-def check_node(node: NodeSpec, nodes: Mapping[str, NodeSpec], version: int, limits: TopologyLimits) -> None:
-    if node.store and node.parents:
-        raise TopologyError(f"version {version}: store {node.name} has parents")
-    if not node.store and not node.parents:
-        raise TopologyError(f"version {version}: {node.name} has no parent")
+def _check_parents(node: NodeSpec, nodes: Mapping[str, NodeSpec], where: str, limits: TopologyLimits) -> None:
+    """Raises `TopologyError` unless a node has the parents that its kind needs."""
+    if node.is_origin and node.parents:
+        raise TopologyError(f"store {node.name} has parents", where)
+    if not node.is_origin and not node.parents:
+        raise TopologyError(f"{node.name} has no parent", where)
     if len(node.parents) > limits.parents:
-        raise TopologyError(f"version {version}: {node.name} has {len(node.parents)} parents")
+        raise TopologyError(f"{node.name} has {len(node.parents)} parents", where)
     for parent in node.parents:
         if parent == node.name:
-            raise TopologyError(f"version {version}: {node.name} is its own parent")
+            raise TopologyError(f"{node.name} is its own parent", where)
         if parent not in nodes:
-            raise TopologyError(f"version {version}: {node.name} has parent {parent}, which is not there")
+            raise TopologyError(f"{node.name} has parent {parent}, which is not there", where)
 
 
-def check_ways(nodes: Mapping[str, NodeSpec], start: Iterable[str], version: int, deepest: int) -> None:
-    """No cycle, and no way up longer than `deepest`, on any way up from `start`.
+def _check_depth(nodes: Mapping[str, NodeSpec], start: Iterable[str], where: str, max_depth: int) -> None:
+    """Raises `TopologyError` for a cycle, or a path longer than `max_depth`, on any path up from `start`.
 
-    A cycle that a change closes goes through a node that it names, so that nothing else is walked; a walk
-    with a list of its own, as the graph may be deeper than the interpreter's stack. Too deep below a
-    changed node is looked for only where the change names what is below it, which costs no rule: hops are
-    bounded as well.
+    A cycle that a delta closes passes a node that the delta names, so nothing else is walked. The walk keeps
+    its own stack, as the graph may be deeper than the interpreter's. Nodes below a changed one are checked
+    only where the delta names them: hops are bounded as well.
     """
-    height: dict[str, int] = {}
+    depth: dict[str, int] = {}
     for first in start:
-        if first in height:
+        if first in depth:
             continue
-        way: list[str] = [first]
-        on_way = {first}
-        ahead = [iter(nodes[first].parents)]
-        while way:
-            parent = next(ahead[-1], None)
+        path = [first]
+        on_path = {first}
+        unvisited = [iter(nodes[first].parents)]  # the parents left of each node on the path
+        while path:
+            parent = next(unvisited[-1], None)
             if parent is None:
-                name = way.pop()
-                on_way.discard(name)
-                ahead.pop()
-                height[name] = 1 + max((height[each] for each in nodes[name].parents), default=-1)
-                if height[name] > deepest:
-                    raise TopologyError(f"version {version}: {name} is {height[name]} steps below a store")
-            elif parent in on_way:
-                ring = [*way[way.index(parent) :], parent]
-                raise TopologyError(f"version {version}: a cycle: {' > '.join(ring[:8])}")
-            elif parent not in height:
-                way.append(parent)
-                on_way.add(parent)
-                ahead.append(iter(nodes[parent].parents))
-
-
-class DeltaOutcome(Enum):
-    """What became of a delta."""
-
-    APPLIED = "applied"
-    OLD = "old"  # had already, or older than what is had
-    HELD = "held"  # waits for the one it is built on
-    REFUSED = "refused"
-
-
-class TopologyTracker:
-    """The current shape, and deltas on their way to it.
-
-    Bounds: `held` deltas with `held_nodes` nodes wait; past that the one furthest ahead is dropped, which its
-    feed makes good with a whole shape. A refused delta leaves the shape as it was; what is built on it waits
-    for a whole shape, or for a delta that is built on what stands.
-    """
-
-    def __init__(self, limits: TopologyLimits, shape: Topology | None = None) -> None:
-        self.limits = limits
-        self.shape = shape or Topology()
-        self.held: OrderedDict[int, Delta] = OrderedDict()  # by the version that they are built on
-        self.said = ""  # why the last one was refused, dropped or held
-
-    def take(self, delta: Delta) -> DeltaOutcome:
-        """Apply a delta, and all held ones that then fit."""
-        took = self.step(delta)
-        while took is DeltaOutcome.APPLIED and self.held:
-            later = self.held.pop(self.shape.version, None)
-            if later is None or self.step(later) is not DeltaOutcome.APPLIED:
-                break
-        for base in [base for base in self.held if self.held[base].version <= self.shape.version]:
-            del self.held[base]
-        return took
-
-    def step(self, delta: Delta) -> DeltaOutcome:
-        if delta.version <= self.shape.version:
-            self.said = f"version {delta.version} came after {self.shape.version}"
-            return DeltaOutcome.OLD
-        if delta.base is not None and delta.base != self.shape.version:
-            if delta.base < self.shape.version:
-                self.said = f"version {delta.version} is built on {delta.base}, not on {self.shape.version}"
-                return DeltaOutcome.REFUSED
-            return self.hold(delta)
-        try:
-            self.shape = next_shape(self.shape, delta, self.limits)
-        except TopologyError as error:
-            self.said = str(error)
-            return DeltaOutcome.REFUSED
-        return DeltaOutcome.APPLIED
-
-    def hold(self, delta: Delta) -> DeltaOutcome:
-        assert delta.base is not None
-        known = self.held.get(delta.base)
-        if known is None or known.version < delta.version:
-            self.held[delta.base] = delta
-        self.said = f"version {delta.version} waits for {delta.base}, {self.shape.version} stands"
-        while len(self.held) > self.limits.held or self.nodes_held > self.limits.held_nodes:
-            furthest = max(self.held)
-            del self.held[furthest]
-            if furthest == delta.base:
-                self.said = f"version {delta.version} was dropped: too many wait for {self.shape.version}"
-                return DeltaOutcome.REFUSED
-        return DeltaOutcome.HELD
-
-    @property
-    def nodes_held(self) -> int:
-        return sum(len(delta.put) for delta in self.held.values())
-
-
-# --- as JSON, alike in the feed and in the file ---
-
-
-def need(item: Any, name: str, kind: type, where: str) -> Any:
-    value = item.get(name)
-    if not isinstance(value, kind) or isinstance(value, bool) is not (kind is bool):
-        raise TopologyError(f"{where}: {name}: expected {kind.__name__}, got {str(value)[:60]!r}")
-    return value
-
-
-def read_name(value: Any, where: str) -> str:
-    if not isinstance(value, str) or not NAME.fullmatch(value):
-        raise TopologyError(f"{where}: expected 1 to 64 letters, digits, - and _, got {str(value)[:70]!r}")
-    return value
-
-
-def read_number(item: Mapping[str, Any], name: str, default: float, where: str) -> float:
-    value = item.get(name, default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < math.inf:
-        raise TopologyError(f"{where}: {name}: expected a number from 0 up, got {str(value)[:60]!r}")
-    return float(value)
-
-
-def read_node(item: Any, limits: TopologyLimits) -> NodeSpec:
-    """A node from JSON; ShapeError with node and field."""
-    if not isinstance(item, dict):
-        raise TopologyError(f"node: expected an object, got {str(item)[:60]!r}")
-    name = read_name(item.get("id"), "node: id")
-    where = f"node {name}"
-    host, colon, port = str(item.get("at", "")).rpartition(":")
-    if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise TopologyError(f"{where}: at: expected host:port, got {str(item.get('at'))[:60]!r}")
-    parents = item.get("parents", [])
-    if not isinstance(parents, list) or len(parents) > limits.parents:
-        raise TopologyError(f"{where}: parents: expected a list of at most {limits.parents}")
-    state = item.get("state", "in_service")
-    if state not in STATES:
-        raise TopologyError(f"{where}: state: expected one of {', '.join(STATES)}, got {str(state)[:60]!r}")
-    return NodeSpec(
-        name=name,
-        address=(host, int(port)),
-        group=read_name(item.get("group", "caches"), f"{where}: group"),
-        parents=tuple(dict.fromkeys(read_name(parent, f"{where}: parents") for parent in parents)),
-        store=need({"store": False} | item, "store", bool, where),
-        state=STATES[state],
-        weight=read_number(item, "weight", 1.0, where),
-        started=read_number(item, "started_ms", 0.0, where) / 1000.0,
-    )
-
-
-def read_delta(item: Any, limits: TopologyLimits) -> Delta:
-    """A change from JSON; ShapeError with the field."""
-    if not isinstance(item, dict):
-        raise TopologyError(f"shape: expected an object, got {str(item)[:60]!r}")
-    version = need(item, "version", int, "shape")
-    base = None if item.get("base") is None else need(item, "base", int, "shape")
-    if not 0 < version < 1 << 62 or (base is not None and not 0 <= base < version):
-        raise TopologyError(f"shape: version {version} cannot be built on {base}")
-    put, drop = item.get("put", []), item.get("drop", [])
-    if not isinstance(put, list) or not isinstance(drop, list):
-        raise TopologyError("shape: put, drop: expected lists")
-    if len(put) > limits.nodes or len(drop) > limits.nodes:
-        raise TopologyError(f"shape: more than {limits.nodes} nodes")
-    nodes = tuple(read_node(each, limits) for each in put)
-    if len({node.name for node in nodes}) < len(nodes):
-        raise TopologyError("shape: put: a node is named twice")
-    names = tuple(dict.fromkeys(read_name(each, "shape: drop") for each in drop))
-    return Delta(version, base, nodes, names)
-
-
-def node_data(node: NodeSpec) -> dict[str, Any]:
-    at = f"{node.address[0]}:{node.address[1]}"
-    data: dict[str, Any] = {"id": node.name, "at": at, "group": node.group}
-    if node.store:
-        data["store"] = True
-    else:
-        data["parents"] = list(node.parents)
-    if node.state is not MemberState.READY:
-        data["state"] = STATE_WORDS[node.state]
-    if node.weight != 1.0:
-        data["weight"] = node.weight
-    if node.started:
-        data["started_ms"] = round(node.started * 1000)
-    return data
-
-
-def delta_data(delta: Delta) -> dict[str, Any]:
-    data: dict[str, Any] = {"version": delta.version, "put": list(map(node_data, delta.put))}
-    if delta.base is not None:
-        data |= {"base": delta.base, "drop": list(delta.drop)}
-    return data
-
-
-def whole(shape: Topology) -> Delta:
-    """A shape as the delta that brings it from nothing."""
-    return Delta(shape.version, None, tuple(shape.nodes.values()))
-
-
-def difference(old: Topology, new: Topology) -> Delta:
-    """The delta that leads from one shape to a later one."""
-    put = tuple(node for name, node in new.nodes.items() if old.nodes.get(name) != node)
-    return Delta(new.version, old.version, put, tuple(name for name in old.nodes if name not in new.nodes))
+                name = path.pop()
+                on_path.discard(name)
+                unvisited.pop()
+                depth[name] = 1 + max((depth[each] for each in nodes[name].parents), default=-1)
+                if depth[name] > max_depth:
+                    raise TopologyError(f"{name} is {depth[name]} steps below a store", where)
+            elif parent in on_path:
+                cycle = [*path[path.index(parent) :], parent]
+                raise TopologyError(f"a cycle: {' > '.join(cycle[:MAX_SHOWN_CYCLE_NODES])}", where)
+            elif parent not in depth:
+                path.append(parent)
+                on_path.add(parent)
+                unvisited.append(iter(nodes[parent].parents))
--- /dev/null
+++ b/paddlequay/hierarchy/waiting_requests.py
@@ -0,0 +1,48 @@
+"""The requests that wait for fills, and when each of them times out."""
+
+import heapq
+from collections.abc import Iterator
+
+from paddlequay.hierarchy.fill_requests import FillRequest
+
+# Entries of closed requests stay in the heap until there are this many more than twice those that wait.
+MAX_CLOSED_ENTRIES = 1000
+
+Deadline = tuple[
+    float, int, FillRequest
+]  # the Unix second, a number that tells equal ones apart, the request
+
+
+class WaitingRequests:
+    """Counts the waiting requests and orders them by deadline."""
+
+    def __init__(self) -> None:
+        self.count = 0
+        self.deadlines: list[Deadline] = []  # a heap
+        self.last_number = 0
+
+    def add(self, request: FillRequest) -> None:
+        """Adds a request, which waits from now on."""
+        request.is_waiting = True
+        self.count += 1
+        self.last_number += 1
+        heapq.heappush(self.deadlines, (request.deadline, self.last_number, request))
+        if len(self.deadlines) > 2 * self.count + MAX_CLOSED_ENTRIES:
+            self._drop_closed()
+
+    def remove(self, request: FillRequest) -> None:
+        """Stops counting a request; its entry stays in the heap until its deadline, and is harmless there."""
+        if request.is_waiting:
+            request.is_waiting = False
+            self.count -= 1
+
+    def pop_expired(self, now: float) -> Iterator[FillRequest]:
+        """Removes and returns the open requests whose deadline has passed; `now` is in Unix seconds."""
+        while self.deadlines and (self.deadlines[0][0] <= now or self.deadlines[0][2].is_closed):
+            request = heapq.heappop(self.deadlines)[2]
+            if not request.is_closed:
+                yield request
+
+    def _drop_closed(self) -> None:
+        self.deadlines = [deadline for deadline in self.deadlines if not deadline[2].is_closed]
+        heapq.heapify(self.deadlines)
--- a/paddlequay/lab/channel_world.py
+++ b/paddlequay/lab/channel_world.py
@@ -144,7 +144,7 @@
         self.later(self.rng.uniform(0.005, 0.05), lambda: self.arrive(me, ahead))
 
     def arrive(self, me: Peer, ahead: Ahead) -> None:
-        taken = self.tier.takes(ahead.channel, ahead.term, self.time)
+        taken = self.tier.accepts(ahead.channel, ahead.term, self.time)
         self.fills.append(Fill(self.time, me, ahead, taken))
         if taken:
             self.filling(me)
--- a/paddlequay/lab/fleet.py
+++ b/paddlequay/lab/fleet.py
@@ -10,22 +10,22 @@
 
 from paddlequay.hierarchy.fill_requests import NodeLimits
 from paddlequay.hierarchy.migration import MigrationLimits
-from paddlequay.hierarchy.topology import Delta, NodeSpec, Topology, TopologyLimits, next_shape
+from paddlequay.hierarchy.topology import NodeSpec, Topology, TopologyDelta, TopologyLimits, apply_delta
 from paddlequay.lab.claims import Results, Setup
-from paddlequay.lab.world import STORE, World
+from paddlequay.lab.hierarchy_simulation import ORIGIN, HierarchySimulation
 from paddlequay.placement.homes import Homes, key_of
 
 GROUPS, UPPER, ROUTERS, OBJECTS = 20, 100, 200, 1_000_000
 WARM_AFTER, START = 20.0, 0.062
 
 
-class Timed(World):
+class Timed(HierarchySimulation):
     """Messages are delivered in the order of their times."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(
-            NodeLimits(fill_longest=1e9),
-            MigrationLimits(window=60.0, claim=10.0, look_rate=200.0, look_burst=50.0),
+            NodeLimits(max_fill_s=1e9),
+            MigrationLimits(earlier_home_s=60.0, claim_s=10.0, lookups_per_s=200.0, lookup_burst=50.0),
         )
         self.rng = np.random.default_rng(seed)
         self.queue: list[tuple[float, int, object]] = []
@@ -53,13 +53,13 @@
     def __init__(self, shape: Topology) -> None:
         self.homes = [Homes[NodeSpec]() for _ in range(GROUPS)]
         for group, homes in enumerate(self.homes):
-            homes.reset((node.name, node, node.weight) for node in shape.group(f"g{group}"))
+            homes.reset((node.name, node, node.weight) for node in shape.caches_of_group(f"g{group}"))
 
     def home(self, group: int, key: int, now: float) -> str:
         def share(node: NodeSpec) -> float:
-            if not node.started:
+            if not node.started_at:
                 return 1.0
-            return min(1.0, START + (1 - START) * (now - node.started) / WARM_AFTER)
+            return min(1.0, START + (1 - START) * (now - node.started_at) / WARM_AFTER)
 
         return next(self.homes[group].order(key, share)).name
 
@@ -72,15 +72,15 @@
     upper = [f"up{n}" for n in range(nodes - per * GROUPS)]
     where = ("127.0.0.1", 1)
     rng = np.random.default_rng(setup.seed)
-    put = [NodeSpec(STORE, where, "stores", store=True)]
-    put += [NodeSpec(name, where, "upper", (STORE,)) for name in upper]
+    put = [NodeSpec(ORIGIN, where, "stores", is_origin=True)]
+    put += [NodeSpec(name, where, "upper", (ORIGIN,)) for name in upper]
     for group in range(GROUPS):
-        parents = (*upper[group % 5 :: 5][:20], STORE)
+        parents = (*upper[group % 5 :: 5][:20], ORIGIN)
         put += [NodeSpec(f"g{group}n{n}", where, f"g{group}", parents) for n in range(per)]
-    before = next_shape(Topology(), Delta(1, None, tuple(put)), TopologyLimits())
+    before = apply_delta(Topology(), TopologyDelta(1, None, tuple(put)), TopologyLimits())
     world = Timed(setup.seed)
     for name in before.nodes:
-        if name != STORE:
+        if name != ORIGIN:
             world.add(name, before)
     half = world.now + seconds / 2
     # A tenth of the lower nodes weigh otherwise, and one comes to each group.
@@ -90,10 +90,10 @@
         if node.group.startswith("g") and rng.random() < 0.1
     ]
     fresh = [
-        replace(before.nodes[f"g{group}n0"], name=f"g{group}new", started=half, weight=1.0)
+        replace(before.nodes[f"g{group}n0"], name=f"g{group}new", started_at=half, weight=1.0)
         for group in range(GROUPS)
     ]
-    after = next_shape(before, Delta(2, 1, (*changed, *fresh)), TopologyLimits())
+    after = apply_delta(before, TopologyDelta(2, 1, (*changed, *fresh)), TopologyLimits())
     cost: list[float] = []
 
     def learn(name: str) -> None:
@@ -102,9 +102,9 @@
         cost.append(time.process_time() - began)
 
     for node in fresh:
-        world.at(half, lambda name=node.name: world.add(name, after, started=half))
+        world.at(half, lambda name=node.name: world.add(name, after, started_at=half))
     for name in before.nodes:
-        if name != STORE:
+        if name != ORIGIN:
             world.at(half + float(rng.uniform(0.036, 0.39)), lambda name=name: learn(name))
     # Each of the routers learns of it in its own time: until then it asks by the shape of before.
     knows = half + rng.uniform(0.036, 0.39, ROUTERS)
@@ -128,12 +128,12 @@
             view = new if world.now >= knows[router] else old
             home = view.home(int(router) % GROUPS, key_of(name), world.now)
             world.asked[home, int((due - start) // 2)] += 1
-            world.ask(home, name)
+            world.request(home, name)
             asked += 1
         setup.say(f"{due - start:.1f} of {seconds:g} s simulated, {asked} asked")
     world.play(world.now + 10)
     second = world.second_fills()
-    held = [fill for fill in second if fill.living]
+    held = [fill for fill in second if fill.living_holders]
     slices = sorted({at for _, at in world.asked})
     warm = [node.name for node in before.nodes.values() if node.group.startswith("g")]
     mean = float(np.mean([world.asked[name, at] for name in warm for at in slices[:-1]]))
@@ -155,16 +155,16 @@
             results.lines.setdefault(key, []).append((row["second"], row[key]))
     results.figures |= {
         "routers, nodes, objects, asked": f"{ROUTERS}, {len(after.nodes)}, {objects}, {asked}",
-        "fills at the store": len(world.fills),
+        "fills at the store": len(world.origin_fills),
         "second fills, of these with a living holder": f"{len(second)}, {len(held)}",
-        "answers": len(world.answers),
+        "answers": len(world.replies),
         "ms a node for a reshaping": f"{np.mean(cost) * 1000:.2f}, most {max(cost) * 1000:.2f}",
         "peak on a cold node over its share of the mean": f"{max(peaks):.2f}",
         "wall seconds": f"{time.monotonic() - began:.1f}",
     }
     results.claim("asks never answered", world.unanswered, "==", 0)
     results.claim(
-        "second fills with a living holder, of all fills", len(held) / len(world.fills), "<=", 0.001
+        "second fills with a living holder, of all fills", len(held) / len(world.origin_fills), "<=", 0.001
     )
     # A member's objects are few and unequal: a bound on the mean over all new members, not on the luckiest.
     results.claim("cold nodes' mean over their share of the mean", float(np.mean(peaks)), "<=", 2.0)
--- a/paddlequay/lab/model.py
+++ b/paddlequay/lab/model.py
@@ -3,16 +3,15 @@
 import time
 
 from paddlequay.lab.claims import Results, Setup
-from paddlequay.lab.search import Found, random_run, small_worlds
+from paddlequay.lab.hierarchy_search import SearchResult, random_run, small_runs
+from paddlequay.lab.hierarchy_simulation import Guard
 
-GUARDS = ("rings", "claims", "looks", "purged fills")
 
-
-def count(found: list[Found]) -> dict[str, int]:
+def count(found: list[SearchResult]) -> dict[str, int]:
     return {
-        "rings": sum("never answered" in fault for each in found for fault in each.faults),
-        "stale": sum("before a purge" in fault for each in found for fault in each.faults),
-        "second": sum("second fill" in fault for each in found for fault in each.faults),
+        "rings": sum("never answered" in violation for each in found for violation in each.violations),
+        "stale": sum("before a purge" in violation for each in found for violation in each.violations),
+        "second": sum("second fill" in violation for each in found for violation in each.violations),
         "fills": sum(each.fills for each in found),
     }
 
@@ -22,7 +21,7 @@
         "model", x="random worlds", y="worlds with a second fill while a living node held the object"
     )
     runs = 3000 if setup.quick else 60_000
-    small = list(small_worlds())
+    small = list(small_runs())
     tally = count(small)
     results.figures["orders of delivery in small worlds, all"] = len(small)
     results.claim(
@@ -32,11 +31,11 @@
         0,
     )
     for deaths, drops in ((0, False), (2, False), (2, True)):
-        found: list[Found] = []
+        found: list[SearchResult] = []
         began = time.monotonic()
         what = f"{deaths} deaths{', nodes dropped' if drops else ''}"
         for seed in range(runs):
-            found.append(random_run(setup.seed * 1_000_000 + seed, deaths=deaths, drops=drops))
+            found.append(random_run(setup.seed * 1_000_000 + seed, max_deaths=deaths, may_remove=drops))
             if (seed + 1) % (runs // 10) == 0:
                 results.lines.setdefault(what, []).append((seed + 1, count(found)["second"]))
                 setup.say(f"{what}: {seed + 1} of {runs} worlds")
@@ -53,9 +52,9 @@
             results.claim(
                 "no deaths: second fills over all fills", tally["second"] / tally["fills"], "<=", 0.0005
             )
-    for guard in GUARDS:
-        tally = count([random_run(seed, faults=frozenset({guard})) for seed in range(500)])
-        results.rows.append({"worlds": 500, "guard_out": guard} | tally)
+    for guard in Guard:
+        tally = count([random_run(seed, disabled_guards=(guard,)) for seed in range(500)])
+        results.rows.append({"worlds": 500, "guard_out": guard.value} | tally)
         found_any = tally["rings"] + tally["stale"] + tally["second"]
-        results.claim(f"faults found without the guard: {guard}", found_any, ">=", 1)
+        results.claim(f"faults found without the guard: {guard.value}", found_any, ">=", 1)
     return results
--- a/paddlequay/lab/plaza.py
+++ b/paddlequay/lab/plaza.py
@@ -19,14 +19,14 @@
 import numpy as np
 
 from paddlequay.hierarchy.topology import (
-    Delta,
     NodeSpec,
     Topology,
+    TopologyDelta,
     TopologyLimits,
-    delta_data,
-    difference,
-    next_shape,
+    apply_delta,
+    delta_between,
 )
+from paddlequay.hierarchy.topology_json import encode_delta
 from paddlequay.lab.load import KINDS, Load
 from paddlequay.lab.standins import Box, News, Store
 from paddlequay.protocol.endpoint_watch import STATES
@@ -119,10 +119,10 @@
         aimag = [f"aimag-{number}" for number in range(self.plan.tiers)]
         for name in (*regional, *aimag):
             self.tiers[name] = self.made(name)
-        nodes = [NodeSpec(STORE, self.store.address, "stores", store=True)]
+        nodes = [NodeSpec(STORE, self.store.address, "stores", is_origin=True)]
         nodes += [self.node(name, "regional", (STORE,)) for name in regional]
         nodes += [self.node(name, "aimag", (*regional, STORE)) for name in aimag]
-        await self.reshape(Delta(1, None, tuple(nodes)))
+        await self.reshape(TopologyDelta(1, None, tuple(nodes)))
         for tier in self.tiers.values():
             await self.start_tier(tier)
         await asyncio.gather(*(self.until_ready(tier.console) for tier in self.tiers.values()))
@@ -242,23 +242,23 @@
 
     # --- news ---
 
-    async def reshape(self, delta: Delta) -> None:
+    async def reshape(self, delta: TopologyDelta) -> None:
         """A change of the shape: told to the tiers by the feed, and to routers as parents in the bulletin."""
         before = self.shape
-        self.shape = next_shape(before, delta, TopologyLimits())
+        self.shape = apply_delta(before, delta, TopologyLimits())
         await self.feed.tell(
-            shape=delta_data(delta if delta.base is None else difference(before, self.shape))
+            shape=encode_delta(delta if delta.base_version is None else delta_between(before, self.shape))
         )
         words = {state: word for word, state in STATES.items()}
         now: dict[str, dict[str, Any]] = {}
         for node in self.shape.nodes.values():
-            if node.store or node.group == "aimag":
+            if node.is_origin or node.group == "aimag":
                 now[node.name] = entry(
-                    node.name, node.address, "origin" if node.store else "parent", "hub"
+                    node.name, node.address, "origin" if node.is_origin else "parent", "hub"
                 ) | {
                     "weight": node.weight,
                     "lifecycle": words[node.state],
-                    "startedAtMs": round(node.started * 1000),
+                    "startedAtMs": round(node.started_at * 1000),
                 }
         for box in self.boxes if self.plan.listed else ():
             now[box.name] = entry(box.name, box.address, "box", "plaza")
@@ -272,7 +272,7 @@
             )
 
     async def change(self, put: tuple[NodeSpec, ...] = (), drop: tuple[str, ...] = ()) -> None:
-        await self.reshape(Delta(self.shape.version + 1, self.shape.version, put, drop))
+        await self.reshape(TopologyDelta(self.shape.version + 1, self.shape.version, put, drop))
 
     async def purge(self, name: str) -> None:
         issued = self.store.purge(name)
@@ -286,7 +286,7 @@
 
     def random_change(self) -> tuple[NodeSpec, ...]:
         """One tier weighs otherwise, or takes another of its own as a parent, or lets go of it."""
-        tier = [node for node in self.shape.nodes.values() if node.group == "aimag" and node.ready]
+        tier = [node for node in self.shape.nodes.values() if node.group == "aimag" and node.is_ready]
         some = tier[int(self.rng.integers(len(tier)))]
         regional = tuple(node.name for node in self.shape.nodes.values() if node.group == "regional")
         if self.rng.random() < 0.5:
@@ -311,7 +311,7 @@
         self.revived.append((time.time(), name))
         node = self.shape.nodes[name]
         await self.change(
-            (replace(node, started=round(self.tiers[name].started, 3), state=MemberState.READY),)
+            (replace(node, started_at=round(self.tiers[name].started, 3), state=MemberState.READY),)
         )
 
     async def pages(self) -> dict[str, dict[str, Any]]:
--- a/paddlequay/lab/standins.py
+++ b/paddlequay/lab/standins.py
@@ -15,7 +15,8 @@
 from functools import partial
 from typing import Any
 
-from paddlequay.hierarchy.copies import CachedCopy, CopyCache, PurgeHistory
+from paddlequay.hierarchy.copy_cache import CachedCopy, CopyCache, PartKey
+from paddlequay.hierarchy.purge_history import PurgeHistory
 from paddlequay.protocol import cache_server as serving
 from paddlequay.protocol import caches
 
@@ -40,25 +41,25 @@
         self.server = await asyncio.start_server(self.connection, *self.address)
         self.address = self.server.sockets[0].getsockname()[:2]
 
-    async def answer(self, asked: serving.Asked) -> Reply:
+    async def answer(self, asked: serving.CacheRequest) -> Reply:
         raise NotImplementedError
 
     async def connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
-        lines = serving.Reader(LINE, BODY)
+        lines = serving.CacheRequestParser(LINE, BODY)
         open_: dict[str, asyncio.Task[None]] = {}
         try:
             while data := await reader.read(65536):
                 for line in lines.feed(data):
-                    if isinstance(line, serving.Asked):
+                    if isinstance(line, serving.CacheRequest):
                         task = asyncio.ensure_future(self.one(line, writer))
                         open_[line.id] = task
                         task.add_done_callback(partial(forget, open_, line.id))
-                    elif isinstance(line, serving.Given):
+                    elif isinstance(line, serving.CancelRequest):
                         if line.id in open_:
                             open_[line.id].cancel()
                     else:
-                        writer.write(b"".join(serving.answer(line.tag, "PONG", {})))
+                        writer.write(b"".join(serving.encode_answer(line.tag, "PONG", {})))
         except (OSError, caches.CacheProtocolError, asyncio.CancelledError):
             pass
         finally:
@@ -67,10 +68,10 @@
             self.writers.discard(writer)
             writer.close()
 
-    async def one(self, asked: serving.Asked, writer: asyncio.StreamWriter) -> None:
+    async def one(self, asked: serving.CacheRequest, writer: asyncio.StreamWriter) -> None:
         word, fields, body = await self.answer(asked)
         if not writer.is_closing():
-            writer.write(b"".join(serving.answer(asked.id, word, fields, body)))
+            writer.write(b"".join(serving.encode_answer(asked.id, word, fields, body)))
 
     def close(self) -> None:
         if self.server is not None:
@@ -155,7 +156,7 @@
         self.purged[name] = (self.purged.get(name, (0, 0.0))[0] + 1, issued)
         return issued
 
-    async def answer(self, asked: serving.Asked) -> Reply:
+    async def answer(self, asked: serving.CacheRequest) -> Reply:
         name, part = asked.fields.get("path", ""), asked.fields.get("blk", "")
         if asked.fields.get("queue") == "toll-charge":
             self.charges[asked.id] += 1
@@ -192,7 +193,7 @@
     copies: CopyCache = field(default_factory=lambda: CopyCache(16 * 1024 * 1024))
     purges: PurgeHistory = field(default_factory=lambda: PurgeHistory(8.0))
     links: dict[tuple[str, int], Link] = field(default_factory=dict)
-    fills: dict[tuple[str, int | None], asyncio.Task[Reply]] = field(default_factory=dict)
+    fills: dict[PartKey, asyncio.Task[Reply]] = field(default_factory=dict)
     asked: list[tuple[float, str]] = field(default_factory=list)  # when, and the source that was named
     filled: list[tuple[float, str]] = field(default_factory=list)  # when, and from whom
 
@@ -203,14 +204,14 @@
         self.purges.add(name, None, issued, time.time())
         self.copies.purge(name, None, issued)
 
-    async def answer(self, asked: serving.Asked) -> Reply:
+    async def answer(self, asked: serving.CacheRequest) -> Reply:
         fields = asked.fields
         self.asked.append((time.time(), fields.get("via", "")))
-        place = (fields["path"], int(fields["blk"]) if fields.get("blk") else None)
+        place = PartKey(fields["path"], int(fields["blk"]) if fields.get("blk") else None)
         fresh = int(fields.get("fresh", 0)) / 1000.0 or self.fresh.get(fields.get("queue", ""), 0.0)
-        floor = max(time.time() - fresh if fresh else 0.0, self.purges.of_object(place[0]))
+        floor = max(time.time() - fresh if fresh else 0.0, self.purges.latest_of_object(place.object_name))
         copy = self.copies.get(place)
-        if copy is not None and copy.minted >= floor:
+        if copy is not None and copy.minted_at >= floor:
             return self.hit(copy, "HIT")
         source = fields.get("via")
         if source is None:
@@ -226,13 +227,11 @@
         return word, told | {"detail": "COLLAPSED"} if joined and word == "HIT" else told, body
 
     def hit(self, copy: CachedCopy, detail: str) -> Reply:
-        fields = {"tag": copy.tag, "minted": str(round(copy.minted * 1000)), "detail": detail}
+        fields = {"tag": copy.tag, "minted": str(round(copy.minted_at * 1000)), "detail": detail}
         fields["use"] = f"inflight:{len(self.fills)};util:0.10;x0:0.50;x1:0.10"
         return "HIT", fields, bytes(copy.body)
 
-    async def fill(
-        self, asked: serving.Asked, place: tuple[str, int | None], source: str, floor: float
-    ) -> Reply:
+    async def fill(self, asked: serving.CacheRequest, place: PartKey, source: str, floor: float) -> Reply:
         began = time.time()
         address = self.where(source)
         if address is None:
@@ -257,9 +256,9 @@
             return "SHED" if answer.status == "SHED" else "NONE", {"detail": detail}, b""
         minted = int(answer.fields["minted"]) / 1000.0
         copy = CachedCopy(
-            bytes(answer.body), answer.fields["tag"], minted, rank=int(asked.fields.get("tier", 1))
+            bytes(answer.body), answer.fields["tag"], minted, retention=int(asked.fields.get("tier", 1))
         )
-        if minted >= self.purges.of_object(place[0]):
+        if minted >= self.purges.latest_of_object(place.object_name):
             self.copies.put(place, copy)
         word, fields, body = self.hit(copy, "MISS_ORIGIN" if source == self.store else "MISS")
         return word, fields | {"lag": f"{(time.time() - began) * 1000:.1f}"}, body
--- a/paddlequay/net/endpoints/saved_members.py
+++ b/paddlequay/net/endpoints/saved_members.py
@@ -9,7 +9,7 @@
 from paddlequay.errors import RecordError
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
-from paddlequay.store import files
+from paddlequay.store import record_files
 
 LOGGER = logging.getLogger(__name__)
 
@@ -25,7 +25,7 @@
     def load(self) -> Any:
         """What was saved; None where there is nothing that can be read."""
         try:
-            body = files.load(self.path, RECORD_KIND, RECORD_FORMAT)
+            body = record_files.load(self.path, RECORD_KIND, RECORD_FORMAT)
             return None if body is None else json.loads(body)
         except (OSError, RecordError, ValueError) as error:
             self.report_unreadable(error)
@@ -40,7 +40,7 @@
         """Replace the file, off the loop: the flush of a disk may take long."""
         body = json.dumps(snapshot, separators=(",", ":")).encode()
         try:
-            await asyncio.to_thread(files.save, self.path, RECORD_KIND, RECORD_FORMAT, body)
+            await asyncio.to_thread(record_files.save, self.path, RECORD_KIND, RECORD_FORMAT, body)
         except OSError as error:
             self.counters.add("members_not_saved")
             log.event(LOGGER, logging.WARNING, "members_not_saved", path=self.path, why=str(error))
--- a/paddlequay/net/hierarchy/__init__.py
+++ b/paddlequay/net/hierarchy/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers of a hierarchy's node: its front for fills and the feed of its shape."""
+"""Drivers of a hierarchy's node: its connections, its fills, and the feed and file of its topology."""
--- /dev/null
+++ b/paddlequay/net/hierarchy/tier_session.py
@@ -0,0 +1,183 @@
+"""One connection from an edge cache, a router or another node to a tier's node."""
+
+import asyncio
+import logging
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Protocol
+
+from tornado.iostream import IOStream, StreamClosedError
+
+from paddlequay.config.limits import Limits
+from paddlequay.hierarchy.errors import FillPathError, RequestFieldError
+from paddlequay.hierarchy.fill_requests import FillRequest, ReplyReason, ReplyStatus
+from paddlequay.observability import log
+from paddlequay.observability.counters import Counters
+from paddlequay.protocol.cache_server import (
+    CacheRequest,
+    CacheRequestParser,
+    CancelRequest,
+    Message,
+    StatusQuery,
+    encode_answer,
+)
+from paddlequay.protocol.caches import Buffer, CacheProtocolError
+
+LOGGER = logging.getLogger(__name__)
+
+MAX_OPEN_REQUESTS = 4096  # of one connection: routers and caches share few connections
+BAD_LINE_EVENT = "bad_asker_line"
+BAD_PATH_EVENT = "bad_trail"
+BAD_FIELD_EVENT = "bad_field"
+SESSION_FAILED_EVENT = "asker_failed"
+
+
+class SessionFront(Protocol):
+    """What a session needs of the front that accepted it."""
+
+    limits: Limits
+    counters: Counters
+
+    def monotonic(self) -> float:
+        """Returns the monotonic time in seconds."""
+        ...
+
+    def decode(self, message: CacheRequest, requester: "Requester") -> FillRequest:
+        """Returns the fill request of a message; raises `RequestFieldError` or `FillPathError`."""
+        ...
+
+    def handle_request(self, request: FillRequest) -> None:
+        """Hands a request to the node and carries out what follows."""
+        ...
+
+    def cancel(self, request: FillRequest) -> None:
+        """Tells the node that a requester no longer waits."""
+        ...
+
+    def on_session_closed(self, session: "TierSession") -> None:
+        """Forgets a session."""
+        ...
+
+    def closed_reason(self) -> str:
+        """Returns why no requests should come; empty while they may."""
+        ...
+
+    def load_report(self) -> str:
+        """Returns the load report of the node."""
+        ...
+
+
+class TierSession:
+    """A connection and the requests that are open on it."""
+
+    def __init__(self, front: SessionFront, stream: IOStream) -> None:
+        self.front = front
+        self.stream = stream
+        self.limits = front.limits
+        self.parser = CacheRequestParser(self.limits.max_cache_line, self.limits.max_client_body)
+        self.requests: dict[str, FillRequest] = {}  # open, by id
+        self.unsent_bytes = 0
+        self.last_read_at = front.monotonic()
+
+    async def run(self) -> None:
+        """Reads and handles messages until the connection ends."""
+        self.stream.set_nodelay(True)
+        try:
+            await self._read_messages()
+        except StreamClosedError:
+            pass
+        except CacheProtocolError as error:
+            if self.front.counters.add_once("bad_asker_lines"):
+                log.event(LOGGER, logging.WARNING, BAD_LINE_EVENT, why=str(error))
+        except Exception:  # the edge of a connection: a fault ends this one and no other
+            self.front.counters.add("asker_errors")
+            LOGGER.exception(SESSION_FAILED_EVENT)
+        finally:
+            self.close()
+
+    def close(self) -> None:
+        """Closes the connection and cancels the requests that are open on it."""
+        self.stream.close()
+        self.front.on_session_closed(self)
+        for request in self.requests.values():
+            self.front.cancel(request)
+        self.requests.clear()
+
+    def write(self, id: str, status: str, fields: Mapping[str, str], body: Buffer = b"") -> None:
+        """Writes an answer; closes the connection where the peer reads nothing while much is unsent."""
+        if self.stream.closed():
+            return
+        size = len(body)
+        if self.unsent_bytes + size > self.limits.max_client_unsent:
+            self.front.counters.add("slow_readers")
+            self.stream.close()
+            return
+        self.unsent_bytes += size
+        try:
+            written = self.stream.write(b"".join(encode_answer(id, status, fields, body)))
+        except StreamClosedError:
+            return
+        written.add_done_callback(lambda future: self._on_written(size, future))
+
+    async def _read_messages(self) -> None:
+        while True:
+            data = await self.stream.read_bytes(self.limits.read_size, partial=True)
+            self.last_read_at = self.front.monotonic()
+            for message in self.parser.feed(data):
+                self._handle(message)
+            await asyncio.sleep(0)
+
+    def _handle(self, message: Message) -> None:
+        match message:
+            case CacheRequest():
+                self._handle_request(message)
+            case CancelRequest():
+                request = self.requests.pop(message.id, None)
+                if request is not None:
+                    self.front.cancel(request)
+            case StatusQuery():
+                status = "SICK" if self.front.closed_reason() else "PONG"
+                self.write(message.tag, status, {"use": self.front.load_report()})
+
+    def _handle_request(self, message: CacheRequest) -> None:
+        counters = self.front.counters
+        if message.id in self.requests:
+            # Its answer could not be told from the first one's.
+            counters.add("rejected.id_open")
+            self._fail(message, "ID_OPEN")
+            return
+        if len(self.requests) >= MAX_OPEN_REQUESTS:
+            counters.add("rejected.too_many_open")
+            rejected = ReplyStatus.REJECTED.value
+            self.write(message.id, rejected, {"detail": ReplyReason.FILL_REJECTED.value})
+            return
+        try:
+            request = self.front.decode(message, Requester(self, message.id))
+        except FillPathError as error:
+            counters.add("bad_trails")
+            log.event(LOGGER, logging.WARNING, BAD_PATH_EVENT, why=str(error))
+            self._fail(message, "BAD_HOPS")
+            return
+        except RequestFieldError as error:
+            if counters.add_once("bad_fields"):
+                log.event(LOGGER, logging.WARNING, BAD_FIELD_EVENT, why=str(error))
+            self._fail(message, "BAD_FIELD")
+            return
+        self.requests[message.id] = request
+        self.front.handle_request(request)
+
+    def _fail(self, message: CacheRequest, detail: str) -> None:
+        self.write(message.id, ReplyStatus.FAILED.value, {"detail": detail})
+
+    def _on_written(self, size: int, future: "asyncio.Future[None]") -> None:
+        self.unsent_bytes -= size
+        if not future.cancelled():
+            future.exception()  # retrieved only: the read reports a closed stream
+
+
+@dataclass(frozen=True, slots=True)
+class Requester:
+    """Where the reply to a request goes: a session, and the request's id on it."""
+
+    session: TierSession
+    id: str
--- a/paddlequay/net/hierarchy/topology_feed.py
+++ b/paddlequay/net/hierarchy/topology_feed.py
@@ -1,118 +1,135 @@
-"""The connection to the feed of shapes, made anew whenever it falls silent, breaks or goes back."""
+"""The connection to the topology feed, made anew whenever it falls silent, breaks or restarts its numbers."""
 
 import logging
 from collections.abc import Callable
 
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
-from paddlequay.hierarchy.topology import DeltaOutcome, Topology, TopologyLimits, TopologyTracker
+from paddlequay.hierarchy.topology import Topology, TopologyLimits
+from paddlequay.hierarchy.topology_tracker import DeltaOutcome, DeltaResult, TopologyTracker
 from paddlequay.net.endpoints.watch_client import RETRY_PAUSE_S, EventParser, WatchClient
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
-from paddlequay.protocol import endpoint_watch as bulletin
-from paddlequay.protocol import topology_feed as feed
-from paddlequay.protocol.endpoint_watch import UnusableLine, WatchHeartbeat
+from paddlequay.protocol.endpoint_watch import EndpointList, PurgeEvent, UnusableLine, WatchHeartbeat
+from paddlequay.protocol.topology_feed import TopologyEvent, TopologyFeedParser
 
 LOGGER = logging.getLogger(__name__)
 
-WHOLE_PAUSE = 5.0  # the feed is asked for everything at most this often
+FULL_REQUEST_INTERVAL_S = 5.0  # the feed is asked for everything at most this often
+TOPOLOGY_EVENT = "shape"
+TOPOLOGY_REPLACED_EVENT = "shape_replaced"
+FEED_RESTARTED_EVENT = "feed_went_back"
 
+FeedEvent = TopologyEvent | EndpointList | PurgeEvent
 
-class Feed(WatchClient[feed.Shaped | bulletin.EndpointList | bulletin.PurgeEvent]):
-    """Keeps a node's shape up to date, and tells it of purges."""
+
+class TopologyFeed(WatchClient[FeedEvent]):
+    """Keeps a node's topology current, and passes purges on to it.
+
+    Args:
+        address: The feed's address.
+        tracker: Holds the current topology.
+        topology_limits: Bounds of topologies.
+        limits: Bounds of connections.
+        counters: The program's counters.
+        monotonic: Returns the monotonic time in seconds.
+    """
 
     def __init__(
         self,
         address: Address,
-        shaper: TopologyTracker,
-        shape_limits: TopologyLimits,
+        tracker: TopologyTracker,
+        topology_limits: TopologyLimits,
         limits: Limits,
         counters: Counters,
-        now: Callable[[], float],
+        monotonic: Callable[[], float],
     ) -> None:
         super().__init__(address, limits, counters, "feed")
-        self.shaper, self.shape_limits, self.now = shaper, shape_limits, now
-        self.on_shape: Callable[[Topology], None] = lambda _: None
-        self.on_purge: Callable[[bulletin.PurgeEvent], None] = lambda _: None
-        self.whole_at = -WHOLE_PAUSE
-        # What a feed tells from its beginning, until all of it has come: beside the shape that stands.
-        self.beside: TopologyTracker | None = None
-        self.begin_anew()
-
-    def begin_anew(self) -> None:
-        """Ask the feed from its beginning.
-
-        Its versions may be lower than the one that stands, which was kept from another feed or from before
-        this one was set up anew: the feed's word holds. Taken one by one its old shapes would be acted on in
-        turn, and those lower than the one kept be passed over: a tier then held on to addresses long gone.
+        self.tracker = tracker
+        self.topology_limits = topology_limits
+        self.monotonic = monotonic
+        self.on_topology: Callable[[Topology], None] = lambda _: None
+        self.on_purge: Callable[[PurgeEvent], None] = lambda _: None
+        self.full_requested_at = -FULL_REQUEST_INTERVAL_S
+        self.must_request_all = False
+        # What the feed sends from its beginning, beside the topology in force, until all of it has come.
+        self.catching_up: TopologyTracker | None = None
+        self.start_over()
+
+    def start_over(self) -> None:
+        """Requests the feed from its beginning.
+
+        Its versions may be lower than the one in force, which came from another feed or from before this one
+        was set up anew; then the feed's holds. So its topologies are tracked apart until all have come: one
+        by one, the old ones would be acted on in turn and those below the one in force be ignored.
         """
         self.last_number = 0
-        self.asks = False
-        self.beside = TopologyTracker(self.shape_limits) if self.shaper.shape.version else None
+        self.must_request_all = False
+        has_topology = bool(self.tracker.topology.version)
+        self.catching_up = TopologyTracker(self.topology_limits) if has_topology else None
 
-    def make_parser(
-        self,
-    ) -> EventParser[
-        feed.Shaped | bulletin.EndpointList | bulletin.PurgeEvent | WatchHeartbeat | UnusableLine
-    ]:
-        return feed.Reader(self.limits.max_bulletin_line, self.shape_limits)
+    def make_parser(self) -> EventParser[FeedEvent | WatchHeartbeat | UnusableLine]:
+        """Returns a parser for a new connection."""
+        return TopologyFeedParser(self.limits.max_bulletin_line, self.topology_limits)
 
-    def handle(
-        self, news: feed.Shaped | bulletin.EndpointList | bulletin.PurgeEvent | WatchHeartbeat | UnusableLine
-    ) -> None:
-        """Take in one line's news. A feed whose numbers go back has begun anew: asked for everything."""
-        if isinstance(news, WatchHeartbeat) and news.number < self.last_number:
+    def handle(self, event: FeedEvent | WatchHeartbeat | UnusableLine) -> None:
+        """Handles one line; a feed whose numbers go back is requested from its beginning."""
+        if isinstance(event, WatchHeartbeat) and event.number < self.last_number:
             self.counters.add("feed_went_back")
-            log.event(LOGGER, logging.WARNING, "feed_went_back", had=self.last_number, tells=news.number)
-            self.asks = True
+            fields = {"had": self.last_number, "tells": event.number}
+            log.event(LOGGER, logging.WARNING, FEED_RESTARTED_EVENT, **fields)
+            self.must_request_all = True
         else:
-            super().handle(news)
-        if self.asks:
-            self.begin_anew()
+            super().handle(event)
+        if self.must_request_all:
+            self.start_over()
             self.restart(RETRY_PAUSE_S)
 
     def heartbeat(self, number: int) -> None:
-        self.adopt()
-
-    def apply_event(self, event: feed.Shaped | bulletin.EndpointList | bulletin.PurgeEvent) -> None:
-        if isinstance(event, feed.Shaped):
-            self.shaped(event)
-        elif isinstance(event, bulletin.PurgeEvent):
+        """Acts on the topology that has been caught up with: the feed has sent everything."""
+        tracker = self.catching_up
+        self.catching_up = None
+        if tracker is None or not tracker.topology.version or tracker.topology == self.tracker.topology:
+            return
+        old_version = self.tracker.topology.version
+        new_version = tracker.topology.version
+        self.tracker.topology = tracker.topology
+        self.tracker.pending = tracker.pending
+        if new_version <= old_version:
+            self.counters.add("shapes.replaced")
+            log.event(LOGGER, logging.WARNING, TOPOLOGY_REPLACED_EVENT, had=old_version, now=new_version)
+        self.on_topology(tracker.topology)
+
+    def apply_event(self, event: FeedEvent) -> None:
+        """Applies a topology delta or passes a purge on; the feed's endpoint lists are for routers."""
+        if isinstance(event, TopologyEvent):
+            self._apply_topology_event(event)
+        elif isinstance(event, PurgeEvent):
             self.counters.add("purges")
             self.on_purge(event)
 
-    def adopt(self) -> None:
-        """All that the feed has told from its beginning has come: act on that."""
-        beside, self.beside = self.beside, None
-        if beside is None or not beside.shape.version or beside.shape == self.shaper.shape:
-            return
-        had, now = self.shaper.shape.version, beside.shape.version
-        self.shaper.shape, self.shaper.held = beside.shape, beside.held
-        if now <= had:
-            self.counters.add("shapes.replaced")
-            log.event(LOGGER, logging.WARNING, "shape_replaced", had=had, now=now)
-        self.on_shape(beside.shape)
-
-    def shaped(self, item: feed.Shaped) -> None:
-        shaper = self.beside or self.shaper
-        before = shaper.shape
-        took, why = DeltaOutcome.REFUSED, item.why
-        if item.delta is not None:
-            took = shaper.take(item.delta)
-            why = shaper.said
-        self.counters.add(f"shapes.{took.value}")
-        if took in (DeltaOutcome.REFUSED, DeltaOutcome.HELD):
-            log.event(LOGGER, logging.WARNING, f"shape_{took.value}", why=why)
-            # Something was missed, or never told: everything from the start holds a whole shape.
-            if item.delta is not None and item.delta.base not in (None, before.version):
-                self.ask_for_all()
-        if shaper is self.shaper and shaper.shape is not before:
-            version, nodes = shaper.shape.version, len(shaper.shape.nodes)
-            log.event(LOGGER, logging.INFO, "shape", version=version, nodes=nodes)
-            self.on_shape(shaper.shape)
-
-    def ask_for_all(self) -> None:
-        if self.now() - self.whole_at >= WHOLE_PAUSE:
-            self.whole_at = self.now()
+    def _apply_topology_event(self, event: TopologyEvent) -> None:
+        tracker = self.catching_up or self.tracker
+        before = tracker.topology
+        result = DeltaResult(DeltaOutcome.REJECTED, event.reason)
+        if event.delta is not None:
+            result = tracker.receive(event.delta)
+        self.counters.add(f"shapes.{result.outcome.value}")
+        if result.outcome in (DeltaOutcome.REJECTED, DeltaOutcome.PENDING):
+            log.event(LOGGER, logging.WARNING, f"shape_{result.outcome.value}", why=result.reason)
+            # A delta was missed, or never sent: everything from the start holds a full topology.
+            if event.delta is not None and event.delta.base_version not in (None, before.version):
+                self._request_all()
+        topology = tracker.topology
+        if tracker is self.tracker and topology is not before:
+            fields = {"version": topology.version, "nodes": len(topology.nodes)}
+            log.event(LOGGER, logging.INFO, TOPOLOGY_EVENT, **fields)
+            self.on_topology(topology)
+
+    def _request_all(self) -> None:
+        """Requests everything once this event is applied, unless that was done shortly before."""
+        now = self.monotonic()
+        if now - self.full_requested_at >= FULL_REQUEST_INTERVAL_S:
+            self.full_requested_at = now
             self.counters.add("feed_asked_for_all")
-            self.asks = True  # once this event is had
+            self.must_request_all = True
--- /dev/null
+++ b/paddlequay/programs/tier_shutdown.py
@@ -0,0 +1,48 @@
+"""The graceful shutdown of a tier's node."""
+
+import asyncio
+import logging
+import math
+import socket
+
+from paddlequay.config.limits import Limits
+from paddlequay.net.hierarchy.saved_topology import SavedTopology
+from paddlequay.net.hierarchy.tier_front import TierFront
+from paddlequay.observability import log
+
+LOGGER = logging.getLogger("paddlequay.programs.tier")
+
+POLL_INTERVAL_S = 0.01
+SHUTDOWN_STARTED_EVENT = "shutdown_started"
+SHUTDOWN_ENDED_EVENT = "shutdown_ended"
+
+
+async def shut_down(
+    front: TierFront, listener: socket.socket, saved_topology: SavedTopology | None, limits: Limits
+) -> None:
+    """Takes no new connections; answers open requests, or abandons them once the time is over.
+
+    Args:
+        front: The front, whose sessions are flushed last.
+        listener: Its listening socket, which is closed.
+        saved_topology: The file whose save in progress is waited for; None where the node has none.
+        limits: How long open requests and unsent bytes may take, in seconds.
+    """
+    monotonic = asyncio.get_running_loop().time
+    started_at = monotonic()
+    front.shutting_down = True
+    log.event(LOGGER, logging.INFO, SHUTDOWN_STARTED_EVENT, open=front.node.waiting_count)
+    if front.acceptor is not None:
+        front.acceptor.stop()
+    listener.close()
+    answered_by = started_at + limits.shutdown_timeout
+    while monotonic() < answered_by and (front.node.waiting_count or front.has_unsent):
+        await asyncio.sleep(POLL_INTERVAL_S)
+    front.exchange.abandon_all()
+    front.execute(front.node.expire(math.inf))
+    flushed_by = monotonic() + limits.flush_timeout
+    while monotonic() < flushed_by and front.has_unsent:
+        await asyncio.sleep(POLL_INTERVAL_S)
+    if saved_topology is not None:
+        await saved_topology.flush()
+    log.event(LOGGER, logging.INFO, SHUTDOWN_ENDED_EVENT, after=monotonic() - started_at)
--- a/paddlequay/protocol/cache_server.py
+++ b/paddlequay/protocol/cache_server.py
@@ -1,17 +1,18 @@
-"""The caches' protocol from the serving side: `ASK`, `QUIT`, `NOOP` and `INFO` in, answers out. Knows no
-socket."""
+"""The caches' protocol from the server's side: requests in, answers out. Knows no socket."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 
 from paddlequay.protocol.caches import Buffer, CacheProtocolError, format_fields, parse_fields
 
-ID_MOST = 64
+MAX_ID_CHARS = 64
+MAX_LENGTH_DIGITS = 9
+LINE_END = b"\r\n"
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """One request: its id, its fields and its body."""
+class CacheRequest:
+    """A request (`ASK`): its id, its fields and its body."""
 
     id: str
     fields: Mapping[str, str]
@@ -19,81 +20,122 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
-    """The request under this id is given up."""
+class CancelRequest:
+    """The request of this id is cancelled (`QUIT`)."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
-    """`NOOP` or `INFO`: how are you, under this tag."""
+class StatusQuery:
+    """A question for the server's state (`NOOP` or `INFO`), answered under its tag."""
 
     tag: str
 
 
-Line = Asked | Given | Probe
+@dataclass(frozen=True, slots=True)
+class RequestHead:
+    """The line of a request whose body has not arrived yet; `length` is the body's, in bytes."""
+
+    id: str
+    fields: Mapping[str, str]
+    length: int
+
+
+Message = CacheRequest | CancelRequest | StatusQuery
 
 
-def answer(id: str, word: str, fields: Mapping[str, str], body: Buffer = b"") -> tuple[bytes, Buffer, bytes]:
-    """The pieces of an answer, the body not copied."""
-    return f"{id} {word} {format_fields(fields)} {len(body)}\r\n".encode(), body, b"\r\n"
+def encode_answer(
+    id: str, status: str, fields: Mapping[str, str], body: Buffer = b""
+) -> tuple[bytes, Buffer, bytes]:
+    """Returns the pieces of an answer; the body is not copied."""
+    head = f"{id} {status} {format_fields(fields)} {len(body)}\r\n".encode()
+    return head, body, LINE_END
 
 
-class Reader:
-    """Takes bytes as they come and gives whole requests. `MalformedError`: nothing that follows can be
-    read."""
+class CacheRequestParser:
+    """Parses requests from bytes as they arrive.
 
-    def __init__(self, most_line: int, most_body: int) -> None:
-        self.most_line, self.most_body = most_line, most_body
+    Args:
+        max_line: The most bytes of a line.
+        max_body: The most bytes of a body.
+    """
+
+    def __init__(self, max_line: int, max_body: int) -> None:
+        self.max_line = max_line
+        self.max_body = max_body
         self.buffer = bytearray()
-        self.head: tuple[str, dict[str, str], int] | None = None
+        self.head: RequestHead | None = None
 
     @property
-    def begun(self) -> bool:
-        """Whether a request has begun and is not whole."""
+    def is_inside_message(self) -> bool:
+        """Whether a message has begun and is not complete."""
         return self.head is not None or bool(self.buffer)
 
-    def feed(self, data: bytes) -> Iterator[Line]:
+    def feed(self, data: bytes) -> Iterator[Message]:
+        """Returns the messages that are complete with these bytes.
+
+        Raises:
+            CacheProtocolError: The bytes are no message, and nothing after them can be parsed.
+        """
         self.buffer += data
         while True:
             if self.head is not None:
-                id, fields, length = self.head
-                if len(self.buffer) < length + 2:
+                request = self._take_request(self.head)
+                if request is None:
                     return
-                if self.buffer[length : length + 2] != b"\r\n":
-                    raise CacheProtocolError("expected CR LF after a body")
-                body = bytes(self.buffer[:length])
-                del self.buffer[: length + 2]
-                self.head = None
-                yield Asked(id, fields, body)
+                yield request
                 continue
-            end = self.buffer.find(b"\n", 0, self.most_line)
-            if end < 0:
-                if len(self.buffer) >= self.most_line:
-                    raise CacheProtocolError("a line is longer than allowed")
+            line = self._take_line()
+            if line is None:
                 return
-            line = bytes(self.buffer[: end + 1])
-            del self.buffer[: end + 1]
-            read = self.read_line(line)
-            if read is not None:
-                yield read
-
-    def read_line(self, line: bytes) -> Line | None:
+            message = self._parse_line(line)
+            if isinstance(message, RequestHead):
+                self.head = message
+            else:
+                yield message
+
+    def _take_request(self, head: RequestHead) -> CacheRequest | None:
+        """Removes a body from the buffer and returns the request; None while the body is not complete."""
+        end = head.length + len(LINE_END)
+        if len(self.buffer) < end:
+            return None
+        if self.buffer[head.length : end] != LINE_END:
+            raise CacheProtocolError("expected CR LF after a body")
+        body = bytes(self.buffer[: head.length])
+        del self.buffer[:end]
+        self.head = None
+        return CacheRequest(head.id, head.fields, body)
+
+    def _take_line(self) -> bytes | None:
+        """Removes a line from the buffer and returns it; None while it is not complete."""
+        end = self.buffer.find(b"\n", 0, self.max_line)
+        if end < 0:
+            if len(self.buffer) >= self.max_line:
+                raise CacheProtocolError("a line is longer than allowed")
+            return None
+        line = bytes(self.buffer[: end + 1])
+        del self.buffer[: end + 1]
+        return line
+
+    def _parse_line(self, line: bytes) -> RequestHead | CancelRequest | StatusQuery:
         try:
             words = line.decode("ascii").split()
         except UnicodeDecodeError:
             raise CacheProtocolError("a line is not ASCII") from None
-        if not line.endswith(b"\r\n"):
+        if not line.endswith(LINE_END):
             raise CacheProtocolError("a line does not end in CR LF")
         match words:
-            case ["ASK", id, fields, length] if length.isdigit() and len(length) < 10 and len(id) <= ID_MOST:
-                if int(length) > self.most_body:
+            case ["ASK", id, fields, length] if _is_length(length) and len(id) <= MAX_ID_CHARS:
+                if int(length) > self.max_body:
                     raise CacheProtocolError(f"a body of {int(length)} bytes")
-                self.head = (id, parse_fields(fields), int(length))
-                return None
+                return RequestHead(id, parse_fields(fields), int(length))
             case ["QUIT", id]:
-                return Given(id)
-            case ["NOOP" | "INFO", tag] if len(tag) <= ID_MOST:
-                return Probe(tag)
+                return CancelRequest(id)
+            case ["NOOP" | "INFO", tag] if len(tag) <= MAX_ID_CHARS:
+                return StatusQuery(tag)
         raise CacheProtocolError(f"expected ASK, QUIT, NOOP or INFO, got {line[:60]!r}")
+
+
+def _is_length(text: str) -> bool:
+    return text.isdigit() and len(text) <= MAX_LENGTH_DIGITS
--- a/paddlequay/schema/cluster.py
+++ b/paddlequay/schema/cluster.py
@@ -7,7 +7,7 @@
 from paddlequay.cluster.settings import By, ChannelRule, ClusterSettings, LimitRule, Mode
 from paddlequay.cluster.types import PEERS_MOST, Bounds
 from paddlequay.errors import ConfigError
-from paddlequay.hierarchy.topology import NAME
+from paddlequay.hierarchy.topology import NODE_NAME
 from paddlequay.schema import paddlequay_pb2 as schema
 from paddlequay.schema.read import Lines, parsed
 
@@ -42,7 +42,7 @@
         """Names of their own."""
         seen: set[str] = set()
         for value in values:
-            if not NAME.fullmatch(value):
+            if not NODE_NAME.fullmatch(value):
                 why = f"expected 1 to 64 letters, digits, - and _, got {value[:70]!r}"
                 raise self.lines.error(field, why, value)
             if value in seen:
--- a/paddlequay/schema/read.py
+++ b/paddlequay/schema/read.py
@@ -8,10 +8,11 @@
 
 from paddlequay.config.values import Address, address
 from paddlequay.errors import ConfigError
-from paddlequay.hierarchy.fill_path import FillPathError, Keyring, SigningKey
+from paddlequay.hierarchy.errors import FillPathError
+from paddlequay.hierarchy.fill_path import Keyring, SigningKey
 from paddlequay.hierarchy.fill_requests import NodeLimits
 from paddlequay.hierarchy.migration import MigrationLimits
-from paddlequay.hierarchy.topology import NAME, TopologyLimits
+from paddlequay.hierarchy.topology import NODE_NAME, TopologyLimits
 from paddlequay.routing.interface import Idempotency, RequestClass, SlowStart
 from paddlequay.schema import paddlequay_pb2 as schema
 
@@ -33,9 +34,9 @@
     cores: float
     classes: tuple[RequestClass, ...]
     keys: tuple[SigningKey, ...]
-    moves: MigrationLimits
+    migration: MigrationLimits
     node: NodeLimits
-    shape: TopologyLimits
+    topology: TopologyLimits
     cold: SlowStart
 
 
@@ -107,7 +108,7 @@
             raise lines.error(field, str(error).split(": ", 1)[-1], value) from None
 
     for field, name in (("tier.name", tier.name), ("tier.group", tier.group)):
-        if not NAME.fullmatch(name):
+        if not NODE_NAME.fullmatch(name):
             raise lines.error(field, f"expected 1 to 64 letters, digits, - and _, got {name[:70]!r}", name)
     if not getattr(tier, "class"):
         raise lines.error("tier.class", "expected at least one class")
@@ -168,21 +169,21 @@
         cores=positive(tier.cores, "tier.cores", 1.0),
         classes=tuple(classes),
         keys=tuple(keys),
-        moves=MigrationLimits(
-            window=positive(moves.window_s, "tier.moves.window_s", 60.0),
-            claim=positive(moves.claim_s, "tier.moves.claim_s", 10.0),
-            look_rate=positive(moves.look_rate, "tier.moves.look_rate", 200.0),
+        migration=MigrationLimits(
+            earlier_home_s=positive(moves.window_s, "tier.moves.window_s", 60.0),
+            claim_s=positive(moves.claim_s, "tier.moves.claim_s", 10.0),
+            lookups_per_s=positive(moves.look_rate, "tier.moves.look_rate", 200.0),
         ),
         node=NodeLimits(
-            bytes=int(positive(tier.memory_bytes, "tier.memory_bytes", 64 * 1024 * 1024)),
-            fills=int(positive(bounds.fills, "tier.bounds.fills", 2000)),
-            joiners=int(positive(bounds.joiners, "tier.bounds.joiners", 1000)),
-            waiting=int(positive(bounds.waiting, "tier.bounds.waiting", 10_000)),
-            purge_memory=positive(tier.purge_memory_s, "tier.purge_memory_s", 6.0),
-            new=positive(moves.window_s, "tier.moves.window_s", 60.0),
-            fill_longest=positive(bounds.fill_longest_s, "tier.bounds.fill_longest_s", 6.0),
+            max_cache_bytes=int(positive(tier.memory_bytes, "tier.memory_bytes", 64 * 1024 * 1024)),
+            max_fills=int(positive(bounds.fills, "tier.bounds.fills", 2000)),
+            max_waiters=int(positive(bounds.joiners, "tier.bounds.joiners", 1000)),
+            max_waiting=int(positive(bounds.waiting, "tier.bounds.waiting", 10_000)),
+            purge_memory_s=positive(tier.purge_memory_s, "tier.purge_memory_s", 6.0),
+            new_node_s=positive(moves.window_s, "tier.moves.window_s", 60.0),
+            max_fill_s=positive(bounds.fill_longest_s, "tier.bounds.fill_longest_s", 6.0),
         ),
-        shape=TopologyLimits(
+        topology=TopologyLimits(
             nodes=int(positive(bounds.nodes, "tier.bounds.nodes", 20_000)),
             depth=int(positive(bounds.depth, "tier.bounds.depth", 6)),
         ),
--- a/paddlequay/store/__init__.py
+++ b/paddlequay/store/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives the process: records that survive a crash in the middle of writing them."""
+"""Storage that outlives the process: checksummed records, replaced atomically."""
--- a/paddlequay/store/record.py
+++ b/paddlequay/store/record.py
@@ -1,9 +1,8 @@
-"""A record on disk: one line that says what it is, how long and with which checksum, then the bytes.
+"""The format of a stored record: one header line with kind, version, length and checksum, then the body.
 
-    paddlequay KIND FORMAT LENGTH SHA256
+    paddlequay KIND VERSION LENGTH SHA256
 
-A record that is torn, altered, of another kind or of another format is told apart from a whole one, with a
-line that says which. Knows no file.
+A torn or altered record, or one of another kind or version, is told from a complete one. Knows no file.
 """
 
 import hashlib
@@ -11,28 +10,38 @@
 
 from paddlequay.errors import RecordError
 
-HEAD = re.compile(rb"paddlequay ([a-z-]{1,32}) (\d{1,9}) (\d{1,15}) ([0-9a-f]{64})\n")
-HEAD_MOST = 160
+HEADER = re.compile(rb"paddlequay ([a-z-]{1,32}) (\d{1,9}) (\d{1,15}) ([0-9a-f]{64})\n")
+MAX_HEADER_BYTES = 160
 
 
-def encode(kind: str, form: int, body: bytes) -> bytes:
-    """A record's bytes."""
-    return f"paddlequay {kind} {form} {len(body)} {hashlib.sha256(body).hexdigest()}\n".encode() + body
+def encode(kind: str, version: int, body: bytes) -> bytes:
+    """Returns the bytes of a record."""
+    checksum = hashlib.sha256(body).hexdigest()
+    return f"paddlequay {kind} {version} {len(body)} {checksum}\n".encode() + body
 
 
-def decode(data: bytes, kind: str, form: int) -> bytes:
-    """The body of a whole record."""
-    head = HEAD.match(data[:HEAD_MOST])
-    if head is None:
+def decode(data: bytes, kind: str, version: int) -> bytes:
+    """Returns the body of a record.
+
+    Args:
+        data: All bytes of the record.
+        kind: The kind that it must have.
+        version: The format version that it must have.
+
+    Raises:
+        RecordError: The bytes are not a complete record of this kind and version.
+    """
+    header = HEADER.match(data[:MAX_HEADER_BYTES])
+    if header is None:
         raise RecordError("no record, or its first line is torn")
-    found, version, length, digest = head.groups()
-    if found.decode() != kind:
-        raise RecordError(f"a record of {found.decode()}, expected {kind}")
-    if int(version) != form:
-        raise RecordError(f"of format {int(version)}, expected {form}")
-    body = data[head.end() :]
+    found_kind, found_version, length, checksum = header.groups()
+    if found_kind.decode() != kind:
+        raise RecordError(f"a record of {found_kind.decode()}, expected {kind}")
+    if int(found_version) != version:
+        raise RecordError(f"of format {int(found_version)}, expected {version}")
+    body = data[header.end() :]
     if len(body) != int(length):
         raise RecordError(f"{len(body)} bytes, expected {int(length)}: it is torn")
-    if hashlib.sha256(body).hexdigest() != digest.decode():
+    if hashlib.sha256(body).hexdigest() != checksum.decode():
         raise RecordError("the checksum does not hold")
     return body
--- a/tests/golden/golden_samples.py
+++ b/tests/golden/golden_samples.py
@@ -22,14 +22,14 @@
 from paddlequay.discovery.reports import ReportedMember, SourceRule
 from paddlequay.hierarchy.migration import MigrationLimits, MigrationPlan
 from paddlequay.hierarchy.topology import (
-    Delta,
     NodeSpec,
     Topology,
+    TopologyDelta,
     TopologyLimits,
-    delta_data,
-    next_shape,
-    whole,
+    apply_delta,
+    full_delta,
 )
+from paddlequay.hierarchy.topology_json import encode_delta
 from paddlequay.lifecycle.operator_state import OperatorState, Override
 from paddlequay.net.clients.client_messages import format_answer
 from paddlequay.net.upstreams.cache_messages import request_fields
@@ -119,18 +119,21 @@
 def shape() -> Topology:
     """A store, and two nodes of which one drains."""
     nodes = (
-        NodeSpec("o", ("127.0.0.1", 9), store=True, group="g"),
-        NodeSpec("r", ("127.0.0.1", 10), parents=("o",), weight=2.0, started=3.5),
+        NodeSpec("o", ("127.0.0.1", 9), is_origin=True, group="g"),
+        NodeSpec("r", ("127.0.0.1", 10), parents=("o",), weight=2.0, started_at=3.5),
         NodeSpec("a", ("127.0.0.1", 11), parents=("r", "o"), state=MemberState.DRAINING),
     )
-    return next_shape(Topology(), Delta(4, None, nodes), TopologyLimits())
+    return apply_delta(Topology(), TopologyDelta(4, None, nodes), TopologyLimits())
 
 
 def saved_shape() -> Iterator[str]:
     """The shape of a hierarchy as a tier's node saves it, and a record's bytes."""
-    moves = MigrationPlan("a", MigrationLimits())
-    moves.restore([{"version": 3, "left": 1.5, "members": {"a": 1.0, "r": 2.0}}], 2.0)
-    body = json.dumps({"shape": delta_data(whole(shape())), "epochs": moves.data()}, separators=(",", ":"))
+    migration = MigrationPlan("a", MigrationLimits())
+    migration.restore_state([{"version": 3, "left": 1.5, "members": {"a": 1.0, "r": 2.0}}], 2.0)
+    body = json.dumps(
+        {"shape": encode_delta(full_delta(shape())), "epochs": migration.export_state()},
+        separators=(",", ":"),
+    )
     yield body
     yield encode("shape", 1, body.encode()).partition(b"\n")[0].decode()
 
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -11,7 +11,8 @@
 from paddlequay.discovery.reports import SourceRule
 from paddlequay.errors import RecordError
 from paddlequay.hierarchy.migration import MigrationLimits, MigrationPlan
-from paddlequay.hierarchy.topology import Topology, TopologyLimits, delta_data, next_shape, read_delta, whole
+from paddlequay.hierarchy.topology import Topology, TopologyLimits, apply_delta, full_delta
+from paddlequay.hierarchy.topology_json import decode_delta, encode_delta
 from paddlequay.lifecycle.operator_state import OperatorState
 from paddlequay.policy import Router
 from paddlequay.protocol import hot_restart as twin
@@ -69,11 +70,11 @@
 def test_a_saved_shape_is_read_and_written_alike() -> None:
     body, head = sample("saved_shape.txt").splitlines()
     data = json.loads(body)
-    read = next_shape(Topology(), read_delta(data["shape"], TopologyLimits()), TopologyLimits())
-    assert read == shape() and delta_data(whole(read)) == data["shape"]
-    moves = MigrationPlan("a", MigrationLimits())
-    moves.restore(data["epochs"], 2.0)
-    assert moves.data() == data["epochs"]
+    read = apply_delta(Topology(), decode_delta(data["shape"], TopologyLimits()), TopologyLimits())
+    assert read == shape() and encode_delta(full_delta(read)) == data["shape"]
+    migration = MigrationPlan("a", MigrationLimits())
+    migration.restore_state(data["epochs"], 2.0)
+    assert migration.export_state() == data["epochs"]
     record = head.encode() + b"\n" + body.encode()
     assert decode(record, "shape", 1) == body.encode()
     with pytest.raises(RecordError):
--- a/tests/hierarchy/test_fencing_tokens.py
+++ b/tests/hierarchy/test_fencing_tokens.py
@@ -1,51 +1,62 @@
-"""A node refuses what a channel's former owner still sends."""
+"""Fencing tokens: a node rejects fills that a channel's former owner still sends."""
 
 import pytest
 from rig_tier import Rig, made_one, made_rig
 
+from paddlequay.hierarchy.errors import RequestFieldError
 from paddlequay.hierarchy.fencing_tokens import FencingTokens
-from paddlequay.hierarchy.fill_requests import FillRequest, NodeLimits, Reply, ReplyStatus, StartFill
+from paddlequay.hierarchy.fill_requests import (
+    ChannelToken,
+    FillRequest,
+    NodeLimits,
+    Reply,
+    ReplyReason,
+    ReplyStatus,
+    StartFill,
+)
 from paddlequay.hierarchy.migration import MigrationLimits
 from paddlequay.hierarchy.node import Node
-from paddlequay.net.hierarchy.tier_front import FieldError, read_channel
 from paddlequay.net.upstreams.cache_messages import parse_result
 from paddlequay.policy import Router
 from paddlequay.protocol import caches as wire
+from paddlequay.protocol.fill_messages import decode_channel_token
 from paddlequay.routing.interface import CopyReported, Idempotency, ReplyDetail, RequestClass, RoutingSettings
 
 rig = pytest.fixture(made_rig, name="rig")
 one = pytest.fixture(made_one, name="one")
 
 
-def test_a_lower_term_is_refused_and_the_same_one_taken() -> None:
-    terms = FencingTokens()
-    assert terms.takes(1, 5, 0.0) and terms.takes(1, 5, 1.0) and terms.takes(1, 7, 2.0)
-    assert not terms.takes(1, 6, 3.0) and terms.takes(1, 7, 3.0)
-    assert terms.takes(2, 1, 3.0)  # each channel has its own
+def test_a_lower_token_is_rejected_and_the_same_one_accepted() -> None:
+    tokens = FencingTokens()
+    assert tokens.accepts(1, 5, 0.0) and tokens.accepts(1, 5, 1.0) and tokens.accepts(1, 7, 2.0)
+    assert not tokens.accepts(1, 6, 3.0)
+    assert tokens.accepts(1, 7, 3.0)
+    assert tokens.accepts(2, 1, 3.0)  # each channel has its own
 
 
-def test_what_is_remembered_has_a_bound_and_an_end() -> None:
-    terms = FencingTokens(most=3, kept=10.0)
+def test_tokens_are_remembered_within_a_bound_and_for_a_time() -> None:
+    tokens = FencingTokens(max_channels=3, memory_s=10.0)
     for channel in range(5):
-        terms.takes(channel, 9, 0.0)
-    assert len(terms) == 3 and terms.takes(0, 1, 1.0) and not terms.takes(4, 1, 1.0)
-    # Refused words keep nothing alive: a former owner that goes on for ever binds nothing.
-    assert not terms.takes(4, 1, 9.9) and terms.takes(4, 1, 10.1)
+        tokens.accepts(channel, 9, 0.0)
+    assert len(tokens) == 3 and tokens.accepts(0, 1, 1.0) and not tokens.accepts(4, 1, 1.0)
+    # Rejected fills do not extend the memory of their channel.
+    assert not tokens.accepts(4, 1, 9.9) and tokens.accepts(4, 1, 10.1)
 
 
-def test_a_node_answers_a_lower_term_as_a_miss_and_begins_nothing() -> None:
+def test_a_node_replies_to_a_lower_token_with_a_miss_and_begins_no_fill() -> None:
     node = Node("a", NodeLimits(), MigrationLimits())
 
-    def ask(term: int | None, part: int) -> list[object]:
-        channel = None if term is None else (77, term)
-        want = FillRequest("who", "00", part, "video", 0.0, 9.0, channel=channel)
-        return list(node.ask(want, 1.0))
-
-    assert isinstance(ask(8, 1)[0], StartFill)
-    (answer,) = ask(7, 2)
-    assert isinstance(answer, Reply) and (answer.word, answer.detail) == (ReplyStatus.NONE, "OLD_TERM")
-    assert isinstance(ask(None, 2)[0], StartFill)  # who names no channel goes the ordinary way
-    assert node.seen.counts["old_terms"] == 1
+    def request(token: int | None, part: int) -> list[object]:
+        channel_token = None if token is None else ChannelToken(77, token)
+        fill_request = FillRequest("t", "00", part, "video", 0.0, 9.0, channel_token=channel_token)
+        return list(node.handle_request(fill_request, 1.0))
+
+    assert isinstance(request(8, 1)[0], StartFill)
+    (reply,) = request(7, 2)
+    assert isinstance(reply, Reply)
+    assert (reply.status, reply.reason) == (ReplyStatus.MISS, ReplyReason.STALE_TOKEN)
+    assert isinstance(request(None, 2)[0], StartFill)  # a request without a channel has no token to check
+    assert node.counters.counts["old_terms"] == 1
     reader = wire.CacheAnswerParser(1000, 1000)
     (told,) = reader.feed(b"x NONE detail=OLD_TERM 0\r\n\r\n")
     assert parse_result(told).detail is ReplyDetail.STALE_TERM
@@ -54,13 +65,14 @@
 @pytest.mark.parametrize(
     "fields", [{"chan": "1"}, {"term": "1"}, {"chan": "x", "term": "1"}, {"chan": "0" * 17, "term": "1"}]
 )
-def test_fields_that_name_no_channel_and_term_are_refused(fields: dict[str, str]) -> None:
-    with pytest.raises(FieldError):
-        read_channel(fields)
-    assert read_channel({}) is None and read_channel({"chan": "ff", "term": "10"}) == (255, 16)
+def test_fields_without_a_valid_channel_and_token_are_rejected(fields: dict[str, str]) -> None:
+    with pytest.raises(RequestFieldError):
+        decode_channel_token(fields)
+    assert decode_channel_token({}) is None
+    assert decode_channel_token({"chan": "ff", "term": "10"}) == ChannelToken(255, 16)
 
 
-def test_a_tier_serves_each_later_owner_and_refuses_the_one_before(one: Rig) -> None:
+def test_a_tier_serves_each_later_owner_and_rejects_the_one_before(one: Rig) -> None:
     asker = one.asker()
     asker.ask("q1", chan="7f", term="20")
     one.give()
@@ -74,7 +86,7 @@
     assert asker.answer()[1] == "HIT" and one.store.lines.empty()
 
 
-def test_a_router_believes_who_it_is_told_holds_a_part() -> None:
+def test_a_router_records_a_reported_holder_without_counting_a_read() -> None:
     kind = RequestClass("video", latency_objective=0.5, deadline=2.0, idempotency=Idempotency.IDEMPOTENT)
     router = Router(RoutingSettings(zone="here", classes=(kind,)), 1)
     router.handle(CopyReported(5, 3, "box"), 1.0)
--- /dev/null
+++ b/tests/hierarchy/test_interleavings.py
@@ -0,0 +1,124 @@
+"""Several simulated nodes: hard cases one by one, and searches through orders of delivery."""
+
+import random
+
+import pytest
+from rig_node import home_of_all, topology
+
+from paddlequay.hierarchy.copy_cache import PartKey
+from paddlequay.hierarchy.fill_requests import ReplyStatus
+from paddlequay.lab.hierarchy_search import random_run, small_runs
+from paddlequay.lab.hierarchy_simulation import Guard, HierarchySimulation
+
+
+def deliver_all(simulation: HierarchySimulation, rng: random.Random | None = None) -> None:
+    """Deliver what is pending, in the order in which it was sent or in a random one."""
+    while simulation.pending:
+        simulation.deliver(rng.randrange(len(simulation.pending)) if rng is not None else 0)
+
+
+def test_a_ring_of_three_topology_versions_is_served_with_one_fill_in_any_order() -> None:
+    """Each node takes the next one for the home: a asks b, b asks c, c asks a, all at once."""
+    names = ("a", "b", "c")
+    for seed in range(200):
+        rng = random.Random(seed)
+        simulation = HierarchySimulation()
+        for name, home in zip(names, ("b", "c", "a"), strict=True):
+            simulation.add(name, home_of_all(1 + names.index(name), home, *names))
+        for name in names:
+            simulation.request(name, "x")
+        deliver_all(simulation, rng)
+        assert not simulation.unanswered
+        assert len(simulation.replies) == 3 and len(simulation.origin_fills) == 1
+        assert all(reply.status is ReplyStatus.HIT for reply in simulation.replies)
+        assert simulation.count("rings_refused") + simulation.count("loops_cut")
+
+
+def test_a_node_that_restarts_empty_takes_copies_from_the_others_before_it_fills() -> None:
+    names = ("a", "b", "c", "d")
+    simulation = HierarchySimulation()
+    for name in names:
+        simulation.add(name, topology(1, *names))
+    objects = [f"{number:016x}" for number in range(60)]
+
+    def request_all(asked: tuple[str, ...]) -> None:
+        for object_name in objects:
+            for name in asked:
+                simulation.request(name, object_name)
+        deliver_all(simulation)
+
+    request_all(("b", "c", "d"))
+    assert len(simulation.origin_fills) == 60
+    cached_at_a = [
+        object_name
+        for object_name in objects
+        if simulation.nodes["a"].cache.copies.peek(PartKey(object_name, 0)) is not None
+    ]
+    assert len(cached_at_a) > 5
+    simulation.kill("a")
+    request_all(("b", "c"))  # served from what they have cached
+    assert len(simulation.origin_fills) == 60 and not simulation.unanswered
+    simulation.restart("a")
+    request_all(names)
+    assert len(simulation.origin_fills) == 60 and not simulation.unanswered
+    copies = simulation.nodes["a"].cache.copies
+    assert all(copies.peek(PartKey(object_name, 0)) for object_name in objects)
+
+
+def test_a_purge_during_a_migration_lets_neither_home_serve_the_old_copy() -> None:
+    for seed in range(200):
+        rng = random.Random(seed)
+        simulation = HierarchySimulation()
+        for name in ("a", "b"):
+            simulation.add(name, home_of_all(1, "a", "a", "b"))
+        simulation.request("a", "x")
+        deliver_all(simulation)
+        for name in rng.sample(("a", "b"), 2):
+            simulation.follow(name, home_of_all(2, "b", "a", "b"))
+            simulation.request("b", "x")
+            for _ in range(rng.randrange(4)):
+                if simulation.pending:
+                    simulation.deliver(rng.randrange(len(simulation.pending)))
+            if name == "a":
+                simulation.purge("x")
+                for receiver in rng.sample(("a", "b"), 2):
+                    simulation.receive_purge(receiver, "x")
+            simulation.request("a", "x")
+        deliver_all(simulation, rng)
+        assert not simulation.stale_replies and not simulation.unanswered
+        assert len(simulation.origin_fills) <= 2
+
+
+def test_no_order_of_delivery_in_small_hierarchies_makes_a_ring_or_a_second_fill() -> None:
+    count = 0
+    for result in small_runs(max_runs=4000):
+        assert not result.violations
+        count += 1
+    assert count == 4000
+
+
+@pytest.mark.parametrize(("max_deaths", "may_remove"), [(0, False), (2, False), (2, True)])
+def test_random_interleavings_answer_all_requests_and_nothing_from_before_a_purge(
+    max_deaths: int, may_remove: bool
+) -> None:
+    for seed in range(700):
+        violations = random_run(seed, max_deaths=max_deaths, may_remove=may_remove).violations
+        if max_deaths:
+            violations = tuple(each for each in violations if not each.startswith("second"))
+        assert not violations, (seed, violations)
+
+
+@pytest.mark.parametrize(
+    ("guard", "violation"),
+    [
+        (Guard.WAIT_DIE, "never answered"),
+        (Guard.CLAIMS, "second fill"),
+        (Guard.LOOKUPS, "second fill"),
+        (Guard.NOTED_PURGES, "before a purge"),
+    ],
+)
+def test_the_search_finds_the_violation_that_follows_from_a_disabled_guard(
+    guard: Guard, violation: str
+) -> None:
+    results = (random_run(seed, disabled_guards=(guard,)) for seed in range(400))
+    assert any(violation in each for result in results for each in result.violations)
--- a/tests/hierarchy/test_tier.py
+++ b/tests/hierarchy/test_tier.py
@@ -122,7 +122,7 @@
     for number in range(40):
         asker.ask(f"q{number}")
     connection, words = peer.line()
-    trail = Keyring([SigningKey("k1", SECRET)]).read(
+    trail = Keyring([SigningKey("k1", SECRET)]).decode(
         told(words)["hops"], f"{words[1]} video {7:016x} 0 ", time.time()
     )
     assert trail.hops == ("a",) and "via" in told(words)
@@ -155,7 +155,7 @@
 
 def test_who_stands_in_the_trail_is_told_of_the_loop(one: Rig) -> None:
     asker = one.asker()
-    trail = Keyring([SigningKey("k1", SECRET)]).write(
+    trail = Keyring([SigningKey("k1", SECRET)]).encode(
         FillPath(1, ("a", "b")), f"q1 video {7:016x} 0 ", time.time()
     )
     asker.ask("q1", hops=trail)
@@ -198,7 +198,7 @@
         ("q1", SigningKey("k1", SECRET)),
         ("q2", SigningKey("k2", b"another secret, much newer")),
     ):
-        trail = Keyring([key]).write(FillPath(1, ("a",)), f"{id} video {7:016x} 0 ", time.time())
+        trail = Keyring([key]).encode(FillPath(1, ("a",)), f"{id} video {7:016x} 0 ", time.time())
         asker.ask(id, hops=trail)
         assert asker.answer()[2]["detail"] == "LOOP"
     one.settings("a", listen="lisn")
--- a/tests/hierarchy/test_topology.py
+++ b/tests/hierarchy/test_topology.py
@@ -1,4 +1,4 @@
-"""The shape of the hierarchy: what a feed may bring, in any order, and what is refused."""
+"""Topologies: which deltas are applied, kept or rejected, in any order, and their JSON."""
 
 import json
 import random
@@ -6,115 +6,127 @@
 
 import pytest
 
+from paddlequay.hierarchy.errors import TopologyError
 from paddlequay.hierarchy.topology import (
-    Delta,
-    DeltaOutcome,
     NodeSpec,
     Topology,
-    TopologyError,
+    TopologyDelta,
     TopologyLimits,
-    TopologyTracker,
-    delta_data,
-    difference,
-    next_shape,
-    read_delta,
-    whole,
+    apply_delta,
+    delta_between,
+    full_delta,
 )
+from paddlequay.hierarchy.topology_json import decode_delta, encode_delta
+from paddlequay.hierarchy.topology_tracker import DeltaOutcome, TopologyTracker
 from paddlequay.routing.interface import MemberState
 
 LIMITS = TopologyLimits()
 
 
 def node(name: str, *parents: str, **also: Any) -> NodeSpec:
-    return NodeSpec(name, ("127.0.0.1", 9), parents=parents, store=not parents, **also)
+    return NodeSpec(name, ("127.0.0.1", 9), parents=parents, is_origin=not parents, **also)
 
 
-START = Delta(1, None, (node("o"), node("r", "o"), node("a", "r", "o"), node("b", "r", "o")))
+START = TopologyDelta(1, None, (node("o"), node("r", "o"), node("a", "r", "o"), node("b", "r", "o")))
 
 
-def shaper(**limits: int) -> TopologyTracker:
-    made = TopologyTracker(TopologyLimits(**limits))
-    assert made.take(START) is DeltaOutcome.APPLIED
-    return made
+def tracker_at_start(**limits: int) -> TopologyTracker:
+    tracker = TopologyTracker(TopologyLimits(**limits))
+    assert tracker.receive(START).outcome is DeltaOutcome.APPLIED
+    return tracker
 
 
 @pytest.mark.parametrize(
-    ("delta", "said"),
+    ("delta", "reason"),
     [
-        (Delta(2, 1, (node("r", "a"),)), "a cycle: r > a > r"),
-        (Delta(2, 1, (node("a", "b"), node("b", "a"))), "a cycle: a > b > a"),
-        (Delta(2, 1, (node("r", "a"), node("a", "b"), node("b", "r"))), "a cycle"),
-        (Delta(2, 1, (node("a", "a"),)), "its own parent"),
-        (Delta(2, 1, (node("a", "x"),)), "has parent x, which is not there"),
-        (Delta(2, 1, (), ("r",)), "has parent r, which is not there"),
-        (Delta(2, 1, (), ("x",)), "drops x, which is not there"),
-        (Delta(2, 1, (NodeSpec("o", ("h", 1), parents=("r",), store=True),)), "store o has parents"),
-        (Delta(2, 1, (NodeSpec("a", ("h", 1)),)), "a has no parent"),
-        (Delta(2, None, (node("a", "b"), node("b", "a"))), "no store"),
-        (Delta(2, 1, tuple(node(f"n{i}", "o") for i in range(20))), "more than 20"),
-        (Delta(2, 1, (node("c", "a"), node("d", "c"), node("e", "d"))), "steps below a store"),
-        (Delta(2, 1, (node("a", *(f"n{i}" for i in range(5))),)), "5 parents"),
+        (TopologyDelta(2, 1, (node("r", "a"),)), "a cycle: r > a > r"),
+        (TopologyDelta(2, 1, (node("a", "b"), node("b", "a"))), "a cycle: a > b > a"),
+        (TopologyDelta(2, 1, (node("r", "a"), node("a", "b"), node("b", "r"))), "a cycle"),
+        (TopologyDelta(2, 1, (node("a", "a"),)), "its own parent"),
+        (TopologyDelta(2, 1, (node("a", "x"),)), "has parent x, which is not there"),
+        (TopologyDelta(2, 1, (), ("r",)), "has parent r, which is not there"),
+        (TopologyDelta(2, 1, (), ("x",)), "drops x, which is not there"),
+        (
+            TopologyDelta(2, 1, (NodeSpec("o", ("h", 1), parents=("r",), is_origin=True),)),
+            "store o has parents",
+        ),
+        (TopologyDelta(2, 1, (NodeSpec("a", ("h", 1)),)), "a has no parent"),
+        (TopologyDelta(2, None, (node("a", "b"), node("b", "a"))), "no store"),
+        (TopologyDelta(2, 1, tuple(node(f"n{i}", "o") for i in range(20))), "more than 20"),
+        (TopologyDelta(2, 1, (node("c", "a"), node("d", "c"), node("e", "d"))), "steps below a store"),
+        (TopologyDelta(2, 1, (node("a", *(f"n{i}" for i in range(5))),)), "5 parents"),
     ],
 )
-def test_an_unusable_shape_is_refused_in_one_line_and_leaves_the_old_one(delta: Delta, said: str) -> None:
-    made = shaper(nodes=20, depth=4, parents=4)
-    before = made.shape
-    assert made.take(delta) is DeltaOutcome.REFUSED
-    assert said in made.said and "\n" not in made.said and made.shape is before
-    assert made.take(Delta(3, 2, (node("c", "o"),))) is DeltaOutcome.HELD  # built on what was refused
-    assert made.take(Delta(4, 1, (node("d", "o"),))) is DeltaOutcome.APPLIED
-    assert set(made.shape.nodes) == {"o", "r", "a", "b", "d"} and not made.held
-
-
-def test_deltas_in_any_order_and_twice_end_in_the_same_shape() -> None:
-    steps = [START]
-    shape = next_shape(Topology(), START, LIMITS)
+def test_an_invalid_delta_is_rejected_in_one_line_and_changes_nothing(
+    delta: TopologyDelta, reason: str
+) -> None:
+    tracker = tracker_at_start(nodes=20, depth=4, parents=4)
+    before = tracker.topology
+    result = tracker.receive(delta)
+    assert result.outcome is DeltaOutcome.REJECTED
+    assert reason in result.reason and "\n" not in result.reason
+    assert tracker.topology is before
+    on_rejected = TopologyDelta(3, 2, (node("c", "o"),))
+    assert tracker.receive(on_rejected).outcome is DeltaOutcome.PENDING
+    on_current = TopologyDelta(4, 1, (node("d", "o"),))
+    assert tracker.receive(on_current).outcome is DeltaOutcome.APPLIED
+    assert set(tracker.topology.nodes) == {"o", "r", "a", "b", "d"} and not tracker.pending
+
+
+def test_deltas_in_any_order_and_twice_lead_to_the_same_topology() -> None:
+    deltas = [START]
+    topology = apply_delta(Topology(), START, LIMITS)
     for version in range(2, 30):
-        put = (node(f"n{version}", "r", "o"), node("a", "o", weight=float(version)))
-        steps.append(Delta(version, version - 1, put, (f"n{version - 3}",) if version > 5 else ()))
-        shape = next_shape(shape, steps[-1], LIMITS)
+        changed = (node(f"n{version}", "r", "o"), node("a", "o", weight=float(version)))
+        removed = (f"n{version - 3}",) if version > 5 else ()
+        deltas.append(TopologyDelta(version, version - 1, changed, removed))
+        topology = apply_delta(topology, deltas[-1], LIMITS)
     for seed in range(30):
         rng = random.Random(seed)
-        mixed = steps + rng.sample(steps, 10)
-        rng.shuffle(mixed)
-        made = TopologyTracker(TopologyLimits(held=40))
-        took = [made.take(delta) for delta in mixed]
-        assert made.shape == shape and not made.held
-        assert DeltaOutcome.REFUSED not in took
+        shuffled = deltas + rng.sample(deltas, 10)
+        rng.shuffle(shuffled)
+        tracker = TopologyTracker(TopologyLimits(pending_deltas=40))
+        outcomes = [tracker.receive(delta).outcome for delta in shuffled]
+        assert tracker.topology == topology and not tracker.pending
+        assert DeltaOutcome.REJECTED not in outcomes
 
 
-def test_what_waits_is_bounded_and_a_whole_shape_goes_over_all() -> None:
-    made = shaper(held=4, held_nodes=10)
+def test_pending_deltas_are_bounded_and_a_full_delta_replaces_them() -> None:
+    tracker = tracker_at_start(pending_deltas=4, pending_nodes=10)
     for version in range(10, 30):
-        made.take(Delta(version + 1, version, (node(f"n{version}", "o"),)))
-    assert len(made.held) == 4 and min(made.held) == 10
-    assert made.take(Delta(50, 49, tuple(node(f"m{i}", "o") for i in range(11)))) is DeltaOutcome.REFUSED
-    assert made.take(Delta(40, None, (node("o"), node("z", "o")))) is DeltaOutcome.APPLIED
-    assert set(made.shape.nodes) == {"o", "z"} and not made.held
-    assert made.take(START) is DeltaOutcome.OLD
+        tracker.receive(TopologyDelta(version + 1, version, (node(f"n{version}", "o"),)))
+    assert len(tracker.pending) == 4 and min(tracker.pending) == 10
+    too_large = TopologyDelta(50, 49, tuple(node(f"m{i}", "o") for i in range(11)))
+    assert tracker.receive(too_large).outcome is DeltaOutcome.REJECTED
+    full = TopologyDelta(40, None, (node("o"), node("z", "o")))
+    assert tracker.receive(full).outcome is DeltaOutcome.APPLIED
+    assert set(tracker.topology.nodes) == {"o", "z"} and not tracker.pending
+    assert tracker.receive(START).outcome is DeltaOutcome.OUTDATED
 
 
-def test_ten_thousand_nodes_in_one_delta_and_a_chain_deeper_than_the_stack() -> None:
+def test_ten_thousand_nodes_fit_one_delta_and_a_chain_deeper_than_the_stack_is_rejected() -> None:
     many = tuple(node(f"n{i}", "r", "o", group=f"g{i % 50}") for i in range(10_000))
-    made = shaper()
-    assert made.take(Delta(2, 1, many)) is DeltaOutcome.APPLIED
-    again = read_delta(json.loads(json.dumps(delta_data(whole(made.shape)))), LIMITS)
-    assert next_shape(Topology(), again, LIMITS) == made.shape
+    tracker = tracker_at_start()
+    assert tracker.receive(TopologyDelta(2, 1, many)).outcome is DeltaOutcome.APPLIED
+    data = json.loads(json.dumps(encode_delta(full_delta(tracker.topology))))
+    assert apply_delta(Topology(), decode_delta(data, LIMITS), LIMITS) == tracker.topology
     chain = tuple(node(f"n{i}", f"n{i + 1}" if i < 9_999 else "o") for i in range(10_000))
-    assert made.take(Delta(3, 2, chain)) is DeltaOutcome.REFUSED and "steps below" in made.said
+    result = tracker.receive(TopologyDelta(3, 2, chain))
+    assert result.outcome is DeltaOutcome.REJECTED and "steps below" in result.reason
 
 
-def test_a_difference_leads_from_one_shape_to_the_other() -> None:
-    old = next_shape(Topology(), START, LIMITS)
-    new = next_shape(old, Delta(2, 1, (node("a", "o", state=MemberState.DRAINING),), ("b",)), LIMITS)
-    assert next_shape(old, difference(old, new), LIMITS) == new
+def test_the_delta_between_two_topologies_leads_from_one_to_the_other() -> None:
+    old = apply_delta(Topology(), START, LIMITS)
+    draining = node("a", "o", state=MemberState.DRAINING)
+    new = apply_delta(old, TopologyDelta(2, 1, (draining,), ("b",)), LIMITS)
+    assert apply_delta(old, delta_between(old, new), LIMITS) == new
 
 
 GOOD = {"id": "a", "at": "127.0.0.1:9", "parents": ["o"]}
 
 
 @pytest.mark.parametrize(
-    ("item", "said"),
+    ("item", "reason"),
     [
         (None, "expected an object"),
         ({}, "version: expected int"),
@@ -137,7 +149,7 @@
         ({"version": 1, "drop": ["a=b"]}, "drop: expected 1 to 64 letters"),
     ],
 )
-def test_json_that_is_no_shape_is_told_with_its_field(item: Any, said: str) -> None:
+def test_json_that_is_no_delta_is_rejected_with_its_field(item: Any, reason: str) -> None:
     with pytest.raises(TopologyError, match=r"^[^\n]{1,200}$") as error:
-        read_delta(item, LIMITS)
-    assert said in str(error.value)
+        decode_delta(item, LIMITS)
+    assert reason in str(error.value)
