--- a/paddlequay/requests/intake.py
+++ b/paddlequay/requests/intake.py
@@ -1,4 +1,4 @@
-"""The requests that are pending, and whether one more is taken in."""
+"""Admits requests into the set of pending ones, within limits on their number and total body size."""
 
 from paddlequay.config.limits import Limits
 from paddlequay.observability.counters import Counters
@@ -7,36 +7,45 @@
 
 
 class RequestIntake:
-    """Pending requests by serial, their ids, and the bytes of their bodies."""
+    """Owns the pending requests by serial, their client ids, and the total size of their bodies in bytes."""
 
     def __init__(self, limits: Limits, quotas: ProcessQuotas, counters: Counters) -> None:
-        self.limits, self.quotas, self.counters = limits, quotas, counters
+        self.limits = limits
+        self.quotas = quotas
+        self.counters = counters
         self.by_serial: dict[str, PendingRequest] = {}
         self.open_ids: set[str] = set()
         self.body_bytes = 0
 
     def answer_at_once(self, request: ClientRequest) -> FinalAnswer | None:
-        """The answer to a request that is not taken in: too much is pending, or its id is."""
-        full = self.body_bytes + len(request.body) > self.limits.max_body_bytes * self.quotas.memory_share
-        if full or len(self.by_serial) >= self.limits.max_open_requests:
-            # Bodies wait here for their upstreams: thirty-two of 48,000 bytes on each connection are more
-            # than a small router has.
+        """Returns the final answer of a request that is not admitted; None if it is admitted.
+
+        A request is rejected if too many requests or bytes of bodies are pending, and fails if its id is pending.
+        """
+        if not self.has_capacity(request):
             self.counters.add("rejected.too_many_open")
             return FinalAnswer(AnswerStatus.REJECTED, retry_after=self.limits.busy_retry_after)
         if request.id in self.open_ids:
-            # The first request's answer must not serve another object, nor a second one's end end the first.
+            # The answer to one request must not serve, and its end must not end, another under the same id.
             self.counters.add("rejected.id_open")
             return FinalAnswer(AnswerStatus.FAILED)
         return None
 
+    def has_capacity(self, request: ClientRequest) -> bool:
+        """Returns whether one more request fits the limits on pending requests and on bytes of bodies."""
+        max_body_bytes = self.limits.max_body_bytes * self.quotas.memory_share
+        if self.body_bytes + len(request.body) > max_body_bytes:
+            return False
+        return len(self.by_serial) < self.limits.max_open_requests
+
     def add(self, pending: PendingRequest) -> None:
-        """A request is pending from now on."""
+        """Adds an admitted request."""
         self.open_ids.add(pending.request.id)
         self.body_bytes += len(pending.request.body)
         self.by_serial[pending.serial] = pending
 
     def remove(self, pending: PendingRequest) -> None:
-        """A request is over; KeyError where it is not pending."""
+        """Removes a request that has ended; raises KeyError if it is not pending."""
         del self.by_serial[pending.serial]
         self.open_ids.discard(pending.request.id)
         self.body_bytes -= len(pending.request.body)
--- a/paddlequay/requests/write_checks.py
+++ b/paddlequay/requests/write_checks.py
@@ -1,4 +1,7 @@
-"""What binds at the moment of writing: the list, operators' overrides and purges, as they stand then."""
+"""Checks an attempt at the moment of writing against the endpoint list, the operators' overrides and the purges.
+
+A decision may be written long after it was made, once a connection is established or a socket accepts bytes again.
+"""
 
 import math
 from collections import OrderedDict
@@ -9,12 +12,15 @@
 from paddlequay.requests.messages import ClientRequest, Scheduler, UpstreamAttempt
 from paddlequay.routing.interface import Fetch, Member, MemberState, RequestClass
 
-MAX_PURGES = 4096  # the latest are remembered, by object or group: an hour's at one a second
-MIN_AGE_S = 0.001  # an age limit of 0 would mean the default
+MAX_PURGES = 4096  # the latest by object or group: an hour's at one a second
+MIN_AGE_S = 0.001  # on the wire an age limit of 0 selects the cache's default
 
 
 class WriteChecks:
-    """Notified of each change, and consulted before each write. Bounded by the list and by `MAX_PURGES`."""
+    """Holds the latest members and purges, and answers whether an attempt may still be written.
+
+    Memory is bounded by the endpoint list and by `MAX_PURGES`.
+    """
 
     def __init__(self, operator_state: OperatorState, limits: Limits, scheduler: Scheduler) -> None:
         self.operator_state = operator_state
@@ -24,70 +30,103 @@
         self.purged_at: OrderedDict[tuple[str, int | None], float] = OrderedDict()
 
     def update_members(self, members: tuple[Member, ...], full: bool) -> None:
-        """The list, or changes to it."""
+        """Applies a complete endpoint list (`full`) or changes to it."""
         self.operator_state.record_listed(member.name for member in members)
         if full:
             self.members.clear()
         for member in members:
             if member.state is MemberState.REMOVED:
-                self.members.pop(member.name, None)  # its name never comes again
+                self.members.pop(member.name, None)
             else:
                 self.members[member.name] = member
 
     def with_overrides(self, member: Member) -> Member:
-        """A member as the decisions see it: what operators eject drains, whatever the list says."""
+        """Returns the member as the decisions see it: draining if operators have ejected it."""
         if member.state is not MemberState.REMOVED and self.operator_state.is_ejected(member.name):
             return replace(member, state=MemberState.DRAINING)
         return member
 
     def record_purge(self, key: int | None, group: int | None, issued: float) -> float:
-        """An object, or without `key` a group, was purged at `issued`, in Unix seconds; returns its age."""
-        place = ("group", group) if key is None else ("key", key)
-        self.purged_at[place] = max(issued, self.purged_at.pop(place, -math.inf))
+        """Records the purge of an object, or of a whole group if `key` is None.
+
+        Args:
+            key: The number of the object.
+            group: The number of the group.
+            issued: When the purge was issued, in Unix seconds.
+
+        Returns:
+            The age of the purge in seconds, never below 0.
+        """
+        scope = ("group", group) if key is None else ("key", key)
+        previous = self.purged_at.pop(scope, -math.inf)
+        self.purged_at[scope] = max(issued, previous)
         while len(self.purged_at) > MAX_PURGES:
             self.purged_at.popitem(last=False)
         return max(0.0, self.scheduler.unix() - issued)
 
     def max_age(self, request: ClientRequest, kind: RequestClass, decided: float | None) -> float | None:
-        """The age limit that was decided, else the class's own, narrowed by purges; in seconds.
+        """Returns the maximum age of a copy that may serve the request, in seconds; None for no limit.
+
+        The limit is the one decided, else the freshness lifetime of the class, lowered to the age of the last
+        purge. A purge counts for as long as it is remembered, because a cache that hung while it was announced
+        may still hold an older copy.
 
-        Also long after all caches have had the time to drop older copies: one that hung meanwhile has not,
-        and no copy that may be served is older than the last purge.
+        Args:
+            request: The request, with the number of its object and group.
+            kind: The class of the request.
+            decided: The limit that the decisions have chosen, in seconds.
         """
         if kind.uncacheable:
             return decided
-        at = max(
-            self.purged_at.get(("key", request.key), -math.inf),
-            self.purged_at.get(("group", request.group), -math.inf),
-        )
-        age = max(MIN_AGE_S, self.scheduler.unix() - at)
-        return decided if age >= (decided or kind.freshness_lifetime or math.inf) else age
+        key_purged_at = self.purged_at.get(("key", request.key), -math.inf)
+        group_purged_at = self.purged_at.get(("group", request.group), -math.inf)
+        purge_age = max(MIN_AGE_S, self.scheduler.unix() - max(key_purged_at, group_purged_at))
+        limit = decided or kind.freshness_lifetime or math.inf
+        return decided if purge_age >= limit else purge_age
 
     def is_usable(self, name: str) -> bool:
-        """Whether anything may be sent to a member, or filled from it."""
+        """Returns whether requests may be sent to a member, or filled from it."""
         member = self.members.get(name)
         if member is None or member.state not in (None, MemberState.READY):
             return False
         return not self.operator_state.is_ejected(name)
 
     def chosen_members(self, fetch: Fetch) -> tuple[Member | None, ...]:
-        """Target and source as listed now."""
+        """Returns the target and the source of a fetch as they are listed now."""
         return self.members.get(fetch.target), self.members.get(fetch.source)
 
     def allows(self, attempt: UpstreamAttempt, now: float) -> bool:
-        """Whether an attempt may still be written at `now`, in seconds of the decisions' clock.
+        """Returns whether an attempt may still be written.
 
-        Target and source may be used, neither has restarted or moved since they were chosen, and a retry of
-        what may have been executed is inside the window and the scope of the first attempt.
+        Its target and source must be usable and must not have restarted or moved since they were chosen. A retry
+        of a request that may have been executed must be within the dedup window and scope of the first attempt.
+
+        Args:
+            attempt: The attempt, with the members that were chosen for it.
+            now: The time in seconds of the decisions' clock.
         """
         fetch = attempt.fetch
-        for then, name in zip(attempt.chosen_members, (fetch.target, fetch.source), strict=True):
-            if then is None or not self.is_usable(name):
+        names = (fetch.target, fetch.source)
+        for chosen, name in zip(attempt.chosen_members, names, strict=True):
+            if chosen is None or not self.is_usable(name):
+                return False
+            if not is_same_instance(chosen, self.members[name]):
                 return False
-            listed = self.members[name]
-            if (listed.started or 0) > (then.started or 0):
-                return False  # cold and empty now, and chosen as it was before
-            if (listed.zone, listed.cell) != (then.zone, then.cell):
-                return False  # other zones' caches are not used; a retry is bound to the first one's place
+        return self.is_within_retry_bound(fetch, now)
+
+    def is_within_retry_bound(self, fetch: Fetch, now: float) -> bool:
+        """Returns whether the target still drops a duplicate of what an earlier attempt may have executed."""
         bound = fetch.retry_bound
-        return bound is None or (now < bound.until and bound.covers(self.members[fetch.target]))
+        if bound is None:
+            return True
+        return now < bound.until and bound.covers(self.members[fetch.target])
+
+
+def is_same_instance(chosen: Member, listed: Member) -> bool:
+    """Returns whether a member has neither restarted nor moved since it was chosen.
+
+    A restarted cache is empty and warming up. A retry is bound to the zone and cell of the first attempt.
+    """
+    restarted = (listed.started or 0) > (chosen.started or 0)
+    moved = (listed.zone, listed.cell) != (chosen.zone, chosen.cell)
+    return not restarted and not moved
