--- a/paddlequay/cluster/acceptor.py
+++ b/paddlequay/cluster/acceptor.py
@@ -126,14 +126,14 @@
         return Promise(note.lease, note.ballot, 0, 0, 0)
 
     def _propose(self, note: Propose, now: float) -> PeerMessage | None:
-        term = note.term_ms / 1000
+        term = note.duration_ms / 1000
         if not 0 < term <= self.bounds.lease:
             return None  # longer than the stay-out covers: its sender is set otherwise
         if self.floor is None:
             return Reject(note.lease, note.ballot, 0, millis(self.out(now)))
         vote = self.votes.get(note.lease)
         if vote is None:
-            if note.number == 0:
+            if note.round_number == 0:
                 return Reject(note.lease, note.ballot, self.floor, 0)
             vote = self._new(note.lease, now)
             if vote is None:
@@ -147,7 +147,7 @@
         vote.ends = self.lasts(term, now)
         vote.heir_until = 0.0
         self._used(vote, now)
-        return Accept(note.lease, note.ballot, note.number)
+        return Accept(note.lease, note.ballot, note.round_number)
 
     def locked(self, vote: Vote, ballot: int, now: float) -> bool:
         """Another owner has the lock."""
@@ -155,7 +155,7 @@
 
     def may(self, vote: Vote, note: Propose, now: float) -> bool:
         """The ballot is not too old: for a take its promise binds, for a renewal no other promise does."""
-        if note.number == 0:
+        if note.round_number == 0:
             return note.ballot == vote.promised and now < vote.binds
         return note.ballot >= vote.least and (note.ballot >= vote.promised or now >= vote.binds)
 
@@ -172,8 +172,8 @@
             vote.binds = 0.0
         if vote.held == note.ballot and now < vote.ends:
             vote.ends = 0.0
-            if note.heir != sender:
-                vote.heir, vote.heir_until = note.heir, now + self.bounds.lease * HEIR
+            if note.successor != sender:
+                vote.heir, vote.heir_until = note.successor, now + self.bounds.lease * HEIR
 
     def _new(self, lease: Name, now: float) -> Vote | None:
         if len(self.votes) >= STATES_MOST:
--- a/paddlequay/cluster/channels.py
+++ b/paddlequay/cluster/channels.py
@@ -250,7 +250,7 @@
         bundle.wanted = False
         if holder is not None and holder != bundle.owner:
             self._owner(bundle, holder, now)
-        return self.leases.drop(bundle.lease, now)
+        return self.leases.release(bundle.lease, now)
 
     def _bids(self, now: float) -> list[Action]:
         """Bid for what has no owner, at a bounded pace, in no order."""
@@ -262,7 +262,7 @@
         for bundle in ready[: int(self._tokens)]:
             self._tokens -= 1
             bundle.bids_from, bundle.wanted, bundle.bid = None, True, now
-            out += self.leases.want(bundle.lease, now)
+            out += self.leases.request(bundle.lease, now)
         return out
 
     def _ready(self, sender: Peer, bundle: Bundle, note: Ready, now: float) -> list[Action]:
@@ -279,7 +279,7 @@
             # It is the owner no more, or what an acceptor told was of a lost election. Who has followed it is
             # asked for at once; where nobody has, a bid comes by itself.
             bundle.owner, bundle.denied, bundle.denied_at = None, sender, now
-            return self.leases.ask(bundle.lease, now)
+            return self.leases.query_holder(bundle.lease, now)
         return self.handoff.ready(sender, bundle, note, now)
 
     # --- owning ---
--- a/paddlequay/cluster/epochs.py
+++ b/paddlequay/cluster/epochs.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from paddlequay.cluster.acceptor import counter
-from paddlequay.cluster.messages import Has, Table
+from paddlequay.cluster.messages import TableAcknowledgement, TableAnnouncement
 from paddlequay.cluster.types import NEVER, Action, Bounds, Fleet, LogEvent, Name, Peer, SendMessage, Urgency
 from paddlequay.placement.homes import digest
 
@@ -36,7 +36,7 @@
 
 
 def mark(epoch: int) -> int:
-    """What `Has.active` tells of an epoch: 63 bits, in order but for terms taken at the same count."""
+    """Returns an epoch shortened to 63 bits for the wire, in order but for terms of the same counter."""
     return counter(epoch >> NUMBERS) << NUMBERS | epoch & (1 << NUMBERS) - 1
 
 
@@ -89,13 +89,13 @@
     epoch: int
     content: Content
 
-    def note(self) -> Table:
+    def note(self) -> TableAnnouncement:
         return told(self.epoch, self.content, 1)
 
 
-def told(epoch: int, content: Content, stage: int) -> Table:
+def told(epoch: int, content: Content, stage: int) -> TableAnnouncement:
     number = epoch & (1 << NUMBERS) - 1
-    return Table(number, epoch >> NUMBERS, content.table, content.rules, stage)
+    return TableAnnouncement(number, epoch >> NUMBERS, content.table, content.rules, stage)
 
 
 class Declarer:
@@ -159,22 +159,22 @@
         if self.term:
             self.next = min(self.next, max(now, self.proposed + PAUSE))
 
-    def heard(self, sender: Peer, incarnation: int, note: Has, now: float) -> list[Action]:
+    def heard(self, sender: Peer, incarnation: int, note: TableAcknowledgement, now: float) -> list[Action]:
         """What a router has. Who is behind is told at once, whatever is waited for."""
-        epoch = epoch_of(note.term, note.epoch)
+        epoch = epoch_of(note.term, note.epoch_number)
         before = self.answers.get(sender)
         if before is not None and (incarnation, epoch) < (before.incarnation, before.epoch):
             return []  # overtaken by a later one
-        self.answers[sender] = Answer(incarnation, epoch, note.table)
-        self.confirmed[sender] = note.active
-        if before is None or before.table != note.table:
+        self.answers[sender] = Answer(incarnation, epoch, note.table_digest)
+        self.confirmed[sender] = note.active_epoch
+        if before is None or before.table != note.table_digest:
             self.look(now)
         declared = self.declared
-        if declared is not None and note.active != mark(declared.epoch):
-            if note.active > mark(declared.epoch) and declared.epoch >> NUMBERS != self.term:
+        if declared is not None and note.active_epoch != mark(declared.epoch):
+            if note.active_epoch > mark(declared.epoch) and declared.epoch >> NUMBERS != self.term:
                 # The holder before this one has declared a later epoch, which has not come here.
                 self.declared, self.tries = None, Tries()
-            elif epoch < declared.epoch and note.active < mark(declared.epoch):
+            elif epoch < declared.epoch and note.active_epoch < mark(declared.epoch):
                 return [SendMessage(sender, declared.note(), Urgency.NEWS)]
         return []
 
--- a/paddlequay/cluster/granter.py
+++ b/paddlequay/cluster/granter.py
@@ -124,7 +124,9 @@
         if now < self.terms[kept.lease][1] + self.waits(kept):
             return None
         share = self.granted(book, kept, sender, incarnation, now)
-        return QuotaGrant(note.limit, note.number, term, share.milli, share.burst, int(kept.life * 1000))
+        return QuotaGrant(
+            note.limit, note.request_number, term, share.milli, share.burst, int(kept.life * 1000)
+        )
 
     def granted(self, book: Book, kept: Kept, sender: Peer, incarnation: int, now: float) -> Share:
         """What the sender gets now: its share as far as it is free, written down as out."""
@@ -155,16 +157,18 @@
         self, book: Book, kept: Kept, sender: Peer, incarnation: int, note: QuotaRequest, now: float
     ) -> bool:
         """Write down what a router needs; False for a Need that is no newer than the last."""
-        want = max(0, min(note.milli, kept.whole.limit.milli) - kept.whole.floor.milli)
+        want = max(0, min(note.amount_milli, kept.whole.limit.milli) - kept.whole.floor.milli)
         asker = book.askers.get(sender)
         if asker is not None and asker.until <= now:
             asker = None
-        if asker is not None and (incarnation, note.number) <= (asker.incarnation, asker.number):
+        if asker is not None and (incarnation, note.request_number) <= (asker.incarnation, asker.number):
             return False
         if asker is None or abs(want - asker.want) * 8 > asker.want:
             book.fresh = now  # somebody comes, or needs another share: divide anew
         # A Need that asks is worth something beside the floor, even where it names no more than that: bursts.
-        book.askers[sender] = Asker(incarnation, note.number, max(want, kept.whole.unit), now + kept.life)
+        book.askers[sender] = Asker(
+            incarnation, note.request_number, max(want, kept.whole.unit), now + kept.life
+        )
         return True
 
     def divided(self, book: Book, kept: Kept, now: float) -> Mapping[Peer, Share]:
--- a/paddlequay/cluster/handoff.py
+++ b/paddlequay/cluster/handoff.py
@@ -146,7 +146,7 @@
             return [SendMessage(sender, Ready(bundle.lease, note.term, 0), Urgency.LEASE)]
         bundle.taking = Taking(sender, note.term, now)
         bundle.wanted, bundle.bids_from = True, None
-        return self.leases.want(bundle.lease, now)
+        return self.leases.request(bundle.lease, now)
 
     def take(self, bundle: Bundle, taking: Taking, now: float) -> list[Action]:
         """Say that this router is ready once its bid has been told who holds the lease, and waits."""
--- a/paddlequay/cluster/leases.py
+++ b/paddlequay/cluster/leases.py
@@ -29,7 +29,7 @@
 
 Stated bounds, for T = 1.5 s and answers within 0.1 s: a lease whose holder dies is taken again within 1.05 T
 + 0.2 T + the election, 2.2 s without loss; one whose holder is told nothing but can tell, within 3.2 s, as
-its renewals still close locks until it gives up; one released to an heir, within 0.1 s and two answers'
+its renewals still close locks until it gives up; one released to an successor, within 0.1 s and two answers'
 times. Renewals go out each third of what is counted, are sent again each T/15 until a majority has answered,
 and may all be lost for T/2. A router starts 25 elections a second at most (`PACE`), 8 of them at once.
 Memory: `STATES_MOST`, `BIDS_MOST`, `HINTS_MOST` leases. Counters have 31 bits; they grow with takes and lost
@@ -79,13 +79,13 @@
 
     # --- for the parts that need leases ---
 
-    def want(self, lease: Name, now: float) -> list[Action]:
+    def request(self, lease: Name, now: float) -> list[Action]:
         """Bids for a lease until it is dropped, and renews it while held; logs a refusal past `BIDS_MOST`."""
-        return self._settled(self.proposer.want(lease, now), now)
+        return self._settled(self.proposer.request(lease, now), now)
 
-    def drop(self, lease: Name, now: float, heir: Peer | None = None) -> list[Action]:
-        """Give a lease up, held or not; `heir`, where it wants it too, takes it without waiting."""
-        return self._settled(self.proposer.drop(lease, now, heir), now)
+    def release(self, lease: Name, now: float, successor: Peer | None = None) -> list[Action]:
+        """Give a lease up, held or not; `successor`, where it wants it too, takes it without waiting."""
+        return self._settled(self.proposer.release(lease, now, successor), now)
 
     def holds(self, lease: Name, now: float) -> int | None:
         """The term under which this router holds a lease at this moment: to be asked at each use."""
@@ -95,19 +95,19 @@
         """Who holds a lease as far as was heard: a hint for whom to ask, never a proof."""
         return self.proposer.holder(lease, now)
 
-    def ask(self, lease: Name, now: float) -> list[Action]:
+    def query_holder(self, lease: Name, now: float) -> list[Action]:
         """Asks all acceptors who holds a lease, without a bid; `HolderObserved` gives the answer."""
         note = Prepare(lease, 0)
         return self._settled([SendMessage(each, note, Urgency.NEWS) for each in self.fleet.acceptors], now)
 
     @property
-    def clock(self) -> int:
+    def highest_counter(self) -> int:
         """The highest ballot counter heard of, for the heads of datagrams."""
         return self.proposer.clock
 
-    def saw_clock(self, value: int) -> None:
+    def observe_counter(self, value: int) -> None:
         """The `clock` in a datagram's head, told before its notes."""
-        self.proposer.saw_clock(value)
+        self.proposer.observe_counter(value)
 
     # --- as a part ---
 
@@ -119,7 +119,7 @@
 
     def tick(self, now: float) -> list[Action]:
         if self.acceptor is not None:
-            self.acceptor.tick(self.clock, now)
+            self.acceptor.tick(self.highest_counter, now)
         return self._settled(self.proposer.tick(now), now)
 
     def due(self) -> float:
@@ -129,11 +129,11 @@
         out: list[Action] = []
         if isinstance(note, Prepare | Propose | Release):
             answer = (
-                self.acceptor.handle_message(sender, note, self.clock, now)
+                self.acceptor.handle_message(sender, note, self.highest_counter, now)
                 if self.acceptor is not None
                 else None
             )
-            self.proposer.saw_clock(counter(note.ballot))
+            self.proposer.observe_counter(counter(note.ballot))
             if answer is not None:
                 out.append(SendMessage(sender, answer, Urgency.LEASE))
         if not isinstance(note, Prepare | Propose):
--- a/paddlequay/cluster/limits.py
+++ b/paddlequay/cluster/limits.py
@@ -328,9 +328,9 @@
     def since(self, line: Line, note: QuotaGrant, now: float) -> float | None:
         """When a grant's life began; None for one that is void: for no Need, an old one, of a lower term."""
         term, _ = self.holders.get(line.kept.lease, (0, 0))
-        if note.number <= line.number or note.term < term:
+        if note.request_number <= line.number or note.term < term:
             return None
-        return line.sent.get(note.number)
+        return line.sent.get(note.request_number)
 
     def take(self, sender: Peer, note: QuotaGrant, now: float) -> None:
         """Use a grant, if it answers a Need of this process and is not over."""
@@ -339,16 +339,16 @@
         if line is None or sent is None:
             return
         line.store.advance(now, self.cut_off(line))
-        line.number = note.number
+        line.number = note.request_number
         line.vain = NEVER
-        if line.next != NEVER and note.number == max(line.sent):
+        if line.next != NEVER and note.request_number == max(line.sent):
             line.next = max(line.next, line.asked_at + self.bounds.grant * RENEW)
             heapq.heappush(self.heap, (line.next, note.limit))
         self.seen(line.kept.lease, sender, note.term)
-        until = sent + min(note.life_ms / 1000, line.kept.life) * (1 - self.bounds.drift)
+        until = sent + min(note.valid_ms / 1000, line.kept.life) * (1 - self.bounds.drift)
         if until > now:
             pool = line.kept.whole.pool
-            line.store.grant(Share(note.milli, note.burst_milli).least(pool), until)
+            line.store.grant(Share(note.amount_milli, note.burst_milli).least(pool), until)
 
     def seen(self, lease: Name, holder: Peer, term: int) -> None:
         if term >= self.holders.get(lease, (0, 0))[0]:
--- a/paddlequay/cluster/messages.py
+++ b/paddlequay/cluster/messages.py
@@ -85,11 +85,13 @@
     by: PeerNumber
 
 
-# --- leases (PaxosLease; `ballot` grows, and is the term of who takes the lease with it) ---
+# --- leases (PaxosLease): a ballot that acquires a lease is the holder's term ---
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare(PeerMessage):
+    """Asks an acceptor to promise a ballot; ballot 0 only asks for the holder."""
+
     KIND: ClassVar[int] = 10
     lease: Digest
     ballot: int
@@ -97,54 +99,71 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise(PeerMessage):
-    """No lower ballot any more; `holder` has, under `held`, `left_ms` at most of its lease; 0: nobody."""
+    """Promises to accept no lower ballot, or names the current holder.
+
+    Attributes:
+        holder_ballot: The ballot of the lock that runs, 0 where none does.
+        holder: The router that has that lock.
+        remaining_ms: For how long the lock runs at most.
+    """
 
     KIND: ClassVar[int] = 11
     lease: Digest
     ballot: int
-    held: int
+    holder_ballot: int
     holder: PeerNumber
-    left_ms: int
+    remaining_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class Propose(PeerMessage):
-    """Accept the sender as holder for `term_ms` from its receipt on."""
+    """Asks an acceptor to lock the lease for the sender, for `duration_ms` from receipt.
+
+    Attributes:
+        round_number: 0 for an acquisition; counts the renewals under one ballot.
+    """
 
     KIND: ClassVar[int] = 12
     lease: Digest
     ballot: int
-    term_ms: int
-    number: int  # of this proposal: renewals under one ballot are told apart
+    duration_ms: int
+    round_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Accept(PeerMessage):
+    """Confirms that the acceptor has locked the lease for a round of a proposal."""
+
     KIND: ClassVar[int] = 13
     lease: Digest
     ballot: int
-    number: int
+    round_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Reject(PeerMessage):
-    """`promised` is higher, or (`out_ms` above 0) the acceptor started lately and stays out for so long."""
+    """Rejects a ballot: a higher one was promised, or the acceptor cannot vote yet.
+
+    Attributes:
+        promised: The highest ballot that the acceptor has promised.
+        retry_after_ms: Above 0, for how long the acceptor does not vote on this lease for the sender.
+    """
 
     KIND: ClassVar[int] = 14
     lease: Digest
     ballot: int
     promised: int
-    out_ms: int
+    retry_after_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class Release(PeerMessage):
-    """The holder gives the lease back before its end, for `heir` to take where that is not its own number."""
+    """Gives a lease back before its end, to `successor` unless that is the sender itself."""
 
     KIND: ClassVar[int] = 15
     lease: Digest
     ballot: int
-    heir: PeerNumber
+    successor: PeerNumber
 
 
 # --- limits ---
@@ -152,26 +171,39 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaRequest(PeerMessage):
-    """What a router would use of a limit: milli-requests a second, or requests out at once."""
+    """Tells the holder of a limit how much of it the sender would use.
+
+    Attributes:
+        request_number: The grant names it, and is valid from when this request was sent.
+        amount_milli: Thousandths of a request per second, or of a request in flight.
+        term: The highest term of a holder that the sender has observed, 0 for none.
+    """
 
     KIND: ClassVar[int] = 20
     limit: Digest
-    number: int  # of this note: the answer names it, and lives from when it was sent
-    milli: int
-    term: int  # of the holder last heard, 0 none
+    request_number: int
+    amount_milli: int
+    term: int
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaGrant(PeerMessage):
-    """A share of a limit beside the floor, for `life_ms` from when `QuotaRequest` `number` was sent."""
+    """Grants a quota beside the floor, for `valid_ms` from when the request was sent.
+
+    Attributes:
+        request_number: The `QuotaRequest` that it answers.
+        term: The term of the holder.
+        amount_milli: Thousandths of a request per second, or of a request in flight.
+        burst_milli: Thousandths of a request.
+    """
 
     KIND: ClassVar[int] = 21
     limit: Digest
-    number: int
+    request_number: int
     term: int
-    milli: int  # a second, or requests out at once in thousandths
+    amount_milli: int
     burst_milli: int
-    life_ms: int
+    valid_ms: int
 
 
 # --- verdicts ---
@@ -248,26 +280,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Table(PeerMessage):
-    """The holder of the lease proposes, or (`stage` 1) declares active, a table under an epoch."""
+class TableAnnouncement(PeerMessage):
+    """Proposes a placement table under an epoch or, with `is_declaration` 1, declares it active.
+
+    Attributes:
+        epoch_number: Counts the epochs of one term.
+        term: The term of the holder that makes the epoch.
+        table_digest: Names the compiled table.
+        rules_digest: Names the text of the placement rules, 0 where it is not told.
+    """
 
     KIND: ClassVar[int] = 50
-    epoch: int
+    epoch_number: int
     term: int
-    table: Digest  # digest of the compiled table
-    rules: Digest  # digest of the rule text
-    stage: Flag
+    table_digest: Digest
+    rules_digest: Digest
+    is_declaration: Flag
 
 
 @dataclass(frozen=True, slots=True)
-class Has(PeerMessage):
-    """A router's answer: it has compiled the table of `epoch` to `table`, which may differ; 0: it cannot."""
+class TableAcknowledgement(PeerMessage):
+    """Tells the holder which table the sender has compiled, in answer to an epoch.
+
+    Attributes:
+        epoch_number: With `term`, the highest epoch that the sender has heard of.
+        table_digest: Names the sender's own table, which may differ; 0 where it has none.
+        active_epoch: The epoch that the sender uses, shortened to 63 bits; 0 for none.
+    """
 
     KIND: ClassVar[int] = 51
-    epoch: int
+    epoch_number: int
     term: int
-    table: Digest
-    active: int  # the epoch that it uses
+    table_digest: Digest
+    active_epoch: int
 
 
 MESSAGE_TYPES: dict[int, type[PeerMessage]] = {
@@ -278,6 +323,6 @@
         QuotaRequest, QuotaGrant,
         Evidence,
         Carried, Offer, Ready, Took, Load,
-        Table, Has,
+        TableAnnouncement, TableAcknowledgement,
     )
 }  # fmt: skip
--- a/paddlequay/cluster/node.py
+++ b/paddlequay/cluster/node.py
@@ -86,7 +86,7 @@
         if self.limits is not None and self.leases is not None and fleet.me in fleet.acceptors:
             # Only those who vote bid: two hundred bidders for each lease would be all the traffic there is.
             for lease in self.limits.leases:
-                self.begun += self.leases.want(lease, now)
+                self.begun += self.leases.request(lease, now)
 
     def join(self, part: Part, hears: Sequence[type[PeerMessage]]) -> None:
         """One more part, which hears notes of these kinds."""
@@ -104,7 +104,7 @@
     ) -> list[ClusterEvent]:
         """A datagram has come, and was taken in."""
         if self.leases is not None:
-            self.leases.saw_clock(head.clock)
+            self.leases.observe_counter(head.clock)
         news = self.settle(self.liveness.seen(sender, head.incarnation, now), now)
         for note in notes:
             part = self.hears.get(type(note))
@@ -126,7 +126,7 @@
         news: list[ClusterEvent] = []
         if self.leases is not None and self.limits is not None:
             for lease in self.limits.leases:
-                news += self.settle(self.leases.drop(lease, now), now)
+                news += self.settle(self.leases.release(lease, now), now)
         return news
 
     def due(self) -> float:
@@ -149,5 +149,5 @@
                     waiting += part.handle_event(action, now)
         self.wire.incarnation = self.liveness.incarnation
         if self.leases is not None:
-            self.wire.clock = max(self.wire.clock, self.leases.clock)
+            self.wire.clock = max(self.wire.clock, self.leases.highest_counter)
         return news
--- a/paddlequay/cluster/proposer.py
+++ b/paddlequay/cluster/proposer.py
@@ -37,7 +37,7 @@
 RESEND = 1 / 15  # for an answer, before a note is sent again
 BACKOFF = 1 / 30  # after a lost election, doubled from one to the next
 SPREAD = 0.2  # over which those who wait for the same lock's end are spread
-EAGER = 0.4  # for how long an heir hurries
+EAGER = 0.4  # for how long an successor hurries
 
 DOUBLINGS = 4
 ROUNDS = 3  # proposals of a bid whose answers still count
@@ -98,7 +98,7 @@
 
     # --- what the router asks for ---
 
-    def want(self, lease: Name, now: float) -> list[Action]:
+    def request(self, lease: Name, now: float) -> list[Action]:
         if lease in self.bids:
             return []
         if len(self.bids) >= BIDS_MOST:
@@ -107,7 +107,7 @@
         self._wake(bid, now)
         return []
 
-    def drop(self, lease: Name, now: float, heir: Peer | None) -> list[Action]:
+    def release(self, lease: Name, now: float, successor: Peer | None) -> list[Action]:
         bid = self.bids.pop(lease, None)
         if bid is None:
             return []
@@ -115,7 +115,7 @@
         if bid.phase is Phase.HOLDING:
             out.append(LeaseLost(lease, bid.ballot))
         if bid.phase in (Phase.HOLDING, Phase.PROPOSING):
-            out += self._release(bid, self.fleet.me if heir is None else heir)
+            out += self._release(bid, self.fleet.me if successor is None else successor)
         return out
 
     def holds(self, lease: Name, now: float) -> int | None:
@@ -132,7 +132,7 @@
         hint = self.hints.get(lease)
         return hint[0] if hint is not None and now < hint[2] else None
 
-    def saw_clock(self, value: int) -> None:
+    def observe_counter(self, value: int) -> None:
         if self.clock < value < CLOCK_MOST:
             self.clock = value
 
@@ -143,16 +143,16 @@
         if sender not in self.fleet.acceptors or not isinstance(note, Promise | Accept | Reject):
             return self._inherits(note, now) if isinstance(note, Release) else out
         bid = self.bids.get(note.lease)
-        if isinstance(note, Promise) and note.held:
+        if isinstance(note, Promise) and note.holder_ballot:
             self._hint(note, now, out)
-            self.saw_clock(counter(note.held))
+            self.observe_counter(counter(note.holder_ballot))
         if isinstance(note, Reject):
-            self.saw_clock(counter(note.promised))
+            self.observe_counter(counter(note.promised))
         if bid is None or note.ballot != bid.ballot or self._lapsed(bid, now, out):
             return out
         if isinstance(note, Accept):
             self._accepted(sender, bid, note, now, out)
-        elif isinstance(note, Promise) and not note.held:
+        elif isinstance(note, Promise) and not note.holder_ballot:
             bid.refused.pop(sender, None)
             bid.promised.add(sender)
             if bid.phase is Phase.PROPOSING:
@@ -161,9 +161,11 @@
                 self._propose(bid, now, out)
         elif bid.phase in (Phase.ASKING, Phase.PROPOSING):
             bid.promised.discard(sender)
-            above = note.held if isinstance(note, Promise) else note.promised
+            above = note.holder_ballot if isinstance(note, Promise) else note.promised
             bid.spent |= above >= bid.ballot  # equal: a floor, or the ballot was given back
-            bid.refused[sender] = self._left(note.left_ms if isinstance(note, Promise) else note.out_ms)
+            bid.refused[sender] = self._left(
+                note.remaining_ms if isinstance(note, Promise) else note.retry_after_ms
+            )
             asking = bid.phase is Phase.ASKING
             able = len(self.fleet.acceptors) - len(bid.refused) if asking else len(bid.promised)
             if able < self.fleet.majority:
@@ -171,7 +173,7 @@
         return out
 
     def _accepted(self, sender: Peer, bid: Bid, note: Accept, now: float, out: list[Action]) -> None:
-        made = bid.rounds.get(note.number)
+        made = bid.rounds.get(note.round_number)
         if made is None or bid.phase not in (Phase.PROPOSING, Phase.HOLDING):
             return
         made.accepted.add(sender)
@@ -202,9 +204,9 @@
     def _inherits(self, note: Release, now: float) -> list[Action]:
         """A lease was left to this router: it starts at once, whatever the pace, where it wants it."""
         bid = self.bids.get(note.lease)
-        if note.heir != self.fleet.me or bid is None or bid.phase not in (Phase.WAITING, Phase.QUEUED):
+        if note.successor != self.fleet.me or bid is None or bid.phase not in (Phase.WAITING, Phase.QUEUED):
             return []
-        self.saw_clock(counter(note.ballot))
+        self.observe_counter(counter(note.ballot))
         bid.eager = now + self.bounds.lease * EAGER
         out: list[Action] = []
         self._ask(bid, now, out)
@@ -348,13 +350,13 @@
     def _proposal(self, bid: Bid) -> Propose:
         return Propose(bid.lease, bid.ballot, self.term_ms, bid.number)
 
-    def _release(self, bid: Bid, heir: Peer) -> list[Action]:
+    def _release(self, bid: Bid, successor: Peer) -> list[Action]:
         out: list[Action] = []
         bid.spent = True
         to = self.fleet.acceptors
-        if heir != self.fleet.me and heir not in to:
-            to = (*to, heir)
-        self._tell(to, Release(bid.lease, bid.ballot, heir), out)
+        if successor != self.fleet.me and successor not in to:
+            to = (*to, successor)
+        self._tell(to, Release(bid.lease, bid.ballot, successor), out)
         return out
 
     def _silent(self, known: set[Peer]) -> list[Peer]:
@@ -371,11 +373,11 @@
         if note.holder == self.fleet.me:
             return
         known = self.hints.pop(note.lease, None)
-        if known is not None and known[1] > note.held and now < known[2]:
+        if known is not None and known[1] > note.holder_ballot and now < known[2]:
             self.hints[note.lease] = known
             return
-        self.hints[note.lease] = (note.holder, note.held, now + self._left(note.left_ms))
+        self.hints[note.lease] = (note.holder, note.holder_ballot, now + self._left(note.remaining_ms))
         if len(self.hints) > HINTS_MOST:
             del self.hints[next(iter(self.hints))]
-        if known is None or known[1] != note.held:
-            out.append(HolderObserved(note.lease, note.holder, note.held))
+        if known is None or known[1] != note.holder_ballot:
+            out.append(HolderObserved(note.lease, note.holder, note.holder_ballot))
--- a/paddlequay/cluster/tables.py
+++ b/paddlequay/cluster/tables.py
@@ -23,7 +23,7 @@
 
 from paddlequay.cluster.acceptor import number as run_of
 from paddlequay.cluster.epochs import LEASE, NUMBERS, Content, Declared, Declarer, Holds, epoch_of, mark
-from paddlequay.cluster.messages import Has, PeerMessage, Table
+from paddlequay.cluster.messages import PeerMessage, TableAcknowledgement, TableAnnouncement
 from paddlequay.cluster.types import (
     NEVER,
     Action,
@@ -64,7 +64,7 @@
     use before, `None` where none was or where it is the same table.
     """
 
-    HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (Table, Has)
+    HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (TableAnnouncement, TableAcknowledgement)
     declarers: ClassVar[type[Declarer]] = Declarer
 
     def __init__(self, fleet: Fleet, bounds: Bounds, holds: Holds, retake: Retake = no_retake) -> None:
@@ -115,9 +115,13 @@
     # --- as a part ---
 
     def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
-        if isinstance(note, Table) and note.term and 0 < note.epoch < 1 << NUMBERS:
+        if isinstance(note, TableAnnouncement) and note.term and 0 < note.epoch_number < 1 << NUMBERS:
             return self._heard(sender, note, now)
-        if isinstance(note, Has) and not note.epoch >> NUMBERS and self.declarer.held(now):
+        if (
+            isinstance(note, TableAcknowledgement)
+            and not note.epoch_number >> NUMBERS
+            and self.declarer.held(now)
+        ):
             if note.term > self.declarer.term and now - self.retaken_at >= RETAKE_PAUSE:
                 # Epochs of this term would be passed over there; the next term is above that one.
                 self.retaken_at = now
@@ -184,24 +188,24 @@
             actions += self._take(self.behind, now)
         return actions + self._declares(now)
 
-    def _heard(self, sender: Peer, note: Table, now: float) -> list[Action]:
+    def _heard(self, sender: Peer, note: TableAnnouncement, now: float) -> list[Action]:
         """A proposal is answered; a declaration is taken up, or confirms what is in use."""
-        epoch = epoch_of(note.term, note.epoch)
+        epoch = epoch_of(note.term, note.epoch_number)
         if note.term >= self.term and run_of(note.term) == sender:
             self.holder, self.term = sender, note.term
         self.asked = max(self.asked, epoch)
         actions: list[Action] = []
-        if note.stage == 1:
-            actions += self._declared(Declared(epoch, Content(note.table, note.rules)), now)
+        if note.is_declaration:
+            actions += self._declared(Declared(epoch, Content(note.table_digest, note.rules_digest)), now)
         # Who asks is answered, also where it holds nothing any more: it may not know of the term.
         self.tell_at = NEVER if sender == self.holder else self.tell_at
         return [*actions, SendMessage(sender, self._has(), Urgency.NEWS)]
 
-    def _has(self) -> Has:
+    def _has(self) -> TableAcknowledgement:
         """The highest epoch heard of: an answer to it, or the sign that an earlier one is over."""
         number = self.asked & (1 << NUMBERS) - 1
         active = 0 if self.active is None else mark(self.active.epoch)
-        return Has(number, self.asked >> NUMBERS, self.own.table, active)
+        return TableAcknowledgement(number, self.asked >> NUMBERS, self.own.table, active)
 
     def _declared(self, declared: Declared, now: float) -> list[Action]:
         if self.active is not None and declared.epoch == self.active.epoch:
--- a/paddlequay/lab/channel_world.py
+++ b/paddlequay/lab/channel_world.py
@@ -107,7 +107,7 @@
                 if isinstance(action.note, Prepare) and action.to == next(p for p in (0, 1, 2) if p != me):
                     self.asks.append((self.time, me))
                 for to in [action.to] if action.to is not None else range(len(self.all)):
-                    self.send(me, to, action.note, process.leases.clock)
+                    self.send(me, to, action.note, process.leases.highest_counter)
             elif type(action).__name__ != "LogEvent":
                 todo += process.channels.handle_event(action, process.clock)  # type: ignore[arg-type]
 
@@ -123,7 +123,7 @@
             return self.later(STEP, lambda: self.deliver(me, to, note, clock))
         if process.dead or (me, to) in self.blocked:
             return
-        process.leases.saw_clock(clock)
+        process.leases.observe_counter(clock)
         part = process.leases if isinstance(note, process.leases.HANDLED_MESSAGES) else process.channels
         self.act(to, part.handle_message(me, 0, note, process.clock))
 
--- a/paddlequay/lab/lease_search.py
+++ b/paddlequay/lab/lease_search.py
@@ -252,7 +252,9 @@
     parts: list[object] = [round(world.time, 6), tuple(sorted(repr(message) for message in world.pending))]
     for process in world.processes:
         leases = process.leases
-        parts.append((round(process.clock, 6), leases.clock, tuple(map(repr, leases.proposer.bids.values()))))
+        parts.append(
+            (round(process.clock, 6), leases.highest_counter, tuple(map(repr, leases.proposer.bids.values())))
+        )
         if leases.acceptor is not None:
             parts.append((leases.acceptor.floor, tuple(map(repr, leases.acceptor.votes.values()))))
     return hash(tuple(parts))
--- a/paddlequay/lab/lease_world.py
+++ b/paddlequay/lab/lease_world.py
@@ -109,12 +109,12 @@
         process = self.processes[me]
         for action in act(process.leases, process.clock):
             if isinstance(action, SendMessage) and action.to is not None:
-                self.pending.append(Message(me, action.to, action.note, process.leases.clock))
+                self.pending.append(Message(me, action.to, action.note, process.leases.highest_counter))
             elif isinstance(action, LeaseAcquired):
                 process.told[action.lease] = action.term
             elif isinstance(action, LeaseLost):
                 process.told.pop(action.lease, None)
-        process.heard = max(process.heard, process.leases.clock)
+        process.heard = max(process.heard, process.leases.highest_counter)
         acceptor = process.leases.acceptor
         if process.out and acceptor is not None and acceptor.floor is not None:
             process.out = False
@@ -126,11 +126,11 @@
 
     def want(self, me: Peer, name: Name) -> None:
         self.wanted[me].add(name)
-        self.do(me, lambda leases, now: leases.want(name, now))
+        self.do(me, lambda leases, now: leases.request(name, now))
 
     def drop(self, me: Peer, name: Name, heir: Peer | None = None) -> None:
         self.wanted[me].discard(name)
-        self.do(me, lambda leases, now: leases.drop(name, now, heir))
+        self.do(me, lambda leases, now: leases.release(name, now, heir))
 
     def tick(self, me: Peer) -> None:
         if not self.processes[me].stopped:
@@ -147,7 +147,7 @@
 
     def head(self, to: Peer, clock: int) -> None:
         self.processes[to].heard = max(self.processes[to].heard, clock)
-        self.processes[to].leases.saw_clock(clock)
+        self.processes[to].leases.observe_counter(clock)
 
     def beat(self) -> None:
         """Heads of all datagrams that can arrive."""
@@ -303,7 +303,7 @@
 
 
 class WithoutClock(Leases):
-    def saw_clock(self, value: int) -> None:
+    def observe_counter(self, value: int) -> None:
         return
 
 
--- a/paddlequay/lab/table_world.py
+++ b/paddlequay/lab/table_world.py
@@ -60,7 +60,7 @@
         return self.base + (self.world.time - self.began) * self.rate
 
     def retake(self, now: float) -> list[Action]:
-        return self.leases.drop(LEASE, now) + self.leases.want(LEASE, now)
+        return self.leases.release(LEASE, now) + self.leases.request(LEASE, now)
 
     def do(self, act: Callable[[float], list[Action]]) -> None:
         """What follows from an event; nothing happens to a stopped process until it goes on."""
@@ -78,7 +78,7 @@
             else:
                 self.found(action)
                 todo += self.leases.handle_event(action, now) + self.tables.handle_event(action, now)
-        self.wire.clock = max(self.wire.clock, self.leases.clock)
+        self.wire.clock = max(self.wire.clock, self.leases.highest_counter)
         for packet in self.outbox.take(now):
             for to in range(self.world.size) if packet.to is None else (packet.to,):
                 self.world.send(self.me, to, packet.data)
@@ -115,7 +115,7 @@
     def read(self, sender: Peer, data: bytes, now: float) -> list[Action]:
         heard, actions = self.wire.read(data, sender), list[Action]()
         if isinstance(heard, Heard):
-            self.leases.saw_clock(heard.head.clock)
+            self.leases.observe_counter(heard.head.clock)
             for note in heard.notes:
                 part = self.leases if isinstance(note, self.leases.HANDLED_MESSAGES) else self.tables
                 if isinstance(note, part.HANDLED_MESSAGES):
@@ -160,7 +160,7 @@
 
     def begin(self, process: Process) -> None:
         if process.me in self.acceptors:
-            process.do(lambda now: process.leases.want(LEASE, now))
+            process.do(lambda now: process.leases.request(LEASE, now))
         self.compile(process.me)
 
     def compile(self, me: Peer) -> None:
--- a/paddlequay/net/cluster/placing.py
+++ b/paddlequay/net/cluster/placing.py
@@ -90,14 +90,14 @@
 
         def retake(now: float) -> list[Action]:
             leases = node.leases
-            return [] if leases is None else leases.drop(LEASE, now) + leases.want(LEASE, now)
+            return [] if leases is None else leases.release(LEASE, now) + leases.request(LEASE, now)
 
         self.node, self.mover, self.waits = node, None, None
         self.tables = Tables(node.fleet, node.settings.bounds, node.holds, retake)
         node.join(self.tables, Tables.HANDLED_MESSAGES)
         now = self.clock()
         if node.leases is not None and node.fleet.me in node.fleet.acceptors:
-            node.begun += node.leases.want(LEASE, now)
+            node.begun += node.leases.request(LEASE, now)
         node.begun += self.tables.compiled(*self.compiled(), now)
 
     def part(self) -> None:
@@ -107,7 +107,7 @@
     def leave(self, now: float) -> list[Action]:
         """Give the lease back, so that nobody has to wait for its end."""
         leases = self.node.leases if self.node is not None else None
-        return leases.drop(LEASE, now) if leases is not None else []
+        return leases.release(LEASE, now) if leases is not None else []
 
     def start(self) -> None:
         self.tasks = [asyncio.ensure_future(self.beating())]
--- a/tests/cluster/test_channel_front.py
+++ b/tests/cluster/test_channel_front.py
@@ -33,13 +33,13 @@
 
     term: int | None = 0x99
 
-    def ask(self, lease: int, now: float) -> list[Action]:
+    def query_holder(self, lease: int, now: float) -> list[Action]:
         return []
 
-    def want(self, lease: int, now: float) -> list[Action]:
+    def request(self, lease: int, now: float) -> list[Action]:
         return []
 
-    def drop(self, lease: int, now: float, heir: Peer | None = None) -> list[Action]:
+    def release(self, lease: int, now: float, successor: Peer | None = None) -> list[Action]:
         return []
 
     def holds(self, lease: int, now: float) -> int | None:
--- a/tests/cluster/test_channels.py
+++ b/tests/cluster/test_channels.py
@@ -221,13 +221,13 @@
     world, used = owned_by_one(ChannelRule(("video",)), 300)
     wants: list[tuple[float, int]] = []
     for me, process in enumerate(world.all):
-        want = process.leases.want
+        want = process.leases.request
 
         def counted(lease: int, now: float, me: int = me, want=want) -> list[object]:  # type: ignore[no-untyped-def]
             wants.append((world.time, me))
             return list(want(lease, now))
 
-        process.leases.want = counted  # type: ignore[assignment,method-assign]
+        process.leases.request = counted  # type: ignore[assignment,method-assign]
     world.asks.clear()
     world.all[4].dead = True
     assert world.run(10.0, lambda: all(world.owners(number) for number in used))
@@ -267,14 +267,14 @@
         self.by: int | None = None
         self.wants: list[int] = []
 
-    def ask(self, lease: int, now: float) -> list[Action]:
+    def query_holder(self, lease: int, now: float) -> list[Action]:
         return []
 
-    def want(self, lease: int, now: float) -> list[Action]:
+    def request(self, lease: int, now: float) -> list[Action]:
         self.wants.append(lease)
         return []
 
-    def drop(self, lease: int, now: float, heir: int | None = None) -> list[Action]:
+    def release(self, lease: int, now: float, successor: int | None = None) -> list[Action]:
         self.held.pop(lease, None)
         return []
 
--- a/tests/cluster/test_leases.py
+++ b/tests/cluster/test_leases.py
@@ -200,7 +200,7 @@
 
 def test_one_acceptor_alone_takes_renews_and_gives_back_without_a_note_to_itself() -> None:
     leases = single()
-    leases.want(7, 0.0)
+    leases.request(7, 0.0)
     now, said = 0.0, []
     while now < 5:
         now = max(now, leases.due())
@@ -208,7 +208,7 @@
     term = leases.holds(7, now)
     assert term is not None and leases.holder(7, now) == 0
     assert [type(each) for each in said] == [LeaseAcquired]
-    assert leases.drop(7, now) == [LeaseLost(7, term)]
+    assert leases.release(7, now) == [LeaseLost(7, term)]
     assert leases.holds(7, now) is None
 
 
@@ -289,7 +289,7 @@
         if isinstance(each, SendMessage)
     ]
     assert [type(each) for each in said] == answers
-    assert all(each.held != 0 for each in said if isinstance(each, Promise) and each.ballot != ME)
+    assert all(each.holder_ballot != 0 for each in said if isinstance(each, Promise) and each.ballot != ME)
 
 
 def test_a_released_lock_is_kept_for_the_heir_for_a_moment() -> None:
@@ -308,7 +308,7 @@
     ballot = 5 << 32 | 1 << 16
     for note in (Prepare(7, ballot), Propose(7, ballot, 1500, 0)):
         leases.handle_message(1, 0, note, 2.0)
-    assert leases.ask(7, 2.1) == [HolderObserved(7, 1, ballot)]
+    assert leases.query_holder(7, 2.1) == [HolderObserved(7, 1, ballot)]
     assert leases.holder(7, 2.1) == 1 and leases.holder(7, 4.0) is None
     (told,) = leases.handle_message(1, 0, Prepare(7, 0), 2.1)
     assert isinstance(told, SendMessage) and isinstance(told.note, Promise) and told.note.holder == 1
@@ -325,11 +325,11 @@
     for name in range(9):
         leases.handle_message(1, 0, Prepare(name, 9 << 32 | 1 << 16), 2.0)
         leases.handle_message(0, 0, Promise(name, 1, 9 << 32 | 1 << 16, 1, 1500), 2.0)
-        said = leases.want(name, 2.0)
+        said = leases.request(name, 2.0)
     assert len(voting.votes) == 3 and len(leases.proposer.hints) == 3 and len(leases.proposer.bids) == 3
     assert [type(each) for each in said] == [LogEvent]
     for name in range(3):
-        leases.drop(name, 2.0)
+        leases.release(name, 2.0)
     leases.tick(2.0 + 2.1 * T)
     assert not voting.votes and counter(voting.floor or 0) == 9  # forgotten, but not the order of terms
 
@@ -337,7 +337,7 @@
 def test_no_note_raises_or_is_believed_from_whom_it_cannot_come_from() -> None:
     rng = random.Random(3)
     leases = single()
-    leases.want(0, 0.0)
+    leases.request(0, 0.0)
     kinds: list[type[PeerMessage]] = [MESSAGE_TYPES[kind] for kind in range(10, 16)]
     for turn in range(5000):
         kind = rng.choice(kinds)
--- a/tests/cluster/test_limits_part.py
+++ b/tests/cluster/test_limits_part.py
@@ -85,7 +85,7 @@
     assert limits.due() == 10.0
     need = told(limits.tick(10.0))
     assert need.limit == limit_of(lease_of(RATE), "c") and need.term == 5
-    limit, number = need.limit, need.number
+    limit, number = need.limit, need.request_number
     for void in (
         QuotaGrant(limit, number + 1, 5, 50_000, 9_000, 600),
         QuotaGrant(limit, number, 4, 50_000, 9_000, 600),
@@ -118,7 +118,9 @@
         for need in [action.note for action in limits.tick(now) if isinstance(action, SendMessage)]:
             assert isinstance(need, QuotaRequest)
             needs += 1
-            limits.handle_message(2, 1, QuotaGrant(need.limit, need.number, 5, 20_000, 1_000, 600), now)
+            limits.handle_message(
+                2, 1, QuotaGrant(need.limit, need.request_number, 5, 20_000, 1_000, 600), now
+            )
     assert 10 < needs < 25
 
 
@@ -142,16 +144,16 @@
     granter.taken(kept.lease, 3, 0.0)
     assert granter.need(kept, 1, 1, QuotaRequest(limit, 1, 90_000, 0), 0.65) is None
     first = granter.need(kept, 1, 1, QuotaRequest(limit, 2, 90_000, 0), 0.67)
-    assert first is not None and first.milli == 100_000
+    assert first is not None and first.amount_milli == 100_000
     assert granter.need(kept, 1, 1, QuotaRequest(limit, 2, 90_000, 0), 0.68) is None
     second = granter.need(kept, 2, 1, QuotaRequest(limit, 1, 90_000, 0), 0.7)
-    assert second is not None and second.milli == 0
+    assert second is not None and second.amount_milli == 0
     lowered = granter.need(kept, 1, 1, QuotaRequest(limit, 3, 90_000, 0), 0.8)
-    assert lowered is not None and lowered.milli == 50_000
+    assert lowered is not None and lowered.amount_milli == 50_000
     still = granter.need(kept, 2, 1, QuotaRequest(limit, 2, 90_000, 0), 0.67 + 0.65)
-    assert still is not None and still.milli == 0
+    assert still is not None and still.amount_milli == 0
     free = granter.need(kept, 2, 1, QuotaRequest(limit, 3, 90_000, 0), 0.67 + 0.67)
-    assert free is not None and free.milli == 50_000
+    assert free is not None and free.amount_milli == 50_000
     assert (
         granter.need(kept, 2, 1, QuotaRequest(limit, 4, 90_000, 9), 1.4) is None
     )  # it has heard a later holder
--- a/tests/cluster/test_tables.py
+++ b/tests/cluster/test_tables.py
@@ -6,7 +6,7 @@
 
 from paddlequay.cluster import epochs
 from paddlequay.cluster.epochs import Content, Declared, Declarer, Proposal, epoch_of
-from paddlequay.cluster.messages import Has, Table
+from paddlequay.cluster.messages import TableAcknowledgement, TableAnnouncement
 from paddlequay.cluster.tables import KEPT_MOST, Tables
 from paddlequay.cluster.types import Action, Bounds, Fleet, LeaseAcquired, SendMessage, TableChanged, Urgency
 from paddlequay.lab.table_world import BOUNDS, FaultError, World, digest_of
@@ -257,7 +257,9 @@
         isinstance(a, SendMessage) for a in tables.handle_event(LeaseAcquired(epochs.LEASE, term, 9.0), 0.0)
     )
     held[0] = False
-    answers = [tables.handle_message(peer, 1, Has(1, term, 10, 0), 5.0) for peer in (1, 2, 3, 4)]
+    answers = [
+        tables.handle_message(peer, 1, TableAcknowledgement(1, term, 10, 0), 5.0) for peer in (1, 2, 3, 4)
+    ]
     assert answers == [[]] * 4 and tables.in_use(5.0) is None
 
 
@@ -266,11 +268,11 @@
     tables = one(0, lambda *_: term)
     tables.handle_event(LeaseAcquired(epochs.LEASE, term, 9.0), 0.0)
     for peer in (1, 2, 3, 4):
-        tables.handle_message(peer, 1, Has(7, term_of(2, 1), 10, 0), 0.1)
+        tables.handle_message(peer, 1, TableAcknowledgement(7, term_of(2, 1), 10, 0), 0.1)
     assert tables.in_use(0.2) is None
-    tables.handle_message(1, 1, Has(1, term, 10, 0), 0.2)
+    tables.handle_message(1, 1, TableAcknowledgement(1, term, 10, 0), 0.2)
     assert tables.in_use(0.2) is None
-    tables.handle_message(2, 1, Has(1, term, 10, 0), 0.2)
+    tables.handle_message(2, 1, TableAcknowledgement(1, term, 10, 0), 0.2)
     assert tables.in_use(0.2) == epoch_of(term, 1)
 
 
@@ -278,8 +280,8 @@
     term = term_of(3, 0)
     declarer = Declarer(Fleet(0, 5, (0, 1, 2)), Bounds(), lambda *_: term)
     declarer.begin(term, None, 0.0)
-    declarer.heard(1, 1, Has(2, term, 10, 0), 0.0)
-    declarer.heard(1, 1, Has(1, term, 9, 0), 0.0)
+    declarer.heard(1, 1, TableAcknowledgement(2, term, 10, 0), 0.0)
+    declarer.heard(1, 1, TableAcknowledgement(1, term, 9, 0), 0.0)
     proposal = Proposal(epoch_of(term, 2), Content(10), 0.0, epochs.Tries())
     assert declarer.answers[1].table == 10 and not declarer.agreed(proposal)
 
@@ -289,7 +291,7 @@
     tables = Tables(Fleet(0, 5, (0,)), Bounds(), lambda *_: term, lambda now: retaken.append(now) or [])  # type: ignore[func-returns-value]
     tables.handle_event(LeaseAcquired(epochs.LEASE, term, 9.0), 0.0)
     for at in (1.0, 2.0):
-        tables.handle_message(3, 1, Has(1, term_of(8, 2), 10, 0), at)
+        tables.handle_message(3, 1, TableAcknowledgement(1, term_of(8, 2), 10, 0), at)
     assert retaken == [1.0]
 
 
@@ -297,10 +299,10 @@
     tables, term = one(3), term_of(3, 1)
     for table in range(11, 11 + KEPT_MOST):
         tables.compiled(1, table, 1.0)
-    assert tables.handle_message(1, 1, Table(1, term, 10, 1, 1), 1.0)[0] == SendMessage(
-        1, Has(1, term, 14, 0), Urgency.NEWS
+    assert tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 1.0)[0] == SendMessage(
+        1, TableAcknowledgement(1, term, 14, 0), Urgency.NEWS
     )
-    told = tables.handle_message(1, 1, Table(2, term, 11, 1, 1), 1.0)
+    told = tables.handle_message(1, 1, TableAnnouncement(2, term, 11, 1, 1), 1.0)
     assert told[0] == TableChanged(epoch_of(term, 2), 11, None, 1.0)
     for table in range(20, 40):
         tables.compiled(1, table, 2.0)
@@ -310,29 +312,29 @@
 def test_rules_that_are_not_compiled_yet_agree_with_nothing() -> None:
     tables, term = one(3), term_of(3, 1)
     tables.wanted(2, 1.0)
-    assert tables.handle_message(1, 1, Table(1, term, 10, 1, 0), 1.0) == [
-        SendMessage(1, Has(1, term, 0, 0), Urgency.NEWS)
+    assert tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 0), 1.0) == [
+        SendMessage(1, TableAcknowledgement(1, term, 0, 0), Urgency.NEWS)
     ]
 
 
 def test_numbers_past_an_epochs_bits_are_passed_over() -> None:
     tables = one(3)
-    assert tables.handle_message(1, 1, Table(1 << 32, term_of(3, 1), 10, 1, 1), 1.0) == []
+    assert tables.handle_message(1, 1, TableAnnouncement(1 << 32, term_of(3, 1), 10, 1, 1), 1.0) == []
 
 
 def test_a_table_declared_before_it_is_compiled_is_taken_up_by_the_compile() -> None:
     tables, term = one(3), term_of(3, 1)
-    tables.handle_message(1, 1, Table(1, term, 10, 1, 1), 1.0)
-    tables.handle_message(1, 1, Table(2, term, 11, 1, 1), 2.0)
+    tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 1.0)
+    tables.handle_message(1, 1, TableAnnouncement(2, term, 11, 1, 1), 2.0)
     assert tables.table(2.0) == 10
     assert TableChanged(epoch_of(term, 2), 11, 10, 63.0) in tables.compiled(1, 11, 3.0)
 
 
 def test_an_epoch_that_another_followed_is_not_kept_alive_by_late_word_of_it() -> None:
     tables, term = one(3), term_of(3, 1)
-    tables.handle_message(1, 1, Table(1, term, 10, 1, 1), 1.0)
-    tables.handle_message(1, 1, Table(2, term, 11, 1, 1), 2.0)
-    tables.handle_message(1, 1, Table(1, term, 10, 1, 1), 20.0)
+    tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 1.0)
+    tables.handle_message(1, 1, TableAnnouncement(2, term, 11, 1, 1), 2.0)
+    tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 20.0)
     assert tables.in_use(30.9) == epoch_of(term, 1) and tables.in_use(31.0) is None
 
 
@@ -346,19 +348,21 @@
 
 def test_a_later_holder_repeats_the_epoch_before_until_it_hears_of_one_that_came_after() -> None:
     declarer = holder()
-    former = Table(1, term_of(3, 1), 10, 0, 1)
+    former = TableAnnouncement(1, term_of(3, 1), 10, 0, 1)
     assert SendMessage(None, former) in declarer.tick(0.0)[0]
     assert SendMessage(2, former, Urgency.NEWS) in declarer.alive(2, 0.1)
-    declarer.heard(2, 1, Has(1, term_of(4, 0), 11, epochs.mark(epoch_of(term_of(3, 1), 2))), 0.1)
+    declarer.heard(
+        2, 1, TableAcknowledgement(1, term_of(4, 0), 11, epochs.mark(epoch_of(term_of(3, 1), 2))), 0.1
+    )
     assert declarer.declared is None
 
 
 def test_a_proposal_goes_again_to_who_has_not_answered_or_has_another_table() -> None:
     declarer = holder()
     declarer.tick(0.0)
-    declarer.heard(1, 1, Has(1, term_of(4, 0), 10, 0), 0.1)
-    declarer.heard(2, 1, Has(1, term_of(4, 0), 11, 0), 0.1)
-    note = Table(1, term_of(4, 0), 10, 0, 0)
+    declarer.heard(1, 1, TableAcknowledgement(1, term_of(4, 0), 10, 0), 0.1)
+    declarer.heard(2, 1, TableAcknowledgement(1, term_of(4, 0), 11, 0), 0.1)
+    note = TableAnnouncement(1, term_of(4, 0), 10, 0, 0)
     again = [
         action for action in declarer.tick(0.2)[0] if isinstance(action, SendMessage) and action.note == note
     ]
@@ -370,12 +374,14 @@
     declarer = holder()
     declarer.tick(0.0)
     for peer in (1, 2):
-        declarer.heard(peer, 1, Has(1, term_of(4, 0), 10, 0), 0.1)
-    note = Table(1, term_of(4, 0), 10, 0, 1)
+        declarer.heard(peer, 1, TableAcknowledgement(1, term_of(4, 0), 10, 0), 0.1)
+    note = TableAnnouncement(1, term_of(4, 0), 10, 0, 1)
     assert SendMessage(None, note, Urgency.NEWS) in declarer.tick(0.1)[0]
-    declarer.heard(2, 1, Has(1, term_of(4, 0), 10, epochs.mark(epoch_of(term_of(4, 0), 1))), 0.2)
+    declarer.heard(
+        2, 1, TableAcknowledgement(1, term_of(4, 0), 10, epochs.mark(epoch_of(term_of(4, 0), 1))), 0.2
+    )
     assert declarer.tick(0.31)[0] == [SendMessage(peer, note, Urgency.NEWS) for peer in (1, 3, 4)]
     former = epoch_of(term_of(3, 1), 1)
-    assert declarer.heard(3, 1, Has(1, term_of(3, 1), 10, epochs.mark(former)), 0.4) == [
+    assert declarer.heard(3, 1, TableAcknowledgement(1, term_of(3, 1), 10, epochs.mark(former)), 0.4) == [
         SendMessage(3, note, Urgency.NEWS)
     ]
