--- a/paddlequay/requests/intake.py
+++ b/paddlequay/requests/intake.py
@@ -20,7 +20,8 @@
     def answer_at_once(self, request: ClientRequest) -> FinalAnswer | None:
         """Returns the final answer of a request that is not admitted; None if it is admitted.
 
-        A request is rejected if too many requests or bytes of bodies are pending, and fails if its id is pending.
+        A request is rejected if too many requests or bytes of bodies are pending, and fails if its id
+        is pending.
         """
         if not self.has_capacity(request):
             self.counters.add("rejected.too_many_open")
--- a/paddlequay/requests/write_checks.py
+++ b/paddlequay/requests/write_checks.py
@@ -1,6 +1,7 @@
-"""Checks an attempt at the moment of writing against the endpoint list, the operators' overrides and the purges.
+"""Checks an attempt at the moment of writing against the endpoint list, overrides and purges.
 
-A decision may be written long after it was made, once a connection is established or a socket accepts bytes again.
+A decision may be written long after it was made, once a connection is established or a socket accepts
+bytes again.
 """
 
 import math
@@ -67,9 +68,9 @@
     def max_age(self, request: ClientRequest, kind: RequestClass, decided: float | None) -> float | None:
         """Returns the maximum age of a copy that may serve the request, in seconds; None for no limit.
 
-        The limit is the one decided, else the freshness lifetime of the class, lowered to the age of the last
-        purge. A purge counts for as long as it is remembered, because a cache that hung while it was announced
-        may still hold an older copy.
+        The limit is the one decided, else the freshness lifetime of the class, lowered to the age of
+        the last purge. A purge counts for as long as it is remembered, because a cache that hung while
+        it was announced may still hold an older copy.
 
         Args:
             request: The request, with the number of its object and group.
@@ -98,8 +99,9 @@
     def allows(self, attempt: UpstreamAttempt, now: float) -> bool:
         """Returns whether an attempt may still be written.
 
-        Its target and source must be usable and must not have restarted or moved since they were chosen. A retry
-        of a request that may have been executed must be within the dedup window and scope of the first attempt.
+        Its target and source must be usable and must not have restarted or moved since they were
+        chosen. A retry of a request that may have been executed must be within the dedup window and
+        scope of the first attempt.
 
         Args:
             attempt: The attempt, with the members that were chosen for it.
