--- a/paddlequay/lifecycle/__init__.py
+++ b/paddlequay/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Process life: signals, supervised tasks, overload protection and the orders of operators."""
+"""The life of the process: signals, supervised tasks, overload protection and the overrides of operators."""
--- a/paddlequay/lifecycle/operator_state.py
+++ b/paddlequay/lifecycle/operator_state.py
@@ -1,8 +1,7 @@
-"""What operators have ordered by hand: caches ejected, and whether the router is being drained.
+"""Owns the overrides of operators: the caches that are ejected, and whether the router is being drained.
 
-One owner of it all: console, front and exchange consult it, and nothing else changes it. An override bears
-the time at which it was issued. Of two for the same thing the later one holds, whatever way they come: from
-this process, from the file, or from the other process during a hot restart.
+An override carries the time at which it was issued. Of two overrides of the same thing the later one holds,
+whether it comes from this process, from the saved file, or from the other process during a hot restart.
 """
 
 import json
@@ -15,68 +14,68 @@
 from typing import Any
 
 DRAIN = "drain"
-EJECTED_PREFIX = "out:"  # and the cache's id
+EJECTED_PREFIX = "out:"  # followed by the cache's id
 MAX_LISTED_IDS = 10_000
 MAX_OVERRIDES = 1_000
 
 
 class TooManyOverridesError(ValueError):
-    """More overrides than are kept."""
+    """More than `MAX_OVERRIDES` overrides are active."""
 
 
 @dataclass(frozen=True, slots=True)
 class Override:
-    """One override: issued when (Unix nanoseconds), and whether it is active."""
+    """One override: when it was issued, in Unix nanoseconds, and whether it is active."""
 
     issued_ns: int
     active: bool
 
 
 def read_overrides(data: Any) -> dict[str, Override]:
-    """Overrides as they stand in the file and on the link to the other process; raises ValueError."""
+    """Parses overrides from the form of the saved file and of the hot restart link; raises ValueError."""
     if not isinstance(data, dict) or len(data) > MAX_OVERRIDES:
         raise ValueError("expected an object of orders")
-    marks = {}
+    overrides = {}
     for name, pair in data.items():
         match pair:
-            case [int(at), bool(on)] if name == DRAIN or name.startswith(EJECTED_PREFIX):
-                marks[name] = Override(at, on)
+            case [int(issued_ns), bool(active)] if name == DRAIN or name.startswith(EJECTED_PREFIX):
+                overrides[name] = Override(issued_ns, active)
             case _:
                 raise ValueError(f"an order that cannot be read: {name[:60]!r}")
-    return marks
+    return overrides
 
 
 class OperatorState:
-    """The operators' state, and who is notified when it changes."""
+    """The overrides of operators, and the listeners that are notified when one changes."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.overrides: dict[str, Override] = {}
-        self.ejected: set[str] = set()  # the caches whose mark is on: looked at before each write
-        self.known_ids: OrderedDict[str, None] = OrderedDict()  # ids that the list has ever named, the latest
+        self.ejected: set[str] = set()  # ids of ejected caches: consulted before each write
+        self.known_ids: OrderedDict[str, None] = OrderedDict()  # the latest ids that the endpoint list named
         self.on_change: list[Callable[[str], None]] = []
 
     @property
     def draining(self) -> bool:
-        """Whether the router is being drained."""
+        """Returns whether the router is being drained."""
         return self.is_active(DRAIN)
 
     def is_ejected(self, cache: str) -> bool:
-        """Whether a cache is left out; consulted before each write."""
+        """Returns whether a cache is ejected."""
         return cache in self.ejected
 
     def is_active(self, name: str) -> bool:
-        """Whether an override is there and active."""
-        mark = self.overrides.get(name)
-        return mark is not None and mark.active
+        """Returns whether an override exists and is active."""
+        override = self.overrides.get(name)
+        return override is not None and override.active
 
     @property
     def ejected_ids(self) -> list[str]:
-        """The caches that are ejected, sorted."""
+        """Returns the ids of the ejected caches, sorted."""
         return sorted(self.ejected)
 
     def record_listed(self, caches: Iterable[str]) -> None:
-        """Ids that the endpoint list names: from now on they are known, also once removed."""
+        """Remembers ids that the endpoint list names, also after they are removed from it."""
         for cache in caches:
             self.known_ids[cache] = None
             self.known_ids.move_to_end(cache)
@@ -84,59 +83,75 @@
             self.known_ids.popitem(last=False)
 
     def is_known(self, cache: str) -> bool:
-        """Whether a cache was ever listed, as far as is remembered, or overridden."""
+        """Returns whether a cache is among the latest `MAX_LISTED_IDS` listed ones, or has an override."""
         return cache in self.known_ids or EJECTED_PREFIX + cache in self.overrides
 
-    def set_override(self, name: str, on: bool) -> Override:
-        """An override given to this process; raises `TooManyOverridesError`.
+    def set_override(self, name: str, active: bool) -> Override:
+        """Issues an override in this process.
 
-        A repeat is one as well: it holds against any earlier one.
+        A repeated override is issued anew, later than the previous one by the clock or by a nanosecond.
+
+        Raises:
+            TooManyOverridesError: `MAX_OVERRIDES` overrides are active already.
         """
-        if name not in self.overrides and len(self.overrides) >= MAX_OVERRIDES:
-            for old in [each for each, mark in self.overrides.items() if not mark.active][:1]:
-                del self.overrides[old]
-            if len(self.overrides) >= MAX_OVERRIDES:
-                raise TooManyOverridesError(f"{MAX_OVERRIDES} orders are kept, all of them in force")
-        before = self.overrides.get(name)
-        mark = Override(max(time.time_ns(), before.issued_ns + 1 if before else 0), on)
-        self.apply(name, mark)
-        return mark
-
-    def apply(self, name: str, mark: Override) -> None:
-        """An override from wherever; one earlier than the known one changes nothing."""
-        before = self.overrides.get(name)
-        if before is not None and before.issued_ns >= mark.issued_ns:
+        if name not in self.overrides:
+            self.ensure_capacity()
+        previous = self.overrides.get(name)
+        earliest_ns = 0 if previous is None else previous.issued_ns + 1
+        override = Override(max(time.time_ns(), earliest_ns), active)
+        self.apply(name, override)
+        return override
+
+    def ensure_capacity(self) -> None:
+        """Drops the oldest inactive override if no more can be stored; raises `TooManyOverridesError`."""
+        if len(self.overrides) < MAX_OVERRIDES:
+            return
+        inactive = next((name for name, each in self.overrides.items() if not each.active), None)
+        if inactive is not None:
+            del self.overrides[inactive]
+        if len(self.overrides) >= MAX_OVERRIDES:
+            raise TooManyOverridesError(f"{MAX_OVERRIDES} orders are kept, all of them in force")
+
+    def apply(self, name: str, override: Override) -> None:
+        """Applies an override from any source, unless a later one of that name is known."""
+        previous = self.overrides.get(name)
+        if previous is not None and previous.issued_ns >= override.issued_ns:
             return
-        self.overrides[name] = mark
+        self.overrides[name] = override
         if name.startswith(EJECTED_PREFIX):
-            (self.ejected.add if mark.active else self.ejected.discard)(name.removeprefix(EJECTED_PREFIX))
-        if mark.active != (before is not None and before.active):
-            for tell in self.on_change:
-                tell(name)
-
-    def apply_all(self, marks: Mapping[str, Override]) -> None:
-        """Several overrides from the file or the other process."""
-        for name, mark in marks.items():
-            self.apply(name, mark)
+            self.update_ejected(name.removeprefix(EJECTED_PREFIX), override.active)
+        was_active = previous is not None and previous.active
+        if override.active != was_active:
+            for notify in self.on_change:
+                notify(name)
+
+    def update_ejected(self, cache: str, ejected: bool) -> None:
+        """Adds a cache to the set of ejected ones, or removes it."""
+        if ejected:
+            self.ejected.add(cache)
+        else:
+            self.ejected.discard(cache)
+
+    def apply_all(self, overrides: Mapping[str, Override]) -> None:
+        """Applies several overrides, from the saved file or from the other process."""
+        for name, override in overrides.items():
+            self.apply(name, override)
 
     def to_json(self) -> dict[str, list[Any]]:
-        """All overrides, as in the file and on the link."""
-        return {name: [mark.issued_ns, mark.active] for name, mark in self.overrides.items()}
+        """Returns all overrides in the form of the saved file and of the hot restart link."""
+        return {name: [each.issued_ns, each.active] for name, each in self.overrides.items()}
 
     def serialize_ejections(self) -> str:
-        """What `write` saves. A drain ends with the process, and lives on in its successor."""
+        """Returns the text that `write` saves: all ejections, but no drain, which ends with the process."""
         return json.dumps({name: pair for name, pair in self.to_json().items() if name != DRAIN})
 
-    def write(self, kept: str) -> None:
-        """Save all ejections, complete or not at all: another process may start, and read, at any time.
-
-        Raises OSError.
-        """
-        beside = self.path.with_name(f"{self.path.name}.{os.getpid()}")
-        beside.write_text(kept)
-        beside.replace(self.path)
+    def write(self, text: str) -> None:
+        """Replaces the saved file atomically, as another process may read it at any time; raises OSError."""
+        temporary = self.path.with_name(f"{self.path.name}.{os.getpid()}")
+        temporary.write_text(text)
+        temporary.replace(self.path)
 
     def load(self) -> None:
-        """Read what an earlier process has saved. Raises OSError or ValueError where that cannot be read."""
+        """Applies the overrides that an earlier process saved; raises OSError or ValueError if unreadable."""
         if self.path.exists():
             self.apply_all(read_overrides(json.loads(self.path.read_text())))
--- a/paddlequay/lifecycle/signals.py
+++ b/paddlequay/lifecycle/signals.py
@@ -1,9 +1,9 @@
-"""Signals wait for as long as the program cannot act on them.
+"""Holds signals back while the program cannot act on them.
 
-Their default actions end it: while modules and configuration are read, and once the event loop is closed.
-Ignored instead, a SIGHUP that came after the configuration was read left the router with the old one. They
-are blocked; one that the system delivers to a thread which does not block it, as a library may have begun
-one, is noted and raised again.
+The default actions of signals end the process: while modules and the configuration are read, and after
+the event loop is closed. Signals are blocked then, not ignored, so that a SIGHUP that comes early still
+takes effect. A signal that the system delivers to a thread of a library, which does not block it, is
+noted and raised again.
 """
 
 import asyncio
@@ -14,21 +14,21 @@
 
 
 def block() -> None:
-    """Have signals wait for `release`."""
+    """Holds signals back until `release`."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
     for each in HANDLED:
         signal.signal(each, lambda number, _: pending.add(number))
 
 
 def release() -> None:
-    """All have their handlers in the loop: what has come meanwhile is acted on now."""
+    """Delivers the signals held back; the event loop must have its handlers by now."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED)
     while pending:
         signal.raise_signal(pending.pop())
 
 
 def ignore(loop: asyncio.AbstractEventLoop) -> None:
-    """Act on none any more: closing the loop would bring their default actions back."""
+    """Ignores all signals from now on, since closing the event loop restores their default actions."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
     for each in HANDLED:
         loop.remove_signal_handler(each)
