--- a/paddlequay/cluster/channels.py
+++ b/paddlequay/cluster/channels.py
@@ -3,8 +3,8 @@
 Nobody waits for an owner: without one, or without its word, every router goes the ordinary way. A router that
 reads a live channel looks for the owner of its bundle by bidding for the lease, and stops bidding as soon as
 it hears who has it. From then on it tells that owner once a second that its word is waited for (an unasked
-`Ready`, term 0), so that an owner's word goes to those who read and to nobody else, and those who may take a
-bundle over are warm: they read it. An owner that falls silent, or is suspected, is looked for anew.
+`HandoffReply`, term 0), so that an owner's word goes to those who read and to nobody else, and those who may
+take a bundle over are warm: they read it. An owner that falls silent, or is suspected, is looked for anew.
 
 A bundle is handed on by Offer (asks whether the receiver still reads it), Ready (it does, and its bid waits),
 the release of the lease to it, and Took (its first part is filled). `bundles.py` tells what overlaps.
@@ -20,7 +20,14 @@
 
 from paddlequay.cluster.bundles import Bundle, Bundles, LeasesOf
 from paddlequay.cluster.handoff import Handoff
-from paddlequay.cluster.messages import Carried, Load, Offer, PeerMessage, Ready, Took
+from paddlequay.cluster.messages import (
+    ChannelPartReport,
+    HandoffComplete,
+    HandoffOffer,
+    HandoffReply,
+    OwnerLoad,
+    PeerMessage,
+)
 from paddlequay.cluster.prefetch import Ahead, Boxes, Reads
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import (
@@ -54,7 +61,13 @@
 class Channels:
     """The part of the cluster that owns live channels; `rng` is seeded anew for each run."""
 
-    HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (Carried, Offer, Ready, Took, Load)
+    HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (
+        ChannelPartReport,
+        HandoffOffer,
+        HandoffReply,
+        HandoffComplete,
+        OwnerLoad,
+    )
 
     def __init__(
         self,
@@ -108,11 +121,11 @@
         self.boxes.told(ahead.channel, ahead.part, box, ahead.term, life, now)
         bundle.rate.add(now)
         bundle.told = now
-        word = Carried(ahead.channel, ahead.term, ahead.part, box, int(life * 1000))
+        word = ChannelPartReport(ahead.channel, ahead.term, ahead.part, box, int(life * 1000))
         # Routine: under the bound on bytes a hint yields to all that decides something, and to a newer one.
         out: list[Action] = [SendMessage(peer, word, Urgency.ROUTINE) for peer in bundle.following(now)]
         if bundle.former is not None and ahead.term == bundle.term:
-            took = Took(bundle.lease, ahead.term, bundle.former.term)
+            took = HandoffComplete(bundle.lease, ahead.term, bundle.former.term)
             out.append(SendMessage(bundle.former.former, took, Urgency.LEASE))
             bundle.former = None
         return out
@@ -139,22 +152,22 @@
 
     def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
         match note:
-            case Carried():
+            case ChannelPartReport():
                 bundle = self.bundles.of(note.channel)
                 if bundle.saw(note.term, now):
-                    life = note.life_ms / 1000
+                    life = note.valid_ms / 1000
                     if life > 0:  # else it only says that the owner is there
-                        self.boxes.told(note.channel, note.part, note.box, note.term, life, now)
+                        self.boxes.told(note.channel, note.part, note.cache, note.term, life, now)
                     self._owner(bundle, sender, now)
-            case Load():
-                self.handoff.loads[sender] = (note.milli / 1000, now)
-            case Offer() | Ready() | Took():
+            case OwnerLoad():
+                self.handoff.loads[sender] = (note.rate_milli / 1000, now)
+            case HandoffOffer() | HandoffReply() | HandoffComplete():
                 known = self.bundles.by_lease.get(note.bundle)
-                if isinstance(note, Offer):
+                if isinstance(note, HandoffOffer):
                     return self.handoff.offered(sender, known, note, now)
-                if known is not None and isinstance(note, Ready):
+                if known is not None and isinstance(note, HandoffReply):
                     return self._ready(sender, known, note, now)
-                if known is not None and isinstance(note, Took) and known.saw(note.term, now):
+                if known is not None and isinstance(note, HandoffComplete) and known.saw(note.term, now):
                     self._owner(known, sender, now)
                     return self.handoff.over(known, now)
         return []
@@ -221,7 +234,7 @@
         owner = bundle.owner
         if owner is not None and now - bundle.followed >= FOLLOW_S:
             bundle.followed = now
-            out.append(SendMessage(owner, Ready(bundle.lease, 0, 1), Urgency.NEWS))
+            out.append(SendMessage(owner, HandoffReply(bundle.lease, 0, 1), Urgency.NEWS))
             out.append(SendMessage(owner, self.handoff.said(now), Urgency.ROUTINE))
         lost = owner is None or owner in self.handoff.away or now - bundle.heard >= SILENT_S
         # A lost owner's lease runs on for a while: a bid before its end would find it, and nothing else.
@@ -265,17 +278,17 @@
             out += self.leases.want(bundle.lease, now)
         return out
 
-    def _ready(self, sender: Peer, bundle: Bundle, note: Ready, now: float) -> list[Action]:
+    def _ready(self, sender: Peer, bundle: Bundle, note: HandoffReply, now: float) -> list[Action]:
         """A follower's word, its answer that this router has nothing to follow, or the answer to an offer."""
         if note.term == 0:
-            if bundle.term and note.yes:
+            if bundle.term and note.accepted:
                 if sender not in bundle.followers:
                     bundle.told = -NEVER  # it is told at the next look whom it has found
                 bundle.followers[sender] = now
-            elif note.yes and bundle.overlap is None:
-                return [SendMessage(sender, Ready(bundle.lease, max(1, bundle.seen), 0), Urgency.NEWS)]
+            elif note.accepted and bundle.overlap is None:
+                return [SendMessage(sender, HandoffReply(bundle.lease, max(1, bundle.seen), 0), Urgency.NEWS)]
             return []
-        if not note.yes and bundle.owner == sender:
+        if not note.accepted and bundle.owner == sender:
             # It is the owner no more, or what an acceptor told was of a lost election. Who has followed it is
             # asked for at once; where nobody has, a bid comes by itself.
             bundle.owner, bundle.denied, bundle.denied_at = None, sender, now
@@ -306,7 +319,7 @@
         if now - bundle.told >= BEAT_S:
             bundle.told = now
             # No box, and no life: it only says that the owner is there.
-            said = Carried(min(bundle.live), bundle.term, 0, 0, 0)
+            said = ChannelPartReport(min(bundle.live), bundle.term, 0, 0, 0)
             out += [SendMessage(peer, said, Urgency.ROUTINE) for peer in bundle.following(now)]
         offered = bundle.offered
         return out if offered is None else out + self.handoff.offering(bundle, offered, now)
--- a/paddlequay/cluster/handoff.py
+++ b/paddlequay/cluster/handoff.py
@@ -5,7 +5,7 @@
 """
 
 from paddlequay.cluster.bundles import FOLLOWED_S, Bundle, Bundles, LeasesOf, Offered, Taking
-from paddlequay.cluster.messages import Load, Offer, Ready
+from paddlequay.cluster.messages import HandoffOffer, HandoffReply, OwnerLoad
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import NEVER, Action, LogEvent, Peer, SendMessage, Urgency
 
@@ -29,8 +29,8 @@
 
     # --- load ---
 
-    def said(self, now: float) -> Load:
-        return Load(int(self.load(now) * 1000), len(self.bundles.owned()))
+    def said(self, now: float) -> OwnerLoad:
+        return OwnerLoad(int(self.load(now) * 1000), len(self.bundles.owned()))
 
     def load(self, now: float) -> float:
         """Parts that this router fills ahead a second."""
@@ -45,7 +45,7 @@
 
     def give_up(self, bundle: Bundle, now: float) -> list[Action]:
         """Release without an heir; whoever reads the bundle is told to look for an owner."""
-        gone = Ready(bundle.lease, bundle.term, 0)
+        gone = HandoffReply(bundle.lease, bundle.term, 0)
         out = self.bundles.release(bundle, now, None)
         out += [SendMessage(peer, gone, Urgency.NEWS) for peer in bundle.following(now)]
         bundle.followers.clear()
@@ -99,8 +99,8 @@
         bundle.offered = Offered(heir, now, now)
         return [SendMessage(heir, self.offer(bundle, now), Urgency.LEASE)]
 
-    def offer(self, bundle: Bundle, now: float) -> Offer:
-        return Offer(bundle.lease, bundle.term, int(bundle.rate.now(now) * 1000))
+    def offer(self, bundle: Bundle, now: float) -> HandoffOffer:
+        return HandoffOffer(bundle.lease, bundle.term, int(bundle.rate.now(now) * 1000))
 
     def offering(self, bundle: Bundle, offered: Offered, now: float) -> list[Action]:
         """Say an offer again, or end it."""
@@ -111,12 +111,12 @@
             return [SendMessage(offered.to, self.offer(bundle, now), Urgency.LEASE)]
         return []
 
-    def ready(self, sender: Peer, bundle: Bundle, note: Ready, now: float) -> list[Action]:
+    def ready(self, sender: Peer, bundle: Bundle, note: HandoffReply, now: float) -> list[Action]:
         """The answer to an offer."""
         offered = bundle.offered
         if not bundle.term or bundle.term != note.term or offered is None or offered.to != sender:
             return []
-        if not note.yes:
+        if not note.accepted:
             bundle.refused[sender], bundle.offered = now, None
             return self.moves(now)
         out = self.bundles.release(bundle, now, sender)
@@ -126,7 +126,7 @@
         """The overlap has ended: followers look for the new owner."""
         if bundle.overlap is None:
             return []
-        gone = Ready(bundle.lease, bundle.overlap.term, 0)
+        gone = HandoffReply(bundle.lease, bundle.overlap.term, 0)
         bundle.overlap = None
         out: list[Action] = [SendMessage(peer, gone, Urgency.NEWS) for peer in bundle.following(now)]
         bundle.followers.clear()
@@ -134,7 +134,7 @@
 
     # --- the receiver ---
 
-    def offered(self, sender: Peer, bundle: Bundle | None, note: Offer, now: float) -> list[Action]:
+    def offered(self, sender: Peer, bundle: Bundle | None, note: HandoffOffer, now: float) -> list[Action]:
         """Bid, or decline: only who reads the bundle itself knows which part comes next."""
         if bundle is None or not bundle.saw(note.term, now):
             return []
@@ -143,7 +143,7 @@
             return [self.yes(bundle, taking)] if taking.ready else []
         busy = sum(each.taking is not None for each in self.bundles.all) >= AT_ONCE
         if self.draining or busy or not bundle.live or bundle.term:
-            return [SendMessage(sender, Ready(bundle.lease, note.term, 0), Urgency.LEASE)]
+            return [SendMessage(sender, HandoffReply(bundle.lease, note.term, 0), Urgency.LEASE)]
         bundle.taking = Taking(sender, note.term, now)
         bundle.wanted, bundle.bids_from = True, None
         return self.leases.want(bundle.lease, now)
@@ -158,4 +158,4 @@
         return []
 
     def yes(self, bundle: Bundle, taking: Taking) -> SendMessage:
-        return SendMessage(taking.former, Ready(bundle.lease, taking.term, 1), Urgency.LEASE)
+        return SendMessage(taking.former, HandoffReply(bundle.lease, taking.term, 1), Urgency.LEASE)
--- a/paddlequay/cluster/messages.py
+++ b/paddlequay/cluster/messages.py
@@ -194,54 +194,58 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Carried(PeerMessage):
-    """The owner's word: which box holds a channel's parts up to `part`, under its term."""
+class ChannelPartReport(PeerMessage):
+    """Reports, from a channel's owner, the cache that holds a part. With `valid_ms` 0 it is a heartbeat."""
 
     KIND: ClassVar[int] = 40
     channel: Digest
     term: int
     part: int
-    box: Digest  # digest of the member's name
-    life_ms: int
+    cache: Digest  # digest of the member's name
+    valid_ms: int
 
 
 @dataclass(frozen=True, slots=True)
-class Offer(PeerMessage):
-    """The owner asks another router to warm up for a bundle of channels and take it over."""
+class HandoffOffer(PeerMessage):
+    """Offers a bundle of channels to another router, which may bid for it and take it over."""
 
     KIND: ClassVar[int] = 41
     bundle: Digest
     term: int
-    load: int  # requests a second, thousandths
+    load_milli: int  # parts prefetched a second, in thousandths
 
 
 @dataclass(frozen=True, slots=True)
-class Ready(PeerMessage):
-    """Who was offered a bundle is warm (`yes` 1), or declines (0)."""
+class HandoffReply(PeerMessage):
+    """Says whether the sender follows a bundle, or is ready to own it.
+
+    With `term` 0 and `accepted` 1 the sender follows the bundle; with the term of an offer it accepts or
+    declines that offer; with `accepted` 0 and no offer pending it says that it does not own the bundle.
+    """
 
     KIND: ClassVar[int] = 42
     bundle: Digest
     term: int
-    yes: Flag
+    accepted: Flag
 
 
 @dataclass(frozen=True, slots=True)
-class Took(PeerMessage):
-    """The new owner has filled its first part under `term`: the one before it stops."""
+class HandoffComplete(PeerMessage):
+    """Says that the new owner has filled its first part under `term`; the previous owner stops."""
 
     KIND: ClassVar[int] = 43
     bundle: Digest
     term: int
-    former: int
+    previous_term: int
 
 
 @dataclass(frozen=True, slots=True)
-class Load(PeerMessage):
-    """How much a router carries as an owner, for who gives a bundle away."""
+class OwnerLoad(PeerMessage):
+    """Reports the load of a router as an owner, by which a receiver of a bundle is chosen."""
 
     KIND: ClassVar[int] = 44
-    milli: int
-    bundles: int
+    rate_milli: int  # parts prefetched a second, in thousandths
+    bundle_count: int
 
 
 # --- tables ---
@@ -277,7 +281,7 @@
         Prepare, Promise, Propose, Accept, Reject, Release,
         QuotaRequest, QuotaGrant,
         Evidence,
-        Carried, Offer, Ready, Took, Load,
+        ChannelPartReport, HandoffOffer, HandoffReply, HandoffComplete, OwnerLoad,
         Table, Has,
     )
 }  # fmt: skip
--- a/paddlequay/hierarchy/moves.py
+++ b/paddlequay/hierarchy/moves.py
@@ -98,13 +98,13 @@
         self.forget(now)
         found: dict[str, None] = {}
         for epoch in self.epochs:
-            home = epoch.homes.home(key)
+            home = epoch.homes.first_home(key)
             if home is not None and home != self.own and usable(home):
                 found[home] = None
         most = LOOKS_MOST
         if new:
             most = NEW_LOOKS_MOST
-            for name in self.homes.first_names(key, NEW_LOOKS_MOST + 2):
+            for name in self.homes.first_home_names(key, NEW_LOOKS_MOST + 2):
                 if name != self.own and usable(name):
                     found[name] = None
         return [name for name in found if self.may_look(name, now)][:most]
--- a/paddlequay/hierarchy/node.py
+++ b/paddlequay/hierarchy/node.py
@@ -28,7 +28,7 @@
     Want,
     Word,
 )
-from paddlequay.placement.homes import arrival, digest, key_of, place, slot_of
+from paddlequay.placement.homes import arrival, digest, object_key, placement_key, slot_of
 from paddlequay.routing.interface import ReplyDetail
 
 __all__ = ["Action", "Answer", "Claim", "Fill", "Got", "Meet", "Node", "NodeLimits", "Want", "Word"]
@@ -202,22 +202,22 @@
         then the store. Who is not the home asks the home first. Whoever stands in the trail is passed over:
         it waits for this fill.
         """
-        key = place(
-            key_of(want.name)
+        key = placement_key(
+            object_key(want.name)
         )  # as routers have it, so that they ask whom this node takes for the home
         own = self.shape.nodes.get(self.name)
         rungs: dict[str, Rung] = {}
         claimant = self.moves.claimed(want.place, now)
         if claimant is not None and self.usable(claimant, trail):
             rungs[claimant] = Rung(claimant)
-        home = self.moves.homes.home(key)
+        home = self.moves.homes.first_home(key)
         if home == self.name:
             new = now - self.started < self.limits.new
             for name in self.moves.earlier(key, lambda each: self.usable(each, trail), new, now):
                 rungs.setdefault(name, Rung(name, held=True))
         else:
             # Where the home fails, the next on the hash stands in for it, at all nodes alike.
-            for name in self.moves.homes.first_names(key, STAND_INS):
+            for name in self.moves.homes.first_home_names(key, STAND_INS):
                 if name == self.name:
                     break
                 if self.usable(name, trail):
--- a/paddlequay/lab/fleet.py
+++ b/paddlequay/lab/fleet.py
@@ -13,7 +13,7 @@
 from paddlequay.hierarchy.shape import Delta, Node, Shape, ShapeLimits, next_shape
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.lab.world import STORE, World
-from paddlequay.placement.homes import Homes, key_of
+from paddlequay.placement.homes import Homes, object_key
 
 GROUPS, UPPER, ROUTERS, OBJECTS = 20, 100, 200, 1_000_000
 WARM_AFTER, START = 20.0, 0.062
@@ -126,7 +126,7 @@
             world.now = max(world.now, due)
             name = f"{(int(place) + 1) * 0x9E3779B97F4A7C15 % (1 << 64):016x}"
             view = new if world.now >= knows[router] else old
-            home = view.home(int(router) % GROUPS, key_of(name), world.now)
+            home = view.home(int(router) % GROUPS, object_key(name), world.now)
             world.asked[home, int((due - start) // 2)] += 1
             world.ask(home, name)
             asked += 1
--- a/paddlequay/lab/homes.py
+++ b/paddlequay/lab/homes.py
@@ -93,9 +93,9 @@
     more = [*names, "new"]
     found = {}
     homes = slots_homes(names)
-    before = [homes.home(key) for key in keys]
+    before = [homes.first_home(key) for key in keys]
     homes.put("new", "new")
-    after = [homes.home(key) for key in keys]
+    after = [homes.first_home(key) for key in keys]
     # What the newcomer takes must move: all else that moves does so in vain.
     ways: list[tuple[str, list[Any], list[Any]]] = [
         ("slots", before, after),
@@ -114,7 +114,7 @@
     names = [f"n{n}" for n in range(count)]
     homes, ring = slots_homes(names), Ring(names)
     found = {}
-    for name, home in (("slots", homes.home), ("ring", ring.home)):
+    for name, home in (("slots", homes.first_home), ("ring", ring.home)):
         counts = np.unique([home(key) for key in keys], return_counts=True)[1]
         found[name] = float(counts.max() / (len(keys) / count))
     return found
--- a/paddlequay/lab/placement.py
+++ b/paddlequay/lab/placement.py
@@ -10,8 +10,8 @@
 
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.placement.checks import read_rules
-from paddlequay.placement.compile import compile_rules
-from paddlequay.placement.homes import Homes, place
+from paddlequay.placement.compiler import compile_rules
+from paddlequay.placement.homes import Homes, placement_key
 from paddlequay.placement.table import Table
 from paddlequay.routing.interface import Member
 
@@ -84,7 +84,7 @@
     rng = random.Random(setup.seed)
     keys = [(rng.getrandbits(64), rng.randrange(64)) for _ in range(KEYS)]
     ways: dict[str, Callable[[int, int], object]] = {
-        "homes": lambda key, part: next(homes.order(place(key, part))),
+        "homes": lambda key, part: next(homes.order(placement_key(key, part))),
         "table": lambda key, part: today.lookup("video", None, 7, key, part),
         "table, 3 copies": lambda key, part: copied.lookup("video", None, 7, key, part),
     }
--- a/paddlequay/net/cluster/channels.py
+++ b/paddlequay/net/cluster/channel_prefetcher.py
@@ -25,7 +25,7 @@
 LOOK_S = 1.0  # between two walks through all members for a digest that is not known
 
 
-class ChannelFront:
+class ChannelPrefetcher:
     """One router's fills ahead. `tell` settles what the channels ask for; the clock is the cluster's."""
 
     def __init__(
--- a/paddlequay/net/cluster/placing.py
+++ b/paddlequay/net/cluster/placement_tables.py
@@ -19,12 +19,12 @@
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.placement.checks import read_rules_file
-from paddlequay.placement.compile import compile_rules
-from paddlequay.placement.following import Asked, Following, asked
-from paddlequay.placement.homes import digest, key_of
-from paddlequay.placement.mover import BusyError, Mover, Placed
+from paddlequay.placement.compiler import compile_rules
+from paddlequay.placement.homes import digest, object_key
+from paddlequay.placement.migration import BusyError, Mover, Placed
 from paddlequay.placement.rules import Rules
 from paddlequay.placement.table import Sheet, Table
+from paddlequay.placement.table_homes import HomeKey, TableHomes, home_key
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import ClientRequest
 from paddlequay.routing.interface import CopyReported, Member, MemberState, Request, RoutingSettings
@@ -47,7 +47,7 @@
     return digest(rules.canonical().decode()) or 1
 
 
-class Placing:
+class PlacementTables:
     """Placement by rules at one router. `ConfigError` where the file cannot be used.
 
     `told` hands on what follows at a node, `clock` is the one that the node goes by. Memory: the tables that
@@ -77,7 +77,7 @@
         self.tasks: list[asyncio.Task[None]] = []
         self.compiling = asyncio.Lock()
         homes = exchange.router.state.members.homes[CacheTier.EDGE]
-        assert isinstance(homes, Following)
+        assert isinstance(homes, TableHomes)
         homes.source = self.found
 
     def read(self) -> Rules:
@@ -100,11 +100,11 @@
             node.begun += node.leases.want(LEASE, now)
         node.begun += self.tables.compiled(*self.compiled(), now)
 
-    def part(self) -> None:
+    def leave_cluster(self) -> None:
         """This router's life in the cluster is over: homes are plain."""
         self.node = self.tables = self.mover = self.waits = None
 
-    def leave(self, now: float) -> list[Action]:
+    def release_lease(self, now: float) -> list[Action]:
         """Give the lease back, so that nobody has to wait for its end."""
         leases = self.node.leases if self.node is not None else None
         return leases.drop(LEASE, now) if leases is not None else []
@@ -204,7 +204,7 @@
         if self.node is not None and actions:
             self.told(self.node, actions)
 
-    def changed(self, news: TableChanged) -> None:
+    def table_changed(self, news: TableChanged) -> None:
         """Another epoch is in use from now on."""
         table, now = self.held.get(news.digest), self.clock()
         if table is None:
@@ -230,7 +230,7 @@
 
     # --- at each request ---
 
-    def found(self, key: Asked) -> tuple[Sheet, Placed] | None:
+    def found(self, key: HomeKey) -> tuple[Sheet, Placed] | None:
         """Where an object is placed now; asked for at each decision, so that nothing outlives its epoch."""
         mover, now = self.mover, self.clock()
         if mover is None or self.tables is None or self.tables.in_use(now) is None:
@@ -241,18 +241,18 @@
         table, found = mover.table, placed.found
         return table.sheets[found.rule, found.cell], placed
 
-    def asked(self, ask: ClientRequest) -> None:
+    def prepare_request(self, ask: ClientRequest) -> None:
         """A request is about to be decided on: who had its object before may hold it, which spares a fill."""
         if self.mover is None or not self.mover.turns or ask.key is None:
             return
-        found = self.found(asked(request_of(ask)))
+        found = self.found(home_key(request_of(ask)))
         if found is not None and found[1].former:
             self.counters.add("placement_former_named")
             self.exchange.deliver(CopyReported(ask.key, ask.part, found[1].former[0]))
 
     # --- for operators ---
 
-    def page(self) -> dict[str, object]:
+    def status_page(self) -> dict[str, object]:
         """What is in use and what is compiled here."""
         now, tables, mover = self.clock(), self.tables, self.mover
         epoch = tables.in_use(now) if tables is not None else None
@@ -278,9 +278,9 @@
             group, part = (int(told[name]) if name in told else None for name in ("group", "part"))
         except ValueError:
             return json.dumps({"expected": "whole numbers for group and part"})
-        key = key_of(told["key"]) if "key" in told else None
+        key = object_key(told["key"]) if "key" in told else None
         request = Request("", told.get("class", ""), 0.0, key, part, group, tenant=told.get("tenant"))
-        found = self.found(asked(request))
+        found = self.found(home_key(request))
         if found is None or self.mover is None:
             return json.dumps(
                 {"rule": None, "why": "no table is in use, or no rule is for it: as without a file"}
--- a/paddlequay/net/cluster/sharing.py
+++ b/paddlequay/net/cluster/sharing.py
@@ -46,8 +46,8 @@
 from paddlequay.routing.interface import Outcome, OutlierReported, ReplyDetail
 
 if TYPE_CHECKING:
-    from paddlequay.net.cluster.channels import ChannelFront
-    from paddlequay.net.cluster.placing import Placing
+    from paddlequay.net.cluster.channel_prefetcher import ChannelPrefetcher
+    from paddlequay.net.cluster.placement_tables import PlacementTables
 
 LOGGER = logging.getLogger(__name__)
 
@@ -99,12 +99,12 @@
         self.stopped, self.away = True, False
         self.made()  # what cannot be used is said now
         self.leaves = Leaves(settings, exchange, counters, self.loop.time)
-        self.front: ChannelFront | None = None
-        self.placing: Placing | None = None
+        self.prefetcher: ChannelPrefetcher | None = None
+        self.placement: PlacementTables | None = None
         if settings.rules is not None:
-            from paddlequay.net.cluster import placing
+            from paddlequay.net.cluster import placement_tables
 
-            self.placing = placing.Placing(
+            self.placement = placement_tables.PlacementTables(
                 settings.rules, config.settings, exchange, counters, self.act, self.loop.time
             )
         self.names: OrderedDict[Name, str] = OrderedDict()
@@ -125,8 +125,8 @@
     async def start(self) -> None:
         """Join, or wait for the address beside a process that has it. Again after `stop` as well."""
         self.stopped = False
-        if self.placing is not None:
-            self.placing.start()
+        if self.placement is not None:
+            self.placement.start()
         if not await self.join():
             log.event(LOGGER, logging.INFO, "cluster_waits", why="another process has the peers' address")
             self.waiting = asyncio.ensure_future(self.wait())
@@ -145,8 +145,8 @@
             return False
         self.node, self.peers = node, peers
         self.leaves.joined(node.limits)
-        if self.placing is not None:
-            self.placing.join(node)
+        if self.placement is not None:
+            self.placement.join(node)
         self.join_channels(node)
         self.wake(now=True)
         log.event(LOGGER, logging.INFO, "cluster_joined", me=self.fleet.me, of=self.fleet.size)
@@ -158,7 +158,7 @@
         if rule is None or node.leases is None:
             return
         from paddlequay.cluster.channels import Channels
-        from paddlequay.net.cluster.channels import ChannelFront
+        from paddlequay.net.cluster.channel_prefetcher import ChannelPrefetcher
 
         now, drawn = self.loop.time(), random.Random(self.seed ^ node.liveness.incarnation)
         part = Channels(self.fleet, self.settings.bounds, rule, node.leases, drawn, now)
@@ -168,7 +168,7 @@
             self.act(node, actions)
 
         zone = self.fleet.zone
-        self.front = ChannelFront(part, zone, self.exchange, self.counters, tell, self.loop.time)
+        self.prefetcher = ChannelPrefetcher(part, zone, self.exchange, self.counters, tell, self.loop.time)
 
     def act(self, node: Node, actions: Sequence[Action]) -> None:
         """Let follow what something of this life asks for."""
@@ -181,10 +181,10 @@
         if self.node is not None and self.peers is not None:
             now = self.loop.time()
             self.told(self.node.leave(now))
-            if self.placing is not None:
-                self.told(self.node.settle(self.placing.leave(now), now))
-            if self.front is not None:
-                self.told(self.node.settle(self.front.channels.drain(now), now))
+            if self.placement is not None:
+                self.told(self.node.settle(self.placement.release_lease(now), now))
+            if self.prefetcher is not None:
+                self.told(self.node.settle(self.prefetcher.channels.drain(now), now))
             self.peers.flush()
 
     def stop(self) -> None:
@@ -197,9 +197,9 @@
             self.waiting.cancel()
         if self.peers is not None:
             self.peers.close()
-        if self.placing is not None:
-            self.placing.part()
-            self.placing.stop()
+        if self.placement is not None:
+            self.placement.leave_cluster()
+            self.placement.stop()
         self.leaves.joined(None)
         self.node = self.peers = None
 
@@ -219,10 +219,10 @@
     def admit(self, item: PendingRequest, left: float) -> float | None:
         wait = self.leaves.admit(item, left)
         with self.guarded():
-            if wait is None and self.front is not None:
-                self.front.admit(item)
-            if wait is None and self.placing is not None:
-                self.placing.asked(item.request)
+            if wait is None and self.prefetcher is not None:
+                self.prefetcher.admit(item)
+            if wait is None and self.placement is not None:
+                self.placement.prepare_request(item.request)
             self.wake()
         return wait
 
@@ -237,7 +237,7 @@
 
     def before_write(self, attempt: UpstreamAttempt, left: float) -> ReplyDetail | None:
         # Also after this process has left: a fill ahead that still waits is refused by its term.
-        note = self.front.before_write(attempt) if self.front is not None else None
+        note = self.prefetcher.before_write(attempt) if self.prefetcher is not None else None
         note = note or self.leaves.before_write(attempt, left)
         with self.guarded():
             self.wake()
@@ -277,8 +277,8 @@
     def request_ended(self, item: PendingRequest) -> None:
         with self.guarded():
             self.leaves.request_ended(item)
-            if self.front is not None:
-                self.front.request_ended(item)
+            if self.prefetcher is not None:
+                self.prefetcher.request_ended(item)
 
     def wake(self, now: bool = False) -> None:
         """What was asked may have to be told earlier than the timer is set for."""
@@ -294,8 +294,8 @@
             self.say(each)
             if isinstance(each, VerdictChanged):
                 self.pass_on(each)
-            elif isinstance(each, TableChanged) and self.placing is not None:
-                self.placing.changed(each)
+            elif isinstance(each, TableChanged) and self.placement is not None:
+                self.placement.table_changed(each)
 
     def pass_on(self, word: VerdictChanged) -> None:
         """A word goes to the decisions, if it still holds now."""
--- a/paddlequay/net/cluster/sharing_page.py
+++ b/paddlequay/net/cluster/sharing_page.py
@@ -29,15 +29,15 @@
         "sent": dict(node.outbox.counts),
         "counts": {name: n for name, n in sharing.counters.counts.items() if name.startswith(SHOWN)},
     }
-    if sharing.front is not None:
-        bundles = sharing.front.channels.bundles
+    if sharing.prefetcher is not None:
+        bundles = sharing.prefetcher.channels.bundles
         shown["channels"] = {
             f"{bundle.lease:x}": {"term": bundles.terms(bundle, now), "live": len(bundle.live)}
             for bundle in bundles.all
             if bundle.live
         }
-    if sharing.placing is not None:
-        shown["placement"] = sharing.placing.page()
+    if sharing.placement is not None:
+        shown["placement"] = sharing.placement.status_page()
     return json.dumps(shown)
 
 
--- a/paddlequay/net/hierarchy/tier_front.py
+++ b/paddlequay/net/hierarchy/tier_front.py
@@ -20,7 +20,7 @@
 from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
-from paddlequay.placement.homes import key_of
+from paddlequay.placement.homes import object_key
 from paddlequay.protocol import serving as wire
 from paddlequay.protocol.caches import Buffer, CacheProtocolError
 from paddlequay.protocol.endpoint_watch import Endpoint
@@ -315,7 +315,7 @@
             class_name=action.class_name,
             time_to_live=action.longest,
             object_name=name,
-            key=key_of(name),
+            key=object_key(name),
             part=part,
             group=None,
             fill=action.number,
--- a/paddlequay/placement/checks.py
+++ b/paddlequay/placement/checks.py
@@ -26,7 +26,7 @@
     without,
 )
 from paddlequay.placement.rules import ATTRIBUTES, WORK_MOST, Builder, Cell, Rule, Rules
-from paddlequay.placement.spoken import spoken
+from paddlequay.placement.syntax_tree import spoken
 from paddlequay.routing.interface import Member
 
 SHEETS_MOST = 1_024  # tables of shards: a rule has one, and one for each cell whose tenants it is for
--- a/paddlequay/placement/homes.py
+++ b/paddlequay/placement/homes.py
@@ -47,7 +47,7 @@
     return -math.log((unit + 1) / 2.0**64) / weight
 
 
-def key_of(name: str) -> int:
+def object_key(name: str) -> int:
     """The number of an object by its name: hex digits as clients give them, else a digest."""
     try:
         return int(name, 16) & MASK
@@ -55,7 +55,7 @@
         return digest(name)
 
 
-def place(key: int | None, part: int | None = None) -> int:
+def placement_key(key: int | None, part: int | None = None) -> int:
     """One key for an object, or for one part of it."""
     return (key or 0) ^ (0 if part is None else (part + 1) * 0xA0761D6478BD642F & MASK)
 
@@ -195,15 +195,15 @@
             if name in members:
                 yield members[name]
 
-    def key(self, request: Request) -> int:
+    def lookup_key(self, request: Request) -> int:
         """What the order of a request's homes is asked for by."""
-        return place(request.key, request.part)
+        return placement_key(request.key, request.part)
 
-    def home(self, key: int) -> M | None:
+    def first_home(self, key: int) -> M | None:
         """The first home of a key, all members taken as warm."""
         return next(self.order(key), None)
 
-    def first_names(self, key: int, count: int) -> list[str]:
+    def first_home_names(self, key: int, count: int) -> list[str]:
         """Names of the first homes, `count` of them or all there are, all taken as warm."""
         entries, whole = self.entries(slot_of(key))
         if count > len(entries) and not whole:
--- a/paddlequay/placement/rules.py
+++ b/paddlequay/placement/rules.py
@@ -13,7 +13,7 @@
 from paddlequay.errors import ConfigError
 from paddlequay.placement.grammar import Place, Source
 from paddlequay.placement.regions import ANY, Box, Region, Some, Value, Work, both, boxed, less, meet, these
-from paddlequay.placement.spoken import (
+from paddlequay.placement.syntax_tree import (
     CellIs,
     Choice,
     Clause,
--- a/paddlequay/placement/table.py
+++ b/paddlequay/placement/table.py
@@ -14,7 +14,7 @@
 
 from xxhash import xxh3_128_hexdigest
 
-from paddlequay.placement.homes import digest, place, slot_of
+from paddlequay.placement.homes import digest, placement_key, slot_of
 from paddlequay.placement.regions import ANY
 from paddlequay.placement.rules import Rule, Rules
 
@@ -138,7 +138,7 @@
         rule = sheet.rule
         by = rule.by
         if by == "object and part":
-            key = place(key, part)
+            key = placement_key(key, part)
         elif by == "group":
             key = group
         elif by == "tenant":
--- a/paddlequay/placement/following.py
+++ b/paddlequay/placement/table_homes.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING, TypeVar
 
-from paddlequay.placement.homes import SLOTS, Homes, always_whole, digest, place, slot_of
+from paddlequay.placement.homes import SLOTS, Homes, always_whole, digest, placement_key, slot_of
 from paddlequay.routing.interface import Request
 
 if TYPE_CHECKING:
-    from paddlequay.placement.mover import Placed
+    from paddlequay.placement.migration import Placed
     from paddlequay.placement.table import Sheet
 
 M = TypeVar("M")
@@ -22,8 +22,8 @@
 SHARDS_MOST = 4_096  # for so many shards each: together as much as plain homes remember
 
 
-class Asked(int):
-    """The place of a request's object and part, as `homes.place` has it, and what else rules tell apart."""
+class HomeKey(int):
+    """The `placement_key` of a request, with the attributes by which placement rules tell requests apart."""
 
     class_name: str | None
     tenant: str | None
@@ -32,15 +32,15 @@
     part: int | None
 
 
-def asked(request: Request) -> Asked:
+def home_key(request: Request) -> HomeKey:
     """What an order of homes is asked for by a request."""
-    key = Asked(place(request.key, request.part))
+    key = HomeKey(placement_key(request.key, request.part))
     key.class_name, key.tenant, key.group = request.class_name, request.tenant, request.group
     key.key, key.part = request.key, request.part
     return key
 
 
-class Following(Homes[M]):
+class TableHomes(Homes[M]):
     """Homes by the table that `source` has for a request now; without one, or by none of its rules, plain.
 
     `source` gives the sheet and where the object is placed, `None` for plain homes. Memory beside that of
@@ -49,15 +49,15 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.source: Callable[[Asked], tuple[Sheet, Placed] | None] | None = None
+        self.source: Callable[[HomeKey], tuple[Sheet, Placed] | None] | None = None
         self.sheets: OrderedDict[int, tuple[Sheet, int, Homes[str]]] = OrderedDict()  # by identity
 
-    def key(self, request: Request) -> int:
-        return asked(request) if self.source is not None else super().key(request)
+    def lookup_key(self, request: Request) -> int:
+        return home_key(request) if self.source is not None else super().lookup_key(request)
 
     def order(self, key: int, share: Callable[[M], float] = always_whole) -> Iterator[M]:
         """Members from the first home on. A member that is cold has as much of its shards as it can give."""
-        found = self.source(key) if self.source is not None and isinstance(key, Asked) else None
+        found = self.source(key) if self.source is not None and isinstance(key, HomeKey) else None
         if found is None:
             return super().order(key, share)
         sheet, placed = found
--- a/paddlequay/policy/members.py
+++ b/paddlequay/policy/members.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Mapping
 
-from paddlequay.placement.following import Following
 from paddlequay.placement.homes import Homes
+from paddlequay.placement.table_homes import TableHomes
 from paddlequay.routing.concurrency import INITIAL_LIMIT, MAX_LIMIT, MIN_LIMIT, MIN_LIMIT_PER_TRANSFER
 from paddlequay.routing.interface import Member, MembersChanged, MemberState, RoutingSettings, SlowStart
 from paddlequay.routing.slow_start import SlowStartLimiter
@@ -20,7 +20,7 @@
         self.settings, self.zone_load = settings, zone_load
         self.tier_by_kind = {settings.origin_kind: ORIGIN, settings.parent_kind: PARENT, None: EDGE}
         self.upstreams: dict[str, Upstream] = {}
-        self.homes: dict[CacheTier, Homes[Upstream]] = {EDGE: Following(), PARENT: Homes()}
+        self.homes: dict[CacheTier, Homes[Upstream]] = {EDGE: TableHomes(), PARENT: Homes()}
         starts = {EDGE: settings.edge_slow_start, PARENT: settings.parent_slow_start, ORIGIN: SlowStart()}
         self.slow_start = {tier: SlowStartLimiter(start) for tier, start in starts.items()}
         self.origins: list[Upstream] = []
--- a/paddlequay/policy/source_selection.py
+++ b/paddlequay/policy/source_selection.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from itertools import chain, islice
 
-from paddlequay.placement.homes import digest, place
+from paddlequay.placement.homes import digest, placement_key
 from paddlequay.policy.hot_objects import SPREAD_READS
 from paddlequay.policy.router_state import RouterState
 from paddlequay.routing.interface import RejectCause
@@ -102,7 +102,7 @@
     def pick_edge(self, request: RequestState, now: float) -> tuple[Upstream | None, bool]:
         """The hash of object and part, over two above a rate, the next where it fails; and was one busy?"""
         state, failed = self.state, request.failed_members
-        ranked = self.ranked(EDGE, state.members.homes[EDGE].key(request.received), now)
+        ranked = self.ranked(EDGE, state.members.homes[EDGE].lookup_key(request.received), now)
         fit = (edge for edge in ranked if request.in_dedup_scope(edge) and edge.member.name not in failed)
         spread = request.object_state.read_count > SPREAD_READS
         first = sorted(islice(fit, 2), key=lambda edge: edge.in_flight) if spread else []
@@ -134,7 +134,7 @@
             return None
         objective, shed = state.latency.objective(request), False
         request.only_if_cached = fills and state.origin_wait.sheds(objective, request.sampling_draw, now)
-        parents = self.ranked(PARENT, place(request.received.key), now)
+        parents = self.ranked(PARENT, placement_key(request.received.key), now)
         for source in chain(parents, () if request.only_if_cached else members.origins):
             if source.member.name in request.failed_members or not self.is_open(source, request, now):
                 continue
--- a/paddlequay/programs/router.py
+++ b/paddlequay/programs/router.py
@@ -125,8 +125,8 @@
             raise ConfigError(f"{path}: {error}") from None
         self.exchange.attempts.interceptor = sharing
         self.console.pages["cluster"] = lambda: page(sharing)
-        if sharing.placing is not None:
-            self.console.queries["placement"] = sharing.placing.explain
+        if sharing.placement is not None:
+            self.console.queries["placement"] = sharing.placement.explain
         return sharing
 
     @staticmethod
@@ -158,8 +158,8 @@
                 from paddlequay.schema.sources import read_discovery
 
                 self.members.reload(read_discovery(Path(os.environ[DISCOVERY_VARIABLE])))
-            if self.sharing is not None and self.sharing.placing is not None:
-                self.sharing.placing.reload()
+            if self.sharing is not None and self.sharing.placement is not None:
+                self.sharing.placement.reload()
         except ConfigError as error:
             self.counters.add("reloads_refused")
             return log.event(LOGGER, logging.WARNING, "reload_refused", why=str(error))
--- a/paddlequay/programs/tier.py
+++ b/paddlequay/programs/tier.py
@@ -230,7 +230,7 @@
         counts = node.seen.counts
         shares = dict.fromkeys(node.moves.members, 0)
         for key in range(256):
-            home = node.moves.homes.home(key * 0x9E3779B97F4A7C15 % (1 << 64))
+            home = node.moves.homes.first_home(key * 0x9E3779B97F4A7C15 % (1 << 64))
             if home is not None:
                 shares[home] += 1
         own = node.shape.nodes.get(node.name)
--- a/tests/cluster/test_channels.py
+++ b/tests/cluster/test_channels.py
@@ -9,7 +9,7 @@
 from paddlequay.cluster import handoff
 from paddlequay.cluster.bundles import Bundle
 from paddlequay.cluster.channels import Channels
-from paddlequay.cluster.messages import Carried, Load, Offer, Ready
+from paddlequay.cluster.messages import ChannelPartReport, HandoffOffer, HandoffReply, OwnerLoad
 from paddlequay.cluster.prefetch import Ahead, Boxes, Rate, Reads, channel_of
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import Action, Fleet, PeerChanged, PeerState, SendMessage
@@ -208,8 +208,12 @@
     assert all(p.channels.carried(ahead.channel, ahead.part, p.clock) == BOX for p in world.all)
     other = world.all[(owner + 1) % 5].channels
     now = world.all[(owner + 1) % 5].clock
-    other.handle_message(9, 0, Carried(ahead.channel, ahead.term - 1, ahead.part, BOX + 1, 3000), now)
-    other.handle_message(9, 0, Carried(ahead.channel, ahead.term - 1, ahead.part + 9, BOX + 1, 3000), now)
+    other.handle_message(
+        9, 0, ChannelPartReport(ahead.channel, ahead.term - 1, ahead.part, BOX + 1, 3000), now
+    )
+    other.handle_message(
+        9, 0, ChannelPartReport(ahead.channel, ahead.term - 1, ahead.part + 9, BOX + 1, 3000), now
+    )
     assert other.carried(ahead.channel, ahead.part, now) == BOX
     assert other.carried(ahead.channel, ahead.part + 9, now) is None
 
@@ -251,7 +255,7 @@
     for half in range(60):
         for me, process in enumerate(world.all):
             for peer in set(range(5)) - {me}:
-                word = Load(1000_000 * ((half + peer) % 2), 0)  # nothing and very much, in turn
+                word = OwnerLoad(1000_000 * ((half + peer) % 2), 0)  # nothing and very much, in turn
                 process.channels.handle_message(peer, 0, word, process.clock)
         world.run(0.5)
     moves = Counter(me for _, me in gives)
@@ -328,7 +332,7 @@
     leases.by = bundle.owner = 3
     for part in (1, 2, 3):
         channels.asked("a", "video", part, 100.0)
-    channels.handle_message(3, 0, Ready(bundle.lease, 5, 0), 100.0)
+    channels.handle_message(3, 0, HandoffReply(bundle.lease, 5, 0), 100.0)
     for tenth in range(1, 6):
         channels.tick(100.0 + tenth / 10)
     assert leases.wants == [bundle.lease]
@@ -336,7 +340,9 @@
 
 def offers(actions: list[Action]) -> list[int | None]:
     return [
-        action.to for action in actions if isinstance(action, SendMessage) and isinstance(action.note, Offer)
+        action.to
+        for action in actions
+        if isinstance(action, SendMessage) and isinstance(action.note, HandoffOffer)
     ]
 
 
@@ -361,10 +367,12 @@
     channels, _, _ = made(8, (1.0,) * 8)
     assert offers(channels.drain(100.0)) == [1] * handoff.AT_ONCE
     channels, leases, (bundle,) = made()
-    (word,) = channels.handle_message(3, 0, Offer(bundle.lease, 5, 0), 100.0)
-    assert isinstance(word, SendMessage) and word.note == Ready(bundle.lease, 5, 0) and not leases.wants
+    (word,) = channels.handle_message(3, 0, HandoffOffer(bundle.lease, 5, 0), 100.0)
+    assert (
+        isinstance(word, SendMessage) and word.note == HandoffReply(bundle.lease, 5, 0) and not leases.wants
+    )
     bundle.live.add(7)
-    assert not channels.handle_message(3, 0, Offer(bundle.lease, 6, 0), 100.0) and leases.wants == [
+    assert not channels.handle_message(3, 0, HandoffOffer(bundle.lease, 6, 0), 100.0) and leases.wants == [
         bundle.lease
     ]
 
@@ -375,6 +383,6 @@
     other = (owner + 1) % 5
     channels, now = world.all[other].channels, world.all[other].clock
     bundle = channels.bundles.all[0]
-    (answer,) = channels.handle_message(owner, 0, Ready(bundle.lease, 0, 1), now)
-    assert isinstance(answer.note, Ready) and answer.note.yes == 0  # type: ignore[union-attr]
-    assert channels.handle_message(owner, 0, Ready(12345, 0, 1), now) == []  # another plaza's bundle
+    (answer,) = channels.handle_message(owner, 0, HandoffReply(bundle.lease, 0, 1), now)
+    assert isinstance(answer.note, HandoffReply) and answer.note.accepted == 0  # type: ignore[union-attr]
+    assert channels.handle_message(owner, 0, HandoffReply(12345, 0, 1), now) == []  # another plaza's bundle
--- a/tests/cluster/test_outbox.py
+++ b/tests/cluster/test_outbox.py
@@ -9,8 +9,8 @@
 from paddlequay.cluster.messages import (
     Ack,
     Evidence,
-    Load,
     MembershipUpdate,
+    OwnerLoad,
     PeerMessage,
     Ping,
     Prepare,
@@ -137,11 +137,11 @@
     for milli in (1, 2, 3):
         outbox.put(SendMessage(1, QuotaRequest(7, milli, milli, 0)), 0.9)
         outbox.put(SendMessage(1, QuotaRequest(8, milli, milli, 0)), 0.9)
-        outbox.put(SendMessage(1, Load(milli, 0)), 0.9)
+        outbox.put(SendMessage(1, OwnerLoad(milli, 0)), 0.9)
         outbox.put(SendMessage(1, Ping(milli, 0), NEWS if milli > 1 else LEASE), 0.9)
     pings = [Ping(1, 0), Ping(2, 0), Ping(3, 0)]
     (packet,) = outbox.take(1.0)
-    assert notes([packet]) == [*pings, QuotaRequest(7, 3, 3, 0), QuotaRequest(8, 3, 3, 0), Load(3, 0)]
+    assert notes([packet]) == [*pings, QuotaRequest(7, 3, 3, 0), QuotaRequest(8, 3, 3, 0), OwnerLoad(3, 0)]
     assert outbox.counts["dropped.replaced.routine"] == 6
 
 
@@ -149,7 +149,7 @@
     outbox = box(rate=1)
     outbox.tokens = 0
     for urgency in Urgency:
-        outbox.put(SendMessage(1, Load(1, 1), urgency), 0.0)
+        outbox.put(SendMessage(1, OwnerLoad(1, 1), urgency), 0.0)
     assert not outbox.take(ROUTINE_AGE)
     outbox.tokens = outbox.burst
     assert len(notes(outbox.take(ROUTINE_AGE + 0.1))) == 1
@@ -189,17 +189,17 @@
 def test_what_cannot_be_sent_is_counted() -> None:
     outbox = box()
     for to in (0, 5, -1):
-        outbox.put(SendMessage(to, Load(1, 1)), 0.0)
-    outbox.put(SendMessage(1, Load(-1, 1)), 0.0)
+        outbox.put(SendMessage(to, OwnerLoad(1, 1)), 0.0)
+    outbox.put(SendMessage(1, OwnerLoad(-1, 1)), 0.0)
     assert outbox.counts == Counter({"dropped.receiver": 3, "dropped.invalid": 1})
     alone = box(1)
-    alone.put(SendMessage(None, Load(1, 1)), 0.0)
+    alone.put(SendMessage(None, OwnerLoad(1, 1)), 0.0)
     assert alone.due() == NEVER
 
 
 def test_datagrams_on_the_simulators_wire() -> None:
     a, b = (SimWire(outbox.wire, outbox) for outbox in (box(me=0), box(me=1)))
-    a.outbox.put(SendMessage(None, Load(1, 2), NEWS), 0.0)
+    a.outbox.put(SendMessage(None, OwnerLoad(1, 2), NEWS), 0.0)
     a.outbox.put(SendMessage(1, Ping(3, 4), LEASE), 0.0)
     first, second = a.posts(0.0)
     assert (first.peer, second.peer) == ("1", "*")
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from paddlequay.cluster.messages import Load, PeerMessage, Ping
+from paddlequay.cluster.messages import OwnerLoad, PeerMessage, Ping
 from paddlequay.cluster.outbox import Outbox
 from paddlequay.cluster.types import NEVER, Bounds, Fleet, Peer, SendMessage, Urgency
 from paddlequay.cluster.wire import Codec, Head, Wire
@@ -110,13 +110,13 @@
 @run
 async def test_notes_reach_one_and_all() -> None:
     async with routers() as (a, b, c):
-        a.say(None, Load(1, 2))
+        a.say(None, OwnerLoad(1, 2))
         b.say(0, Ping(3, 4))
         await until(lambda: bool(a.ears.heard and b.ears.heard and c.ears.heard))
         assert (a.ears.heard, b.ears.heard, c.ears.heard) == (
             [(1, Ping(3, 4))],
-            [(0, Load(1, 2))],
-            [(0, Load(1, 2))],
+            [(0, OwnerLoad(1, 2))],
+            [(0, OwnerLoad(1, 2))],
         )
         assert (a.count("sent"), b.count("sent"), c.count("received")) == (2, 1, 1)
 
@@ -125,7 +125,7 @@
 async def test_strangers_and_broken_datagrams_are_counted_and_logged_once_a_kind() -> None:
     async with routers() as (a, b, c):
         with closing(plain()) as stranger:
-            right = b.wire.write([b.wire.codec.pack_note(Load(1, 2))])
+            right = b.wire.write([b.wire.codec.pack_note(OwnerLoad(1, 2))])
             other = Codec("harbour", 3)
             foreign = other.pack(Head(1, 1, 1, 1, 0), [])
             body = b"\x91\xc3"
@@ -143,7 +143,7 @@
             b.send_to(right, a.listen)
             b.send_to(right, a.listen)
             await until(lambda: a.count("repeated") == 1)
-            assert a.ears.heard == [(1, Load(1, 2))]
+            assert a.ears.heard == [(1, OwnerLoad(1, 2))]
             stranger.sendto(b"", a.listen)
             await until(lambda: a.count("foreign") == 3)
             assert a.logged["peers.foreign"] == first["peers.foreign"]
@@ -161,14 +161,14 @@
         await a.start()
         await b.start()
         loop = asyncio.get_running_loop()
-        a.say(1, Load(1, 1))
+        a.say(1, OwnerLoad(1, 1))
         first.sendto(await loop.run_in_executor(None, second.recv, 500), b.listen)
-        await until(lambda: b.ears.heard == [(0, Load(1, 1))])
-        b.say(None, Load(2, 2))
+        await until(lambda: b.ears.heard == [(0, OwnerLoad(1, 1))])
+        b.say(None, OwnerLoad(2, 2))
         data = await loop.run_in_executor(None, everyone.recv, 500)
         for listen in inner:  # to all is to oneself too
             second.sendto(data, listen)
-        await until(lambda: a.ears.heard == [(1, Load(2, 2))] and b.count("own") == 1)
+        await until(lambda: a.ears.heard == [(1, OwnerLoad(2, 2))] and b.count("own") == 1)
         a.close()
         b.close()
 
@@ -177,9 +177,9 @@
 async def test_the_timer_is_for_the_owner_and_the_bound_and_waits_after_a_failure() -> None:
     async with routers(2) as (a, b):
         a.outbox.tokens = a.outbox.reserve - 100  # 140 bytes too few, 9 ms of the bound
-        a.say(1, Load(1, 1))
+        a.say(1, OwnerLoad(1, 1))
         assert not a.count("sent")
-        await until(lambda: b.ears.heard == [(0, Load(1, 1))])
+        await until(lambda: b.ears.heard == [(0, OwnerLoad(1, 1))])
         begun = a.now()
         a.ears.at = begun + 0.05
         a.flush()
@@ -187,13 +187,13 @@
         assert a.now() >= begun + 0.05
         a.ears.fails, a.ears.at = True, a.now()
         a.flush()
-        b.say(0, Load(1, 1))
+        b.say(0, OwnerLoad(1, 1))
         begun = a.now()
         await until(lambda: a.count("failures") == a.ears.ticks >= 4)  # one tick was well, one note not
         assert a.now() - begun > 0.15  # not as fast as it can
         a.ears.fails = False
-        b.say(0, Load(2, 2))
-        await until(lambda: a.ears.heard == [(1, Load(2, 2))])
+        b.say(0, OwnerLoad(2, 2))
+        await until(lambda: a.ears.heard == [(1, OwnerLoad(2, 2))])
 
 
 @run
@@ -206,15 +206,15 @@
         a.send_to(b"x", ("127.0.0.1", 0))
         await until(lambda: a.count("errors") == 3)
         protocol.pause_writing()
-        a.say(1, Load(1, 1))
+        a.say(1, OwnerLoad(1, 1))
         assert a.count("unsent") == 1
         protocol.resume_writing()
         transport.abort()  # as the loop does on an error that it knows no better for
         await until(lambda: a.count("opened") == 1)
-        b.say(0, Load(2, 2))
-        a.say(1, Load(3, 3))
+        b.say(0, OwnerLoad(2, 2))
+        a.say(1, OwnerLoad(3, 3))
         await until(lambda: bool(a.ears.heard and b.ears.heard))
-        assert b.ears.heard == [(0, Load(3, 3))]
+        assert b.ears.heard == [(0, OwnerLoad(3, 3))]
 
 
 def test_events_at_every_turn_of_the_loop_do_not_put_the_timer_off() -> None:
--- a/tests/cluster/test_placing.py
+++ b/tests/cluster/test_placement_tables.py
@@ -13,9 +13,9 @@
 from paddlequay.config.limits import Limits
 from paddlequay.errors import ConfigError
 from paddlequay.lifecycle.operator_state import OperatorState
-from paddlequay.net.cluster.placing import Placing
+from paddlequay.net.cluster.placement_tables import PlacementTables
 from paddlequay.observability.counters import Counters
-from paddlequay.placement.following import asked
+from paddlequay.placement.table_homes import home_key
 from paddlequay.policy import Router
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import ClientRequest, Timer
@@ -69,7 +69,9 @@
         self.exchange = Exchange(
             router, OperatorState(folder / "o"), ProcessQuotas(limits), limits, self.clock, counters
         )
-        self.placing = Placing(self.path, SETTINGS, self.exchange, counters, self.told, self.clock.monotonic)
+        self.placement = PlacementTables(
+            self.path, SETTINGS, self.exchange, counters, self.told, self.clock.monotonic
+        )
         self.counters = counters
         self.exchange.update_members(EDGES + OTHERS, True)
         self.node = self.join()
@@ -77,7 +79,7 @@
     def join(self) -> Node:
         settings = ClusterSettings("test", (0,), verdicts=False)
         node = Node(settings, Fleet(0, 1, (0,)), self.clock.unix(), 1, self.clock.now)
-        self.placing.join(node)
+        self.placement.join(node)
         return node
 
     def told(self, node: Node, actions: Sequence[Action]) -> None:
@@ -86,7 +88,7 @@
     def heard(self, news: Sequence[object]) -> None:
         for each in news:
             if isinstance(each, TableChanged):
-                self.placing.changed(each)
+                self.placement.table_changed(each)
 
     def run(self, seconds: float) -> None:
         end = self.clock.now + seconds
@@ -95,12 +97,12 @@
             self.heard(self.node.tick(self.clock.now))
 
     async def beat(self, seconds: float = 3.0) -> None:
-        await self.placing.beat()
+        await self.placement.beat()
         self.run(seconds)
 
     def home(self, key: int) -> str | None:
         homes = self.exchange.router.state.members.homes[CacheTier.EDGE]
-        server = next(homes.order(asked(Request("q", "video", 1.0, key=key))), None)
+        server = next(homes.order(home_key(Request("q", "video", 1.0, key=key))), None)
         return None if server is None else server.member.name
 
     def all_at(self, name: str) -> bool:
@@ -116,7 +118,7 @@
 def test_rules_are_followed_once_the_fleet_has_agreed_and_no_longer_than_its_word(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         assert not world.all_at("e2")
-        await world.placing.beat()
+        await world.placement.beat()
         assert not world.all_at("e2")  # compiled, and nobody's word yet
         world.run(3.0)
         assert world.all_at("e2")
@@ -129,16 +131,16 @@
 def test_only_what_rules_see_of_the_list_is_compiled_anew(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         await world.beat()
-        own = world.placing.own
+        own = world.placement.own
         assert own is not None and own.names == ("e0", "e1", "e2", "e3")
         world.exchange.update_members(
             (Member("e1", "here", "box", started=50.0), Member("p2", "hub", "parent")), False
         )
         await world.beat()
-        assert world.placing.own is own
+        assert world.placement.own is own
         world.exchange.update_members((Member("e1", "here", "box", state=MemberState.DRAINING),), False)
         await world.beat()
-        assert world.placing.own is not own and world.counters.counts["placement_compiled"] == 2
+        assert world.placement.own is not own and world.counters.counts["placement_compiled"] == 2
 
     play(tmp_path, script)
 
@@ -147,21 +149,21 @@
     async def script(world: World) -> None:
         await world.beat()
         world.path.write_text(RULES.format("e3"))
-        world.placing.reload()
-        await world.placing.beat()
+        world.placement.reload()
+        await world.placement.beat()
         world.run(0.1)
         assert {world.home(key) for key in range(300)} == {"e2", "e3"}  # most shards wait
         world.run(1.0)
         assert world.all_at("e3")
         ask = ClientRequest("x", "video", 1.0, "7", 7, None, None)
-        world.placing.asked(ask)
+        world.placement.prepare_request(ask)
         seen = world.exchange.router.state.hot_objects.objects[7, None]
         assert list(seen.holders) == ["e2"]
         assert world.counters.counts["placement_former_named"] == 1
-        why = json.loads(world.placing.explain("class=video,key=7"))
+        why = json.loads(world.placement.explain("class=video,key=7"))
         assert (why["now"], why["former"], why["rule"], why["waits"]) == (["e3"], ["e2"], "all", False)
         world.run(61.0)
-        world.placing.asked(ask)
+        world.placement.prepare_request(ask)
         assert world.counters.counts["placement_former_named"] == 1
 
     play(tmp_path, script)
@@ -172,13 +174,13 @@
         await world.beat()
         world.path.write_text("otherwise: 64 shards by what.")
         with pytest.raises(ConfigError, match=r"p\.rules:1:"):
-            world.placing.reload()
+            world.placement.reload()
         world.path.write_text("otherwise: 64 shards by object; 9 copies.")  # more than the list has
-        world.placing.reload()
+        world.placement.reload()
         await world.beat()
         await world.beat()
         assert world.counters.counts["placement_refused"] == 1 and world.all_at("e2")
-        assert world.placing.tables is not None and world.placing.tables.own.table != 0
+        assert world.placement.tables is not None and world.placement.tables.own.table != 0
 
     play(tmp_path, script)
 
@@ -187,15 +189,15 @@
     async def script(world: World) -> None:
         await world.beat()
         world.path.write_text(RULES.format("e3").replace("100 shards", "10 shards"))
-        world.placing.reload()
+        world.placement.reload()
         await world.beat(1.0)
         world.path.write_text(RULES.format("e1").replace("64 ", "128 ").replace("63", "127"))
-        world.placing.reload()
+        world.placement.reload()
         await world.beat(1.0)
-        assert world.placing.waits is not None and world.placing.page()["next_waits"]
+        assert world.placement.waits is not None and world.placement.status_page()["next_waits"]
         world.run(6.0)
         await world.beat(20.0)
-        assert world.placing.waits is None and world.all_at("e1")
+        assert world.placement.waits is None and world.all_at("e1")
 
     play(tmp_path, script)
 
@@ -204,10 +206,10 @@
     async def script(world: World) -> None:
         await world.beat()
         world.node = world.join()
-        assert not world.all_at("e2") and world.placing.mover is None
+        assert not world.all_at("e2") and world.placement.mover is None
         world.run(5.0)
         assert world.all_at("e2")
-        world.placing.part()
+        world.placement.leave_cluster()
         assert not world.all_at("e2")
 
     play(tmp_path, script)
@@ -216,8 +218,8 @@
 def test_the_console_is_told_what_it_may_ask_and_why_there_is_no_rule(tmp_path: Path) -> None:
     world = World(tmp_path, RULES.format("e2"))
     for text in ("", "key", "what=1", "class=video,", "group=x"):
-        assert "expected" in json.loads(world.placing.explain(text))
-    assert json.loads(world.placing.explain("class=video,key=7"))["rule"] is None
+        assert "expected" in json.loads(world.placement.explain(text))
+    assert json.loads(world.placement.explain("class=video,key=7"))["rule"] is None
 
 
 def test_tables_held_are_few_however_often_the_list_changes(tmp_path: Path) -> None:
@@ -225,6 +227,6 @@
         for n in range(12):
             world.exchange.update_members((Member(f"x{n}", "here", "box"),), False)
             await world.beat(0.6)
-        assert len(world.placing.held) <= 6
+        assert len(world.placement.held) <= 6
 
     play(tmp_path, script)
--- a/tests/cluster/test_wire.py
+++ b/tests/cluster/test_wire.py
@@ -16,7 +16,7 @@
     MESSAGE_TYPES,
     TEXT_MOST,
     Evidence,
-    Load,
+    OwnerLoad,
     PeerMessage,
     Ping,
 )
@@ -194,8 +194,8 @@
     ranges = {(f.least, f.most) for shape in older.shapes.values() for f in shape.fields if f.type is int}
     small = {(0, 1), (1, 3), (0, int(max(Fault))), (0, SIZE - 1)}
     assert ranges == small | {(0, FIELD_MOST), (0, DIGEST_MOST)}
-    assert older.read(sent(Ping(1, 0), Label("a", b""), Load(1, 2))) == Heard(
-        HEAD, (Ping(1, 0), Load(1, 2)), 1
+    assert older.read(sent(Ping(1, 0), Label("a", b""), OwnerLoad(1, 2))) == Heard(
+        HEAD, (Ping(1, 0), OwnerLoad(1, 2)), 1
     )
 
 
--- a/tests/placement/test_homes.py
+++ b/tests/placement/test_homes.py
@@ -42,24 +42,24 @@
         for key in rng.sample(KEYS, 5) + KEYS[:5]:
             given = list(homes.order(key, lambda each: cold.get(each, 1.0)))
             assert given == plainly(homes, key, cold)
-            assert homes.first_names(key, 3) == plainly(homes, key, {})[:3]
+            assert homes.first_home_names(key, 3) == plainly(homes, key, {})[:3]
 
 
 @pytest.mark.parametrize("count", [6, 40, 200])
 def test_a_new_member_takes_its_share_and_no_other_key_moves(count: int) -> None:
     homes = homes_of(count)
-    before = {key: homes.home(key) for key in KEYS}
+    before = {key: homes.first_home(key) for key in KEYS}
     homes.put("new", "new")
-    moved = [key for key in KEYS if homes.home(key) != before[key]]
-    assert all(homes.home(key) == "new" for key in moved)
+    moved = [key for key in KEYS if homes.first_home(key) != before[key]]
+    assert all(homes.first_home(key) == "new" for key in moved)
     assert 0.5 < len(moved) * (count + 1) / len(KEYS) < 1.6
     homes.remove("new")
-    assert all(homes.home(key) == before[key] for key in KEYS)
+    assert all(homes.first_home(key) == before[key] for key in KEYS)
 
 
 def test_shares_follow_weights_and_slow_start_ramps_up_to_them() -> None:
     homes = homes_of(16, n1=3.0)
-    counts = Counter(homes.home(key) for key in KEYS)
+    counts = Counter(homes.first_home(key) for key in KEYS)
     assert 2.2 < counts["n1"] / (sum(counts.values()) - counts["n1"]) * 15 < 3.9
     held: set[int] = set()
     for share in (0.1, 0.4, 0.7, 1.0):
@@ -72,13 +72,13 @@
 def test_a_known_slot_is_looked_up_and_mended_without_a_walk_through_all_members() -> None:
     homes = homes_of(500)
     for key in KEYS[:50]:
-        homes.home(key)
+        homes.first_home(key)
     walked = homes.sorted_anew
     for step in range(20):
         homes.put(f"late{step}", "late")
         homes.remove(f"n{step}")
         for key in KEYS[:50]:
-            homes.home(key)
+            homes.first_home(key)
     # Only slots whose remembered entries were used up by removals are sorted anew.
     assert homes.sorted_anew - walked <= 10
 
@@ -89,7 +89,7 @@
     monkeypatch.setattr("paddlequay.placement.homes.REMEMBERED_MOST", 64)
     homes = homes_of(30)
     for key in KEYS[:500]:
-        homes.home(key)
+        homes.first_home(key)
     for step in range(3 * CHANGES_MOST):
         homes.put("n1", "n1", 1.0 + step % 2)
     assert len(homes.slots) <= 64 and len(homes.changes) <= CHANGES_MOST
@@ -101,6 +101,6 @@
     homes = homes_of(20)
     walk = homes.order(KEYS[0])
     next(walk)
-    second = homes.first_names(KEYS[0], 2)[1]
+    second = homes.first_home_names(KEYS[0], 2)[1]
     homes.remove(second)
     assert second not in list(walk)
--- a/tests/placement/test_rules_compile.py
+++ b/tests/placement/test_rules_compile.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from paddlequay.errors import ConfigError
-from paddlequay.placement import compile as compiler
+from paddlequay.placement import compiler
 from paddlequay.placement.checks import read_rules
-from paddlequay.placement.compile import compile_rules
-from paddlequay.placement.homes import Homes, arrival, digest, place, slot_of
+from paddlequay.placement.compiler import compile_rules
+from paddlequay.placement.homes import Homes, arrival, digest, placement_key, slot_of
 from paddlequay.placement.table import Sheet, Table
 from paddlequay.routing.interface import Member
 
@@ -124,8 +124,8 @@
         part = rng.choice([None, rng.randrange(65_536)])
         found = table.lookup("any", None, rng.randrange(256), key, part)
         assert found is not None
-        assert found.members == (homes.home(place(key, part)),)
-        assert found.shard == slot_of(place(key, part))
+        assert found.members == (homes.first_home(placement_key(key, part)),)
+        assert found.shard == slot_of(placement_key(key, part))
 
 
 def test_one_members_change_moves_its_own_share_only() -> None:
--- a/tests/placement/test_rules_errors.py
+++ b/tests/placement/test_rules_errors.py
@@ -9,9 +9,10 @@
 from hypothesis import strategies as st
 
 from paddlequay.errors import ConfigError
-from paddlequay.placement import checks, grammar, rules, spoken
+from paddlequay.placement import checks, grammar, rules
+from paddlequay.placement import syntax_tree as spoken
 from paddlequay.placement.checks import check_rules, read_rules
-from paddlequay.placement.compile import compile_rules
+from paddlequay.placement.compiler import compile_rules
 from paddlequay.routing.interface import Member
 
 EXAMPLE = (Path(__file__).parents[2] / "deploy" / "placement.rules").read_text()
--- a/tests/placement/test_table.py
+++ b/tests/placement/test_table.py
@@ -6,9 +6,9 @@
 
 from paddlequay.placement import table as tables
 from paddlequay.placement.checks import read_rules
-from paddlequay.placement.compile import compile_rules
-from paddlequay.placement.homes import digest, place, slot_of
-from paddlequay.placement.mover import BusyError, Mover, Placed, moved
+from paddlequay.placement.compiler import compile_rules
+from paddlequay.placement.homes import digest, placement_key, slot_of
+from paddlequay.placement.migration import BusyError, Mover, Placed, moved
 from paddlequay.placement.rules import Rules
 from paddlequay.placement.table import Table
 from paddlequay.routing.interface import Member
@@ -63,7 +63,7 @@
         return found.shard
 
     for key in (0, 5, 1 << 63):
-        assert shard("video", None, 2, key, 4) == slot_of(place(key, 4)) >> 10
+        assert shard("video", None, 2, key, 4) == slot_of(placement_key(key, 4)) >> 10
         assert shard("video", None, 9, key, 4) == slot_of(key) >> 8
         assert shard("page", None, 4, key, 4) == slot_of(4) >> 13
         assert shard("page", "cola", 4, key, 4) == slot_of(digest("cola")) >> 13
--- a/tests/placement/test_following.py
+++ b/tests/placement/test_table_homes.py
@@ -7,11 +7,11 @@
 import pytest
 
 from paddlequay.placement.checks import read_rules
-from paddlequay.placement.compile import compile_rules
-from paddlequay.placement.following import SHEETS_MOST, Asked, Following, asked
-from paddlequay.placement.homes import Homes, place
-from paddlequay.placement.mover import Mover, Placed
+from paddlequay.placement.compiler import compile_rules
+from paddlequay.placement.homes import Homes, placement_key
+from paddlequay.placement.migration import Mover, Placed
 from paddlequay.placement.table import Sheet, Table
+from paddlequay.placement.table_homes import SHEETS_MOST, HomeKey, TableHomes, home_key
 from paddlequay.routing.interface import Member, Request
 
 TODAY = "otherwise: 65536 shards by object and part; 1 copy."
@@ -30,8 +30,8 @@
 ]
 
 
-def source(mover: Mover) -> Callable[[Asked], tuple[Sheet, Placed] | None]:
-    def found(key: Asked) -> tuple[Sheet, Placed] | None:
+def source(mover: Mover) -> Callable[[HomeKey], tuple[Sheet, Placed] | None]:
+    def found(key: HomeKey) -> tuple[Sheet, Placed] | None:
         placed = mover.lookup(key.class_name, key.tenant, key.group, key.key, key.part, 0.0)
         table = mover.table
         return None if placed is None else (table.sheets[placed.found.rule, placed.found.cell], placed)
@@ -39,17 +39,17 @@
     return found
 
 
-def following(text: str, zone: str = "a", members: list[Member] = MEMBERS) -> tuple[Following[str], Table]:
+def following(text: str, zone: str = "a", members: list[Member] = MEMBERS) -> tuple[TableHomes[str], Table]:
     """The homes of a router in a zone, by a table over all zones."""
-    homes: Following[str] = Following()
+    homes: TableHomes[str] = TableHomes()
     homes.reset((m.name, m.name, m.weight or 1.0) for m in members if m.zone == zone)
     table = compile_rules(read_rules("t", text.encode()), members)
     homes.source = source(Mover(table))
     return homes, table
 
 
-def ask(kind: str, key: int, part: int | None = None, tenant: str | None = None) -> Asked:
-    return asked(Request("q", kind, 1.0, key=key, part=part, tenant=tenant))
+def ask(kind: str, key: int, part: int | None = None, tenant: str | None = None) -> HomeKey:
+    return home_key(Request("q", kind, 1.0, key=key, part=part, tenant=tenant))
 
 
 @pytest.mark.parametrize("copies", [1, 3])
@@ -73,7 +73,7 @@
         for _ in range(50):
             key, part = rng.getrandbits(64), rng.choice((None, rng.randrange(100)))
             by_table = list(followed.order(ask("video", key, part), share))
-            by_hash = list(plain.order(place(key, part), share))
+            by_hash = list(plain.order(placement_key(key, part), share))
             assert by_table == by_hash and len(by_hash) > 2
             compared += 1
     assert compared == 2000
@@ -98,8 +98,8 @@
     for key in range(100):
         assert set(mine.order(ask("page", key, tenant="acme"))) == {"a0", "a2", "a4", "a6", "a8"}
         assert list(other.order(ask("page", key, tenant="acme"))) == []
-        assert list(homes.order(ask("photo", key))) == list(plain.order(place(key)))
-        assert list(homes.order(ask("charge", key))) == list(plain.order(place(key)))  # by no rule
+        assert list(homes.order(ask("photo", key))) == list(plain.order(placement_key(key)))
+        assert list(homes.order(ask("charge", key))) == list(plain.order(placement_key(key)))  # by no rule
 
 
 def test_a_cold_pinned_member_has_as_much_of_its_shards_as_it_can_give_and_each_object_comes_back_once() -> (
@@ -124,7 +124,7 @@
     homes.remove("a3")
     assert "a3" not in list(homes.order(ask("video", key)))
     homes.source = lambda key: None
-    assert list(homes.order(ask("video", key))) == list(homes.order(place(key)))
+    assert list(homes.order(ask("video", key))) == list(homes.order(placement_key(key)))
 
 
 def test_orders_are_remembered_for_few_sheets() -> None:
