--- a/paddlequay/lab/channel_world.py
+++ b/paddlequay/lab/channel_world.py
@@ -14,7 +14,7 @@
 from paddlequay.cluster.prefetch import Ahead
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import Action, Bounds, Fleet, Peer, SendMessage
-from paddlequay.hierarchy.terms import Terms
+from paddlequay.hierarchy.fencing_tokens import FencingTokens
 
 BOUNDS = Bounds()
 STEP = 0.01  # seconds of true time; what is measured is exact to two of them
@@ -76,7 +76,7 @@
         self.blocked: set[tuple[Peer, Peer]] = set()
         self.slow: set[tuple[Peer, Peer]] = set()  # a second late
         self.pending: list[tuple[float, Callable[[], None]]] = []
-        self.tier = Terms()
+        self.tier = FencingTokens()
         self.fills: list[Fill] = []
         self.asks: list[tuple[float, Peer]] = []  # elections begun
         self.readers = set(range(size))
@@ -107,7 +107,7 @@
                 if isinstance(action.note, Prepare) and action.to == next(p for p in (0, 1, 2) if p != me):
                     self.asks.append((self.time, me))
                 for to in [action.to] if action.to is not None else range(len(self.all)):
-                    self.send(me, to, action.note, process.leases.clock)
+                    self.send(me, to, action.note, process.leases.highest_counter)
             elif type(action).__name__ != "LogEvent":
                 todo += process.channels.handle_event(action, process.clock)  # type: ignore[arg-type]
 
@@ -123,7 +123,7 @@
             return self.later(STEP, lambda: self.deliver(me, to, note, clock))
         if process.dead or (me, to) in self.blocked:
             return
-        process.leases.saw_clock(clock)
+        process.leases.observe_counter(clock)
         part = process.leases if isinstance(note, process.leases.HANDLED_MESSAGES) else process.channels
         self.act(to, part.handle_message(me, 0, note, process.clock))
 
