--- a/paddlequay/cluster/acceptor.py
+++ b/paddlequay/cluster/acceptor.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from paddlequay.cluster.messages import Accept, PeerMessage, Prepare, Promise, Propose, Reject, Release
-from paddlequay.cluster.types import NEVER, Bounds, Name, Peer
+from paddlequay.cluster.types import NEVER, ClusterBounds, NameDigest, Peer
 
 STATES_MOST = 8192  # leases that an acceptor votes on at once, about 2 MB; more are told to come later
 KEPT = 2.0  # leases' lengths that a vote is remembered after its last use, for ballots to stay in order
@@ -56,13 +56,13 @@
 class Acceptor:
     """Votes on many leases. The answer to a note goes back to its sender."""
 
-    def __init__(self, bounds: Bounds, now: float) -> None:
+    def __init__(self, bounds: ClusterBounds, now: float) -> None:
         self.bounds = bounds
-        self.votes: dict[Name, Vote] = {}
+        self.votes: dict[NameDigest, Vote] = {}
         # What was voted in a former life is unknown: by then every lock of it has ended, whoever counts.
-        self.back = now + bounds.lease * (1 + bounds.drift)
+        self.back = now + bounds.lease_s * (1 + bounds.drift_ratio)
         self.floor: int | None = None  # leases not remembered have promised so much; None: still out
-        self._ageing: list[tuple[float, Name]] = []
+        self._ageing: list[tuple[float, NameDigest]] = []
 
     def due(self) -> float:
         """When the stay-out or the first vote's time ends."""
@@ -91,91 +91,93 @@
     def rejoin(self, clock: int) -> int:
         return clock << 32 | RUN
 
-    def handle_message(self, sender: Peer, note: PeerMessage, clock: int, now: float) -> PeerMessage | None:
+    def handle_message(
+        self, sender: Peer, message: PeerMessage, clock: int, now: float
+    ) -> PeerMessage | None:
         """Answer a proposer's note; one whose ballot is not its sender's is not answered."""
         self.tick(clock, now)
-        if isinstance(note, Prepare) and (note.ballot == 0 or number(note.ballot) == sender):
-            return self._prepare(sender, note, now)
-        if isinstance(note, Propose) and number(note.ballot) == sender:
-            return self._propose(note, now)
-        if isinstance(note, Release) and number(note.ballot) == sender:
-            self._release(sender, note, now)
+        if isinstance(message, Prepare) and (message.ballot == 0 or number(message.ballot) == sender):
+            return self._prepare(sender, message, now)
+        if isinstance(message, Propose) and number(message.ballot) == sender:
+            return self._propose(message, now)
+        if isinstance(message, Release) and number(message.ballot) == sender:
+            self._release(sender, message, now)
         return None
 
-    def _prepare(self, sender: Peer, note: Prepare, now: float) -> PeerMessage:
+    def _prepare(self, sender: Peer, message: Prepare, now: float) -> PeerMessage:
         """Promise, or tell who has the lock. Ballot 0 only asks: it is never high enough for a promise."""
         if self.floor is None:
-            return Reject(note.lease, note.ballot, 0, millis(self.out(now)))
-        vote = self.votes.get(note.lease)
+            return Reject(message.lease, message.ballot, 0, millis(self.out(now)))
+        vote = self.votes.get(message.lease)
         if vote is None:
-            if note.ballot <= self.floor:
-                return Reject(note.lease, note.ballot, self.floor, 0)
-            vote = self._new(note.lease, now)
+            if message.ballot <= self.floor:
+                return Reject(message.lease, message.ballot, self.floor, 0)
+            vote = self._new(message.lease, now)
             if vote is None:
-                return Reject(note.lease, note.ballot, 0, millis(self.bounds.lease))
-        if self.locked(vote, note.ballot, now):
+                return Reject(message.lease, message.ballot, 0, millis(self.bounds.lease_s))
+        if self.locked(vote, message.ballot, now):
             left = millis(vote.ends - now)
-            return Promise(note.lease, note.ballot, vote.held, number(vote.held), left)
+            return Promise(message.lease, message.ballot, vote.held, number(vote.held), left)
         if now < vote.heir_until and sender != vote.heir:
-            return Reject(note.lease, note.ballot, 0, millis(vote.heir_until - now))
-        if note.ballot < max(vote.promised, vote.least, 1):
-            return Reject(note.lease, note.ballot, vote.promised, 0)
-        vote.promised = note.ballot
-        vote.binds = now + self.bounds.lease * PROMISED
+            return Reject(message.lease, message.ballot, 0, millis(vote.heir_until - now))
+        if message.ballot < max(vote.promised, vote.least, 1):
+            return Reject(message.lease, message.ballot, vote.promised, 0)
+        vote.promised = message.ballot
+        vote.binds = now + self.bounds.lease_s * PROMISED
         self._used(vote, now)
-        return Promise(note.lease, note.ballot, 0, 0, 0)
+        return Promise(message.lease, message.ballot, 0, 0, 0)
 
-    def _propose(self, note: Propose, now: float) -> PeerMessage | None:
-        term = note.term_ms / 1000
-        if not 0 < term <= self.bounds.lease:
+    def _propose(self, message: Propose, now: float) -> PeerMessage | None:
+        term = message.term_ms / 1000
+        if not 0 < term <= self.bounds.lease_s:
             return None  # longer than the stay-out covers: its sender is set otherwise
         if self.floor is None:
-            return Reject(note.lease, note.ballot, 0, millis(self.out(now)))
-        vote = self.votes.get(note.lease)
+            return Reject(message.lease, message.ballot, 0, millis(self.out(now)))
+        vote = self.votes.get(message.lease)
         if vote is None:
-            if note.number == 0:
-                return Reject(note.lease, note.ballot, self.floor, 0)
-            vote = self._new(note.lease, now)
+            if message.number == 0:
+                return Reject(message.lease, message.ballot, self.floor, 0)
+            vote = self._new(message.lease, now)
             if vote is None:
-                return Reject(note.lease, note.ballot, 0, millis(self.bounds.lease))
-        if self.locked(vote, note.ballot, now):
-            return Reject(note.lease, note.ballot, max(vote.promised, vote.held), 0)
-        if not self.may(vote, note, now):
-            return Reject(note.lease, note.ballot, max(vote.promised, vote.least), 0)
-        vote.promised = max(vote.promised, note.ballot)
-        vote.held = vote.least = note.ballot
+                return Reject(message.lease, message.ballot, 0, millis(self.bounds.lease_s))
+        if self.locked(vote, message.ballot, now):
+            return Reject(message.lease, message.ballot, max(vote.promised, vote.held), 0)
+        if not self.may(vote, message, now):
+            return Reject(message.lease, message.ballot, max(vote.promised, vote.least), 0)
+        vote.promised = max(vote.promised, message.ballot)
+        vote.held = vote.least = message.ballot
         vote.ends = self.lasts(term, now)
         vote.heir_until = 0.0
         self._used(vote, now)
-        return Accept(note.lease, note.ballot, note.number)
+        return Accept(message.lease, message.ballot, message.number)
 
     def locked(self, vote: Vote, ballot: int, now: float) -> bool:
         """Another owner has the lock."""
         return now < vote.ends and owner(vote.held) != owner(ballot)
 
-    def may(self, vote: Vote, note: Propose, now: float) -> bool:
+    def may(self, vote: Vote, message: Propose, now: float) -> bool:
         """The ballot is not too old: for a take its promise binds, for a renewal no other promise does."""
-        if note.number == 0:
-            return note.ballot == vote.promised and now < vote.binds
-        return note.ballot >= vote.least and (note.ballot >= vote.promised or now >= vote.binds)
+        if message.number == 0:
+            return message.ballot == vote.promised and now < vote.binds
+        return message.ballot >= vote.least and (message.ballot >= vote.promised or now >= vote.binds)
 
     def lasts(self, term: float, now: float) -> float:
-        return now + term * (1 + self.bounds.drift)
+        return now + term * (1 + self.bounds.drift_ratio)
 
-    def _release(self, sender: Peer, note: Release, now: float) -> None:
+    def _release(self, sender: Peer, message: Release, now: float) -> None:
         """Open the lock, and let nothing that is still under way under its ballot close it again."""
-        vote = self.votes.get(note.lease)
+        vote = self.votes.get(message.lease)
         if vote is None:
             return
-        vote.least = max(vote.least, note.ballot + 1)
-        if vote.promised == note.ballot:
+        vote.least = max(vote.least, message.ballot + 1)
+        if vote.promised == message.ballot:
             vote.binds = 0.0
-        if vote.held == note.ballot and now < vote.ends:
+        if vote.held == message.ballot and now < vote.ends:
             vote.ends = 0.0
-            if note.heir != sender:
-                vote.heir, vote.heir_until = note.heir, now + self.bounds.lease * HEIR
+            if message.heir != sender:
+                vote.heir, vote.heir_until = message.heir, now + self.bounds.lease_s * HEIR
 
-    def _new(self, lease: Name, now: float) -> Vote | None:
+    def _new(self, lease: NameDigest, now: float) -> Vote | None:
         if len(self.votes) >= STATES_MOST:
             return None
         vote = self.votes[lease] = Vote(promised=0)
@@ -184,4 +186,4 @@
         return vote
 
     def _used(self, vote: Vote, now: float) -> None:
-        vote.forget = max(vote.ends, now) + self.bounds.lease * KEPT
+        vote.forget = max(vote.ends, now) + self.bounds.lease_s * KEPT
--- a/paddlequay/cluster/bundles.py
+++ b/paddlequay/cluster/bundles.py
@@ -1,7 +1,7 @@
 """Bundles of channels: what a router knows of each, and what it may do in it at this moment.
 
 A bundle's owner holds its lease. One that has handed its lease on may go on under its old, lower term for
-`Bounds.overlap` from before it released, by its own clock less the drift, and not once it has heard of a
+`bounds.overlap_s` from before it released, by its own clock less the drift, and not once it has heard of a
 higher term. Its heir can only take the lease after the release, so two owners overlap for less than that
 whatever their clocks do; and nobody hands on with an overlap what it has held for less than two of them, so
 that there is never a third. A lease that is lost any other way ends at once: `holds` is asked at each use.
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from paddlequay.cluster.prefetch import Rate, lease_of
-from paddlequay.cluster.types import Action, Bounds, Name, Peer
+from paddlequay.cluster.types import Action, ClusterBounds, NameDigest, Peer
 
 FOLLOWED_S = 3.5  # an owner counts on a follower so long: two words may be lost
 TERM_KEPT = 30.0  # after it was last heard a higher term binds no more: votes' memory can be lost as well
@@ -20,11 +20,11 @@
 class LeasesOf(Protocol):
     """What is asked of leases (`cluster.leases.Leases`)."""
 
-    def want(self, lease: Name, now: float) -> list[Action]: ...
-    def drop(self, lease: Name, now: float, heir: Peer | None = None) -> list[Action]: ...
-    def holds(self, lease: Name, now: float) -> int | None: ...
-    def holder(self, lease: Name, now: float) -> Peer | None: ...
-    def ask(self, lease: Name, now: float) -> list[Action]: ...
+    def want(self, lease: NameDigest, now: float) -> list[Action]: ...
+    def drop(self, lease: NameDigest, now: float, heir: Peer | None = None) -> list[Action]: ...
+    def holds(self, lease: NameDigest, now: float) -> int | None: ...
+    def holder(self, lease: NameDigest, now: float) -> Peer | None: ...
+    def ask(self, lease: NameDigest, now: float) -> list[Action]: ...
 
 
 @dataclass(slots=True)
@@ -58,8 +58,8 @@
 class Bundle:
     """One bundle. Times are by the own clock; peers in its tables are bounded by the fleet."""
 
-    lease: Name
-    live: set[Name] = field(default_factory=set)  # channels that are read here
+    lease: NameDigest
+    live: set[NameDigest] = field(default_factory=set)  # channels that are read here
     seen: int = 0  # the highest term heard of
     seen_at: float = 0.0
     # another router's
@@ -105,12 +105,12 @@
 class Bundles:
     """All bundles of a plaza, and the one question at the moment of use."""
 
-    def __init__(self, zone: str, count: int, bounds: Bounds, leases: LeasesOf) -> None:
+    def __init__(self, zone: str, count: int, bounds: ClusterBounds, leases: LeasesOf) -> None:
         self.bounds, self.leases = bounds, leases
         self.all = [Bundle(lease_of(zone, number)) for number in range(count)]
         self.by_lease = {bundle.lease: bundle for bundle in self.all}
 
-    def of(self, channel: Name) -> Bundle:
+    def of(self, channel: NameDigest) -> Bundle:
         return self.all[channel % len(self.all)]
 
     def terms(self, bundle: Bundle, now: float) -> int | None:
@@ -139,7 +139,7 @@
     def settled(self, bundle: Bundle, now: float) -> bool:
         """The one before has stopped by now, and the lease is held."""
         held = self.leases.holds(bundle.lease, now)
-        return held == bundle.term and now - bundle.taken >= 2 * self.bounds.overlap
+        return held == bundle.term and now - bundle.taken >= 2 * self.bounds.overlap_s
 
     def overlap_ends(self, now: float) -> float:
-        return now + self.bounds.overlap * (1 - self.bounds.drift)
+        return now + self.bounds.overlap_s * (1 - self.bounds.drift_ratio)
--- a/paddlequay/cluster/channels.py
+++ b/paddlequay/cluster/channels.py
@@ -26,14 +26,14 @@
 from paddlequay.cluster.types import (
     NEVER,
     Action,
-    Bounds,
     ChannelOwnership,
+    ClusterBounds,
     Fleet,
     HolderObserved,
     LeaseAcquired,
     LeaseLost,
     LocalEvent,
-    Name,
+    NameDigest,
     Peer,
     PeerChanged,
     PeerState,
@@ -59,7 +59,7 @@
     def __init__(
         self,
         fleet: Fleet,
-        bounds: Bounds,
+        bounds: ClusterBounds,
         rule: ChannelRule,
         leases: LeasesOf,
         rng: random.Random,
@@ -98,7 +98,7 @@
         term = self.bundles.terms(self.bundles.of(ahead.channel), now)
         return term if term == ahead.term else None
 
-    def filled(self, ahead: Ahead, box: Name, now: float) -> list[Action]:
+    def filled(self, ahead: Ahead, box: NameDigest, now: float) -> list[Action]:
         """A part is filled, in the box of that digest: told to those who follow, unless a later owner is."""
         self.reads.went(ahead.channel, ahead.part, ahead.term, True, now)
         bundle = self.bundles.of(ahead.channel)
@@ -121,7 +121,7 @@
         """A fill ahead was not written, or brought nothing: the next read tries again."""
         self.reads.went(ahead.channel, ahead.part, ahead.term, False, now)
 
-    def carried(self, channel: Name, part: int, now: float) -> Name | None:
+    def carried(self, channel: NameDigest, part: int, now: float) -> NameDigest | None:
         """The digest of the box that holds a part, as an owner said lately; a hint."""
         return self.boxes.find(channel, part, now)
 
@@ -137,41 +137,43 @@
 
     # --- as a part ---
 
-    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
-        match note:
+    def handle_message(
+        self, sender: Peer, incarnation: int, message: PeerMessage, now: float
+    ) -> list[Action]:
+        match message:
             case Carried():
-                bundle = self.bundles.of(note.channel)
-                if bundle.saw(note.term, now):
-                    life = note.life_ms / 1000
+                bundle = self.bundles.of(message.channel)
+                if bundle.saw(message.term, now):
+                    life = message.life_ms / 1000
                     if life > 0:  # else it only says that the owner is there
-                        self.boxes.told(note.channel, note.part, note.box, note.term, life, now)
+                        self.boxes.told(message.channel, message.part, message.box, message.term, life, now)
                     self._owner(bundle, sender, now)
             case Load():
-                self.handoff.loads[sender] = (note.milli / 1000, now)
+                self.handoff.loads[sender] = (message.milli / 1000, now)
             case Offer() | Ready() | Took():
-                known = self.bundles.by_lease.get(note.bundle)
-                if isinstance(note, Offer):
-                    return self.handoff.offered(sender, known, note, now)
-                if known is not None and isinstance(note, Ready):
-                    return self._ready(sender, known, note, now)
-                if known is not None and isinstance(note, Took) and known.saw(note.term, now):
+                known = self.bundles.by_lease.get(message.bundle)
+                if isinstance(message, Offer):
+                    return self.handoff.offered(sender, known, message, now)
+                if known is not None and isinstance(message, Ready):
+                    return self._ready(sender, known, message, now)
+                if known is not None and isinstance(message, Took) and known.saw(message.term, now):
                     self._owner(known, sender, now)
                     return self.handoff.over(known, now)
         return []
 
-    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
-        match news:
+    def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
+        match event:
             case LeaseAcquired(lease=lease) if lease in self.bundles.by_lease:
-                return self._taken(self.bundles.by_lease[lease], news.term, now)
+                return self._taken(self.bundles.by_lease[lease], event.term, now)
             case LeaseLost(lease=lease) if lease in self.bundles.by_lease:
-                return self._lost(self.bundles.by_lease[lease], news.term, now)
+                return self._lost(self.bundles.by_lease[lease], event.term, now)
             case HolderObserved(lease=lease) if lease in self.bundles.by_lease:
-                self.bundles.by_lease[lease].saw(news.term, now)
+                self.bundles.by_lease[lease].saw(event.term, now)
             case PeerChanged():
-                if news.standing is PeerState.ALIVE:
-                    self.handoff.away.discard(news.peer)
-                elif news.standing is not PeerState.UNKNOWN:
-                    self.handoff.away.add(news.peer)
+                if event.state is PeerState.ALIVE:
+                    self.handoff.away.discard(event.peer)
+                elif event.state is not PeerState.UNKNOWN:
+                    self.handoff.away.add(event.peer)
         return []
 
     def tick(self, now: float) -> list[Action]:
@@ -221,7 +223,7 @@
         owner = bundle.owner
         if owner is not None and now - bundle.followed >= FOLLOW_S:
             bundle.followed = now
-            out.append(SendMessage(owner, Ready(bundle.lease, 0, 1), Urgency.NEWS))
+            out.append(SendMessage(owner, Ready(bundle.lease, 0, 1), Urgency.CHANGE))
             out.append(SendMessage(owner, self.handoff.said(now), Urgency.ROUTINE))
         lost = owner is None or owner in self.handoff.away or now - bundle.heard >= SILENT_S
         # A lost owner's lease runs on for a while: a bid before its end would find it, and nothing else.
@@ -265,22 +267,22 @@
             out += self.leases.want(bundle.lease, now)
         return out
 
-    def _ready(self, sender: Peer, bundle: Bundle, note: Ready, now: float) -> list[Action]:
+    def _ready(self, sender: Peer, bundle: Bundle, message: Ready, now: float) -> list[Action]:
         """A follower's word, its answer that this router has nothing to follow, or the answer to an offer."""
-        if note.term == 0:
-            if bundle.term and note.yes:
+        if message.term == 0:
+            if bundle.term and message.yes:
                 if sender not in bundle.followers:
                     bundle.told = -NEVER  # it is told at the next look whom it has found
                 bundle.followers[sender] = now
-            elif note.yes and bundle.overlap is None:
-                return [SendMessage(sender, Ready(bundle.lease, max(1, bundle.seen), 0), Urgency.NEWS)]
+            elif message.yes and bundle.overlap is None:
+                return [SendMessage(sender, Ready(bundle.lease, max(1, bundle.seen), 0), Urgency.CHANGE)]
             return []
-        if not note.yes and bundle.owner == sender:
+        if not message.yes and bundle.owner == sender:
             # It is the owner no more, or what an acceptor told was of a lost election. Who has followed it is
             # asked for at once; where nobody has, a bid comes by itself.
             bundle.owner, bundle.denied, bundle.denied_at = None, sender, now
             return self.leases.ask(bundle.lease, now)
-        return self.handoff.ready(sender, bundle, note, now)
+        return self.handoff.ready(sender, bundle, message, now)
 
     # --- owning ---
 
--- a/paddlequay/cluster/epochs.py
+++ b/paddlequay/cluster/epochs.py
@@ -15,10 +15,20 @@
 
 from paddlequay.cluster.acceptor import counter
 from paddlequay.cluster.messages import Has, Table
-from paddlequay.cluster.types import NEVER, Action, Bounds, Fleet, LogEvent, Name, Peer, SendMessage, Urgency
+from paddlequay.cluster.types import (
+    NEVER,
+    Action,
+    ClusterBounds,
+    Fleet,
+    LogEvent,
+    NameDigest,
+    Peer,
+    SendMessage,
+    Urgency,
+)
 from paddlequay.placement.homes import digest
 
-LEASE: Name = digest("tables")
+LEASE: NameDigest = digest("tables")
 
 PAUSE = 0.25  # seconds from one proposal to the next: a list that changes often makes 4 epochs a second
 RESEND = 0.2  # seconds for an answer, doubled from one try to the next up to `RESEND_MOST`
@@ -27,7 +37,7 @@
 ROUTINES = 6  # declarations in the time for which a router keeps to its table without one
 NUMBERS = 32  # bits of an epoch that count under its term
 
-Holds = Callable[[Name, float], int | None]
+Holds = Callable[[NameDigest, float], int | None]
 
 
 def epoch_of(term: int, number: int) -> int:
@@ -89,7 +99,7 @@
     epoch: int
     content: Content
 
-    def note(self) -> Table:
+    def message(self) -> Table:
         return told(self.epoch, self.content, 1)
 
 
@@ -104,9 +114,9 @@
     `own` is what this router itself has compiled. `declare` makes the actions of this router's own taking up.
     """
 
-    def __init__(self, fleet: Fleet, bounds: Bounds, holds: Holds) -> None:
+    def __init__(self, fleet: Fleet, bounds: ClusterBounds, holds: Holds) -> None:
         self.fleet, self.holds = fleet, holds
-        self.routine = bounds.epoch / ROUTINES
+        self.routine = bounds.epoch_s / ROUTINES
         self.own = Content(0)
         self.term = 0  # 0: this router is not the holder
         self.number = 0
@@ -159,23 +169,23 @@
         if self.term:
             self.next = min(self.next, max(now, self.proposed + PAUSE))
 
-    def heard(self, sender: Peer, incarnation: int, note: Has, now: float) -> list[Action]:
+    def heard(self, sender: Peer, incarnation: int, message: Has, now: float) -> list[Action]:
         """What a router has. Who is behind is told at once, whatever is waited for."""
-        epoch = epoch_of(note.term, note.epoch)
+        epoch = epoch_of(message.term, message.epoch)
         before = self.answers.get(sender)
         if before is not None and (incarnation, epoch) < (before.incarnation, before.epoch):
             return []  # overtaken by a later one
-        self.answers[sender] = Answer(incarnation, epoch, note.table)
-        self.confirmed[sender] = note.active
-        if before is None or before.table != note.table:
+        self.answers[sender] = Answer(incarnation, epoch, message.table)
+        self.confirmed[sender] = message.active
+        if before is None or before.table != message.table:
             self.look(now)
         declared = self.declared
-        if declared is not None and note.active != mark(declared.epoch):
-            if note.active > mark(declared.epoch) and declared.epoch >> NUMBERS != self.term:
+        if declared is not None and message.active != mark(declared.epoch):
+            if message.active > mark(declared.epoch) and declared.epoch >> NUMBERS != self.term:
                 # The holder before this one has declared a later epoch, which has not come here.
                 self.declared, self.tries = None, Tries()
-            elif epoch < declared.epoch and note.active < mark(declared.epoch):
-                return [SendMessage(sender, declared.note(), Urgency.NEWS)]
+            elif epoch < declared.epoch and message.active < mark(declared.epoch):
+                return [SendMessage(sender, declared.message(), Urgency.CHANGE)]
         return []
 
     def alive(self, peer: Peer, now: float) -> list[Action]:
@@ -184,12 +194,12 @@
         self.confirmed.pop(peer, None)
         actions: list[Action] = []
         if self.declared is not None:
-            actions.append(SendMessage(peer, self.declared.note(), Urgency.NEWS))
+            actions.append(SendMessage(peer, self.declared.message(), Urgency.CHANGE))
             if self.tries.at == NEVER:
                 self.tries.start(now)
         if self.proposal is not None:
             actions.append(
-                SendMessage(peer, told(self.proposal.epoch, self.proposal.content, 0), Urgency.NEWS)
+                SendMessage(peer, told(self.proposal.epoch, self.proposal.content, 0), Urgency.CHANGE)
             )
         return actions
 
@@ -227,7 +237,7 @@
             made = self.declared = Declared(self.proposal.epoch, self.proposal.content)
             actions += self.settled(self.proposal, now)
             self.proposal = None
-            actions.append(SendMessage(None, made.note(), Urgency.NEWS))
+            actions.append(SendMessage(None, made.message(), Urgency.CHANGE))
             self.tries.start(now)
             self.routine_at = now + self.routine
         if self.next <= now:
@@ -253,15 +263,15 @@
         self.proposal = Proposal(epoch_of(self.term, self.number), wanted, since, Tries())
         self.proposal.tries.start(now)
         self.proposed = now
-        return [SendMessage(None, told(self.proposal.epoch, wanted, 0), Urgency.NEWS)]
+        return [SendMessage(None, told(self.proposal.epoch, wanted, 0), Urgency.CHANGE)]
 
     def ask_again(self, proposal: Proposal, now: float) -> list[Action]:
         """Those who have not answered, or had something else then."""
-        note = told(proposal.epoch, proposal.content, 0)
+        message = told(proposal.epoch, proposal.content, 0)
         agreeing = (proposal.epoch, proposal.content.table)
         alike = {peer for peer, each in self.answers.items() if (each.epoch, each.table) == agreeing}
         asked = [peer for peer in self.others() if peer not in alike]
-        actions: list[Action] = [SendMessage(peer, note, Urgency.NEWS) for peer in asked]
+        actions: list[Action] = [SendMessage(peer, message, Urgency.CHANGE) for peer in asked]
         return actions + self.differ(now)
 
     def differ(self, now: float) -> list[Action]:
@@ -291,17 +301,17 @@
         """The declaration: again to who has not confirmed it, now and then to all."""
         if self.declared is None:
             return []
-        note = self.declared.note()
+        message = self.declared.message()
         if self.routine_at <= now:
             self.routine_at = now + self.routine
-            return [SendMessage(None, note, Urgency.ROUTINE), *self.differ(now)]
+            return [SendMessage(None, message, Urgency.ROUTINE), *self.differ(now)]
         if self.tries.at <= now:
             active = mark(self.declared.epoch)
             left = [peer for peer in self.others() if self.confirmed.get(peer) != active]
             self.tries.again(now)
             if not left:
                 self.tries = Tries()
-            return [SendMessage(peer, note, Urgency.NEWS) for peer in left]
+            return [SendMessage(peer, message, Urgency.CHANGE) for peer in left]
         return []
 
     def others(self) -> list[Peer]:
--- a/paddlequay/cluster/granter.py
+++ b/paddlequay/cluster/granter.py
@@ -14,9 +14,9 @@
 
 from paddlequay.cluster.messages import QuotaGrant, QuotaRequest
 from paddlequay.cluster.quotas import NOTHING, Share, Whole, divide, divide_burst
-from paddlequay.cluster.types import NEVER, Bounds, Name, Peer
+from paddlequay.cluster.types import NEVER, ClusterBounds, NameDigest, Peer
 
-Holds = Callable[[Name, float], int | None]  # the term of a lease that this router holds at this moment
+Holds = Callable[[NameDigest, float], int | None]  # the term of a lease that this router holds at this moment
 
 BOOKS_MOST = 4096  # limits with demand at a time; past it a router that asks stays at its floor
 OUT_MOST = 16  # grants to one router that are alive and none of which covers another
@@ -28,7 +28,7 @@
 class Kept:
     """A limit's rule as the cluster keeps it."""
 
-    lease: Name
+    lease: NameDigest
     whole: Whole
     life: float  # of its grants, seconds
 
@@ -85,24 +85,26 @@
 class Granter:
     """Grants shares of the limits whose leases this router holds. Pure; there is nothing to do in time."""
 
-    def __init__(self, bounds: Bounds, size: int, holds: Holds, books_most: int = BOOKS_MOST) -> None:
+    def __init__(self, bounds: ClusterBounds, size: int, holds: Holds, books_most: int = BOOKS_MOST) -> None:
         self.bounds = bounds
         self.size = size
         self.holds = holds
         self.books_most = books_most
-        self.books: OrderedDict[Name, Book] = OrderedDict()
-        self.terms: dict[Name, tuple[int, float]] = {}  # lease: the term, and when it was first seen here
+        self.books: OrderedDict[NameDigest, Book] = OrderedDict()
+        self.terms: dict[
+            NameDigest, tuple[int, float]
+        ] = {}  # lease: the term, and when it was first seen here
 
     def late(self, life: float) -> float:
         """What has to be waited for a life that another counts."""
-        return life * (1 + 2 * self.bounds.drift)
+        return life * (1 + 2 * self.bounds.drift_ratio)
 
-    def taken(self, lease: Name, term: int, now: float) -> None:
+    def taken(self, lease: NameDigest, term: int, now: float) -> None:
         """This router holds a lease under a term, whose grants it knows all; of older ones it knows none."""
         if lease not in self.terms or self.terms[lease][0] != term:
             self.terms[lease] = (term, now)
 
-    def holding(self, lease: Name, now: float) -> int | None:
+    def holding(self, lease: NameDigest, now: float) -> int | None:
         """The term under which grants may be issued at this moment, or None."""
         return self.holds(lease, now)
 
@@ -111,20 +113,22 @@
         return self.late(kept.life)
 
     def need(
-        self, kept: Kept, sender: Peer, incarnation: int, note: QuotaRequest, now: float
+        self, kept: Kept, sender: Peer, incarnation: int, message: QuotaRequest, now: float
     ) -> QuotaGrant | None:
         """Answer a Need: with a share, maybe of nothing, or not at all."""
         term = self.holding(kept.lease, now)
-        if term is None or note.term > term or not 0 <= sender < self.size:
+        if term is None or message.term > term or not 0 <= sender < self.size:
             return None
         self.taken(kept.lease, term, now)
-        book = self.book(note.limit, now)
-        if book is None or not self.noted(book, kept, sender, incarnation, note, now):
+        book = self.book(message.limit, now)
+        if book is None or not self.noted(book, kept, sender, incarnation, message, now):
             return None
         if now < self.terms[kept.lease][1] + self.waits(kept):
             return None
         share = self.granted(book, kept, sender, incarnation, now)
-        return QuotaGrant(note.limit, note.number, term, share.milli, share.burst, int(kept.life * 1000))
+        return QuotaGrant(
+            message.limit, message.number, term, share.milli, share.burst, int(kept.life * 1000)
+        )
 
     def granted(self, book: Book, kept: Kept, sender: Peer, incarnation: int, now: float) -> Share:
         """What the sender gets now: its share as far as it is free, written down as out."""
@@ -152,19 +156,19 @@
         return Share(milli, burst)
 
     def noted(
-        self, book: Book, kept: Kept, sender: Peer, incarnation: int, note: QuotaRequest, now: float
+        self, book: Book, kept: Kept, sender: Peer, incarnation: int, message: QuotaRequest, now: float
     ) -> bool:
         """Write down what a router needs; False for a Need that is no newer than the last."""
-        want = max(0, min(note.milli, kept.whole.limit.milli) - kept.whole.floor.milli)
+        want = max(0, min(message.milli, kept.whole.limit.milli) - kept.whole.floor.milli)
         asker = book.askers.get(sender)
         if asker is not None and asker.until <= now:
             asker = None
-        if asker is not None and (incarnation, note.number) <= (asker.incarnation, asker.number):
+        if asker is not None and (incarnation, message.number) <= (asker.incarnation, asker.number):
             return False
         if asker is None or abs(want - asker.want) * 8 > asker.want:
             book.fresh = now  # somebody comes, or needs another share: divide anew
         # A Need that asks is worth something beside the floor, even where it names no more than that: bursts.
-        book.askers[sender] = Asker(incarnation, note.number, max(want, kept.whole.unit), now + kept.life)
+        book.askers[sender] = Asker(incarnation, message.number, max(want, kept.whole.unit), now + kept.life)
         return True
 
     def divided(self, book: Book, kept: Kept, now: float) -> Mapping[Peer, Share]:
@@ -188,7 +192,7 @@
         book.fresh = now + kept.life * REUSED
         return book.shares
 
-    def book(self, limit: Name, now: float) -> Book | None:
+    def book(self, limit: NameDigest, now: float) -> Book | None:
         """The book of a limit; a full set lets go of one that has nothing out, or opens none."""
         book = self.books.get(limit)
         if book is not None:
--- a/paddlequay/cluster/handoff.py
+++ b/paddlequay/cluster/handoff.py
@@ -47,7 +47,7 @@
         """Release without an heir; whoever reads the bundle is told to look for an owner."""
         gone = Ready(bundle.lease, bundle.term, 0)
         out = self.bundles.release(bundle, now, None)
-        out += [SendMessage(peer, gone, Urgency.NEWS) for peer in bundle.following(now)]
+        out += [SendMessage(peer, gone, Urgency.CHANGE) for peer in bundle.following(now)]
         bundle.followers.clear()
         return out
 
@@ -111,12 +111,12 @@
             return [SendMessage(offered.to, self.offer(bundle, now), Urgency.LEASE)]
         return []
 
-    def ready(self, sender: Peer, bundle: Bundle, note: Ready, now: float) -> list[Action]:
+    def ready(self, sender: Peer, bundle: Bundle, message: Ready, now: float) -> list[Action]:
         """The answer to an offer."""
         offered = bundle.offered
-        if not bundle.term or bundle.term != note.term or offered is None or offered.to != sender:
+        if not bundle.term or bundle.term != message.term or offered is None or offered.to != sender:
             return []
-        if not note.yes:
+        if not message.yes:
             bundle.refused[sender], bundle.offered = now, None
             return self.moves(now)
         out = self.bundles.release(bundle, now, sender)
@@ -128,23 +128,23 @@
             return []
         gone = Ready(bundle.lease, bundle.overlap.term, 0)
         bundle.overlap = None
-        out: list[Action] = [SendMessage(peer, gone, Urgency.NEWS) for peer in bundle.following(now)]
+        out: list[Action] = [SendMessage(peer, gone, Urgency.CHANGE) for peer in bundle.following(now)]
         bundle.followers.clear()
         return out
 
     # --- the receiver ---
 
-    def offered(self, sender: Peer, bundle: Bundle | None, note: Offer, now: float) -> list[Action]:
+    def offered(self, sender: Peer, bundle: Bundle | None, message: Offer, now: float) -> list[Action]:
         """Bid, or decline: only who reads the bundle itself knows which part comes next."""
-        if bundle is None or not bundle.saw(note.term, now):
+        if bundle is None or not bundle.saw(message.term, now):
             return []
         taking = bundle.taking
-        if taking is not None and taking.term == note.term:
+        if taking is not None and taking.term == message.term:
             return [self.yes(bundle, taking)] if taking.ready else []
         busy = sum(each.taking is not None for each in self.bundles.all) >= AT_ONCE
         if self.draining or busy or not bundle.live or bundle.term:
-            return [SendMessage(sender, Ready(bundle.lease, note.term, 0), Urgency.LEASE)]
-        bundle.taking = Taking(sender, note.term, now)
+            return [SendMessage(sender, Ready(bundle.lease, message.term, 0), Urgency.LEASE)]
+        bundle.taking = Taking(sender, message.term, now)
         bundle.wanted, bundle.bids_from = True, None
         return self.leases.want(bundle.lease, now)
 
--- a/paddlequay/cluster/leases.py
+++ b/paddlequay/cluster/leases.py
@@ -45,10 +45,10 @@
 from paddlequay.cluster.types import (
     NEVER,
     Action,
-    Bounds,
+    ClusterBounds,
     Fleet,
     LocalEvent,
-    Name,
+    NameDigest,
     Peer,
     SendMessage,
     Urgency,
@@ -72,33 +72,35 @@
     acceptor_kind: ClassVar[type[Acceptor]] = Acceptor
     proposer_kind: ClassVar[type[Proposer]] = Proposer
 
-    def __init__(self, fleet: Fleet, bounds: Bounds, rng: random.Random, now: float) -> None:
+    def __init__(self, fleet: Fleet, bounds: ClusterBounds, rng: random.Random, now: float) -> None:
         self.fleet = fleet
         self.proposer = self.proposer_kind(fleet, bounds, rng)
         self.acceptor = self.acceptor_kind(bounds, now) if fleet.me in fleet.acceptors else None
 
     # --- for the parts that need leases ---
 
-    def want(self, lease: Name, now: float) -> list[Action]:
+    def want(self, lease: NameDigest, now: float) -> list[Action]:
         """Bids for a lease until it is dropped, and renews it while held; logs a refusal past `BIDS_MOST`."""
         return self._settled(self.proposer.want(lease, now), now)
 
-    def drop(self, lease: Name, now: float, heir: Peer | None = None) -> list[Action]:
+    def drop(self, lease: NameDigest, now: float, heir: Peer | None = None) -> list[Action]:
         """Give a lease up, held or not; `heir`, where it wants it too, takes it without waiting."""
         return self._settled(self.proposer.drop(lease, now, heir), now)
 
-    def holds(self, lease: Name, now: float) -> int | None:
+    def holds(self, lease: NameDigest, now: float) -> int | None:
         """The term under which this router holds a lease at this moment: to be asked at each use."""
         return self.proposer.holds(lease, now)
 
-    def holder(self, lease: Name, now: float) -> Peer | None:
+    def holder(self, lease: NameDigest, now: float) -> Peer | None:
         """Who holds a lease as far as was heard: a hint for whom to ask, never a proof."""
         return self.proposer.holder(lease, now)
 
-    def ask(self, lease: Name, now: float) -> list[Action]:
+    def ask(self, lease: NameDigest, now: float) -> list[Action]:
         """Asks all acceptors who holds a lease, without a bid; `HolderObserved` gives the answer."""
-        note = Prepare(lease, 0)
-        return self._settled([SendMessage(each, note, Urgency.NEWS) for each in self.fleet.acceptors], now)
+        message = Prepare(lease, 0)
+        return self._settled(
+            [SendMessage(each, message, Urgency.CHANGE) for each in self.fleet.acceptors], now
+        )
 
     @property
     def clock(self) -> int:
@@ -111,10 +113,12 @@
 
     # --- as a part ---
 
-    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
-        return self._settled(self._heard(sender, note, now), now)
+    def handle_message(
+        self, sender: Peer, incarnation: int, message: PeerMessage, now: float
+    ) -> list[Action]:
+        return self._settled(self._heard(sender, message, now), now)
 
-    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
+    def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
         return []  # liveness is a guess: leases go by their own clocks alone
 
     def tick(self, now: float) -> list[Action]:
@@ -125,19 +129,19 @@
     def due(self) -> float:
         return min(self.proposer.due(), self.acceptor.due() if self.acceptor is not None else NEVER)
 
-    def _heard(self, sender: Peer, note: PeerMessage, now: float) -> list[Action]:
+    def _heard(self, sender: Peer, message: PeerMessage, now: float) -> list[Action]:
         out: list[Action] = []
-        if isinstance(note, Prepare | Propose | Release):
+        if isinstance(message, Prepare | Propose | Release):
             answer = (
-                self.acceptor.handle_message(sender, note, self.clock, now)
+                self.acceptor.handle_message(sender, message, self.clock, now)
                 if self.acceptor is not None
                 else None
             )
-            self.proposer.saw_clock(counter(note.ballot))
+            self.proposer.saw_clock(counter(message.ballot))
             if answer is not None:
                 out.append(SendMessage(sender, answer, Urgency.LEASE))
-        if not isinstance(note, Prepare | Propose):
-            out += self.proposer.handle_message(sender, note, now)
+        if not isinstance(message, Prepare | Propose):
+            out += self.proposer.handle_message(sender, message, now)
         return out
 
     def _settled(self, actions: list[Action], now: float) -> list[Action]:
@@ -147,7 +151,7 @@
         while actions:
             action = actions.pop()
             if isinstance(action, SendMessage) and action.to == self.fleet.me:
-                actions += self._heard(self.fleet.me, action.note, now)[::-1]
+                actions += self._heard(self.fleet.me, action.message, now)[::-1]
             else:
                 out.append(action)
         return out
--- a/paddlequay/cluster/limits.py
+++ b/paddlequay/cluster/limits.py
@@ -1,6 +1,6 @@
 """Limits that hold over all routers: each has a floor for good, and a grant beside it by what it needs.
 
-docs/cluster/limits.md weighs the ways and gives the proof. A grant lives `Bounds.grant` from when its Need
+docs/cluster/limits.md weighs the ways and gives the proof. A grant lives `bounds.grant_s` from when its Need
 was sent, less the drift; the name of a limit for one value tells the rule that it belongs to, so that a
 holder knows of values that it has never seen itself. Admission waits for nothing: it decides by what is held.
 """
@@ -21,13 +21,13 @@
 from paddlequay.cluster.types import (
     NEVER,
     Action,
-    Bounds,
+    ClusterBounds,
     Fleet,
     HolderObserved,
     LeaseAcquired,
     LeaseLost,
     LocalEvent,
-    Name,
+    NameDigest,
     Peer,
     SendMessage,
     Urgency,
@@ -44,12 +44,12 @@
 NUMBER_MOST = 2**63
 
 
-def lease_of(rule: LimitRule) -> Name:
+def lease_of(rule: LimitRule) -> NameDigest:
     """The lease whose holder grants a rule's limits."""
     return xxh3_64_intdigest(f"limit/{rule.name}")
 
 
-def limit_of(lease: Name, value: str) -> Name:
+def limit_of(lease: NameDigest, value: str) -> NameDigest:
     """A rule's limit for one value, by number; values that share a digest share a limit: never over."""
     low = (1 << VALUE_BITS) - 1
     return (lease & ~low) | (xxh3_64_intdigest(value) & low)
@@ -60,7 +60,7 @@
     """Leave to start a request; `Limits.done` takes it back when the request is over, however it ended."""
 
     number: int
-    limits: tuple[Name, ...]
+    limits: tuple[NameDigest, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,10 +92,10 @@
     """This router's side of all limits, and the holder's where it has the lease: one `Part`.
 
     `incarnation` is this process's; `stay` is how many seconds grants of places live longer than
-    `Bounds.grant`, the same at all routers: the longest request that may start on a granted place. `shut` is
-    the longest time-out of a request: so long floors of places stay shut after a start, `first` says that no
-    process was before. `fast` is the most by which this clock runs faster than true time, a share of
-    every rate that it costs; `Bounds.drift` where it is not told. After `admit`, `due()` may be earlier
+    `bounds.grant_s`, the same at all routers: the longest request that may start on a granted place. `shut`
+    is the longest time-out of a request: so long floors of places stay shut after a start, `first` says that
+    no process was before. `fast` is the most by which this clock runs faster than true time, a share of
+    every rate that it costs; `bounds.drift_ratio` where it is not told. After `admit`, `due()` may be earlier
     than before.
     """
 
@@ -107,7 +107,7 @@
     def __init__(
         self,
         fleet: Fleet,
-        bounds: Bounds,
+        bounds: ClusterBounds,
         rules: Iterable[LimitRule],
         holds: Holds,
         incarnation: int,
@@ -124,20 +124,20 @@
         self.bounds = bounds
         self.incarnation = incarnation
         self.keys_most = keys_most
-        self.fast = bounds.drift if fast is None else fast
+        self.fast = bounds.drift_ratio if fast is None else fast
         self.granter = self.granters(bounds, fleet.size, holds)
         self.times = Times(
             now,
             self.pace(),
-            bounds.epoch,
-            0.0 if first else shut * (1 + bounds.drift) / (1 - bounds.drift),
-            bounds.grant / 3,
+            bounds.epoch_s,
+            0.0 if first else shut * (1 + bounds.drift_ratio) / (1 - bounds.drift_ratio),
+            bounds.grant_s / 3,
         )
         self.by: dict[By, list[tuple[LimitRule, Kept]]] = {}
         self.rules: dict[int, tuple[LimitRule, Kept]] = {}  # by the upper bits of its limits' names
         for rule in rules:
             lease = lease_of(rule)
-            life = bounds.grant + (stay if rule.at_once is not None else 0.0)
+            life = bounds.grant_s + (stay if rule.at_once is not None else 0.0)
             kept = Kept(lease, whole(rule, fleet.size), life)
             if lease >> VALUE_BITS in self.rules:
                 raise ValueError(
@@ -145,9 +145,9 @@
                 )
             self.rules[lease >> VALUE_BITS] = rule, kept
             self.by.setdefault(rule.by, []).append((rule, kept))
-        self.lines: OrderedDict[Name, Line] = OrderedDict()
-        self.heap: list[tuple[float, Name]] = []
-        self.holders: dict[Name, tuple[int, Peer]] = {}  # by lease: term and who
+        self.lines: OrderedDict[NameDigest, Line] = OrderedDict()
+        self.heap: list[tuple[float, NameDigest]] = []
+        self.holders: dict[NameDigest, tuple[int, Peer]] = {}  # by lease: term and who
         self.numbers = count((incarnation << NUMBERS) % NUMBER_MOST + 1)
         self.tickets = count(1)
 
@@ -156,7 +156,7 @@
         return 1 / (1 + self.fast)
 
     @property
-    def leases(self) -> tuple[Name, ...]:
+    def leases(self) -> tuple[NameDigest, ...]:
         """The leases that somebody has to hold."""
         return tuple(kept.lease for _, kept in self.rules.values())
 
@@ -168,7 +168,7 @@
 
     def admit_all(self, what: Iterable[tuple[By, str]], now: float, lasts: float) -> Ticket | Refused:
         """Leave under all rules that it falls under, or none: what others would have allowed is not used."""
-        lines: dict[Name, Line] = {}
+        lines: dict[NameDigest, Line] = {}
         for by, value in what:
             for rule, kept in self.by.get(by, ()):
                 if rule.match not in ("*", value):
@@ -176,7 +176,7 @@
                 limit = limit_of(kept.lease, value)
                 line = self.line(limit, rule, kept, now, lines)
                 if line is None:
-                    return Refused(rule.name, self.bounds.grant)
+                    return Refused(rule.name, self.bounds.grant_s)
                 lines[limit] = line
         refusing = []
         for limit, line in lines.items():
@@ -188,7 +188,7 @@
             for limit, line in refusing:
                 line.store.asked.add(now)
                 line.refused = True
-                self.want(limit, line, max(now, line.asked_at + self.bounds.grant / SOONER))
+                self.want(limit, line, max(now, line.asked_at + self.bounds.grant_s / SOONER))
             waits = [(self.retry_in(line, now), line.rule.name) for _, line in refusing]
             retry_in, name = max(waits)
             return Refused(name, retry_in)
@@ -197,7 +197,7 @@
             line.store.take(number, now, lasts)
             if isinstance(line.store, Bucket):
                 line.store.asked.add(now)
-            self.want(limit, line, max(now, line.asked_at + self.bounds.grant * RENEW))
+            self.want(limit, line, max(now, line.asked_at + self.bounds.grant_s * RENEW))
         return Ticket(number, tuple(lines))
 
     def done(self, ticket: Ticket, now: float) -> None:
@@ -210,10 +210,10 @@
     def retry_in(self, line: Line, now: float) -> float:
         """When it is worth asking again: a token is there, or another answer of the holder can be."""
         told = line.store.retry_in(now)
-        return min(told, 1.0) if told is not None else self.bounds.grant / 3
+        return min(told, 1.0) if told is not None else self.bounds.grant_s / 3
 
     def line(
-        self, limit: Name, rule: LimitRule, kept: Kept, now: float, held: Container[Name] = ()
+        self, limit: NameDigest, rule: LimitRule, kept: Kept, now: float, held: Container[NameDigest] = ()
     ) -> Line | None:
         """The line of a limit; None where all that are kept are in use.
 
@@ -235,7 +235,7 @@
         line = self.lines[limit] = Line(rule, kept, kind(kept.whole, self.times, now))
         return line
 
-    def oldest(self) -> list[Name]:
+    def oldest(self) -> list[NameDigest]:
         names = iter(self.lines)
         return [next(names) for _ in range(min(LOOKED_AT, len(self.lines)))]
 
@@ -251,7 +251,7 @@
             return False
         return any(number > line.number and at < line.store.until for number, at in line.sent.items())
 
-    def want(self, limit: Name, line: Line, at: float) -> None:
+    def want(self, limit: NameDigest, line: Line, at: float) -> None:
         if at < line.next:
             line.next = at
             heapq.heappush(self.heap, (at, limit))
@@ -274,13 +274,13 @@
             actions += self.ask(limit, line, now)
         return actions
 
-    def ask(self, limit: Name, line: Line, now: float) -> list[Action]:
+    def ask(self, limit: NameDigest, line: Line, now: float) -> list[Action]:
         """Tell the holder what is needed, as long as it is more than the floor gives."""
         line.store.advance(now, self.cut_off(line))
         milli = min(line.store.demand(now), line.kept.whole.limit.milli)
         if milli <= line.kept.whole.floor.milli and not line.refused:
             return []
-        renewed = line.asked_at + self.bounds.grant * RENEW
+        renewed = line.asked_at + self.bounds.grant_s * RENEW
         if line.number in line.sent and now < renewed and abs(milli - line.told) * 8 <= line.told:
             # Refused, but its last Need was answered, and the same again would get the same.
             self.want(limit, line, renewed)
@@ -294,8 +294,8 @@
         while len(line.sent) > SENT_MOST:
             del line.sent[next(iter(line.sent))]
         # Where nothing answers, or the holder is too busy to, each wait is as long as all before it.
-        again = max(self.bounds.grant * AGAIN, now - line.vain)
-        self.want(limit, line, now + min(again, self.bounds.grant))
+        again = max(self.bounds.grant_s * AGAIN, now - line.vain)
+        self.want(limit, line, now + min(again, self.bounds.grant_s))
         lease = line.kept.lease
         term, holder = self.holders.get(lease, (0, self.fleet.me))
         need = QuotaRequest(limit, number, milli, term)
@@ -305,61 +305,63 @@
                 self.take(self.fleet.me, grant, now)
             return []
         line.vain = min(line.vain, now)
-        patience = self.bounds.grant
+        patience = self.bounds.grant_s
         if holder != self.fleet.me and (now < line.vain + patience or now < line.loud + patience):
-            return [SendMessage(holder, need, Urgency.NEWS)]
+            return [SendMessage(holder, need, Urgency.CHANGE)]
         if now < line.loud + patience:
             return []
         line.loud = now  # nobody known answers: ask all who may hold the lease
         voters = [peer for peer in self.fleet.acceptors if peer != self.fleet.me]
-        return [SendMessage(peer, need, Urgency.NEWS) for peer in voters or (None,)]
+        return [SendMessage(peer, need, Urgency.CHANGE) for peer in voters or (None,)]
 
-    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
-        if isinstance(note, QuotaRequest):
-            known = self.rules.get(note.limit >> VALUE_BITS)
+    def handle_message(
+        self, sender: Peer, incarnation: int, message: PeerMessage, now: float
+    ) -> list[Action]:
+        if isinstance(message, QuotaRequest):
+            known = self.rules.get(message.limit >> VALUE_BITS)
             if known is None:
                 return []
-            grant = self.granter.need(known[1], sender, incarnation, note, now)
-            return [] if grant is None else [SendMessage(sender, grant, Urgency.NEWS)]
-        if isinstance(note, QuotaGrant):
-            self.take(sender, note, now)
+            grant = self.granter.need(known[1], sender, incarnation, message, now)
+            return [] if grant is None else [SendMessage(sender, grant, Urgency.CHANGE)]
+        if isinstance(message, QuotaGrant):
+            self.take(sender, message, now)
         return []
 
-    def since(self, line: Line, note: QuotaGrant, now: float) -> float | None:
+    def since(self, line: Line, message: QuotaGrant, now: float) -> float | None:
         """When a grant's life began; None for one that is void: for no Need, an old one, of a lower term."""
         term, _ = self.holders.get(line.kept.lease, (0, 0))
-        if note.number <= line.number or note.term < term:
+        if message.number <= line.number or message.term < term:
             return None
-        return line.sent.get(note.number)
+        return line.sent.get(message.number)
 
-    def take(self, sender: Peer, note: QuotaGrant, now: float) -> None:
+    def take(self, sender: Peer, message: QuotaGrant, now: float) -> None:
         """Use a grant, if it answers a Need of this process and is not over."""
-        line = self.lines.get(note.limit)
-        sent = self.since(line, note, now) if line is not None else None
+        line = self.lines.get(message.limit)
+        sent = self.since(line, message, now) if line is not None else None
         if line is None or sent is None:
             return
         line.store.advance(now, self.cut_off(line))
-        line.number = note.number
+        line.number = message.number
         line.vain = NEVER
-        if line.next != NEVER and note.number == max(line.sent):
-            line.next = max(line.next, line.asked_at + self.bounds.grant * RENEW)
-            heapq.heappush(self.heap, (line.next, note.limit))
-        self.seen(line.kept.lease, sender, note.term)
-        until = sent + min(note.life_ms / 1000, line.kept.life) * (1 - self.bounds.drift)
+        if line.next != NEVER and message.number == max(line.sent):
+            line.next = max(line.next, line.asked_at + self.bounds.grant_s * RENEW)
+            heapq.heappush(self.heap, (line.next, message.limit))
+        self.seen(line.kept.lease, sender, message.term)
+        until = sent + min(message.life_ms / 1000, line.kept.life) * (1 - self.bounds.drift_ratio)
         if until > now:
             pool = line.kept.whole.pool
-            line.store.grant(Share(note.milli, note.burst_milli).least(pool), until)
+            line.store.grant(Share(message.milli, message.burst_milli).least(pool), until)
 
-    def seen(self, lease: Name, holder: Peer, term: int) -> None:
+    def seen(self, lease: NameDigest, holder: Peer, term: int) -> None:
         if term >= self.holders.get(lease, (0, 0))[0]:
             self.holders[lease] = term, holder
 
-    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
-        if isinstance(news, LeaseAcquired | LeaseLost | HolderObserved) and news.lease not in self.leases:
+    def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
+        if isinstance(event, LeaseAcquired | LeaseLost | HolderObserved) and event.lease not in self.leases:
             return []
-        if isinstance(news, LeaseAcquired):
-            self.granter.taken(news.lease, news.term, now)
-            self.seen(news.lease, self.fleet.me, news.term)
-        elif isinstance(news, HolderObserved):
-            self.seen(news.lease, news.holder, news.term)
+        if isinstance(event, LeaseAcquired):
+            self.granter.taken(event.lease, event.term, now)
+            self.seen(event.lease, self.fleet.me, event.term)
+        elif isinstance(event, HolderObserved):
+            self.seen(event.lease, event.holder, event.term)
         return []
--- a/paddlequay/cluster/liveness.py
+++ b/paddlequay/cluster/liveness.py
@@ -71,7 +71,7 @@
         self._me = fleet.me
         self._rng = rng
         self._period = 1.0 / settings.pings
-        self._suspect_s = settings.bounds.suspect * max(1.0, math.log10(fleet.size))
+        self._suspect_s = settings.bounds.suspect_s * max(1.0, math.log10(fleet.size))
         others = [peer for peer in range(fleet.size) if peer != fleet.me]
         self._members = Members(others, rng)
         self._news = News(4 * math.ceil(math.log10(fleet.size + 1)))  # memberlist's bound
@@ -88,12 +88,12 @@
 
     # --- what is asked ---
 
-    def standing(self, peer: Peer) -> PeerState:
+    def state_of(self, peer: Peer) -> PeerState:
         """What is believed of a peer; this router is alive to itself, numbers outside the fleet unknown."""
         if peer == self._me:
             return PeerState.ALIVE
         member = self._members.get(peer)
-        return member.standing if member else PeerState.UNKNOWN
+        return member.state if member else PeerState.UNKNOWN
 
     def incarnation_of(self, peer: Peer) -> int:
         """The highest incarnation known of a peer, 0 none."""
@@ -122,33 +122,35 @@
         self._heard_at = now
         if incarnation < member.incarnation:
             return actions  # delayed, or it has a clock set back; `Ping` tells it
-        if incarnation == member.incarnation and member.standing is PeerState.DEAD:
+        if incarnation == member.incarnation and member.state is PeerState.DEAD:
             # It was stopped or cut off: it is to refute, so that all others take it back as well.
             return actions + self._warn(sender, now)
         return actions + self._lives(sender, incarnation, now)
 
-    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
+    def handle_message(
+        self, sender: Peer, incarnation: int, message: PeerMessage, now: float
+    ) -> list[Action]:
         self._woken(now)
         actions: list[Action] = []
         if self._members.get(sender) is None:
             return actions
-        match note:
+        match message:
             case Ping():
-                if self.incarnation < note.about <= INCARNATION_MOST:
-                    self._outdo(note.about)
-                answer = Ack(note.number, self._me, self.incarnation)
+                if self.incarnation < message.about <= INCARNATION_MOST:
+                    self._outdo(message.about)
+                answer = Ack(message.number, self._me, self.incarnation)
                 actions.append(SendMessage(sender, answer, Urgency.LEASE))
                 actions += self._news.riders(sender)
             case PingFor():
-                if self._members.get(note.peer) is not None and note.peer != sender:
-                    actions += self._ping(note.peer, now, sender, note.number)
+                if self._members.get(message.peer) is not None and message.peer != sender:
+                    actions += self._ping(message.peer, now, sender, message.number)
             case Ack():
-                actions += self._acked(note, now)
+                actions += self._acked(message, now)
             case MembershipUpdate():
-                actions += self._told(note, now)
+                actions += self._told(message, now)
         return actions
 
-    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
+    def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
         return []
 
     def tick(self, now: float) -> list[Action]:
@@ -159,7 +161,7 @@
         while self._hello and self._next_hello <= now:
             peer = self._hello.pop()
             self._next_hello += 1.0 / HELLO_PER_S
-            if self._members[peer].standing is PeerState.UNKNOWN:
+            if self._members[peer].state is PeerState.UNKNOWN:
                 actions += self._ping(peer, now)
         if self._probe is not None and self._probe.next <= now:
             actions += self._probe_on(self._probe, now)
@@ -194,14 +196,14 @@
 
     def _ping(self, peer: Peer, now: float, asker: Peer | None = None, number: int = 0) -> list[Action]:
         ping = Ping(self._questions.ask(peer, now, asker, number), self._members[peer].incarnation)
-        return [SendMessage(peer, ping, Urgency.NEWS), *self._news.riders(peer)]
+        return [SendMessage(peer, ping, Urgency.CHANGE), *self._news.riders(peer)]
 
     def _ping_about(self, peer: Peer, now: float) -> list[Action]:
         """Ask directly and through others; their own answers tell whether this router is cut off."""
         actions = self._ping(peer, now)
         number = self._questions.last
         for helper in self._members.some(HELPERS, but=peer):
-            actions.append(SendMessage(helper, PingFor(number, peer), Urgency.NEWS))
+            actions.append(SendMessage(helper, PingFor(number, peer), Urgency.CHANGE))
             actions += self._ping(helper, now)
         return actions
 
@@ -213,7 +215,7 @@
         if self._members.lost and not self._hello and self._periods % LOST_EVERY == 0:
             lost = self._rng.choice(sorted(self._members.lost))
             actions += self._ping(lost, now)
-            if self._members[lost].standing is PeerState.DEAD:
+            if self._members[lost].state is PeerState.DEAD:
                 actions += self._warn(lost, now)
         peer = self._members.turn()
         if peer is not None:
@@ -225,7 +227,7 @@
     def _probe_on(self, probe: _Probe, now: float) -> list[Action]:
         """The peer asked has had its time: ask again, or suspect it."""
         member = self._members[probe.peer]
-        if probe.answered or member.standing is not PeerState.ALIVE:
+        if probe.answered or member.state is not PeerState.ALIVE:
             self._probe = None
             self._health = max(0, self._health - probe.answered)
             return []
@@ -241,14 +243,14 @@
             self._news.spread(MembershipUpdate(probe.peer, member.incarnation, 2, self._me))
         return self._suspect(probe.peer, member, now, own=True)
 
-    def _acked(self, note: Ack, now: float) -> list[Action]:
-        if not 0 < note.incarnation <= INCARNATION_MOST:
+    def _acked(self, message: Ack, now: float) -> list[Action]:
+        if not 0 < message.incarnation <= INCARNATION_MOST:
             return []
-        asked = self._questions.answered(note.number, note.peer)
+        asked = self._questions.answered(message.number, message.peer)
         if asked is None:
             return []
         if asked.asker is not None:
-            ack = Ack(asked.number, note.peer, note.incarnation)
+            ack = Ack(asked.number, message.peer, message.incarnation)
             return [SendMessage(asked.asker, ack, Urgency.LEASE), *self._news.riders(asked.asker)]
         if now - self._reached_at > 2 * self._period:
             # This router was cut off for a while: what the suspects may have said then is lost too.
@@ -256,14 +258,14 @@
                 waiting = self._members[peer]
                 waiting.until = max(waiting.until, now + self._suspicion())
         self._reached_at = now
-        if self._probe is not None and self._probe.peer == note.peer:
+        if self._probe is not None and self._probe.peer == message.peer:
             self._probe.answered = True
-        member = self._members[note.peer]
-        if note.incarnation < member.incarnation:
+        member = self._members[message.peer]
+        if message.incarnation < member.incarnation:
             return []
-        if note.incarnation == member.incarnation and member.standing is PeerState.DEAD:
-            return self._warn(note.peer, now)
-        return self._lives(note.peer, note.incarnation, now)
+        if message.incarnation == member.incarnation and member.state is PeerState.DEAD:
+            return self._warn(message.peer, now)
+        return self._lives(message.peer, message.incarnation, now)
 
     # --- what is believed ---
 
@@ -278,7 +280,7 @@
         member.seen = now
         if refuted:
             self._news.spread(MembershipUpdate(peer, incarnation, 1, peer))
-        if member.standing is PeerState.ALIVE and not anew:
+        if member.state is PeerState.ALIVE and not anew:
             return []
         if not refuted:
             self._news.drop(peer)
@@ -307,7 +309,7 @@
             actions += self._ping_about(peer, now) if member.own else self._ping(peer, now)
             if self._reached_at >= member.began:
                 actions.append(
-                    SendMessage(peer, MembershipUpdate(peer, member.incarnation, 2, self._me), Urgency.NEWS)
+                    SendMessage(peer, MembershipUpdate(peer, member.incarnation, 2, self._me), Urgency.CHANGE)
                 )
         return actions
 
@@ -317,36 +319,36 @@
         if now - member.warned < self._period / 2:
             return []
         member.warned = now
-        said = 3 if member.standing is PeerState.DEAD else 2
-        return [SendMessage(peer, MembershipUpdate(peer, member.incarnation, said, self._me), Urgency.NEWS)]
+        said = 3 if member.state is PeerState.DEAD else 2
+        return [SendMessage(peer, MembershipUpdate(peer, member.incarnation, said, self._me), Urgency.CHANGE)]
 
-    def _told(self, note: MembershipUpdate, now: float) -> list[Action]:
-        standing = _WORDS.get(note.standing)
-        if standing is None or not 0 < note.incarnation <= INCARNATION_MOST:
+    def _told(self, message: MembershipUpdate, now: float) -> list[Action]:
+        state = _WORDS.get(message.state)
+        if state is None or not 0 < message.incarnation <= INCARNATION_MOST:
             return []
-        if note.peer == self._me:
-            behind = note.incarnation > self.incarnation
-            if behind or (note.incarnation == self.incarnation and standing is not PeerState.ALIVE):
-                self._outdo(note.incarnation)
+        if message.peer == self._me:
+            behind = message.incarnation > self.incarnation
+            if behind or (message.incarnation == self.incarnation and state is not PeerState.ALIVE):
+                self._outdo(message.incarnation)
             return []
-        member = self._members.get(note.peer)
-        if member is None or note.incarnation < member.incarnation:
+        member = self._members.get(message.peer)
+        if member is None or message.incarnation < member.incarnation:
             return []
-        newer = note.incarnation > member.incarnation
-        if standing is PeerState.ALIVE:
+        newer = message.incarnation > member.incarnation
+        if state is PeerState.ALIVE:
             if not newer:
                 return []
-            return self._lives(note.peer, note.incarnation, now)
+            return self._lives(message.peer, message.incarnation, now)
         if not newer:
-            if member.standing in (PeerState.DEAD, standing):
+            if member.state in (PeerState.DEAD, state):
                 return []
             if now - member.seen <= self._period / 2:
-                return self._warn(note.peer, now)  # this router knows better: it has heard it just now
-        member.incarnation = note.incarnation
-        self._news.spread(note)
-        if standing is PeerState.SUSPECT:
-            return self._suspect(note.peer, member, now, own=False)
-        return [self._members.stand(note.peer, PeerState.DEAD)]
+                return self._warn(message.peer, now)  # this router knows better: it has heard it just now
+        member.incarnation = message.incarnation
+        self._news.spread(message)
+        if state is PeerState.SUSPECT:
+            return self._suspect(message.peer, member, now, own=False)
+        return [self._members.stand(message.peer, PeerState.DEAD)]
 
     def _outdo(self, incarnation: int) -> None:
         """Refute what is said of this router, or a number that it has had in an earlier life."""
--- a/paddlequay/cluster/members.py
+++ b/paddlequay/cluster/members.py
@@ -32,7 +32,7 @@
 class Member:
     """What is believed of a peer."""
 
-    standing: PeerState = PeerState.UNKNOWN
+    state: PeerState = PeerState.UNKNOWN
     incarnation: int = 0
     seen: float = -NEVER  # when a sign of life came, of this incarnation
     began: float = -NEVER  # SUSPECT: since when
@@ -66,28 +66,28 @@
         return len(self._members) - len(self.lost) - len(self.suspects)
 
     def alive(self) -> list[Peer]:
-        return [peer for peer, member in self._members.items() if member.standing is PeerState.ALIVE]
+        return [peer for peer, member in self._members.items() if member.state is PeerState.ALIVE]
 
     def some(self, most: int, but: Peer | None = None) -> list[Peer]:
         """A few of those alive, at random."""
         alive = [peer for peer in self.alive() if peer != but]
         return self._rng.sample(alive, min(most, len(alive)))
 
-    def stand(self, peer: Peer, standing: PeerState) -> PeerChanged:
+    def stand(self, peer: Peer, state: PeerState) -> PeerChanged:
         """It is believed from now on."""
         member = self._members[peer]
-        member.standing = standing
+        member.state = state
         member.until = member.retry = NEVER
         self.suspects.discard(peer)
         self.lost.discard(peer)
-        if standing is PeerState.SUSPECT:
+        if state is PeerState.SUSPECT:
             self.suspects.add(peer)
-        elif standing is PeerState.DEAD:
+        elif state is PeerState.DEAD:
             self.lost.add(peer)
         elif self._turns and peer not in self._turns:
             # As SWIM has it, so that new ones are asked after half a round on average.
             self._turns.insert(self._rng.randrange(len(self._turns) + 1), peer)
-        return PeerChanged(peer, member.incarnation, standing)
+        return PeerChanged(peer, member.incarnation, state)
 
     def turn(self) -> Peer | None:
         """Who is asked next: each of the living once a round, in a new random order each round."""
@@ -96,7 +96,7 @@
             self._rng.shuffle(self._turns)
         while self._turns:
             peer = self._turns.pop()
-            if self._members[peer].standing is PeerState.ALIVE:
+            if self._members[peer].state is PeerState.ALIVE:
                 return peer
         return None
 
@@ -124,7 +124,7 @@
                 self._left[peer] = (rumour, left - 1)
             else:
                 del self._left[peer]
-            yield SendMessage(to, rumour, Urgency.NEWS)
+            yield SendMessage(to, rumour, Urgency.CHANGE)
 
 
 @dataclass(frozen=True, slots=True)
--- a/paddlequay/cluster/messages.py
+++ b/paddlequay/cluster/messages.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from typing import Annotated, ClassVar
 
-TEXT_MOST = 64  # bytes of a text field
-FIELD_MOST = (1 << 63) - 1
-DIGEST_MOST = (1 << 64) - 1
+MAX_TEXT_BYTES = 64  # bytes of a text field
+MAX_FIELD_VALUE = (1 << 63) - 1
+MAX_DIGEST = (1 << 64) - 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,9 +27,9 @@
     """A field holds the number of a router, from 0 to below the size of the fleet."""
 
 
-# What a field may hold, by its annotation; a plain int holds 0 to `FIELD_MOST`. This is part of the wire's
-# form, whatever the fields are named.
-Digest = Annotated[int, IntRange(0, DIGEST_MOST)]
+# What a field may hold, by its annotation; a plain int holds 0 to `MAX_FIELD_VALUE`. The annotations are part
+# of the wire format, the names of the fields are not.
+Digest = Annotated[int, IntRange(0, MAX_DIGEST)]
 PeerNumber = Annotated[int, PeerRange()]
 PeerStateNumber = Annotated[int, IntRange(1, 3)]
 FaultNumber = Annotated[int, IntRange(0, 4)]  # 0: none; else a `Fault`
@@ -76,12 +76,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipUpdate(PeerMessage):
-    """What is believed of a peer: `standing` 1 alive, 2 suspect, 3 dead, in that incarnation, first `by`."""
+    """What is believed of a peer: `state` 1 alive, 2 suspect, 3 dead, in that incarnation, first `by`."""
 
     KIND: ClassVar[int] = 4
     peer: PeerNumber
     incarnation: int
-    standing: PeerStateNumber
+    state: PeerStateNumber
     by: PeerNumber
 
 
@@ -184,7 +184,7 @@
     KIND: ClassVar[int] = 30
     subject: Digest
     start: int  # which life of the subject, by the list: its start in Unix milliseconds, 0 untold
-    trouble: FaultNumber  # 0: it serves
+    fault: FaultNumber  # 0: it serves
     count: int  # of attempts that this rests on
     age_ms: int
     others: int  # members of the same kind that the sender has had served by in that time
--- a/paddlequay/cluster/node.py
+++ b/paddlequay/cluster/node.py
@@ -19,7 +19,7 @@
     Fleet,
     LocalEvent,
     LogEvent,
-    Name,
+    NameDigest,
     Part,
     Peer,
     SendMessage,
@@ -93,41 +93,41 @@
         self.parts.append(part)
         self.hears.update(dict.fromkeys(hears, part))
 
-    def holds(self, lease: Name, now: float) -> int | None:
+    def holds(self, lease: NameDigest, now: float) -> int | None:
         """The term under which this router holds a lease now."""
         return None if self.leases is None else self.leases.holds(lease, now)
 
     # --- events ---
 
     def handle_message(
-        self, sender: Peer, head: Head, notes: Sequence[PeerMessage], now: float
+        self, sender: Peer, head: Head, messages: Sequence[PeerMessage], now: float
     ) -> list[ClusterEvent]:
         """A datagram has come, and was taken in."""
         if self.leases is not None:
             self.leases.saw_clock(head.clock)
-        news = self.settle(self.liveness.seen(sender, head.incarnation, now), now)
-        for note in notes:
-            part = self.hears.get(type(note))
+        events = self.settle(self.liveness.seen(sender, head.incarnation, now), now)
+        for message in messages:
+            part = self.hears.get(type(message))
             if part is not None:
-                news += self.settle(part.handle_message(sender, head.incarnation, note, now), now)
-        return news
+                events += self.settle(part.handle_message(sender, head.incarnation, message, now), now)
+        return events
 
     def tick(self, now: float) -> list[ClusterEvent]:
         """Time has passed."""
-        news = self.settle(self.begun, now)
+        events = self.settle(self.begun, now)
         self.begun = []
         for part in self.parts:
             if part.due() <= now:
-                news += self.settle(part.tick(now), now)
-        return news
+                events += self.settle(part.tick(now), now)
+        return events
 
     def leave(self, now: float) -> list[ClusterEvent]:
         """Give back all leases, so that nobody has to wait for their end; bids are over."""
-        news: list[ClusterEvent] = []
+        events: list[ClusterEvent] = []
         if self.leases is not None and self.limits is not None:
             for lease in self.limits.leases:
-                news += self.settle(self.leases.drop(lease, now), now)
-        return news
+                events += self.settle(self.leases.drop(lease, now), now)
+        return events
 
     def due(self) -> float:
         """When `tick` is next to be called."""
@@ -135,7 +135,7 @@
 
     def settle(self, actions: Sequence[Action], now: float) -> list[ClusterEvent]:
         """Let notes go, and tell all parts what one has found, until nothing follows any more."""
-        news: list[ClusterEvent] = []
+        events: list[ClusterEvent] = []
         waiting = list(actions)
         for place, action in enumerate(waiting):
             if place >= MAX_FOLLOWING_ACTIONS:
@@ -143,11 +143,11 @@
             if isinstance(action, SendMessage):
                 self.outbox.put(action, now)
                 continue
-            news.append(action)
+            events.append(action)
             if not isinstance(action, LogEvent):
                 for part in self.parts:
                     waiting += part.handle_event(action, now)
         self.wire.incarnation = self.liveness.incarnation
         if self.leases is not None:
             self.wire.clock = max(self.wire.clock, self.leases.clock)
-        return news
+        return events
--- a/paddlequay/cluster/outbox.py
+++ b/paddlequay/cluster/outbox.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from paddlequay.cluster.messages import PeerMessage
-from paddlequay.cluster.types import NEVER, Bounds, Peer, SendMessage, Urgency
+from paddlequay.cluster.types import NEVER, ClusterBounds, Peer, SendMessage, Urgency
 from paddlequay.cluster.wire import DATAGRAM_MOST, NOTES_MOST, Wire
 
 To = Peer | None  # None: all others
@@ -25,8 +25,9 @@
 ALL_MOST = 4096  # notes that wait at one urgency, or twice the fleet's size where that is more
 SWEEPS = 8  # times that a full queue is searched for old notes while a note grows old
 STALL = 0.25  # seconds of sending that are not lost when the process is not run for so long
-NEWS_PART = 8  # of `Bounds.evidence`: a note's age is fixed when told, and verdicts allow 0.5 s for its way
+NEWS_PART = 8  # of the age of evidence: an age is fixed when told, and verdicts allow 0.5 s for its way
 ROUTINE_AGE = 1.0  # seconds: parts repeat what is routine about once a second, and say it better then
+QUEUE_NAMES = {Urgency.LEASE: "lease", Urgency.CHANGE: "news", Urgency.ROUTINE: "routine"}  # in counters
 SUBJECTS = ("lease", "limit", "subject", "channel", "bundle", "peer")  # what a note is about
 
 
@@ -44,10 +45,10 @@
     since: float
 
 
-def subject(note: PeerMessage) -> object:
+def subject(message: PeerMessage) -> object:
     """What a newer note of the same kind replaces."""
-    name = next((name for name in SUBJECTS if hasattr(note, name)), None)
-    return note.KIND, None if name is None else getattr(note, name)
+    name = next((name for name in SUBJECTS if hasattr(message, name)), None)
+    return message.KIND, None if name is None else getattr(message, name)
 
 
 class Queue:
@@ -55,18 +56,18 @@
 
     def __init__(self, urgency: Urgency, age: float, most: int, counts: Counter[str]) -> None:
         self.age, self.most, self.counts = age, most, counts
-        self.name = urgency.name.lower()
+        self.name = QUEUE_NAMES[urgency]
         self.replaces = urgency is Urgency.ROUTINE
         self.lanes: dict[To, dict[object, Item]] = {}  # the first is next; empty ones are taken out
         self.count = 0
         self.number = 0
         self.swept = -math.inf
 
-    def put(self, to: To, note: PeerMessage, data: bytes, now: float) -> None:
+    def put(self, to: To, message: PeerMessage, data: bytes, now: float) -> None:
         """A full lane loses its oldest note; a full queue takes no more."""
         lane = self.lanes.get(to, {})
         self.number += 1
-        key: object = subject(note) if self.replaces else self.number
+        key: object = subject(message) if self.replaces else self.number
         if key in lane:
             self.drop("replaced")
             lane[key] = Item(data, now)  # it keeps its turn, so that nothing is put off for ever
@@ -128,7 +129,12 @@
     """
 
     def __init__(
-        self, wire: Wire, bytes_per_s: float, bounds: Bounds, now: float, routine_age: float = ROUTINE_AGE
+        self,
+        wire: Wire,
+        bytes_per_s: float,
+        bounds: ClusterBounds,
+        now: float,
+        routine_age: float = ROUTINE_AGE,
     ) -> None:
         self.wire, self.fleet, self.rate = wire, wire.fleet, float(bytes_per_s)
         self.reserve = DATAGRAM_MOST * max(1, self.fleet.size - 1)
@@ -137,24 +143,24 @@
         self.counts: Counter[str] = Counter()
         most = max(ALL_MOST, 2 * self.fleet.size)
         # An answer about a lease that has waited as long as a lease lives is of use to nobody.
-        news = bounds.evidence / NEWS_PART
-        ages = {Urgency.LEASE: bounds.lease, Urgency.NEWS: news, Urgency.ROUTINE: routine_age}
+        change_age_s = bounds.evidence_s / NEWS_PART
+        ages = {Urgency.LEASE: bounds.lease_s, Urgency.CHANGE: change_age_s, Urgency.ROUTINE: routine_age}
         self.queues = {each: Queue(each, ages[each], most, self.counts) for each in Urgency}
 
-    def put(self, tell: SendMessage, now: float) -> None:
+    def put(self, message: SendMessage, now: float) -> None:
         """Let a note wait for `take`."""
-        if tell.to is None:
+        if message.to is None:
             if self.fleet.size < 2:
                 return
-        elif not 0 <= tell.to < self.fleet.size or tell.to == self.fleet.me:
+        elif not 0 <= message.to < self.fleet.size or message.to == self.fleet.me:
             self.counts["dropped.receiver"] += 1
             return
         try:
-            data = self.wire.codec.pack_note(tell.note)
+            data = self.wire.codec.pack_message(message.message)
         except ValueError:
             self.counts["dropped.invalid"] += 1
             return
-        self.queues[tell.urgency].put(tell.to, tell.note, data, now)
+        self.queues[message.urgency].put(message.to, message.message, data, now)
 
     def take(self, now: float) -> list[Packet]:
         """What is to be sent now, in this order."""
@@ -204,7 +210,7 @@
 
     def fill(self, to: To, now: float) -> Packet:
         """A datagram with as many notes for a receiver as fit and are paid for, the most urgent first."""
-        length, notes = self.head(), list[bytes]()
+        length, messages = self.head(), list[bytes]()
         for each in Urgency:
             queue = self.queues[each]
             queue.expire(to, now)
@@ -212,15 +218,15 @@
             longest = min(DATAGRAM_MOST, math.floor((self.tokens - self.kept(each)) / self.price(to)))
             keys = []
             for key, item in queue.lanes.get(to, {}).items():
-                if len(notes) == NOTES_MOST or length + len(item.data) > longest:
+                if len(messages) == NOTES_MOST or length + len(item.data) > longest:
                     break
-                notes.append(item.data)
+                messages.append(item.data)
                 length += len(item.data)
                 keys.append(key)
             if keys:
                 queue.sent(to, keys)
-        packet = Packet(to, self.wire.write(notes))
+        packet = Packet(to, self.wire.write(messages))
         cost = self.price(to) * len(packet.data)
         self.tokens -= cost
-        self.counts.update({"sent": 1, "sent.notes": len(notes), "sent.bytes": cost})
+        self.counts.update({"sent": 1, "sent.notes": len(messages), "sent.bytes": cost})
         return packet
--- a/paddlequay/cluster/prefetch.py
+++ b/paddlequay/cluster/prefetch.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from paddlequay.cluster.settings import ChannelRule
-from paddlequay.cluster.types import NEVER, Name
+from paddlequay.cluster.types import NEVER, NameDigest
 from paddlequay.placement.homes import digest
 
 RISES = 2
@@ -23,12 +23,12 @@
 FADE_S = 5.0  # of a rate: what was done so long ago counts a third
 
 
-def channel_of(zone: str, name: str) -> Name:
+def channel_of(zone: str, name: str) -> NameDigest:
     """A channel's number: of this plaza, since another one has an owner and boxes of its own."""
     return digest(f"channel/{zone}/{name}")
 
 
-def lease_of(zone: str, number: int) -> Name:
+def lease_of(zone: str, number: int) -> NameDigest:
     """The lease of a plaza's bundle of channels."""
     return digest(f"channels/{zone}/{number}")
 
@@ -37,7 +37,7 @@
 class Ahead:
     """For the driver: fill this part. `may_fill` is to be asked right before it is written."""
 
-    channel: Name
+    channel: NameDigest
     name: str
     kind: str  # the class of the requests that made the channel
     part: int
@@ -62,7 +62,7 @@
 class Channel:
     """What is read of one object. `sent`: the term under which a part was last asked ahead, and when next."""
 
-    number: Name
+    number: NameDigest
     name: str
     kind: str
     high: int
@@ -81,7 +81,7 @@
 
     def __init__(self, zone: str, rule: ChannelRule) -> None:
         self.zone, self.rule = zone, rule
-        self.table: OrderedDict[Name, Channel] = OrderedDict()
+        self.table: OrderedDict[NameDigest, Channel] = OrderedDict()
 
     def read(self, name: str, kind: str, part: int, now: float) -> Channel:
         """Count a read; who is past `most` is for `ended` to tell."""
@@ -117,7 +117,7 @@
                 found.append(Ahead(channel.number, channel.name, channel.kind, part, term))
         return found
 
-    def went(self, number: Name, part: int, term: int, well: bool, now: float) -> None:
+    def went(self, number: NameDigest, part: int, term: int, well: bool, now: float) -> None:
         """How a fill ahead ended."""
         channel = self.table.get(number)
         if channel is not None and channel.sent.get(part, (0, 0.0))[0] == term:
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    box: Name
+    box: NameDigest
     term: int
     until: float
 
@@ -139,9 +139,11 @@
 
     def __init__(self, most: int) -> None:
         self.most = most
-        self.table: OrderedDict[Name, dict[int, Held]] = OrderedDict()
+        self.table: OrderedDict[NameDigest, dict[int, Held]] = OrderedDict()
 
-    def told(self, channel: Name, part: int, box: Name, term: int, life: float, now: float) -> None:
+    def told(
+        self, channel: NameDigest, part: int, box: NameDigest, term: int, life: float, now: float
+    ) -> None:
         parts = self.table.setdefault(channel, {})
         self.table.move_to_end(channel)
         known = parts.get(part)
@@ -152,7 +154,7 @@
         if len(self.table) > self.most:
             self.table.popitem(last=False)
 
-    def find(self, channel: Name, part: int, now: float) -> Name | None:
+    def find(self, channel: NameDigest, part: int, now: float) -> NameDigest | None:
         known = self.table.get(channel, {}).get(part)
         return known.box if known is not None and now < known.until else None
 
--- a/paddlequay/cluster/proposer.py
+++ b/paddlequay/cluster/proposer.py
@@ -14,13 +14,13 @@
 from paddlequay.cluster.types import (
     NEVER,
     Action,
-    Bounds,
+    ClusterBounds,
     Fleet,
     HolderObserved,
     LeaseAcquired,
     LeaseLost,
     LogEvent,
-    Name,
+    NameDigest,
     Peer,
     SendMessage,
     Urgency,
@@ -63,7 +63,7 @@
 class Bid:
     """A lease that this router wants or holds. Times are by its own clock."""
 
-    lease: Name
+    lease: NameDigest
     at: float  # when there is something to do next
     phase: Phase = Phase.WAITING
     ballot: int = 0
@@ -82,23 +82,23 @@
 class Proposer:
     """All bids of a router. Notes in the returned actions may be to itself: `Leases` plays them."""
 
-    def __init__(self, fleet: Fleet, bounds: Bounds, rng: random.Random) -> None:
+    def __init__(self, fleet: Fleet, bounds: ClusterBounds, rng: random.Random) -> None:
         self.fleet = fleet
         self.bounds = bounds
         self.rng = rng
         self.clock = 0  # the highest counter heard of
-        self.term_ms = int(bounds.lease * 1000)
+        self.term_ms = int(bounds.lease_s * 1000)
         self.run = fleet.me << 16 | rng.getrandbits(16)
-        self.bids: dict[Name, Bid] = {}
-        self.hints: dict[Name, tuple[Peer, int, float]] = {}
-        self._alarms: list[tuple[float, Name]] = []
-        self._queue: list[Name] = []  # leases whose election waits for the pace
+        self.bids: dict[NameDigest, Bid] = {}
+        self.hints: dict[NameDigest, tuple[Peer, int, float]] = {}
+        self._alarms: list[tuple[float, NameDigest]] = []
+        self._queue: list[NameDigest] = []  # leases whose election waits for the pace
         self._tokens = BURST
         self._filled = 0.0
 
     # --- what the router asks for ---
 
-    def want(self, lease: Name, now: float) -> list[Action]:
+    def want(self, lease: NameDigest, now: float) -> list[Action]:
         if lease in self.bids:
             return []
         if len(self.bids) >= BIDS_MOST:
@@ -107,7 +107,7 @@
         self._wake(bid, now)
         return []
 
-    def drop(self, lease: Name, now: float, heir: Peer | None) -> list[Action]:
+    def drop(self, lease: NameDigest, now: float, heir: Peer | None) -> list[Action]:
         bid = self.bids.pop(lease, None)
         if bid is None:
             return []
@@ -118,7 +118,7 @@
             out += self._release(bid, self.fleet.me if heir is None else heir)
         return out
 
-    def holds(self, lease: Name, now: float) -> int | None:
+    def holds(self, lease: NameDigest, now: float) -> int | None:
         bid = self.bids.get(lease)
         return bid.ballot if bid is not None and self.counts(bid, now) else None
 
@@ -126,7 +126,7 @@
         """The bid holds its lease at this moment."""
         return bid.phase is Phase.HOLDING and now < bid.until
 
-    def holder(self, lease: Name, now: float) -> Peer | None:
+    def holder(self, lease: NameDigest, now: float) -> Peer | None:
         if self.holds(lease, now) is not None:
             return self.fleet.me
         hint = self.hints.get(lease)
@@ -138,21 +138,21 @@
 
     # --- notes of acceptors ---
 
-    def handle_message(self, sender: Peer, note: PeerMessage, now: float) -> list[Action]:
+    def handle_message(self, sender: Peer, message: PeerMessage, now: float) -> list[Action]:
         out: list[Action] = []
-        if sender not in self.fleet.acceptors or not isinstance(note, Promise | Accept | Reject):
-            return self._inherits(note, now) if isinstance(note, Release) else out
-        bid = self.bids.get(note.lease)
-        if isinstance(note, Promise) and note.held:
-            self._hint(note, now, out)
-            self.saw_clock(counter(note.held))
-        if isinstance(note, Reject):
-            self.saw_clock(counter(note.promised))
-        if bid is None or note.ballot != bid.ballot or self._lapsed(bid, now, out):
+        if sender not in self.fleet.acceptors or not isinstance(message, Promise | Accept | Reject):
+            return self._inherits(message, now) if isinstance(message, Release) else out
+        bid = self.bids.get(message.lease)
+        if isinstance(message, Promise) and message.held:
+            self._hint(message, now, out)
+            self.saw_clock(counter(message.held))
+        if isinstance(message, Reject):
+            self.saw_clock(counter(message.promised))
+        if bid is None or message.ballot != bid.ballot or self._lapsed(bid, now, out):
             return out
-        if isinstance(note, Accept):
-            self._accepted(sender, bid, note, now, out)
-        elif isinstance(note, Promise) and not note.held:
+        if isinstance(message, Accept):
+            self._accepted(sender, bid, message, now, out)
+        elif isinstance(message, Promise) and not message.held:
             bid.refused.pop(sender, None)
             bid.promised.add(sender)
             if bid.phase is Phase.PROPOSING:
@@ -161,17 +161,19 @@
                 self._propose(bid, now, out)
         elif bid.phase in (Phase.ASKING, Phase.PROPOSING):
             bid.promised.discard(sender)
-            above = note.held if isinstance(note, Promise) else note.promised
+            above = message.held if isinstance(message, Promise) else message.promised
             bid.spent |= above >= bid.ballot  # equal: a floor, or the ballot was given back
-            bid.refused[sender] = self._left(note.left_ms if isinstance(note, Promise) else note.out_ms)
+            bid.refused[sender] = self._left(
+                message.left_ms if isinstance(message, Promise) else message.out_ms
+            )
             asking = bid.phase is Phase.ASKING
             able = len(self.fleet.acceptors) - len(bid.refused) if asking else len(bid.promised)
             if able < self.fleet.majority:
                 self._lost(bid, now, out)
         return out
 
-    def _accepted(self, sender: Peer, bid: Bid, note: Accept, now: float, out: list[Action]) -> None:
-        made = bid.rounds.get(note.number)
+    def _accepted(self, sender: Peer, bid: Bid, message: Accept, now: float, out: list[Action]) -> None:
+        made = bid.rounds.get(message.number)
         if made is None or bid.phase not in (Phase.PROPOSING, Phase.HOLDING):
             return
         made.accepted.add(sender)
@@ -197,15 +199,15 @@
         return sent + self._counted()
 
     def _counted(self) -> float:
-        return self.term_ms / 1000 * (1 - self.bounds.drift)
+        return self.term_ms / 1000 * (1 - self.bounds.drift_ratio)
 
-    def _inherits(self, note: Release, now: float) -> list[Action]:
+    def _inherits(self, message: Release, now: float) -> list[Action]:
         """A lease was left to this router: it starts at once, whatever the pace, where it wants it."""
-        bid = self.bids.get(note.lease)
-        if note.heir != self.fleet.me or bid is None or bid.phase not in (Phase.WAITING, Phase.QUEUED):
+        bid = self.bids.get(message.lease)
+        if message.heir != self.fleet.me or bid is None or bid.phase not in (Phase.WAITING, Phase.QUEUED):
             return []
-        self.saw_clock(counter(note.ballot))
-        bid.eager = now + self.bounds.lease * EAGER
+        self.saw_clock(counter(message.ballot))
+        bid.eager = now + self.bounds.lease_s * EAGER
         out: list[Action] = []
         self._ask(bid, now, out)
         return out
@@ -258,7 +260,7 @@
             if bid.phase is Phase.PROPOSING:
                 behind = bid.promised - bid.rounds[bid.number].accepted
                 self._tell(sorted(behind), self._proposal(bid), out)
-            self._wake(bid, min(bid.gives_up, now + self.bounds.lease * RESEND))
+            self._wake(bid, min(bid.gives_up, now + self.bounds.lease_s * RESEND))
 
     def _ask(self, bid: Bid, now: float, out: list[Action]) -> None:
         """Start an election, under the former ballot where nothing higher was heard of."""
@@ -266,7 +268,7 @@
             if self.clock + 1 >= CLOCK_MOST:
                 out.append(LogEvent("lease-clock-spent"))
                 bid.phase = Phase.WAITING
-                self._wake(bid, now + self.bounds.lease)
+                self._wake(bid, now + self.bounds.lease_s)
                 return
             self.clock += 1
             bid.ballot = self.clock << 32 | self.run
@@ -274,8 +276,8 @@
         bid.phase = Phase.ASKING
         bid.promised.clear()
         bid.refused.clear()
-        bid.gives_up = now + self.bounds.lease * PHASE
-        self._wake(bid, now + self.bounds.lease * RESEND)
+        bid.gives_up = now + self.bounds.lease_s * PHASE
+        self._wake(bid, now + self.bounds.lease_s * RESEND)
         self._tell(self.fleet.acceptors, Prepare(bid.lease, bid.ballot), out)
 
     def _propose(self, bid: Bid, now: float, out: list[Action]) -> None:
@@ -284,8 +286,8 @@
         bid.refused.clear()
         bid.number = 0
         bid.rounds = {0: Round(now)}
-        bid.gives_up = now + self.bounds.lease * PHASE
-        self._wake(bid, now + self.bounds.lease * RESEND)
+        bid.gives_up = now + self.bounds.lease_s * PHASE
+        self._wake(bid, now + self.bounds.lease_s * RESEND)
         self._tell(sorted(bid.promised), self._proposal(bid), out)
 
     def _renew(self, bid: Bid, now: float, out: list[Action]) -> None:
@@ -296,7 +298,7 @@
             bid.rounds.pop(bid.number - ROUNDS, None)
             bid.renews = now + self._counted() / 3
         made = bid.rounds[bid.number]
-        again = now + self.bounds.lease * RESEND
+        again = now + self.bounds.lease_s * RESEND
         if len(made.accepted) < self.fleet.majority:
             self._tell(self._silent(made.accepted), self._proposal(bid), out)
         else:
@@ -322,17 +324,17 @@
             self._later(bid, now, self._jitter() / 2)
         elif wait > 0:
             bid.tries = 0
-            self._later(bid, now, wait + self.rng.uniform(0, SPREAD * self.bounds.lease))
+            self._later(bid, now, wait + self.rng.uniform(0, SPREAD * self.bounds.lease_s))
         else:
             bid.tries = min(bid.tries + 1, DOUBLINGS)
             self._later(bid, now, self._jitter() * 2 ** (bid.tries - 1))
 
     def _left(self, told_ms: int) -> float:
         """Seconds that an acceptor told; none can truly tell more than two leases."""
-        return min(told_ms / 1000, 2 * self.bounds.lease)
+        return min(told_ms / 1000, 2 * self.bounds.lease_s)
 
     def _jitter(self) -> float:
-        return self.bounds.lease * BACKOFF * self.rng.uniform(0.5, 1.5)
+        return self.bounds.lease_s * BACKOFF * self.rng.uniform(0.5, 1.5)
 
     def _later(self, bid: Bid, now: float, wait: float) -> None:
         bid.phase = Phase.WAITING
@@ -360,22 +362,22 @@
     def _silent(self, known: set[Peer]) -> list[Peer]:
         return [each for each in self.fleet.acceptors if each not in known]
 
-    def _tell(self, to: "tuple[Peer, ...] | list[Peer]", note: PeerMessage, out: list[Action]) -> None:
-        out.extend(self._to(each, note) for each in to)
+    def _tell(self, to: "tuple[Peer, ...] | list[Peer]", message: PeerMessage, out: list[Action]) -> None:
+        out.extend(self._to(each, message) for each in to)
 
-    def _to(self, peer: Peer, note: PeerMessage) -> SendMessage:
-        return SendMessage(peer, note, Urgency.LEASE)
+    def _to(self, peer: Peer, message: PeerMessage) -> SendMessage:
+        return SendMessage(peer, message, Urgency.LEASE)
 
-    def _hint(self, note: Promise, now: float, out: list[Action]) -> None:
+    def _hint(self, message: Promise, now: float, out: list[Action]) -> None:
         """Remember whom an acceptor told of; of two that still count, the higher term."""
-        if note.holder == self.fleet.me:
+        if message.holder == self.fleet.me:
             return
-        known = self.hints.pop(note.lease, None)
-        if known is not None and known[1] > note.held and now < known[2]:
-            self.hints[note.lease] = known
+        known = self.hints.pop(message.lease, None)
+        if known is not None and known[1] > message.held and now < known[2]:
+            self.hints[message.lease] = known
             return
-        self.hints[note.lease] = (note.holder, note.held, now + self._left(note.left_ms))
+        self.hints[message.lease] = (message.holder, message.held, now + self._left(message.left_ms))
         if len(self.hints) > HINTS_MOST:
             del self.hints[next(iter(self.hints))]
-        if known is None or known[1] != note.held:
-            out.append(HolderObserved(note.lease, note.holder, note.held))
+        if known is None or known[1] != message.held:
+            out.append(HolderObserved(message.lease, message.holder, message.held))
--- a/paddlequay/cluster/quotas.py
+++ b/paddlequay/cluster/quotas.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from paddlequay.cluster.messages import TEXT_MOST
+from paddlequay.cluster.messages import MAX_TEXT_BYTES
 from paddlequay.cluster.settings import LimitRule, Mode
 
 REQUEST = 1000  # thousandths
@@ -66,7 +66,7 @@
     """
     if (rule.rate is None) == (rule.at_once is None):
         raise ValueError(f"limit {rule.name}: either a rate or a number at once")
-    if not 0 <= rule.floor <= 1 or rule.over < 1 or size < 1 or not 0 < len(rule.name) <= TEXT_MOST:
+    if not 0 <= rule.floor <= 1 or rule.over < 1 or size < 1 or not 0 < len(rule.name) <= MAX_TEXT_BYTES:
         raise ValueError(f"limit {rule.name}: floor, over or name out of bounds")
     spare = rule.over - 1 if rule.mode is Mode.OPEN else 0.0
     if rule.at_once is not None:
--- a/paddlequay/cluster/settings.py
+++ b/paddlequay/cluster/settings.py
@@ -4,7 +4,7 @@
 from enum import Enum
 from pathlib import Path
 
-from paddlequay.cluster.types import Bounds, Peer
+from paddlequay.cluster.types import ClusterBounds, Peer
 
 
 class Mode(Enum):
@@ -57,7 +57,7 @@
 
     name: str  # of the installation: datagrams of others are foreign
     acceptors: tuple[Peer, ...]
-    bounds: Bounds = field(default_factory=Bounds)
+    bounds: ClusterBounds = field(default_factory=ClusterBounds)
     bytes_per_s: int = 16_000  # sent by this router at most; what goes to all counts for each receiver
     pings: float = 1.0  # a second
     verdicts: bool = True
--- a/paddlequay/cluster/tables.py
+++ b/paddlequay/cluster/tables.py
@@ -8,10 +8,10 @@
 router takes an epoch up only with a table of that digest. None of this rests on the lease: two that both
 take themselves for the holder make different epochs. Epochs in use only grow: a lower one is passed over.
 
-Cut off. Each router counts on its epoch for `Bounds.epoch` of its own clock from when it last heard that this
-epoch is the one in use, and is asked at the moment of use (`in_use`); after that it places as without a file,
-which all routers can. Nobody else has to know of it. A holder repeats its declaration six times in that span.
-So two routers follow different epochs for `Bounds.epoch`, and what a declaration is under way, at most: one
+Cut off. Each router counts on its epoch for `bounds.epoch_s` of its own clock from when it last heard that
+this epoch is the one in use, and is asked at the moment of use (`in_use`); after that it places as without
+a file, which all routers can. Nobody else has to know of it. A holder repeats its declaration six times in that span.
+So two routers follow different epochs for `bounds.epoch_s`, and what a declaration is under way, at most: one
 that cannot agree, as with other rules, keeps to its epoch until then, too.
 
 Memory: `KEPT_MOST` digests of own tables, one answer for each router at the holder.
@@ -27,7 +27,7 @@
 from paddlequay.cluster.types import (
     NEVER,
     Action,
-    Bounds,
+    ClusterBounds,
     Fleet,
     HolderObserved,
     LeaseAcquired,
@@ -67,7 +67,7 @@
     HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (Table, Has)
     declarers: ClassVar[type[Declarer]] = Declarer
 
-    def __init__(self, fleet: Fleet, bounds: Bounds, holds: Holds, retake: Retake = no_retake) -> None:
+    def __init__(self, fleet: Fleet, bounds: ClusterBounds, holds: Holds, retake: Retake = no_retake) -> None:
         self.fleet, self.bounds, self.retake = fleet, bounds, retake
         self.declarer = self.declarers(fleet, bounds, holds)
         self.own = Content(0)
@@ -114,19 +114,21 @@
 
     # --- as a part ---
 
-    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
-        if isinstance(note, Table) and note.term and 0 < note.epoch < 1 << NUMBERS:
-            return self._heard(sender, note, now)
-        if isinstance(note, Has) and not note.epoch >> NUMBERS and self.declarer.held(now):
-            if note.term > self.declarer.term and now - self.retaken_at >= RETAKE_PAUSE:
+    def handle_message(
+        self, sender: Peer, incarnation: int, message: PeerMessage, now: float
+    ) -> list[Action]:
+        if isinstance(message, Table) and message.term and 0 < message.epoch < 1 << NUMBERS:
+            return self._heard(sender, message, now)
+        if isinstance(message, Has) and not message.epoch >> NUMBERS and self.declarer.held(now):
+            if message.term > self.declarer.term and now - self.retaken_at >= RETAKE_PAUSE:
                 # Epochs of this term would be passed over there; the next term is above that one.
                 self.retaken_at = now
                 return [LogEvent("table_term_low"), *self.retake(now)]
-            return self.declarer.heard(sender, incarnation, note, now) + self._declares(now)
+            return self.declarer.heard(sender, incarnation, message, now) + self._declares(now)
         return []
 
-    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
-        match news:
+    def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
+        match event:
             case LeaseAcquired(lease, term) if lease == LEASE:
                 self.declarer.begin(term, self.active if now < self.until else None, now)
                 self.holder, self.term = self.fleet.me, max(self.term, term)
@@ -148,7 +150,7 @@
         if self.tell_at <= now:
             self.tell_at, self.told_at = NEVER, now
             if self.holder is not None and self.holder != self.fleet.me:
-                actions.append(SendMessage(self.holder, self._has(), Urgency.NEWS))
+                actions.append(SendMessage(self.holder, self._has(), Urgency.CHANGE))
         if self.lacks_at <= now:
             self.lacks_at = NEVER
             if self.behind is not None:
@@ -184,18 +186,18 @@
             actions += self._take(self.behind, now)
         return actions + self._declares(now)
 
-    def _heard(self, sender: Peer, note: Table, now: float) -> list[Action]:
+    def _heard(self, sender: Peer, message: Table, now: float) -> list[Action]:
         """A proposal is answered; a declaration is taken up, or confirms what is in use."""
-        epoch = epoch_of(note.term, note.epoch)
-        if note.term >= self.term and run_of(note.term) == sender:
-            self.holder, self.term = sender, note.term
+        epoch = epoch_of(message.term, message.epoch)
+        if message.term >= self.term and run_of(message.term) == sender:
+            self.holder, self.term = sender, message.term
         self.asked = max(self.asked, epoch)
         actions: list[Action] = []
-        if note.stage == 1:
-            actions += self._declared(Declared(epoch, Content(note.table, note.rules)), now)
+        if message.stage == 1:
+            actions += self._declared(Declared(epoch, Content(message.table, message.rules)), now)
         # Who asks is answered, also where it holds nothing any more: it may not know of the term.
         self.tell_at = NEVER if sender == self.holder else self.tell_at
-        return [*actions, SendMessage(sender, self._has(), Urgency.NEWS)]
+        return [*actions, SendMessage(sender, self._has(), Urgency.CHANGE)]
 
     def _has(self) -> Has:
         """The highest epoch heard of: an answer to it, or the sign that an earlier one is over."""
@@ -243,7 +245,7 @@
 
     def _counts(self, now: float) -> None:
         """The epoch in use was heard to be that of all."""
-        self.until, self.ended = now + self.bounds.epoch, False
+        self.until, self.ended = now + self.bounds.epoch_s, False
 
     def _declares(self, now: float) -> list[Action]:
         """What this router does where it is the holder."""
--- a/paddlequay/cluster/types.py
+++ b/paddlequay/cluster/types.py
@@ -1,9 +1,9 @@
-"""What the parts of the cluster have in common: names, actions, and how a part is driven.
+"""Types that the parts of the cluster share: names, settings, actions, events and the interface of a part.
 
-A part is pure: it is told notes, what other parts have found, and the time, and returns actions. `now` is
-the process's monotonic clock in seconds, which also runs on while a process is stopped; clocks of different
-processes are never compared. Where safety rests on elapsed time, each side reckons with `Bounds.drift`: what
-one believes to hold ends early by it, what one waits for ends late by it.
+A part is a pure state machine: it receives messages, events of other parts and the time, and returns actions.
+`now` is the process's monotonic clock in seconds, which also runs while the process is stopped; clocks of
+different processes are never compared. Where safety rests on elapsed time, each side allows for the clock
+drift `ClusterBounds.drift_ratio`: what a router holds ends early by it, what it waits for ends late by it.
 """
 
 import math
@@ -14,46 +14,46 @@
 
 from paddlequay.cluster.messages import PeerMessage
 
-Peer = int  # a router's number: its place in `peers`, `me` in the settings
-Name = int  # 64 bits of a name's digest (placement.homes.digest): of a lease, a limit, a subject, a channel
+Peer = int  # a router's number: its index in `peers`, `me` in the settings
+NameDigest = int  # 64-bit digest (placement.homes.digest) of a lease's, limit's, subject's or channel's name
 
-PEERS_MOST = 4096
+MAX_PEERS = 4096
 NEVER = math.inf
 
 
 class Urgency(IntEnum):
-    """What goes first where the bound on bytes makes notes wait; what has waited too long is dropped."""
+    """The order in which messages leave while the byte rate is limited; old ones are dropped."""
 
     LEASE = 0  # leases, and answers that others wait for
-    NEWS = 1  # what has changed
-    ROUTINE = 2  # what is repeated anyway
+    CHANGE = 1  # state that has changed
+    ROUTINE = 2  # state that is repeated anyway
 
 
 class PeerState(Enum):
-    """What is believed of a peer."""
+    """What this router believes about a peer."""
 
-    UNKNOWN = "unknown"  # never heard of in this process's life
+    UNKNOWN = "unknown"  # not heard of since this process started
     ALIVE = "alive"
     SUSPECT = "suspect"
     DEAD = "dead"
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """What every part of every router of the fleet is set to alike. Times are seconds."""
+class ClusterBounds:
+    """Time limits that every router of the fleet has to share."""
 
-    drift: float = 0.05  # the most by which one elapsed clock runs faster than another, as a share
-    lease: float = 1.5  # the longest lease; a restarted acceptor stays out for so long
-    grant: float = 0.6  # the longest a share of a limit lives without its holder's word
-    suspect: float = 1.0  # from suspicion to death, so that the suspect can speak
-    evidence: float = 2.0  # older evidence is no evidence
-    overlap: float = 0.5  # of a planned handoff of a channel
-    epoch: float = 30.0  # how long a router that is cut off keeps to its table
+    drift_ratio: float = 0.05  # the most by which one elapsed clock runs faster than another
+    lease_s: float = 1.5  # the longest lease; a restarted acceptor abstains for as long
+    grant_s: float = 0.6  # the longest that a quota lives without an answer of the lease holder
+    suspect_s: float = 1.0  # from suspicion to death, so that the suspect can refute
+    evidence_s: float = 2.0  # older evidence is ignored
+    overlap_s: float = 0.5  # of a planned handoff of a channel
+    epoch_s: float = 30.0  # for how long an isolated router keeps its placement table
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """Who there is: numbers 0 to `size` - 1, this router's own, those that vote on leases, its plaza."""
+    """The routers: their numbers 0 to `size` - 1, this router's own, the acceptors of leases, its zone."""
 
     me: Peer
     size: int
@@ -62,97 +62,98 @@
 
     @property
     def majority(self) -> int:
+        """Returns how many acceptors make a quorum."""
         return len(self.acceptors) // 2 + 1
 
 
-# --- what a part asks for ---
+# --- actions and events ---
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a note to one peer, or to all others (None). Never to oneself: a part plays its roles inside."""
+    """Sends a message to one peer, or to all others (`to` None). A part never sends to its own router."""
 
     to: Peer | None
-    note: PeerMessage
+    message: PeerMessage
     urgency: Urgency = Urgency.ROUTINE
 
 
 @dataclass(frozen=True, slots=True)
 class PeerChanged:
-    """Liveness: a peer stands otherwise than before, or has started anew."""
+    """Liveness: a peer's state has changed, or the peer has restarted."""
 
     peer: Peer
     incarnation: int
-    standing: PeerState
+    state: PeerState
 
 
 @dataclass(frozen=True, slots=True)
 class SelfChanged:
-    """Liveness: whether this router is cut off itself, by what it hears and by what of it is heard."""
+    """Liveness: whether this router is isolated has changed. It is connected while both are true."""
 
-    heard: bool  # others' datagrams reach this router
-    reaches: bool  # some of them confirm that its own arrive
+    receives: bool  # datagrams of others arrive here
+    reaches: bool  # others confirm that this router's datagrams arrive there
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
     """Leases: this router holds a lease from now until `until` at most, by its own clock, under a term.
 
-    Said once a term; renewals move the end without a word. What matters at use is `Leases.holds`.
+    Sent once a term; renewals move the end without an event. `Leases.holds` decides at the moment of use.
     """
 
-    lease: Name
+    lease: NameDigest
     term: int
     until: float
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """Leases: this router holds a lease no more: released, run out or refused."""
+    """Leases: this router no longer holds a lease: it was released, has expired or was rejected."""
 
-    lease: Name
+    lease: NameDigest
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class HolderObserved:
-    """Leases: another router was seen to hold a lease; a hint for whom to ask, never a proof."""
+    """Leases: another router appears to hold a lease. A hint where to send requests, never a proof."""
 
-    lease: Name
+    lease: NameDigest
     holder: Peer
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class VerdictChanged:
-    """Verdicts: the fleet's word on a subject, until `until` at most; None: there is no word any more."""
+    """Verdicts: the fleet's verdict on a subject, valid until `until` at most; None withdraws it."""
 
-    subject: Name
-    trouble: "Fault | None"
+    subject: NameDigest
+    fault: "Fault | None"
     until: float
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelOwnership:
-    """Channels: this router owns a channel from now on, or (`term` 0) does not any more."""
+    """Channels: this router owns a channel from now on, or (`term` 0) no longer does."""
 
-    channel: Name
+    channel: NameDigest
     term: int
 
 
 @dataclass(frozen=True, slots=True)
 class TableChanged:
-    """Tables: which epoch is in use, and until when the former one's homes are asked first."""
+    """Tables: the epoch in use, and until when the previous table's homes are asked first."""
 
     epoch: int
     digest: int
-    former: int | None
-    former_until: float
+    previous: int | None  # digest of the previous table
+    previous_until: float
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """A line for the operators' log; the driver bounds how often."""
+    """A line for the operators' log; the driver limits the rate."""
 
     event: str
     fields: tuple[tuple[str, object], ...] = ()
@@ -161,10 +162,10 @@
 class Fault(IntEnum):
     """What may be wrong with a source or a cache."""
 
-    FAILING = 1  # answers, and fails
+    FAILING = 1  # answers with failures
     SILENT = 2  # does not answer
-    COLD = 3  # started anew, before the list says so
-    FULL = 4  # its link is full
+    COLD = 3  # restarted, before the endpoint list reports it
+    FULL = 4  # its link is saturated
 
 
 LocalEvent = (
@@ -181,25 +182,27 @@
 
 
 class Part(Protocol):
-    """One part of the cluster. Each call returns what to do now; order matters."""
+    """One part of the cluster. Each call returns the actions to take now, in order."""
 
-    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
-        """Handles a message of one of the `HANDLED_MESSAGES`; raises nothing, whatever it holds."""
+    def handle_message(
+        self, sender: Peer, incarnation: int, message: PeerMessage, now: float
+    ) -> list[Action]:
+        """Handles a message of one of the `HANDLED_MESSAGES`. Raises nothing, whatever the message holds."""
         ...
 
-    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
-        """Another part has found something."""
+    def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
+        """Handles an event of another part."""
         ...
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed: called at `due`, and maybe earlier or, after a stall, far later."""
+        """Handles the passing of time. Called at `due`, possibly earlier and, after a stall, much later."""
         ...
 
     def due(self) -> float:
-        """When `tick` next has something to do; `NEVER` where nothing is waited for."""
+        """Returns when `tick` next has work; `NEVER` while nothing is waited for."""
         ...
 
 
 def earliest(parts: Iterable[Part]) -> float:
-    """When the first of several parts is due."""
+    """Returns when the first of several parts is due."""
     return min((part.due() for part in parts), default=NEVER)
--- a/paddlequay/cluster/verdicts.py
+++ b/paddlequay/cluster/verdicts.py
@@ -12,10 +12,10 @@
 evidence is one voice as all others; being served oneself after the word fell overrules it here. The word only
 moves the point at which a router begins its own trial; it opens and closes nothing.
 
-Age. Clocks are not compared, so evidence is as old as was told, and what has passed here since, both with
-`Bounds.drift`, and `TRANSIT_S` for the way; what came in a stall of this process is older by the whole stall.
-It is weighed whenever the word is asked for, so that nothing older than `Bounds.evidence` is in it, provided
-that no datagram is under way for more than `TRANSIT_S`.
+Age. Clocks are not compared. The age of evidence is the age told plus the time since it came, both with the
+clock drift, plus `TRANSIT_S`; what came in a stall of this process is older by the whole stall. It is weighed
+whenever the word is asked for, so that nothing older than `bounds.evidence_s` is in it, provided that no
+datagram is under way for more than `TRANSIT_S`.
 """
 
 from dataclasses import dataclass, field
@@ -29,7 +29,7 @@
     Fault,
     Fleet,
     LocalEvent,
-    Name,
+    NameDigest,
     Peer,
     PeerChanged,
     PeerState,
@@ -58,16 +58,16 @@
 DOWN = (Fault.FAILING, Fault.SILENT)
 
 
-def alike(trouble: int) -> int:
+def alike(fault: int) -> int:
     """What speaks for the same word: one may find a dead member failing, the other silent; 0: it serves."""
-    return Fault.FAILING if trouble == Fault.SILENT else trouble
+    return Fault.FAILING if fault == Fault.SILENT else fault
 
 
 @dataclass(frozen=True, slots=True)
 class Word:
     """The fleet's word, as it counts for this router now."""
 
-    trouble: Fault
+    fault: Fault
     witnesses: int
     age: float  # seconds, at most, of the oldest evidence in it
 
@@ -78,7 +78,7 @@
 
     incarnation: int
     start: int
-    trouble: int  # 0: served
+    fault: int  # 0: served
     count: int
     at: float  # by this router's clock; of others, told age and drift are off already
     others: int
@@ -106,10 +106,10 @@
 
     def __init__(self, fleet: Fleet, settings: ClusterSettings, now: float) -> None:
         self._fleet = fleet
-        self._evidence = settings.bounds.evidence
-        self._drift = 1.0 + settings.bounds.drift
-        self._subjects: dict[Name, _Subject] = {}  # the one touched last at the end
-        self._active: set[Name] = set()  # something is told, or still to tell
+        self._evidence = settings.bounds.evidence_s
+        self._drift = 1.0 + settings.bounds.drift_ratio
+        self._subjects: dict[NameDigest, _Subject] = {}  # the one touched last at the end
+        self._active: set[NameDigest] = set()  # something is told, or still to tell
         self._incarnations: dict[Peer, int] = {}
         self._doubted: set[Peer] = set()
         self._cut = False
@@ -118,47 +118,47 @@
 
     # --- what is asked ---
 
-    def word(self, subject: Name, now: float) -> Word | None:
+    def word(self, subject: NameDigest, now: float) -> Word | None:
         """None where there is no word, or this router has been served since it fell."""
         entry = self._subjects.get(subject)
         if entry is None or entry.since is None or now - entry.since < SETTLE_S:
             return None
         word = self._weigh(entry, now)
         own = entry.own
-        if word is None or own is None or own.trouble or now - own.at > self._evidence:
+        if word is None or own is None or own.fault or now - own.at > self._evidence:
             return word
         return None if own.at > entry.since else word
 
-    def earlier_skip(self, subject: Name, now: float) -> bool:
+    def earlier_skip(self, subject: NameDigest, now: float) -> bool:
         """Whether this router's trial and skip are to begin earlier than by its own count of failures."""
         word = self.word(subject, now)
-        return word is not None and word.trouble in DOWN
+        return word is not None and word.fault in DOWN
 
     # --- what this router sees itself ---
 
-    def began(self, subject: Name, start: int, now: float) -> list[Action]:
+    def began(self, subject: NameDigest, start: int, now: float) -> list[Action]:
         """The list says that a subject has started anew: what was seen before says nothing of it."""
         entry = self._entry(subject)
         entry.start = max(entry.start, start)
         return self._settle(subject, entry, now)
 
     def saw(
-        self, subject: Name, start: int, kind: str, ok: bool, trouble: Fault | None, now: float
+        self, subject: NameDigest, start: int, kind: str, ok: bool, fault: Fault | None, now: float
     ) -> list[Action]:
-        """An attempt has ended: `start` is the subject's by the list, `trouble` may stand beside `ok`."""
+        """An attempt has ended: `start` is the subject's by the list, `fault` may stand beside `ok`."""
         self._look(now)
         entry = self._entry(subject)
         own = entry.own
         if 0 < start < entry.start:
             return []  # it was begun with an earlier life
         entry.start = max(entry.start, start)
-        found = int(trouble) if trouble is not None else 0 if ok else int(Fault.FAILING)
+        found = int(fault) if fault is not None else 0 if ok else int(Fault.FAILING)
         entry.kind = kind
         if ok:
             entry.served = now
         goes_on = (
             own is not None
-            and alike(own.trouble) == alike(found)
+            and alike(own.fault) == alike(found)
             and own.start in (0, entry.start)
             and now - own.at <= self._evidence
         )
@@ -168,41 +168,49 @@
 
     # --- Part ---
 
-    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
+    def handle_message(
+        self, sender: Peer, incarnation: int, message: PeerMessage, now: float
+    ) -> list[Action]:
         self._look(now)
-        if not isinstance(note, Evidence) or not 0 <= sender < self._fleet.size or sender == self._fleet.me:
+        if (
+            not isinstance(message, Evidence)
+            or not 0 <= sender < self._fleet.size
+            or sender == self._fleet.me
+        ):
             return []
         known = self._incarnations.get(sender, 0)
-        if incarnation < known or note.trouble not in (0, *Fault) or note.count < 1:
+        if incarnation < known or message.fault not in (0, *Fault) or message.count < 1:
             return []
         self._incarnations[sender] = incarnation
         lay = self._stale[1] if now <= self._stale[0] else 0.0
-        at = now - (note.age_ms / 1000 + lay) * self._drift
+        at = now - (message.age_ms / 1000 + lay) * self._drift
         if now - at > self._evidence:
             return []
-        entry = self._entry(note.subject)
+        entry = self._entry(message.subject)
         former = entry.said.get(sender)
         if former is not None and former.incarnation == incarnation and former.at > at:
             return []  # overtaken
         if former is None and len(entry.said) >= WITNESSES_MOST:
             del entry.said[min(entry.said, key=lambda peer: entry.said[peer].at)]
-        entry.said[sender] = _Seen(incarnation, note.start, note.trouble, note.count, at, note.others)
-        if note.trouble:
-            self._active.add(note.subject)
-        settled = self._settle(note.subject, entry, now)
-        return self._tell(note.subject, entry, now) + settled
-
-    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
-        match news:
+        entry.said[sender] = _Seen(
+            incarnation, message.start, message.fault, message.count, at, message.others
+        )
+        if message.fault:
+            self._active.add(message.subject)
+        settled = self._settle(message.subject, entry, now)
+        return self._tell(message.subject, entry, now) + settled
+
+    def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
+        match event:
             case PeerChanged():
-                known = self._incarnations.get(news.peer, 0)
-                self._incarnations[news.peer] = max(known, news.incarnation)
-                if news.standing in (PeerState.SUSPECT, PeerState.DEAD):
-                    self._doubted.add(news.peer)
+                known = self._incarnations.get(event.peer, 0)
+                self._incarnations[event.peer] = max(known, event.incarnation)
+                if event.state in (PeerState.SUSPECT, PeerState.DEAD):
+                    self._doubted.add(event.peer)
                 else:
-                    self._doubted.discard(news.peer)
+                    self._doubted.discard(event.peer)
             case SelfChanged():
-                self._cut = not (news.heard and news.reaches)
+                self._cut = not (event.receives and event.reaches)
             case _:
                 return []
         return self._all(now)
@@ -237,7 +245,7 @@
             self._stale = (now + WATCH_S, lay)
             self._ticked = now
 
-    def _entry(self, subject: Name) -> _Subject:
+    def _entry(self, subject: NameDigest) -> _Subject:
         entry = self._subjects.pop(subject, None)
         if entry is None:
             entry = _Subject()
@@ -255,7 +263,7 @@
             and other.kind == entry.kind
             and now - other.served <= self._evidence
             and other.own is not None
-            and other.own.trouble not in DOWN
+            and other.own.fault not in DOWN
             for other in self._subjects.values()
         )
 
@@ -274,7 +282,7 @@
         return [
             seen
             for seen in voices
-            if seen.start in (0, start) and (seen.others > 0 or seen.trouble not in DOWN)
+            if seen.start in (0, start) and (seen.others > 0 or seen.fault not in DOWN)
         ]
 
     def _age(self, seen: _Seen, now: float) -> float:
@@ -284,19 +292,19 @@
         """The rule: two witnesses and more than half of the weight."""
         voices = self._voices(entry, now)
         whole = sum(min(seen.count, WEIGHT_MOST) for seen in voices)
-        for kind in {alike(seen.trouble) for seen in voices if seen.trouble}:
-            witnesses = [seen for seen in voices if alike(seen.trouble) == kind]
+        for kind in {alike(seen.fault) for seen in voices if seen.fault}:
+            witnesses = [seen for seen in voices if alike(seen.fault) == kind]
             weight = sum(min(seen.count, WEIGHT_MOST) for seen in witnesses)
             if len(witnesses) >= WITNESSES_LEAST and 2 * weight > whole:
-                said = [seen.trouble for seen in witnesses]
+                said = [seen.fault for seen in witnesses]
                 age = max(now - seen.at if seen is entry.own else self._age(seen, now) for seen in witnesses)
                 return Word(Fault(max(sorted(set(said)), key=said.count)), len(witnesses), age)
         return None
 
-    def _settle(self, name: Name, entry: _Subject, now: float) -> list[Action]:
+    def _settle(self, name: NameDigest, entry: _Subject, now: float) -> list[Action]:
         """Keep what the word rests on, and say where it changed for this router."""
         voices = self._voices(entry, now)
-        if sum(seen.trouble != 0 for seen in voices) < WITNESSES_LEAST:
+        if sum(seen.fault != 0 for seen in voices) < WITNESSES_LEAST:
             entry.opened = None
         elif entry.opened is None:
             entry.opened = now
@@ -304,43 +312,43 @@
             entry.since = None
         elif entry.since is None:
             entry.since = now
-        if entry.tell_at == NEVER and not any(seen.trouble for seen in voices):
+        if entry.tell_at == NEVER and not any(seen.fault for seen in voices):
             self._active.discard(name)
         else:
             self._active.add(name)
         word = self.word(name, now)
-        trouble = word.trouble if word is not None else None
+        fault = word.fault if word is not None else None
         until = now + self._evidence - word.age if word is not None else 0.0
-        if trouble is entry.word and (now < entry.until - POLL_S or until <= entry.until):
+        if fault is entry.word and (now < entry.until - POLL_S or until <= entry.until):
             return []
-        entry.word = trouble
+        entry.word = fault
         entry.until = until
-        return [VerdictChanged(name, trouble, entry.until)]
+        return [VerdictChanged(name, fault, entry.until)]
 
     def _outweighed(self, entry: _Subject, now: float) -> bool:
         """Whether others have told that they are served, to twice the troubles' weight and more."""
         weight = [0, 0]
         for seen in self._voices(entry, now):
             if seen is not entry.own:
-                weight[seen.trouble != 0] += min(seen.count, WEIGHT_MOST)
+                weight[seen.fault != 0] += min(seen.count, WEIGHT_MOST)
         return weight[0] >= 2 * weight[1] + 2 * WEIGHT_MOST
 
-    def _speaks(self, name: Name) -> bool:
+    def _speaks(self, name: NameDigest) -> bool:
         size = self._fleet.size
         return size <= PANEL or digest(f"{name} {self._fleet.me}") % size < PANEL
 
-    def _tell(self, name: Name, entry: _Subject, now: float) -> list[Action]:
+    def _tell(self, name: NameDigest, entry: _Subject, now: float) -> list[Action]:
         """Tell own evidence, where it is news to others or an answer, and not too often."""
         own, told = entry.own, entry.told
         entry.tell_at = NEVER
         if own is None or self._cut or now - own.at > self._evidence - TRANSIT_S or not self._speaks(name):
             return []
         others = self._others(entry, now)
-        if own.trouble in DOWN and not others:
+        if own.fault in DOWN and not others:
             return []  # it would convince nobody
         if told is not None and now - told.at > self._evidence - TRANSIT_S:
             told = None
-        if not own.trouble and (told is None or not told.trouble):
+        if not own.fault and (told is None or not told.fault):
             if entry.opened is None or self._outweighed(entry, now):
                 return []
             answer_at = entry.opened + ANSWER_S * (digest(f"{self._fleet.me} {name}") % 1000) / 1000
@@ -351,8 +359,8 @@
         if told is not None:
             changed = (
                 told.start != own.start
-                or alike(told.trouble) != alike(own.trouble)
-                or (own.trouble and told.count < min(own.count, WEIGHT_MOST))
+                or alike(told.fault) != alike(own.fault)
+                or (own.fault and told.count < min(own.count, WEIGHT_MOST))
             )
             if not changed and own.at <= told.at:
                 return []
@@ -363,7 +371,7 @@
             entry.tell_at = NEVER
         else:
             changed = True
-        entry.told = _Seen(0, own.start, own.trouble, min(own.count, WEIGHT_MOST), now, others)
+        entry.told = _Seen(0, own.start, own.fault, min(own.count, WEIGHT_MOST), now, others)
         age_ms = int((now - own.at) * 1000) + 1
-        evidence = Evidence(name, own.start, own.trouble, own.count, age_ms, others)
-        return [SendMessage(None, evidence, Urgency.NEWS if changed else Urgency.ROUTINE)]
+        evidence = Evidence(name, own.start, own.fault, own.count, age_ms, others)
+        return [SendMessage(None, evidence, Urgency.CHANGE if changed else Urgency.ROUTINE)]
--- a/paddlequay/cluster/wire.py
+++ b/paddlequay/cluster/wire.py
@@ -21,7 +21,14 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-from paddlequay.cluster.messages import FIELD_MOST, MESSAGE_TYPES, TEXT_MOST, IntRange, PeerMessage, PeerRange
+from paddlequay.cluster.messages import (
+    MAX_FIELD_VALUE,
+    MAX_TEXT_BYTES,
+    MESSAGE_TYPES,
+    IntRange,
+    PeerMessage,
+    PeerRange,
+)
 from paddlequay.cluster.types import Fleet, Peer
 
 VERSION = 1  # written; read too are the one before it and, where a release prepares it, the one after
@@ -48,8 +55,8 @@
     "raw": False,
     "max_array_len": HEAD_ITEMS + NOTES_MOST,
     "max_map_len": 0,
-    "max_str_len": TEXT_MOST,
-    "max_bin_len": TEXT_MOST,
+    "max_str_len": MAX_TEXT_BYTES,
+    "max_bin_len": MAX_TEXT_BYTES,
     "max_ext_len": 0,
 }
 
@@ -91,7 +98,7 @@
 @dataclass(frozen=True, slots=True)
 class Heard:
     head: Head
-    notes: tuple[PeerMessage, ...]
+    messages: tuple[PeerMessage, ...]
     skipped: int  # notes of unknown kinds
 
 
@@ -125,9 +132,9 @@
 def field_of(annotation: Any, size: int) -> Field | None:
     """What a field with this annotation may hold in a fleet of `size` routers; None without a form."""
     if annotation in (str, bytes):
-        return Field(annotation, 0, TEXT_MOST)
+        return Field(annotation, 0, MAX_TEXT_BYTES)
     if annotation is int:
-        return Field(int, 0, FIELD_MOST)
+        return Field(int, 0, MAX_FIELD_VALUE)
     match get_args(annotation):
         case (type() as base, IntRange(least=least, most=most)) if base is int:
             return Field(int, least, most)
@@ -177,19 +184,19 @@
         digest.update(body)
         return digest.digest()
 
-    def pack_note(self, note: PeerMessage) -> bytes:
+    def pack_message(self, message: PeerMessage) -> bytes:
         """Raises `ValueError` for what every receiver would refuse, and for what no datagram holds."""
-        shape = self.shapes.get(note.KIND)
-        if shape is None or type(note) is not shape.make:
-            raise ValueError(f"{type(note).__name__} is no note of this version")
-        told = (getattr(note, name) for name in shape.names)
+        shape = self.shapes.get(message.KIND)
+        if shape is None or type(message) is not shape.make:
+            raise ValueError(f"{type(message).__name__} is no note of this version")
+        told = (getattr(message, name) for name in shape.names)
         values = [int(value) if isinstance(value, IntEnum) else value for value in told]
         for name, value, field in zip(shape.names, values, shape.fields, strict=True):
             if not field.fits(value):
-                raise ValueError(f"{type(note).__name__}.{name}: {value!r}")
-        packed: bytes = self.packer.pack((note.KIND, *values))
+                raise ValueError(f"{type(message).__name__}.{name}: {value!r}")
+        packed: bytes = self.packer.pack((message.KIND, *values))
         if len(packed) > NOTE_MOST:
-            raise ValueError(f"{type(note).__name__}: {len(packed)} bytes")
+            raise ValueError(f"{type(message).__name__}: {len(packed)} bytes")
         return packed
 
     def pack_head(self, head: Head) -> bytes:
@@ -197,12 +204,12 @@
         items = (head.version, head.sender, head.incarnation, head.sequence, head.clock)
         return b"".join(pack(item) for item in items)
 
-    def pack(self, head: Head, notes: Sequence[bytes]) -> bytes:
+    def pack(self, head: Head, messages: Sequence[bytes]) -> bytes:
         """A datagram from packed notes; raises `ValueError` where they do not fit in one."""
-        start: bytes = self.packer.pack_array_header(HEAD_ITEMS + len(notes))
-        body = start + self.pack_head(head) + b"".join(notes)
-        if len(body) > DATAGRAM_MOST - TAG_SIZE or len(notes) > NOTES_MOST:
-            raise ValueError(f"{len(notes)} notes in {len(body) + TAG_SIZE} bytes")
+        start: bytes = self.packer.pack_array_header(HEAD_ITEMS + len(messages))
+        body = start + self.pack_head(head) + b"".join(messages)
+        if len(body) > DATAGRAM_MOST - TAG_SIZE or len(messages) > NOTES_MOST:
+            raise ValueError(f"{len(messages)} notes in {len(body) + TAG_SIZE} bytes")
         return self.tag(body) + body
 
     def read(self, data: bytes) -> Heard:
@@ -220,12 +227,12 @@
             raise RefusedError(Refusal.MALFORMED)
         self.check_version(items[0])
         if len(items) < HEAD_ITEMS or not all(
-            type(item) is int and 0 <= item <= FIELD_MOST for item in items[:HEAD_ITEMS]
+            type(item) is int and 0 <= item <= MAX_FIELD_VALUE for item in items[:HEAD_ITEMS]
         ):
             raise RefusedError(Refusal.MALFORMED)
-        told = [self.read_note(item) for item in items[HEAD_ITEMS:]]
-        notes = tuple(note for note in told if note is not None)
-        return Heard(Head(*items[:HEAD_ITEMS]), notes, len(told) - len(notes))
+        told = [self.read_message(item) for item in items[HEAD_ITEMS:]]
+        messages = tuple(message for message in told if message is not None)
+        return Heard(Head(*items[:HEAD_ITEMS]), messages, len(told) - len(messages))
 
     def check_version(self, version: int) -> None:
         if version > self.reads:
@@ -244,7 +251,7 @@
             return Refusal.MALFORMED
         return Refusal.NEWER if type(version) is int and version > self.reads else Refusal.MALFORMED
 
-    def read_note(self, item: object) -> PeerMessage | None:
+    def read_message(self, item: object) -> PeerMessage | None:
         """None for a kind that this release does not know."""
         if type(item) is not tuple or not item or type(item[0]) is not int or item[0] < 0:
             raise RefusedError(Refusal.MALFORMED)
@@ -309,9 +316,9 @@
         """Bytes for notes in the next datagram; three for the array, as if it were long."""
         return DATAGRAM_MOST - TAG_SIZE - 3 - len(self.codec.pack_head(self.head()))
 
-    def write(self, notes: Sequence[bytes]) -> bytes:
+    def write(self, messages: Sequence[bytes]) -> bytes:
         """The next datagram. Raises `ValueError` where the notes are more than `room`."""
-        data = self.codec.pack(self.head(), notes)
+        data = self.codec.pack(self.head(), messages)
         self.sequence += 1
         return data
 
--- a/paddlequay/lab/channel_world.py
+++ b/paddlequay/lab/channel_world.py
@@ -13,10 +13,10 @@
 from paddlequay.cluster.messages import PeerMessage, Prepare
 from paddlequay.cluster.prefetch import Ahead
 from paddlequay.cluster.settings import ChannelRule
-from paddlequay.cluster.types import Action, Bounds, Fleet, Peer, SendMessage
+from paddlequay.cluster.types import Action, ClusterBounds, Fleet, Peer, SendMessage
 from paddlequay.hierarchy.terms import Terms
 
-BOUNDS = Bounds()
+BOUNDS = ClusterBounds()
 STEP = 0.01  # seconds of true time; what is measured is exact to two of them
 PART = 0.4  # seconds of a part
 BOX = 99
@@ -104,28 +104,28 @@
         while todo:
             action = todo.pop(0)
             if isinstance(action, SendMessage):
-                if isinstance(action.note, Prepare) and action.to == next(p for p in (0, 1, 2) if p != me):
+                if isinstance(action.message, Prepare) and action.to == next(p for p in (0, 1, 2) if p != me):
                     self.asks.append((self.time, me))
                 for to in [action.to] if action.to is not None else range(len(self.all)):
-                    self.send(me, to, action.note, process.leases.clock)
+                    self.send(me, to, action.message, process.leases.clock)
             elif type(action).__name__ != "LogEvent":
                 todo += process.channels.handle_event(action, process.clock)  # type: ignore[arg-type]
 
-    def send(self, me: Peer, to: Peer, note: PeerMessage, clock: int) -> None:
+    def send(self, me: Peer, to: Peer, message: PeerMessage, clock: int) -> None:
         if (me, to) in self.blocked or to == me or self.rng.random() < self.drop:
             return
         wait = 1.0 if (me, to) in self.slow else self.rng.uniform(*self.delay)
-        self.later(wait, lambda: self.deliver(me, to, note, clock))
+        self.later(wait, lambda: self.deliver(me, to, message, clock))
 
-    def deliver(self, me: Peer, to: Peer, note: PeerMessage, clock: int) -> None:
+    def deliver(self, me: Peer, to: Peer, message: PeerMessage, clock: int) -> None:
         process = self.all[to]
         if process.stopped:
-            return self.later(STEP, lambda: self.deliver(me, to, note, clock))
+            return self.later(STEP, lambda: self.deliver(me, to, message, clock))
         if process.dead or (me, to) in self.blocked:
             return
         process.leases.saw_clock(clock)
-        part = process.leases if isinstance(note, process.leases.HANDLED_MESSAGES) else process.channels
-        self.act(to, part.handle_message(me, 0, note, process.clock))
+        part = process.leases if isinstance(message, process.leases.HANDLED_MESSAGES) else process.channels
+        self.act(to, part.handle_message(me, 0, message, process.clock))
 
     def read(self, me: Peer, name: str, part: int) -> None:
         process = self.all[me]
--- a/paddlequay/lab/cluster_model_day.py
+++ b/paddlequay/lab/cluster_model_day.py
@@ -100,7 +100,7 @@
     elif name == "zone flaps":
         world.flap(victim.zone, end)
     world.run(end)
-    dead = [by for _, by, of, standing in auditor.stood if of == who and standing is PeerState.DEAD]
+    dead = [by for _, by, of, state in auditor.stood if of == who and state is PeerState.DEAD]
     wrong = {
         (by, of) for at, by, of, stood in auditor.stood
         if stood is PeerState.DEAD and of != who and world.boxes[of].zone != victim.zone and at > begin
@@ -300,8 +300,8 @@
     faults = Faults(auditor, seconds - 12.0)
     world.at(3.0, faults.next)
     world.run(seconds)
-    standing = all(
-        box.node is not None and box.node.liveness.standing(other.me) is PeerState.ALIVE
+    all_alive = all(
+        box.node is not None and box.node.liveness.state_of(other.me) is PeerState.ALIVE
         for box in world.boxes
         for other in world.boxes
     )
@@ -319,5 +319,5 @@
         len(auditor.false_words),
         len(auditor.admitted),
         sum(len(takes) for takes in auditor.takes.values()),
-        standing and used > 0.6 * most,
+        all_alive and used > 0.6 * most,
     )
--- a/paddlequay/lab/cluster_model_drive.py
+++ b/paddlequay/lab/cluster_model_drive.py
@@ -16,7 +16,7 @@
     Fault,
     LeaseAcquired,
     LeaseLost,
-    Name,
+    NameDigest,
     Peer,
     PeerChanged,
     PeerState,
@@ -39,7 +39,7 @@
 @dataclass(slots=True)
 class Parent:
     name: str
-    subject: Name
+    subject: NameDigest
     up: bool = True
     since: float = -1e9  # of its being up or down
     silent: bool = True  # while it is down: does not answer, rather than refusing
@@ -55,10 +55,10 @@
         self.admitted: list[float] = []
         self.parents = [Parent(f"p{n}", digest(f"p{n}")) for n in range(parents)]
         self.by_subject = {parent.subject: parent for parent in self.parents}
-        self.takes: dict[Name, list[tuple[float, Peer, int]]] = defaultdict(list)
-        self.losses: dict[Name, list[tuple[float, Peer]]] = defaultdict(list)
+        self.takes: dict[NameDigest, list[tuple[float, Peer, int]]] = defaultdict(list)
+        self.losses: dict[NameDigest, list[tuple[float, Peer]]] = defaultdict(list)
         self.two_holders = self.terms_back = 0
-        self.words: dict[Name, dict[Peer, float]] = defaultdict(dict)  # since when a router has one
+        self.words: dict[NameDigest, dict[Peer, float]] = defaultdict(dict)  # since when a router has one
         self.false_words: list[tuple[float, Peer, str]] = []
         self.stood: list[tuple[float, Peer, Peer, PeerState]] = []  # who believes what of whom
         self.selves: list[tuple[float, Peer, bool]] = []  # who knows itself cut off
@@ -125,16 +125,16 @@
         if reached and not noise:
             return self.saw(box, box.lives, parent, True, None)
         silent = parent.silent or box.dark
-        trouble = Fault.SILENT if silent else Fault.FAILING
+        fault = Fault.SILENT if silent else Fault.FAILING
         wait = SILENT_S if silent else REFUSED_S
-        self.world.at(self.world.now + wait, self.saw, box, box.lives, parent, False, trouble)
+        self.world.at(self.world.now + wait, self.saw, box, box.lives, parent, False, fault)
 
-    def saw(self, box: Box, life: int, parent: Parent, ok: bool, trouble: Fault | None) -> None:
+    def saw(self, box: Box, life: int, parent: Parent, ok: bool, fault: Fault | None) -> None:
         node = box.node
         if node is None or node.verdicts is None or box.lives != life or not self.world.alive(box):
             return
         now = box.clock(self.world.now)
-        actions = node.verdicts.saw(parent.subject, 0, "parent", ok, trouble, now)
+        actions = node.verdicts.saw(parent.subject, 0, "parent", ok, fault, now)
         self.world.flush(box, node.settle(actions, now))
 
     def turn(self, parent: Parent, up: bool, silent: bool = True) -> None:
@@ -145,9 +145,9 @@
 
     # --- what is found ---
 
-    def look(self, box: Box, news: Sequence[ClusterEvent]) -> None:
+    def look(self, box: Box, events: Sequence[ClusterEvent]) -> None:
         now = self.world.now
-        for each in news:
+        for each in events:
             if isinstance(each, LeaseAcquired):
                 takes = self.takes[each.lease]
                 self.terms_back += bool(takes) and each.term <= takes[-1][2]
@@ -159,7 +159,7 @@
             elif isinstance(each, PeerChanged):
                 self.stands(box, each)
             elif isinstance(each, SelfChanged):
-                self.selves.append((now, box.me, not (each.heard and each.reaches)))
+                self.selves.append((now, box.me, not (each.receives and each.reaches)))
         if box.me in self.world.settings.acceptors:
             self.look_at_leases(box)
 
@@ -179,7 +179,7 @@
 
     def worded(self, box: Box, word: VerdictChanged) -> None:
         parent = self.by_subject[word.subject]
-        if word.trouble not in DOWN:
+        if word.fault not in DOWN:
             self.words[word.subject].pop(box.me, None)
             return
         self.words[word.subject].setdefault(box.me, self.world.now)
@@ -191,9 +191,9 @@
 
     def stands(self, box: Box, change: PeerChanged) -> None:
         now, peer = self.world.now, self.world.boxes[change.peer]
-        self.stood.append((now, box.me, change.peer, change.standing))
+        self.stood.append((now, box.me, change.peer, change.state))
         runs = peer.node is not None and peer.stopped <= now
-        if change.standing is PeerState.DEAD and runs and now > max(peer.excused, box.excused):
+        if change.state is PeerState.DEAD and runs and now > max(peer.excused, box.excused):
             self.wrong_deaths += 1
 
     # --- sums ---
@@ -203,11 +203,11 @@
         """The most of any limit, as a multiple of what it allows; over 1 is a breach."""
         return max((audit.most / audit.times for audit in self.audits.values()), default=0.0)
 
-    def first(self, peer: Peer, standing: PeerState, since: float, most: float = 1.0) -> float | None:
+    def first(self, peer: Peer, state: PeerState, since: float, most: float = 1.0) -> float | None:
         """Seconds until a share `most` of the other routers held a peer so; 1: the first of them."""
         seen: dict[Peer, float] = {}
         for at, by, of, stood in self.stood:
-            if of == peer and stood is standing and at >= since:
+            if of == peer and stood is state and at >= since:
                 seen.setdefault(by, at - since)
         times = sorted(seen.values())
         need = 1 if most >= 1 else int(most * (self.world.size - 1) + 0.999)
--- a/paddlequay/lab/cluster_model_world.py
+++ b/paddlequay/lab/cluster_model_world.py
@@ -103,7 +103,7 @@
         self.logged = 0
         self.foreign = Codec("elsewhere", size)
         self.plain = Codec(settings.name, size)
-        drift = settings.bounds.drift if clocks is None else clocks
+        drift = settings.bounds.drift_ratio if clocks is None else clocks
         self.boxes = [
             Box(
                 me,
@@ -187,16 +187,16 @@
         ready = self.ready(box)
         if ready > self.now:
             return self.call(box, ready + self.rng.random() * 0.001)
-        news: Sequence[ClusterEvent] = ()
+        events: Sequence[ClusterEvent] = ()
         began = time.process_time_ns()
         now = box.clock(self.now)
         due = box.node.due() <= now
         if box.waiting and (not due or self.rng.random() < 0.5):
-            news = self.read(box, box.node, *box.waiting.popleft())
+            events = self.read(box, box.node, *box.waiting.popleft())
         elif due:
-            news = box.node.tick(now)
+            events = box.node.tick(now)
         box.cpu += time.process_time_ns() - began
-        self.flush(box, news)
+        self.flush(box, events)
 
     def arrive(self, box: Box, data: bytes, sender: Peer) -> None:
         if box.node is None:
@@ -209,25 +209,25 @@
                 self.lost["full"] += 1
         else:
             began = time.process_time_ns()
-            news = self.read(box, box.node, data, sender)
+            events = self.read(box, box.node, data, sender)
             box.cpu += time.process_time_ns() - began
-            self.flush(box, news)
+            self.flush(box, events)
 
     def read(self, box: Box, node: Node, data: bytes, sender: Peer) -> Sequence[ClusterEvent]:
         told = node.wire.read(data, sender)
         if isinstance(told, Refusal):
             self.refused[told.value] += 1
             return ()
-        return node.handle_message(told.head.sender, told.head, told.notes, box.clock(self.now))
+        return node.handle_message(told.head.sender, told.head, told.messages, box.clock(self.now))
 
-    def flush(self, box: Box, news: Sequence[ClusterEvent]) -> None:
+    def flush(self, box: Box, events: Sequence[ClusterEvent]) -> None:
         """After each call: what it found, what it sends, and when it is called next."""
         node = box.node
         assert node is not None
-        for each in news:
+        for each in events:
             self.say(box.me, each)
         for watch in self.watch:
-            watch(box, news)
+            watch(box, events)
         began = time.process_time_ns()
         packets = node.outbox.take(box.clock(self.now))
         due = min(node.due(), node.outbox.due())
@@ -244,7 +244,7 @@
     def send(self, box: Box, packet: Packet) -> None:
         if self.counting:
             many = self.size - 1 if packet.to is None else 1
-            for note in self.plain.read(packet.data).notes:
+            for note in self.plain.read(packet.data).messages:
                 self.notes[type(note).__name__] += many
             self.notes["datagrams"] += many
         if packet.to is not None:
--- a/paddlequay/lab/lease_world.py
+++ b/paddlequay/lab/lease_world.py
@@ -12,10 +12,19 @@
 from paddlequay.cluster.leases import Leases
 from paddlequay.cluster.messages import PeerMessage, Propose
 from paddlequay.cluster.proposer import Bid, Proposer
-from paddlequay.cluster.types import Action, Bounds, Fleet, LeaseAcquired, LeaseLost, Name, Peer, SendMessage
+from paddlequay.cluster.types import (
+    Action,
+    ClusterBounds,
+    Fleet,
+    LeaseAcquired,
+    LeaseLost,
+    NameDigest,
+    Peer,
+    SendMessage,
+)
 
-BOUNDS = Bounds()
-SLOW, FAST = 1 - BOUNDS.drift, 1 + BOUNDS.drift
+BOUNDS = ClusterBounds()
+SLOW, FAST = 1 - BOUNDS.drift_ratio, 1 + BOUNDS.drift_ratio
 
 
 class Draws(random.Random):
@@ -61,16 +70,16 @@
         self.stopped = False
         self.heard = 0
         self.out = leases.acceptor is not None
-        self.told: dict[Name, int] = {}  # leases taken and not yet lost, by what was said
+        self.told: dict[NameDigest, int] = {}  # leases taken and not yet lost, by what was said
 
-    def holds(self, lease: Name) -> int | None:
+    def holds(self, lease: NameDigest) -> int | None:
         return self.leases.holds(lease, self.clock)
 
 
 class Cached(Process):
     """Does not ask at the moment of use, but believes what it was told last."""
 
-    def holds(self, lease: Name) -> int | None:
+    def holds(self, lease: NameDigest) -> int | None:
         return self.told.get(lease)
 
 
@@ -81,7 +90,7 @@
         seed: int,
         kind: type[Leases] = Leases,
         process: type[Process] = Process,
-        names: tuple[Name, ...] = (1,),
+        names: tuple[NameDigest, ...] = (1,),
         acceptors: tuple[Peer, ...] = (0, 1, 2),
     ) -> None:
         self.rng = Draws(seed)
@@ -91,8 +100,8 @@
         self.time = 0.0
         self.pending: list[Message] = []
         self.blocked: set[tuple[Peer, Peer]] = set()
-        self.wanted: dict[Peer, set[Name]] = {each: set() for each in range(size)}
-        self.last: dict[Name, int] = {}
+        self.wanted: dict[Peer, set[NameDigest]] = {each: set() for each in range(size)}
+        self.last: dict[NameDigest, int] = {}
         self.takes = self.forgotten = 0
         self.processes = [self._process(each, size) for each in range(size)]
 
@@ -109,7 +118,7 @@
         process = self.processes[me]
         for action in act(process.leases, process.clock):
             if isinstance(action, SendMessage) and action.to is not None:
-                self.pending.append(Message(me, action.to, action.note, process.leases.clock))
+                self.pending.append(Message(me, action.to, action.message, process.leases.clock))
             elif isinstance(action, LeaseAcquired):
                 process.told[action.lease] = action.term
             elif isinstance(action, LeaseLost):
@@ -124,11 +133,11 @@
                     self.last[name] = 0
                     self.forgotten += 1
 
-    def want(self, me: Peer, name: Name) -> None:
+    def want(self, me: Peer, name: NameDigest) -> None:
         self.wanted[me].add(name)
         self.do(me, lambda leases, now: leases.want(name, now))
 
-    def drop(self, me: Peer, name: Name, heir: Peer | None = None) -> None:
+    def drop(self, me: Peer, name: NameDigest, heir: Peer | None = None) -> None:
         self.wanted[me].discard(name)
         self.do(me, lambda leases, now: leases.drop(name, now, heir))
 
@@ -168,7 +177,7 @@
         for name in sorted(self.wanted[me]):
             self.want(me, name)
 
-    def holders(self, name: Name) -> list[tuple[Peer, int]]:
+    def holders(self, name: NameDigest) -> list[tuple[Peer, int]]:
         held = ((me, process.holds(name)) for me, process in enumerate(self.processes))
         return [(me, term) for me, term in held if term is not None]
 
--- a/paddlequay/lab/limit_search.py
+++ b/paddlequay/lab/limit_search.py
@@ -15,7 +15,7 @@
 from paddlequay.cluster.messages import QuotaGrant
 from paddlequay.cluster.quotas import NOTHING, Share, Whole
 from paddlequay.cluster.settings import By, LimitRule, Mode
-from paddlequay.cluster.types import Name, Peer
+from paddlequay.cluster.types import NameDigest, Peer
 from paddlequay.lab.limit_world import Proc, World
 
 SECONDS = 12.0  # of each world
@@ -178,7 +178,7 @@
     """Who has held the lease once goes on granting under its term."""
 
     class granters(Granter):  # noqa: N801
-        def holding(self, lease: Name, now: float) -> int | None:
+        def holding(self, lease: NameDigest, now: float) -> int | None:
             held = super().holding(lease, now)
             return held if held is not None else self.terms.get(lease, (None, 0.0))[0]
 
--- a/paddlequay/lab/limit_world.py
+++ b/paddlequay/lab/limit_world.py
@@ -16,11 +16,11 @@
 from paddlequay.cluster.settings import By, LimitRule
 from paddlequay.cluster.types import (
     Action,
-    Bounds,
+    ClusterBounds,
     Fleet,
     HolderObserved,
     LeaseAcquired,
-    Name,
+    NameDigest,
     Peer,
     SendMessage,
 )
@@ -41,7 +41,7 @@
     stalled: float = 0.0  # until when, true time
     demand: float = 0.0  # requests a second
     lasts: float = 0.3
-    leases: dict[Name, tuple[int, float]] = field(default_factory=dict)
+    leases: dict[NameDigest, tuple[int, float]] = field(default_factory=dict)
     ticks: float = -1.0
     side: int = 0
     loss: float = 0.0  # of its notes, either way
@@ -66,7 +66,7 @@
     ) -> None:
         self.rng = random.Random(seed)
         self.rules, self.kind, self.shut, self.stay, self.fast = rules, kind, shut, stay, fast
-        self.bounds = Bounds()
+        self.bounds = ClusterBounds()
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.order = count()
@@ -76,7 +76,7 @@
         self.link: Callable[[Proc, Proc, SendMessage], float | None] = self.chance
         self.chosen: Peer | None = None  # takes the leases first
         self.audits = {rule.name: Audit(rule) for rule in rules}
-        self.holder: dict[Name, tuple[Peer, int, int, float]] = {}  # who, incarnation, term, until
+        self.holder: dict[NameDigest, tuple[Peer, int, int, float]] = {}  # who, incarnation, term, until
         self.term = 0
         self.procs = [
             Proc(me, 1 + self.rng.uniform(-clocks, clocks), self.rng.uniform(0, 1e4)) for me in range(size)
@@ -118,7 +118,7 @@
             fast=self.fast,
         )
 
-    def holds(self, proc: Proc, lease: Name, now: float) -> int | None:
+    def holds(self, proc: Proc, lease: NameDigest, now: float) -> int | None:
         term, until = proc.leases.get(lease, (0, 0.0))
         return term if now < until else None
 
@@ -184,20 +184,20 @@
                     if late is not None:
                         self.carry(proc, other, action, late)
 
-    def chance(self, proc: Proc, other: Proc, tell: SendMessage) -> float | None:
+    def chance(self, proc: Proc, other: Proc, send: SendMessage) -> float | None:
         """How late a note is, None: lost."""
         if self.rng.random() < max(self.loss, proc.loss, other.loss):
             return None
         late = 2.5 if self.rng.random() < self.tail else 0.01
         return self.rng.random() * late + other.far * self.rng.uniform(0.5, 1)
 
-    def carry(self, proc: Proc, other: Proc, tell: SendMessage, delay: float) -> None:
+    def carry(self, proc: Proc, other: Proc, send: SendMessage, delay: float) -> None:
         sender, incarnation = proc.me, proc.incarnation
 
         def come() -> None:
             if self.awake(other, come):
                 now = other.clock(self.now)
-                self.send(other, other.limits.handle_message(sender, incarnation, tell.note, now))
+                self.send(other, other.limits.handle_message(sender, incarnation, send.message, now))
                 self.arm(other)
 
         self.at(self.now + delay, come)
@@ -220,10 +220,10 @@
             for proc in holds:
                 here = proc.clock(self.now)
                 taken = proc.leases.get(lease, (0, 0.0))[0] != term
-                proc.leases[lease] = term, here + self.bounds.lease * (1 - self.bounds.drift)
-                self.holder[lease] = proc.me, proc.incarnation, term, self.now + self.bounds.lease
+                proc.leases[lease] = term, here + self.bounds.lease_s * (1 - self.bounds.drift_ratio)
+                self.holder[lease] = proc.me, proc.incarnation, term, self.now + self.bounds.lease_s
                 if taken:
-                    proc.limits.handle_event(LeaseAcquired(lease, term, here + self.bounds.lease), here)
+                    proc.limits.handle_event(LeaseAcquired(lease, term, here + self.bounds.lease_s), here)
                     for other in ready:
                         if other is not proc and self.rng.random() < 0.8:
                             other.limits.handle_event(
--- a/paddlequay/lab/table_world.py
+++ b/paddlequay/lab/table_world.py
@@ -14,7 +14,7 @@
 from paddlequay.cluster.tables import Tables
 from paddlequay.cluster.types import (
     Action,
-    Bounds,
+    ClusterBounds,
     Fleet,
     LeaseAcquired,
     LocalEvent,
@@ -28,7 +28,7 @@
 )
 from paddlequay.cluster.wire import Codec, Heard, Wire
 
-BOUNDS = Bounds()
+BOUNDS = ClusterBounds()
 DETECTED = 1.0  # seconds after which a restart or the end of a cut is known, as by liveness
 
 
@@ -84,17 +84,17 @@
                 self.world.send(self.me, to, packet.data)
         self.schedule()
 
-    def found(self, news: LocalEvent) -> None:
-        if isinstance(news, LeaseAcquired):
+    def found(self, event: LocalEvent) -> None:
+        if isinstance(event, LeaseAcquired):
             self.world.takes += 1
-        if not isinstance(news, TableChanged):
+        if not isinstance(event, TableChanged):
             return
-        if news.epoch <= self.epoch:
-            raise FaultError(f"the epoch of {self.me} goes back: {self.epoch:x} to {news.epoch:x}")
-        if self.world.digests.setdefault(news.epoch, news.digest) != news.digest:
-            raise FaultError(f"two tables under epoch {news.epoch:x}")
-        self.epoch = news.epoch
-        self.moves.append(news)
+        if event.epoch <= self.epoch:
+            raise FaultError(f"the epoch of {self.me} goes back: {self.epoch:x} to {event.epoch:x}")
+        if self.world.digests.setdefault(event.epoch, event.digest) != event.digest:
+            raise FaultError(f"two tables under epoch {event.epoch:x}")
+        self.epoch = event.epoch
+        self.moves.append(event)
 
     def schedule(self) -> None:
         due = min(earliest((self.leases, self.tables)), self.outbox.due())
@@ -116,10 +116,10 @@
         heard, actions = self.wire.read(data, sender), list[Action]()
         if isinstance(heard, Heard):
             self.leases.saw_clock(heard.head.clock)
-            for note in heard.notes:
-                part = self.leases if isinstance(note, self.leases.HANDLED_MESSAGES) else self.tables
-                if isinstance(note, part.HANDLED_MESSAGES):
-                    actions += part.handle_message(sender, heard.head.incarnation, note, now)
+            for message in heard.messages:
+                part = self.leases if isinstance(message, self.leases.HANDLED_MESSAGES) else self.tables
+                if isinstance(message, part.HANDLED_MESSAGES):
+                    actions += part.handle_message(sender, heard.head.incarnation, message, now)
         return actions
 
     def use(self) -> tuple[int | None, int | None]:
@@ -215,8 +215,8 @@
 
     def detected(self, peer: Peer) -> None:
         def told(to: Process) -> None:
-            news = PeerChanged(peer, self.processes[peer].incarnation, PeerState.ALIVE)
-            to.do(lambda now: to.tables.handle_event(news, now))
+            event = PeerChanged(peer, self.processes[peer].incarnation, PeerState.ALIVE)
+            to.do(lambda now: to.tables.handle_event(event, now))
 
         for other in range(self.size):
             if other != peer:
--- a/paddlequay/net/cluster/channels.py
+++ b/paddlequay/net/cluster/channels.py
@@ -8,7 +8,7 @@
 
 from paddlequay.cluster.channels import Channels
 from paddlequay.cluster.prefetch import Ahead, channel_of
-from paddlequay.cluster.types import Action, Name
+from paddlequay.cluster.types import Action, NameDigest
 from paddlequay.observability.counters import Counters
 from paddlequay.placement.homes import digest
 from paddlequay.requests.exchange import Exchange
@@ -40,7 +40,7 @@
         self.channels, self.zone, self.exchange = channels, zone, exchange
         self.counters, self.tell, self.clock = counters, tell, clock
         self.out: dict[str, Ahead] = {}  # by the request's id
-        self.boxes: dict[Name, str] = {}  # members by digest, as many as are listed
+        self.boxes: dict[NameDigest, str] = {}  # members by digest, as many as are listed
         self.number = 0
         self.looked = -LOOK_S
 
@@ -107,7 +107,7 @@
         self.boxes[digest(reply.served_by)] = reply.served_by
         self.tell(self.channels.filled(ahead, digest(reply.served_by), now))
 
-    def member(self, box: Name) -> str | None:
+    def member(self, box: NameDigest) -> str | None:
         """The listed member of a digest."""
         name = self.boxes.get(box)
         if name is None and self.clock() - self.looked >= LOOK_S:
--- a/paddlequay/net/cluster/peers.py
+++ b/paddlequay/net/cluster/peers.py
@@ -33,7 +33,7 @@
 class Owner(Protocol):
     """Who the datagrams are for. Called one at a time; what is told meanwhile goes out after the call."""
 
-    def handle_message(self, sender: Peer, head: Head, notes: tuple[PeerMessage, ...]) -> None: ...
+    def handle_message(self, sender: Peer, head: Head, messages: tuple[PeerMessage, ...]) -> None: ...
 
     def tick(self) -> None:
         """Its `due` has come."""
@@ -160,7 +160,7 @@
         if told.skipped:
             self.counters.add("peers.skipped", told.skipped)
         try:
-            self.owner.handle_message(told.head.sender, told.head, told.notes)
+            self.owner.handle_message(told.head.sender, told.head, told.messages)
         except Exception:  # the next datagram may be in order
             self.failed()
         self.flush()
--- a/paddlequay/net/cluster/placing.py
+++ b/paddlequay/net/cluster/placing.py
@@ -204,13 +204,13 @@
         if self.node is not None and actions:
             self.told(self.node, actions)
 
-    def changed(self, news: TableChanged) -> None:
+    def changed(self, event: TableChanged) -> None:
         """Another epoch is in use from now on."""
-        table, now = self.held.get(news.digest), self.clock()
+        table, now = self.held.get(event.digest), self.clock()
         if table is None:
             self.counters.add("placement_lost")  # homes are plain until the next epoch
             self.mover = None
-        elif self.mover is None or (news.former is None and whole(self.mover.table) != news.digest):
+        elif self.mover is None or (event.previous is None and whole(self.mover.table) != event.digest):
             self.mover, self.waits = Mover(table), None
         else:
             self.move(table, now)
--- a/paddlequay/net/cluster/sharing.py
+++ b/paddlequay/net/cluster/sharing.py
@@ -18,7 +18,7 @@
 from paddlequay.cluster.node import ClusterEvent, Node
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import (
-    PEERS_MOST,
+    MAX_PEERS,
     Action,
     ChannelOwnership,
     Fleet,
@@ -27,7 +27,7 @@
     LeaseLost,
     LocalEvent,
     LogEvent,
-    Name,
+    NameDigest,
     Peer,
     PeerChanged,
     SelfChanged,
@@ -67,6 +67,23 @@
     TableChanged: "TableChanged",
 }
 
+# Fields of log lines and the attributes that they show, in the lines' order.
+EVENT_FIELDS: dict[type[LocalEvent], dict[str, str]] = {
+    PeerChanged: {"peer": "peer", "incarnation": "incarnation", "standing": "state"},
+    SelfChanged: {"heard": "receives", "reaches": "reaches"},
+    LeaseAcquired: {"lease": "lease", "term": "term", "until": "until"},
+    LeaseLost: {"lease": "lease", "term": "term"},
+    HolderObserved: {"lease": "lease", "holder": "holder", "term": "term"},
+    VerdictChanged: {"subject": "subject", "trouble": "fault", "until": "until"},
+    ChannelOwnership: {"channel": "channel", "term": "term"},
+    TableChanged: {
+        "epoch": "epoch",
+        "digest": "digest",
+        "former": "previous",
+        "former_until": "previous_until",
+    },
+}
+
 
 class Sharing:
     """One router's share in the cluster. Raises ValueError where settings and peers do not fit.
@@ -83,8 +100,8 @@
         exchange: Exchange,
         counters: Counters,
     ) -> None:
-        if len(peering.peers) > PEERS_MOST:
-            raise ValueError(f"expected at most {PEERS_MOST} peers, got {len(peering.peers)}")
+        if len(peering.peers) > MAX_PEERS:
+            raise ValueError(f"expected at most {MAX_PEERS} peers, got {len(peering.peers)}")
         acceptors = settings.acceptors
         if any(number >= len(peering.peers) for number in acceptors):
             raise ValueError(f"acceptors {list(acceptors)}: there are {len(peering.peers)} peers")
@@ -107,7 +124,7 @@
             self.placing = placing.Placing(
                 settings.rules, config.settings, exchange, counters, self.act, self.loop.time
             )
-        self.names: OrderedDict[Name, str] = OrderedDict()
+        self.names: OrderedDict[NameDigest, str] = OrderedDict()
         self.logged: dict[str, float] = {}
 
     # --- its life ---
@@ -237,11 +254,11 @@
 
     def before_write(self, attempt: UpstreamAttempt, left: float) -> ReplyDetail | None:
         # Also after this process has left: a fill ahead that still waits is refused by its term.
-        note = self.front.before_write(attempt) if self.front is not None else None
-        note = note or self.leaves.before_write(attempt, left)
+        detail = self.front.before_write(attempt) if self.front is not None else None
+        detail = detail or self.leaves.before_write(attempt, left)
         with self.guarded():
             self.wake()
-        return note
+        return detail
 
     def attempt_ended(self, attempt: UpstreamAttempt, end: AttemptResult) -> None:
         with self.guarded():
@@ -263,13 +280,13 @@
         origin = origins[0].member.name if origins else None
         now = self.loop.time()
         actions: list[Action] = []
-        for name, ok, trouble in evidence.found(
+        for name, ok, fault in evidence.found(
             attempt.fetch, end.outcome, end.detail, end.unresponsive, origin
         ):
             member = self.exchange.members.get(name)
             if member is not None:
                 start = int((member.started or 0.0) * 1000)
-                actions += verdicts.saw(self.name(name), start, member.kind or "", ok, trouble, now)
+                actions += verdicts.saw(self.name(name), start, member.kind or "", ok, fault, now)
         if actions:
             self.told(self.node.settle(actions, now))
         self.wake(bool(actions))
@@ -289,8 +306,8 @@
 
     # --- what the cluster has found ---
 
-    def told(self, news: Sequence[ClusterEvent]) -> None:
-        for each in news:
+    def told(self, events: Sequence[ClusterEvent]) -> None:
+        for each in events:
             self.say(each)
             if isinstance(each, VerdictChanged):
                 self.pass_on(each)
@@ -302,12 +319,12 @@
         verdicts, name = self.node.verdicts if self.node else None, self.name_of(word.subject)
         if verdicts is None or name is None:
             return
-        self.counters.add(f"cluster.word.{word.trouble.name.lower() if word.trouble else 'none'}")
+        self.counters.add(f"cluster.word.{word.fault.name.lower() if word.fault else 'none'}")
         if verdicts.earlier_skip(word.subject, self.loop.time()):
             self.counters.add("cluster.words_passed_on")
             self.exchange.deliver(OutlierReported(name))
 
-    def name(self, name: str) -> Name:
+    def name(self, name: str) -> NameDigest:
         """A member's digest, remembered so that words on it can be told apart."""
         number = digest(name)
         self.names[number] = name
@@ -316,21 +333,21 @@
             self.names.popitem(last=False)
         return number
 
-    def name_of(self, subject: Name) -> str | None:
+    def name_of(self, subject: NameDigest) -> str | None:
         """The member that a subject is: also one that this router has had nothing from yet."""
         if subject not in self.names:
             for name in self.exchange.members:
                 self.name(name)
         return self.names.get(subject)
 
-    def say(self, news: ClusterEvent) -> None:
+    def say(self, event: ClusterEvent) -> None:
         """A line for what changes, at most one of a kind in some seconds."""
-        name = news.event if isinstance(news, LogEvent) else EVENT_NAMES[type(news)]
+        name = event.event if isinstance(event, LogEvent) else EVENT_NAMES[type(event)]
         self.counters.add(f"cluster.{name}")
         now = self.loop.time()
         if now - self.logged.get(name, -LOG_PAUSE) >= LOG_PAUSE:
             self.logged[name] = now
-            log.event(LOGGER, logging.INFO, f"cluster_{name}", **dict(fields(news)))
+            log.event(LOGGER, logging.INFO, f"cluster_{name}", **dict(fields(event)))
 
 
 class Life:
@@ -339,8 +356,8 @@
     def __init__(self, sharing: Sharing, node: Node) -> None:
         self.sharing, self.node = sharing, node
 
-    def handle_message(self, sender: Peer, head: Head, notes: tuple[PeerNote, ...]) -> None:
-        self.sharing.told(self.node.handle_message(sender, head, notes, self.sharing.loop.time()))
+    def handle_message(self, sender: Peer, head: Head, messages: tuple[PeerNote, ...]) -> None:
+        self.sharing.told(self.node.handle_message(sender, head, messages, self.sharing.loop.time()))
 
     def tick(self) -> None:
         self.sharing.told(self.node.tick(self.sharing.loop.time()))
@@ -349,8 +366,8 @@
         return self.node.due()
 
 
-def fields(news: LocalEvent | LogEvent) -> Iterable[tuple[str, object]]:
+def fields(event: LocalEvent | LogEvent) -> Iterable[tuple[str, object]]:
     """What a line shows of it."""
-    if isinstance(news, LogEvent):
-        return news.fields
-    return [(name, getattr(news, name)) for name in news.__slots__]
+    if isinstance(event, LogEvent):
+        return event.fields
+    return [(name, getattr(event, attribute)) for name, attribute in EVENT_FIELDS[type(event)].items()]
--- a/paddlequay/net/cluster/sharing_page.py
+++ b/paddlequay/net/cluster/sharing_page.py
@@ -22,7 +22,7 @@
         "me": node.fleet.me,
         "incarnation": node.liveness.incarnation,
         "at": time.time(),
-        "peers": {peer: node.liveness.standing(peer).value for peer in range(node.fleet.size)},
+        "peers": {peer: node.liveness.state_of(peer).value for peer in range(node.fleet.size)},
         "leases": leases(node, now),
         "limits": limits(sharing, node),
         "words": words(sharing, node, now),
@@ -70,6 +70,6 @@
     for subject, name in list(sharing.names.items())[-WORDS_MOST:]:
         word = node.verdicts.word(subject, now) if node.verdicts is not None else None
         if word is not None:
-            is_ = word.trouble.name.lower()
+            is_ = word.fault.name.lower()
             shown[name] = {"is": is_, "by": word.witnesses, "age_s": round(word.age, 3)}
     return shown
--- a/paddlequay/schema/cluster.py
+++ b/paddlequay/schema/cluster.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from paddlequay.cluster.settings import By, ChannelRule, ClusterSettings, LimitRule, Mode
-from paddlequay.cluster.types import PEERS_MOST, Bounds
+from paddlequay.cluster.types import MAX_PEERS, ClusterBounds
 from paddlequay.errors import ConfigError
 from paddlequay.hierarchy.shape import NAME
 from paddlequay.schema import paddlequay_pb2 as schema
@@ -62,8 +62,8 @@
         raise lines.error("cluster.acceptor", "a number stands there twice")
     if len(acceptors) > ACCEPTORS_MOST or (acceptors and len(acceptors) % 2 == 0):
         raise lines.error("cluster.acceptor", f"expected 1, 3, 5, 7 or 9 numbers, got {len(acceptors)}")
-    if any(number >= PEERS_MOST for number in acceptors):
-        raise lines.error("cluster.acceptor", f"expected numbers under {PEERS_MOST}")
+    if any(number >= MAX_PEERS for number in acceptors):
+        raise lines.error("cluster.acceptor", f"expected numbers under {MAX_PEERS}")
     bounds = read_bounds(told.bounds, check)
     if len(told.limit) > LIMITS_MOST:
         raise lines.error("cluster.limit", f"at most {LIMITS_MOST}, got {len(told.limit)}")
@@ -87,20 +87,20 @@
     )
 
 
-def read_bounds(told: schema.ClusterBounds, check: Checked) -> Bounds:
+def read_bounds(told: schema.ClusterBounds, check: Checked) -> ClusterBounds:
     """The times that all routers reckon with; a grant is no longer than the lease that it comes from."""
-    usual = Bounds()
-    bounds = Bounds(
-        drift=check.figure(told.drift, "cluster.bounds.drift", usual.drift, 0.001, 0.25),
-        lease=check.figure(told.lease_s, "cluster.bounds.lease_s", usual.lease, 0.3, 60.0),
-        grant=check.figure(told.grant_s, "cluster.bounds.grant_s", usual.grant, 0.1, 60.0),
-        suspect=check.figure(told.suspect_s, "cluster.bounds.suspect_s", usual.suspect, 0.1, 60.0),
-        evidence=check.figure(told.evidence_s, "cluster.bounds.evidence_s", usual.evidence, 0.5, 60.0),
-        overlap=check.figure(told.overlap_s, "cluster.bounds.overlap_s", usual.overlap, 0.05, 10.0),
-        epoch=check.figure(told.epoch_s, "cluster.bounds.epoch_s", usual.epoch, 1.0, 86_400.0),
+    usual = ClusterBounds()
+    bounds = ClusterBounds(
+        drift_ratio=check.figure(told.drift, "cluster.bounds.drift", usual.drift_ratio, 0.001, 0.25),
+        lease_s=check.figure(told.lease_s, "cluster.bounds.lease_s", usual.lease_s, 0.3, 60.0),
+        grant_s=check.figure(told.grant_s, "cluster.bounds.grant_s", usual.grant_s, 0.1, 60.0),
+        suspect_s=check.figure(told.suspect_s, "cluster.bounds.suspect_s", usual.suspect_s, 0.1, 60.0),
+        evidence_s=check.figure(told.evidence_s, "cluster.bounds.evidence_s", usual.evidence_s, 0.5, 60.0),
+        overlap_s=check.figure(told.overlap_s, "cluster.bounds.overlap_s", usual.overlap_s, 0.05, 10.0),
+        epoch_s=check.figure(told.epoch_s, "cluster.bounds.epoch_s", usual.epoch_s, 1.0, 86_400.0),
     )
-    if bounds.grant > bounds.lease:
-        raise check.lines.error("cluster.bounds.grant_s", f"expected at most the lease, {bounds.lease:g}")
+    if bounds.grant_s > bounds.lease_s:
+        raise check.lines.error("cluster.bounds.grant_s", f"expected at most the lease, {bounds.lease_s:g}")
     return bounds
 
 
--- a/paddlequay/simulator/sharing.py
+++ b/paddlequay/simulator/sharing.py
@@ -9,7 +9,7 @@
 from paddlequay.cluster import evidence
 from paddlequay.cluster.node import ClusterEvent, Node
 from paddlequay.cluster.settings import ClusterSettings
-from paddlequay.cluster.types import NEVER, Action, Fleet, Name, VerdictChanged
+from paddlequay.cluster.types import NEVER, Action, Fleet, NameDigest, VerdictChanged
 from paddlequay.placement.homes import digest
 from paddlequay.policy import Router
 from paddlequay.routing.interface import Action as Asked
@@ -33,7 +33,7 @@
         self.wire = SimWire(self.node.wire, self.node.outbox)
         self.fetches: dict[tuple[str, int], Fetch] = {}
         self.counts: dict[str, int] = {}
-        self.names: dict[Name, str] = {}
+        self.names: dict[NameDigest, str] = {}
         self.set = NEVER  # when the earliest alarm that was asked for is due
 
     def note_from(self, sender: int, content: str, now: float) -> list[OutlierReported]:
@@ -42,7 +42,7 @@
         return (
             []
             if heard is None
-            else self.told(self.node.handle_message(sender, heard.head, heard.notes, now), now)
+            else self.told(self.node.handle_message(sender, heard.head, heard.messages, now), now)
         )
 
     def tick(self, now: float) -> list[OutlierReported]:
@@ -70,24 +70,22 @@
         origins = self.router.state.members.origins
         origin = origins[0].member.name if origins else None
         actions: list[Action] = []
-        for name, ok, trouble in evidence.found(
-            fetch, event.outcome, event.detail, event.unresponsive, origin
-        ):
+        for name, ok, fault in evidence.found(fetch, event.outcome, event.detail, event.unresponsive, origin):
             if name in servers:
                 entry = servers[name].member
                 number = digest(name)
                 self.names[number] = name
                 start = int((entry.started or 0.0) * 1000)
-                actions += verdicts.saw(number, start, entry.kind or "", ok, trouble, now)
+                actions += verdicts.saw(number, start, entry.kind or "", ok, fault, now)
         return self.told(self.node.settle(actions, now), now)
 
     def over(self, request: str) -> None:
         """A request has had its final answer: its attempts' numbers are free."""
         self.counts.pop(request, None)
 
-    def told(self, news: list[ClusterEvent], now: float) -> list[OutlierReported]:
+    def told(self, events: list[ClusterEvent], now: float) -> list[OutlierReported]:
         verdicts, words = self.node.verdicts, []
-        for each in news:
+        for each in events:
             if isinstance(each, VerdictChanged) and verdicts is not None:
                 if each.subject not in self.names:
                     self.names = {digest(name): name for name in self.router.state.members.upstreams}
--- a/tests/cluster/simnet.py
+++ b/tests/cluster/simnet.py
@@ -92,7 +92,7 @@
             if isinstance(action, SendMessage):
                 others = [other for other in self.routers if other != peer]
                 for to in others if action.to is None else [action.to]:
-                    notes.setdefault(to, []).append(action.note)
+                    notes.setdefault(to, []).append(action.message)
             elif not isinstance(action, LogEvent):
                 self.log.append((self.now, peer, action))
                 for part in router.parts:
--- a/tests/cluster/test_channel_front.py
+++ b/tests/cluster/test_channel_front.py
@@ -11,7 +11,7 @@
 from paddlequay.cluster.messages import Carried, Ready
 from paddlequay.cluster.prefetch import channel_of
 from paddlequay.cluster.settings import ChannelRule
-from paddlequay.cluster.types import Action, Bounds, Fleet, Peer, SendMessage
+from paddlequay.cluster.types import Action, ClusterBounds, Fleet, Peer, SendMessage
 from paddlequay.net.cluster.channels import ChannelFront
 from paddlequay.net.upstreams.cache_messages import request_fields
 from paddlequay.placement.homes import digest
@@ -72,7 +72,9 @@
         self.leases, self.told = Granted(), list[Action]()
         rule = ChannelRule(("video",), bundles=1)
         rng = random.Random(1)
-        self.channels = Channels(Fleet(0, 3, (0, 1, 2), "here"), Bounds(), rule, self.leases, rng, 10.0)
+        self.channels = Channels(
+            Fleet(0, 3, (0, 1, 2), "here"), ClusterBounds(), rule, self.leases, rng, 10.0
+        )
         bundle = self.channels.bundles.all[0]
         bundle.term = 0x99
         self.channels.handle_message(2, 0, Ready(bundle.lease, 0, 1), 10.0)
@@ -108,8 +110,8 @@
     assert request_fields(order)["chan"] == f"{channel_of('here', NAME):x}"
     rig.exchange.attempts.end(ahead, AttemptResult(Outcome.SERVED, stamp=CopyStamp("t", 1.0)))
     (word,) = rig.told
-    assert isinstance(word, SendMessage) and word.to == 2 and isinstance(word.note, Carried)
-    assert (word.note.part, word.note.box, word.note.term) == (4, digest("box"), 0x99)
+    assert isinstance(word, SendMessage) and word.to == 2 and isinstance(word.message, Carried)
+    assert (word.message.part, word.message.box, word.message.term) == (4, digest("box"), 0x99)
     assert not rig.front.out
     # The hint that comes of it reaches the decisions with the client's own request.
     rig.exchange.router.state.hot_objects.objects.clear()
--- a/tests/cluster/test_channels.py
+++ b/tests/cluster/test_channels.py
@@ -16,7 +16,7 @@
 from paddlequay.lab.channel_world import BOUNDS, BOX, World
 
 RULE = ChannelRule(("video",), bundles=8)
-GAP = BOUNDS.lease + 1.0
+GAP = BOUNDS.lease_s + 1.0
 PLANNED, UNPLANNED = 200, 200
 
 
@@ -86,7 +86,7 @@
         assert world.run(4.0, lambda world=world, owner=owner: world.moved(owner)), seed  # type: ignore[misc]
         world.run(1.0)
         seen = world.seen[0]
-        assert seen.most <= 2 and seen.overlap <= BOUNDS.overlap, (seed, seen)
+        assert seen.most <= 2 and seen.overlap <= BOUNDS.overlap_s, (seed, seen)
         assert world.all[owner].channels.drained(world.all[owner].clock)
         in_order(world)
 
@@ -125,7 +125,7 @@
     assert world.run(9.0, lambda: world.moved(owner))
     world.run(2.0)
     # The release to the heir is as late as everything: the overlap ends before it, by the owner's own clock.
-    assert world.seen[0].most <= 2 and world.seen[0].overlap <= BOUNDS.overlap
+    assert world.seen[0].most <= 2 and world.seen[0].overlap <= BOUNDS.overlap_s
     released = [fill.at for fill in world.fills if fill.by == owner]
     assert released and world.all[owner].channels.drained(world.all[owner].clock)
 
@@ -139,7 +139,7 @@
     world.act(4, world.all[4].channels.drain(world.all[4].clock))
     assert world.run(6.0, lambda: world.all[4].channels.drained(world.all[4].clock)), world.time - before
     world.run(2.0)
-    assert all(seen.most <= 2 and seen.overlap <= BOUNDS.overlap for seen in world.seen)
+    assert all(seen.most <= 2 and seen.overlap <= BOUNDS.overlap_s for seen in world.seen)
     assert max(seen.gap for seen in world.seen) <= GAP
     assert all(world.owners(number) not in ([], [4]) for number in used)
     in_order(world)
@@ -302,12 +302,12 @@
     channels, _, (bundle,) = made(1, (1.0,))
     ahead = Ahead(7, "a", "video", 3, 5)
     channels.bundles.release(bundle, 100.0, heir=1)
-    ends = 100.0 + BOUNDS.overlap * (1 - BOUNDS.drift)
+    ends = 100.0 + BOUNDS.overlap_s * (1 - BOUNDS.drift_ratio)
     assert channels.may_fill(ahead, ends - 0.001) == 5 and channels.may_fill(ahead, ends) is None
     bundle.saw(6, 100.1)
     assert channels.may_fill(ahead, 100.1) is None
     channels, leases, (bundle,) = made(1, (1.0,))
-    bundle.taken = 100.0 - BOUNDS.overlap  # the one before it may still fill
+    bundle.taken = 100.0 - BOUNDS.overlap_s  # the one before it may still fill
     channels.bundles.release(bundle, 100.0, heir=1)
     assert channels.may_fill(ahead, 100.0) is None
     leases.held[bundle.lease] = 8
@@ -336,7 +336,9 @@
 
 def offers(actions: list[Action]) -> list[int | None]:
     return [
-        action.to for action in actions if isinstance(action, SendMessage) and isinstance(action.note, Offer)
+        action.to
+        for action in actions
+        if isinstance(action, SendMessage) and isinstance(action.message, Offer)
     ]
 
 
@@ -362,7 +364,7 @@
     assert offers(channels.drain(100.0)) == [1] * handoff.AT_ONCE
     channels, leases, (bundle,) = made()
     (word,) = channels.handle_message(3, 0, Offer(bundle.lease, 5, 0), 100.0)
-    assert isinstance(word, SendMessage) and word.note == Ready(bundle.lease, 5, 0) and not leases.wants
+    assert isinstance(word, SendMessage) and word.message == Ready(bundle.lease, 5, 0) and not leases.wants
     bundle.live.add(7)
     assert not channels.handle_message(3, 0, Offer(bundle.lease, 6, 0), 100.0) and leases.wants == [
         bundle.lease
@@ -376,5 +378,5 @@
     channels, now = world.all[other].channels, world.all[other].clock
     bundle = channels.bundles.all[0]
     (answer,) = channels.handle_message(owner, 0, Ready(bundle.lease, 0, 1), now)
-    assert isinstance(answer.note, Ready) and answer.note.yes == 0  # type: ignore[union-attr]
+    assert isinstance(answer.message, Ready) and answer.message.yes == 0  # type: ignore[union-attr]
     assert channels.handle_message(owner, 0, Ready(12345, 0, 1), now) == []  # another plaza's bundle
--- a/tests/cluster/test_cluster_model.py
+++ b/tests/cluster/test_cluster_model.py
@@ -128,4 +128,4 @@
     assert world.refused["foreign"] > 1000 and not auditor.wrong_deaths
     for box in world.boxes:
         assert isinstance(box.node, Node)
-        assert all(box.node.liveness.standing(peer) is PeerState.ALIVE for peer in range(5))
+        assert all(box.node.liveness.state_of(peer) is PeerState.ALIVE for peer in range(5))
--- a/tests/cluster/test_cluster_settings.py
+++ b/tests/cluster/test_cluster_settings.py
@@ -29,7 +29,7 @@
 
 def test_the_example_in_deploy_can_be_used() -> None:
     settings = read_cluster(ROOT / "deploy/cluster.txtpb")
-    assert settings.acceptors == (0, 1, 2) and settings.bounds.lease == 1.5
+    assert settings.acceptors == (0, 1, 2) and settings.bounds.lease_s == 1.5
     charges, tenants = settings.limits
     assert charges.by is By.CLASS and charges.mode is Mode.STRICT and charges.rate == 40
     assert tenants.match == "*" and tenants.mode is Mode.OPEN and tenants.at_once is None
--- a/tests/cluster/test_fleet_limits.py
+++ b/tests/cluster/test_fleet_limits.py
@@ -37,10 +37,10 @@
     """From now on what `who` sends or gets of this kind is lost."""
     start = made.now
 
-    def link(proc: Proc, other: Proc, tell: SendMessage) -> float | None:
-        if isinstance(tell.note, kind) and who in (proc.me, other.me) and made.now >= start:
+    def link(proc: Proc, other: Proc, send: SendMessage) -> float | None:
+        if isinstance(send.message, kind) and who in (proc.me, other.me) and made.now >= start:
             return None
-        return grants if isinstance(tell.note, QuotaGrant) and other.me == who else 0.001
+        return grants if isinstance(send.message, QuotaGrant) and other.me == who else 0.001
 
     return link
 
@@ -49,7 +49,7 @@
     """Answers take half a second, the last ones asked for are all that comes; another takes the share."""
     made = world(kind, rule, 3)
     made.link = (
-        lambda proc, other, tell: 0.5 if isinstance(tell.note, QuotaGrant) and other.me == 1 else 0.001
+        lambda proc, other, send: 0.5 if isinstance(send.message, QuotaGrant) and other.me == 1 else 0.001
     )
     loads(made, 0, 300, 0)
     made.run(2.0).link = cut(made, 1, QuotaRequest, grants=0.5)
--- a/tests/cluster/test_leases.py
+++ b/tests/cluster/test_leases.py
@@ -19,7 +19,7 @@
     Release,
 )
 from paddlequay.cluster.types import (
-    Bounds,
+    ClusterBounds,
     Fleet,
     HolderObserved,
     LeaseAcquired,
@@ -29,7 +29,7 @@
 )
 from paddlequay.lab.lease_world import World
 
-T = Bounds().lease
+T = ClusterBounds().lease_s
 OUT = T * 1.05 / 0.95  # what a stay-out or a lock takes at most, by the slowest clock
 SEEDS = range(30)
 
@@ -195,7 +195,7 @@
 
 def single(now: float = 0.0) -> Leases:
     """A router that is the one acceptor: all is played inside."""
-    return Leases(Fleet(0, 2, (0,)), Bounds(), random.Random(1), now)
+    return Leases(Fleet(0, 2, (0,)), ClusterBounds(), random.Random(1), now)
 
 
 def test_one_acceptor_alone_takes_renews_and_gives_back_without_a_note_to_itself() -> None:
@@ -283,7 +283,7 @@
     leases = single()
     leases.tick(2.0)
     said = [
-        each.note
+        each.message
         for now, note in notes
         for each in leases.handle_message(1, 0, note, now)
         if isinstance(each, SendMessage)
@@ -299,7 +299,7 @@
         leases.handle_message(1, 0, note, 2.0)
     for now, sender, kind in ((2.1, 3, Reject), (2.1, 2, Promise), (2.4, 3, Promise)):
         (told,) = leases.handle_message(sender, 0, Prepare(7, 6 << 32 | sender << 16), now)
-        assert isinstance(told, SendMessage) and type(told.note) is kind
+        assert isinstance(told, SendMessage) and type(told.message) is kind
 
 
 def test_who_only_asks_is_told_the_holder_and_disturbs_nothing() -> None:
@@ -311,7 +311,7 @@
     assert leases.ask(7, 2.1) == [HolderObserved(7, 1, ballot)]
     assert leases.holder(7, 2.1) == 1 and leases.holder(7, 4.0) is None
     (told,) = leases.handle_message(1, 0, Prepare(7, 0), 2.1)
-    assert isinstance(told, SendMessage) and isinstance(told.note, Promise) and told.note.holder == 1
+    assert isinstance(told, SendMessage) and isinstance(told.message, Promise) and told.message.holder == 1
 
 
 def test_what_is_remembered_has_bounds_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/cluster/test_leaves.py
+++ b/tests/cluster/test_leaves.py
@@ -7,7 +7,7 @@
 
 from paddlequay.cluster.limits import Limits
 from paddlequay.cluster.settings import By, ClusterSettings, LimitRule, Mode
-from paddlequay.cluster.types import Bounds, Fleet
+from paddlequay.cluster.types import ClusterBounds, Fleet
 from paddlequay.net.cluster.leaves import LEAVE_S, OUT_PAUSE, Leaves
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import AttemptResult, PendingRequest, UpstreamAttempt
@@ -25,7 +25,7 @@
         settings = ClusterSettings("here", (), limits=rules)
         self.leaves = Leaves(settings, self.exchange, self.exchange.counters, lambda: self.now)
         self.limits = Limits(
-            Fleet(0, 1), Bounds(), rules, lambda *_: None, 1, self.now - 20.0, first=True, shut=2.0
+            Fleet(0, 1), ClusterBounds(), rules, lambda *_: None, 1, self.now - 20.0, first=True, shut=2.0
         )
         self.leaves.joined(self.limits)
         self.opened = 0
--- a/tests/cluster/test_limits_part.py
+++ b/tests/cluster/test_limits_part.py
@@ -8,7 +8,7 @@
 from paddlequay.cluster.messages import QuotaGrant, QuotaRequest
 from paddlequay.cluster.quotas import NOTHING, Share, whole
 from paddlequay.cluster.settings import By, LimitRule
-from paddlequay.cluster.types import Action, Bounds, Fleet, HolderObserved, LeaseAcquired, SendMessage
+from paddlequay.cluster.types import Action, ClusterBounds, Fleet, HolderObserved, LeaseAcquired, SendMessage
 
 RATE = LimitRule("rate", By.CLASS, "c", rate=100.0, burst=30.0, floor=0.0)
 
@@ -18,7 +18,7 @@
 ) -> Limits:
     """A router that holds all leases, or none, and began at 0."""
     fleet = Fleet(0, size, acceptors)
-    return Limits(fleet, Bounds(), rules, lambda lease, now: holds, 7, 0.0, **more)  # type: ignore[arg-type]
+    return Limits(fleet, ClusterBounds(), rules, lambda lease, now: holds, 7, 0.0, **more)  # type: ignore[arg-type]
 
 
 def test_two_levels_hold_together_and_leak_nothing() -> None:
@@ -57,7 +57,7 @@
 def test_values_are_bounded_and_going_gains_nothing() -> None:
     rule = LimitRule("tenant", By.TENANT, "*", rate=1.0, burst=3.0, floor=1.0)
     for kind, most in ((Limits, 3), (GoesAtOnce, 6)):
-        limits = kind(Fleet(0, 1), Bounds(), [rule], lambda lease, now: None, 7, 0.0, keys_most=2)
+        limits = kind(Fleet(0, 1), ClusterBounds(), [rule], lambda lease, now: None, 7, 0.0, keys_most=2)
         got = [isinstance(limits.admit(By.TENANT, "a", 50.0, 1.0), Ticket) for _ in range(5)]
         assert got == [True] * 3 + [False] * 2
         for value in ("b", "b", "c", "d"):
@@ -72,9 +72,9 @@
 
 
 def told(actions: list[Action]) -> QuotaRequest:
-    (tell,) = actions
-    assert isinstance(tell, SendMessage) and isinstance(tell.note, QuotaRequest)
-    return tell.note
+    (send,) = actions
+    assert isinstance(send, SendMessage) and isinstance(send.message, QuotaRequest)
+    return send.message
 
 
 def test_answers_to_no_need_are_void_and_nobody_without_demand_asks() -> None:
@@ -115,7 +115,7 @@
     for step in range(500):
         now = 10.0 + step / 100
         limits.admit(By.CLASS, "c", now, 1.0)
-        for need in [action.note for action in limits.tick(now) if isinstance(action, SendMessage)]:
+        for need in [action.message for action in limits.tick(now) if isinstance(action, SendMessage)]:
             assert isinstance(need, QuotaRequest)
             needs += 1
             limits.handle_message(2, 1, QuotaGrant(need.limit, need.number, 5, 20_000, 1_000, 600), now)
@@ -137,7 +137,7 @@
 def test_holder_counts_out_what_it_told_and_hears_no_need_twice() -> None:
     kept = Kept(lease_of(RATE), whole(RATE, 4), 0.6)
     term: list[int | None] = [3]
-    granter = Granter(Bounds(), 4, lambda lease, now: term[0])
+    granter = Granter(ClusterBounds(), 4, lambda lease, now: term[0])
     limit = limit_of(kept.lease, "c")
     granter.taken(kept.lease, 3, 0.0)
     assert granter.need(kept, 1, 1, QuotaRequest(limit, 1, 90_000, 0), 0.65) is None
@@ -170,8 +170,8 @@
     assert isinstance(limits.admit(By.CLASS, "c", 1.1, 1.0), Ticket)
     lost = alone(RATE, holds=None, size=2)
     lost.admit(By.CLASS, "c", 1.0, 1.0)
-    (tell,) = lost.tick(1.0)
-    assert isinstance(tell, SendMessage) and tell.to is None
+    (send,) = lost.tick(1.0)
+    assert isinstance(send, SendMessage) and send.to is None
     lost.admit(By.CLASS, "c", 1.1, 1.0)
     assert lost.tick(1.3) == []
 
@@ -196,14 +196,14 @@
     )
     limits = alone(*rules, holds=None, keys_most=1)
     what = ((By.CLASS, "c"), (By.TENANT, "t"))
-    assert limits.admit_all(what, 50.0, 1.0) == Refused("tenant", Bounds().grant)
+    assert limits.admit_all(what, 50.0, 1.0) == Refused("tenant", ClusterBounds().grant_s)
     assert len(limits.lines) == 1
 
 
 def test_a_share_that_lets_no_request_through_is_left_to_others() -> None:
     rule = LimitRule("rate", By.CLASS, "c", rate=90.0, burst=3.5, floor=0.0)
     kept = Kept(lease_of(rule), whole(rule, 3), 0.6)
-    granter = Granter(Bounds(), 3, lambda lease, now: 1)
+    granter = Granter(ClusterBounds(), 3, lambda lease, now: 1)
     granter.taken(kept.lease, 1, -1.0)
     limit = limit_of(kept.lease, "c")
     bursts = []
