--- a/tests/cluster/test_liveness.py
+++ b/tests/cluster/test_liveness.py
@@ -36,12 +36,12 @@
 
 def changes(net: Net, peer: int, since: float = 0.0) -> list[PeerState]:
     """What was found of a peer, by whomever."""
-    return [a.standing for t, _, a in net.log if isinstance(a, PeerChanged) and a.peer == peer and t >= since]
+    return [a.state for t, _, a in net.log if isinstance(a, PeerChanged) and a.peer == peer and t >= since]
 
 
 def cut_off(net: Net, me: int) -> tuple[bool, bool] | None:
     found = [a for _, p, a in net.log if p == me and isinstance(a, SelfChanged)]
-    return (found[-1].heard, found[-1].reaches) if found else None
+    return (found[-1].receives, found[-1].reaches) if found else None
 
 
 @pytest.mark.parametrize("size", [3, 12, 40])
@@ -51,7 +51,7 @@
     net.kill(1)
     net.run(5.0 + 10.0)
     del parts[1]
-    assert {part.standing(1) for part in parts.values()} == {DEAD}
+    assert {part.state_of(1) for part in parts.values()} == {DEAD}
     assert {tuple(part.alive()) for part in parts.values()} == {tuple(sorted(parts))}
     assert all(not changes(net, peer, 5.0) for peer in parts)
 
@@ -60,11 +60,11 @@
     net, parts = fleet(5)
     net.stall(2, 20.0)
     net.run(24.9)
-    assert all(parts[p].standing(2) is DEAD for p in (0, 1, 3, 4))
+    assert all(parts[p].state_of(2) is DEAD for p in (0, 1, 3, 4))
     before = len(net.log)
     net.run(28.0)
     assert all(part.count_alive == 5 for part in parts.values())
-    assert all(a.standing is ALIVE for _, _, a in net.log[before:] if isinstance(a, PeerChanged))
+    assert all(a.state is ALIVE for _, _, a in net.log[before:] if isinstance(a, PeerChanged))
     assert life(parts[0].incarnation_of(2)) == life(first_incarnation(1002)) < parts[0].incarnation_of(2)
     assert not [a for _, p, a in net.log if p == 2 and isinstance(a, SelfChanged)]
 
@@ -75,7 +75,7 @@
     start(net, parts, 2, 5, unix_ms)
     net.run(9.0)
     anew = [a for t, _, a in net.log if t >= 5.0 and isinstance(a, PeerChanged) and a.peer == 2]
-    assert {a.standing for a in anew} == {ALIVE} and len(anew) == 4
+    assert {a.state for a in anew} == {ALIVE} and len(anew) == 4
     assert all(life(a.incarnation) > life(first_incarnation(1002)) for a in anew)
 
 
@@ -92,8 +92,8 @@
     net.cuts = {(2, peer) for peer in range(5)}
     net.run(15.0)
     assert cut_off(net, 2) == (True, False)
-    assert parts[0].standing(2) is DEAD
-    assert DEAD not in [a.standing for _, p, a in net.log if p == 2 and isinstance(a, PeerChanged)]
+    assert parts[0].state_of(2) is DEAD
+    assert DEAD not in [a.state for _, p, a in net.log if p == 2 and isinstance(a, PeerChanged)]
     net.heal()
     net.run(25.0)
     assert cut_off(net, 2) == (True, True)
@@ -115,11 +115,11 @@
     net.part([2], [0, 1, 3, 4])
     net.run(30.0)
     assert cut_off(net, 2) == (False, False)
-    assert DEAD not in [a.standing for _, p, a in net.log if p == 2 and isinstance(a, PeerChanged)]
-    assert parts[0].standing(2) is DEAD
+    assert DEAD not in [a.state for _, p, a in net.log if p == 2 and isinstance(a, PeerChanged)]
+    assert parts[0].state_of(2) is DEAD
     net.heal()
     net.run(45.0)
-    assert DEAD not in [a.standing for _, p, a in net.log if p == 2 and isinstance(a, PeerChanged)]
+    assert DEAD not in [a.state for _, p, a in net.log if p == 2 and isinstance(a, PeerChanged)]
     assert all(part.count_alive == 5 for part in parts.values()) and cut_off(net, 2) == (True, True)
 
 
@@ -153,24 +153,24 @@
         MembershipUpdate(1, 50 << 16, 2, 2),
     ):
         part.handle_message(2, 1, said, 0.1)
-        assert part.standing(1) is ALIVE
+        assert part.state_of(1) is ALIVE
     part.handle_message(2, 1, MembershipUpdate(1, 49 << 16, 3, 2), 2.0)
-    assert part.standing(1) is ALIVE
+    assert part.state_of(1) is ALIVE
     part.handle_message(2, 1, MembershipUpdate(1, 50 << 16, 3, 2), 2.0)
-    assert part.standing(1) is DEAD
-    assert [a.note for a in part.seen(1, 50 << 16, 2.1) if isinstance(a, SendMessage)] == [
+    assert part.state_of(1) is DEAD
+    assert [a.message for a in part.seen(1, 50 << 16, 2.1) if isinstance(a, SendMessage)] == [
         MembershipUpdate(1, 50 << 16, 3, 0)
     ]
-    assert part.standing(1) is DEAD  # a late datagram raises nobody; only a refutation does
+    assert part.state_of(1) is DEAD  # a late datagram raises nobody; only a refutation does
     part.seen(1, (50 << 16) + 1, 2.2)
-    assert part.standing(1) is ALIVE
+    assert part.state_of(1) is ALIVE
 
 
 def test_answer_that_nobody_asked_for_is_no_sign_of_life() -> None:
     part = alone()
     for number in range(100):
         assert part.handle_message(1, 5, Ack(number, 2, 5), 0.0) == []
-    assert part.standing(2) is PeerState.UNKNOWN
+    assert part.state_of(2) is PeerState.UNKNOWN
 
 
 def test_own_incarnation_outdoes_what_is_said_of_it_within_bounds() -> None:
@@ -191,7 +191,7 @@
     for step in range(200):
         part.seen(1, 1 << 16, step * 0.05)
         part.tick(step * 0.05)
-        assert part.standing(1) is ALIVE
+        assert part.state_of(1) is ALIVE
 
 
 @pytest.mark.parametrize(("size", "answered"), [(4, 0.9), (200, 1.1)])  # before it; in it, but too early
@@ -208,18 +208,20 @@
             part.handle_message(2, 1 << 16, MembershipUpdate(1, 1 << 16, 2, 2), now)
         if step in (round(answered / 0.05), 200):
             answer(now)
-        assert part.standing(1) is (SUSPECT if step >= 20 else PeerState.UNKNOWN)
+        assert part.state_of(1) is (SUSPECT if step >= 20 else PeerState.UNKNOWN)
     for step in range(30):  # the suspicion lasts anew from the first answer on
         answer(10.7 + step * 0.1)
         part.tick(10.7 + step * 0.1)
-    assert part.standing(1) is DEAD
+    assert part.state_of(1) is DEAD
 
 
 def test_who_was_told_of_a_suspicion_asks_the_suspect_too() -> None:
     part = alone()
     part.handle_message(2, 1 << 16, MembershipUpdate(1, 1 << 16, 2, 2), 0.0)
     actions = [a for step in range(16) for a in part.tick(step * 0.05)]
-    pings = [a.note for a in actions if isinstance(a, SendMessage) and a.to == 1 and isinstance(a.note, Ping)]
+    pings = [
+        a.message for a in actions if isinstance(a, SendMessage) and a.to == 1 and isinstance(a.message, Ping)
+    ]
     assert [ping.about for ping in pings] == [1 << 16]
 
 
--- a/tests/cluster/test_outbox.py
+++ b/tests/cluster/test_outbox.py
@@ -18,12 +18,12 @@
     QuotaRequest,
 )
 from paddlequay.cluster.outbox import ALL_MOST, LANE_MOST, ROUTINE_AGE, Outbox, Packet
-from paddlequay.cluster.types import NEVER, Bounds, Fleet, SendMessage, Urgency
+from paddlequay.cluster.types import NEVER, ClusterBounds, Fleet, SendMessage, Urgency
 from paddlequay.cluster.verdicts import TRANSIT_S
 from paddlequay.cluster.wire import DATAGRAM_MOST, Codec, Heard, Refusal, Wire
 from paddlequay.simulator.peer_messages import CONTENT_MOST, SimWire, to_content
 
-BOUNDS = Bounds()
+BOUNDS = ClusterBounds()
 QUICK = settings(max_examples=60, derandomize=True, deadline=None)
 LEASE, NEWS, ROUTINE = Urgency
 RATE = 2000
@@ -35,7 +35,7 @@
 
 def notes(packets: list[Packet], size: int = 5) -> list[PeerMessage]:
     codec = Codec("quay", size)
-    return [note for packet in packets for note in codec.read(packet.data).notes]
+    return [note for packet in packets for note in codec.read(packet.data).messages]
 
 
 def cost(packet: Packet, size: int = 5) -> int:
@@ -75,7 +75,7 @@
     waiting = sum(queue.count for queue in outbox.queues.values())
     assert waiting == sum(len(lane) for queue in outbox.queues.values() for lane in queue.lanes.values())
     dropped = sum(count for name, count in outbox.counts.items() if name.startswith("dropped."))
-    assert told == dropped + waiting + outbox.counts["sent.notes"]
+    assert told == dropped + waiting + outbox.counts["sent.messages"]
 
 
 def test_a_lease_goes_at_once_whatever_else_is_told() -> None:
@@ -204,7 +204,7 @@
     first, second = a.posts(0.0)
     assert (first.peer, second.peer) == ("1", "*")
     heard = b.note_from(0, first.content)
-    assert isinstance(heard, Heard) and heard.notes == (Ping(3, 4),)
+    assert isinstance(heard, Heard) and heard.messages == (Ping(3, 4),)
     assert b.note_from(0, first.content) is None
     assert b.note_from(2, second.content) is None
     assert b.refused == {Refusal.REPEATED: 1, Refusal.SENDER: 1}
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -9,7 +9,7 @@
 
 from paddlequay.cluster.messages import Load, PeerMessage, Ping
 from paddlequay.cluster.outbox import Outbox
-from paddlequay.cluster.types import NEVER, Bounds, Fleet, Peer, SendMessage, Urgency
+from paddlequay.cluster.types import NEVER, ClusterBounds, Fleet, Peer, SendMessage, Urgency
 from paddlequay.cluster.wire import Codec, Head, Wire
 from paddlequay.config.values import Address
 from paddlequay.net.cluster.peers import Peers
@@ -55,11 +55,11 @@
         now = asyncio.get_running_loop().time
         wire = Wire(Codec(name, len(peers)), Fleet(me, len(peers)), 1)
         self.ears = Ears()
-        box = Outbox(wire, 16_000, Bounds(), now())
+        box = Outbox(wire, 16_000, ClusterBounds(), now())
         super().__init__(listen, peers, to_all, wire, box, Counters(), self.ears, now)
 
     def say(self, to: Peer | None, note: PeerMessage) -> None:
-        self.tell([SendMessage(to, note, Urgency.NEWS)])
+        self.tell([SendMessage(to, note, Urgency.CHANGE)])
 
     def count(self, name: str) -> int:
         return self.counters.counts[f"peers.{name}"]
@@ -125,7 +125,7 @@
 async def test_strangers_and_broken_datagrams_are_counted_and_logged_once_a_kind() -> None:
     async with routers() as (a, b, c):
         with closing(plain()) as stranger:
-            right = b.wire.write([b.wire.codec.pack_note(Load(1, 2))])
+            right = b.wire.write([b.wire.codec.pack_message(Load(1, 2))])
             other = Codec("harbour", 3)
             foreign = other.pack(Head(1, 1, 1, 1, 0), [])
             body = b"\x91\xc3"
--- a/tests/cluster/test_placing.py
+++ b/tests/cluster/test_placing.py
@@ -83,8 +83,8 @@
     def told(self, node: Node, actions: Sequence[Action]) -> None:
         self.heard(node.settle(actions, self.clock.now))
 
-    def heard(self, news: Sequence[object]) -> None:
-        for each in news:
+    def heard(self, event: Sequence[object]) -> None:
+        for each in event:
             if isinstance(each, TableChanged):
                 self.placing.changed(each)
 
--- a/tests/cluster/test_tables.py
+++ b/tests/cluster/test_tables.py
@@ -8,10 +8,18 @@
 from paddlequay.cluster.epochs import Content, Declared, Declarer, Proposal, epoch_of
 from paddlequay.cluster.messages import Has, Table
 from paddlequay.cluster.tables import KEPT_MOST, Tables
-from paddlequay.cluster.types import Action, Bounds, Fleet, LeaseAcquired, SendMessage, TableChanged, Urgency
+from paddlequay.cluster.types import (
+    Action,
+    ClusterBounds,
+    Fleet,
+    LeaseAcquired,
+    SendMessage,
+    TableChanged,
+    Urgency,
+)
 from paddlequay.lab.table_world import BOUNDS, FaultError, World, digest_of
 
-KEPT = BOUNDS.epoch / 0.95  # for how long the slowest clock lets a router keep to its epoch
+KEPT = BOUNDS.epoch_s / 0.95  # for how long the slowest clock lets a router keep to its epoch
 AGREED = 15.0  # seconds after which all are alike that hear each other and have the same list
 
 
@@ -164,7 +172,7 @@
     world.heal()
     world.change(lost, 2, 1)
     assert world.run(AGREED, world.alike) is not None
-    assert world.processes[8].moves[-1].former is None  # no table was in use there before
+    assert world.processes[8].moves[-1].previous is None  # no table was in use there before
 
 
 def test_a_stopped_router_sees_at_once_that_its_epoch_is_over() -> None:
@@ -184,7 +192,7 @@
     last = world.processes[0].use()
     assert first[1] == last[1] and first[0] is not None and last[0] is not None and last[0] > first[0]
     moved = world.processes[0].moves[-1]
-    assert moved.former == digest_of(2, 1) and moved.former_until > world.processes[0].clock
+    assert moved.previous == digest_of(2, 1) and moved.previous_until > world.processes[0].clock
 
 
 @pytest.mark.parametrize("late", [(0, 1, 2), (3, 4, 5)])
@@ -241,7 +249,7 @@
 
 
 def one(me: int = 0, holds: Callable[[int, float], int | None] = lambda *_: None) -> Tables:
-    tables = Tables(Fleet(me, 5, (0, 1, 2)), Bounds(), holds)
+    tables = Tables(Fleet(me, 5, (0, 1, 2)), ClusterBounds(), holds)
     tables.compiled(1, 10, 0.0)
     return tables
 
@@ -276,7 +284,7 @@
 
 def test_an_answer_that_was_overtaken_does_not_undo_the_later_one() -> None:
     term = term_of(3, 0)
-    declarer = Declarer(Fleet(0, 5, (0, 1, 2)), Bounds(), lambda *_: term)
+    declarer = Declarer(Fleet(0, 5, (0, 1, 2)), ClusterBounds(), lambda *_: term)
     declarer.begin(term, None, 0.0)
     declarer.heard(1, 1, Has(2, term, 10, 0), 0.0)
     declarer.heard(1, 1, Has(1, term, 9, 0), 0.0)
@@ -286,7 +294,8 @@
 
 def test_a_lease_whose_term_is_below_epochs_in_use_is_taken_anew() -> None:
     term, retaken = term_of(3, 0), list[float]()
-    tables = Tables(Fleet(0, 5, (0,)), Bounds(), lambda *_: term, lambda now: retaken.append(now) or [])  # type: ignore[func-returns-value]
+    fleet = Fleet(0, 5, (0,))
+    tables = Tables(fleet, ClusterBounds(), lambda *_: term, lambda now: retaken.append(now) or [])  # type: ignore[func-returns-value]
     tables.handle_event(LeaseAcquired(epochs.LEASE, term, 9.0), 0.0)
     for at in (1.0, 2.0):
         tables.handle_message(3, 1, Has(1, term_of(8, 2), 10, 0), at)
@@ -298,7 +307,7 @@
     for table in range(11, 11 + KEPT_MOST):
         tables.compiled(1, table, 1.0)
     assert tables.handle_message(1, 1, Table(1, term, 10, 1, 1), 1.0)[0] == SendMessage(
-        1, Has(1, term, 14, 0), Urgency.NEWS
+        1, Has(1, term, 14, 0), Urgency.CHANGE
     )
     told = tables.handle_message(1, 1, Table(2, term, 11, 1, 1), 1.0)
     assert told[0] == TableChanged(epoch_of(term, 2), 11, None, 1.0)
@@ -311,7 +320,7 @@
     tables, term = one(3), term_of(3, 1)
     tables.wanted(2, 1.0)
     assert tables.handle_message(1, 1, Table(1, term, 10, 1, 0), 1.0) == [
-        SendMessage(1, Has(1, term, 0, 0), Urgency.NEWS)
+        SendMessage(1, Has(1, term, 0, 0), Urgency.CHANGE)
     ]
 
 
@@ -338,7 +347,7 @@
 
 def holder() -> Declarer:
     """The holder under a second term, which has in use what the one before it declared."""
-    declarer = Declarer(Fleet(0, 5, (0, 1, 2)), Bounds(), lambda *_: term_of(4, 0))
+    declarer = Declarer(Fleet(0, 5, (0, 1, 2)), ClusterBounds(), lambda *_: term_of(4, 0))
     declarer.compiled(Content(10), 0.0)
     declarer.begin(term_of(4, 0), Declared(epoch_of(term_of(3, 1), 1), Content(10)), 0.0)
     return declarer
@@ -348,7 +357,7 @@
     declarer = holder()
     former = Table(1, term_of(3, 1), 10, 0, 1)
     assert SendMessage(None, former) in declarer.tick(0.0)[0]
-    assert SendMessage(2, former, Urgency.NEWS) in declarer.alive(2, 0.1)
+    assert SendMessage(2, former, Urgency.CHANGE) in declarer.alive(2, 0.1)
     declarer.heard(2, 1, Has(1, term_of(4, 0), 11, epochs.mark(epoch_of(term_of(3, 1), 2))), 0.1)
     assert declarer.declared is None
 
@@ -360,7 +369,9 @@
     declarer.heard(2, 1, Has(1, term_of(4, 0), 11, 0), 0.1)
     note = Table(1, term_of(4, 0), 10, 0, 0)
     again = [
-        action for action in declarer.tick(0.2)[0] if isinstance(action, SendMessage) and action.note == note
+        action
+        for action in declarer.tick(0.2)[0]
+        if isinstance(action, SendMessage) and action.message == note
     ]
     assert [tell.to for tell in again] == [2, 3, 4]
     assert declarer.tick(0.3)[0] == [] and declarer.due() < 0.7
@@ -372,10 +383,10 @@
     for peer in (1, 2):
         declarer.heard(peer, 1, Has(1, term_of(4, 0), 10, 0), 0.1)
     note = Table(1, term_of(4, 0), 10, 0, 1)
-    assert SendMessage(None, note, Urgency.NEWS) in declarer.tick(0.1)[0]
+    assert SendMessage(None, note, Urgency.CHANGE) in declarer.tick(0.1)[0]
     declarer.heard(2, 1, Has(1, term_of(4, 0), 10, epochs.mark(epoch_of(term_of(4, 0), 1))), 0.2)
-    assert declarer.tick(0.31)[0] == [SendMessage(peer, note, Urgency.NEWS) for peer in (1, 3, 4)]
+    assert declarer.tick(0.31)[0] == [SendMessage(peer, note, Urgency.CHANGE) for peer in (1, 3, 4)]
     former = epoch_of(term_of(3, 1), 1)
     assert declarer.heard(3, 1, Has(1, term_of(3, 1), 10, epochs.mark(former)), 0.4) == [
-        SendMessage(3, note, Urgency.NEWS)
+        SendMessage(3, note, Urgency.CHANGE)
     ]
--- a/tests/cluster/test_verdicts.py
+++ b/tests/cluster/test_verdicts.py
@@ -39,7 +39,9 @@
         self.found: list[VerdictChanged] = []
 
     def do(self, actions: list) -> None:  # type: ignore[type-arg]
-        self.told += [a.note for a in actions if isinstance(a, SendMessage) and isinstance(a.note, Evidence)]
+        self.told += [
+            a.message for a in actions if isinstance(a, SendMessage) and isinstance(a.message, Evidence)
+        ]
         self.found += [a for a in actions if isinstance(a, VerdictChanged)]
 
     def past(self, seconds: float = SETTLE_S + 0.01) -> None:
@@ -49,20 +51,18 @@
             self.do(self.part.tick(self.now))
         self.now = until
 
-    def says(self, peer: int, trouble: int = BAD, **fields: int) -> None:
+    def says(self, peer: int, fault: int = BAD, **fields: int) -> None:
         note = {"start": 0, "count": 1, "age_ms": 10, "others": 1} | fields
         incarnation = note.pop("incarnation", 1)
-        self.do(
-            self.part.handle_message(peer, incarnation, Evidence(PARENT, trouble=trouble, **note), self.now)
-        )
+        self.do(self.part.handle_message(peer, incarnation, Evidence(PARENT, fault=fault, **note), self.now))
 
-    def saw(self, ok: bool, subject: int = PARENT, start: int = 0, trouble: Fault | None = None) -> None:
-        self.do(self.part.saw(subject, start, "parent", ok, trouble, self.now))
+    def saw(self, ok: bool, subject: int = PARENT, start: int = 0, fault: Fault | None = None) -> None:
+        self.do(self.part.saw(subject, start, "parent", ok, fault, self.now))
 
     @property
     def word(self) -> Fault | None:
         word = self.part.word(PARENT, self.now)
-        return word.trouble if word else None
+        return word.fault if word else None
 
 
 def test_two_witnesses_and_more_than_half_of_the_weight_are_a_word() -> None:
@@ -109,7 +109,7 @@
     bench.says(3)
     bench.saw(True)
     assert bench.word is None and not bench.part.earlier_skip(PARENT, bench.now)
-    assert [a.trouble for a in bench.found] == [Fault.FAILING, None]
+    assert [a.fault for a in bench.found] == [Fault.FAILING, None]
 
 
 def test_served_before_the_word_fell_does_not_overrule() -> None:
@@ -130,7 +130,7 @@
     assert bench.part.word(PARENT, 1.40) is not None
     assert bench.part.word(PARENT, 1.45) is None  # (1.45 + 0.01) * 1.05 + 0.5 > 2
     bench.past(2.0)
-    assert [a.trouble for a in bench.found] == [Fault.FAILING, None]
+    assert [a.fault for a in bench.found] == [Fault.FAILING, None]
     assert bench.found[0].until <= 2.0
     late = Bench()
     late.says(1, age_ms=1500)
@@ -179,11 +179,11 @@
     bench.says(2, others=0)
     bench.past()
     assert bench.word is None
-    for standing in (PeerState.SUSPECT, PeerState.DEAD):
+    for state in (PeerState.SUSPECT, PeerState.DEAD):
         bench = Bench()
         bench.says(1)
         bench.says(2)
-        bench.do(bench.part.handle_event(PeerChanged(2, 1, standing), bench.now))
+        bench.do(bench.part.handle_event(PeerChanged(2, 1, state), bench.now))
         bench.past()
         assert bench.word is None
 
@@ -211,7 +211,7 @@
     assert bench.told == []
     bench.says(2)
     bench.past()
-    assert [note.trouble for note in bench.told] == [0]
+    assert [note.fault for note in bench.told] == [0]
     quiet = Bench(9)
     quiet.saw(True)
     for peer in (4, 5, 6, 7):
@@ -234,7 +234,7 @@
 def test_full_and_cold_are_words_but_no_skips() -> None:
     bench = Bench()
     bench.says(1, int(Fault.FULL))
-    bench.saw(True, trouble=Fault.FULL)
+    bench.saw(True, fault=Fault.FULL)
     bench.past()
     assert bench.word is Fault.FULL and not bench.part.earlier_skip(PARENT, bench.now)
 
@@ -258,8 +258,8 @@
 
 def test_what_makes_no_sense_is_not_taken_in() -> None:
     bench = Bench()
-    for peer, trouble, count in ((1, 9, 1), (2, 9, 1), (3, BAD, 0), (0, BAD, 1), (5, BAD, 1), (-1, BAD, 1)):
-        bench.says(peer, trouble, count=count)
+    for peer, fault, count in ((1, 9, 1), (2, 9, 1), (3, BAD, 0), (0, BAD, 1), (5, BAD, 1), (-1, BAD, 1)):
+        bench.says(peer, fault, count=count)
     assert not bench.part._subjects
 
 
--- a/tests/cluster/test_wire.py
+++ b/tests/cluster/test_wire.py
@@ -11,10 +11,10 @@
 
 from paddlequay.cluster import wire as w
 from paddlequay.cluster.messages import (
-    DIGEST_MOST,
-    FIELD_MOST,
+    MAX_DIGEST,
+    MAX_FIELD_VALUE,
+    MAX_TEXT_BYTES,
     MESSAGE_TYPES,
-    TEXT_MOST,
     Evidence,
     Load,
     PeerMessage,
@@ -52,14 +52,14 @@
 def made(field: w.Field) -> st.SearchStrategy[Any]:
     if field.type is int:
         return st.integers(field.least, field.most) | st.sampled_from([field.least, field.most])
-    texts = st.text(max_size=16) | st.just("x" * TEXT_MOST)
+    texts = st.text(max_size=16) | st.just("x" * MAX_TEXT_BYTES)
     return texts if field.type is str else st.binary(max_size=field.most)
 
 
 ANY_NOTE = st.sampled_from(list(KINDS)).flatmap(
     lambda kind: st.builds(KINDS[kind], *(made(field) for field in CODEC.shapes[kind].fields))
 )
-COUNTS = st.integers(0, FIELD_MOST)
+COUNTS = st.integers(0, MAX_FIELD_VALUE)
 HEADS = st.builds(Head, st.just(1), st.integers(0, SIZE - 1), COUNTS, COUNTS, COUNTS)
 
 
@@ -76,7 +76,7 @@
 
 
 def sent(*notes: PeerMessage, codec: Codec = CODEC, head: Head = HEAD) -> bytes:
-    return codec.pack(head, [codec.pack_note(note) for note in notes])
+    return codec.pack(head, [codec.pack_message(note) for note in notes])
 
 
 def ends() -> tuple[Wire, Wire]:
@@ -86,7 +86,7 @@
 @QUICK
 @given(HEADS, st.lists(ANY_NOTE, max_size=w.NOTES_MOST))
 def test_what_is_packed_is_read_and_never_over_the_bound(head: Head, notes: list[PeerMessage]) -> None:
-    packed = [CODEC.pack_note(note) for note in notes]
+    packed = [CODEC.pack_message(note) for note in notes]
     length = w.TAG_SIZE + (1 if len(notes) < 11 else 3) + len(CODEC.pack_head(head)) + sum(map(len, packed))
     if length > w.DATAGRAM_MOST:
         with pytest.raises(ValueError):
@@ -101,7 +101,7 @@
 
 
 JUNK = st.recursive(
-    st.none() | st.booleans() | st.floats() | st.integers(-(1 << 63), DIGEST_MOST) | st.text() | st.binary(),
+    st.none() | st.booleans() | st.floats() | st.integers(-(1 << 63), MAX_DIGEST) | st.text() | st.binary(),
     lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.text(max_size=3), inner, max_size=2),
     max_leaves=20,
 )
@@ -116,7 +116,7 @@
         assert refusal(items) is Refusal.FOREIGN
     told = refusal(signed(items))
     if isinstance(told, Heard):  # by chance it says something: then it says just this
-        assert told.skipped + len(told.notes) == len(msgpack.unpackb(signed(items)[8:])) - w.HEAD_ITEMS
+        assert told.skipped + len(told.messages) == len(msgpack.unpackb(signed(items)[8:])) - w.HEAD_ITEMS
 
 
 @QUICK
@@ -138,15 +138,15 @@
     right: list[Any] = [
         {int: field.most, str: "é" * 32, bytes: bytes(64)}[field.type] for field in shape.fields
     ]
-    assert CODEC.read(sent(shape.make(*right))).notes == (shape.make(*right),)
+    assert CODEC.read(sent(shape.make(*right))).messages == (shape.make(*right),)
     for at, field in enumerate(shape.fields):
         wrong: list[object] = [None, True, 0.5, [1], -1, "é" * 33, bytes(65)]
-        wrong += [field.most + 1] if field.most < DIGEST_MOST else []
+        wrong += [field.most + 1] if field.most < MAX_DIGEST else []
         for value in wrong:
             values = [*right[:at], value, *right[at + 1 :]]
             assert refusal(signed([1, 1, 1, 1, 0, [2, 1, 1, 1], [kind, *values]])) is Refusal.MALFORMED
             with pytest.raises(ValueError):
-                CODEC.pack_note(shape.make(*values))
+                CODEC.pack_message(shape.make(*values))
 
 
 DEEP, HUGE_ARRAY, HUGE_MAP, EXTENSION = (
@@ -186,14 +186,14 @@
 
 def test_kinds_and_fields_of_other_releases() -> None:
     newer = Codec("quay", SIZE, KINDS | {1: LongerPing})
-    assert CODEC.read(sent(LongerPing(3, 4, 5), codec=newer)).notes == (Ping(3, 4),)
-    assert newer.read(sent(Ping(3, 4))).notes == (LongerPing(3, 4, 7),)
+    assert CODEC.read(sent(LongerPing(3, 4, 5), codec=newer)).messages == (Ping(3, 4),)
+    assert newer.read(sent(Ping(3, 4))).messages == (LongerPing(3, 4, 7),)
     older = Codec("quay", SIZE)
-    (note,) = older.read(sent(Evidence(1, 2, Fault.COLD, 3, 4, 5))).notes
-    assert isinstance(note, Evidence) and type(note.trouble) is int  # a named number is sent as a number
+    (note,) = older.read(sent(Evidence(1, 2, Fault.COLD, 3, 4, 5))).messages
+    assert isinstance(note, Evidence) and type(note.fault) is int  # a named number is sent as a number
     ranges = {(f.least, f.most) for shape in older.shapes.values() for f in shape.fields if f.type is int}
     small = {(0, 1), (1, 3), (0, int(max(Fault))), (0, SIZE - 1)}
-    assert ranges == small | {(0, FIELD_MOST), (0, DIGEST_MOST)}
+    assert ranges == small | {(0, MAX_FIELD_VALUE), (0, MAX_DIGEST)}
     assert older.read(sent(Ping(1, 0), Label("a", b""), Load(1, 2))) == Heard(
         HEAD, (Ping(1, 0), Load(1, 2)), 1
     )
--- a/tests/golden/golden_samples.py
+++ b/tests/golden/golden_samples.py
@@ -78,7 +78,7 @@
     for number, (least, most) in zip(MESSAGE_TYPES, note_samples(), strict=True):
         fields = [(field.type.__name__, field.least, field.most) for field in codec.shapes[number].fields]
         head = Head(1, 3, 5, 70 + number, 9)
-        data = codec.pack(head, [codec.pack_note(least), codec.pack_note(most)])
+        data = codec.pack(head, [codec.pack_message(least), codec.pack_message(most)])
         yield json.dumps([number, codec.shapes[number].required, fields, data.hex()])
 
 
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -41,9 +41,9 @@
     for line in sample("datagrams.jsonl").splitlines():
         number, required, _, text = json.loads(line)
         read = codec.read(bytes.fromhex(text))
-        assert [note.KIND for note in read.notes] == [number, number] and read.skipped == 0
+        assert [note.KIND for note in read.messages] == [number, number] and read.skipped == 0
         assert codec.shapes[number].required == required
-        assert codec.pack(read.head, [codec.pack_note(note) for note in read.notes]).hex() == text
+        assert codec.pack(read.head, [codec.pack_message(note) for note in read.messages]).hex() == text
 
 
 def test_the_file_of_left_out_caches_is_read_and_written_alike(
