--- a/paddlequay/cluster/tables.py
+++ b/paddlequay/cluster/tables.py
@@ -10,7 +10,8 @@
 
 Cut off. Each router counts on its epoch for `bounds.epoch_s` of its own clock from when it last heard that
 this epoch is the one in use, and is asked at the moment of use (`in_use`); after that it places as without
-a file, which all routers can. Nobody else has to know of it. A holder repeats its declaration six times in that span.
+a file, which all routers can. Nobody else has to know of it. A holder repeats its declaration six times in
+that span.
 So two routers follow different epochs for `bounds.epoch_s`, and what a declaration is under way, at most: one
 that cannot agree, as with other rules, keeps to its epoch until then, too.
 
