--- a/tests/cluster/test_outbox.py
+++ b/tests/cluster/test_outbox.py
@@ -75,7 +75,7 @@
     waiting = sum(queue.count for queue in outbox.queues.values())
     assert waiting == sum(len(lane) for queue in outbox.queues.values() for lane in queue.lanes.values())
     dropped = sum(count for name, count in outbox.counts.items() if name.startswith("dropped."))
-    assert told == dropped + waiting + outbox.counts["sent.messages"]
+    assert told == dropped + waiting + outbox.counts["sent.notes"]
 
 
 def test_a_lease_goes_at_once_whatever_else_is_told() -> None:
