--- a/paddlequay/discovery/absence.py
+++ b/paddlequay/discovery/absence.py
@@ -1,20 +1,29 @@
-"""Why nothing stands at an address: the rule that decides it, and what operators read."""
+"""Explains why no member stands at an address."""
 
 from paddlequay.discovery.flapping import FlapGuard
 from paddlequay.discovery.report_index import ReportIndex
-from paddlequay.discovery.reports import Address
+from paddlequay.discovery.reports import Address, Explanation, MembershipRule
 
 
-def reason_for_absence(index: ReportIndex, flaps: FlapGuard, address: Address, now: float) -> tuple[str, str]:
-    """The rule by which nothing stands at an address, and why."""
+def explain_absence(index: ReportIndex, flaps: FlapGuard, address: Address, now: float) -> Explanation:
+    """Returns the rule by which no member stands at an address, with the reason in words for operators.
+
+    Args:
+        index: The reports and removals of all sources.
+        flaps: The addresses that are kept out for flapping.
+        address: Host and port.
+        now: The time in seconds of the membership's clock.
+    """
     reports = index.reports_at(address)
-    for removal in index.removals_at(address, reports):
-        return "drain", f"{removal.source} has ended {removal.member.id}"
+    removal = next(index.removals_at(address, reports), None)
+    if removal is not None:
+        reason = f"{removal.source} has ended {removal.member.id}"
+        return Explanation(MembershipRule.DRAIN, reason)
+    if not reports:
+        return Explanation(MembershipRule.AUTHORITY, "no source names it")
     paused_until = flaps.paused_until(address, now)
-    if reports and paused_until is not None:
-        return "flapping", f"kept out for {paused_until - now:.0f} s more"
+    if paused_until is not None:
+        return Explanation(MembershipRule.FLAPPING, f"kept out for {paused_until - now:.0f} s more")
     if any(index.is_shadowed(report) for report in reports):
-        return "address", "an earlier source places the same id elsewhere"
-    if reports:
-        return "authority", "only sources that may not add name it"
-    return "authority", "no source names it"
+        return Explanation(MembershipRule.ADDRESS, "an earlier source places the same id elsewhere")
+    return Explanation(MembershipRule.AUTHORITY, "only sources that may not add name it")
--- a/paddlequay/discovery/explanation.py
+++ b/paddlequay/discovery/explanation.py
@@ -1,16 +1,16 @@
-"""For operators: what each source says of a member, and which rule of the membership won."""
+"""Explains to operators what each source reports of a member, and which rule decided about it."""
 
 from typing import Any
 
-from paddlequay.discovery.absence import reason_for_absence
+from paddlequay.discovery.absence import explain_absence
 from paddlequay.discovery.membership import Membership
 from paddlequay.discovery.reports import Address, MembershipChange, SourceReport, SourceState
 
-MAX_SHOWN = 2000  # members that a call to the console lists
+MAX_SHOWN = 2000  # members on one page of the console
 
 
 def explain(membership: Membership, id: str, now: float) -> list[str]:
-    """What each source says of an id or of who shares its address, and which rule won; one line each."""
+    """Returns one line for each report on an id or on its addresses, and one for each decision."""
     index = membership.index
     addresses = set(index.addresses_by_id.get(id, ()))
     if id in membership.address_by_id:
@@ -24,7 +24,7 @@
 
 
 def explain_address(membership: Membership, address: Address, now: float) -> list[str]:
-    """One line for each report at an address, and one for what holds there."""
+    """Returns one line for each report at an address, and one for the member that stands there."""
     where = f"{address[0]}:{address[1]}"
     index = membership.index
     reports = index.reports_at(address)
@@ -34,22 +34,23 @@
         lines.append(f"{where} {removal.source}: {removal.member.id} ended {age:.0f} s ago")
     change = membership.decide(address, now)
     if change is None:
-        reason = ": ".join(reason_for_absence(index, membership.flaps, address, now))
-        return [*lines, f"{where} is not a member by {reason}"]
+        absence = explain_absence(index, membership.flaps, address, now)
+        return [*lines, f"{where} is not a member by {absence.rule}: {absence.reason}"]
     state = change.member.state.value
     return [*lines, f"{where} is {change.member.id} {state} by {change.rule}: {change.reason}"]
 
 
 def explain_report(membership: Membership, report: SourceReport, now: float) -> str:
-    """What one source says, since when, and whether it is live."""
+    """Returns a line on one report: its source, whether that is live, the state and the age."""
     live = "live" if membership.sources[report.source].is_live(now) else "silent"
     missing = "" if report.missing_since is None else f", left out for {now - report.missing_since:.0f} s"
-    member, age = report.member, now - report.reported_at
+    member = report.member
+    age = now - report.reported_at
     return f"{report.source} ({live}): {member.id} {member.state.value}, told {age:.0f} s ago{missing}"
 
 
 def membership_page(membership: Membership, now: float) -> dict[str, Any]:
-    """Sources and members, the first `MAX_SHOWN` of them, as JSON's values."""
+    """Returns the console's page of all sources and of the first `MAX_SHOWN` members."""
     changes = list(membership.members.values())
     return {
         "sources": {name: source_page(source, now) for name, source in membership.sources.items()},
@@ -59,7 +60,7 @@
 
 
 def source_page(source: SourceState, now: float) -> dict[str, Any]:
-    """One source, as JSON's values."""
+    """Returns the entry of one source on the console's page."""
     return {
         "live": source.is_live(now),
         "words": len(source.reports),
@@ -70,7 +71,7 @@
 
 
 def member_page(change: MembershipChange) -> dict[str, Any]:
-    """One member and why it is one, as JSON's values."""
+    """Returns the entry of one member on the console's page."""
     return {
         "id": change.member.id,
         "at": f"{change.member.address[0]}:{change.member.address[1]}",
--- a/paddlequay/discovery/flapping.py
+++ b/paddlequay/discovery/flapping.py
@@ -1,4 +1,4 @@
-"""Members that come and go too often are kept out for a pause, twice as long each time."""
+"""Keeps out members that are added and removed too often, for a pause that doubles each time."""
 
 import math
 from collections import OrderedDict, deque
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class FlapHistory:
-    """When a member came and went lately, and until when it is kept out for that."""
+    """When an address was added and removed lately, and until when it is kept out; times are seconds."""
 
     changed_at: deque[float] = field(default_factory=deque)
     pause: float = 0.0
@@ -19,14 +19,14 @@
 
 
 class FlapGuard:
-    """The histories of addresses, the latest `MAX_HISTORIES` of them; times are seconds of one clock."""
+    """Decides which addresses flap, of the latest `MAX_HISTORIES`; times are seconds of one clock."""
 
     def __init__(self, limits: MembershipLimits) -> None:
         self.limits = limits
         self.histories: OrderedDict[Address, FlapHistory] = OrderedDict()
 
     def record(self, address: Address, now: float) -> None:
-        """Count a coming or going; too many of them within the window earn a pause."""
+        """Counts an addition or removal; too many of them within `flap_window` start a pause."""
         limits = self.limits
         flaps = self.histories.setdefault(address, FlapHistory())
         self.histories.move_to_end(address)
@@ -41,6 +41,6 @@
             flaps.changed_at.clear()
 
     def paused_until(self, address: Address, now: float) -> float | None:
-        """Until when an address is kept out; None where it is not."""
+        """Returns until when an address is kept out; None if it is not."""
         flaps = self.histories.get(address)
         return None if flaps is None or now >= flaps.paused_until else flaps.paused_until
--- a/paddlequay/discovery/reconfiguration.py
+++ b/paddlequay/discovery/reconfiguration.py
@@ -1,20 +1,26 @@
-"""Other sources for a membership in service."""
+"""Replaces the sources of a membership that is in service."""
 
 from collections.abc import Iterable
 from dataclasses import replace
 
 from paddlequay.discovery.membership import Membership
-from paddlequay.discovery.reports import MembershipChange, MembershipLimits, SourceRule
+from paddlequay.discovery.reports import MembershipChange, MembershipLimits, MembershipRule, SourceRule
 from paddlequay.routing.interface import MemberState
 
 
 def with_sources(
     old: Membership, rules: Iterable[SourceRule], limits: MembershipLimits, now: float
 ) -> tuple[Membership, list[MembershipChange]]:
-    """A membership with other sources, and the changes that follow.
+    """Returns a membership with other sources, and the changes that follow.
 
-    What sources that stay have reported holds; others' reports go as if never made. Members that both know
-    are not announced anew, so that nothing in use is closed.
+    The reports of sources that remain are carried over; those of the others are dropped. Members known
+    before and after are not announced anew, so that no connection in use is closed.
+
+    Args:
+        old: The membership in service.
+        rules: The new sources, by priority.
+        limits: The limits of the new membership.
+        now: The time in seconds of the membership's clock.
     """
     new = Membership(rules, limits)
     for name, source in old.sources.items():
@@ -31,14 +37,15 @@
 
 
 def changes_between(old: Membership, new: Membership) -> list[MembershipChange]:
-    """The members that left, then those that came or are another."""
+    """Returns the members that left, then those that were added or changed."""
     before = {change.member.id: change for change in old.members.values()}
     after = {change.member.id: change for change in new.members.values()}
     changes = []
     for id, change in before.items():
         if id not in after:
             removed = replace(change.member, state=MemberState.REMOVED)
-            changes.append(MembershipChange(removed, "authority", "its source was taken out"))
+            reason = "its source was taken out"
+            changes.append(MembershipChange(removed, MembershipRule.AUTHORITY, reason))
     for id, change in after.items():
         if id not in before or before[id].member != change.member:
             changes.append(change)
--- a/paddlequay/discovery/report_index.py
+++ b/paddlequay/discovery/report_index.py
@@ -1,6 +1,6 @@
-"""An index of what sources say: reports and removals by source and id, and by address.
+"""Indexes reports and removals by source and id, and by address; it decides nothing.
 
-It decides nothing. A call costs what it touches; none walks through all reports.
+The cost of a call is that of the entries it touches; no call walks through all reports.
 """
 
 from collections import OrderedDict
@@ -8,28 +8,32 @@
 
 from paddlequay.discovery.reports import Address, ReportKey, SourceReport, SourceState
 
-MAX_REMOVALS = 20_000  # the latest are remembered
+MAX_REMOVALS = 20_000  # the latest of all sources
 
 
 class ReportIndex:
-    """Reports of all sources; removals are bounded by `MAX_REMOVALS`, reports by who adds them."""
+    """The reports and removals of all sources.
+
+    Removals are bounded by `MAX_REMOVALS`; the membership bounds the reports.
+    """
 
     def __init__(self, sources: Mapping[str, SourceState]) -> None:
         self.sources = sources
         self.reports_by_address: dict[Address, dict[ReportKey, SourceReport]] = {}
-        self.addresses_by_id: dict[str, set[Address]] = {}  # where an id is placed by any source
+        self.addresses_by_id: dict[str, set[Address]] = {}  # all addresses that any source gives an id
         self.removals: OrderedDict[ReportKey, SourceReport] = OrderedDict()
         self.removals_by_address: dict[Address, dict[ReportKey, SourceReport]] = {}
 
     def attach(self, report: SourceReport) -> None:
-        """A report stands at its address from now on."""
+        """Adds a report at its address."""
         member = report.member
         self.reports_by_address.setdefault(member.address, {})[report.source, member.id] = report
         self.addresses_by_id.setdefault(member.id, set()).add(member.address)
 
     def detach(self, report: SourceReport) -> None:
-        """A report no longer stands at its address."""
-        address, id = report.member.address, report.member.id
+        """Removes a report from its address."""
+        address = report.member.address
+        id = report.member.id
         here = self.reports_by_address.get(address, {})
         here.pop((report.source, id), None)
         if not here:
@@ -43,7 +47,7 @@
                 del self.addresses_by_id[id]
 
     def record_removal(self, report: SourceReport) -> None:
-        """Remember that a source has removed a member."""
+        """Remembers that a source has removed a member, and forgets the oldest of too many removals."""
         key = (report.source, report.member.id)
         self.forget_removal(key)
         self.removals[key] = report
@@ -52,7 +56,7 @@
             self.forget_removal(next(iter(self.removals)))
 
     def forget_removal(self, key: ReportKey) -> None:
-        """A removal holds no more; one that does not is no error."""
+        """Forgets a removal; an unknown one is no error."""
         report = self.removals.pop(key, None)
         if report is not None:
             here = self.removals_by_address[report.member.address]
@@ -61,12 +65,12 @@
                 del self.removals_by_address[report.member.address]
 
     def reports_at(self, address: Address) -> list[SourceReport]:
-        """Reports at an address, by the priority of their sources."""
+        """Returns the reports at an address, ordered by the priority of their sources."""
         reports = self.reports_by_address.get(address, {}).values()
         return sorted(reports, key=lambda report: (self.sources[report.source].priority, report.member.id))
 
     def reports_about(self, address: Address, reports: list[SourceReport]) -> Iterator[SourceReport]:
-        """Reports at an address, and those of other sources on the same ids wherever they place them."""
+        """Yields the reports at an address, then all reports on the same ids at other addresses."""
         yield from reports
         for id in {report.member.id for report in reports}:
             for source in self.sources.values():
@@ -75,9 +79,9 @@
                     yield other
 
     def removals_at(self, address: Address, reports: list[SourceReport]) -> Iterator[SourceReport]:
-        """Removals that hold at an address, by address or by id of its reports.
+        """Yields the removals that hold at an address, by the address or by the ids of its reports.
 
-        A source that names another member here has taken its own back.
+        A source that reports a member at the address has revoked its removals there.
         """
         naming = {report.source for report in reports}
         found = dict(self.removals_by_address.get(address, {}))
@@ -91,7 +95,7 @@
                 yield removal
 
     def is_shadowed(self, report: SourceReport) -> bool:
-        """Whether a source of higher priority places the same id elsewhere."""
+        """Returns whether a source of higher priority that may add places the same id at another address."""
         own = self.sources[report.source].priority
         for address in self.addresses_by_id.get(report.member.id, ()):
             if address == report.member.address:
--- a/paddlequay/discovery/reports.py
+++ b/paddlequay/discovery/reports.py
@@ -1,8 +1,9 @@
-"""What sources say of members: reports, the rules by which they count, and the changes that follow."""
+"""Reports of sources on members, the settings by which they count, and the changes that follow from them."""
 
 import math
 from collections import deque
 from dataclasses import dataclass, field, replace
+from enum import StrEnum
 
 from paddlequay.errors import PaddlequayError
 from paddlequay.routing.interface import MemberState
@@ -11,9 +12,31 @@
 ReportKey = tuple[str, str]  # source and id
 
 
+class MembershipRule(StrEnum):
+    """The rule that decided about an address; the values are shown to operators."""
+
+    DRAIN = "drain"
+    AUTHORITY = "authority"
+    RETENTION = "kept"  # a silent source's reports hold for a while
+    MASS_REMOVAL = "mass"
+    FLAPPING = "flapping"
+    ADDRESS = "address"
+
+
+@dataclass(frozen=True, slots=True)
+class Explanation:
+    """Why an address has a member or none: the rule that decided, and the reason in words for operators."""
+
+    rule: MembershipRule
+    reason: str
+
+
 @dataclass(frozen=True, slots=True)
 class ReportedMember:
-    """What a source says of one member. `started` is Unix seconds; None where the source does not know."""
+    """One member as a source reports it.
+
+    `started` is the start time in Unix seconds; None if the source does not know it.
+    """
 
     id: str
     address: Address
@@ -27,24 +50,24 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceRule:
-    """How a source counts. Sources are ordered: the first one wins where two say different things."""
+    """The settings of one source. Sources are ordered: the first one wins if two contradict each other."""
 
     name: str
     adds: bool = True
-    retain_for: float = 300.0  # seconds for which its reports hold once it is silent
-    silent_after: float = 10.0  # seconds without a sign of life after which it is silent
+    retain_for: float = 300.0  # seconds for which the reports of a silent source hold
+    silent_after: float = 10.0  # seconds without a heartbeat after which the source is silent
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipLimits:
-    """Bounds and times in seconds, shares in 0 to 1."""
+    """Bounds of the membership: times in seconds, shares in 0 to 1."""
 
-    max_members: int = 20_000  # reports of one source
+    max_members: int = 20_000  # of one source
     mass_share: float = 0.3
     mass_window: float = 10.0
     min_mass: int = 3  # fewer members than these are no mass removal
     confirm_after: float = 30.0
-    expiry_interval: float = 2.0  # between two members that leave as their source's reports have expired
+    expiry_interval: float = 2.0  # between two members that leave because a source's reports expire
     max_flaps: int = 3
     flap_window: float = 60.0
     flap_pause: float = 5.0
@@ -53,31 +76,31 @@
 
 @dataclass(slots=True, eq=False)
 class SourceReport:
-    """One source's report of one id."""
+    """The report of one source on one id; `reported_at` and `missing_since` are seconds of one clock."""
 
     member: ReportedMember
     source: str
     reported_at: float
-    missing_since: float | None = None  # left out by its source, not confirmed yet
+    missing_since: float | None = None  # omitted by its source since then, not confirmed yet
 
     def as_removed(self) -> "SourceReport":
-        """The same report, of the member's removal."""
+        """Returns a report of the member's removal, by the same source at the same time."""
         removed = replace(self.member, state=MemberState.REMOVED)
         return SourceReport(removed, self.source, self.reported_at)
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """What exchange and pool are to know: a member as it is now; `REMOVED` where it left."""
+    """A member as it is now (`REMOVED` if it left), with the rule and the reason of the change."""
 
     member: ReportedMember
-    rule: str
+    rule: MembershipRule
     reason: str
 
 
 @dataclass(slots=True)
 class SourceState:
-    """What is known of one source."""
+    """The reports and the health of one source."""
 
     rule: SourceRule
     priority: int
@@ -89,28 +112,36 @@
     expired_at: float = -math.inf
 
     def is_live(self, now: float) -> bool:
-        """Whether it has given a sign of life within `silent_after` seconds."""
+        """Returns whether the source has reported or sent a heartbeat within `silent_after` seconds."""
         return now - self.last_heard_at <= self.rule.silent_after
 
     def record_omissions(self, ids: list[str], limits: MembershipLimits, now: float) -> bool:
-        """Record that it leaves these ids out; whether so many within the window that a fault is likelier."""
+        """Records the ids that a complete report omits.
+
+        Returns:
+            Whether the source has omitted so many members within the window that a fault of the source is
+            likelier than their removal.
+        """
         omissions = self.omissions
         while omissions and now - omissions[0][0] > limits.mass_window:
             omissions.popleft()
-        fresh = [id for id in ids if self.reports[id].missing_since is None]
-        missing = len(omissions) + len(fresh)
-        total = max(1, len(self.reports) + sum(id not in self.reports for _, id in omissions))
-        omissions.extend((now, id) for id in fresh)
-        return missing >= limits.min_mass and missing > limits.mass_share * total
-
-    def doubt(self, report: SourceReport, now: float) -> tuple[str, str] | None:
-        """The rule by which its doubtful report holds all the same, and why; None for others."""
+        newly_omitted = [id for id in ids if self.reports[id].missing_since is None]
+        missing_count = len(omissions) + len(newly_omitted)
+        removed_count = sum(id not in self.reports for _, id in omissions)
+        total_count = max(1, len(self.reports) + removed_count)
+        omissions.extend((now, id) for id in newly_omitted)
+        return missing_count >= limits.min_mass and missing_count > limits.mass_share * total_count
+
+    def explain_retention(self, report: SourceReport, now: float) -> Explanation | None:
+        """Returns the rule by which an omitted or outdated report still holds; None for a current one."""
         if report.missing_since is not None:
-            return "mass", f"{report.source} leaves it out since {now - report.missing_since:.0f} s"
+            reason = f"{report.source} leaves it out since {now - report.missing_since:.0f} s"
+            return Explanation(MembershipRule.MASS_REMOVAL, reason)
         if not self.is_live(now):
-            return "kept", f"{report.source} is silent since {now - self.last_heard_at:.0f} s"
+            reason = f"{report.source} is silent since {now - self.last_heard_at:.0f} s"
+            return Explanation(MembershipRule.RETENTION, reason)
         return None
 
 
 class TooManyMembersError(PaddlequayError, ValueError):
-    """More members than are kept; the report is not applied."""
+    """A source reports more than `max_members` members; the report is not applied."""
--- a/paddlequay/discovery/snapshot.py
+++ b/paddlequay/discovery/snapshot.py
@@ -1,4 +1,4 @@
-"""Members as they are saved over a restart: lists of plain values, whose order is the stored form."""
+"""The stored form of members, kept over a restart: lists of plain values whose order is fixed."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -8,7 +8,7 @@
 
 
 def members_to_data(members: Iterable[ReportedMember]) -> dict[str, Any]:
-    """Members as JSON's values."""
+    """Returns members in their stored form, as values of JSON."""
     return {
         "members": [
             [m.id, m.address[0], m.address[1], m.kind, m.zone, m.cell, m.weight, m.started, m.state.value]
@@ -18,7 +18,7 @@
 
 
 def members_from_data(data: Any) -> list[ReportedMember]:
-    """Members from JSON's values; raises ValueError where they cannot be read."""
+    """Returns members from their stored form; raises ValueError if it cannot be read."""
     try:
         return [
             ReportedMember(str(i), (str(h), int(p)), k, z, c, w, s, MemberState(state))
--- a/paddlequay/discovery/start_times.py
+++ b/paddlequay/discovery/start_times.py
@@ -1,27 +1,36 @@
-"""When members started, in Unix seconds, where their source does not say."""
+"""Estimates the start times of members whose source does not report them, in Unix seconds."""
 
 from paddlequay.discovery.reports import Address, MembershipLimits, ReportedMember, SourceReport
 
 
 class StartTimes:
-    """One of unknown age that comes later is taken for new: it gets slow start, and is warm a while later.
+    """Takes members of the first reports for long started, and members added later for new.
 
-    What the first reports of all name has been running for as long as anybody knows.
+    A member taken for new gets slow start.
     """
 
     def __init__(self, limits: MembershipLimits) -> None:
         self.limits = limits
         self.first_report_at: float | None = None
-        self.recovered: dict[str, ReportedMember] = {}  # from the last run, by id: their age is known
+        # Members of the last run by id: their start times are known.
+        self.recovered: dict[str, ReportedMember] = {}
 
     def note_report(self, now: float) -> None:
-        """A source reports, maybe as the first of all."""
-        self.first_report_at = now if self.first_report_at is None else self.first_report_at
+        """Records that a source has reported."""
+        if self.first_report_at is None:
+            self.first_report_at = now
 
     def start_time(
         self, report: SourceReport, address: Address, announced: ReportedMember | None, now: float
     ) -> float:
-        """The start of a reported member; `announced` is what was announced last at its address."""
+        """Returns the start time of a reported member in Unix seconds; 0 means long ago.
+
+        Args:
+            report: The report of the source that adds the member.
+            address: The address of the member.
+            announced: The member announced last at that address.
+            now: The current time in Unix seconds.
+        """
         if report.member.started is not None:
             return report.member.started
         if announced is not None and announced.started is not None:
