--- a/paddlequay/config/limits.py
+++ b/paddlequay/config/limits.py
@@ -1,4 +1,4 @@
-"""The limits of the program: every size, count and time, and how deployment and settings set them."""
+"""The limits of the program: every size, count and time, by the deployment, the settings or a default."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -7,20 +7,21 @@
 from paddlequay.config.values import positive
 from paddlequay.routing.interface import RoutingSettings
 
-RESERVED_DESCRIPTORS = 40  # listeners, console, bulletin, link to the other process, event loop, log
-NON_CONSOLE_DESCRIPTORS = 20  # of these, all but the console's calls; some 14 are used, the rest is spare
-# By the platform's page, as no setting gives them: seconds from the longest deadline to SIGKILL, and the
-# most that this deadline counts for.
-KILL_AFTER, MAX_KILL_DEADLINE = 0.7, 3.0
-KILL_MARGIN = 0.2  # from the abandoned requests to SIGKILL
+RESERVED_DESCRIPTORS = 40  # listeners, console, endpoint watch, hot restart link, event loop, log
+NON_CONSOLE_DESCRIPTORS = 20  # of these, all but the connections of the console
+# The platform sends SIGKILL this long after the longest deadline, counted up to a maximum; no setting
+# gives them.
+KILL_AFTER_DEADLINE_S = 0.7
+MAX_KILL_DEADLINE_S = 3.0
+KILL_MARGIN_S = 0.2  # from the abandoned requests to SIGKILL
+MAX_SERVE_AFTER_TERM_S = 0.75  # requests on open connections keep arriving for this long after SIGTERM
+MAX_ACCEPT_AFTER_TERM_S = 0.5  # and new connections for this long
+SERVE_MARGIN_S = 0.05  # from the last request read to the abandoned ones
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Every size, count and time of the program outside the decisions; filled once and handed down.
-
-    Times are seconds, sizes are bytes.
-    """
+    """Every size, count and time of the program outside the decisions. Times are seconds, sizes are bytes."""
 
     # Clients.
     client_connections: int = 341
@@ -106,7 +107,7 @@
 
 
 class ShutdownTimes(TypedDict):
-    """Those of the limits that follow from when SIGKILL comes."""
+    """The limits that follow from the time of SIGKILL, in seconds after SIGTERM."""
 
     accept_after_term: float
     serve_after_term: float
@@ -114,18 +115,26 @@
 
 
 def shutdown_times(longest_deadline: float) -> ShutdownTimes:
-    """The times of a graceful shutdown after SIGTERM, in seconds.
+    """Returns the times of a graceful shutdown, in seconds after SIGTERM.
+
+    All requests are answered or abandoned early enough to flush the answers before SIGKILL. With
+    deadlines under 0.3 s SIGKILL comes while requests still arrive, and the shutdown waits less.
 
-    All is answered or abandoned so early that 0.15 s are left to flush answers before SIGKILL comes. With
-    deadlines under 0.3 s it comes while requests still do, and less is waited for.
+    Args:
+        longest_deadline: The longest deadline of any request class, in seconds.
     """
-    abandoned = min(MAX_KILL_DEADLINE, longest_deadline) + KILL_AFTER - KILL_MARGIN
-    served = min(0.75, abandoned - 0.05)
-    return {"accept_after_term": min(0.5, served), "serve_after_term": served, "shutdown_timeout": abandoned}
+    counted_deadline = min(MAX_KILL_DEADLINE_S, longest_deadline)
+    abandoned_at = counted_deadline + KILL_AFTER_DEADLINE_S - KILL_MARGIN_S
+    served_until = min(MAX_SERVE_AFTER_TERM_S, abandoned_at - SERVE_MARGIN_S)
+    return {
+        "accept_after_term": min(MAX_ACCEPT_AFTER_TERM_S, served_until),
+        "serve_after_term": served_until,
+        "shutdown_timeout": abandoned_at,
+    }
 
 
 def limits_from(data: Mapping[str, Any], settings: RoutingSettings) -> Limits:
-    """The limits that deployment and settings give; the rest are the program's own. Raises `ConfigError`."""
+    """Returns the limits by the deployment and the settings, else the defaults; raises `ConfigError`."""
     # With fewer descriptors than this a third for clients and a connection each to a few caches do not fit.
     sockets = int(positive(data, "limits.sockets", 1024, lowest=36))
     memory = positive(data, "limits.memory_mb", 192, lowest=1) * 1024 * 1024
--- a/paddlequay/programs/shutdown.py
+++ b/paddlequay/programs/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown after SIGTERM: all that was taken is answered, then the connections close."""
+"""Shuts the router down after SIGTERM: answers all accepted requests, then closes the connections."""
 
 import asyncio
 import logging
@@ -10,24 +10,29 @@
 
 LOGGER = logging.getLogger(__name__)
 
-# Seconds before `limits.shutdown_timeout`, at which all that is pending is abandoned:
-DROP_PARTIAL_BEFORE_END = 1.0  # an incomplete message is not waited for any more,
-REJECT_BEFORE_END = 0.9  # and connections that are never quiet get nothing new done
-# After it, to the end: the process may be killed 0.2 s after.
-FLUSH_TIME = 0.15
-LINGER_TIME = 0.05  # the least of that for the peers to end their side
+# Before `limits.shutdown_timeout`, when all pending requests are abandoned:
+DROP_PARTIAL_BEFORE_END_S = 1.0  # stop waiting for incomplete messages
+REJECT_BEFORE_END_S = 0.9  # reject new requests on connections that are never idle
+# After it; the process may be killed 0.2 s later:
+FLUSH_TIME_S = 0.15  # for the last answers
+LINGER_TIME_S = 0.05  # of that, for the peers to close their side
 POLL_INTERVAL_S = 0.01
 FINAL_POLL_INTERVAL_S = 0.005
 
 
 async def shut_down(front: ClientFront, hot_restart: HotRestart, limits: Limits) -> None:
-    """End once all that was taken is answered.
+    """Returns once all accepted requests are answered and the connections are closed.
 
-    Beside a successor, which takes what is new, connections close at their next quiet moment. Alone,
-    connections keep coming for a while after SIGTERM, and requests on open ones a little longer. What is read
-    near the end is rejected at once, as forwarded it would be lost with the process. At last each connection
-    ends in the turn in which all that came is answered, and those that never have one just before the process
-    may be killed.
+    Beside a successor, which accepts new connections, each connection closes as soon as it is idle.
+    Without one, new connections are accepted for a while after SIGTERM, and requests on open ones a
+    little longer. Requests read near the end are rejected, because a forwarded one would be lost with
+    the process. Finally each connection closes once everything received on it is answered, and the
+    others just before the process may be killed.
+
+    Args:
+        front: The client connections and the exchange.
+        hot_restart: Whether a successor has taken over.
+        limits: The times of the shutdown, in seconds after SIGTERM.
     """
     now = asyncio.get_running_loop().time
     began = now()
@@ -41,12 +46,12 @@
     front.close_quiet_connections()
     front.exchange.abandon_all()
     left = len(front.sessions)
-    await flush(front, began + limits.shutdown_timeout + FLUSH_TIME)
+    await flush(front, began + limits.shutdown_timeout + FLUSH_TIME_S)
     log.event(LOGGER, logging.INFO, "shutdown_ended", after=now() - began, connections=left)
 
 
 async def stop_accepting(front: ClientFront, hot_restart: HotRestart, limits: Limits, began: float) -> None:
-    """Accept for as long as connections may come, then close the listener; go on reading a little longer."""
+    """Accepts until no new connection is expected, closes the listener, and reads on for a little longer."""
     now = asyncio.get_running_loop().time
     while not hot_restart.replaced and now() - began < limits.accept_after_term:
         await asyncio.sleep(POLL_INTERVAL_S)
@@ -58,24 +63,24 @@
 
 
 async def answer_pending(front: ClientFront, limits: Limits, began: float) -> None:
-    """Wait until nothing is pending and no connection is inside a message, until the time-out at most."""
+    """Waits until no request is pending or half received, or until the time-out."""
     now = asyncio.get_running_loop().time
     while now() - began < limits.shutdown_timeout:
-        front.near_end = now() - began > limits.shutdown_timeout - REJECT_BEFORE_END
+        front.near_end = now() - began > limits.shutdown_timeout - REJECT_BEFORE_END_S
         front.close_quiet_connections()
-        patient = now() - began < limits.shutdown_timeout - DROP_PARTIAL_BEFORE_END
-        only_partial = all(session.input.parser.partial and not patient for session in front.sessions)
+        awaits_partial = now() - began < limits.shutdown_timeout - DROP_PARTIAL_BEFORE_END_S
+        only_partial = all(session.input.parser.partial and not awaits_partial for session in front.sessions)
         if not front.exchange.pending and only_partial:
             return
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def flush(front: ClientFront, deadline: float) -> None:
-    """Let each connection end once it is at rest, and all of them just before the deadline."""
+    """Closes each connection once it is at rest, and all of them just before the deadline."""
     now = asyncio.get_running_loop().time
     while front.sessions and now() < deadline:
-        last = now() >= deadline - LINGER_TIME
+        is_last_chance = now() >= deadline - LINGER_TIME_S
         for session in list(front.sessions):
-            if last or session.at_rest():
+            if is_last_chance or session.at_rest():
                 session.end()
         await asyncio.sleep(FINAL_POLL_INTERVAL_S)
--- a/tests/race_conditions/test_derived_limits.py
+++ b/tests/race_conditions/test_derived_limits.py
@@ -22,7 +22,7 @@
 @given(st.floats(0.05, 100.0))
 def test_shutdown_phases_come_in_order_and_the_last_before_sigkill(longest: float) -> None:
     times, killed = shutdown_times(longest), min(3.0, longest) + 0.7
-    assert times["shutdown_timeout"] + ending.FLUSH_TIME < killed
+    assert times["shutdown_timeout"] + ending.FLUSH_TIME_S < killed
     assert 0 < times["accept_after_term"] <= times["serve_after_term"] < times["shutdown_timeout"]
     if longest >= 0.21:  # requests still come for 0.6 s, and the platform grants 0.05 s
         assert times["serve_after_term"] > 0.65
