--- a/paddlequay/requests/attempts.py
+++ b/paddlequay/requests/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in service: their start, the check at the moment of writing, their time-out and their one end."""
+"""Runs attempts at upstreams: their start, the check at the write, their time-out and their single end."""
 
 import logging
 from collections.abc import Mapping
@@ -31,31 +31,35 @@
 
 LOGGER = logging.getLogger(__name__)
 
-READ_FIRST_S = 0.002  # two turns of the loop, in which what has come is read and answered
+READ_FIRST_S = 0.002  # two iterations of the event loop, in which received bytes are read
 
 
 class AttemptOwner(Protocol):
-    """Who owns the requests that attempts are for."""
+    """The owner of the requests that attempts belong to."""
 
     pending: dict[str, PendingRequest]
 
     def drop_if_disconnected(self, pending: PendingRequest) -> bool:
-        """Whether its client has gone, which ends the request."""
+        """Withdraws a request if its client has disconnected, and returns whether it has."""
         ...
 
     def answer(self, pending: PendingRequest, answer: FinalAnswer) -> None:
-        """Give a request its one final answer."""
+        """Sends a request's one final answer."""
         ...
 
     def deliver(self, event: Event) -> None:
-        """Hand an event to the decisions."""
+        """Delivers an event to the decisions."""
         ...
 
 
 class AttemptRunner:
-    """Runs the attempts that the decisions choose; each ends exactly once.
+    """Runs the attempts that the decisions choose; each attempt ends exactly once.
 
-    `upstreams` carries them, and `interceptor`, where there is one, may reject a write.
+    Attributes:
+        upstreams: Carries the attempts; None until the connection pool exists. interceptor: May reject
+        a write by the limits of the fleet; None without a cluster. clock_offset: Seconds from the
+        monotonic clock to the clock of the decisions, which shows Unix time at the
+            start of the process and never goes back.
     """
 
     def __init__(
@@ -75,11 +79,10 @@
         self.counters = counters
         self.upstreams: UpstreamPool | None = None
         self.interceptor: RequestInterceptor | None = None
-        # One clock for the decisions: it never goes back, and list entries' Unix start times stand on it.
         self.clock_offset = scheduler.unix() - scheduler.monotonic()
 
     def start(self, fetch: Fetch) -> None:
-        """Begin an attempt; one that may not or cannot go out ends at once as not sent."""
+        """Starts an attempt; one that must not or cannot be sent ends at once as not sent."""
         pending = self.owner.pending.get(fetch.request)
         if pending is None or self.owner.drop_if_disconnected(pending):
             return
@@ -91,20 +94,21 @@
         attempt.chosen_members = self.write_checks.chosen_members(fetch)
         pending.attempts.append(attempt)
         if len(pending.attempts) > self.limits.max_attempts or expires <= now or self.upstreams is None:
-            return self.end(attempt, AttemptResult(Outcome.NOT_SENT))
+            self.end(attempt, AttemptResult(Outcome.NOT_SENT))
+            return
         attempt.timer = self.scheduler.call_later(expires - now, lambda: self.expire(attempt))
         try:
             self.upstreams.start(attempt)
-        except Exception:  # such as no descriptor left for its connection: this request's affair alone
+        except Exception:  # the edge of one attempt, such as no free descriptor for its connection
             self.log_failure("start", attempt)
             self.abandon(attempt)
 
     def prepare_write(self, attempt: UpstreamAttempt) -> UpstreamRequest | None:
-        """What to write, at the moment of writing; None when it must not be written any more.
+        """Returns what to write for an attempt; None if it must not be written any more.
 
-        A decision may be written late, after a connection came up or a socket took bytes again. What held
-        when it was made is checked once more: drains and restarts of target and source, the window and the
-        scope of a retry, purges, and the time left.
+        Called at the moment of writing, which may be long after the decision. Drains and restarts of
+        target and source, the dedup window and scope of a retry, purges and the time left are checked
+        again.
         """
         if attempt.ended or self.owner.drop_if_disconnected(attempt.pending):
             return None
@@ -114,7 +118,7 @@
             self.counters.add("not_sent")
             self.end(attempt, AttemptResult(Outcome.NOT_SENT))
             return None
-        # The interceptor comes last: the permit that it lends is for what is written now.
+        # The interceptor comes last, because the permit it grants is for a write at this moment.
         detail = self.interceptor.before_write(attempt, left) if self.interceptor is not None else None
         if detail is not None:
             self.counters.add("not_sent.fleet_limit")
@@ -123,8 +127,9 @@
         return self.upstream_request(attempt, left)
 
     def upstream_request(self, attempt: UpstreamAttempt, time_left: float) -> UpstreamRequest:
-        """What an attempt says to its target, with `time_left` seconds for the answer."""
-        request, fetch = attempt.pending.request, attempt.fetch
+        """Returns the request of an attempt to its target, with `time_left` seconds for the answer."""
+        request = attempt.pending.request
+        fetch = attempt.fetch
         return UpstreamRequest(
             id=request.id,
             class_name=request.class_name,
@@ -144,12 +149,12 @@
         )
 
     def mark_written(self, attempt: UpstreamAttempt) -> None:
-        """An attempt was written whole: from now on it may be executed."""
+        """Records that an attempt was written completely: the target may execute it from now on."""
         attempt.written_at = self.scheduler.monotonic()
         self.counters.add("sent")
 
     def end(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
-        """An attempt's end; the first `SERVED` is the request's final answer."""
+        """Ends an attempt; the first one that is `SERVED` gives the request's final answer."""
         if attempt.ended:
             return
         now = self.scheduler.monotonic()
@@ -181,9 +186,9 @@
         )
 
     def expire(self, attempt: UpstreamAttempt, has_read: bool = False) -> None:
-        """Out of time: not executed where never written, else it may have been.
+        """Ends an attempt at its time-out, once all bytes received on its connection have been read.
 
-        What has come on its connection is read first.
+        An attempt that was never written counts as not sent; any other may have been executed.
         """
         if attempt.ended:
             return
@@ -197,7 +202,7 @@
         self.end(attempt, AttemptResult(outcome, unresponsive=unresponsive))
 
     def cancel(self, action: Cancel) -> None:
-        """Abandon an attempt that the decisions cancel; one that has ended is passed over."""
+        """Abandons an attempt that the decisions cancel, unless it has ended."""
         pending = self.owner.pending.get(action.request)
         if pending is None or action.attempt >= len(pending.attempts):
             return
@@ -205,41 +210,38 @@
             self.abandon(pending.attempts[action.attempt])
 
     def abandon(self, attempt: UpstreamAttempt) -> None:
-        """Give up an attempt by this router's own will: not executed where it was never written."""
+        """Ends an attempt that this router gives up: as cancelled if it was written, else as not sent."""
         outcome = Outcome.NOT_SENT if attempt.written_at is None else Outcome.CANCELLED
         self.release_carrier(attempt)
         self.end(attempt, AttemptResult(outcome))
 
     def release(self, pending: PendingRequest) -> None:
-        """A request is over: end its attempts that are still in flight, and hand nothing on."""
+        """Ends the attempts in flight of a request that has ended, without an event to the decisions."""
         for attempt in pending.attempts:
             if not attempt.ended:
                 attempt.ended = True
                 if attempt.timer is not None:
                     attempt.timer.cancel()
                 self.release_carrier(attempt)
-        # Attempts refer to their request: without this, each would wait for the cycle collector.
+        # Attempts refer to their request: break the reference cycle, so that both are freed at once.
         pending.attempts.clear()
 
     def release_carrier(self, attempt: UpstreamAttempt) -> bool:
-        """Have its carrier drop an attempt; whether that was unresponsive since the write.
-
-        The attempt's end does not rest on it.
-        """
+        """Makes an attempt's carrier drop it; returns whether that was unresponsive since the write."""
         try:
             return attempt.carrier is not None and attempt.carrier.abandon(attempt)
-        except Exception:  # a carrier's fault harms no request
+        except Exception:  # the edge of one carrier: its error must not keep the attempt from ending
             self.log_failure("abandon", attempt)
             return False
 
     def log_failure(self, what: str, on: object) -> None:
-        """An error that is one request's own and never stops the program; the first of a kind is logged."""
+        """Counts an error that concerns one request alone, and logs the first of its kind."""
         if self.counters.add_once(f"{what}_errors"):
             LOGGER.exception(f"{what}_failed", extra={"fields": {"on": type(on).__name__}})
 
 
 def served_answer(attempt: UpstreamAttempt, result: AttemptResult) -> FinalAnswer:
-    """The final answer of a request that an attempt has served."""
+    """Returns the final answer of a request that an attempt has served."""
     status = AnswerStatus.NOT_MODIFIED if result.not_modified else AnswerStatus.SERVED
     return FinalAnswer(
         status, result.body, stamp=result.stamp, detail=result.detail, served_by=attempt.fetch.target
--- a/paddlequay/requests/exchange.py
+++ b/paddlequay/requests/exchange.py
@@ -1,7 +1,7 @@
-"""The core between a front, the decisions and the upstreams: it executes what is decided and keeps the rules.
+"""Connects a front, the decisions and the upstreams, and executes the actions of the decisions.
 
-It owns every pending request, from the moment a front hands it in until the one final answer goes back by the
-request's callback; its attempts are run by `attempts.py`. It knows no protocol and no socket.
+The exchange owns every pending request from its submission to its one final answer; `attempts.py` runs the
+attempts. It depends on no protocol and no socket.
 """
 
 import logging
@@ -46,11 +46,11 @@
 
 LOGGER = logging.getLogger(__name__)
 
-DEADLINE_SLACK_S = 0.004  # past a request's deadline, so that an attempt's own time-out comes first
+DEADLINE_SLACK_S = 0.004  # after a request's deadline, so that an attempt times out first
 
 
 class Exchange:
-    """Pending requests by serial; events go to the decisions, and their actions are executed."""
+    """Owns the pending requests, delivers events to the decisions and executes their actions."""
 
     def __init__(
         self,
@@ -84,10 +84,16 @@
         send_answer: Callable[[FinalAnswer], None],
         client_disconnected: Callable[[], bool] | None = None,
     ) -> PendingRequest | None:
-        """Take a request; `send_answer` is called exactly once, unless `withdraw` comes first.
+        """Submits a request; `send_answer` is called exactly once, unless `withdraw` is called before.
 
-        `client_disconnected` is called wherever something is about to be forwarded, and must not call back.
-        None where the request was answered at once.
+        Args:
+            request: The request of a client.
+            send_answer: Sends the final answer to the client.
+            client_disconnected: Returns whether the client has disconnected. Called before each attempt is
+                forwarded; it must not call the exchange.
+
+        Returns:
+            The pending request; None if it was answered at once.
         """
         now = self.scheduler.monotonic()
         self.counters.add(f"received.{request.class_name}")
@@ -96,62 +102,70 @@
             send_answer(answer)
             return None
         self.last_serial += 1
-        left = request.time_to_live - self.limits.answer_margin
         serial = f"q{self.last_serial}"
-        pending = PendingRequest(serial, request, send_answer, now, now + left, client_disconnected)
-        interceptor = self.attempts.interceptor
-        if interceptor is not None and (wait := interceptor.admit(pending, left)) is not None:
+        time_left = request.time_to_live - self.limits.answer_margin
+        pending = PendingRequest(serial, request, send_answer, now, now + time_left, client_disconnected)
+        retry_after = self.fleet_retry_after(pending, time_left)
+        if retry_after is not None:
             self.counters.add("rejected.fleet_limit")
-            send_answer(FinalAnswer(AnswerStatus.REJECTED, retry_after=wait))
+            send_answer(FinalAnswer(AnswerStatus.REJECTED, retry_after=retry_after))
             return None
         self.intake.add(pending)
-        self.deliver(request_event(serial, request, left))
+        self.deliver(request_event(serial, request, time_left))
         if serial in self.pending:
-            # Whatever the decisions do, one final answer goes out before the client gives up.
-            delay = max(0.0, left) + DEADLINE_SLACK_S
-            pending.deadline_timer = self.scheduler.call_later(delay, lambda: self.fail_overdue(pending))
+            self.schedule_deadline(pending, time_left)
         return pending
 
+    def fleet_retry_after(self, pending: PendingRequest, time_left: float) -> float | None:
+        """Returns the Retry-After in seconds if a limit of the fleet rejects a request; None if none does."""
+        interceptor = self.attempts.interceptor
+        return None if interceptor is None else interceptor.admit(pending, time_left)
+
+    def schedule_deadline(self, pending: PendingRequest, time_left: float) -> None:
+        """Guarantees a final answer at the deadline, whatever the decisions do."""
+        delay = max(0.0, time_left) + DEADLINE_SLACK_S
+        pending.deadline_timer = self.scheduler.call_later(delay, lambda: self.fail_overdue(pending))
+
     def withdraw(self, pending: PendingRequest) -> None:
-        """The client no longer waits: nothing is owed, and attempts in flight are abandoned."""
+        """Ends a request without an answer, because its client no longer waits; abandons its attempts."""
         if pending.serial in self.pending:
             self.counters.add("withdrawn")
             self.release(pending)
             self.deliver(ClientDisconnected(pending.serial))
 
     def drop_if_disconnected(self, pending: PendingRequest) -> bool:
-        """Whether its client has gone, which ends the request; checked before anything is forwarded."""
+        """Withdraws a request if its client has disconnected, and returns whether it has."""
         if pending.client_disconnected is None or not pending.client_disconnected():
             return False
         self.withdraw(pending)
         return True
 
     def fail_overdue(self, pending: PendingRequest) -> None:
-        """The deadline of a request has passed without a final answer: it fails."""
+        """Fails a request whose deadline has passed without a final answer."""
         if pending.serial in self.pending:
             self.counters.add("overdue")
             self.answer(pending, FinalAnswer(AnswerStatus.FAILED))
             self.deliver(ClientDisconnected(pending.serial))
 
     def abandon_all(self) -> None:
-        """Give all pending requests their final answers now: the router is being drained."""
+        """Answers all pending requests now, as the router is being drained."""
         for serial in list(self.pending):
             self.counters.add("abandoned")
             self.deliver(AbandonRequest(serial))
 
     def inherit_state(self, state: dict[str, float]) -> None:
-        """Take over what a predecessor process of this router has learned."""
+        """Hands the state that a predecessor process exported to the decisions."""
         self.deliver(StateInherited(state))
 
     # --- from discovery and operators ---
 
     def update_members(self, members: tuple[Member, ...], full: bool) -> None:
-        """The list, or changes to it; holds for all that is not written yet."""
+        """Applies the endpoint list, or changes to it, to the decisions and to everything not written yet."""
         self.write_checks.update_members(members, full)
         self.deliver(MembersChanged(tuple(map(self.write_checks.with_overrides, members)), full))
 
     def override_changed(self, name: str) -> None:
-        """Operators eject a cache, or put it back: holds for all that is not written yet."""
+        """Applies an ejection by operators, or its end, to the decisions; ignores other overrides."""
         if not name.startswith(EJECTED_PREFIX):
             return
         member = self.members.get(name.removeprefix(EJECTED_PREFIX))
@@ -159,14 +173,14 @@
             self.deliver(MembersChanged((self.write_checks.with_overrides(member),)))
 
     def record_purge(self, key: int | None, group: int | None, issued: float) -> None:
-        """An object or a group was purged at `issued`, in Unix seconds."""
+        """Records the purge of an object or a group, issued at a time in Unix seconds."""
         age = self.write_checks.record_purge(key, group, issued)
         self.deliver(Purged(age, group, key))
 
     # --- events in, actions out ---
 
     def deliver(self, event: Event) -> None:
-        """Hand an event to the decisions and execute their actions; events that follow wait their turn."""
+        """Delivers an event to the decisions and executes their actions; queues events raised meanwhile."""
         self.events.append(event)
         if self.delivering:
             return
@@ -178,30 +192,29 @@
             self.delivering = False
 
     def handle(self, event: Event) -> None:
-        """One event: an error fails the one request that it is about, and never stops the program."""
+        """Handles one event; an error fails only the request that the event concerns."""
         try:
             actions = self.router.handle(event, self.scheduler.monotonic() + self.attempts.clock_offset)
-        except Exception:  # whatever the decisions raise, the other requests go on
+        except Exception:  # the edge of one event: whatever the decisions raise, other requests go on
             self.attempts.log_failure("decision", event)
             self.abort_request(event.id if isinstance(event, Request) else getattr(event, "request", ""))
             return
         for action in actions:
-            # Each for itself: one event may concern many requests, as when a member leaves.
             try:
                 self.execute(action)
-            except Exception:  # one action's error leaves the others to be executed
+            except Exception:  # the edge of one action: the others may concern other requests
                 self.attempts.log_failure("action", action)
                 self.abort_request(getattr(action, "request", ""))
 
     def abort_request(self, serial: str) -> None:
-        """Answer a request for which something failed, and abandon its attempts."""
+        """Fails a request after an internal error, and abandons its attempts."""
         pending = self.pending.get(serial)
         if pending is not None:
             self.answer(pending, FinalAnswer(AnswerStatus.FAILED))
             self.events.append(ClientDisconnected(pending.serial))
 
     def execute(self, action: Action) -> None:
-        """Carry out one action of the decisions."""
+        """Executes one action of the decisions."""
         match action:
             case Fetch():
                 self.attempts.start(action)
@@ -222,27 +235,28 @@
                 log.event(LOGGER, logging.INFO, "decision", text=action.text)
 
     def reject(self, action: Reject) -> None:
-        """Answer a request that the decisions reject; counted by whether any attempt was made for it."""
+        """Rejects a request for the decisions; counts separately those for which no attempt was made."""
         pending = self.pending.get(action.request)
         if pending is None:
             return
-        # Never forwarded is priced apart from given up after attempts: the fleet loses by both.
         tried = "attempted" if pending.attempts else "unattempted"
         self.counters.add(f"rejected.{tried}.{action.cause}")
-        retry_after, detail = action.retry_after, pending.last_detail
-        self.answer(pending, FinalAnswer(AnswerStatus.REJECTED, retry_after=retry_after, detail=detail))
+        answer = FinalAnswer(
+            AnswerStatus.REJECTED, retry_after=action.retry_after, detail=pending.last_detail
+        )
+        self.answer(pending, answer)
 
     def answer(self, pending: PendingRequest, answer: FinalAnswer) -> None:
-        """Give a request its one final answer."""
+        """Sends a request's one final answer."""
         self.release(pending)
         self.counters.add(f"answered.{answer.status.value}")
         try:
             pending.send_answer(answer)
-        except Exception:  # its client's affair: the decisions are notified of the end all the same
+        except Exception:  # the edge of one client: the decisions still learn that the request has ended
             self.attempts.log_failure("reply", answer)
 
     def release(self, pending: PendingRequest) -> None:
-        """The request is over; attempts that are still in flight are abandoned."""
+        """Removes a request that has ended, with its timer and its attempts in flight."""
         self.intake.remove(pending)
         if pending.deadline_timer is not None:
             pending.deadline_timer.cancel()
@@ -252,7 +266,7 @@
 
 
 def request_event(serial: str, request: ClientRequest, time_left: float) -> Request:
-    """A client's request as an event for the decisions."""
+    """Returns the event by which the decisions learn of a client's request."""
     return Request(
         serial,
         request.class_name,
--- a/paddlequay/requests/messages.py
+++ b/paddlequay/requests/messages.py
@@ -1,6 +1,6 @@
-"""The messages between a front, the exchange and the upstreams: requests in no protocol's terms.
+"""The messages between a front, the exchange and the upstreams, independent of any protocol.
 
-Records and protocols alone; `exchange.py` owns the requests, `attempts.py` the attempts.
+This module holds records and interfaces; `exchange.py` owns the requests, `attempts.py` the attempts.
 """
 
 from collections.abc import Callable, Mapping
@@ -14,7 +14,7 @@
 
 
 class AnswerStatus(Enum):
-    """What a final answer says."""
+    """The status of a final answer."""
 
     SERVED = "served"
     NOT_MODIFIED = "not_modified"  # the client's own copy is current
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CopyStamp:
-    """Which copy an answer carries: its tag, the Unix second at which the origin issued it, its group."""
+    """The copy that an answer carries: its tag, when the origin issued it in Unix seconds, and its group."""
 
     tag: str
     issued_at: float
@@ -33,9 +33,9 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's request in no protocol's terms.
+    """A client's request, independent of its protocol.
 
-    `time_to_live` is in seconds; `object_name` is the object as it is forwarded, `key` its number.
+    `time_to_live` is in seconds. `object_name` is the object's name as it is forwarded, `key` its number.
     """
 
     id: str
@@ -48,10 +48,10 @@
     body: Buffer = b""
     known_tag: str | None = None
     retry: bool = False
-    idempotency_key: str | None = None  # by which caches drop repeats; forwarded as it is
-    tenant: str | None = None  # where the front gives it
-    fill: int | None = None  # a fill of a node in the hierarchy: its number,
-    extra_fields: Callable[[str], Mapping[str, str]] | None = None  # and what it says to a target beside
+    idempotency_key: str | None = None  # by which caches drop duplicates; forwarded unchanged
+    tenant: str | None = None  # None if the front does not identify tenants
+    fill: int | None = None  # the number of the fill, for requests of a node in the hierarchy
+    extra_fields: Callable[[str], Mapping[str, str]] | None = None  # further fields of a fill, by target
 
 
 @dataclass(slots=True)
@@ -62,15 +62,15 @@
     body: Buffer = b""
     retry_after: float | None = None
     stamp: "CopyStamp | None" = None  # of the copy that was served
-    detail: ReplyDetail | None = None  # of the last attempt, where none was served
-    served_by: str = ""  # the member whose answer was served
+    detail: ReplyDetail | None = None  # of the last attempt, if none was served
+    served_by: str = ""  # the name of the member that served it
 
 
 @dataclass(slots=True)
 class UpstreamRequest:
-    """What an attempt says to its target, as it stands at the moment of writing.
+    """The request of an attempt to its target, as of the moment of writing.
 
-    `time_left` and `max_age` are in seconds; `retention` is the rank at which the target keeps the copy.
+    `time_left` and `max_age` are in seconds; `retention` is the rank at which the target stores the copy.
     """
 
     id: str
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended, and what its answer said; `source_wait` is in seconds."""
+    """How an attempt ended, with the contents of its answer; `source_wait` is in seconds."""
 
     outcome: Outcome
     body: Buffer = b""
@@ -112,73 +112,70 @@
     """A timer that can be cancelled."""
 
     def cancel(self) -> None:
-        """Cancel it; one that has fired is no error."""
+        """Cancels the timer; no error if it has fired."""
         ...
 
 
 class Scheduler(Protocol):
-    """Clocks and timers, in seconds: `monotonic` for durations, `unix` for the times of purges and starts."""
+    """Clocks and timers in seconds: `monotonic` for durations, `unix` for times of purges and of starts."""
 
     def monotonic(self) -> float:
-        """A clock that never goes back."""
+        """Returns the time of a clock that never goes back."""
         ...
 
     def unix(self) -> float:
-        """Unix time."""
+        """Returns the Unix time."""
         ...
 
     def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
-        """Call back after `delay` seconds."""
+        """Calls back after `delay` seconds."""
         ...
 
 
 class AttemptCarrier(Protocol):
-    """What carries an attempt, such as a connection."""
+    """Carries an attempt to its target, as a connection does."""
 
     @property
     def has_unread(self) -> bool:
-        """Whether something has come that was not read yet."""
+        """Returns whether bytes were received that have not been read yet."""
         ...
 
     def abandon(self, attempt: "UpstreamAttempt") -> bool:
-        """Drop an attempt; whether nothing came on the carrier since it was written."""
+        """Drops an attempt; returns whether nothing was received on the carrier since the write."""
         ...
 
 
 class UpstreamPool(Protocol):
-    """Carries attempts to caches; it sets itself or a part of it as their carrier."""
+    """Carries attempts to caches, and sets the carrier of each attempt."""
 
     def start(self, attempt: "UpstreamAttempt") -> None:
-        """Write an attempt as soon as a connection takes it; may raise."""
+        """Writes an attempt as soon as a connection accepts it; may raise."""
         ...
 
 
 class RequestInterceptor(Protocol):
-    """Sees each request and attempt, and may reject it: what the fleet has decided together.
-
-    Each call returns at once. Where there is none the exchange goes its ordinary way.
-    """
+    """Observes each request and attempt, and may reject it by the limits of the fleet. No call blocks."""
 
     def admit(self, item: "PendingRequest", left: float) -> float | None:
-        """A request with `left` seconds comes: None, or the seconds after which the client may retry."""
+        """Returns None to admit a request with `left` seconds to its deadline, else a Retry-After (s)."""
         ...
 
     def before_write(self, attempt: "UpstreamAttempt", left: float) -> ReplyDetail | None:
-        """An attempt is about to be written: None, or the detail under which it is rejected."""
+        """Returns None to let an attempt be written, else the detail of its rejection."""
         ...
 
     def attempt_ended(self, attempt: "UpstreamAttempt", end: "AttemptResult") -> None:
-        """An attempt has ended, written or not."""
+        """Notes the end of an attempt, whether it was written or not."""
         ...
 
     def request_ended(self, item: "PendingRequest") -> None:
-        """A request that was admitted has its final answer, or its client has left."""
+        """Notes the end of an admitted request, by its final answer or by its client's disconnect."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamAttempt:
-    """One attempt: waiting to be written, in flight, or ended. Times are monotonic seconds."""
+    """One attempt, which waits to be written, is in flight or has ended. Times are monotonic seconds."""
 
     pending: "PendingRequest"
     number: int
@@ -189,25 +186,25 @@
     carrier: AttemptCarrier | None = None
     written_at: float | None = None
     ended: bool = False
-    never_resend: bool = False  # what may have been executed is never sent again
-    chosen_members: tuple[Member | None, ...] = ()  # target and source as listed when they were chosen
+    never_resend: bool = False  # if it may have been executed, as its class is not idempotent
+    chosen_members: tuple[Member | None, ...] = ()  # target and source as listed when chosen
 
     @property
     def id(self) -> str:
-        """The id of its request, as the client gave it."""
+        """Returns the id of its request, as the client gave it."""
         return self.pending.request.id
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that is owed its final answer. Times are monotonic seconds."""
+    """A request without its final answer yet. Times are monotonic seconds."""
 
     serial: str
     request: ClientRequest
     send_answer: Callable[[FinalAnswer], None]
     received_at: float
     deadline: float
-    client_disconnected: Callable[[], bool] | None = None  # whether its client has left, read or not
+    client_disconnected: Callable[[], bool] | None = None  # checks the socket, even if nothing was read
     deadline_timer: Timer | None = None
     attempts: list[UpstreamAttempt] = field(default_factory=list)
     last_detail: ReplyDetail | None = None
