--- a/paddlequay/net/clients/session.py
+++ b/paddlequay/net/clients/session.py
@@ -1,4 +1,4 @@
-"""One client connection: its requests, one answer to each, and how it is closed."""
+"""Owns one client connection: its requests, the one answer to each of them, and its close."""
 
 import asyncio
 from collections import OrderedDict
@@ -15,15 +15,23 @@
 from paddlequay.net.clients.waiting_calls import WaitingCalls
 from paddlequay.protocol import clients as wire
 from paddlequay.protocol.msgpack import MalformedMessageError
-from paddlequay.requests.messages import AnswerStatus, Buffer, FinalAnswer
+from paddlequay.requests.messages import AnswerStatus, Buffer, ClientRequest, FinalAnswer
 from paddlequay.routing.interface import Idempotency
 
 MIN_TIME_TO_LIVE_S = 0.001
-LINGER_S = 0.3  # in seconds: what still comes is read for so long where a fault ends a connection
+LINGER_S = 0.3  # a connection that this side ends still reads for this long
 
 
 class ClientSession:
-    """One client connection and the requests that are open on it. `SessionReader` reads for it."""
+    """One client connection and its open requests; `SessionReader` reads its messages.
+
+    Attributes:
+        has_sent_message: Whether the client has sent a complete message.
+        idle_queue: The queue of idle sessions in the same state; None while an answer is owed.
+        consecutive_rejections: Rejections and errors since the last other answer.
+        is_backpressured: Whether calls wait because the client does not read its answers.
+        ended: Whether nothing more is written, and messages are no longer handled.
+    """
 
     __slots__ = (
         "connected_at", "consecutive_rejections", "ended", "front", "has_sent_message", "idle_queue", "input",
@@ -32,31 +40,33 @@
     )  # fmt: skip
 
     def __init__(self, front: SessionFront, stream: IOStream) -> None:
-        self.front, self.stream = front, stream
+        self.front = front
+        self.stream = stream
         self.input = ClientInput(stream, front.limits, front.now)
         self.writer = AnswerWriter(front, stream)
         self.waiting_calls = WaitingCalls(front)
         self.open_requests = OpenRequests(front.exchange)
-        self.last_used_at = self.connected_at = front.now()
-        self.has_sent_message = False  # whether a complete message has come
-        self.idle_queue: OrderedDict[IdleSession, None] | None = None  # its state, while nothing is owed
-        self.consecutive_rejections = 0  # rejections and errors since the last other answer
-        self.is_backpressured = False  # calls wait until the client takes its answers
-        self.ended = False  # it gets no more, and what it sends is not handled
+        self.connected_at = front.now()
+        self.last_used_at = self.connected_at
+        self.has_sent_message = False
+        self.idle_queue: OrderedDict[IdleSession, None] | None = None
+        self.consecutive_rejections = 0
+        self.is_backpressured = False
+        self.ended = False
         self.linger_timer: asyncio.TimerHandle | None = None
 
     @property
     def is_only_rejected(self) -> bool:
-        """Whether the client has had nothing but rejections and errors for long."""
+        """Returns whether the last answers, `max_consecutive_rejections` at least, were not served."""
         return self.consecutive_rejections >= self.front.limits.max_consecutive_rejections
 
     @property
     def has_open_requests(self) -> bool:
-        """Whether a client is owed an answer here."""
+        """Returns whether an answer is owed on this connection."""
         return bool(self.open_requests or self.waiting_calls)
 
     def update_idle_queue(self) -> None:
-        """Move to the end of those in the same state, or out of them while something is owed."""
+        """Moves the session to the end of the idle queue of its state, or out of all while it is in use."""
         if self.idle_queue is not None:
             self.idle_queue.pop(self, None)
             self.idle_queue = None
@@ -68,94 +78,122 @@
         self.idle_queue[self] = None
 
     def cancel(self, number: int) -> None:
-        """The client waits for a call no longer."""
+        """Cancels a call that the client no longer waits for."""
         self.waiting_calls.remove(number)
         self.open_requests.cancel(number)
 
     def queue_call(self, call: wire.ClientCall) -> None:
-        """Check a call, and have it wait for what else has come. Raises `MalformedMessageError`."""
-        number, front, counters = call.number, self.front, self.front.counters
+        """Checks a call and queues it until the socket is read empty; answers one that cannot be used.
+
+        Raises:
+            MalformedMessageError: The number of the call is that of an open one.
+        """
+        number = call.number
+        counters = self.front.counters
         if number in self.open_requests or number in self.waiting_calls:
             raise MalformedMessageError("a message id that is open already")
         counters.add("requests")
-        if call.method not in front.exchange.router.classes:
+        kind = self.front.exchange.router.classes.get(call.method)
+        if kind is None:
             counters.add("unknown_class")
-            return self.send_error(number, "unknown class")
-        kind = front.exchange.router.classes[call.method]
-        if kind.idempotency is Idempotency.IDEMPOTENT and front.overload.should_shed():
+            self.send_error(number, "unknown class")
+            return
+        if kind.idempotency is Idempotency.IDEMPOTENT and self.front.overload.should_shed():
             counters.add("rejected.busy")
-            return self.answer(number, front.overload_answer)
+            self.answer(number, self.front.overload_answer)
+            return
         try:
-            request = parse_request(call, kind, front.limits)
+            request = parse_request(call, kind, self.front.limits)
         except FieldError as error:
             counters.add("bad_fields")
-            return self.send_error(number, str(error))
+            self.send_error(number, str(error))
+            return
+        cause = self.rejection_cause(request)
+        if cause is not None:
+            self.reject_waiting(number, cause)
+            return
+        self.waiting_calls.add(number, request, self.last_used_at)
+
+    def rejection_cause(self, request: ClientRequest) -> str | None:
+        """Returns the counter's name of the limit that rejects a call; None to queue it.
+
+        Submits the waiting calls first if their bodies leave no capacity for another one.
+        """
+        front = self.front
         if front.rejecting_new:
-            return self.reject_waiting(number, "emptying")
+            return "emptying"
         if len(self.open_requests) + len(self.waiting_calls) >= front.limits.client_streams:
-            return self.reject_waiting(number, "too_many_streams")
-        if request.body and front.queued_bytes + len(request.body) > front.max_queued:
+            return "too_many_streams"
+        size = len(request.body)
+        if size and front.queued_bytes + size > front.max_queued:
             self.submit_waiting()
-            if front.queued_bytes + len(request.body) > max(front.max_queued, len(request.body)):
-                return self.reject_waiting(number, "too_many_open")
-        self.waiting_calls.add(number, request, self.last_used_at)
+            if front.queued_bytes + size > max(front.max_queued, size):
+                return "too_many_open"
+        return None
 
     def submit_waiting(self) -> None:
-        """Submit the calls that wait here.
+        """Submits the waiting calls to the exchange, unless the client does not read its answers.
 
-        A client that takes its answers slowly gets no further ones begun, as closed on it would lose all;
-        what is due by then, or waits where connections are to close, is rejected.
+        No further answers are produced for a slow reader, since all of them would be lost if its connection
+        closed. Its calls are rejected when their deadline nears or the connection is to close.
         """
-        front, now = self.front, self.front.now()
+        now = self.front.now()
         for number in list(self.waiting_calls):
             if self.stream.closed():
                 return
-            self.is_backpressured = self.writer.unsent_bytes > front.limits.max_client_unsent / 2
-            call = self.waiting_calls[number]
-            left = call.request.time_to_live - (now - call.read_at)
-            if front.rejecting_new or (self.is_backpressured and front.closing_when_quiet):
-                self.reject_waiting(number, "emptying")
-            elif not self.is_backpressured:
-                self.waiting_calls.remove(number)
-                call.request.time_to_live = max(MIN_TIME_TO_LIVE_S, left)
-                answer, gone = partial(self.answer, number), partial(self.input.is_disconnected, number)
-                self.open_requests.submit(number, call.request, answer, gone)
-            elif left <= front.limits.answer_margin + front.limits.sweep_interval:
-                self.reject_waiting(number, "not_taken")
+            self.submit_or_reject(number, now)
+
+    def submit_or_reject(self, number: int, now: float) -> None:
+        """Submits one waiting call, rejects it, or leaves it waiting for the client to read its answers."""
+        front = self.front
+        self.is_backpressured = self.writer.unsent_bytes > front.limits.max_client_unsent / 2
+        call = self.waiting_calls[number]
+        time_left = call.request.time_to_live - (now - call.read_at)
+        if front.rejecting_new or (self.is_backpressured and front.closing_when_quiet):
+            self.reject_waiting(number, "emptying")
+        elif not self.is_backpressured:
+            self.waiting_calls.remove(number)
+            call.request.time_to_live = max(MIN_TIME_TO_LIVE_S, time_left)
+            send_answer = partial(self.answer, number)
+            is_disconnected = partial(self.input.is_disconnected, number)
+            self.open_requests.submit(number, call.request, send_answer, is_disconnected)
+        elif time_left <= front.limits.answer_margin + front.limits.sweep_interval:
+            self.reject_waiting(number, "not_taken")
 
     def abandon_all(self) -> None:
-        """Give all that is owed its final answer now."""
+        """Sends the final answer to every open request now."""
         for number in list(self.waiting_calls):
             self.reject_waiting(number, "given_up")
         self.open_requests.abandon_all()
 
     def reject_waiting(self, number: int, cause: str) -> None:
-        """Reject what was not handed to the exchange."""
+        """Rejects a call that was not submitted to the exchange."""
         self.waiting_calls.remove(number)
         self.front.counters.add(f"rejected.{cause}")
         self.answer(number, self.front.draining_answer)
 
     def send_error(self, number: int, why: str) -> None:
-        """Answer what cannot be used."""
+        """Answers a call that cannot be used with an error."""
         self.consecutive_rejections += 1
         self.send(wire.error_answer(number, wire.FAILED, {"why": why}))
 
     def answer(self, number: int, answer: FinalAnswer) -> None:
-        """Send the final answer of a call."""
+        """Sends the final answer of a call."""
         self.open_requests.remove(number)
         served = answer.status in (AnswerStatus.SERVED, AnswerStatus.NOT_MODIFIED)
         self.consecutive_rejections = 0 if served else self.consecutive_rejections + 1
         self.send(*format_answer(number, answer))
 
     def send(self, *pieces: Buffer) -> None:
-        """Write without waiting."""
+        """Writes a message without waiting for the client to read it."""
         self.last_used_at = self.front.now()
         self.writer.write(pieces, self.on_taken)
 
     def on_taken(self) -> None:
-        """The system has taken an answer whole: go on with what waited for that."""
+        """Continues after the kernel has accepted an answer completely: submits calls, or closes if idle."""
         if self.ended:
-            return self.writer.shut_down()
+            self.writer.shut_down()
+            return
         unsent = self.writer.unsent_bytes
         if self.is_backpressured and unsent <= self.front.limits.max_client_unsent / 2:
             self.is_backpressured = False
@@ -166,21 +204,21 @@
             self.close_if_quiet()
 
     def at_rest(self) -> bool:
-        """Whether nothing is owed, unsent or unread; holds for the turn of the loop in which it is called."""
+        """Returns whether nothing is owed, unsent or unread, as of this iteration of the event loop."""
         busy = self.has_open_requests or self.writer.unsent_bytes or self.ended
         return not busy and self.input.is_quiet()
 
     def close_at_rest(self) -> bool:
-        """The one way of closing where nothing is wrong. Half a message is not a request taken."""
+        """Closes the connection if it is at rest, and returns whether it was; drops an incomplete message."""
         if not self.at_rest():
             return False
         self.stream.close()
         return True
 
     def close_without_message(self) -> bool:
-        """Close at rest, or where no complete message has come, nor is unread.
+        """Closes the connection if it is at rest or never had a complete message; returns whether it closed.
 
-        Thousands that send a byte each would push out clients with requests.
+        Otherwise connections that send a byte each could displace clients with requests.
         """
         if self.has_sent_message or self.stream.closed() or self.input.completes_message():
             return self.close_at_rest()
@@ -188,12 +226,15 @@
         return True
 
     def close_lingering(self) -> bool:
-        """Close before the time for what still comes is over."""
+        """Closes a connection that lingers before its time."""
         self.stream.close()
         return True
 
     def close_if_quiet(self) -> bool:
-        """Close at a moment that costs nobody a request; a new connection is about to bring one."""
+        """Closes the connection if it is at rest and not new; returns whether it closed.
+
+        A new connection is about to bring its first request.
+        """
         age = self.front.now() - self.connected_at
         is_new = not self.has_sent_message and age < self.front.limits.new_connection_age
         if is_new or self.input.parser.partial or not self.close_at_rest():
@@ -202,10 +243,10 @@
         return True
 
     def end(self) -> None:
-        """End a connection at a fault, or at the last moment.
+        """Ends the connection after a protocol error or at the end of the process.
 
-        What is owed is answered, nothing more is written; it closes once the client has, or after `LINGER_S`:
-        a close over unread bytes would reset it, and what was just written would be lost with it.
+        Open requests are answered and nothing more is written. The connection closes when the client closes
+        it, or after `LINGER_S`: a close over unread bytes would reset it and lose the last answers.
         """
         if self.ended or self.stream.closed():
             return
@@ -216,7 +257,7 @@
         self.writer.shut_down()
 
     def close(self) -> None:
-        """Close at once: the client waits for nothing any more."""
+        """Closes the connection at once and withdraws its requests."""
         self.stream.close()
         if self.linger_timer is not None:
             self.linger_timer.cancel()
