--- a/paddlequay/cluster/leases.py
+++ b/paddlequay/cluster/leases.py
@@ -29,7 +29,7 @@
 
 Stated bounds, for T = 1.5 s and answers within 0.1 s: a lease whose holder dies is taken again within 1.05 T
 + 0.2 T + the election, 2.2 s without loss; one whose holder is told nothing but can tell, within 3.2 s, as
-its renewals still close locks until it gives up; one released to an heir, within 0.1 s and two answers'
+its renewals still close locks until it gives up; one released to an successor, within 0.1 s and two answers'
 times. Renewals go out each third of what is counted, are sent again each T/15 until a majority has answered,
 and may all be lost for T/2. A router starts 25 elections a second at most (`PACE`), 8 of them at once.
 Memory: `STATES_MOST`, `BIDS_MOST`, `HINTS_MOST` leases. Counters have 31 bits; they grow with takes and lost
@@ -45,10 +45,10 @@
 from paddlequay.cluster.types import (
     NEVER,
     Action,
-    Bounds,
+    ClusterBounds,
     Fleet,
     LocalEvent,
-    Name,
+    NameDigest,
     Peer,
     SendMessage,
     Urgency,
@@ -72,72 +72,76 @@
     acceptor_kind: ClassVar[type[Acceptor]] = Acceptor
     proposer_kind: ClassVar[type[Proposer]] = Proposer
 
-    def __init__(self, fleet: Fleet, bounds: Bounds, rng: random.Random, now: float) -> None:
+    def __init__(self, fleet: Fleet, bounds: ClusterBounds, rng: random.Random, now: float) -> None:
         self.fleet = fleet
         self.proposer = self.proposer_kind(fleet, bounds, rng)
         self.acceptor = self.acceptor_kind(bounds, now) if fleet.me in fleet.acceptors else None
 
     # --- for the parts that need leases ---
 
-    def want(self, lease: Name, now: float) -> list[Action]:
+    def request(self, lease: NameDigest, now: float) -> list[Action]:
         """Bids for a lease until it is dropped, and renews it while held; logs a refusal past `BIDS_MOST`."""
-        return self._settled(self.proposer.want(lease, now), now)
+        return self._settled(self.proposer.request(lease, now), now)
 
-    def drop(self, lease: Name, now: float, heir: Peer | None = None) -> list[Action]:
-        """Give a lease up, held or not; `heir`, where it wants it too, takes it without waiting."""
-        return self._settled(self.proposer.drop(lease, now, heir), now)
+    def release(self, lease: NameDigest, now: float, successor: Peer | None = None) -> list[Action]:
+        """Give a lease up, held or not; `successor`, where it wants it too, takes it without waiting."""
+        return self._settled(self.proposer.release(lease, now, successor), now)
 
-    def holds(self, lease: Name, now: float) -> int | None:
+    def holds(self, lease: NameDigest, now: float) -> int | None:
         """The term under which this router holds a lease at this moment: to be asked at each use."""
         return self.proposer.holds(lease, now)
 
-    def holder(self, lease: Name, now: float) -> Peer | None:
+    def holder(self, lease: NameDigest, now: float) -> Peer | None:
         """Who holds a lease as far as was heard: a hint for whom to ask, never a proof."""
         return self.proposer.holder(lease, now)
 
-    def ask(self, lease: Name, now: float) -> list[Action]:
+    def query_holder(self, lease: NameDigest, now: float) -> list[Action]:
         """Asks all acceptors who holds a lease, without a bid; `HolderObserved` gives the answer."""
-        note = Prepare(lease, 0)
-        return self._settled([SendMessage(each, note, Urgency.NEWS) for each in self.fleet.acceptors], now)
+        message = Prepare(lease, 0)
+        return self._settled(
+            [SendMessage(each, message, Urgency.CHANGE) for each in self.fleet.acceptors], now
+        )
 
     @property
-    def clock(self) -> int:
+    def highest_counter(self) -> int:
         """The highest ballot counter heard of, for the heads of datagrams."""
         return self.proposer.clock
 
-    def saw_clock(self, value: int) -> None:
+    def observe_counter(self, value: int) -> None:
         """The `clock` in a datagram's head, told before its notes."""
-        self.proposer.saw_clock(value)
+        self.proposer.observe_counter(value)
 
     # --- as a part ---
 
-    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
-        return self._settled(self._heard(sender, note, now), now)
+    def handle_message(
+        self, sender: Peer, incarnation: int, message: PeerMessage, now: float
+    ) -> list[Action]:
+        return self._settled(self._heard(sender, message, now), now)
 
-    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
+    def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
         return []  # liveness is a guess: leases go by their own clocks alone
 
     def tick(self, now: float) -> list[Action]:
         if self.acceptor is not None:
-            self.acceptor.tick(self.clock, now)
+            self.acceptor.tick(self.highest_counter, now)
         return self._settled(self.proposer.tick(now), now)
 
     def due(self) -> float:
         return min(self.proposer.due(), self.acceptor.due() if self.acceptor is not None else NEVER)
 
-    def _heard(self, sender: Peer, note: PeerMessage, now: float) -> list[Action]:
+    def _heard(self, sender: Peer, message: PeerMessage, now: float) -> list[Action]:
         out: list[Action] = []
-        if isinstance(note, Prepare | Propose | Release):
+        if isinstance(message, Prepare | Propose | Release):
             answer = (
-                self.acceptor.handle_message(sender, note, self.clock, now)
+                self.acceptor.handle_message(sender, message, self.highest_counter, now)
                 if self.acceptor is not None
                 else None
             )
-            self.proposer.saw_clock(counter(note.ballot))
+            self.proposer.observe_counter(counter(message.ballot))
             if answer is not None:
                 out.append(SendMessage(sender, answer, Urgency.LEASE))
-        if not isinstance(note, Prepare | Propose):
-            out += self.proposer.handle_message(sender, note, now)
+        if not isinstance(message, Prepare | Propose):
+            out += self.proposer.handle_message(sender, message, now)
         return out
 
     def _settled(self, actions: list[Action], now: float) -> list[Action]:
@@ -147,7 +151,7 @@
         while actions:
             action = actions.pop()
             if isinstance(action, SendMessage) and action.to == self.fleet.me:
-                actions += self._heard(self.fleet.me, action.note, now)[::-1]
+                actions += self._heard(self.fleet.me, action.message, now)[::-1]
             else:
                 out.append(action)
         return out
--- a/paddlequay/hierarchy/migration.py
+++ b/paddlequay/hierarchy/migration.py
@@ -127,11 +127,11 @@
             now: The time in Unix seconds.
         """
         self.forget_expired(now)
-        homes = [epoch.homes.home(hash_key) for epoch in self.epochs]
+        homes = [epoch.homes.first_home(hash_key) for epoch in self.epochs]
         max_lookups = MAX_LOOKUPS
         if is_new:
             max_lookups = MAX_NEW_NODE_LOOKUPS
-            homes += self.homes.first_names(hash_key, MAX_NEW_NODE_LOOKUPS + NEW_NODE_EXTRA_CANDIDATES)
+            homes += self.homes.first_home_names(hash_key, MAX_NEW_NODE_LOOKUPS + NEW_NODE_EXTRA_CANDIDATES)
         candidates = dict.fromkeys(
             home for home in homes if home is not None and home != self.own_name and may_ask(home)
         )
--- a/tests/cluster/test_channels.py
+++ b/tests/cluster/test_channels.py
@@ -9,14 +9,14 @@
 from paddlequay.cluster import handoff
 from paddlequay.cluster.bundles import Bundle
 from paddlequay.cluster.channels import Channels
-from paddlequay.cluster.messages import Carried, Load, Offer, Ready
+from paddlequay.cluster.messages import ChannelPartReport, HandoffOffer, HandoffReply, OwnerLoad
 from paddlequay.cluster.prefetch import Ahead, Boxes, Rate, Reads, channel_of
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import Action, Fleet, PeerChanged, PeerState, SendMessage
 from paddlequay.lab.channel_world import BOUNDS, BOX, World
 
 RULE = ChannelRule(("video",), bundles=8)
-GAP = BOUNDS.lease + 1.0
+GAP = BOUNDS.lease_s + 1.0
 PLANNED, UNPLANNED = 200, 200
 
 
@@ -86,7 +86,7 @@
         assert world.run(4.0, lambda world=world, owner=owner: world.moved(owner)), seed  # type: ignore[misc]
         world.run(1.0)
         seen = world.seen[0]
-        assert seen.most <= 2 and seen.overlap <= BOUNDS.overlap, (seed, seen)
+        assert seen.most <= 2 and seen.overlap <= BOUNDS.overlap_s, (seed, seen)
         assert world.all[owner].channels.drained(world.all[owner].clock)
         in_order(world)
 
@@ -125,7 +125,7 @@
     assert world.run(9.0, lambda: world.moved(owner))
     world.run(2.0)
     # The release to the heir is as late as everything: the overlap ends before it, by the owner's own clock.
-    assert world.seen[0].most <= 2 and world.seen[0].overlap <= BOUNDS.overlap
+    assert world.seen[0].most <= 2 and world.seen[0].overlap <= BOUNDS.overlap_s
     released = [fill.at for fill in world.fills if fill.by == owner]
     assert released and world.all[owner].channels.drained(world.all[owner].clock)
 
@@ -139,7 +139,7 @@
     world.act(4, world.all[4].channels.drain(world.all[4].clock))
     assert world.run(6.0, lambda: world.all[4].channels.drained(world.all[4].clock)), world.time - before
     world.run(2.0)
-    assert all(seen.most <= 2 and seen.overlap <= BOUNDS.overlap for seen in world.seen)
+    assert all(seen.most <= 2 and seen.overlap <= BOUNDS.overlap_s for seen in world.seen)
     assert max(seen.gap for seen in world.seen) <= GAP
     assert all(world.owners(number) not in ([], [4]) for number in used)
     in_order(world)
@@ -208,8 +208,12 @@
     assert all(p.channels.carried(ahead.channel, ahead.part, p.clock) == BOX for p in world.all)
     other = world.all[(owner + 1) % 5].channels
     now = world.all[(owner + 1) % 5].clock
-    other.handle_message(9, 0, Carried(ahead.channel, ahead.term - 1, ahead.part, BOX + 1, 3000), now)
-    other.handle_message(9, 0, Carried(ahead.channel, ahead.term - 1, ahead.part + 9, BOX + 1, 3000), now)
+    other.handle_message(
+        9, 0, ChannelPartReport(ahead.channel, ahead.term - 1, ahead.part, BOX + 1, 3000), now
+    )
+    other.handle_message(
+        9, 0, ChannelPartReport(ahead.channel, ahead.term - 1, ahead.part + 9, BOX + 1, 3000), now
+    )
     assert other.carried(ahead.channel, ahead.part, now) == BOX
     assert other.carried(ahead.channel, ahead.part + 9, now) is None
 
@@ -221,13 +225,13 @@
     world, used = owned_by_one(ChannelRule(("video",)), 300)
     wants: list[tuple[float, int]] = []
     for me, process in enumerate(world.all):
-        want = process.leases.want
+        want = process.leases.request
 
         def counted(lease: int, now: float, me: int = me, want=want) -> list[object]:  # type: ignore[no-untyped-def]
             wants.append((world.time, me))
             return list(want(lease, now))
 
-        process.leases.want = counted  # type: ignore[assignment,method-assign]
+        process.leases.request = counted  # type: ignore[assignment,method-assign]
     world.asks.clear()
     world.all[4].dead = True
     assert world.run(10.0, lambda: all(world.owners(number) for number in used))
@@ -251,7 +255,7 @@
     for half in range(60):
         for me, process in enumerate(world.all):
             for peer in set(range(5)) - {me}:
-                word = Load(1000_000 * ((half + peer) % 2), 0)  # nothing and very much, in turn
+                word = OwnerLoad(1000_000 * ((half + peer) % 2), 0)  # nothing and very much, in turn
                 process.channels.handle_message(peer, 0, word, process.clock)
         world.run(0.5)
     moves = Counter(me for _, me in gives)
@@ -267,14 +271,14 @@
         self.by: int | None = None
         self.wants: list[int] = []
 
-    def ask(self, lease: int, now: float) -> list[Action]:
+    def query_holder(self, lease: int, now: float) -> list[Action]:
         return []
 
-    def want(self, lease: int, now: float) -> list[Action]:
+    def request(self, lease: int, now: float) -> list[Action]:
         self.wants.append(lease)
         return []
 
-    def drop(self, lease: int, now: float, heir: int | None = None) -> list[Action]:
+    def release(self, lease: int, now: float, successor: int | None = None) -> list[Action]:
         self.held.pop(lease, None)
         return []
 
@@ -302,12 +306,12 @@
     channels, _, (bundle,) = made(1, (1.0,))
     ahead = Ahead(7, "a", "video", 3, 5)
     channels.bundles.release(bundle, 100.0, heir=1)
-    ends = 100.0 + BOUNDS.overlap * (1 - BOUNDS.drift)
+    ends = 100.0 + BOUNDS.overlap_s * (1 - BOUNDS.drift_ratio)
     assert channels.may_fill(ahead, ends - 0.001) == 5 and channels.may_fill(ahead, ends) is None
     bundle.saw(6, 100.1)
     assert channels.may_fill(ahead, 100.1) is None
     channels, leases, (bundle,) = made(1, (1.0,))
-    bundle.taken = 100.0 - BOUNDS.overlap  # the one before it may still fill
+    bundle.taken = 100.0 - BOUNDS.overlap_s  # the one before it may still fill
     channels.bundles.release(bundle, 100.0, heir=1)
     assert channels.may_fill(ahead, 100.0) is None
     leases.held[bundle.lease] = 8
@@ -328,7 +332,7 @@
     leases.by = bundle.owner = 3
     for part in (1, 2, 3):
         channels.asked("a", "video", part, 100.0)
-    channels.handle_message(3, 0, Ready(bundle.lease, 5, 0), 100.0)
+    channels.handle_message(3, 0, HandoffReply(bundle.lease, 5, 0), 100.0)
     for tenth in range(1, 6):
         channels.tick(100.0 + tenth / 10)
     assert leases.wants == [bundle.lease]
@@ -336,7 +340,9 @@
 
 def offers(actions: list[Action]) -> list[int | None]:
     return [
-        action.to for action in actions if isinstance(action, SendMessage) and isinstance(action.note, Offer)
+        action.to
+        for action in actions
+        if isinstance(action, SendMessage) and isinstance(action.message, HandoffOffer)
     ]
 
 
@@ -361,10 +367,14 @@
     channels, _, _ = made(8, (1.0,) * 8)
     assert offers(channels.drain(100.0)) == [1] * handoff.AT_ONCE
     channels, leases, (bundle,) = made()
-    (word,) = channels.handle_message(3, 0, Offer(bundle.lease, 5, 0), 100.0)
-    assert isinstance(word, SendMessage) and word.note == Ready(bundle.lease, 5, 0) and not leases.wants
+    (word,) = channels.handle_message(3, 0, HandoffOffer(bundle.lease, 5, 0), 100.0)
+    assert (
+        isinstance(word, SendMessage)
+        and word.message == HandoffReply(bundle.lease, 5, 0)
+        and not leases.wants
+    )
     bundle.live.add(7)
-    assert not channels.handle_message(3, 0, Offer(bundle.lease, 6, 0), 100.0) and leases.wants == [
+    assert not channels.handle_message(3, 0, HandoffOffer(bundle.lease, 6, 0), 100.0) and leases.wants == [
         bundle.lease
     ]
 
@@ -375,6 +385,6 @@
     other = (owner + 1) % 5
     channels, now = world.all[other].channels, world.all[other].clock
     bundle = channels.bundles.all[0]
-    (answer,) = channels.handle_message(owner, 0, Ready(bundle.lease, 0, 1), now)
-    assert isinstance(answer.note, Ready) and answer.note.yes == 0  # type: ignore[union-attr]
-    assert channels.handle_message(owner, 0, Ready(12345, 0, 1), now) == []  # another plaza's bundle
+    (answer,) = channels.handle_message(owner, 0, HandoffReply(bundle.lease, 0, 1), now)
+    assert isinstance(answer.message, HandoffReply) and answer.message.accepted == 0  # type: ignore[union-attr]
+    assert channels.handle_message(owner, 0, HandoffReply(12345, 0, 1), now) == []  # another plaza's bundle
--- a/tests/hierarchy/test_node.py
+++ b/tests/hierarchy/test_node.py
@@ -4,7 +4,7 @@
 from rig_node import begin_fill, cached_copy, fill_request, fills, node_alone, replies
 
 from paddlequay.hierarchy.fill_path import MAX_HOPS, FillPath
-from paddlequay.hierarchy.fill_requests import FillResult, ReplyReason, ReplyStatus, StartFill
+from paddlequay.hierarchy.fill_requests import FillRequest, FillResult, ReplyReason, ReplyStatus, StartFill
 from paddlequay.routing.interface import ReplyDetail
 
 
@@ -126,14 +126,18 @@
     assert len(node.coordinator.waiting.deadlines) <= 1100 and node.waiting_count == 0
 
 
+def stale_request() -> FillRequest:
+    """A request that a copy minted at 100 serves only within its grace."""
+    return fill_request(min_minted_at=105.0, stale_grace_s=10.0, refreshes_stale=True)
+
+
 def test_a_stale_copy_is_served_within_its_grace_while_one_fill_refreshes_it() -> None:
     node = node_alone()
     fill = begin_fill(node, fill_request())
     node.on_fill_ended(fill.number, FillResult(cached_copy(minted_at=100.0)), 100.1)
-    stale = {"min_minted_at": 105.0, "stale_grace_s": 10.0, "refreshes_stale": True}
-    actions = node.handle_request(fill_request(**stale), 113.0)
+    actions = node.handle_request(stale_request(), 113.0)
     assert replies(actions) == [("t", ReplyStatus.HIT, ReplyReason.STALE)]
     assert len(fills(actions)) == 1
-    assert len(fills(node.handle_request(fill_request(**stale), 113.0))) == 0
+    assert len(fills(node.handle_request(stale_request(), 113.0))) == 0
     too_old = fill_request(min_minted_at=111.0, stale_grace_s=10.0)
     assert replies(node.handle_request(too_old, 120.0)) == []
