--- a/paddlequay/config/limits.py
+++ b/paddlequay/config/limits.py
@@ -60,7 +60,7 @@
     cache_stall_timeout: float = 0.2  # without a byte inside an answer, which comes in one piece
     connection_unanswered: int = 4  # requests written on a connection with nothing received on it,
     instance_unanswered: int = 6  # or on all to an instance with nothing received on any,
-    silence_check_after: float = 0.5  # nothing for this long: routing/failure_detector.py decides
+    silence_check_after: float = 0.5  # nothing for this long: policy/failure_detector.py decides
     assumed_latency: float = 0.3  # what an answer is taken to need until answers come
     cache_idle_timeout: float = 24.0  # the caches close at 30 s, or as the settings give
     max_remembered_ids: int = 512  # remembered by a connection, so that none comes twice on it
--- a/paddlequay/net/upstreams/connection.py
+++ b/paddlequay/net/upstreams/connection.py
@@ -13,10 +13,10 @@
 from paddlequay.config.values import Address
 from paddlequay.net.upstreams.cache_messages import parse_result, request_fields
 from paddlequay.observability.counters import Counters
+from paddlequay.policy.failure_detector import LatencyDistribution
 from paddlequay.protocol import caches as wire
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import AttemptResult, UpstreamAttempt
-from paddlequay.routing.failure_detector import LatencyDistribution
 from paddlequay.routing.interface import Outcome
 
 LOGGER = logging.getLogger(__name__)
--- a/paddlequay/net/upstreams/pool.py
+++ b/paddlequay/net/upstreams/pool.py
@@ -13,11 +13,11 @@
 from paddlequay.net.upstreams.connection_reader import ConnectionReader
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
+from paddlequay.policy.failure_detector import LatencyDistribution, RelativeLatency
 from paddlequay.protocol.endpoint_watch import Endpoint
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import AttemptResult, UpstreamAttempt
 from paddlequay.requests.quotas import ProcessQuotas
-from paddlequay.routing.failure_detector import LatencyDistribution, RelativeLatency
 from paddlequay.routing.interface import MemberState, Outcome
 
 LOGGER = logging.getLogger(__name__)
--- a/paddlequay/policy/results.py
+++ b/paddlequay/policy/attempt_results.py
@@ -2,9 +2,9 @@
 
 import math
 
-from paddlequay.policy.outliers import RECENT_SUCCESS_S
+from paddlequay.policy.concurrency_limits import FILL_SHARE
+from paddlequay.policy.outlier_ejection import RECENT_SUCCESS_S
 from paddlequay.policy.router_state import RouterState
-from paddlequay.routing.concurrency import FILL_SHARE
 from paddlequay.routing.interface import Action, AttemptEnded, Outcome, ReplyDetail
 from paddlequay.routing.state import AttemptState, CacheTier, RequestState, Upstream
 
--- a/paddlequay/routing/concurrency.py
+++ b/paddlequay/policy/concurrency_limits.py
@@ -7,10 +7,10 @@
 import math
 from collections.abc import Iterable, Mapping
 
+from paddlequay.policy.fill_admission import LinkLoad
+from paddlequay.policy.load_shedding import MAX_REPORT_AGE_S, ZoneLoad
 from paddlequay.routing.interface import RoutingSettings
-from paddlequay.routing.link_load import LinkLoad
-from paddlequay.routing.state import AttemptState, CacheTier, Upstream
-from paddlequay.routing.zone_load import ZoneLoad
+from paddlequay.routing.state import AttemptState, CacheTier, RequestState, Upstream
 
 MIN_LIMIT, MAX_LIMIT = 2.0, 1000.0  # in flight at a member from all routers, in mean requests
 # What an edge can bear, its first report tells within a second; parents report to no router.
@@ -23,10 +23,11 @@
 SPARE_CPU_USE, SPARE_LINK_MULTIPLE = 0.4, 0.8  # a member that reports less than these has spare capacity
 SPARE_CAPACITY_GROWTH = 1.25  # what was in flight at a report of spare capacity, and this much more, fits
 LATE_DECAY_S = 1.0  # by time, not by answers: a router that sends once a second must see a jam as well
+SHARE_TOLERANCE = 1.5  # roots of its share that a router may be above it: few requests come unevenly
 MAX_LATE_SHARE = 0.15  # of answers past the objective: less is the tail of sizes, not a jam
 
 
-class ConcurrencyTracker:
+class ConcurrencyLimits:
     """Work in flight at members, their limits, and how many routers' worth of sending meets at each."""
 
     def __init__(self, settings: RoutingSettings, zone_load: ZoneLoad, zone_link: LinkLoad) -> None:
@@ -102,3 +103,15 @@
         for upstream in upstreams:
             inherited = state.get(f"limit {upstream.member.name}", 0.0)
             upstream.concurrency_limit = min(MAX_LIMIT, max(upstream.concurrency_limit, inherited))
+
+    def is_busy(self, upstream: Upstream, request: RequestState, now: float) -> bool:
+        """Whether its limit is reached: large transfers reach it first, and a share under one sheds some."""
+        reported = self.zone_load.has_fresh_report(upstream.member.name, now)
+        late = upstream.late_share > MAX_LATE_SHARE and not reported
+        if not late and (now - upstream.spare_capacity_at < MAX_REPORT_AGE_S or upstream.in_flight == 0):
+            return False  # nothing out, no jam: a share under one request would shed by chance, not by load
+        share = upstream.concurrency_limit / self.contending_routers[upstream.tier]
+        limit = share + SHARE_TOLERANCE * math.sqrt(share)
+        if request.cost * request.sampling_draw > limit:
+            return True
+        return upstream.in_flight > 0 and upstream.in_flight + request.cost > limit
--- a/paddlequay/routing/link_load.py
+++ b/paddlequay/policy/fill_admission.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
+from paddlequay.policy.load_shedding import position_in_span
 from paddlequay.routing.interface import RequestClass, RoutingSettings
-from paddlequay.routing.zone_load import position_in_span
 
 # Objectives allow twice the sending time and a constant: three times as long is late by itself.
 FILL_SPAN = (1.0, 3.0)
--- a/paddlequay/policy/members.py
+++ b/paddlequay/policy/member_directory.py
@@ -4,11 +4,11 @@
 
 from paddlequay.placement.following import Following
 from paddlequay.placement.homes import Homes
-from paddlequay.routing.concurrency import INITIAL_LIMIT, MAX_LIMIT, MIN_LIMIT, MIN_LIMIT_PER_TRANSFER
+from paddlequay.policy.concurrency_limits import INITIAL_LIMIT, MAX_LIMIT, MIN_LIMIT, MIN_LIMIT_PER_TRANSFER
+from paddlequay.policy.load_shedding import ZoneLoad
+from paddlequay.policy.slow_start import SlowStartLimiter
 from paddlequay.routing.interface import Member, MembersChanged, MemberState, RoutingSettings, SlowStart
-from paddlequay.routing.slow_start import SlowStartLimiter
 from paddlequay.routing.state import CacheTier, Upstream
-from paddlequay.routing.zone_load import ZoneLoad
 
 EDGE, PARENT, ORIGIN = CacheTier.EDGE, CacheTier.PARENT, CacheTier.ORIGIN
 
--- a/paddlequay/routing/origin_load.py
+++ b/paddlequay/policy/origin_shedding.py
@@ -11,7 +11,7 @@
 import math
 from dataclasses import dataclass
 
-from paddlequay.routing.zone_load import MAX_REPORT_AGE_S, position_in_span
+from paddlequay.policy.load_shedding import MAX_REPORT_AGE_S, position_in_span
 
 DECAY_S = 1.0  # of the mean wait: a jam builds up within a second or two
 WAIT_SPAN = (
--- a/paddlequay/policy/source_selection.py
+++ b/paddlequay/policy/route_selection.py
@@ -4,10 +4,10 @@
 from itertools import chain, islice
 
 from paddlequay.placement.homes import digest, place
+from paddlequay.policy.fill_admission import cost_per_weight
 from paddlequay.policy.hot_objects import SPREAD_READS
 from paddlequay.policy.router_state import RouterState
 from paddlequay.routing.interface import RejectCause
-from paddlequay.routing.link_load import cost_per_weight
 from paddlequay.routing.state import CacheTier, RequestState, Upstream
 
 EDGE, PARENT = CacheTier.EDGE, CacheTier.PARENT
--- a/paddlequay/policy/router.py
+++ b/paddlequay/policy/router.py
@@ -4,11 +4,11 @@
 from collections.abc import Iterator
 
 from paddlequay.config.settings import check_settings
+from paddlequay.policy.attempt_results import ResultHandler
 from paddlequay.policy.attempts import AttemptManager
 from paddlequay.policy.rejection import give_up
-from paddlequay.policy.results import ResultHandler
+from paddlequay.policy.route_selection import SourceSelector
 from paddlequay.policy.router_state import RouterState
-from paddlequay.policy.source_selection import SourceSelector
 from paddlequay.routing import interface
 from paddlequay.routing.state import CacheTier, RequestState, Upstream
 
--- a/paddlequay/policy/router_state.py
+++ b/paddlequay/policy/router_state.py
@@ -1,15 +1,15 @@
 """The state of one router by the part that owns it: nobody else writes a part's state."""
 
+from paddlequay.policy.concurrency_limits import ConcurrencyLimits
+from paddlequay.policy.copy_age import PurgeHistory
+from paddlequay.policy.fill_admission import LinkLoad
 from paddlequay.policy.hot_objects import HotObjects
-from paddlequay.policy.limits import ConcurrencyLimits
-from paddlequay.policy.members import MemberDirectory
-from paddlequay.policy.outliers import CancelWaiting, OutlierDetector
-from paddlequay.routing.history import PurgeHistory
+from paddlequay.policy.load_shedding import ZoneLoad
+from paddlequay.policy.member_directory import MemberDirectory
+from paddlequay.policy.origin_shedding import OriginWait
+from paddlequay.policy.outlier_ejection import CancelWaiting, OutlierDetector
 from paddlequay.routing.interface import RoutingSettings
 from paddlequay.routing.latency import LatencyEstimator
-from paddlequay.routing.link_load import LinkLoad
-from paddlequay.routing.origin_load import OriginWait
-from paddlequay.routing.zone_load import ZoneLoad
 
 
 class RouterState:
--- a/paddlequay/routing/slow_start.py
+++ b/paddlequay/policy/slow_start.py
@@ -8,9 +8,9 @@
 
 import math
 from collections.abc import Iterable
-from dataclasses import dataclass
 
 from paddlequay.routing.interface import SlowStart
+from paddlequay.routing.state import TokenBucket
 
 # Of the settings' multiple: what a cold member is sent, as the load that warm ones bear may near capacity.
 RATE_SAFETY_SHARE = 0.7
@@ -23,19 +23,6 @@
 DECAY_S = 10.0  # of the load served by a warm member; longer than a burst
 
 
-@dataclass(slots=True)
-class TokenBucket:
-    """Work that may be sent to one member that warms up; `updated_at` is None while it is warm."""
-
-    tokens: float = 0.0
-    updated_at: float | None = None
-
-    def take(self, work: float) -> None:
-        """Work goes to the member; a negative amount comes back, as it was not done."""
-        if self.updated_at is not None:
-            self.tokens -= work
-
-
 class SlowStartLimiter:
     """Slow start for one tier of members, by the load that the warm ones of it bear.
 
--- a/paddlequay/routing/latency.py
+++ b/paddlequay/routing/latency.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Mapping
 
-from paddlequay.routing.history import LowestWindowMean
 from paddlequay.routing.interface import Request, RoutingSettings
 from paddlequay.routing.state import RequestState
 
@@ -14,6 +13,22 @@
 CALM_ANSWERS = 50  # sizes unknown: the lowest mean latency of so many answers stands for the work
 
 
+class LowestWindowMean:
+    """The lowest mean of `window` values in a row, by name; bounded by the names."""
+
+    def __init__(self, window: int) -> None:
+        self.window = window
+        self.sums: dict[str, tuple[int, float]] = {}
+
+    def update(self, name: str, value: float, lowest: float) -> float:
+        """Another value: the lesser of `lowest` and the mean of the window, where that is full."""
+        count, total = self.sums.pop(name, (0, 0.0))
+        if count + 1 >= self.window:
+            return min(lowest, (total + value) / (count + 1))
+        self.sums[name] = (count + 1, total + value)
+        return lowest
+
+
 class LatencyEstimator:
     """Work in seconds, and latency as a multiple of the objective, for each class of the settings."""
 
--- a/paddlequay/routing/state.py
+++ b/paddlequay/routing/state.py
@@ -8,7 +8,6 @@
 from enum import Enum
 
 from paddlequay.routing.interface import Member, MemberState, Request, RequestClass, RetryBound
-from paddlequay.routing.slow_start import TokenBucket
 
 
 class CacheTier(Enum):
@@ -19,16 +18,29 @@
     ORIGIN = 2
 
 
+@dataclass(slots=True)
+class TokenBucket:
+    """Work that may be sent to one member that warms up; `updated_at` is None while it is warm."""
+
+    tokens: float = 0.0
+    updated_at: float | None = None
+
+    def take(self, work: float) -> None:
+        """Work goes to the member; a negative amount comes back, as it was not done."""
+        if self.updated_at is not None:
+            self.tokens -= work
+
+
 @dataclass(slots=True)
 class Upstream:
     """What the router knows of one member of its list. Times are seconds of its clock."""
 
-    # policy/members.py
+    # policy/member_directory.py
     member: Member
     tier: CacheTier
     listed_at: float
     presumed_restart_at: float | None = None  # taken to have restarted then, before the list says so
-    # policy/outliers.py
+    # policy/outlier_ejection.py
     failures: int = 0
     last_failure_at: float = -math.inf
     ejected: bool = False
@@ -36,14 +48,14 @@
     probe_at: float = 0.0
     probe_request: str | None = None
     transfer_capacity: float | None = None  # transfers at full rate that its outgoing link bears, if known
-    # routing/concurrency.py: work in flight there, and its limit, in mean requests
+    # policy/concurrency_limits.py: work in flight there, and its limit, in mean requests
     concurrency_limit: float = 0.0
     in_flight: float = 0.0
     late_share: float = 0.0
     late_share_at: float = -math.inf
     limit_cut_at: float = -math.inf
     spare_capacity_at: float = -math.inf
-    # routing/slow_start.py, by whoever sends
+    # policy/slow_start.py, by whoever sends
     slow_start_bucket: TokenBucket = field(default_factory=TokenBucket)
 
     @property
@@ -95,14 +107,14 @@
     # policy/attempts.py
     attempts: list[AttemptState] = field(default_factory=list)
     possibly_executed: AttemptState | None = None
-    # policy/results.py
+    # policy/attempt_results.py
     failed_members: list[str] = field(default_factory=list)
     error_count: int = 0
     connection_lost: bool = False
     source_missed: bool = False  # no source has it, or none can reach it
     # policy/attempts.py
     retry_budget_spent: bool = False
-    # policy/source_selection.py
+    # policy/route_selection.py
     link_full: bool = False
     only_if_cached: bool = False
 
--- a/tests/policy/test_failure_detector.py
+++ b/tests/policy/test_failure_detector.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from paddlequay.routing.failure_detector import MAX_SAMPLES, LatencyDistribution, RelativeLatency
+from paddlequay.policy.failure_detector import MAX_SAMPLES, LatencyDistribution, RelativeLatency
 
 
 def test_many_small_unanswered_requests_are_suspicious_and_few_large_ones_are_not() -> None:
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -5,10 +5,10 @@
 import pytest
 
 from paddlequay.policy import Router
-from paddlequay.policy.limits import MAX_REPORT_AGE_S, SHARE_TOLERANCE
-from paddlequay.policy.outliers import EJECTION_FAILURES, PROBE_DELAY_S
-from paddlequay.routing.concurrency import INITIAL_LIMIT
-from paddlequay.routing.history import MAX_OBJECT_AGE_S
+from paddlequay.policy.concurrency_limits import INITIAL_LIMIT, SHARE_TOLERANCE
+from paddlequay.policy.hot_objects import MAX_OBJECT_AGE_S
+from paddlequay.policy.load_shedding import MAX_REPORT_AGE_S
+from paddlequay.policy.outlier_ejection import EJECTION_FAILURES, PROBE_DELAY_S
 from paddlequay.routing.interface import (
     AttemptEnded,
     ClientDisconnected,
--- a/tests/policy/test_link_load.py
+++ b/tests/policy/test_link_load.py
@@ -8,8 +8,8 @@
 from test_policy_sizes import FITS, SIZED_PARENTS, sized
 
 from paddlequay.config.settings import parse_settings
+from paddlequay.policy.fill_admission import BYPASS_SPAN, FILL_SPAN, LinkLoad
 from paddlequay.routing.interface import Fetch, Member, MemberState, Outcome, Reject
-from paddlequay.routing.link_load import BYPASS_SPAN, FILL_SPAN, LinkLoad
 from paddlequay.routing.state import CacheTier
 
 
--- a/tests/policy/test_origin_load.py
+++ b/tests/policy/test_origin_load.py
@@ -3,9 +3,9 @@
 import pytest
 from driver import EDGES, ORIGIN, PARENTS, Driver
 
+from paddlequay.policy.load_shedding import MAX_REPORT_AGE_S
+from paddlequay.policy.origin_shedding import DECAY_S, WAIT_SPAN, OriginWait
 from paddlequay.routing.interface import AttemptEnded, ClientDisconnected, Fetch, Outcome, Reject, ReplyDetail
-from paddlequay.routing.origin_load import DECAY_S, WAIT_SPAN, OriginWait
-from paddlequay.routing.zone_load import MAX_REPORT_AGE_S
 
 
 def fill(
--- a/tests/policy/test_policy_attempts.py
+++ b/tests/policy/test_policy_attempts.py
@@ -4,7 +4,7 @@
 from driver import Driver, fetches
 
 from paddlequay.policy.attempts import MAX_RETRY_BUDGET, RETRY_BUDGET_RATIO
-from paddlequay.routing.history import MAX_PURGES
+from paddlequay.policy.copy_age import MAX_PURGES
 from paddlequay.routing.interface import ClientDisconnected, Fail, Fetch, Outcome, Purged, Reject, ReplyDetail
 
 
--- a/tests/policy/test_policy_members.py
+++ b/tests/policy/test_policy_members.py
@@ -6,7 +6,7 @@
 from driver import EDGES, ORIGIN, PARENTS, Driver, fetches, settings
 
 from paddlequay.policy import Router
-from paddlequay.policy.outliers import EJECTION_FAILURES, SAME_FAULT_S
+from paddlequay.policy.outlier_ejection import EJECTION_FAILURES, SAME_FAULT_S
 from paddlequay.routing.interface import (
     AttemptEnded,
     ClientDisconnected,
--- a/tests/policy/test_policy_outliers.py
+++ b/tests/policy/test_policy_outliers.py
@@ -3,7 +3,12 @@
 import pytest
 from driver import Driver, fetches
 
-from paddlequay.policy.outliers import EJECTION_FAILURES, PROBE_DELAY_S, RECENT_SUCCESS_S, SAME_FAULT_S
+from paddlequay.policy.outlier_ejection import (
+    EJECTION_FAILURES,
+    PROBE_DELAY_S,
+    RECENT_SUCCESS_S,
+    SAME_FAULT_S,
+)
 from paddlequay.routing.interface import (
     Action,
     AttemptEnded,
--- a/tests/policy/test_policy_sizes.py
+++ b/tests/policy/test_policy_sizes.py
@@ -6,7 +6,7 @@
 import pytest
 from driver import EDGES, EVERYBODY, ORIGIN, PARENTS, Driver
 
-from paddlequay.routing.concurrency import (
+from paddlequay.policy.concurrency_limits import (
     INITIAL_LIMIT,
     LIMIT_GROWTH,
     MAX_LIMIT,
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from paddlequay.routing.interface import SlowStart
-from paddlequay.routing.slow_start import (
+from paddlequay.policy.slow_start import (
     MIN_REPORTED_USE,
     RATE_SAFETY_SHARE,
     REPORTED_CAPACITY_SHARE,
     SlowStartLimiter,
-    TokenBucket,
 )
+from paddlequay.routing.interface import SlowStart
+from paddlequay.routing.state import TokenBucket
 
 RAMP = SlowStart(initial_share=0.17, duration=15.0, overload_multiple=2.5, overload_window=2.0)
 
--- a/tests/policy/test_zone_load.py
+++ b/tests/policy/test_zone_load.py
@@ -11,9 +11,7 @@
 from hypothesis import strategies as st
 
 from paddlequay.placement.homes import Homes, digest
-from paddlequay.routing.interface import AttemptEnded, Fetch, Outcome, Reject, ReplyDetail
-from paddlequay.routing.state import CacheTier
-from paddlequay.routing.zone_load import (
+from paddlequay.policy.load_shedding import (
     EDGE_SPAN,
     LINK_SPAN,
     MAX_REPORT_AGE_S,
@@ -22,6 +20,8 @@
     ZoneLoad,
     position_in_span,
 )
+from paddlequay.routing.interface import AttemptEnded, Fetch, Outcome, Reject, ReplyDetail
+from paddlequay.routing.state import CacheTier
 
 IDLE = {"active": 2.0, "cpu": 0.2, "x1": 0.3}
 FULL_LINK = IDLE | {"x1": 2 * LINK_SPAN[1]}
--- a/tests/race_conditions/test_large_requests.py
+++ b/tests/race_conditions/test_large_requests.py
@@ -16,6 +16,7 @@
 
 from paddlequay.policy import Router
 from paddlequay.policy.attempts import AttemptManager
+from paddlequay.policy.fill_admission import cost_per_weight
 from paddlequay.policy.router_state import RouterState
 from paddlequay.routing.interface import (
     AttemptEnded,
@@ -26,7 +27,6 @@
     Request,
     RequestClass,
 )
-from paddlequay.routing.link_load import cost_per_weight
 from paddlequay.routing.state import AttemptState, CacheTier, ObjectState, RequestState, Upstream
 
 FILM = RequestClass(
