--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,4 @@
-"""A router driven by scripted events: its list, its classes, and short ways to say what happens."""
+"""A router driven by scripted events: its members and classes, and short methods for what happens to it."""
 
 from paddlequay.policy import Router
 from paddlequay.routing.interface import (
@@ -38,6 +38,7 @@
 PARENTS = tuple(Member(f"parent-{n}", "hub", "parent", 0, MemberState.READY) for n in range(3))
 ORIGIN = Member("origin-0", "hub", "origin", 0, MemberState.READY)
 EVERYBODY = (*EDGES, AWAY, *PARENTS, ORIGIN)
+ANSWER_LATENCY_S = 0.05
 
 
 def settings(**changes: object) -> RoutingSettings:
@@ -61,7 +62,7 @@
 
 
 class Driver:
-    """A router with its list, and short ways to say what happens to it."""
+    """A router with its members, and short methods for what happens to it."""
 
     def __init__(self, members: tuple[Member, ...] = EVERYBODY, **changes: object) -> None:
         self.router = Router(settings(**changes), seed=1)
@@ -69,30 +70,32 @@
         self.count = 0
         self.started = self.router.handle(MembersChanged(members, full=True), self.now)
 
-    def ask(
-        self, key: int = 7, part: int = 0, kind: str = "pages", group: int = 1, left: float = 2.0
+    def request(
+        self, key: int = 7, part: int = 0, class_name: str = "pages", group: int = 1, time_left: float = 2.0
     ) -> list[Action]:
         self.count += 1
-        request = Request(f"r{self.count}", kind, left, key, part, group)
+        request = Request(f"r{self.count}", class_name, time_left, key, part, group)
         return self.router.handle(request, self.now)
 
-    def fetch(self, key: int = 7, part: int = 0, kind: str = "pages") -> Fetch:
-        (action,) = self.ask(key, part, kind)
+    def fetch(self, key: int = 7, part: int = 0, class_name: str = "pages") -> Fetch:
+        (action,) = self.request(key, part, class_name)
         assert isinstance(action, Fetch)
         return action
 
     def end(
-        self, fetch: Fetch, outcome: Outcome, note: ReplyDetail | None = None, attempt: int = 0
+        self, fetch: Fetch, outcome: Outcome, detail: ReplyDetail | None = None, attempt: int = 0
     ) -> list[Action]:
         final = outcome is Outcome.SERVED
-        took = (fetch.timeout or 0.05) if outcome is Outcome.TIMEOUT else 0.05
-        event = AttemptEnded(fetch.request, attempt, fetch.target, outcome, took, final, note)
+        timed_out = outcome is Outcome.TIMEOUT
+        latency = (fetch.timeout or ANSWER_LATENCY_S) if timed_out else ANSWER_LATENCY_S
+        event = AttemptEnded(fetch.request, attempt, fetch.target, outcome, latency, final, detail)
         return self.router.handle(event, self.now)
 
-    def serve(self, fetch: Fetch, note: ReplyDetail | None = None) -> None:
-        assert not any(isinstance(a, Fetch | Reject | Fail) for a in self.end(fetch, Outcome.SERVED, note))
+    def serve(self, fetch: Fetch, detail: ReplyDetail | None = None) -> None:
+        actions = self.end(fetch, Outcome.SERVED, detail)
+        assert not any(isinstance(action, Fetch | Reject | Fail) for action in actions)
 
-    def list(self, *members: Member, full: bool = False) -> list[Action]:
+    def update_members(self, *members: Member, full: bool = False) -> list[Action]:
         return self.router.handle(MembersChanged(members, full), self.now)
 
 
--- a/tests/policy/test_policy_limits.py
+++ b/tests/policy/test_concurrency_limits.py
@@ -1,4 +1,4 @@
-"""Limits of work out at members: what is shed, and what moves them."""
+"""Concurrency limits: which requests they shed, and how answers change them."""
 
 import pytest
 from driver import EDGES, ORIGIN, Driver, fetches
@@ -8,13 +8,13 @@
 
 @pytest.mark.parametrize("routers_here", [1, 200])
 def test_an_idle_router_among_many_rejects_nothing_while_nothing_is_in_flight_or_late(
-    routers_here: int,
+    zone_routers: int,
 ) -> None:
-    """calm+mass, 200 routers: 23.5% refused with no fault, by chance on a share of the limit under one."""
-    driver = Driver(router_count=200, zone_router_count=routers_here)
+    """A quota below one request must not reject by chance, as for 23.5% of requests with 200 routers."""
+    driver = Driver(router_count=200, zone_router_count=zone_routers)
     for key in range(1000):
         driver.now += 0.05
-        actions = driver.ask(key % 300)
+        actions = driver.request(key % 300)
         assert not any(isinstance(action, Reject | Fail) for action in actions)
         for fetch in fetches(actions):
             driver.now += 0.001
@@ -22,18 +22,18 @@
 
 
 def test_a_quota_under_one_request_still_sheds_while_answers_are_late() -> None:
-    """The guard of a jam stays: many routers behind a late member each send less of what comes."""
+    """In an overload, each of many routers must send a share of its requests only."""
     driver = Driver(members=(EDGES[0], ORIGIN), router_count=200, zone_router_count=67, bypass_allowed=False)
     fetch = driver.fetch()
     driver.now += 0.6
     driver.router.handle(AttemptEnded(fetch.request, 0, fetch.target, Outcome.SERVED, 2.0, True), driver.now)
-    actions = [action for key in range(200) for action in driver.ask(key)]
-    refused = sum(isinstance(action, Reject) for action in actions)
-    assert 0 < refused < 200
+    actions = [action for key in range(200) for action in driver.request(key)]
+    rejected = sum(isinstance(action, Reject) for action in actions)
+    assert 0 < rejected < 200
 
 
 def test_late_answers_lower_a_members_limit_and_timely_ones_raise_it() -> None:
-    """Incident i732561: in a jam nothing was late to the router, so nothing was shed."""
+    """Incident i732561: no answer counted as late in an overload, so nothing was shed."""
     driver = Driver()
     name = driver.fetch().target
     start = driver.router.state.members.upstreams[name].concurrency_limit
@@ -46,29 +46,29 @@
     assert lowered < start / 2
     for _ in range(40):
         driver.now += 1.0
-        held = [action for _ in range(4) for action in fetches(driver.ask(part=0))]
-        for fetch in held:
+        in_flight = [action for _ in range(4) for action in fetches(driver.request(part=0))]
+        for fetch in in_flight:
             driver.serve(fetch, ReplyDetail.HIT)
     assert driver.router.state.members.upstreams[name].concurrency_limit > lowered
 
 
 @pytest.mark.parametrize(("waited", "at_fault"), [(1.5, "source"), (None, "source"), (0.1, "target")])
 def test_a_late_fill_counts_against_the_source_only_if_it_waited_for_it(
-    waited: float | None, at_fault: str
+    source_wait: float | None, at_fault: str
 ) -> None:
-    """upgrade+hand: one edge bore its whole location and was late, and parents' limits were cut for it."""
+    """An edge that serves its whole zone is late by itself; the parents' limits must not be cut for it."""
     driver = Driver()
-    servers = driver.router.state.members.upstreams
+    upstreams = driver.router.state.members.upstreams
     first = driver.fetch()
-    before = {name: servers[name].concurrency_limit for name in (first.target, first.source)}
+    before = {name: upstreams[name].concurrency_limit for name in (first.target, first.source)}
     for _ in range(10):
         fetch = driver.fetch()
         driver.now += 0.6
         driver.router.handle(
             AttemptEnded(
-                fetch.request, 0, fetch.target, Outcome.SERVED, 2.0, True, ReplyDetail.FILLED, waited
+                fetch.request, 0, fetch.target, Outcome.SERVED, 2.0, True, ReplyDetail.FILLED, source_wait
             ),
             driver.now,
         )
-    cut = {name for name, limit in before.items() if servers[name].concurrency_limit < limit}
+    cut = {name for name, limit in before.items() if upstreams[name].concurrency_limit < limit}
     assert cut == {first.source if at_fault == "source" else first.target}
--- a/tests/policy/test_policy_sizes.py
+++ b/tests/policy/test_configured_sizes.py
@@ -1,4 +1,4 @@
-"""Limits where the settings tell members' ways out, and answers carry neither notes nor load."""
+"""Concurrency limits with configured outgoing links, without reply details and load reports."""
 
 import math
 from dataclasses import replace
@@ -16,26 +16,28 @@
 from paddlequay.routing.interface import AttemptEnded, Fetch, Member, MemberState, Outcome
 from paddlequay.routing.state import CacheTier
 
-FITS = 4.0
-SIZED_EDGES = tuple(Member(each.name, "here", "cache", 0, MemberState.READY, FITS) for each in EDGES)
+TRANSFER_CAPACITY = 4.0
+SIZED_EDGES = tuple(
+    Member(each.name, "here", "cache", 0, MemberState.READY, TRANSFER_CAPACITY) for each in EDGES
+)
 SIZED_PARENTS = tuple(Member(each.name, "hub", "parent", 0, MemberState.READY, 20.0) for each in PARENTS)
 SIZED = (*SIZED_EDGES, *SIZED_PARENTS, ORIGIN)
 
 
 def sized(link: float | None = None, **changes: object) -> Driver:
-    """A router alone at its edges, whose answers carry neither notes nor load; the link in transfers."""
-    told: dict[str, object] = {
+    """A router alone at its edges, without reply details and load reports; `link` in transfers."""
+    values: dict[str, object] = {
         "router_count": 2,
         "zone_router_count": 1,
         "flow_kb_per_s": 1000.0,
         "weights": "nominal",
     }
-    told |= {"detailed_replies": False, "coalesces_fills": False, "link_kb_per_s": link and 1000.0 * link}
-    return Driver(members=SIZED, **(told | changes))
+    values |= {"detailed_replies": False, "coalesces_fills": False, "link_kb_per_s": link and 1000.0 * link}
+    return Driver(members=SIZED, **(values | changes))
 
 
-def late(driver: Driver, times: int) -> None:
-    """So many answers far past their aim, none with a note."""
+def serve_late(driver: Driver, times: int) -> None:
+    """Serves so many requests far past their latency objective, without reply details."""
     for key in range(times):
         fetch = driver.fetch(key)
         driver.now += 0.6
@@ -47,48 +49,51 @@
 def test_limits_start_from_the_uplink_size_only_where_weights_give_it(
     weights: str | None, known: bool
 ) -> None:
-    servers = sized(weights=weights).router.state.members.upstreams
+    upstreams = sized(weights=weights).router.state.members.upstreams
     for tier, name in (
         (CacheTier.EDGE, "edge-0"),
         (CacheTier.PARENT, "parent-0"),
         (CacheTier.ORIGIN, ORIGIN.name),
     ):
-        fits = servers[name].member.weight if known else None
-        assert servers[name].transfer_capacity == fits
-        assert servers[name].concurrency_limit == (
+        fits = upstreams[name].member.weight if known else None
+        assert upstreams[name].transfer_capacity == fits
+        assert upstreams[name].concurrency_limit == (
             MIN_REQUESTS_PER_TRANSFER * fits if fits else INITIAL_LIMIT_REQUESTS[tier]
         )
 
 
 def test_late_answers_cut_no_limit_below_the_uplink_capacity() -> None:
-    """rough-1: limits of parents of 16 and 22 transfers were cut to 2, and 506 of 729 refusals came of it."""
+    """Limits of parents of 16 and 22 transfers, cut to 2, caused 506 of 729 rejections of one day."""
     driver = sized()
-    late(driver, 60)
+    serve_late(driver, 60)
     limits = [driver.router.state.members.upstreams[each.name].concurrency_limit for each in SIZED_EDGES]
-    assert min(limits) == MIN_REQUESTS_PER_TRANSFER * FITS
+    assert min(limits) == MIN_REQUESTS_PER_TRANSFER * TRANSFER_CAPACITY
 
 
 def test_a_parents_limit_does_not_grow_past_its_configured_size_without_feedback() -> None:
-    limits, servers = (driver := sized()).router.state.limits, driver.router.state.members.upstreams
-    for sought in (servers["parent-0"], servers[ORIGIN.name]):
-        sought.in_flight, start = sought.concurrency_limit, sought.concurrency_limit
+    driver = sized()
+    limits = driver.router.state.limits
+    upstreams = driver.router.state.members.upstreams
+    for upstream in (upstreams["parent-0"], upstreams[ORIGIN.name]):
+        start = upstream.concurrency_limit
+        upstream.in_flight = start
         for _ in range(20):
             driver.now += 1.0
-            limits.record_answer(sought, False, driver.now)
-        told = sought.transfer_capacity is not None
-        assert (sought.concurrency_limit < start * math.exp(21 * LIMIT_GROWTH_PER_S)) is told
+            limits.record_answer(upstream, False, driver.now)
+        has_size = upstream.transfer_capacity is not None
+        assert (upstream.concurrency_limit < start * math.exp(21 * LIMIT_GROWTH_PER_S)) is has_size
 
 
 def test_late_answers_without_a_reply_detail_do_not_count_against_parents() -> None:
     driver = sized()
-    late(driver, 60)
+    serve_late(driver, 60)
     for parent in SIZED_PARENTS:
-        server = driver.router.state.members.upstreams[parent.name]
-        assert server.late_ratio == 0.0 and server.concurrency_limit == MIN_REQUESTS_PER_TRANSFER * 20.0
+        upstream = driver.router.state.members.upstreams[parent.name]
+        assert upstream.late_ratio == 0.0 and upstream.concurrency_limit == MIN_REQUESTS_PER_TRANSFER * 20.0
 
 
 def test_without_reply_details_timely_answers_clear_a_parent_that_timed_out() -> None:
-    """Blamed for fills that fail and never credited, it stayed late for good, and idle parents shed."""
+    """A parent at fault for fills that fail must get credit for fills that succeed."""
     driver = Driver(detailed_replies=False, router_count=12, zone_router_count=4)
     for number in range(6):
         driver.now += 0.6
@@ -99,7 +104,7 @@
     served = 0
     for number in range(200):
         driver.now += 0.2
-        (action,) = driver.ask(key=1000 + number)
+        (action,) = driver.request(key=1000 + number)
         if isinstance(action, Fetch):
             served += action.source == parent.member.name
             driver.serve(action)
@@ -111,6 +116,6 @@
         members = tuple(replace(each, weight=weight) for each in EVERYBODY)
         driver = Driver(members, weights="nominal", flow_kb_per_s=300.0)
         for number in range(12):
-            driver.ask(key=number)
-        limits = [server.concurrency_limit for server in driver.router.state.members.upstreams.values()]
+            driver.request(key=number)
+        limits = [upstream.concurrency_limit for upstream in driver.router.state.members.upstreams.values()]
         assert all(MIN_LIMIT_REQUESTS <= limit <= MAX_LIMIT_REQUESTS for limit in limits), (weight, limits)
--- a/tests/policy/test_failure_detector.py
+++ b/tests/policy/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Silence by how seldom answers take so long: pure, without sockets."""
+"""The failure detector, by how rarely answers take as long as the requests wait."""
 
 import pytest
 from hypothesis import given
@@ -8,7 +8,7 @@
 
 
 def test_many_small_unanswered_requests_are_suspicious_and_few_large_ones_are_not() -> None:
-    """calm+mass: 185 live connections were ended, 706 requests with them: four videos out for 0.9 s each."""
+    """Four large requests in flight for 0.9 s had 185 live connections closed, with 706 requests."""
     waits = LatencyDistribution(0.3, ("video", "photo"))
     for number in range(200):
         waits.record("video", 0.5 + (number % 20) * 0.1)
@@ -28,7 +28,7 @@
 
 
 def test_a_latency_ratio_starts_at_its_first_sample() -> None:
-    """Begun at zero, a member passed for fast until dozens of answers had come."""
+    """A mean that starts at zero takes a member for fast until dozens of answers have come."""
     member, usual = RelativeLatency(), RelativeLatency()
     assert member.ratio_to(usual) == 1.0
     member.record(2.0)
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_many_routers.py
@@ -1,4 +1,4 @@
-"""Many routers at once: what all of them together send to one member, and what few answers may teach."""
+"""Many routers at once: what they send to one member together, and what few answers may change."""
 
 import random
 
@@ -38,10 +38,10 @@
 )
 WORK = 0.15  # as the module takes it to be before it has seen a size: each request costs 1
 SIZE_KB = 150.0
-COLD = SlowStart(initial_share=0.1, duration=20.0, overload_multiple=2.0, overload_window=3.0)
+SLOW_START = SlowStart(initial_share=0.1, duration=20.0, overload_multiple=2.0, overload_window=3.0)
 
 
-def fleet(routers: int, members: tuple[Member, ...], notes: bool = True) -> list[Router]:
+def fleet(routers: int, members: tuple[Member, ...], has_details: bool = True) -> list[Router]:
     settings = RoutingSettings(
         zone="here",
         classes=(PAGES,),
@@ -50,16 +50,16 @@
         parent_kind="parent",
         origin_kind="origin",
         coalesces_fills=True,
-        detailed_replies=notes,
+        detailed_replies=has_details,
         flow_kb_per_s=SIZE_KB / WORK,
         can_cancel=True,
-        parent_slow_start=COLD,
-        edge_slow_start=COLD,
+        parent_slow_start=SLOW_START,
+        edge_slow_start=SLOW_START,
     )
-    made = [Router(settings, seed) for seed in range(routers)]
-    for router in made:
+    all_routers = [Router(settings, seed) for seed in range(routers)]
+    for router in all_routers:
         router.handle(MembersChanged(members, full=True), 1.0)
-    return made
+    return all_routers
 
 
 def members(parents: int = 4, edges: int = 4) -> tuple[Member, ...]:
@@ -70,21 +70,21 @@
     )
 
 
-def ask(router: Router, name: str, key: int, now: float) -> list[Fetch]:
+def send(router: Router, name: str, key: int, now: float) -> list[Fetch]:
     actions = router.handle(Request(name, "pages", 2.5, key, 0, size_kb=SIZE_KB), now)
     return [action for action in actions if isinstance(action, Fetch)]
 
 
-def end(
+def end_attempt(
     router: Router,
     fetch: Fetch,
     outcome: Outcome,
     now: float,
-    note: ReplyDetail | None = None,
+    detail: ReplyDetail | None = None,
     attempt: int = 0,
 ) -> list[Fetch]:
     final = outcome is Outcome.SERVED
-    event = AttemptEnded(fetch.request, attempt, fetch.target, outcome, 0.05, final, note)
+    event = AttemptEnded(fetch.request, attempt, fetch.target, outcome, 0.05, final, detail)
     return [action for action in router.handle(event, now) if isinstance(action, Fetch)]
 
 
@@ -94,11 +94,11 @@
 def test_all_routers_together_do_not_overload_a_member_in_slow_start(
     routers: int, rate: float, restarts: str
 ) -> None:
-    """h324f1d: 191 routers had each saved up one request for one cold parent, and sent them together."""
-    made = fleet(routers, members(), notes=False)
+    """191 routers, each with tokens for one request to one parent in slow start, would overload it."""
+    all_routers = fleet(routers, members(), has_details=False)
     chance = random.Random(7)
     sent: list[float] = []
-    cold = f"{restarts}-0"
+    warming = f"{restarts}-0"
     start, surge, stop = 20.0, 26.0, 32.0
     now, number, restarted = 1.0, 0, False
     while now < stop:
@@ -107,35 +107,42 @@
         if now > start and not restarted:
             restarted = True
             zone, kind = ("hub", "parent") if restarts == "parent" else ("here", "cache")
-            entry = Member(cold, zone, kind, 1, MemberState.READY, None, now)
-            for router in made:
+            entry = Member(warming, zone, kind, 1, MemberState.READY, None, now)
+            for router in all_routers:
                 router.handle(MembersChanged((entry,)), now)
         number += 1
-        router = made[chance.randrange(routers)]
-        for fetch in ask(router, f"r{number}", number, now):
-            if cold in (fetch.target, fetch.source) and restarted:
+        router = all_routers[chance.randrange(routers)]
+        for fetch in send(router, f"r{number}", number, now):
+            if warming in (fetch.target, fetch.source) and restarted:
                 sent.append(now)
-            end(router, fetch, Outcome.SERVED, now)
+            end_attempt(router, fetch, Outcome.SERVED, now)
     # Four members bear the load at no more than 0.7 of what they can do.
-    assert COLD.initial_share and COLD.duration and COLD.overload_multiple and COLD.overload_window
+    assert (
+        SLOW_START.initial_share
+        and SLOW_START.duration
+        and SLOW_START.overload_multiple
+        and SLOW_START.overload_window
+    )
     capacity = rate * WORK / 4 / 0.7
     for last in sent:
-        share = COLD.initial_share + (1 - COLD.initial_share) * (last - start) / COLD.duration
-        work = WORK * sum(last - COLD.overload_window < at <= last for at in sent)
-        assert work <= COLD.overload_multiple * share * capacity * COLD.overload_window + 3 * WORK
+        share = (
+            SLOW_START.initial_share + (1 - SLOW_START.initial_share) * (last - start) / SLOW_START.duration
+        )
+        work = WORK * sum(last - SLOW_START.overload_window < at <= last for at in sent)
+        assert work <= SLOW_START.overload_multiple * share * capacity * SLOW_START.overload_window + 3 * WORK
     assert sent or rate / routers < 1.0  # thinner, it may get nothing while it is cold
 
 
 @pytest.mark.parametrize("routers", [1, 20, 200])
 def test_requests_in_flight_at_an_edge_are_bounded_for_any_number_of_routers(routers: int) -> None:
-    """i5566fa: sixteen places a router, times the routers of a location, were far more than an edge holds."""
-    made = fleet(routers, members(edges=1))
-    out = 0
+    """Sixteen requests for each router of a zone would be far more than an edge serves."""
+    all_routers = fleet(routers, members(edges=1))
+    in_flight = 0
     for number in range(4000):
-        out += len(ask(made[number % routers], f"r{number}", number, 2.0))
+        in_flight += len(send(all_routers[number % routers], f"r{number}", number, 2.0))
     share = INITIAL_LIMIT_REQUESTS[CacheTier.EDGE] / routers
-    most = routers * max(1.0, share + QUOTA_TOLERANCE_FACTOR * share**0.5)
-    assert routers <= out <= most + 1e-6
+    max_in_flight = routers * max(1.0, share + QUOTA_TOLERANCE_FACTOR * share**0.5)
+    assert routers <= in_flight <= max_in_flight + 1e-6
 
 
 @pytest.mark.parametrize(
@@ -147,100 +154,103 @@
         (0.1, 0.1, MAX_REPORT_AGE_S, True),
     ],
 )
-def test_an_edge_that_reports_capacity_is_not_full(cores: float, link: float, age: float, held: bool) -> None:
-    """A calm day, seed 3: half of it was refused for limits while the edges reported a tenth of their use."""
+def test_an_edge_that_reports_capacity_is_not_full(
+    cores: float, link: float, age: float, rejects: bool
+) -> None:
+    """Half of a calm day was rejected for limits while edges reported a utilization of a tenth."""
     (router,) = fleet(1, members(edges=1, parents=40))
-    (fetch,) = ask(router, "first", 1, 2.0)
+    (fetch,) = send(router, "first", 1, 2.0)
     report = LoadReport(4.0, cores, 0.5, link)
     answer = AttemptEnded(
         "first", 0, fetch.target, Outcome.SERVED, 0.05, True, ReplyDetail.FILLED, None, report
     )
     router.handle(answer, 2.0)
-    sent = sum(len(ask(router, f"r{number}", number, 2.0 + age)) for number in range(100))
-    assert (sent < 30) if held else (sent == 100)
+    sent = sum(len(send(router, f"r{number}", number, 2.0 + age)) for number in range(100))
+    assert (sent < 30) if rejects else (sent == 100)
 
 
-def test_a_full_edge_is_not_ejected_and_its_source_not_blamed() -> None:
-    """i633f50: edges that turned requests away were skipped, and the hits they held were lost."""
+def test_a_full_edge_is_not_ejected_and_its_source_not_at_fault() -> None:
+    """Incident i633f50: ejected for rejections, full edges no longer served what they had cached."""
     (router,) = fleet(1, members())
     for number in range(3 * EJECTION_FAILURES):
-        (fetch,) = ask(router, f"r{number}", 5, 2.0 + number)
-        for again in end(router, fetch, Outcome.REJECTED, 2.0 + number):
+        (fetch,) = send(router, f"r{number}", 5, 2.0 + number)
+        for again in end_attempt(router, fetch, Outcome.REJECTED, 2.0 + number):
             assert again.source == fetch.source
             router.handle(ClientDisconnected(again.request), 2.0 + number)
-    assert not any(server.ejected for server in router.state.members.upstreams.values())
+    assert not any(upstream.ejected for upstream in router.state.members.upstreams.values())
 
 
-def test_without_reply_details_a_rejection_blames_the_source_and_the_next_parent_is_used() -> None:
-    """tarjeta-branches-later big-1: a dead parent shows only as refusals of its fills."""
-    (router,) = fleet(1, members(), notes=False)
-    (fetch,) = ask(router, "r1", 5, 2.0)
-    (again,) = end(router, fetch, Outcome.REJECTED, 2.0)
+def test_without_reply_details_a_rejection_counts_against_the_source_and_the_next_parent_is_used() -> None:
+    """Without reply details, a dead parent shows only as rejections of its fills."""
+    (router,) = fleet(1, members(), has_details=False)
+    (fetch,) = send(router, "r1", 5, 2.0)
+    (again,) = end_attempt(router, fetch, Outcome.REJECTED, 2.0)
     assert again.target == fetch.target
     assert again.source.startswith("parent") and again.source != fetch.source
 
 
 def test_while_the_origin_is_down_only_cached_copies_are_requested_until_it_recovers() -> None:
-    """i633f50: misses waited at an origin that did not answer, in places that hits needed."""
+    """Incident i633f50: misses waited at a dead origin and occupied capacity that hits needed."""
     (router,) = fleet(1, members())
     now = 2.0
     for number in range(EJECTION_FAILURES):
-        (fetch,) = ask(router, f"r{number}", number, now)
+        (fetch,) = send(router, f"r{number}", number, now)
         assert not fetch.only_if_cached and fetch.max_age is None
-        (look,) = end(router, fetch, Outcome.REJECTED, now, ReplyDetail.ORIGIN_FAILED)
-        assert look.source == look.target and look.max_age == 38.0
-        assert end(router, look, Outcome.MISS, now, attempt=1) == []
-    (held,) = ask(router, "held", 50, now)
-    assert held.source.startswith("parent") and held.only_if_cached and held.max_age == 38.0
+        (cached_read,) = end_attempt(router, fetch, Outcome.REJECTED, now, ReplyDetail.ORIGIN_FAILED)
+        assert cached_read.source == cached_read.target and cached_read.max_age == 38.0
+        assert end_attempt(router, cached_read, Outcome.MISS, now, attempt=1) == []
+    (from_cache,) = send(router, "held", 50, now)
+    assert from_cache.source.startswith("parent")
+    assert from_cache.only_if_cached and from_cache.max_age == 38.0
     now += PROBE_DELAY_S
-    (trial,) = ask(router, "trial", 51, now)
-    (other,) = ask(router, "other", 52, now)
-    assert not trial.only_if_cached and other.only_if_cached
-    end(router, trial, Outcome.SERVED, now, ReplyDetail.FILLED_FROM_ORIGIN)
-    assert not ask(router, "after", 53, now)[0].only_if_cached
+    (probe,) = send(router, "trial", 51, now)
+    (other,) = send(router, "other", 52, now)
+    assert not probe.only_if_cached and other.only_if_cached
+    end_attempt(router, probe, Outcome.SERVED, now, ReplyDetail.FILLED_FROM_ORIGIN)
+    assert not send(router, "after", 53, now)[0].only_if_cached
 
 
 def test_a_restarted_member_counts_as_empty() -> None:
-    """Judged when a holder is looked up: the table of objects is not walked when a member leaves."""
+    """Holders are checked when they are looked up, not when a member leaves."""
     (router,) = fleet(1, members())
-    (fetch,) = ask(router, "r1", 5, 2.0)
-    end(router, fetch, Outcome.SERVED, 2.1, ReplyDetail.FILLED)
-    seen = next(iter(router.state.hot_objects.objects.values()))
-    assert router.state.hot_objects.holders(seen, router.state.members.upstreams, 2.2) == [fetch.target]
+    (fetch,) = send(router, "r1", 5, 2.0)
+    end_attempt(router, fetch, Outcome.SERVED, 2.1, ReplyDetail.FILLED)
+    part = next(iter(router.state.hot_objects.objects.values()))
+    assert router.state.hot_objects.holders(part, router.state.members.upstreams, 2.2) == [fetch.target]
     router.handle(
         MembersChanged((Member(fetch.target, "here", "cache", 0, MemberState.READY, None, 2.2),)), 2.2
     )
-    assert router.state.hot_objects.holders(seen, router.state.members.upstreams, 2.2) == []
+    assert router.state.hot_objects.holders(part, router.state.members.upstreams, 2.2) == []
 
 
 def test_removed_members_do_not_raise_the_limits_of_the_rest() -> None:
-    """h2d8a66: the load of the edges that had just left was held to be the last, cold one's."""
+    """The load of edges that have left must not count as that of the last one, in slow start."""
     (router,) = fleet(1, members(edges=4))
     for number in range(400):
-        (fetch,) = ask(router, f"r{number}", number, 2.0 + number / 40)
-        end(router, fetch, Outcome.SERVED, 2.0 + number / 40, ReplyDetail.HIT)
-    cold = Member("edge-0", "here", "cache", 0, MemberState.READY, None, 12.0)
-    router.handle(MembersChanged((cold,)), 12.0)
+        (fetch,) = send(router, f"r{number}", number, 2.0 + number / 40)
+        end_attempt(router, fetch, Outcome.SERVED, 2.0 + number / 40, ReplyDetail.HIT)
+    warming = Member("edge-0", "here", "cache", 0, MemberState.READY, None, 12.0)
+    router.handle(MembersChanged((warming,)), 12.0)
     before = router.state.members.slow_start[CacheTier.EDGE].allowed_rate(12.0, 12.0)
-    gone = tuple(Member(f"edge-{n}", state=MemberState.REMOVED) for n in range(1, 4))
-    router.handle(MembersChanged(gone), 12.0)
+    removed = tuple(Member(f"edge-{n}", state=MemberState.REMOVED) for n in range(1, 4))
+    router.handle(MembersChanged(removed), 12.0)
     assert before and router.state.members.slow_start[CacheTier.EDGE].allowed_rate(12.0, 12.0) == before
 
 
-def test_an_odd_count_of_routers_is_no_error() -> None:
+def test_a_router_count_of_none_or_zero_is_no_error() -> None:
     for count in (None, 0):
         settings = RoutingSettings(
             "here", (PAGES,), router_count=count, zone_router_count=count, parent_kind="parent"
         )
         router = Router(settings, 1)
         router.handle(MembersChanged(members(), full=True), 1.0)
-        assert ask(router, "r1", 5, 2.0)
+        assert send(router, "r1", 5, 2.0)
 
 
 def test_state_of_objects_read_long_ago_expires() -> None:
-    """churn+long: most objects are new, and a table that keeps each grows all day."""
+    """Most objects are new, so a table that keeps each would grow all day."""
     (router,) = fleet(1, members())
     for number in range(400):
-        for fetch in ask(router, f"r{number}", number, 2.0 + number):
-            end(router, fetch, Outcome.SERVED, 2.0 + number, ReplyDetail.HIT)
+        for fetch in send(router, f"r{number}", number, 2.0 + number):
+            end_attempt(router, fetch, Outcome.SERVED, 2.0 + number, ReplyDetail.HIT)
     assert len(router.state.hot_objects.objects) <= MAX_OBJECT_AGE_S + 2
--- a/tests/policy/test_policy_members.py
+++ b/tests/policy/test_member_directory.py
@@ -1,4 +1,4 @@
-"""The list, cold members, one process after another, and events that are no news."""
+"""The endpoint list, members in slow start, state from a predecessor, and events to be ignored."""
 
 from dataclasses import replace
 
@@ -31,13 +31,13 @@
     driver = Driver()
     home = driver.fetch()
     draining = Member(home.source, "hub", "parent", 0, MemberState.DRAINING)
-    driver.list(draining, Member(home.target, state=MemberState.REMOVED))
+    driver.update_members(draining, Member(home.target, state=MemberState.REMOVED))
     later = driver.fetch()
     assert later.source != home.source and later.target != home.target
 
 
 def test_a_member_back_from_a_drain_is_used_at_once_without_earlier_state() -> None:
-    """Put back by operators it was left unused, skipped for failures from before."""
+    """A member put back by operators must not stay ejected for failures from before."""
     driver = Driver()
     home = driver.fetch(key=7).target
     (edge,) = [each for each in EDGES if each.name == home]
@@ -45,57 +45,62 @@
         driver.end(driver.fetch(key=7), Outcome.CONNECT_FAILED)
         driver.now += 2 * SAME_FAULT_S
     assert driver.router.state.members.upstreams[home].ejected
-    driver.list(replace(edge, state=MemberState.DRAINING))
+    driver.update_members(replace(edge, state=MemberState.DRAINING))
     away = driver.fetch(key=7)
     driver.serve(away, ReplyDetail.FILLED)
     assert away.target != home
-    driver.list(edge)
+    driver.update_members(edge)
     again = driver.fetch(key=7)
     assert again.target == home and again.source == away.target  # filled from who holds it by now
     assert all(fetch.source != home for fetch in map(driver.fetch, range(20)))
 
 
 def test_a_successor_continues_with_the_limits_of_its_predecessor() -> None:
-    """upgrade+hand: from the first limits again, a third of what one cache alone could take was refused."""
+    """With initial limits again, a third of what one edge alone can serve would be rejected."""
     members = (*EDGES[:1], *PARENTS, ORIGIN)
-    older, newer = Driver(members), Driver(members)
+    predecessor, successor = Driver(members), Driver(members)
 
     def report(fetch: Fetch) -> None:
         load = LoadReport(utilization=0.3, link_multiple=0.2)
-        older.router.handle(
+        predecessor.router.handle(
             AttemptEnded(
                 fetch.request, 0, fetch.target, Outcome.SERVED, 0.05, True, ReplyDetail.HIT, None, load
             ),
-            older.now,
+            predecessor.now,
         )
 
     def sent(driver: Driver) -> list[Fetch]:
-        return [fetch for key in range(60) for fetch in fetches(driver.ask(key))]
+        return [fetch for key in range(60) for fetch in fetches(driver.request(key))]
 
-    report(older.fetch())
-    out = sent(older)  # while a cache reports room, nothing is refused
-    assert len(out) == 60
-    for fetch in out:
+    report(predecessor.fetch())
+    sent_fetches = sent(predecessor)  # while a cache reports room, nothing is refused
+    assert len(sent_fetches) == 60
+    for fetch in sent_fetches:
         report(fetch)
-    newer.now = older.now = older.now + 5.0
+    successor.now = predecessor.now = predecessor.now + 5.0
     first = len(sent(Driver(members)))
-    newer.router.handle(StateInherited(older.router.export_state()), newer.now)
-    assert len(sent(newer)) > 2 * first > 0
-    rates = [each.router.state.members.slow_start[CacheTier.EDGE].load_per_member for each in (newer, older)]
+    successor.router.handle(StateInherited(predecessor.router.export_state()), successor.now)
+    assert len(sent(successor)) > 2 * first > 0
+    rates = [
+        each.router.state.members.slow_start[CacheTier.EDGE].load_per_member
+        for each in (successor, predecessor)
+    ]
     assert rates[0] == rates[1] > 0.0
 
 
-def test_a_location_wholly_in_slow_start_gets_less_than_it_bore_warm() -> None:
-    """Where all are cold none bears the load: dividing it by the few warm shares would send too much."""
+def test_a_zone_wholly_in_slow_start_gets_less_load_than_when_warm() -> None:
+    """Dividing the load by the few warm equivalents of such a zone would send too much."""
     driver = Driver()
     for n in range(1000):
         driver.now += 0.01
         driver.serve(driver.fetch(n), ReplyDetail.FILLED)
-    driver.list(*[Member(e.name, e.zone, e.kind, 0, MemberState.READY, started=driver.now) for e in EDGES])
+    driver.update_members(
+        *[Member(e.name, e.zone, e.kind, 0, MemberState.READY, started=driver.now) for e in EDGES]
+    )
     sent = 0
     for n in range(100):
         driver.now += 0.01
-        for fetch in fetches(driver.ask(5000 + n)):
+        for fetch in fetches(driver.request(5000 + n)):
             sent += fetch.target.startswith("edge")
             driver.serve(fetch, ReplyDetail.FILLED)
     assert 0 < sent <= 100 * 0.3 * 2.5 / 2 / 0.75 + 4 * 4
@@ -108,24 +113,24 @@
         sent = []
         for n in range(100):
             driver.now += 0.01
-            sent += fetches(driver.ask(seed + n))
+            sent += fetches(driver.request(seed + n))
             driver.serve(sent[-1], ReplyDetail.FILLED)
         return sent
 
     for n in range(10):
         second(n * 1000)
-    cold = Member("edge-0", "here", "cache", 0, MemberState.READY, started=driver.now)
-    driver.list(cold)
-    early = sum(fetch.target == cold.name for fetch in second(20000))
+    warming = Member("edge-0", "here", "cache", 0, MemberState.READY, started=driver.now)
+    driver.update_members(warming)
+    early = sum(fetch.target == warming.name for fetch in second(20000))
     assert 0 < early <= 20
     driver.now += 20
     second(30000)
-    assert sum(fetch.target == cold.name for fetch in second(40000)) > early
+    assert sum(fetch.target == warming.name for fetch in second(40000)) > early
 
 
 def test_a_router_without_known_load_sends_nothing_to_a_parent_in_slow_start() -> None:
-    cold = tuple(Member(p.name, p.zone, p.kind, 0, MemberState.READY, started=100.0) for p in PARENTS)
-    driver = Driver((*EDGES, *cold, ORIGIN))
+    warming = tuple(Member(p.name, p.zone, p.kind, 0, MemberState.READY, started=100.0) for p in PARENTS)
+    driver = Driver((*EDGES, *warming, ORIGIN))
     assert driver.fetch().source == ORIGIN.name
 
 
@@ -137,7 +142,7 @@
         assert driver.end(fetch, Outcome.TIMEOUT) == []
     assert driver.router.handle(ClientDisconnected("never"), driver.now) == []
     assert driver.router.handle(TimerFired("never"), driver.now) == []
-    assert all(server.in_flight == 0 for server in driver.router.state.members.upstreams.values())
+    assert all(upstream.in_flight == 0 for upstream in driver.router.state.members.upstreams.values())
 
 
 def test_an_endpoint_list_that_must_be_polled_is_polled_again_after_a_failure() -> None:
@@ -161,18 +166,18 @@
 def test_an_edge_that_restarts_empty_is_in_slow_start_before_its_watch_event(
     x0: float | None, sent: int
 ) -> None:
-    """zone+vast: the first edge back got its whole plaza's requests, 3.5 times what it could do, and fell."""
+    """The first edge back would get 3.5 times the load that it can bear."""
     driver = Driver(members=(EDGES[0], *PARENTS, ORIGIN))
-    server = driver.router.state.members.upstreams["edge-0"]
+    upstream = driver.router.state.members.upstreams["edge-0"]
     first = driver.fetch(1)
-    server.ejected = True
+    upstream.ejected = True
     load = LoadReport(active_requests=1.0, utilization=0.1, hit_ratio=x0)
     ended = AttemptEnded(
         first.request, 0, "edge-0", Outcome.SERVED, 0.05, True, ReplyDetail.FILLED, load_report=load
     )
     driver.router.handle(ended, driver.now)
-    assert not server.ejected
-    to_it = [f for key in range(20) for f in fetches(driver.ask(key)) if f.target == "edge-0"]
-    assert len(to_it) == sent
-    driver.list(replace(EDGES[0], started=driver.now - 16.0))  # the list's word comes before belief
+    assert not upstream.ejected
+    sent_to_edge = [f for key in range(20) for f in fetches(driver.request(key)) if f.target == "edge-0"]
+    assert len(sent_to_edge) == sent
+    driver.update_members(replace(EDGES[0], started=driver.now - 16.0))  # the list's word comes before belief
     assert driver.fetch(50).target == "edge-0"
--- a/tests/policy/test_settings_given.py
+++ b/tests/policy/test_optional_settings.py
@@ -1,4 +1,4 @@
-"""What the ordinary path does with and without what a platform may give (the table in docs/design.md)."""
+"""The ordinary path with and without each optional setting (the table in docs/design.md)."""
 
 from dataclasses import replace
 
@@ -12,34 +12,38 @@
 
 
 @pytest.mark.parametrize(("siblings", "named"), ALLOWED)
-def test_a_sibling_is_a_source_only_where_the_settings_allow_it(siblings: str | None, named: bool) -> None:
+def test_a_sibling_is_a_source_only_where_the_settings_allow_it(
+    siblings: str | None, is_source: bool
+) -> None:
     driver = Driver(sibling_fills=siblings)
     first = driver.fetch()
     driver.serve(first)
-    driver.list(*[Member(f"new-{n}", "here", "cache", 0, MemberState.READY) for n in range(40)])
+    driver.update_members(*[Member(f"new-{n}", "here", "cache", 0, MemberState.READY) for n in range(40)])
     second = driver.fetch()
     assert second.target != first.target
-    assert (second.source == first.target) is named and (named or second.source.startswith("parent"))
+    assert (second.source == first.target) is is_source and (is_source or second.source.startswith("parent"))
 
 
 @pytest.mark.parametrize("joins", [True, False, None])
-def test_fills_are_joined_only_where_caches_can(joins: bool | None) -> None:
-    driver = Driver(coalesces_fills=joins, bypass_allowed=False)
-    assert driver.fetch().coalesce is bool(joins)
-    assert not driver.fetch(kind="orders").coalesce
+def test_fills_are_coalesced_only_where_caches_can(coalesces: bool | None) -> None:
+    driver = Driver(coalesces_fills=coalesces, bypass_allowed=False)
+    assert driver.fetch().coalesce is bool(coalesces)
+    assert not driver.fetch(class_name="orders").coalesce
 
 
 @pytest.mark.parametrize(("grace", "oldest"), [(30.0, 38.0), (0.0, None), (None, None)])
 def test_stale_copies_are_served_only_within_their_time_and_without_a_source(
-    grace: float | None, oldest: float | None
+    stale_time: float | None, oldest: float | None
 ) -> None:
     driver = Driver(
-        (EDGES[0], ORIGIN), classes=(replace(SAFE, stale_if_error=grace), KEYED, UNSAFE), bypass_allowed=False
+        (EDGES[0], ORIGIN),
+        classes=(replace(SAFE, stale_if_error=stale_time), KEYED, UNSAFE),
+        bypass_allowed=False,
     )
     first = driver.fetch()
     assert first.max_age is None
-    (look,) = fetches(driver.end(first, Outcome.REJECTED, ReplyDetail.ORIGIN_FAILED))
-    assert look.target == look.source and look.max_age == oldest
+    (cached_read,) = fetches(driver.end(first, Outcome.REJECTED, ReplyDetail.ORIGIN_FAILED))
+    assert cached_read.target == cached_read.source and cached_read.max_age == oldest
 
 
 @pytest.mark.parametrize("parallel", [True, False, None])
@@ -48,7 +52,7 @@
     first = driver.fetch()
     for _ in range(30):
         driver.now += 0.05
-        for other in fetches(driver.ask(part=1)):
+        for other in fetches(driver.request(part=1)):
             assert other.request != first.request
             driver.serve(other)
     (second,) = fetches(driver.end(first, Outcome.TIMEOUT))
@@ -73,5 +77,5 @@
         load_report=load_report(load),
     )
     driver.router.handle(ended, driver.now)
-    sent = sum(len(fetches(driver.ask(key))) for key in range(200))
+    sent = sum(len(fetches(driver.request(key))) for key in range(200))
     assert (sent == 200) is (cpu is not None)
--- a/tests/policy/test_origin_load.py
+++ b/tests/policy/test_origin_shedding.py
@@ -1,4 +1,4 @@
-"""A crowded origin, seen by the waits of fills that came from it: pure, without sockets."""
+"""Origin shedding by the waits of fills from the origin."""
 
 import pytest
 from driver import EDGES, ORIGIN, PARENTS, Driver
@@ -17,23 +17,23 @@
 
 
 def fill(
-    driver: Driver, key: int, waited: float, note: ReplyDetail = ReplyDetail.FILLED_FROM_ORIGIN
+    driver: Driver, key: int, wait: float, detail: ReplyDetail = ReplyDetail.FILLED_FROM_ORIGIN
 ) -> Fetch:
-    """A read of an object that is new, filled after a wait."""
-    (fetch,) = driver.ask(key)
+    """Serves a read of a new object, whose fill waited for so many seconds."""
+    (fetch,) = driver.request(key)
     assert isinstance(fetch, Fetch)
     ended = AttemptEnded(
-        fetch.request, 0, fetch.target, Outcome.SERVED, waited + 0.05, True, note, source_wait=waited
+        fetch.request, 0, fetch.target, Outcome.SERVED, wait + 0.05, True, detail, source_wait=wait
     )
     driver.router.handle(ended, driver.now)
     return fetch
 
 
-def crowded(waited: float, note: ReplyDetail = ReplyDetail.FILLED_FROM_ORIGIN) -> Driver:
-    """A router whose fills have waited so long for some seconds."""
+def slow_origin_driver(wait: float, detail: ReplyDetail = ReplyDetail.FILLED_FROM_ORIGIN) -> Driver:
+    """Returns a router whose recent fills waited for so many seconds."""
     driver = Driver(detailed_replies=True)
     for key in range(1000, 1020):
-        fill(driver, key, waited, note)
+        fill(driver, key, wait, detail)
         driver.now += 0.2
     return driver
 
@@ -47,24 +47,26 @@
     ],
 )
 def test_while_fill_waits_exceed_the_objective_parents_serve_cached_objects(
-    waited: float, note: ReplyDetail, held: bool
+    wait: float, detail: ReplyDetail, only_if_cached: bool
 ) -> None:
-    """join+vast: after all copies went void fills waited 0.7 s, and the origin got half as much done."""
-    driver = crowded(waited, note)
+    """After a purge of everything, fills waited 0.7 s and the origin did half of its work."""
+    driver = slow_origin_driver(wait, detail)
     for key in range(20):
         fetch = driver.fetch(key)
-        assert fetch.source.startswith("parent") and fetch.only_if_cached == held
+        assert fetch.source.startswith("parent") and fetch.only_if_cached == only_if_cached
         driver.serve(fetch, ReplyDetail.FILLED)
-    if held:
+    if only_if_cached:
         fetch = driver.fetch(50)
-        (look,) = driver.end(fetch, Outcome.MISS, ReplyDetail.SOURCE_MISS)
-        assert isinstance(look, Fetch) and look.source == look.target  # what the edge holds, old or new
-        (last,) = driver.end(look, Outcome.MISS, attempt=1)
+        (cached_read,) = driver.end(fetch, Outcome.MISS, ReplyDetail.SOURCE_MISS)
+        assert (
+            isinstance(cached_read, Fetch) and cached_read.source == cached_read.target
+        )  # what the edge holds, old or new
+        (last,) = driver.end(cached_read, Outcome.MISS, attempt=1)
         assert isinstance(last, Reject)
 
 
 def test_a_wait_longer_than_its_answer_took_is_ignored() -> None:
-    """`lag` is what a cache writes: taken as told, 1e300 s kept fills from the origin for minutes."""
+    """A corrupt wait of 1e300 s must not keep fills from the origin for minutes."""
     driver = Driver(detailed_replies=True)
     fetch = driver.fetch(1)
     ended = AttemptEnded(
@@ -82,11 +84,11 @@
 
 
 def test_uncacheable_requests_are_not_shed_and_old_waits_expire() -> None:
-    driver = crowded(0.9)
-    (charge,) = driver.ask(5, kind="pays")
-    assert isinstance(charge, Fetch) and not charge.only_if_cached
+    driver = slow_origin_driver(0.9)
+    (write,) = driver.request(5, class_name="pays")
+    assert isinstance(write, Fetch) and not write.only_if_cached
     driver.now += 3 * MAX_REPORT_AGE_S
-    (fetch,) = driver.ask(6)
+    (fetch,) = driver.request(6)
     assert isinstance(fetch, Fetch) and not fetch.only_if_cached
 
 
@@ -108,13 +110,15 @@
 
 
 @pytest.mark.parametrize(("x1", "held"), [(0.3, True), (9.0, False)])
-def test_abandoned_fills_count_for_the_origin_only_with_healthy_cache_and_link(x1: float, held: bool) -> None:
-    """join+vast: with nothing coming through any more nothing was heard, and all began to fetch again."""
+def test_abandoned_fills_count_for_the_origin_only_with_healthy_cache_and_link(
+    x1: float, only_if_cached: bool
+) -> None:
+    """A stalled origin answers no fill, so abandoned fills have to count."""
     driver = Driver(
         members=(*EDGES, *PARENTS, ORIGIN), router_count=194, zone_router_count=14, detailed_replies=True
     )
 
-    def say() -> None:
+    def report_load() -> None:
         report = LoadReport(1.0, 0.2, link_multiple=x1)
         for edge in EDGES:
             driver.router.state.zone_load.record(edge.name, report, driver.now)
@@ -122,12 +126,12 @@
     for key in range(100, 110):
         driver.router.state.zone_load.link_reported_at = -9.0  # so that fills go out whatever the link
         fetch = driver.fetch(key)
-        say()
+        report_load()
         ended = AttemptEnded(fetch.request, 0, fetch.target, Outcome.TIMEOUT, 0.9)
         driver.router.handle(ended, driver.now)
         driver.router.handle(ClientDisconnected(fetch.request), driver.now)
         driver.now += 0.5
-    assert driver.router.state.origin_wait.sheds(0.3, 0.5, driver.now) == held
+    assert driver.router.state.origin_wait.sheds(0.3, 0.5, driver.now) == only_if_cached
 
 
 def test_an_abandoned_fill_never_shortens_the_estimated_wait() -> None:
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -1,4 +1,4 @@
-"""Properties over generated event sequences: the five rules, as far as a single router can keep them."""
+"""Invariants of a single router under generated sequences of events."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -55,7 +55,7 @@
 
 
 class World:
-    """What a caller of the router sees, and the rules held against it."""
+    """A caller of the router, which checks its actions against the invariants."""
 
     def __init__(self, direct: bool) -> None:
         self.settings = RoutingSettings(
@@ -75,11 +75,11 @@
         self.router = Router(self.settings, 1)
         self.now = 50.0
         self.requests: dict[str, Request] = {}
-        self.kinds = {kind.name: kind for kind in CLASSES}
+        self.classes = {kind.name: kind for kind in CLASSES}
         self.due: dict[str, float] = {}
         self.answered: set[str] = set()
         self.sent: dict[str, list[tuple[str, float]]] = {}
-        self.out: list[tuple[str, int]] = []
+        self.in_flight: list[tuple[str, int]] = []
         self.ran: dict[tuple[str, int], bool] = {}
         self.ready = {name: True for name, _, _ in NAMES}
         self.purges: list[tuple[float, int | None, int | None]] = []
@@ -92,7 +92,7 @@
                 case Fetch():
                     self.on_fetch(action)
                 case Cancel():
-                    assert (action.request, action.attempt) in self.out
+                    assert (action.request, action.attempt) in self.in_flight
                     assert self.settings.can_cancel
                 case Reject() | Fail():
                     self.on_answer(action)
@@ -103,9 +103,9 @@
 
     def on_fetch(self, fetch: Fetch) -> None:
         request = self.requests[fetch.request]
-        kind = self.kinds[request.class_name]
+        kind = self.classes[request.class_name]
         assert fetch.request not in self.answered and self.now < self.due[fetch.request]
-        assert not [pair for pair in self.out if pair[0] == fetch.request], "two attempts at once"
+        assert not [pair for pair in self.in_flight if pair[0] == fetch.request], "two attempts at once"
         assert self.ready[fetch.target] and self.ready[fetch.source], "a drain was not kept"
         assert ZONES[fetch.target] == "here" or (
             self.settings.bypass_allowed and not fetch.target.startswith("away")
@@ -119,31 +119,31 @@
             if self.now - at <= 6.0 and (key == request.key if key is not None else group == request.group):
                 assert fetch.max_age is not None and fetch.max_age <= max(0.001, self.now - at) + 1e-9
         attempts = self.sent.setdefault(fetch.request, [])
-        self.out.append((fetch.request, len(attempts)))
+        self.in_flight.append((fetch.request, len(attempts)))
         attempts.append((fetch.target, self.now))
         assert len(attempts) <= 6
 
     def on_answer(self, answer: Reject | Fail) -> None:
         assert answer.request not in self.answered, "two final answers"
         self.answered.add(answer.request)
-        effect = self.kinds[self.requests[answer.request].class_name].idempotency
+        effect = self.classes[self.requests[answer.request].class_name].idempotency
         if isinstance(answer, Reject) and effect is not Idempotency.IDEMPOTENT:
             assert not self.may_have_run(answer.request), "a refusal promises that a repeat is harmless"
 
-    def end(self, pick: int, outcome: Outcome, note: ReplyDetail | None) -> None:
-        request, number = self.out.pop(pick % len(self.out))
+    def end(self, pick: int, outcome: Outcome, detail: ReplyDetail | None) -> None:
+        request, number = self.in_flight.pop(pick % len(self.in_flight))
         self.ran[request, number] = outcome not in IDLE
         final = outcome is Outcome.SERVED or request in self.answered
         if outcome is Outcome.SERVED:
             self.answered.add(request)
         target = self.sent[request][number][0]
-        event = AttemptEnded(request, number, target, outcome, 0.1, final, note)
+        event = AttemptEnded(request, number, target, outcome, 0.1, final, detail)
         self.take(self.router.handle(event, self.now))
 
     def expire(self) -> None:
-        """As the wire does, an attempt ends at the latest at the client's deadline."""
-        for pair in [pair for pair in self.out if self.due[pair[0]] <= self.now]:
-            self.end(self.out.index(pair), Outcome.TIMEOUT, None)
+        """Ends the attempts whose client's deadline has passed, as drivers do."""
+        for pair in [pair for pair in self.in_flight if self.due[pair[0]] <= self.now]:
+            self.end(self.in_flight.index(pair), Outcome.TIMEOUT, None)
 
     def step(self, step: tuple[object, ...]) -> None:
         match step:
@@ -152,8 +152,8 @@
                 self.requests[request.id] = request
                 self.due[request.id] = self.now + 2.0
                 self.take(self.router.handle(request, self.now))
-            case ("end", int(pick), Outcome() as outcome, note) if self.out:
-                self.end(pick, outcome, note if isinstance(note, ReplyDetail) else None)
+            case ("end", int(pick), Outcome() as outcome, detail) if self.in_flight:
+                self.end(pick, outcome, detail if isinstance(detail, ReplyDetail) else None)
             case ("list", int(place), MemberState() as state, bool(restarted)):
                 name, zone, kind_name = NAMES[place]
                 self.ready[name] = state is MemberState.READY
@@ -180,8 +180,8 @@
     world = World(direct=direct)
     for step in steps:
         world.step(step)
-        held = set(world.requests) - world.answered - {request for request, _ in world.out}
-        assert not held, "a request is held with no attempt out"
+        stuck = set(world.requests) - world.answered - {request for request, _ in world.in_flight}
+        assert not stuck, "a request is held with no attempt out"
     world.now += 10.0
     world.expire()
     assert world.answered == set(world.requests)
@@ -199,7 +199,7 @@
 
 @settings(max_examples=50, deadline=None, derandomize=True)
 @given(STEPS)
-def test_no_state_is_left_once_all_requests_are_answered(steps: list[tuple[object, ...]]) -> None:
+def test_no_request_state_is_left_once_all_requests_are_answered(steps: list[tuple[object, ...]]) -> None:
     world = World(direct=True)
     for step in steps:
         world.step(step)
--- a/tests/policy/test_policy_attempts.py
+++ b/tests/policy/test_retry_rules.py
@@ -1,4 +1,4 @@
-"""Further attempts, their budget, and age limits."""
+"""Retries, the retry budget and age limits of copies."""
 
 import pytest
 from driver import Driver, fetches
@@ -9,14 +9,14 @@
 
 
 def test_a_request_of_a_lost_connection_gets_one_retry_beyond_the_budget() -> None:
-    """garble+fleet: thirty requests on one connection used up the budget, and the rest were refused."""
+    """Thirty requests on one lost connection would use up the budget."""
     driver = Driver()
     driver.router.state.retries.budget = 0.0
     (again,) = fetches(driver.end(driver.fetch(), Outcome.RESET))
     assert again.source != again.target
     driver.router.state.retries.budget = 0.0
-    (look,) = fetches(driver.end(again, Outcome.RESET, attempt=1))
-    assert look.source == look.target
+    (cached_read,) = fetches(driver.end(again, Outcome.RESET, attempt=1))
+    assert cached_read.source == cached_read.target
 
 
 def test_a_purge_limits_the_age_until_all_copies_are_cleared() -> None:
@@ -38,19 +38,19 @@
 
 def test_a_non_idempotent_request_that_may_have_run_fails_without_a_retry() -> None:
     driver = Driver()
-    actions = driver.end(driver.fetch(kind="pays"), Outcome.RESET)
+    actions = driver.end(driver.fetch(class_name="pays"), Outcome.RESET)
     assert [type(action) for action in actions if not isinstance(action, Fetch)] == [Fail]
     assert not fetches(actions)
 
 
 def test_a_non_idempotent_request_that_did_not_run_is_retried() -> None:
     driver = Driver()
-    assert fetches(driver.end(driver.fetch(kind="pays"), Outcome.CONNECT_FAILED))
+    assert fetches(driver.end(driver.fetch(class_name="pays"), Outcome.CONNECT_FAILED))
 
 
 def test_a_request_with_an_idempotency_key_is_retried_inside_its_window_only() -> None:
     driver = Driver()
-    fetch = driver.fetch(kind="orders")
+    fetch = driver.fetch(class_name="orders")
     driver.now += 0.5
     (again,) = fetches(driver.end(fetch, Outcome.RESET))
     driver.now += 1.45
--- a/tests/policy/test_policy_source_selection.py
+++ b/tests/policy/test_route_selection.py
@@ -1,4 +1,4 @@
-"""What is asked of whom: edges, siblings, parents, the origin, and ranks."""
+"""Routes through edges, siblings, parents and the origin, and retention."""
 
 from driver import EDGES, ORIGIN, PARENTS, Driver, fetches
 
@@ -24,7 +24,7 @@
     assert targets == {edge.name for edge in EDGES}
 
 
-def test_a_second_read_within_the_window_takes_the_top_rank_and_a_later_one_does_not() -> None:
+def test_a_second_read_within_the_window_gets_the_hot_rank_and_a_later_one_does_not() -> None:
     driver = Driver()
     assert driver.fetch().retention == LOW_RANK
     driver.now += 1
@@ -33,21 +33,21 @@
     assert driver.fetch(8).retention == LOW_RANK
 
 
-def test_a_sibling_seen_holding_the_part_is_the_source_when_its_edge_drains() -> None:
+def test_a_sibling_that_holds_the_part_is_the_source_of_a_new_home() -> None:
     driver = Driver()
     first = driver.fetch()
     driver.serve(first)
     newcomer = [Member(f"new-{n}", "here", "cache", 0, MemberState.READY) for n in range(40)]
-    driver.list(*newcomer)
+    driver.update_members(*newcomer)
     second = driver.fetch()
     assert second.target != first.target
     assert second.source == first.target and second.only_if_cached
 
 
-def test_a_sibling_that_lacks_the_part_is_passed_over_for_the_parent() -> None:
+def test_after_a_sibling_that_lacks_the_part_the_parent_is_the_source() -> None:
     driver = Driver()
     driver.serve(driver.fetch())
-    driver.list(*[Member(f"new-{n}", "here", "cache", 0, MemberState.READY) for n in range(40)])
+    driver.update_members(*[Member(f"new-{n}", "here", "cache", 0, MemberState.READY) for n in range(40)])
     second = driver.fetch()
     (again,) = fetches(driver.end(second, Outcome.MISS, ReplyDetail.SOURCE_MISS))
     assert again.target == second.target and again.source.startswith("parent")
@@ -64,30 +64,30 @@
     assert sources[3] == ORIGIN.name
 
 
-def test_an_edge_at_its_fill_limit_is_skipped_without_blame() -> None:
+def test_an_edge_at_its_fill_limit_is_skipped_and_not_at_fault() -> None:
     driver = Driver()
     fetch = driver.fetch()
     (again,) = fetches(driver.end(fetch, Outcome.REJECTED, ReplyDetail.FILL_LIMIT))
     assert again.target != fetch.target and again.source == fetch.source
 
 
-def test_a_draining_origin_is_not_named_when_requests_go_past_the_edges() -> None:
+def test_a_draining_origin_is_not_a_source_when_requests_bypass_the_edges() -> None:
     driver = Driver((*PARENTS, Member(ORIGIN.name, "hub", "origin", 0, MemberState.DRAINING)))
     fetch = driver.fetch()
     assert fetch.target == fetch.source and fetch.target.startswith("parent")
 
 
 def test_uncacheable_requests_bypass_the_caches() -> None:
-    fetch = Driver().fetch(kind="orders")
+    fetch = Driver().fetch(class_name="orders")
     assert fetch.target == fetch.source == ORIGIN.name and fetch.retention == 0
-    through = Driver(bypass_allowed=False).fetch(kind="orders")
+    through = Driver(bypass_allowed=False).fetch(class_name="orders")
     assert through.target.startswith("edge") and through.source == ORIGIN.name and through.retention == 0
 
 
 def test_busy_members_shed_load_and_pass_none_to_the_origin() -> None:
-    """Incidents and big-1: overflow went to the origin and to parents as client traffic and jammed them."""
+    """Overflow sent to parents and the origin as client traffic would overload them."""
     driver = Driver()
-    actions = [action for key in range(300) for action in driver.ask(key)]
+    actions = [action for key in range(300) for action in driver.request(key)]
     assert any(isinstance(action, Reject) for action in actions)
     assert {action.cause for action in actions if isinstance(action, Reject)} == {RejectCause.EDGE_BUSY}
     sent = fetches(actions)
@@ -95,24 +95,24 @@
 
 
 def test_without_a_candidate_a_request_is_rejected_at_once_with_a_retry_after() -> None:
-    (action,) = Driver(members=()).ask()
+    (action,) = Driver(members=()).request()
     assert isinstance(action, Reject) and 0 < (action.retry_after or 0) <= 2.0
     assert action.cause is RejectCause.NO_EDGE
 
 
-def test_a_write_that_the_origin_refuses_uses_no_ejected_parent() -> None:
-    """join+vast: 63 charges went to a parent that had failed every fill for seconds, and so failed."""
-    driver, ways = Driver(), set()
+def test_a_write_that_the_origin_rejects_uses_an_ejected_parent_last() -> None:
+    """63 writes failed at a parent that had failed every fill for seconds."""
+    driver, sources = Driver(), set()
     driver.router.state.members.upstreams["parent-1"].ejected = True
     for key in range(12):
-        first = driver.fetch(key, kind="pays")
+        first = driver.fetch(key, class_name="pays")
         assert first.target == "origin-0"
         (second,) = driver.end(first, Outcome.REJECTED)
         assert isinstance(second, Fetch)
-        ways.add(second.source)
+        sources.add(second.source)
         driver.end(second, Outcome.SERVED, ReplyDetail.FILLED_FROM_ORIGIN, attempt=1)
-    assert ways == {"parent-0", "parent-2"}
+    assert sources == {"parent-0", "parent-2"}
     for parent in ("parent-0", "parent-2"):
         driver.router.state.members.upstreams[parent].ejected = True
-    (last,) = driver.end(driver.fetch(99, kind="pays"), Outcome.REJECTED)
+    (last,) = driver.end(driver.fetch(99, class_name="pays"), Outcome.REJECTED)
     assert isinstance(last, Fetch) and last.source.startswith("parent")  # better than none
--- a/tests/policy/test_settings_drawn.py
+++ b/tests/policy/test_settings_properties.py
@@ -1,4 +1,4 @@
-"""Any combination of what a platform may or may not give, and the rules that hold under all of them."""
+"""Invariants of the router under any combination of settings."""
 
 from dataclasses import replace
 
@@ -7,7 +7,7 @@
 
 from paddlequay.policy import Router
 from paddlequay.protocol.load_reports import load_report
-from paddlequay.routing import interface as say
+from paddlequay.routing import interface
 from paddlequay.routing.interface import (
     Fetch,
     Idempotency,
@@ -20,9 +20,9 @@
 )
 
 LEFT = 2.0
-PAGES = say.RequestClass("pages", 0.3, 2.5, Idempotency.IDEMPOTENT, priority_weight=1.0)
-PAYS = say.RequestClass("pays", 0.6, 3.0, Idempotency.NON_IDEMPOTENT)
-ORDERS = say.RequestClass("orders", 0.6, 3.0, Idempotency.IDEMPOTENCY_KEY)
+PAGES = interface.RequestClass("pages", 0.3, 2.5, Idempotency.IDEMPOTENT, priority_weight=1.0)
+PAYS = interface.RequestClass("pays", 0.6, 3.0, Idempotency.NON_IDEMPOTENT)
+ORDERS = interface.RequestClass("orders", 0.6, 3.0, Idempotency.IDEMPOTENCY_KEY)
 EDGES = [Member(f"edge-{n}", "here", "box", n % 2, MemberState.READY, 3.0) for n in range(3)]
 AWAY = [Member(f"away-{n}", "there", "box", n, MemberState.READY, 3.0) for n in range(2)]
 BEHIND = [Member(f"parent-{n}", "hub", "parent", 0, MemberState.READY, 9.0) for n in range(2)]
@@ -34,7 +34,7 @@
 
 maybe = st.sampled_from([None, False, True])
 SETTINGS = st.builds(
-    say.RoutingSettings,
+    interface.RoutingSettings,
     zone=st.just("here"),
     classes=st.builds(
         lambda new, old, by, within, kept, order: tuple(
@@ -87,110 +87,112 @@
 
 
 class World:
-    """What a platform with these settings sees of one router, and the rules that it holds it to."""
+    """A platform with these settings, which checks the actions of one router."""
 
-    def __init__(self, settings: say.RoutingSettings) -> None:
+    def __init__(self, settings: interface.RoutingSettings) -> None:
         self.settings = settings
         self.router, self.now = Router(settings, 1), 50.0
         self.kinds = {kind.name: kind for kind in settings.classes}
-        self.open: dict[str, say.Request] = {}
+        self.open: dict[str, interface.Request] = {}
         self.until: dict[str, float] = {}
         self.sent: dict[str, list[tuple[Fetch, float, bool]]] = {}  # each with: may it have run?
-        self.out: dict[str, int] = {}
+        self.in_flight: dict[str, int] = {}
         self.ready = set(MEMBERS)
-        self.take(self.router.handle(say.MembersChanged(tuple(MEMBERS.values()), full=True), self.now))
+        self.take(self.router.handle(interface.MembersChanged(tuple(MEMBERS.values()), full=True), self.now))
 
-    def take(self, actions: list[say.Action]) -> None:
+    def take(self, actions: list[interface.Action]) -> None:
         for action in actions:
             if isinstance(action, Fetch):
                 self.fetched(action)
-            elif isinstance(action, Reject | say.Fail):
+            elif isinstance(action, Reject | interface.Fail):
                 assert action.request in self.open, "a second final answer, or one for nothing"
-                assert action.request not in self.out
+                assert action.request not in self.in_flight
                 if isinstance(action, Reject):
                     self.refusable(action)
                 del self.open[action.request]
-            elif isinstance(action, say.Cancel):
-                assert self.settings.can_cancel and self.out.get(action.request) == action.attempt
+            elif isinstance(action, interface.Cancel):
+                assert self.settings.can_cancel and self.in_flight.get(action.request) == action.attempt
 
     def ran(self, request: str) -> list[tuple[Fetch, float, bool]]:
         return [each for each in self.sent[request] if each[2]]
 
     def refusable(self, refusal: Reject) -> None:
-        """That it says 'a repeat is harmless' only where it is."""
+        """Checks that a rejection is given only where a repeat is harmless."""
         kind, most = self.kinds[self.open[refusal.request].class_name], self.settings.max_retry_after
         assert refusal.retry_after is None if most is None else (refusal.retry_after or 0.0) <= most
         keyed = kind.idempotency is Idempotency.IDEMPOTENCY_KEY and kind.dedup_scope == "all"
         assert kind.idempotency is Idempotency.IDEMPOTENT or keyed or not self.ran(refusal.request)
 
     def fetched(self, fetch: Fetch) -> None:
-        told, request = self.settings, self.open[fetch.request]
+        settings, request = self.settings, self.open[fetch.request]
         kind, ran = self.kinds[request.class_name], self.ran(fetch.request)
-        assert fetch.request not in self.out, "two attempts out at once"
-        assert len(self.sent[fetch.request]) < (told.max_attempts or 99)
+        assert fetch.request not in self.in_flight, "two attempts out at once"
+        assert len(self.sent[fetch.request]) < (settings.max_attempts or 99)
         assert self.now < self.until[fetch.request]
         assert {fetch.target, fetch.source} <= self.ready, "sent to, or filled from, who drains or is gone"
         target, source = MEMBERS[fetch.target], MEMBERS[fetch.source]
         is_edge = {each.name: self.tier(each) == "edge" for each in (target, source)}
-        assert target.zone == "here" if is_edge[target.name] else told.bypass_allowed
+        assert target.zone == "here" if is_edge[target.name] else settings.bypass_allowed
         if source is not target and is_edge[source.name]:
-            assert told.sibling_fills == "any" or (told.sibling_fills == "location" and source.zone == "here")
+            assert settings.sibling_fills == "any" or (
+                settings.sibling_fills == "location" and source.zone == "here"
+            )
             assert fetch.only_if_cached or fetch.coalesce
-        assert told.coalesces_fills or not fetch.coalesce
+        assert settings.coalesces_fills or not fetch.coalesce
         if ran and kind.idempotency is Idempotency.IDEMPOTENCY_KEY:
             assert self.now < ran[0][1] + (kind.dedup_window or 0.0)
             before = MEMBERS[ran[0][0].target]
             same = {"zone": before.zone == target.zone, "cell": before.cell == target.cell, "all": True}
             assert same.get(kind.dedup_scope or "cell")
         assert not ran or kind.idempotency is not Idempotency.NON_IDEMPOTENT
-        self.out[fetch.request] = len(self.sent[fetch.request])
+        self.in_flight[fetch.request] = len(self.sent[fetch.request])
         self.sent[fetch.request].append((fetch, self.now, True))
 
     def tier(self, member: Member) -> str:
-        """Where the settings name no kind for parents, a parent is an edge like any other."""
+        """Returns the tier of a member; without a kind for parents, a parent is an edge."""
         known = {self.settings.origin_kind: "origin", self.settings.parent_kind: "parent"}
         return known.get(member.kind, "edge")
 
-    def end(self, request: str, outcome: Outcome, note: ReplyDetail | None, load: Load) -> None:
-        number, final = self.out.pop(request), outcome is Outcome.SERVED
+    def end(self, request: str, outcome: Outcome, detail: ReplyDetail | None, load: Load) -> None:
+        number, final = self.in_flight.pop(request), outcome is Outcome.SERVED
         fetch, at, _ = self.sent[request][number]
         self.sent[request][number] = (fetch, at, outcome not in IDLE)
         if final:
             self.open.pop(request, None)
-        told = note if self.settings.detailed_replies else None
+        settings = detail if self.settings.detailed_replies else None
         took = self.now - at
-        ended = say.AttemptEnded(
-            request, number, fetch.target, outcome, took, final, told, None, load_report(load)
+        ended = interface.AttemptEnded(
+            request, number, fetch.target, outcome, took, final, settings, None, load_report(load)
         )
         self.take(self.router.handle(ended, self.now))
 
     def step(self, step: tuple[object, ...]) -> None:
         match step:
             case ("ask", int(key), str(name)):
-                request = say.Request(f"r{len(self.sent)}", name, LEFT, key, 0, 1)
+                request = interface.Request(f"r{len(self.sent)}", name, LEFT, key, 0, 1)
                 self.open[request.id], self.sent[request.id] = request, []
                 self.until[request.id] = self.now + LEFT
                 self.take(self.router.handle(request, self.now))
-            case ("end", int(which), Outcome() as outcome, note, load) if self.out:
-                self.end(sorted(self.out)[which % len(self.out)], outcome, note, load)  # type: ignore[arg-type]
+            case ("end", int(which), Outcome() as outcome, detail, load) if self.in_flight:
+                self.end(sorted(self.in_flight)[which % len(self.in_flight)], outcome, detail, load)  # type: ignore[arg-type]
             case ("list", str(name), MemberState() as state):
                 (self.ready.add if state is MemberState.READY else self.ready.discard)(name)
-                changed = say.MembersChanged((replace(MEMBERS[name], state=state, started=self.now),))
+                changed = interface.MembersChanged((replace(MEMBERS[name], state=state, started=self.now),))
                 self.take(self.router.handle(changed, self.now))
             case ("detour", str(name), int(key)):  # read elsewhere while its home drains, who then is back
                 for each in (("list", name, MemberState.DRAINING), ("ask", key, "pages")):
                     self.step(each)
-                if (request_id := f"r{len(self.sent) - 1}") in self.out:
+                if (request_id := f"r{len(self.sent) - 1}") in self.in_flight:
                     self.end(request_id, Outcome.SERVED, None, ())
                 self.step(("list", name, MemberState.READY))
             case ("leave", int(which)) if self.open:
                 left = sorted(self.open)[which % len(self.open)]
                 del self.open[left]
-                if left in self.out:
-                    del self.out[left]
-                self.take(self.router.handle(say.ClientDisconnected(left), self.now))
+                if left in self.in_flight:
+                    del self.in_flight[left]
+                self.take(self.router.handle(interface.ClientDisconnected(left), self.now))
             case ("purge", int(key)):
-                self.take(self.router.handle(say.Purged(0.0, None, key), self.now))
+                self.take(self.router.handle(interface.Purged(0.0, None, key), self.now))
             case ("wait", float(time)):
                 self.now += time
 
@@ -198,12 +200,12 @@
 @hypothesis.settings(max_examples=250, deadline=None, derandomize=True)
 @hypothesis.given(SETTINGS, STEPS)
 def test_the_invariants_hold_for_any_settings(
-    told: say.RoutingSettings, steps: list[tuple[object, ...]]
+    settings: interface.RoutingSettings, steps: list[tuple[object, ...]]
 ) -> None:
-    world = World(told)
+    world = World(settings)
     for step in steps:
         world.step(step)
-    while world.out:  # what is still out comes to an end at last, and all that is owed is answered
+    while world.in_flight:  # what is still out comes to an end at last, and all that is owed is answered
         world.now += 0.1
-        world.end(min(world.out), Outcome.TIMEOUT, None, ())
+        world.end(min(world.in_flight), Outcome.TIMEOUT, None, ())
     assert not world.open and world.router.state.zone_link.fills_in_flight == 0
