--- a/paddlequay/lab/table_world.py
+++ b/paddlequay/lab/table_world.py
@@ -14,7 +14,7 @@
 from paddlequay.cluster.tables import Tables
 from paddlequay.cluster.types import (
     Action,
-    Bounds,
+    ClusterBounds,
     Fleet,
     LeaseAcquired,
     LocalEvent,
@@ -28,7 +28,7 @@
 )
 from paddlequay.cluster.wire import Codec, Heard, Wire
 
-BOUNDS = Bounds()
+BOUNDS = ClusterBounds()
 DETECTED = 1.0  # seconds after which a restart or the end of a cut is known, as by liveness
 
 
@@ -60,7 +60,7 @@
         return self.base + (self.world.time - self.began) * self.rate
 
     def retake(self, now: float) -> list[Action]:
-        return self.leases.drop(LEASE, now) + self.leases.want(LEASE, now)
+        return self.leases.release(LEASE, now) + self.leases.request(LEASE, now)
 
     def do(self, act: Callable[[float], list[Action]]) -> None:
         """What follows from an event; nothing happens to a stopped process until it goes on."""
@@ -78,23 +78,23 @@
             else:
                 self.found(action)
                 todo += self.leases.handle_event(action, now) + self.tables.handle_event(action, now)
-        self.wire.clock = max(self.wire.clock, self.leases.clock)
+        self.wire.clock = max(self.wire.clock, self.leases.highest_counter)
         for packet in self.outbox.take(now):
             for to in range(self.world.size) if packet.to is None else (packet.to,):
                 self.world.send(self.me, to, packet.data)
         self.schedule()
 
-    def found(self, news: LocalEvent) -> None:
-        if isinstance(news, LeaseAcquired):
+    def found(self, event: LocalEvent) -> None:
+        if isinstance(event, LeaseAcquired):
             self.world.takes += 1
-        if not isinstance(news, TableChanged):
+        if not isinstance(event, TableChanged):
             return
-        if news.epoch <= self.epoch:
-            raise FaultError(f"the epoch of {self.me} goes back: {self.epoch:x} to {news.epoch:x}")
-        if self.world.digests.setdefault(news.epoch, news.digest) != news.digest:
-            raise FaultError(f"two tables under epoch {news.epoch:x}")
-        self.epoch = news.epoch
-        self.moves.append(news)
+        if event.epoch <= self.epoch:
+            raise FaultError(f"the epoch of {self.me} goes back: {self.epoch:x} to {event.epoch:x}")
+        if self.world.digests.setdefault(event.epoch, event.digest) != event.digest:
+            raise FaultError(f"two tables under epoch {event.epoch:x}")
+        self.epoch = event.epoch
+        self.moves.append(event)
 
     def schedule(self) -> None:
         due = min(earliest((self.leases, self.tables)), self.outbox.due())
@@ -115,11 +115,11 @@
     def read(self, sender: Peer, data: bytes, now: float) -> list[Action]:
         heard, actions = self.wire.read(data, sender), list[Action]()
         if isinstance(heard, Heard):
-            self.leases.saw_clock(heard.head.clock)
-            for note in heard.notes:
-                part = self.leases if isinstance(note, self.leases.HANDLED_MESSAGES) else self.tables
-                if isinstance(note, part.HANDLED_MESSAGES):
-                    actions += part.handle_message(sender, heard.head.incarnation, note, now)
+            self.leases.observe_counter(heard.head.clock)
+            for message in heard.messages:
+                part = self.leases if isinstance(message, self.leases.HANDLED_MESSAGES) else self.tables
+                if isinstance(message, part.HANDLED_MESSAGES):
+                    actions += part.handle_message(sender, heard.head.incarnation, message, now)
         return actions
 
     def use(self) -> tuple[int | None, int | None]:
@@ -160,7 +160,7 @@
 
     def begin(self, process: Process) -> None:
         if process.me in self.acceptors:
-            process.do(lambda now: process.leases.want(LEASE, now))
+            process.do(lambda now: process.leases.request(LEASE, now))
         self.compile(process.me)
 
     def compile(self, me: Peer) -> None:
@@ -215,8 +215,8 @@
 
     def detected(self, peer: Peer) -> None:
         def told(to: Process) -> None:
-            news = PeerChanged(peer, self.processes[peer].incarnation, PeerState.ALIVE)
-            to.do(lambda now: to.tables.handle_event(news, now))
+            event = PeerChanged(peer, self.processes[peer].incarnation, PeerState.ALIVE)
+            to.do(lambda now: to.tables.handle_event(event, now))
 
         for other in range(self.size):
             if other != peer:
--- a/paddlequay/net/cluster/sharing.py
+++ b/paddlequay/net/cluster/sharing.py
@@ -18,7 +18,7 @@
 from paddlequay.cluster.node import ClusterEvent, Node
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import (
-    PEERS_MOST,
+    MAX_PEERS,
     Action,
     ChannelOwnership,
     Fleet,
@@ -27,7 +27,7 @@
     LeaseLost,
     LocalEvent,
     LogEvent,
-    Name,
+    NameDigest,
     Peer,
     PeerChanged,
     SelfChanged,
@@ -46,8 +46,8 @@
 from paddlequay.routing.interface import Outcome, OutlierReported, ReplyDetail
 
 if TYPE_CHECKING:
-    from paddlequay.net.cluster.channels import ChannelFront
-    from paddlequay.net.cluster.placing import Placing
+    from paddlequay.net.cluster.channel_prefetcher import ChannelPrefetcher
+    from paddlequay.net.cluster.placement_tables import PlacementTables
 
 LOGGER = logging.getLogger(__name__)
 
@@ -67,6 +67,23 @@
     TableChanged: "TableChanged",
 }
 
+# Fields of log lines and the attributes that they show, in the lines' order.
+EVENT_FIELDS: dict[type[LocalEvent], dict[str, str]] = {
+    PeerChanged: {"peer": "peer", "incarnation": "incarnation", "standing": "state"},
+    SelfChanged: {"heard": "receives", "reaches": "reaches"},
+    LeaseAcquired: {"lease": "lease", "term": "term", "until": "until"},
+    LeaseLost: {"lease": "lease", "term": "term"},
+    HolderObserved: {"lease": "lease", "holder": "holder", "term": "term"},
+    VerdictChanged: {"subject": "subject", "trouble": "fault", "until": "until"},
+    ChannelOwnership: {"channel": "channel", "term": "term"},
+    TableChanged: {
+        "epoch": "epoch",
+        "digest": "digest",
+        "former": "previous",
+        "former_until": "previous_until",
+    },
+}
+
 
 class Sharing:
     """One router's share in the cluster. Raises ValueError where settings and peers do not fit.
@@ -83,8 +100,8 @@
         exchange: Exchange,
         counters: Counters,
     ) -> None:
-        if len(peering.peers) > PEERS_MOST:
-            raise ValueError(f"expected at most {PEERS_MOST} peers, got {len(peering.peers)}")
+        if len(peering.peers) > MAX_PEERS:
+            raise ValueError(f"expected at most {MAX_PEERS} peers, got {len(peering.peers)}")
         acceptors = settings.acceptors
         if any(number >= len(peering.peers) for number in acceptors):
             raise ValueError(f"acceptors {list(acceptors)}: there are {len(peering.peers)} peers")
@@ -99,15 +116,15 @@
         self.stopped, self.away = True, False
         self.made()  # what cannot be used is said now
         self.leaves = Leaves(settings, exchange, counters, self.loop.time)
-        self.front: ChannelFront | None = None
-        self.placing: Placing | None = None
+        self.prefetcher: ChannelPrefetcher | None = None
+        self.placement: PlacementTables | None = None
         if settings.rules is not None:
-            from paddlequay.net.cluster import placing
+            from paddlequay.net.cluster import placement_tables
 
-            self.placing = placing.Placing(
+            self.placement = placement_tables.PlacementTables(
                 settings.rules, config.settings, exchange, counters, self.act, self.loop.time
             )
-        self.names: OrderedDict[Name, str] = OrderedDict()
+        self.names: OrderedDict[NameDigest, str] = OrderedDict()
         self.logged: dict[str, float] = {}
 
     # --- its life ---
@@ -125,8 +142,8 @@
     async def start(self) -> None:
         """Join, or wait for the address beside a process that has it. Again after `stop` as well."""
         self.stopped = False
-        if self.placing is not None:
-            self.placing.start()
+        if self.placement is not None:
+            self.placement.start()
         if not await self.join():
             log.event(LOGGER, logging.INFO, "cluster_waits", why="another process has the peers' address")
             self.waiting = asyncio.ensure_future(self.wait())
@@ -145,8 +162,8 @@
             return False
         self.node, self.peers = node, peers
         self.leaves.joined(node.limits)
-        if self.placing is not None:
-            self.placing.join(node)
+        if self.placement is not None:
+            self.placement.join(node)
         self.join_channels(node)
         self.wake(now=True)
         log.event(LOGGER, logging.INFO, "cluster_joined", me=self.fleet.me, of=self.fleet.size)
@@ -158,7 +175,7 @@
         if rule is None or node.leases is None:
             return
         from paddlequay.cluster.channels import Channels
-        from paddlequay.net.cluster.channels import ChannelFront
+        from paddlequay.net.cluster.channel_prefetcher import ChannelPrefetcher
 
         now, drawn = self.loop.time(), random.Random(self.seed ^ node.liveness.incarnation)
         part = Channels(self.fleet, self.settings.bounds, rule, node.leases, drawn, now)
@@ -168,7 +185,7 @@
             self.act(node, actions)
 
         zone = self.fleet.zone
-        self.front = ChannelFront(part, zone, self.exchange, self.counters, tell, self.loop.time)
+        self.prefetcher = ChannelPrefetcher(part, zone, self.exchange, self.counters, tell, self.loop.time)
 
     def act(self, node: Node, actions: Sequence[Action]) -> None:
         """Let follow what something of this life asks for."""
@@ -181,10 +198,10 @@
         if self.node is not None and self.peers is not None:
             now = self.loop.time()
             self.told(self.node.leave(now))
-            if self.placing is not None:
-                self.told(self.node.settle(self.placing.leave(now), now))
-            if self.front is not None:
-                self.told(self.node.settle(self.front.channels.drain(now), now))
+            if self.placement is not None:
+                self.told(self.node.settle(self.placement.release_lease(now), now))
+            if self.prefetcher is not None:
+                self.told(self.node.settle(self.prefetcher.channels.drain(now), now))
             self.peers.flush()
 
     def stop(self) -> None:
@@ -197,9 +214,9 @@
             self.waiting.cancel()
         if self.peers is not None:
             self.peers.close()
-        if self.placing is not None:
-            self.placing.part()
-            self.placing.stop()
+        if self.placement is not None:
+            self.placement.leave_cluster()
+            self.placement.stop()
         self.leaves.joined(None)
         self.node = self.peers = None
 
@@ -219,10 +236,10 @@
     def admit(self, item: PendingRequest, left: float) -> float | None:
         wait = self.leaves.admit(item, left)
         with self.guarded():
-            if wait is None and self.front is not None:
-                self.front.admit(item)
-            if wait is None and self.placing is not None:
-                self.placing.asked(item.request)
+            if wait is None and self.prefetcher is not None:
+                self.prefetcher.admit(item)
+            if wait is None and self.placement is not None:
+                self.placement.prepare_request(item.request)
             self.wake()
         return wait
 
@@ -237,11 +254,11 @@
 
     def before_write(self, attempt: UpstreamAttempt, left: float) -> ReplyDetail | None:
         # Also after this process has left: a fill ahead that still waits is refused by its term.
-        note = self.front.before_write(attempt) if self.front is not None else None
-        note = note or self.leaves.before_write(attempt, left)
+        detail = self.prefetcher.before_write(attempt) if self.prefetcher is not None else None
+        detail = detail or self.leaves.before_write(attempt, left)
         with self.guarded():
             self.wake()
-        return note
+        return detail
 
     def attempt_ended(self, attempt: UpstreamAttempt, end: AttemptResult) -> None:
         with self.guarded():
@@ -263,13 +280,13 @@
         origin = origins[0].member.name if origins else None
         now = self.loop.time()
         actions: list[Action] = []
-        for name, ok, trouble in evidence.found(
+        for name, ok, fault in evidence.found(
             attempt.fetch, end.outcome, end.detail, end.unresponsive, origin
         ):
             member = self.exchange.members.get(name)
             if member is not None:
                 start = int((member.started or 0.0) * 1000)
-                actions += verdicts.saw(self.name(name), start, member.kind or "", ok, trouble, now)
+                actions += verdicts.saw(self.name(name), start, member.kind or "", ok, fault, now)
         if actions:
             self.told(self.node.settle(actions, now))
         self.wake(bool(actions))
@@ -277,8 +294,8 @@
     def request_ended(self, item: PendingRequest) -> None:
         with self.guarded():
             self.leaves.request_ended(item)
-            if self.front is not None:
-                self.front.request_ended(item)
+            if self.prefetcher is not None:
+                self.prefetcher.request_ended(item)
 
     def wake(self, now: bool = False) -> None:
         """What was asked may have to be told earlier than the timer is set for."""
@@ -289,25 +306,25 @@
 
     # --- what the cluster has found ---
 
-    def told(self, news: Sequence[ClusterEvent]) -> None:
-        for each in news:
+    def told(self, events: Sequence[ClusterEvent]) -> None:
+        for each in events:
             self.say(each)
             if isinstance(each, VerdictChanged):
                 self.pass_on(each)
-            elif isinstance(each, TableChanged) and self.placing is not None:
-                self.placing.changed(each)
+            elif isinstance(each, TableChanged) and self.placement is not None:
+                self.placement.table_changed(each)
 
     def pass_on(self, word: VerdictChanged) -> None:
         """A word goes to the decisions, if it still holds now."""
         verdicts, name = self.node.verdicts if self.node else None, self.name_of(word.subject)
         if verdicts is None or name is None:
             return
-        self.counters.add(f"cluster.word.{word.trouble.name.lower() if word.trouble else 'none'}")
+        self.counters.add(f"cluster.word.{word.fault.name.lower() if word.fault else 'none'}")
         if verdicts.earlier_skip(word.subject, self.loop.time()):
             self.counters.add("cluster.words_passed_on")
             self.exchange.deliver(OutlierReported(name))
 
-    def name(self, name: str) -> Name:
+    def name(self, name: str) -> NameDigest:
         """A member's digest, remembered so that words on it can be told apart."""
         number = digest(name)
         self.names[number] = name
@@ -316,21 +333,21 @@
             self.names.popitem(last=False)
         return number
 
-    def name_of(self, subject: Name) -> str | None:
+    def name_of(self, subject: NameDigest) -> str | None:
         """The member that a subject is: also one that this router has had nothing from yet."""
         if subject not in self.names:
             for name in self.exchange.members:
                 self.name(name)
         return self.names.get(subject)
 
-    def say(self, news: ClusterEvent) -> None:
+    def say(self, event: ClusterEvent) -> None:
         """A line for what changes, at most one of a kind in some seconds."""
-        name = news.event if isinstance(news, LogEvent) else EVENT_NAMES[type(news)]
+        name = event.event if isinstance(event, LogEvent) else EVENT_NAMES[type(event)]
         self.counters.add(f"cluster.{name}")
         now = self.loop.time()
         if now - self.logged.get(name, -LOG_PAUSE) >= LOG_PAUSE:
             self.logged[name] = now
-            log.event(LOGGER, logging.INFO, f"cluster_{name}", **dict(fields(news)))
+            log.event(LOGGER, logging.INFO, f"cluster_{name}", **dict(fields(event)))
 
 
 class Life:
@@ -339,8 +356,8 @@
     def __init__(self, sharing: Sharing, node: Node) -> None:
         self.sharing, self.node = sharing, node
 
-    def handle_message(self, sender: Peer, head: Head, notes: tuple[PeerNote, ...]) -> None:
-        self.sharing.told(self.node.handle_message(sender, head, notes, self.sharing.loop.time()))
+    def handle_message(self, sender: Peer, head: Head, messages: tuple[PeerNote, ...]) -> None:
+        self.sharing.told(self.node.handle_message(sender, head, messages, self.sharing.loop.time()))
 
     def tick(self) -> None:
         self.sharing.told(self.node.tick(self.sharing.loop.time()))
@@ -349,8 +366,8 @@
         return self.node.due()
 
 
-def fields(news: LocalEvent | LogEvent) -> Iterable[tuple[str, object]]:
+def fields(event: LocalEvent | LogEvent) -> Iterable[tuple[str, object]]:
     """What a line shows of it."""
-    if isinstance(news, LogEvent):
-        return news.fields
-    return [(name, getattr(news, name)) for name in news.__slots__]
+    if isinstance(event, LogEvent):
+        return event.fields
+    return [(name, getattr(event, attribute)) for name, attribute in EVENT_FIELDS[type(event)].items()]
--- a/paddlequay/policy/edge_selection.py
+++ b/paddlequay/policy/edge_selection.py
@@ -55,7 +55,7 @@
     def candidates(self, request: RequestState, now: float) -> Iterator[Upstream]:
         """Returns the edges that may be asked, in hash order; the first two by load for a part read often."""
         members = self.state.members
-        key = members.homes[CacheTier.EDGE].key(request.received)
+        key = members.homes[CacheTier.EDGE].lookup_key(request.received)
         allowed = (
             edge
             for edge in members.ranked(CacheTier.EDGE, key, now)
--- a/paddlequay/policy/member_directory.py
+++ b/paddlequay/policy/member_directory.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Iterator, Mapping
 
-from paddlequay.placement.following import Following
 from paddlequay.placement.homes import Homes
+from paddlequay.placement.table_homes import TableHomes
 from paddlequay.policy.concurrency_limits import INITIAL_LIMIT_REQUESTS, limit_for_size
 from paddlequay.policy.load_shedding import ZoneLoad
 from paddlequay.policy.slow_start import SlowStartLimiter
@@ -24,7 +24,7 @@
         }
         self.upstreams: dict[str, Upstream] = {}
         self.homes: dict[CacheTier, Homes[Upstream]] = {
-            CacheTier.EDGE: Following(),
+            CacheTier.EDGE: TableHomes(),
             CacheTier.PARENT: Homes(),
         }
         self.slow_start = {
--- a/paddlequay/policy/source_selection.py
+++ b/paddlequay/policy/source_selection.py
@@ -2,7 +2,7 @@
 
 from itertools import chain
 
-from paddlequay.placement.homes import place
+from paddlequay.placement.homes import placement_key
 from paddlequay.policy.availability import is_available
 from paddlequay.policy.router_state import RouterState
 from paddlequay.policy.sibling_fills import find_sibling
@@ -46,7 +46,7 @@
     def _first_available(self, request: RequestState, fills: bool, now: float) -> Upstream | None:
         """Returns the first available parent in hash order, or the origin if no parent is merely busy."""
         state = self.state
-        parents = state.members.ranked(CacheTier.PARENT, place(request.received.key), now)
+        parents = state.members.ranked(CacheTier.PARENT, placement_key(request.received.key), now)
         origins = () if request.only_if_cached else state.members.origins
         was_busy = False
         for source in chain(parents, origins):
