--- a/paddlequay/policy/fill_admission.py
+++ b/paddlequay/policy/fill_admission.py
@@ -21,7 +21,7 @@
 
 # Spans of transfers over those that fit. Objectives allow twice the sending time and a constant, so a fill
 # that takes three times its sending time is late by itself. A fill runs at least twice as fast as a
-# transfer to a client. What no cache keeps is fetched again for its next reader, and gets only capacity
+# transfer to a client. What no cache stores is fetched again for its next reader, and gets only capacity
 # that fills leave.
 REPORTED_FILL_SPAN = SheddingSpan(2.0, 6.0)
 REPORTED_BYPASS_SPAN = SheddingSpan(0.5, 1.0)
@@ -44,7 +44,7 @@
 
 
 def admits_fill_by_report(
-    zone_load: ZoneLoad, sampling_draw: float, now: float, cost: float = 1.0, kept: bool = True
+    zone_load: ZoneLoad, sampling_draw: float, now: float, cost: float = 1.0, cached: bool = True
 ) -> bool:
     """Whether the reported load of the link allows a fill; yes without a fresh report.
 
@@ -53,11 +53,11 @@
         sampling_draw: The request's own number in [0, 1).
         now: Seconds of the router's clock.
         cost: The request's `relative_cost`, in (0, 1].
-        kept: Whether a cache keeps the copy.
+        cached: Whether a cache stores the copy.
     """
     if not zone_load.is_contended or not zone_load.has_fresh_link_report(now):
         return True
-    span = REPORTED_FILL_SPAN if kept else REPORTED_BYPASS_SPAN
+    span = REPORTED_FILL_SPAN if cached else REPORTED_BYPASS_SPAN
     return not span.sheds(zone_load.link_multiple * cost, sampling_draw)
 
 
@@ -89,7 +89,7 @@
             return 0.0
         return self.fills_in_flight * self.router_count / self.transfer_capacity
 
-    def admits_fill(self, sampling_draw: float, cost: float = 1.0, kept: bool = True) -> bool:
+    def admits_fill(self, sampling_draw: float, cost: float = 1.0, cached: bool = True) -> bool:
         """Whether the fills in flight leave capacity for another; yes where the size is unknown.
 
         Args:
@@ -97,14 +97,14 @@
             cost: The request's `relative_cost`, in (0, 1]. Its square root counts, so that the class with
             most
                 bytes does not bear all of the shedding.
-            kept: Whether a cache keeps the copy.
+            cached: Whether a cache stores the copy.
         """
-        span = ESTIMATED_FILL_SPAN if kept else ESTIMATED_BYPASS_SPAN
+        span = ESTIMATED_FILL_SPAN if cached else ESTIMATED_BYPASS_SPAN
         return not span.sheds(self.utilization() * cost**0.5, sampling_draw)
 
     def has_spare_capacity(self, sampling_draw: float) -> bool:
         """Whether the link is known to have capacity for a request that bypasses busy edges."""
-        return bool(self.transfer_capacity) and self.admits_fill(sampling_draw, kept=False)
+        return bool(self.transfer_capacity) and self.admits_fill(sampling_draw, cached=False)
 
 
 class FillAdmission:
@@ -118,18 +118,18 @@
         self.zone_link = zone_link
         self.latency = latency
 
-    def admits_fill(self, request: RequestState, now: float, kept: bool = True) -> bool:
+    def admits_fill(self, request: RequestState, now: float, cached: bool = True) -> bool:
         """Whether a request may be filled through the zone's link.
 
         Args:
             request: The request, with its sampling draw in [0, 1).
             now: Seconds of the router's clock.
-            kept: Whether a cache keeps the copy.
+            cached: Whether a cache stores the copy.
         """
         cost = self.cost(request)
-        if not admits_fill_by_report(self.zone_load, request.sampling_draw, now, cost, kept):
+        if not admits_fill_by_report(self.zone_load, request.sampling_draw, now, cost, cached):
             return False
-        return self.zone_link.admits_fill(request.sampling_draw, cost, kept)
+        return self.zone_link.admits_fill(request.sampling_draw, cost, cached)
 
     def cost(self, request: RequestState) -> float:
         """Returns the relative cost of a request in (0, 1]; 1 where no estimate of the link's load exists."""
--- a/paddlequay/policy/source_selection.py
+++ b/paddlequay/policy/source_selection.py
@@ -36,7 +36,7 @@
                 return sibling
         # Without reply details nothing proves that a part is cached, so a believed copy is read first.
         uses_link = fills or not state.settings.detailed_replies
-        if uses_link and not state.fill_admission.admits_fill(request, now, kept=edge is not None):
+        if uses_link and not state.fill_admission.admits_fill(request, now, cached=edge is not None):
             request.link_full = True
             return None
         objective = state.latency.objective(request)
--- a/tests/policy/test_fill_admission.py
+++ b/tests/policy/test_fill_admission.py
@@ -71,7 +71,7 @@
     assert (
         link.utilization() == 1.4
         and link.admits_fill(sampling_draw=0.5)
-        and not link.admits_fill(sampling_draw=0.5, kept=False)
+        and not link.admits_fill(sampling_draw=0.5, cached=False)
     )
     assert link.admits_fill(sampling_draw=0.0, cost=0.25) and not link.admits_fill(sampling_draw=0.0)
 
