--- a/paddlequay/policy/__init__.py
+++ b/paddlequay/policy/__init__.py
@@ -1,7 +1,7 @@
-"""The rules by which a router of a two-tier cache decides; each rule is a module named for it.
+"""The routing decisions: `Router` turns events into actions, both defined in `routing/interface.py`.
 
-`Router` takes the events and returns the actions that `routing/interface.py` defines. docs/design.md
-describes the ordinary path of a request, docs/decisions.md lists the rules.
+Each rule is a module named for it. docs/design.md describes the ordinary path of a request, docs/decisions.md
+lists the rules.
 """
 
 from paddlequay.policy.router import Router as Router
--- a/paddlequay/policy/edge_selection.py
+++ b/paddlequay/policy/edge_selection.py
@@ -3,7 +3,6 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 from itertools import chain, islice
-from operator import attrgetter
 
 from paddlequay.policy.availability import is_available
 from paddlequay.policy.router_state import RouterState
@@ -63,5 +62,5 @@
         )
         if not self.state.hot_objects.is_spread(request.object_state):
             return allowed
-        preferred = sorted(islice(allowed, SPREAD_EDGES_COUNT), key=attrgetter("in_flight"))
+        preferred = sorted(islice(allowed, SPREAD_EDGES_COUNT), key=lambda edge: edge.in_flight)
         return chain(preferred, allowed)
--- a/tests/policy/test_concurrency_limits.py
+++ b/tests/policy/test_concurrency_limits.py
@@ -6,7 +6,7 @@
 from paddlequay.routing.interface import AttemptEnded, Fail, Outcome, Reject, ReplyDetail
 
 
-@pytest.mark.parametrize("routers_here", [1, 200])
+@pytest.mark.parametrize("zone_routers", [1, 200])
 def test_an_idle_router_among_many_rejects_nothing_while_nothing_is_in_flight_or_late(
     zone_routers: int,
 ) -> None:
@@ -52,7 +52,7 @@
     assert driver.router.state.members.upstreams[name].concurrency_limit > lowered
 
 
-@pytest.mark.parametrize(("waited", "at_fault"), [(1.5, "source"), (None, "source"), (0.1, "target")])
+@pytest.mark.parametrize(("source_wait", "at_fault"), [(1.5, "source"), (None, "source"), (0.1, "target")])
 def test_a_late_fill_counts_against_the_source_only_if_it_waited_for_it(
     source_wait: float | None, at_fault: str
 ) -> None:
--- a/tests/policy/test_fill_admission.py
+++ b/tests/policy/test_fill_admission.py
@@ -13,7 +13,7 @@
 from paddlequay.routing.state import CacheTier
 
 
-@pytest.mark.parametrize(("told", "fits"), [(8000.0, 4.0), (0.0, None), (None, None)])
+@pytest.mark.parametrize(("configured_kb_per_s", "capacity"), [(8000.0, 4.0), (0.0, None), (None, None)])
 def test_the_link_capacity_of_the_own_zone_is_read_and_0_means_unknown(
     configured_kb_per_s: float | None, capacity: float | None
 ) -> None:
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -82,7 +82,7 @@
     ) == 1
 
 
-@pytest.mark.parametrize(("load", "passed"), [(IDLE, True), (FULL_LINK, False)])
+@pytest.mark.parametrize(("load", "skips"), [(IDLE, True), (FULL_LINK, False)])
 def test_a_busy_preferred_edge_is_skipped_only_while_the_link_has_capacity(
     load: dict[str, float], skips: bool
 ) -> None:
@@ -219,7 +219,7 @@
     return driver
 
 
-@pytest.mark.parametrize(("x1", "passes"), [(0.3, True), (1.2, False), (30.0, False)])
+@pytest.mark.parametrize(("x1", "has_capacity"), [(0.3, True), (1.2, False), (30.0, False)])
 def test_no_request_bypasses_the_edges_through_a_link_that_fills_use(x1: float, has_capacity: bool) -> None:
     """Requests that bypass edges in slow start must leave capacity of the link to fill those edges."""
     driver, causes, targets = restarted_zone(x1), Counter[RejectCause](), Counter[str]()
@@ -265,7 +265,7 @@
     assert isinstance(answer, Reject)
 
 
-@pytest.mark.parametrize(("x0", "looks"), [(0.0, 0), (1.0, 30)])
+@pytest.mark.parametrize(("x0", "cached_reads"), [(0.0, 0), (1.0, 30)])
 def test_at_a_full_link_an_edge_in_slow_start_gets_only_requests_it_may_have_cached(
     x0: float, cached_reads: int
 ) -> None:
--- a/tests/policy/test_many_routers.py
+++ b/tests/policy/test_many_routers.py
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize(
-    ("cores", "link", "age", "held"),
+    ("cores", "link", "age", "rejects"),
     [
         (0.1, 0.1, 0.1, False),
         (0.9, 0.1, 0.1, True),
--- a/tests/policy/test_optional_settings.py
+++ b/tests/policy/test_optional_settings.py
@@ -11,7 +11,7 @@
 ALLOWED = [("any", True), ("location", True), ("off", False), (None, False)]
 
 
-@pytest.mark.parametrize(("siblings", "named"), ALLOWED)
+@pytest.mark.parametrize(("siblings", "is_source"), ALLOWED)
 def test_a_sibling_is_a_source_only_where_the_settings_allow_it(
     siblings: str | None, is_source: bool
 ) -> None:
@@ -24,14 +24,14 @@
     assert (second.source == first.target) is is_source and (is_source or second.source.startswith("parent"))
 
 
-@pytest.mark.parametrize("joins", [True, False, None])
+@pytest.mark.parametrize("coalesces", [True, False, None])
 def test_fills_are_coalesced_only_where_caches_can(coalesces: bool | None) -> None:
     driver = Driver(coalesces_fills=coalesces, bypass_allowed=False)
     assert driver.fetch().coalesce is bool(coalesces)
     assert not driver.fetch(class_name="orders").coalesce
 
 
-@pytest.mark.parametrize(("grace", "oldest"), [(30.0, 38.0), (0.0, None), (None, None)])
+@pytest.mark.parametrize(("stale_time", "oldest"), [(30.0, 38.0), (0.0, None), (None, None)])
 def test_stale_copies_are_served_only_within_their_time_and_without_a_source(
     stale_time: float | None, oldest: float | None
 ) -> None:
--- a/tests/policy/test_origin_shedding.py
+++ b/tests/policy/test_origin_shedding.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    ("waited", "note", "held"),
+    ("wait", "detail", "only_if_cached"),
     [
         (0.1, ReplyDetail.FILLED_FROM_ORIGIN, False),
         (0.9, ReplyDetail.FILLED_FROM_ORIGIN, True),
@@ -109,7 +109,7 @@
     assert not waits.sheds(0.3, 0.0, 9.0)
 
 
-@pytest.mark.parametrize(("x1", "held"), [(0.3, True), (9.0, False)])
+@pytest.mark.parametrize(("x1", "only_if_cached"), [(0.3, True), (9.0, False)])
 def test_abandoned_fills_count_for_the_origin_only_with_healthy_cache_and_link(
     x1: float, only_if_cached: bool
 ) -> None:
--- a/tests/policy/test_outlier_ejection.py
+++ b/tests/policy/test_outlier_ejection.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    ("note", "skipped"), [(ReplyDetail.SOURCE_UNREACHABLE, True), (ReplyDetail.SOURCE_REJECTED, False)]
+    ("detail", "ejected"), [(ReplyDetail.SOURCE_UNREACHABLE, True), (ReplyDetail.SOURCE_REJECTED, False)]
 )
 def test_a_parent_that_edges_cannot_reach_is_ejected_and_a_full_one_is_not(
     detail: ReplyDetail, ejected: bool
@@ -78,7 +78,7 @@
     assert edge in {driver.fetch(key).target for key in range(20)}
 
 
-@pytest.mark.parametrize("silent", [True, False])
+@pytest.mark.parametrize("unresponsive", [True, False])
 def test_a_timeout_on_an_unresponsive_connection_does_not_count_against_the_source(
     unresponsive: bool,
 ) -> None:
@@ -164,7 +164,7 @@
     driver.router.handle(OutlierReported("nobody"), driver.now)
 
 
-@pytest.mark.parametrize("silent", [True, False])
+@pytest.mark.parametrize("unresponsive", [True, False])
 def test_a_timeout_from_a_too_short_client_deadline_counts_against_no_member(unresponsive: bool) -> None:
     """1,300 first attempts in 8 s timed out before any answer was due, and edges were ejected."""
     driver = Driver(detailed_replies=True)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -25,7 +25,7 @@
     return now
 
 
-@pytest.mark.parametrize("turned_away", [0.0, 0.5, 0.9])
+@pytest.mark.parametrize("rejected_ratio", [0.0, 0.5, 0.9])
 def test_rejections_do_not_lower_the_slow_start_budget(rejected_ratio: float) -> None:
     """With three of four edges new, rejections lower the load and must not lower the allowed rate.
 
