--- a/paddlequay/policy/__init__.py
+++ b/paddlequay/policy/__init__.py
@@ -1,6 +1,7 @@
-"""Every decision of a router for a two-tier cache; its events and actions stand in `routing/interface.py`.
+"""The routing decisions: `Router` turns events into actions, both defined in `routing/interface.py`.
 
-The ordinary path stands in docs/design.md; all else here says what happens when that path fails.
+Each rule is a module named for it. docs/design.md describes the ordinary path of a request, docs/decisions.md
+lists the rules.
 """
 
 from paddlequay.policy.router import Router as Router
