--- a/paddlequay/hierarchy/source_fallback.py
+++ b/paddlequay/hierarchy/source_fallback.py
@@ -11,6 +11,7 @@
 from paddlequay.hierarchy.node import Node
 from paddlequay.hierarchy.topology import Topology
 from paddlequay.policy import Router
+from paddlequay.policy.availability import is_available
 from paddlequay.routing.interface import (
     AttemptEnded,
     Fail,
@@ -18,6 +19,7 @@
     Member,
     MembersChanged,
     Outcome,
+    RejectCause,
     RoutingSettings,
 )
 from paddlequay.routing.state import AttemptState, RequestState, Upstream
@@ -90,9 +92,9 @@
         a second fill of the same object.
         """
         number = request.received.fill
-        has_retries = not request.attempts or self.attempts.may_retry(request, self.now)
+        has_retries = not request.attempts or self.state.retries.may_retry(request, self.now)
         if number is None or not has_retries:
-            self.give_up(request, "retries_exhausted")
+            self.give_up(request, RejectCause.RETRIES_EXHAUSTED)
             return
         next_hop = self.next_hops.pop(request.received.id, "")
         while (step := self.node.next_source(number, next_hop)) is not None:
@@ -104,7 +106,7 @@
                 self._send(request, upstream, step.source)
                 return
             if not step.source.only_if_cached:
-                self.give_up(request, "edge_busy")
+                self.give_up(request, RejectCause.EDGE_BUSY)
                 return
         self.actions.append(Fail(request.received.id))
         self.close(request.received.id)
@@ -129,7 +131,7 @@
         upstream = self.state.members.upstreams.get(source.target)
         if upstream is None or not upstream.ready:
             return None
-        return upstream if self.selector.is_open(upstream, request, self.now) else None
+        return upstream if is_available(self.state, upstream, request, self.now) else None
 
     def _send(self, request: RequestState, upstream: Upstream, source: FillSource) -> None:
         """Sends one attempt. Naming an origin as the source allows a node to fill."""
@@ -139,7 +141,7 @@
             target=source.target,
             source=self._fetch_source(source),
             retention=FILL_RETENTION,
-            timeout=self.attempts.timeout(request, self.now),
+            timeout=self.state.timeouts.attempt_timeout(request, self.now),
             max_age=self._max_age(request),
             coalesce=True,
             only_if_cached=source.only_if_cached,
