--- a/tests/golden/test_golden_pages.py
+++ b/tests/golden/test_golden_pages.py
@@ -9,15 +9,15 @@
 import pytest
 from golden_samples import DATA
 from harness import until
-from rig_tier import Rig, made_one, made_rig
+from rig_tier import Rig, rig_with_ready_tier, tier_rig
 from test_discovery import TEXT, Both, Zone
 
 from paddlequay.lab.cluster import RULES
 from paddlequay.lab.fleet_rig import FleetRig
 from paddlequay.lab.plaza import Plan
 
-rig = pytest.fixture(made_rig, name="rig")
-one = pytest.fixture(made_one, name="one")
+rig = pytest.fixture(tier_rig, name="rig")
+ready = pytest.fixture(rig_with_ready_tier, name="ready")
 NAMED_BY_DATA = {"sources", "peers", "leases", "limits", "words", "sent", "counts", "home_shares", "channels"}
 
 
@@ -44,8 +44,8 @@
     assert json.dumps(key_tree(value)) == json.dumps(expected(page))
 
 
-def test_the_page_of_a_tier_node_keeps_its_fields(one: Rig) -> None:
-    same("hierarchy", one.page())
+def test_the_page_of_a_tier_node_keeps_its_fields(ready: Rig) -> None:
+    same("hierarchy", ready.page())
 
 
 def test_the_page_of_members_keeps_its_fields(tmp_path: Path) -> None:
--- a/tests/hierarchy/rig_tier.py
+++ b/tests/hierarchy/rig_tier.py
@@ -1,4 +1,4 @@
-"""A tier's node as a process, with a feed, neighbours and askers on loopback."""
+"""A tier's node as a process, with a feed, neighbours and clients on loopback."""
 
 import contextlib
 import json
@@ -27,8 +27,8 @@
     return {"id": name, "at": at} | group | also
 
 
-class Feed(Party):
-    """Writes lines to every node that follows it."""
+class FeedServer(Party):
+    """A topology feed: writes numbered lines to every node that follows it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -43,28 +43,28 @@
                 self.followers.append(connection)
                 for event in self.events[int(words[1]) :]:
                     connection.sendall(json.dumps(event).encode() + b"\n")
-                self.raw(json.dumps({"no": len(self.events)}).encode() + b"\n", connection)
+                self.send(json.dumps({"no": len(self.events)}).encode() + b"\n", connection)
 
-    def raw(self, data: bytes, *to: socket.socket) -> None:
+    def send(self, data: bytes, *to: socket.socket) -> None:
         for connection in to or list(self.followers):
             with contextlib.suppress(OSError):
                 connection.sendall(data)
 
-    def away(self) -> None:
-        """Nobody reaches it any more."""
+    def stop(self) -> None:
+        """Close the listener and all connections."""
         self.listener.shutdown(socket.SHUT_RDWR)  # a close alone would not end the accept under way
         self.listener.close()
         for connection in self.followers:
             with contextlib.suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
 
-    def tell(self, **event: Any) -> None:
+    def publish(self, **event: Any) -> None:
         self.events.append({"no": len(self.events) + 1} | event)
-        self.raw(json.dumps(self.events[-1]).encode() + b"\n")
+        self.send(json.dumps(self.events[-1]).encode() + b"\n")
 
 
-class Asker:
-    """A box, a router or another node: one connection to a tier."""
+class TierClient:
+    """An edge cache, a router or another node: one connection to a tier."""
 
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection(("127.0.0.1", port), timeout=WAIT)
@@ -82,11 +82,11 @@
 
 
 class Rig:
-    """One tier with a store and a feed; further nodes are `Party`s or tiers of their own."""
+    """One tier with an origin and a feed; further nodes are `Party`s or tiers of their own."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.feed, self.store = Feed(), Party()
+        self.feed, self.store = FeedServer(), Party()
         (folder / "hop.key").write_bytes(SECRET)
         self.ports: dict[str, tuple[int, int]] = {}
         self.processes: dict[str, subprocess.Popen[str]] = {}
@@ -141,29 +141,31 @@
         found: dict[str, Any] = json.loads(text) if text else {"version": 0}
         return found
 
-    def at(self, name: str) -> str:
+    def address(self, name: str) -> str:
         return f"127.0.0.1:{self.ports.setdefault(name, (free_port(), free_port()))[0]}"
 
-    def shape(self, *nodes: dict[str, Any]) -> None:
-        """A whole shape, told to whoever follows."""
+    def publish_topology(self, *nodes: dict[str, Any]) -> None:
+        """Publish a full topology on the feed."""
         version = 1 + sum("shape" in event for event in self.feed.events)
         put = [node("store", self.store.address), *nodes]
-        self.feed.tell(shape={"version": version, "put": put})
+        self.feed.publish(shape={"version": version, "put": put})
 
-    def reached(self, version: int, *names: str) -> None:
-        def all_have() -> bool:
+    def wait_for_version(self, version: int, *names: str) -> None:
+        def all_have_it() -> bool:
             return all(self.page(name)["version"] == version for name in names or ("a",))
 
-        until(all_have, f"version {version} everywhere")
+        until(all_have_it, f"version {version} everywhere")
 
-    def give(self, tag: str = "t", minted: float | None = None, word: str = "HIT", **also: str) -> list[str]:
-        """The store's next answer."""
+    def answer_as_origin(
+        self, tag: str = "t", minted: float | None = None, word: str = "HIT", **also: str
+    ) -> list[str]:
+        """Give the origin's next answer."""
         stamp = {"tag": tag, "minted": str(round((minted or time.time()) * 1000))} | also
         text = ",".join(f"{key}={value}" for key, value in stamp.items())
         return self.store.answer(word, text, tag.encode())
 
-    def asker(self, name: str = "a") -> Asker:
-        return Asker(self.ports[name][0])
+    def connect(self, name: str = "a") -> TierClient:
+        return TierClient(self.ports[name][0])
 
     def logged(self, text: str) -> str:
         found: str = until(lambda: next((line for line in list(self.log) if text in line), None), text)
@@ -178,7 +180,7 @@
             party.listener.close()
 
 
-def made_rig(tmp_path: Path) -> Iterator[Rig]:
+def tier_rig(tmp_path: Path) -> Iterator[Rig]:
     made = Rig(tmp_path)
     try:
         yield made
@@ -186,9 +188,9 @@
         made.close()
 
 
-def made_one(rig: Rig) -> Rig:
-    """A tier alone under the store, ready."""
-    rig.shape(node("a", rig.at("a"), "store"))
+def rig_with_ready_tier(rig: Rig) -> Rig:
+    """A rig with one tier alone under the origin, ready."""
+    rig.publish_topology(node("a", rig.address("a"), "store"))
     rig.start()
     until(lambda: rig.call("/-/ready", "GET")[0] == 200, "the tier is ready")
     return rig
--- a/tests/hierarchy/test_fencing_tokens.py
+++ b/tests/hierarchy/test_fencing_tokens.py
@@ -1,7 +1,7 @@
 """Fencing tokens: a node rejects fills that a channel's former owner still sends."""
 
 import pytest
-from rig_tier import Rig, made_one, made_rig
+from rig_tier import Rig, rig_with_ready_tier, tier_rig
 
 from paddlequay.hierarchy.errors import RequestFieldError
 from paddlequay.hierarchy.fencing_tokens import FencingTokens
@@ -22,8 +22,8 @@
 from paddlequay.protocol.fill_messages import decode_channel_token
 from paddlequay.routing.interface import CopyReported, Idempotency, ReplyDetail, RequestClass, RoutingSettings
 
-rig = pytest.fixture(made_rig, name="rig")
-one = pytest.fixture(made_one, name="one")
+rig = pytest.fixture(tier_rig, name="rig")
+ready = pytest.fixture(rig_with_ready_tier, name="ready")
 
 
 def test_a_lower_token_is_rejected_and_the_same_one_accepted() -> None:
@@ -72,18 +72,18 @@
     assert decode_channel_token({"chan": "ff", "term": "10"}) == ChannelToken(255, 16)
 
 
-def test_a_tier_serves_each_later_owner_and_rejects_the_one_before(one: Rig) -> None:
-    asker = one.asker()
-    asker.ask("q1", chan="7f", term="20")
-    one.give()
-    assert asker.answer()[1] == "HIT"
-    asker.ask("q2", chan="7f", term="1f")
-    word = asker.answer()
+def test_a_tier_serves_each_later_owner_and_rejects_the_one_before(ready: Rig) -> None:
+    client = ready.connect()
+    client.ask("q1", chan="7f", term="20")
+    ready.answer_as_origin()
+    assert client.answer()[1] == "HIT"
+    client.ask("q2", chan="7f", term="1f")
+    word = client.answer()
     assert (word[1], word[2]["detail"]) == ("NONE", "OLD_TERM")
-    asker.ask("q3", chan="7f")
-    assert asker.answer()[2]["detail"] == "BAD_FIELD"
-    asker.ask("q4", chan="80", term="1f")
-    assert asker.answer()[1] == "HIT" and one.store.lines.empty()
+    client.ask("q3", chan="7f")
+    assert client.answer()[2]["detail"] == "BAD_FIELD"
+    client.ask("q4", chan="80", term="1f")
+    assert client.answer()[1] == "HIT" and ready.store.lines.empty()
 
 
 def test_a_router_records_a_reported_holder_without_counting_a_read() -> None:
--- a/tests/hierarchy/test_tier.py
+++ b/tests/hierarchy/test_tier.py
@@ -10,45 +10,45 @@
 
 import pytest
 from harness import ROOT, WAIT, Party, told, until
-from rig_tier import SECRET, Feed, Rig, made_one, made_rig, node
+from rig_tier import SECRET, FeedServer, Rig, node, rig_with_ready_tier, tier_rig
 
 from paddlequay.hierarchy.fill_path import FillPath, Keyring, SigningKey
 
-rig = pytest.fixture(made_rig, name="rig")
-one = pytest.fixture(made_one, name="one")
+rig = pytest.fixture(tier_rig, name="rig")
+ready = pytest.fixture(rig_with_ready_tier, name="ready")
 
 
-def test_one_fill_serves_many_and_a_purge_lets_nothing_older_answer(one: Rig) -> None:
-    asker = one.asker()
+def test_one_fill_serves_many_requests_and_no_copy_from_before_a_purge_is_served(ready: Rig) -> None:
+    client = ready.connect()
     for number in range(40):
-        asker.ask(f"q{number}")
-    words = one.give("old")
+        client.ask(f"q{number}")
+    words = ready.answer_as_origin("old")
     assert not told(words).keys() & {"hops", "claim", "via"}  # the store is told what any cache tells it
-    answers = [asker.answer() for _ in range(40)]
+    answers = [client.answer() for _ in range(40)]
     assert {each[1] for each in answers} == {"HIT"} and {each[3] for each in answers} == {b"old"}
     assert sorted(each[2]["detail"] for each in answers) == ["COLLAPSED"] * 39 + ["MISS_ORIGIN"]
-    asker.ask("again", known="old")
-    assert asker.answer()[1:2] == ("VALID",)
-    one.feed.tell(recall={"item": f"{7:016x}", "issued": round(time.time() * 1000) + 1})
-    until(lambda: one.page()["copies"] == 0, "the copy is gone")
-    asker.ask("after")
-    one.give("new", time.time() + 0.01)
-    assert asker.answer()[3] == b"new" and one.store.lines.empty()
-
-
-def test_what_is_held_is_given_without_a_fill_and_what_is_not_is_told_at_once(one: Rig) -> None:
-    asker = one.asker()
-    asker.ask("q1", via="")
-    assert asker.answer()[1] == "NONE"
-    asker.ask("q2", opts="held")
-    assert asker.answer()[1] == "NONE"
-    asker.ask("q3")
-    one.give()
-    assert asker.answer()[1] == "HIT"
-    asker.ask("q4", opts="held+join")
-    assert asker.answer()[1] == "HIT" and one.store.lines.empty()
-    asker.socket.sendall(b"NOOP n1\r\nINFO i1\r\n")
-    assert [asker.answer()[:2] for _ in range(2)] == [("n1", "PONG"), ("i1", "PONG")]
+    client.ask("again", known="old")
+    assert client.answer()[1:2] == ("VALID",)
+    ready.feed.publish(recall={"item": f"{7:016x}", "issued": round(time.time() * 1000) + 1})
+    until(lambda: ready.page()["copies"] == 0, "the copy is gone")
+    client.ask("after")
+    ready.answer_as_origin("new", time.time() + 0.01)
+    assert client.answer()[3] == b"new" and ready.store.lines.empty()
+
+
+def test_requests_for_cached_copies_only_are_answered_at_once_without_a_fill(ready: Rig) -> None:
+    client = ready.connect()
+    client.ask("q1", via="")
+    assert client.answer()[1] == "NONE"
+    client.ask("q2", opts="held")
+    assert client.answer()[1] == "NONE"
+    client.ask("q3")
+    ready.answer_as_origin()
+    assert client.answer()[1] == "HIT"
+    client.ask("q4", opts="held+join")
+    assert client.answer()[1] == "HIT" and ready.store.lines.empty()
+    client.socket.sendall(b"NOOP n1\r\nINFO i1\r\n")
+    assert [client.answer()[:2] for _ in range(2)] == [("n1", "PONG"), ("i1", "PONG")]
 
 
 @pytest.mark.parametrize(
@@ -63,64 +63,64 @@
         ({"budget": "9" * 30}, "BAD_FIELD"),
     ],
 )
-def test_forged_hops_and_fields_that_cannot_be_used_fail_alone(
-    one: Rig, fields: dict[str, str], detail: str
+def test_a_forged_path_or_an_invalid_field_fails_its_own_request_only(
+    ready: Rig, fields: dict[str, str], detail: str
 ) -> None:
-    asker = one.asker()
-    asker.ask("good")
-    asker.ask("bad", **fields)
-    assert asker.answer()[:3:2] == ("bad", {"detail": detail})
-    one.give()
-    assert asker.answer()[0] == "good"
+    client = ready.connect()
+    client.ask("good")
+    client.ask("bad", **fields)
+    assert client.answer()[:3:2] == ("bad", {"detail": detail})
+    ready.answer_as_origin()
+    assert client.answer()[0] == "good"
 
 
 @pytest.mark.parametrize(
     "noise", [b"HELLO\r\n", b"ASK a b\r\n", b"\xff\xff\r\n", b"A" * 9000, b"ASK a - 9\r\nxy"]
 )
-def test_noise_ends_its_own_connection_and_no_other(one: Rig, noise: bytes) -> None:
-    asker, bad = one.asker(), one.asker()
+def test_malformed_bytes_end_their_own_connection_only(ready: Rig, noise: bytes) -> None:
+    client, bad = ready.connect(), ready.connect()
     bad.socket.sendall(noise)
     if noise.endswith(b"xy"):
         bad.socket.shutdown(socket.SHUT_WR)
     assert bad.file.read() == b""
-    asker.ask("q")
-    one.give()
-    assert asker.answer()[1] == "HIT"
+    client.ask("q")
+    ready.answer_as_origin()
+    assert client.answer()[1] == "HIT"
 
 
-def test_two_that_name_each_other_serve_at_once_and_fill_once(rig: Rig) -> None:
-    rig.shape(node("a", rig.at("a"), "b", "store"), node("b", rig.at("b"), "store"))
+def test_two_nodes_that_name_each_other_as_parents_serve_with_one_fill_each_object(rig: Rig) -> None:
+    rig.publish_topology(node("a", rig.address("a"), "b", "store"), node("b", rig.address("b"), "store"))
     rig.start("a")
-    rig.reached(1, "a")
-    rig.feed.away()  # `a` stays with the first shape, `b` has the second from a feed of its own
-    first, rig.feed = rig.feed, Feed()
+    rig.wait_for_version(1, "a")
+    rig.feed.stop()  # `a` stays with the first shape, `b` has the second from a feed of its own
+    first, rig.feed = rig.feed, FeedServer()
     rig.feed.events = first.events[:]
-    rig.shape(node("a", rig.at("a"), "store"), node("b", rig.at("b"), "a", "store"))
+    rig.publish_topology(node("a", rig.address("a"), "store"), node("b", rig.address("b"), "a", "store"))
     rig.start("b")
-    rig.reached(2, "b")
+    rig.wait_for_version(2, "b")
     assert rig.page("a")["version"] == 1
     began = time.monotonic()
-    askers = [rig.asker("a"), rig.asker("b")]
+    clients = [rig.connect("a"), rig.connect("b")]
     names = [f"{number:016x}" for number in range(20)]
     for name in names:
-        for asker in askers:
-            asker.ask(f"q{name}", name=name)
+        for client in clients:
+            client.ask(f"q{name}", name=name)
     for _ in names:
-        rig.give()
-    for asker in askers:
-        assert {asker.answer()[1] for _ in names} == {"HIT"}
+        rig.answer_as_origin()
+    for client in clients:
+        assert {client.answer()[1] for _ in names} == {"HIT"}
     assert time.monotonic() - began < 3 and rig.store.lines.empty()
     assert sum(rig.page(name)["loops_found"] + rig.page(name)["rings_refused"] for name in "ab") >= 1
 
 
-def test_a_home_that_dies_in_mid_fill_with_forty_joiners_is_passed_over_at_once(rig: Rig) -> None:
+def test_a_home_that_dies_during_a_fill_with_forty_waiters_is_passed_over_at_once(rig: Rig) -> None:
     peer = Party()
-    rig.shape(node("a", rig.at("a"), "store"), node("b", peer.address, "store", weight=1e6))
+    rig.publish_topology(node("a", rig.address("a"), "store"), node("b", peer.address, "store", weight=1e6))
     rig.start()
-    rig.reached(1)
-    asker = rig.asker()
+    rig.wait_for_version(1)
+    client = rig.connect()
     for number in range(40):
-        asker.ask(f"q{number}")
+        client.ask(f"q{number}")
     connection, words = peer.line()
     trail = Keyring([SigningKey("k1", SECRET)]).decode(
         told(words)["hops"], f"{words[1]} video {7:016x} 0 ", time.time()
@@ -128,89 +128,89 @@
     assert trail.hops == ("a",) and "via" in told(words)
     connection.shutdown(socket.SHUT_RDWR)
     connection.close()
-    rig.give()
-    assert {asker.answer()[1] for _ in range(40)} == {"HIT"} and rig.store.lines.empty()
+    rig.answer_as_origin()
+    assert {client.answer()[1] for _ in range(40)} == {"HIT"} and rig.store.lines.empty()
     peer.listener.close()
 
 
-def test_a_new_home_asks_the_earlier_one_for_what_it_holds_and_claims_the_object(rig: Rig) -> None:
+def test_a_new_home_asks_the_earlier_home_for_its_cached_copy_and_claims_the_object(rig: Rig) -> None:
     peer = Party()
     b = node("b", peer.address, "store")
-    rig.shape(node("a", rig.at("a"), "store", weight=1e-5), b)
+    rig.publish_topology(node("a", rig.address("a"), "store", weight=1e-5), b)
     rig.start()
-    rig.reached(1)
-    rig.shape(node("a", rig.at("a"), "store", weight=1e5), b)
-    rig.reached(2)
-    asker = rig.asker()
-    asker.ask("q1")
+    rig.wait_for_version(1)
+    rig.publish_topology(node("a", rig.address("a"), "store", weight=1e5), b)
+    rig.wait_for_version(2)
+    client = rig.connect()
+    client.ask("q1")
     words = peer.answer("HIT", f"tag=held,minted={round(time.time() * 1000)}", b"held")
     assert told(words)["opts"] == "join+held" and "via" not in told(words)
-    assert told(words)["claim"] == f"2@{rig.at('a')}"
-    assert asker.answer()[3] == b"held"
-    asker.ask("q2", name=f"{8:016x}")
+    assert told(words)["claim"] == f"2@{rig.address('a')}"
+    assert client.answer()[3] == b"held"
+    client.ask("q2", name=f"{8:016x}")
     peer.answer("NONE", "detail=UP_MISS")
-    rig.give()
-    assert asker.answer()[1] == "HIT" and rig.store.lines.empty()
+    rig.answer_as_origin()
+    assert client.answer()[1] == "HIT" and rig.store.lines.empty()
 
 
-def test_who_stands_in_the_trail_is_told_of_the_loop(one: Rig) -> None:
-    asker = one.asker()
+def test_a_fill_that_has_passed_the_node_is_rejected_as_a_loop(ready: Rig) -> None:
+    client = ready.connect()
     trail = Keyring([SigningKey("k1", SECRET)]).encode(
         FillPath(1, ("a", "b")), f"q1 video {7:016x} 0 ", time.time()
     )
-    asker.ask("q1", hops=trail)
-    word, fields = asker.answer()[1:3]
+    client.ask("q1", hops=trail)
+    word, fields = client.answer()[1:3]
     use = dict(pair.split(":") for pair in fields.pop("use").split(";"))
     assert 0.0 <= float(use.pop("util")) <= 1.0  # of a core that others use too
     assert (word, fields, use) == ("NONE", {"detail": "LOOP"}, {"inflight": "0", "x0": "0.00", "x1": "0"})
 
 
-def test_operators_take_a_node_out_and_put_it_back_and_empty_this_one(rig: Rig) -> None:
+def test_operators_eject_and_restore_a_node_and_drain_this_one(rig: Rig) -> None:
     peer = Party()
-    rig.shape(node("a", rig.at("a"), "store"), node("b", peer.address, "store", weight=1e6))
+    rig.publish_topology(node("a", rig.address("a"), "store"), node("b", peer.address, "store", weight=1e6))
     rig.start()
-    rig.reached(1)
-    asker = rig.asker()
+    rig.wait_for_version(1)
+    client = rig.connect()
     assert rig.call("/-/caches/b/disable") == (200, "out; left out now: b\n")
     assert rig.page()["left_out"] == ["b"]
-    asker.ask("q1")
-    rig.give()
-    assert asker.answer()[1] == "HIT" and peer.lines.empty()
+    client.ask("q1")
+    rig.answer_as_origin()
+    assert client.answer()[1] == "HIT" and peer.lines.empty()
     assert rig.call("/-/caches/b/enable")[0] == 200
-    asker.ask("q2", name=f"{8:016x}")
+    client.ask("q2", name=f"{8:016x}")
     peer.answer("HIT", f"tag=p,minted={round(time.time() * 1000)}", b"p")
-    assert asker.answer()[3] == b"p"
+    assert client.answer()[3] == b"p"
     assert rig.call("/-/caches/nobody/disable")[0] == 404 and rig.call("/-/hierarchy")[0] == 405
     assert rig.call("/-/drain")[0] == 200 and rig.call("/-/ready", "GET")[0] == 503
-    assert asker.file.read() == b""  # nothing is owed: closed
+    assert client.file.read() == b""  # nothing is owed: closed
     assert rig.call("/-/resume")[0] == 200 and rig.call("/-/ready", "GET")[0] == 200
     peer.listener.close()
 
 
-def test_keys_change_in_service_and_the_end_is_in_order(one: Rig) -> None:
-    (one.folder / "new.key").write_bytes(b"another secret, much newer")
+def test_keys_change_while_serving_and_the_shutdown_answers_open_requests(ready: Rig) -> None:
+    (ready.folder / "new.key").write_bytes(b"another secret, much newer")
     old = 'hop_key { id: "k1" file: "hop.key" }'
-    one.settings("a", **{old: f'{old}\n  hop_key {{ id: "k2" file: "new.key" since_unix: 1 }}'})
-    one.processes["a"].send_signal(signal.SIGHUP)
-    one.logged("event=reloaded")
-    asker = one.asker()
+    ready.settings("a", **{old: f'{old}\n  hop_key {{ id: "k2" file: "new.key" since_unix: 1 }}'})
+    ready.processes["a"].send_signal(signal.SIGHUP)
+    ready.logged("event=reloaded")
+    client = ready.connect()
     for id, key in (
         ("q1", SigningKey("k1", SECRET)),
         ("q2", SigningKey("k2", b"another secret, much newer")),
     ):
         trail = Keyring([key]).encode(FillPath(1, ("a",)), f"{id} video {7:016x} 0 ", time.time())
-        asker.ask(id, hops=trail)
-        assert asker.answer()[2]["detail"] == "LOOP"
-    one.settings("a", listen="lisn")
-    one.processes["a"].send_signal(signal.SIGHUP)
-    assert "a.txtpb:4" in one.logged("reload_refused")
-    asker.ask("open")
-    until(lambda: one.page()["waiting"] == 1, "it waits")
-    one.processes["a"].terminate()
-    one.logged("event=shutdown_started")
-    one.give()
-    assert asker.answer()[1] == "HIT" and one.processes["a"].wait(timeout=WAIT) == 0
-    one.logged("event=counters")
+        client.ask(id, hops=trail)
+        assert client.answer()[2]["detail"] == "LOOP"
+    ready.settings("a", listen="lisn")
+    ready.processes["a"].send_signal(signal.SIGHUP)
+    assert "a.txtpb:4" in ready.logged("reload_refused")
+    client.ask("open")
+    until(lambda: ready.page()["waiting"] == 1, "it waits")
+    ready.processes["a"].terminate()
+    ready.logged("event=shutdown_started")
+    ready.answer_as_origin()
+    assert client.answer()[1] == "HIT" and ready.processes["a"].wait(timeout=WAIT) == 0
+    ready.logged("event=counters")
 
 
 @pytest.mark.parametrize(
@@ -244,14 +244,14 @@
 
 
 @pytest.mark.parametrize("words", [["nonsense"], ["tier"], ["lab", "run"], ["lab", "up", "--rate", "x"]])
-def test_bad_use_of_the_command_line_is_one_error_with_exit_2(words: list[str]) -> None:
+def test_invalid_command_lines_end_with_one_error_and_exit_2(words: list[str]) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "paddlequay", *words], cwd=ROOT, capture_output=True, text=True
     )
     assert done.returncode == 2 and "Error" in done.stderr and "Traceback" not in done.stderr
 
 
-def test_the_router_loads_none_of_what_it_does_not_use() -> None:
+def test_the_router_imports_no_module_that_it_does_not_use() -> None:
     code = (
         "import sys, paddlequay.__main__, paddlequay.programs.router; "
         "print([m for m in ('click', 'google', 'numpy', 'matplotlib', 'structlog', 'hdrh', 'paddlequay.lab', "
