--- a/paddlequay/lab/fleet.py
+++ b/paddlequay/lab/fleet.py
@@ -132,7 +132,7 @@
             asked += 1
         setup.say(f"{due - start:.1f} of {seconds:g} s simulated, {asked} asked")
     world.play(world.now + 10)
-    second = world.second_fills()
+    second = world.origin.second_fills()
     held = [fill for fill in second if fill.living_holders]
     slices = sorted({at for _, at in world.asked})
     warm = [node.name for node in before.nodes.values() if node.group.startswith("g")]
@@ -155,7 +155,7 @@
             results.lines.setdefault(key, []).append((row["second"], row[key]))
     results.figures |= {
         "routers, nodes, objects, asked": f"{ROUTERS}, {len(after.nodes)}, {objects}, {asked}",
-        "fills at the store": len(world.origin_fills),
+        "fills at the store": len(world.origin.fills),
         "second fills, of these with a living holder": f"{len(second)}, {len(held)}",
         "answers": len(world.replies),
         "ms a node for a reshaping": f"{np.mean(cost) * 1000:.2f}, most {max(cost) * 1000:.2f}",
@@ -164,7 +164,7 @@
     }
     results.claim("asks never answered", world.unanswered, "==", 0)
     results.claim(
-        "second fills with a living holder, of all fills", len(held) / len(world.origin_fills), "<=", 0.001
+        "second fills with a living holder, of all fills", len(held) / len(world.origin.fills), "<=", 0.001
     )
     # A member's objects are few and unequal: a bound on the mean over all new members, not on the luckiest.
     results.claim("cold nodes' mean over their share of the mean", float(np.mean(peaks)), "<=", 2.0)
--- a/paddlequay/lab/hierarchy_search.py
+++ b/paddlequay/lab/hierarchy_search.py
@@ -108,17 +108,17 @@
         violations.append(f"{simulation.unanswered} never answered: a ring of waits")
     if simulation.stale_replies:
         violations.append(f"answered from before a purge: {simulation.stale_replies[0]}")
-    second = simulation.second_fills()
+    second = simulation.origin.second_fills()
     avoidable = [fill for fill in second if fill.living_holders]
     if avoidable:
         fill = avoidable[0]
-        violations.append(f"second fill of {fill.object_name} by {fill.node}, {len(avoidable)} in all")
+        violations.append(f"second fill of {fill.key.object_name} by {fill.node}, {len(avoidable)} in all")
     return SearchResult(
         violations=tuple(violations),
         loops=simulation.count("loops_found"),
         rings=simulation.count("rings_refused"),
         second_fills=len(second),
-        fills=len(simulation.origin_fills),
+        fills=len(simulation.origin.fills),
     )
 
 
--- a/paddlequay/lab/hierarchy_simulation.py
+++ b/paddlequay/lab/hierarchy_simulation.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Any
 
-from paddlequay.hierarchy.copy_cache import CachedCopy, PartKey
+from paddlequay.hierarchy.copy_cache import CachedCopy
 from paddlequay.hierarchy.fill_requests import (
     Action,
     FillRequest,
@@ -27,6 +27,7 @@
 from paddlequay.hierarchy.node import Node
 from paddlequay.hierarchy.source_selection import FillStep
 from paddlequay.hierarchy.topology import Topology
+from paddlequay.lab.simulated_origin import SimulatedOrigin
 
 ORIGIN = "store"
 EDGE_CACHE = "box"
@@ -78,21 +79,6 @@
     at: float = 0.0
 
 
-@dataclass(frozen=True, slots=True)
-class OriginFill:
-    """A copy that the origin has given out.
-
-    `epoch` counts the purges of the object that were issued before. `living_holders` are the living nodes
-    that held the object then, or were sent it, and that the filling node may ask as far as it knows.
-    """
-
-    object_name: str
-    part: int | None
-    epoch: int
-    node: str
-    living_holders: tuple[str, ...]
-
-
 class HierarchySimulation:
     """Nodes, an origin, and messages between them that wait to be delivered.
 
@@ -118,11 +104,8 @@
         self.dead: set[str] = set()
         self.pending: list[Message] = []
         self.now = 1000.0
-        self.epochs: Counter[str] = Counter()  # purges of an object that have been issued
-        self.purged_at: dict[str, float] = {}
-        self.origin_fills: list[OriginFill] = []
-        # What the origin has given out and is on its way: object, part, node, epoch.
-        self.outstanding: Counter[tuple[str, int | None, str, int]] = Counter()
+        self.origin = SimulatedOrigin()
+        self.fills = SimulatedFills(self)
         self.replies: list[Reply] = []
         self.received_purges: dict[str, dict[str, float]] = defaultdict(dict)  # by node and object
         self.unanswered = 0
@@ -148,15 +131,15 @@
     def purge(self, object_name: str) -> float:
         """Issues a purge, which nodes learn of by `receive_purge`; returns its time."""
         self.now += PURGE_STEP_S
-        self.epochs[object_name] += 1
-        self.purged_at[object_name] = self.now
+        issued_at = self.now
+        self.origin.purge(object_name, issued_at)
         self.now += PURGE_STEP_S
-        return self.purged_at[object_name]
+        return issued_at
 
     def receive_purge(self, name: str, object_name: str) -> None:
         """Hands the latest purge of an object to a living node."""
-        if name not in self.dead and object_name in self.purged_at:
-            issued_at = self.purged_at[object_name]
+        if name not in self.dead and object_name in self.origin.purged_at:
+            issued_at = self.origin.purged_at[object_name]
             self.received_purges[name][object_name] = issued_at
             self.nodes[name].purge(object_name, None, issued_at, self.now)
 
@@ -203,30 +186,20 @@
             if name in self.dead:
                 self.unanswered -= 1
             else:
-                self._execute(name, self.nodes[name].handle_request(request, self.now))
+                self.execute(name, self.nodes[name].handle_request(request, self.now))
 
         self.send(f"to {name} box {object_name}", arrive, self.delay(EDGE_CACHE, name))
 
-    def second_fills(self) -> list[OriginFill]:
-        """Returns the fills of an object and part since the same purge, beyond the first."""
-        seen: set[tuple[str, int | None, int]] = set()
-        second = []
-        for fill in self.origin_fills:
-            epoch_of_part = (fill.object_name, fill.part, fill.epoch)
-            if epoch_of_part in seen:
-                second.append(fill)
-            seen.add(epoch_of_part)
-        return second
-
     def count(self, counter: str) -> int:
         """Returns the sum of a counter over all nodes."""
         return sum(node.counters.counts[counter] for node in self.nodes.values())
 
-    def _execute(self, name: str, actions: list[Action]) -> None:
+    def execute(self, name: str, actions: list[Action]) -> None:
+        """Carries out the actions of a node."""
         for action in actions:
             match action:
                 case StartFill():
-                    self._ask_next_source(FillInFlight(name, self.incarnations[name], action))
+                    self.fills.ask_next(FillInFlight(name, self.incarnations[name], action))
                 case Reply():
                     self._on_reply(name, action)
                 case PeerIntroduction():
@@ -245,11 +218,18 @@
                 reason = "unreached" if is_unreachable else reply.reason or ""
                 self.send(
                     f"to {fill.node} answer {reply.status.value} {reason}",
-                    lambda: self._on_source_reply(fill, target, copy, reply.next_hop, is_unreachable),
+                    lambda: self.fills.on_reply(fill, target, copy, reply.next_hop, is_unreachable),
                     self.delay(name, fill.node),
                 )
 
-    def _on_source_reply(
+
+class SimulatedFills:
+    """Carries fills from source to source, in place of the exchange and the network."""
+
+    def __init__(self, simulation: HierarchySimulation) -> None:
+        self.simulation = simulation
+
+    def on_reply(
         self,
         fill: FillInFlight,
         target: str,
@@ -260,46 +240,49 @@
         """A source's reply arrives at the node that fills."""
         order = fill.order
         if target == ORIGIN and copy is not None:
-            self.outstanding[(*order.key, fill.node, int(copy.tag))] -= 1
-        if fill.node in self.dead or self.incarnations[fill.node] != fill.incarnation:
+            self.simulation.origin.on_arrived(order.key, fill.node, int(copy.tag))
+        if fill.node in self.simulation.dead or self.simulation.incarnations[fill.node] != fill.incarnation:
             return
-        node = self.nodes[fill.node]
+        node = self.simulation.nodes[fill.node]
         if is_unreachable:
             node.on_unreachable(order.number, target)
         if copy is None or copy.minted_at < order.min_minted_at:
-            self._ask_next_source(fill, next_hop)
+            self.ask_next(fill, next_hop)
             return
         own_copy = CachedCopy(copy.body, copy.tag, copy.minted_at, copy.group, 1)
         result = FillResult(own_copy, from_origin=target == ORIGIN)
-        self._execute(fill.node, node.on_fill_ended(order.number, result, self.now))
+        self.simulation.execute(fill.node, node.on_fill_ended(order.number, result, self.simulation.now))
 
-    def _ask_next_source(self, fill: FillInFlight, next_hop: str = "") -> None:
-        node = self.nodes[fill.node]
+    def ask_next(self, fill: FillInFlight, next_hop: str = "") -> None:
+        """Asks the next source of a fill, or ends the fill where none is left."""
+        node = self.simulation.nodes[fill.node]
         order = fill.order
         step = node.next_source(order.number, next_hop)
         if step is None:
-            self._execute(fill.node, node.on_fill_ended(order.number, FillResult(), self.now))
+            self.simulation.execute(
+                fill.node, node.on_fill_ended(order.number, FillResult(), self.simulation.now)
+            )
             return
         kind = "look" if step.source.only_if_cached else "fill"
         target = step.source.target
-        self.send(
+        self.simulation.send(
             f"to {target} {kind} {order.key.object_name} from {fill.node}",
-            lambda: self._on_source_asked(fill, step),
-            self.delay(fill.node, target),
+            lambda: self._on_asked(fill, step),
+            self.simulation.delay(fill.node, target),
         )
 
-    def _on_source_asked(self, fill: FillInFlight, step: FillStep) -> None:
+    def _on_asked(self, fill: FillInFlight, step: FillStep) -> None:
         """A fill's request arrives at its source."""
         order = fill.order
         target = step.source.target
         if step.source.is_origin:
             self._give_from_origin(fill)
             return
-        if target in self.dead:
-            self.send(
+        if target in self.simulation.dead:
+            self.simulation.send(
                 f"to {fill.node} unreached {target}",
-                lambda: self._on_source_reply(fill, target, None, is_unreachable=True),
-                self.delay(target, fill.node),
+                lambda: self.on_reply(fill, target, None, is_unreachable=True),
+                self.simulation.delay(target, fill.node),
             )
             return
         is_lookup = step.source.only_if_cached
@@ -310,39 +293,39 @@
             part=order.key.part,
             class_name=order.class_name,
             min_minted_at=order.min_minted_at,
-            deadline=self.now + UNBOUNDED,
+            deadline=self.simulation.now + UNBOUNDED,
             may_fill=not is_lookup,
             path=step.path,
             claim=claim,
         )
-        self._execute(target, self.nodes[target].handle_request(request, self.now))
+        self.simulation.execute(
+            target, self.simulation.nodes[target].handle_request(request, self.simulation.now)
+        )
 
     def _give_from_origin(self, fill: FillInFlight) -> None:
         """The origin gives out a copy as it is now."""
-        object_name, part = fill.order.key
-        epoch = self.epochs[object_name]
-        holders = self._living_holders(fill, epoch)
-        self.origin_fills.append(OriginFill(object_name, part, epoch, fill.node, holders))
-        self.outstanding[(object_name, part, fill.node, epoch)] += 1
-        copy = CachedCopy(b"x", str(epoch), self.now)
-        self.send(
+        key = fill.order.key
+        self.simulation.origin.give(key, fill.node, self._living_holders(fill))
+        copy = CachedCopy(b"x", str(self.simulation.origin.epochs[key.object_name]), self.simulation.now)
+        self.simulation.send(
             f"to {fill.node} answer of the store",
-            lambda: self._on_source_reply(fill, ORIGIN, copy),
-            self.delay(ORIGIN, fill.node),
+            lambda: self.on_reply(fill, ORIGIN, copy),
+            self.simulation.delay(ORIGIN, fill.node),
         )
 
-    def _living_holders(self, fill: FillInFlight, epoch: int) -> tuple[str, ...]:
+    def _living_holders(self, fill: FillInFlight) -> tuple[str, ...]:
         """Returns the nodes that hold a fill's object, or are sent it, and that the filling node may ask."""
-        key: PartKey = fill.order.key
-        known = self.nodes[fill.node].topology.nodes
+        key = fill.order.key
+        purged_at = self.simulation.origin.purged_at.get(key.object_name, 0.0)
+        known = self.simulation.nodes[fill.node].topology.nodes
         holders = []
-        for name, node in self.nodes.items():
+        for name, node in self.simulation.nodes.items():
             listed = known.get(name)
-            if name in self.dead or name == fill.node or listed is None or not listed.is_ready:
+            if name in self.simulation.dead or name == fill.node or listed is None or not listed.is_ready:
                 continue
             copy = node.cache.copies.peek(key)
-            is_cached = copy is not None and copy.minted_at >= self.purged_at.get(key.object_name, 0.0)
-            if is_cached or self.outstanding[(*key, name, epoch)]:
+            is_cached = copy is not None and copy.minted_at >= purged_at
+            if is_cached or self.simulation.origin.is_sending(key, name):
                 holders.append(name)
         return tuple(holders)
 
--- a/tests/hierarchy/test_interleavings.py
+++ b/tests/hierarchy/test_interleavings.py
@@ -29,7 +29,7 @@
             simulation.request(name, "x")
         deliver_all(simulation, rng)
         assert not simulation.unanswered
-        assert len(simulation.replies) == 3 and len(simulation.origin_fills) == 1
+        assert len(simulation.replies) == 3 and len(simulation.origin.fills) == 1
         assert all(reply.status is ReplyStatus.HIT for reply in simulation.replies)
         assert simulation.count("rings_refused") + simulation.count("loops_cut")
 
@@ -48,7 +48,7 @@
         deliver_all(simulation)
 
     request_all(("b", "c", "d"))
-    assert len(simulation.origin_fills) == 60
+    assert len(simulation.origin.fills) == 60
     cached_at_a = [
         object_name
         for object_name in objects
@@ -57,10 +57,10 @@
     assert len(cached_at_a) > 5
     simulation.kill("a")
     request_all(("b", "c"))  # served from what they have cached
-    assert len(simulation.origin_fills) == 60 and not simulation.unanswered
+    assert len(simulation.origin.fills) == 60 and not simulation.unanswered
     simulation.restart("a")
     request_all(names)
-    assert len(simulation.origin_fills) == 60 and not simulation.unanswered
+    assert len(simulation.origin.fills) == 60 and not simulation.unanswered
     copies = simulation.nodes["a"].cache.copies
     assert all(copies.peek(PartKey(object_name, 0)) for object_name in objects)
 
@@ -86,7 +86,7 @@
             simulation.request("a", "x")
         deliver_all(simulation, rng)
         assert not simulation.stale_replies and not simulation.unanswered
-        assert len(simulation.origin_fills) <= 2
+        assert len(simulation.origin.fills) <= 2
 
 
 def test_no_order_of_delivery_in_small_hierarchies_makes_a_ring_or_a_second_fill() -> None:
