--- a/paddlequay/cluster/acceptor.py
+++ b/paddlequay/cluster/acceptor.py
@@ -1,187 +1,220 @@
-"""An acceptor of leases: for each lease a timed lock in memory, and the ballots that say who may ask for it.
+"""The acceptor of leases: for each lease a timed lock in memory, and the ballots that may ask for it.
 
-PaxosLease (Trencseni, Gazso and Reinhardt, 2012) with two rules that make it stricter. First, a lock that
-runs is never overwritten by another owner, whatever its ballot: who asks meanwhile is told who holds it and
-is promised nothing, so that routers that merely ask never disturb renewals. Second, a take is accepted only
-under a promise that this life of the acceptor gave lately. `leases.py` has the whole argument.
+PaxosLease (Trencseni, Gazso and Reinhardt, 2012) with two stricter rules. A running lock is never overwritten
+by another owner, whatever its ballot; the acceptor names the holder and promises nothing, so requests never
+disturb renewals. An acquisition is accepted only under a promise that this process gave lately.
+docs/cluster/leases.md has the proof.
 """
 
 import heapq
 import math
 from dataclasses import dataclass
 
+from paddlequay.cluster.ballots import highest_of_counter, router_of, run_of
 from paddlequay.cluster.messages import Accept, PeerMessage, Prepare, Promise, Propose, Reject, Release
 from paddlequay.cluster.types import NEVER, Bounds, Name, Peer
 
-STATES_MOST = 8192  # leases that an acceptor votes on at once, about 2 MB; more are told to come later
-KEPT = 2.0  # leases' lengths that a vote is remembered after its last use, for ballots to stay in order
-PROMISED = 0.5  # of a lease: how long a promise binds; a proposer gives up after two phases of a fifth each
-HEIR = 0.2  # of a lease: how long a released lock is kept for the heir
+MAX_VOTES = 8192  # about 2 MB; requests for more leases are told to come later
 
-RUN = (1 << 32) - 1  # the part of a ballot that names a run of a router: its number and its run's nonce
+# As multiples of the longest lease.
+VOTE_RETENTION_RATIO = 2.0  # after the last use, so that ballots stay in order
+PROMISE_RATIO = 0.5  # a proposer gives up after two phases of a fifth each
+SUCCESSOR_RATIO = 0.2  # for which a released lock is reserved for the successor
 
 
-def counter(ballot: int) -> int:
-    return ballot >> 32
-
-
-def owner(ballot: int) -> int:
-    """The run that made a ballot: a router started anew is another owner, in case the old one still runs."""
-    return ballot & RUN
-
-
-def number(ballot: int) -> Peer:
-    return ballot >> 16 & 0xFFFF
-
-
-def millis(seconds: float) -> int:
-    """Whole milliseconds, never less than told."""
+def round_up_ms(seconds: float) -> int:
+    """Returns whole milliseconds, never less than `seconds`."""
     return math.ceil(seconds * 1000)
 
 
 @dataclass(slots=True)
 class Vote:
-    """What an acceptor remembers of a lease. Times are by its own clock."""
-
-    promised: int = 0  # the highest ballot that was promised or accepted
-    binds: float = 0.0  # until when the promise keeps lower ballots off, and lets its own take
-    held: int = 0  # the ballot that the lock was last given to
-    ends: float = 0.0  # when the lock does, longer than its owner counts
-    least: int = 0  # lower ballots are over: a higher one had the lock, or they gave it back
-    heir: Peer = 0
-    heir_until: float = 0.0
-    forget: float = 0.0
+    """What an acceptor remembers of one lease. Times are seconds of its own clock.
+
+    Attributes:
+        promised: The highest ballot that was promised or accepted.
+        promise_until: Until then the promise keeps lower ballots off and admits its own acquisition.
+        lock_ballot: The ballot that the lock was last given to.
+        locked_until: The end of the lock, later than the end that its holder counts.
+        min_ballot: Lower ballots are over: a higher one had the lock, or they were released.
+        successor: The router that a released lock is reserved for, until `successor_until`.
+        forget_at: When the vote may be dropped.
+    """
+
+    promised: int = 0
+    promise_until: float = 0.0
+    lock_ballot: int = 0
+    locked_until: float = 0.0
+    min_ballot: int = 0
+    successor: Peer = 0
+    successor_until: float = 0.0
+    forget_at: float = 0.0
 
 
 class Acceptor:
-    """Votes on many leases. The answer to a note goes back to its sender."""
+    """Votes on many leases. The answer to a message goes back to its sender.
+
+    Attributes:
+        votes_from: The acceptor does not vote before: by then every lock of its former process has ended.
+        promise_floor: What leases without a vote count as promised; None while the acceptor does not vote.
+    """
 
     def __init__(self, bounds: Bounds, now: float) -> None:
         self.bounds = bounds
         self.votes: dict[Name, Vote] = {}
-        # What was voted in a former life is unknown: by then every lock of it has ended, whoever counts.
-        self.back = now + bounds.lease * (1 + bounds.drift)
-        self.floor: int | None = None  # leases not remembered have promised so much; None: still out
-        self._ageing: list[tuple[float, Name]] = []
+        self.votes_from = now + bounds.lease * (1 + bounds.drift)
+        self.promise_floor: int | None = None
+        self._expiry: list[tuple[float, Name]] = []
 
     def due(self) -> float:
-        """When the stay-out or the first vote's time ends."""
-        if self.floor is None:
-            return self.back
-        return self._ageing[0][0] if self._ageing else NEVER
-
-    def tick(self, clock: int, now: float) -> None:
-        """End the stay-out, and drop votes that are over. `clock`: the highest counter heard of."""
-        if self.floor is None and self.out(now) <= 0:
-            # Terms given in a former life are at most as high as what others have told by now.
-            self.floor = self.rejoin(clock)
-        while self._ageing and self._ageing[0][0] <= now:
-            at, lease = heapq.heappop(self._ageing)
+        """Returns when the acceptor starts to vote, or when the first vote may be dropped."""
+        if self.promise_floor is None:
+            return self.votes_from
+        return self._expiry[0][0] if self._expiry else NEVER
+
+    def tick(self, highest_counter: int, now: float) -> None:
+        """Starts to vote when the restart delay is over, and drops votes that are no longer needed.
+
+        Args:
+            highest_counter: The highest ballot counter that this router has heard of.
+            now: Seconds of this process's clock.
+        """
+        if self.promise_floor is None and self.seconds_until_voting(now) <= 0:
+            # Terms given by the former process are at most as high as what others have told by now.
+            self.promise_floor = self.floor_after_restart(highest_counter)
+        while self._expiry and self._expiry[0][0] <= now:
+            expires_at, lease = heapq.heappop(self._expiry)
             vote = self.votes[lease]
-            if vote.forget > at:
-                heapq.heappush(self._ageing, (vote.forget, lease))
+            if vote.forget_at > expires_at:
+                heapq.heappush(self._expiry, (vote.forget_at, lease))
                 continue
-            self.floor = max(self.floor or 0, vote.promised)
+            self.promise_floor = max(self.promise_floor or 0, vote.promised)
             del self.votes[lease]
 
-    def out(self, now: float) -> float:
-        """Seconds for which this acceptor does not vote, 0 and less: it does."""
-        return self.back - now
-
-    def rejoin(self, clock: int) -> int:
-        return clock << 32 | RUN
-
-    def handle_message(self, sender: Peer, note: PeerMessage, clock: int, now: float) -> PeerMessage | None:
-        """Answer a proposer's note; one whose ballot is not its sender's is not answered."""
-        self.tick(clock, now)
-        if isinstance(note, Prepare) and (note.ballot == 0 or number(note.ballot) == sender):
-            return self._prepare(sender, note, now)
-        if isinstance(note, Propose) and number(note.ballot) == sender:
-            return self._propose(note, now)
-        if isinstance(note, Release) and number(note.ballot) == sender:
-            self._release(sender, note, now)
+    def seconds_until_voting(self, now: float) -> float:
+        """Returns the seconds for which this acceptor does not vote; 0 or less once it does."""
+        return self.votes_from - now
+
+    def floor_after_restart(self, highest_counter: int) -> int:
+        """Returns the ballot up to which a restarted acceptor promises nothing."""
+        return highest_of_counter(highest_counter)
+
+    def handle_message(
+        self, sender: Peer, message: PeerMessage, highest_counter: int, now: float
+    ) -> PeerMessage | None:
+        """Answers a proposer's message; ignores one whose ballot is not its sender's."""
+        self.tick(highest_counter, now)
+        match message:
+            case Prepare(ballot=ballot) if ballot == 0 or router_of(ballot) == sender:
+                return self._prepare(sender, message, now)
+            case Propose(ballot=ballot) if router_of(ballot) == sender:
+                return self._propose(message, now)
+            case Release(ballot=ballot) if router_of(ballot) == sender:
+                self._release(sender, message, now)
         return None
 
-    def _prepare(self, sender: Peer, note: Prepare, now: float) -> PeerMessage:
-        """Promise, or tell who has the lock. Ballot 0 only asks: it is never high enough for a promise."""
-        if self.floor is None:
-            return Reject(note.lease, note.ballot, 0, millis(self.out(now)))
-        vote = self.votes.get(note.lease)
+    def _prepare(self, sender: Peer, message: Prepare, now: float) -> PeerMessage:
+        """Promises a ballot, or names the holder. Ballot 0 is never high enough for a promise."""
+        if self.promise_floor is None:
+            return _retry_after(message, self.seconds_until_voting(now))
+        vote = self.votes.get(message.lease)
         if vote is None:
-            if note.ballot <= self.floor:
-                return Reject(note.lease, note.ballot, self.floor, 0)
-            vote = self._new(note.lease, now)
+            if message.ballot <= self.promise_floor:
+                return _reject(message, self.promise_floor)
+            vote = self._new_vote(message.lease, now)
             if vote is None:
-                return Reject(note.lease, note.ballot, 0, millis(self.bounds.lease))
-        if self.locked(vote, note.ballot, now):
-            left = millis(vote.ends - now)
-            return Promise(note.lease, note.ballot, vote.held, number(vote.held), left)
-        if now < vote.heir_until and sender != vote.heir:
-            return Reject(note.lease, note.ballot, 0, millis(vote.heir_until - now))
-        if note.ballot < max(vote.promised, vote.least, 1):
-            return Reject(note.lease, note.ballot, vote.promised, 0)
-        vote.promised = note.ballot
-        vote.binds = now + self.bounds.lease * PROMISED
-        self._used(vote, now)
-        return Promise(note.lease, note.ballot, 0, 0, 0)
-
-    def _propose(self, note: Propose, now: float) -> PeerMessage | None:
-        term = note.duration_ms / 1000
-        if not 0 < term <= self.bounds.lease:
-            return None  # longer than the stay-out covers: its sender is set otherwise
-        if self.floor is None:
-            return Reject(note.lease, note.ballot, 0, millis(self.out(now)))
-        vote = self.votes.get(note.lease)
+                return _retry_after(message, self.bounds.lease)
+        if self.is_locked_by_other(vote, message.ballot, now):
+            remaining_ms = round_up_ms(vote.locked_until - now)
+            holder = router_of(vote.lock_ballot)
+            return Promise(message.lease, message.ballot, vote.lock_ballot, holder, remaining_ms)
+        if now < vote.successor_until and sender != vote.successor:
+            return _retry_after(message, vote.successor_until - now)
+        if message.ballot < max(vote.promised, vote.min_ballot, 1):
+            return _reject(message, vote.promised)
+        vote.promised = message.ballot
+        vote.promise_until = now + self.bounds.lease * PROMISE_RATIO
+        self._extend_retention(vote, now)
+        return Promise(message.lease, message.ballot, 0, 0, 0)
+
+    def _propose(self, message: Propose, now: float) -> PeerMessage | None:
+        """Locks the lease for the sender, or rejects its ballot.
+
+        Ignores a duration longer than the restart delay covers: its sender has other settings.
+        """
+        duration_s = message.duration_ms / 1000
+        if not 0 < duration_s <= self.bounds.lease:
+            return None
+        if self.promise_floor is None:
+            return _retry_after(message, self.seconds_until_voting(now))
+        vote = self.votes.get(message.lease)
         if vote is None:
-            if note.round_number == 0:
-                return Reject(note.lease, note.ballot, self.floor, 0)
-            vote = self._new(note.lease, now)
+            if message.round_number == 0:
+                return _reject(message, self.promise_floor)
+            vote = self._new_vote(message.lease, now)
             if vote is None:
-                return Reject(note.lease, note.ballot, 0, millis(self.bounds.lease))
-        if self.locked(vote, note.ballot, now):
-            return Reject(note.lease, note.ballot, max(vote.promised, vote.held), 0)
-        if not self.may(vote, note, now):
-            return Reject(note.lease, note.ballot, max(vote.promised, vote.least), 0)
-        vote.promised = max(vote.promised, note.ballot)
-        vote.held = vote.least = note.ballot
-        vote.ends = self.lasts(term, now)
-        vote.heir_until = 0.0
-        self._used(vote, now)
-        return Accept(note.lease, note.ballot, note.round_number)
-
-    def locked(self, vote: Vote, ballot: int, now: float) -> bool:
-        """Another owner has the lock."""
-        return now < vote.ends and owner(vote.held) != owner(ballot)
-
-    def may(self, vote: Vote, note: Propose, now: float) -> bool:
-        """The ballot is not too old: for a take its promise binds, for a renewal no other promise does."""
-        if note.round_number == 0:
-            return note.ballot == vote.promised and now < vote.binds
-        return note.ballot >= vote.least and (note.ballot >= vote.promised or now >= vote.binds)
-
-    def lasts(self, term: float, now: float) -> float:
-        return now + term * (1 + self.bounds.drift)
-
-    def _release(self, sender: Peer, note: Release, now: float) -> None:
-        """Open the lock, and let nothing that is still under way under its ballot close it again."""
-        vote = self.votes.get(note.lease)
+                return _retry_after(message, self.bounds.lease)
+        if self.is_locked_by_other(vote, message.ballot, now):
+            return _reject(message, max(vote.promised, vote.lock_ballot))
+        if not self.may_accept(vote, message, now):
+            return _reject(message, max(vote.promised, vote.min_ballot))
+        vote.promised = max(vote.promised, message.ballot)
+        vote.lock_ballot = message.ballot
+        vote.min_ballot = message.ballot
+        vote.locked_until = self.lock_end(duration_s, now)
+        vote.successor_until = 0.0
+        self._extend_retention(vote, now)
+        return Accept(message.lease, message.ballot, message.round_number)
+
+    def is_locked_by_other(self, vote: Vote, ballot: int, now: float) -> bool:
+        """Returns whether a lock of another owner than the ballot's runs now."""
+        return now < vote.locked_until and run_of(vote.lock_ballot) != run_of(ballot)
+
+    def may_accept(self, vote: Vote, message: Propose, now: float) -> bool:
+        """Returns whether the ballot of a proposal is not too old.
+
+        An acquisition needs its own promise to bind; a renewal needs that no higher promise binds.
+        """
+        promise_binds = now < vote.promise_until
+        if message.round_number == 0:
+            return message.ballot == vote.promised and promise_binds
+        return message.ballot >= vote.min_ballot and (message.ballot >= vote.promised or not promise_binds)
+
+    def lock_end(self, duration_s: float, now: float) -> float:
+        """Returns when a lock given now ends: later than its holder counts, by the clock drift."""
+        return now + duration_s * (1 + self.bounds.drift)
+
+    def _release(self, sender: Peer, message: Release, now: float) -> None:
+        """Opens the lock, and keeps messages under its ballot that are still on their way from closing it."""
+        vote = self.votes.get(message.lease)
         if vote is None:
             return
-        vote.least = max(vote.least, note.ballot + 1)
-        if vote.promised == note.ballot:
-            vote.binds = 0.0
-        if vote.held == note.ballot and now < vote.ends:
-            vote.ends = 0.0
-            if note.successor != sender:
-                vote.heir, vote.heir_until = note.successor, now + self.bounds.lease * HEIR
-
-    def _new(self, lease: Name, now: float) -> Vote | None:
-        if len(self.votes) >= STATES_MOST:
+        vote.min_ballot = max(vote.min_ballot, message.ballot + 1)
+        if vote.promised == message.ballot:
+            vote.promise_until = 0.0
+        if vote.lock_ballot != message.ballot or now >= vote.locked_until:
+            return
+        vote.locked_until = 0.0
+        if message.successor != sender:
+            vote.successor = message.successor
+            vote.successor_until = now + self.bounds.lease * SUCCESSOR_RATIO
+
+    def _new_vote(self, lease: Name, now: float) -> Vote | None:
+        if len(self.votes) >= MAX_VOTES:
             return None
-        vote = self.votes[lease] = Vote(promised=0)
-        self._used(vote, now)
-        heapq.heappush(self._ageing, (vote.forget, lease))
+        vote = Vote()
+        self.votes[lease] = vote
+        self._extend_retention(vote, now)
+        heapq.heappush(self._expiry, (vote.forget_at, lease))
         return vote
 
-    def _used(self, vote: Vote, now: float) -> None:
-        vote.forget = max(vote.ends, now) + self.bounds.lease * KEPT
+    def _extend_retention(self, vote: Vote, now: float) -> None:
+        vote.forget_at = max(vote.locked_until, now) + self.bounds.lease * VOTE_RETENTION_RATIO
+
+
+def _reject(message: Prepare | Propose, promised: int) -> Reject:
+    return Reject(message.lease, message.ballot, promised, 0)
+
+
+def _retry_after(message: Prepare | Propose, seconds: float) -> Reject:
+    return Reject(message.lease, message.ballot, 0, round_up_ms(seconds))
--- /dev/null
+++ b/paddlequay/cluster/bid_schedule.py
@@ -0,0 +1,71 @@
+"""When the bids of a router act: an alarm for each bid, and a paced queue before elections."""
+
+import heapq
+import random
+from collections.abc import Iterator, Mapping
+
+from paddlequay.cluster.bids import Bid, Phase
+from paddlequay.cluster.types import NEVER, Name
+
+MAX_BIDS = 4096  # leases that one router wants at once
+ELECTIONS_PER_S = 25.0  # some 3 messages of 20 bytes each
+MAX_ELECTIONS_AT_ONCE = 8.0
+
+
+class BidSchedule:
+    """Wakes the bids of a router in time. Reads `bids`, which the proposer owns."""
+
+    def __init__(self, bids: Mapping[Name, Bid], rng: random.Random) -> None:
+        self.bids = bids
+        self.rng = rng
+        self._alarms: list[tuple[float, Name]] = []
+        self._queue: list[Name] = []
+        self._tokens = MAX_ELECTIONS_AT_ONCE
+        self._refilled_at = 0.0
+
+    def wake(self, bid: Bid, at: float) -> None:
+        """Sets when a bid acts next, in place of what was set before."""
+        bid.next_action_at = at
+        heapq.heappush(self._alarms, (at, bid.lease))
+
+    def enqueue(self, bid: Bid) -> None:
+        """Has a bid wait until the pace admits its election."""
+        bid.phase = Phase.QUEUED
+        self._queue.append(bid.lease)
+        if len(self._queue) > 2 * MAX_BIDS:  # most of it is of bids that were given up
+            self._queue = [each.lease for each in self.bids.values() if each.phase is Phase.QUEUED]
+
+    def due(self) -> float:
+        """Returns when the first alarm rings or the next election may start, whichever comes first."""
+        alarm = self._alarms[0][0] if self._alarms else NEVER
+        if not self._queue:
+            return alarm
+        return min(alarm, self._refilled_at + max(0.0, 1 - self._tokens) / ELECTIONS_PER_S)
+
+    def due_bids(self, now: float) -> Iterator[Bid]:
+        """Yields the bids whose time has come, also those that are woken meanwhile."""
+        while self._alarms and self._alarms[0][0] <= now:
+            at, lease = heapq.heappop(self._alarms)
+            bid = self.bids.get(lease)
+            if bid is not None and bid.next_action_at == at:
+                bid.next_action_at = NEVER
+                yield bid
+
+    def admitted_elections(self, now: float) -> Iterator[Bid]:
+        """Yields the queued bids that the pace admits now.
+
+        In random order, so that routers that lost the same holder seldom bid for the same lease at once.
+        """
+        refill = max(0.0, now - self._refilled_at) * ELECTIONS_PER_S
+        self._tokens = min(MAX_ELECTIONS_AT_ONCE, self._tokens + refill)
+        self._refilled_at = now
+        while self._queue and self._tokens >= 1:
+            bid = self.bids.get(self._pop_random())
+            if bid is not None and bid.phase is Phase.QUEUED:
+                self._tokens -= 1
+                yield bid
+
+    def _pop_random(self) -> Name:
+        picked = self.rng.randrange(len(self._queue))
+        self._queue[picked], self._queue[-1] = self._queue[-1], self._queue[picked]
+        return self._queue.pop()
--- a/paddlequay/cluster/epochs.py
+++ b/paddlequay/cluster/epochs.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from paddlequay.cluster.acceptor import counter
+from paddlequay.cluster.ballots import counter_of
 from paddlequay.cluster.messages import TableAcknowledgement, TableAnnouncement
 from paddlequay.cluster.types import NEVER, Action, Bounds, Fleet, LogEvent, Name, Peer, SendMessage, Urgency
 from paddlequay.placement.homes import digest
@@ -37,7 +37,7 @@
 
 def mark(epoch: int) -> int:
     """Returns an epoch shortened to 63 bits for the wire, in order but for terms of the same counter."""
-    return counter(epoch >> NUMBERS) << NUMBERS | epoch & (1 << NUMBERS) - 1
+    return counter_of(epoch >> NUMBERS) << NUMBERS | epoch & (1 << NUMBERS) - 1
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/paddlequay/cluster/holder_hints.py
@@ -0,0 +1,51 @@
+"""Which routers were last observed to hold leases: hints for whom to ask, never a proof."""
+
+from dataclasses import dataclass
+
+from paddlequay.cluster.messages import Promise
+from paddlequay.cluster.types import Name, Peer
+
+MAX_HINTS = 8192
+
+
+@dataclass(frozen=True, slots=True)
+class HolderHint:
+    """A holder, the ballot of its lock, and until when the lock runs by this router's clock."""
+
+    holder: Peer
+    ballot: int
+    valid_until: float
+
+
+class HolderHints:
+    """Remembers one hint for each lease, the oldest dropped first."""
+
+    def __init__(self) -> None:
+        self._hints: dict[Name, HolderHint] = {}
+
+    def __len__(self) -> int:
+        return len(self._hints)
+
+    def holder(self, lease: Name, now: float) -> Peer | None:
+        """Returns the router that was observed to hold a lease, None where its lock has ended."""
+        hint = self._hints.get(lease)
+        return hint.holder if hint is not None and now < hint.valid_until else None
+
+    def record(self, message: Promise, valid_until: float, now: float) -> bool:
+        """Remembers the holder that an acceptor names; of two whose locks run, the one of the higher ballot.
+
+        Returns:
+            Whether this is news: no hint, or another ballot, was known.
+        """
+        known = self._hints.pop(message.lease, None)
+        if known is not None and known.ballot > message.holder_ballot and now < known.valid_until:
+            self._hints[message.lease] = known
+            return False
+        self._hints[message.lease] = HolderHint(message.holder, message.holder_ballot, valid_until)
+        if len(self._hints) > MAX_HINTS:
+            del self._hints[next(iter(self._hints))]
+        return known is None or known.ballot != message.holder_ballot
+
+    def forget(self, lease: Name) -> None:
+        """Drops the hint of a lease."""
+        self._hints.pop(lease, None)
--- a/paddlequay/cluster/leases.py
+++ b/paddlequay/cluster/leases.py
@@ -1,45 +1,20 @@
-"""Leases without disk and without a common clock: who alone may do something, for how long, in what order.
-
-PaxosLease: a majority of a fixed set of acceptors gives a lease for a time; nothing is written down. Each
-router may bid; some are acceptors as well, and what such a router tells itself is played inside.
-
-One holder. Say router P counts on a lease at the true instant x. A majority had accepted a proposal of P that
-was first sent at s, and x < s + T: P counts T - d*T of its own clock from before sending, and no clock runs
-slower than 1 - d. Each acceptor of that majority took its lock at a >= s, and keeps it for T + d*T of its own
-clock, so at least until a + T > x, since no clock runs faster than 1 + d. If Q counts on the same lease at x
-as well, the two majorities share an acceptor, which gave both locks, and both run at x. One life of an
-acceptor never gives a second owner a lock that runs. Between two lives lie T + d*T of its clock without a
-vote, and by then whatever was counted on the first life's lock has ended. So P and Q are one. A release opens
-a lock early, but only after its holder has stopped counting. None of this needs ballots, nor that messages
-arrive at all, in order, or only once.
-
-Stalls. Every count compares a moment on the own clock that was taken earlier than the event it stands for
-(`sent` before sending) with one taken later, so a stop at any point makes a process believe less, not more.
-The clock runs on while stopped; `holds` is asked at each use, with a `now` read then, and is None after a
-stall. The instant between that question and the use cannot be closed here: who receives the use compares
-terms. The driver reads `now` after the datagram. A lease that has run out is lost for good, whatever answer
-comes later.
-
-Terms. A term is the ballot of a take: counter, router, nonce of the run, so no run repeats another's. Takes
-need a majority that promised their ballot in this life, lately, and nothing higher since; hence the later of
-two takes has the higher ballot where their majorities share an acceptor that lived on. One that started anew,
-or has dropped an old vote, promises only above its floor: the highest counter that it had heard of at the end
-of its stay-out. Every datagram's head carries the sender's `clock`, so that one router that saw the last
-term, and is heard in that time, is enough, even where all acceptors start anew one after another.
-
-Stated bounds, for T = 1.5 s and answers within 0.1 s: a lease whose holder dies is taken again within 1.05 T
-+ 0.2 T + the election, 2.2 s without loss; one whose holder is told nothing but can tell, within 3.2 s, as
-its renewals still close locks until it gives up; one released to an successor, within 0.1 s and two answers'
-times. Renewals go out each third of what is counted, are sent again each T/15 until a majority has answered,
-and may all be lost for T/2. A router starts 25 elections a second at most (`PACE`), 8 of them at once.
-Memory: `STATES_MOST`, `BIDS_MOST`, `HINTS_MOST` leases. Counters have 31 bits; they grow with takes and lost
-elections, not with renewals nor with asking while another holds.
+"""Leases without disk and without a common clock: at most one holder each, under terms that grow.
+
+A majority of a fixed set of acceptors grants a lease for a bounded time (PaxosLease). Each router may bid;
+some routers are acceptors as well. docs/cluster/leases.md proves why there is one holder and states the
+bounds.
+
+A holder counts its lease from before it sent the proposal, shortened by the clock drift; an acceptor locks
+the lease from receipt, lengthened by the drift. So `Leases.holds` has to be asked at each use, with a `now`
+that was read then: a process that was stopped finds that its lease has ended.
 """
 
 import random
 from typing import ClassVar
 
-from paddlequay.cluster.acceptor import Acceptor, counter
+from paddlequay.cluster.acceptor import Acceptor
+from paddlequay.cluster.ballots import counter_of
+from paddlequay.cluster.elections import Elections
 from paddlequay.cluster.messages import Accept, PeerMessage, Prepare, Promise, Propose, Reject, Release
 from paddlequay.cluster.proposer import Proposer
 from paddlequay.cluster.types import (
@@ -56,9 +31,9 @@
 
 
 class Leases:
-    """The part of the cluster that takes, renews and gives back leases, and votes on them where configured.
+    """The part of the cluster that acquires, renews and releases leases, and votes on them where configured.
 
-    `rng` is seeded anew for each run of a process: it makes the run's nonce and the waits.
+    `rng` is seeded anew for each run of a process: it draws the nonce of the run and the waits.
     """
 
     HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (
@@ -70,84 +45,87 @@
         Release,
     )
     acceptor_kind: ClassVar[type[Acceptor]] = Acceptor
-    proposer_kind: ClassVar[type[Proposer]] = Proposer
+    elections_kind: ClassVar[type[Elections]] = Elections
 
     def __init__(self, fleet: Fleet, bounds: Bounds, rng: random.Random, now: float) -> None:
         self.fleet = fleet
-        self.proposer = self.proposer_kind(fleet, bounds, rng)
+        self.proposer = Proposer(fleet, bounds, rng, self.elections_kind)
         self.acceptor = self.acceptor_kind(bounds, now) if fleet.me in fleet.acceptors else None
 
     # --- for the parts that need leases ---
 
     def request(self, lease: Name, now: float) -> list[Action]:
-        """Bids for a lease until it is dropped, and renews it while held; logs a refusal past `BIDS_MOST`."""
-        return self._settled(self.proposer.request(lease, now), now)
+        """Bids for a lease until it is released, and renews it while held; logs a refusal past `MAX_BIDS`."""
+        return self._deliver_local(self.proposer.request(lease, now), now)
 
     def release(self, lease: Name, now: float, successor: Peer | None = None) -> list[Action]:
-        """Give a lease up, held or not; `successor`, where it wants it too, takes it without waiting."""
-        return self._settled(self.proposer.release(lease, now, successor), now)
+        """Gives a lease up, held or not; a successor that bids for it acquires it without waiting."""
+        return self._deliver_local(self.proposer.release(lease, now, successor), now)
 
     def holds(self, lease: Name, now: float) -> int | None:
-        """The term under which this router holds a lease at this moment: to be asked at each use."""
+        """Returns the term under which this router holds a lease now, or None: to be asked at each use."""
         return self.proposer.holds(lease, now)
 
     def holder(self, lease: Name, now: float) -> Peer | None:
-        """Who holds a lease as far as was heard: a hint for whom to ask, never a proof."""
+        """Returns the last router observed to hold a lease: a hint for whom to ask, never a proof."""
         return self.proposer.holder(lease, now)
 
     def query_holder(self, lease: Name, now: float) -> list[Action]:
-        """Asks all acceptors who holds a lease, without a bid; `HolderObserved` gives the answer."""
-        note = Prepare(lease, 0)
-        return self._settled([SendMessage(each, note, Urgency.NEWS) for each in self.fleet.acceptors], now)
+        """Asks all acceptors for the holder of a lease, without a bid; `HolderObserved` gives the answer."""
+        query = Prepare(lease, 0)
+        queries: list[Action] = [SendMessage(each, query, Urgency.NEWS) for each in self.fleet.acceptors]
+        return self._deliver_local(queries, now)
 
     @property
     def highest_counter(self) -> int:
-        """The highest ballot counter heard of, for the heads of datagrams."""
-        return self.proposer.clock
+        """The highest ballot counter that this router has heard of, for the heads of datagrams."""
+        return self.proposer.highest_counter
 
-    def observe_counter(self, value: int) -> None:
-        """The `clock` in a datagram's head, told before its notes."""
-        self.proposer.observe_counter(value)
+    def observe_counter(self, counter: int) -> None:
+        """Takes the ballot counter from the head of a datagram, before its messages are handled."""
+        self.proposer.observe_counter(counter)
 
-    # --- as a part ---
+    # --- as a part of the cluster ---
 
     def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
-        return self._settled(self._heard(sender, note, now), now)
+        """Handles a message of a proposer or an acceptor."""
+        return self._deliver_local(self._dispatch(sender, note, now), now)
 
     def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
-        return []  # liveness is a guess: leases go by their own clocks alone
+        """Ignores all events: liveness is a guess, and leases go by their own clocks alone."""
+        return []
 
     def tick(self, now: float) -> list[Action]:
+        """Does what is due in both roles."""
         if self.acceptor is not None:
             self.acceptor.tick(self.highest_counter, now)
-        return self._settled(self.proposer.tick(now), now)
+        return self._deliver_local(self.proposer.tick(now), now)
 
     def due(self) -> float:
+        """Returns when `tick` next has something to do."""
         return min(self.proposer.due(), self.acceptor.due() if self.acceptor is not None else NEVER)
 
-    def _heard(self, sender: Peer, note: PeerMessage, now: float) -> list[Action]:
-        out: list[Action] = []
-        if isinstance(note, Prepare | Propose | Release):
-            answer = (
-                self.acceptor.handle_message(sender, note, self.highest_counter, now)
-                if self.acceptor is not None
-                else None
-            )
-            self.proposer.observe_counter(counter(note.ballot))
+    def _dispatch(self, sender: Peer, message: PeerMessage, now: float) -> list[Action]:
+        actions: list[Action] = []
+        if isinstance(message, Prepare | Propose | Release):
+            answer = None
+            if self.acceptor is not None:
+                answer = self.acceptor.handle_message(sender, message, self.highest_counter, now)
+            self.proposer.observe_counter(counter_of(message.ballot))
             if answer is not None:
-                out.append(SendMessage(sender, answer, Urgency.LEASE))
-        if not isinstance(note, Prepare | Propose):
-            out += self.proposer.handle_message(sender, note, now)
-        return out
-
-    def _settled(self, actions: list[Action], now: float) -> list[Action]:
-        """Play what this router tells itself; it ends, as each election ends or waits."""
-        out: list[Action] = []
-        actions = actions[::-1]
-        while actions:
-            action = actions.pop()
+                actions.append(SendMessage(sender, answer, Urgency.LEASE))
+        if not isinstance(message, Prepare | Propose):
+            actions += self.proposer.handle_message(sender, message, now)
+        return actions
+
+    def _deliver_local(self, actions: list[Action], now: float) -> list[Action]:
+        """Handles what this router sends to itself, in order; ends, as each election ends or waits."""
+        remaining = actions[::-1]
+        outward: list[Action] = []
+        while remaining:
+            action = remaining.pop()
             if isinstance(action, SendMessage) and action.to == self.fleet.me:
-                actions += self._heard(self.fleet.me, action.note, now)[::-1]
+                remaining += self._dispatch(self.fleet.me, action.note, now)[::-1]
             else:
-                out.append(action)
-        return out
+                outward.append(action)
+        return outward
--- a/paddlequay/cluster/proposer.py
+++ b/paddlequay/cluster/proposer.py
@@ -1,383 +1,155 @@
-"""Bids for leases: asking, proposing, holding and renewing, and trying again at a bounded pace.
+"""All bids of a router for leases: which are open, whose answers count, and when they act."""
 
-What a bid believes rests on one count: from before a proposal was first sent, less the drift. `leases.py` has
-the whole argument.
-"""
-
-import heapq
 import random
-from dataclasses import dataclass, field
-from enum import Enum
 
-from paddlequay.cluster.acceptor import counter
-from paddlequay.cluster.messages import Accept, PeerMessage, Prepare, Promise, Propose, Reject, Release
+from paddlequay.cluster.ballots import counter_of
+from paddlequay.cluster.bid_schedule import MAX_BIDS, BidSchedule
+from paddlequay.cluster.bids import Bid, Phase
+from paddlequay.cluster.elections import Elections
+from paddlequay.cluster.holder_hints import HolderHints
+from paddlequay.cluster.messages import Accept, PeerMessage, Promise, Reject, Release
 from paddlequay.cluster.types import (
-    NEVER,
     Action,
     Bounds,
     Fleet,
     HolderObserved,
-    LeaseAcquired,
     LeaseLost,
     LogEvent,
     Name,
     Peer,
-    SendMessage,
-    Urgency,
 )
 
-BIDS_MOST = 4096  # leases that one router wants at once
-HINTS_MOST = 8192  # leases whose holders are remembered
-PACE = 25.0  # elections a second that a router starts, some 3 notes of 20 bytes each
-BURST = 8.0  # of them at once
-CLOCK_MOST = (1 << 31) - 1  # ballots have 63 bits
-
-# As shares of the longest lease.
-PHASE = 0.2  # for answers of a majority, before an election is given up
-RESEND = 1 / 15  # for an answer, before a note is sent again
-BACKOFF = 1 / 30  # after a lost election, doubled from one to the next
-SPREAD = 0.2  # over which those who wait for the same lock's end are spread
-EAGER = 0.4  # for how long an successor hurries
-
-DOUBLINGS = 4
-ROUNDS = 3  # proposals of a bid whose answers still count
-
-
-class Phase(Enum):
-    WAITING = "waiting"
-    QUEUED = "queued"
-    ASKING = "asking"
-    PROPOSING = "proposing"
-    HOLDING = "holding"
-
-
-@dataclass(slots=True)
-class Round:
-    """A proposal: when it was first sent, and who has accepted it."""
-
-    sent: float
-    accepted: set[Peer] = field(default_factory=set)
-
-
-@dataclass(slots=True)
-class Bid:
-    """A lease that this router wants or holds. Times are by its own clock."""
-
-    lease: Name
-    at: float  # when there is something to do next
-    phase: Phase = Phase.WAITING
-    ballot: int = 0
-    spent: bool = True  # the ballot cannot win any more
-    tries: int = 0  # elections lost in a row
-    gives_up: float = 0.0
-    promised: set[Peer] = field(default_factory=set)
-    refused: dict[Peer, float] = field(default_factory=dict)  # for how many seconds; 0: ask anew at will
-    number: int = 0  # of the proposal
-    rounds: dict[int, Round] = field(default_factory=dict)
-    until: float = 0.0  # held before that
-    renews: float = 0.0
-    eager: float = 0.0  # hurries until then: the lease was left to this router
-
 
 class Proposer:
-    """All bids of a router. Notes in the returned actions may be to itself: `Leases` plays them."""
+    """Bids for leases. Returned actions may send to this router itself: `Leases` handles them."""
 
-    def __init__(self, fleet: Fleet, bounds: Bounds, rng: random.Random) -> None:
+    def __init__(
+        self, fleet: Fleet, bounds: Bounds, rng: random.Random, elections_kind: type[Elections] = Elections
+    ) -> None:
         self.fleet = fleet
-        self.bounds = bounds
-        self.rng = rng
-        self.clock = 0  # the highest counter heard of
-        self.term_ms = int(bounds.lease * 1000)
-        self.run = fleet.me << 16 | rng.getrandbits(16)
         self.bids: dict[Name, Bid] = {}
-        self.hints: dict[Name, tuple[Peer, int, float]] = {}
-        self._alarms: list[tuple[float, Name]] = []
-        self._queue: list[Name] = []  # leases whose election waits for the pace
-        self._tokens = BURST
-        self._filled = 0.0
+        self.hints = HolderHints()
+        self.schedule = BidSchedule(self.bids, rng)
+        self.elections = elections_kind(fleet, bounds, rng, self.schedule, self.hints)
 
     # --- what the router asks for ---
 
     def request(self, lease: Name, now: float) -> list[Action]:
+        """Bids for a lease until it is released; refuses more than `MAX_BIDS` bids."""
         if lease in self.bids:
             return []
-        if len(self.bids) >= BIDS_MOST:
-            return [LogEvent("lease-refused", (("lease", lease), ("most", BIDS_MOST)))]
-        bid = self.bids[lease] = Bid(lease, now)
-        self._wake(bid, now)
+        if len(self.bids) >= MAX_BIDS:
+            return [LogEvent("lease-refused", (("lease", lease), ("most", MAX_BIDS)))]
+        bid = Bid(lease, now)
+        self.bids[lease] = bid
+        self.schedule.wake(bid, now)
         return []
 
     def release(self, lease: Name, now: float, successor: Peer | None) -> list[Action]:
+        """Ends a bid, and gives the lease back where it is held or proposed."""
         bid = self.bids.pop(lease, None)
         if bid is None:
             return []
-        out: list[Action] = []
+        actions: list[Action] = []
         if bid.phase is Phase.HOLDING:
-            out.append(LeaseLost(lease, bid.ballot))
+            actions.append(LeaseLost(lease, bid.ballot))
         if bid.phase in (Phase.HOLDING, Phase.PROPOSING):
-            out += self._release(bid, self.fleet.me if successor is None else successor)
-        return out
+            actions += self.elections.release(bid, self.fleet.me if successor is None else successor)
+        return actions
 
     def holds(self, lease: Name, now: float) -> int | None:
+        """Returns the term under which this router holds a lease at this moment, or None."""
         bid = self.bids.get(lease)
-        return bid.ballot if bid is not None and self.counts(bid, now) else None
-
-    def counts(self, bid: Bid, now: float) -> bool:
-        """The bid holds its lease at this moment."""
-        return bid.phase is Phase.HOLDING and now < bid.until
+        return bid.ballot if bid is not None and self.elections.is_held(bid, now) else None
 
     def holder(self, lease: Name, now: float) -> Peer | None:
+        """Returns the router that is known to hold a lease, or was last observed to."""
         if self.holds(lease, now) is not None:
             return self.fleet.me
-        hint = self.hints.get(lease)
-        return hint[0] if hint is not None and now < hint[2] else None
-
-    def observe_counter(self, value: int) -> None:
-        if self.clock < value < CLOCK_MOST:
-            self.clock = value
-
-    # --- notes of acceptors ---
+        return self.hints.holder(lease, now)
 
-    def handle_message(self, sender: Peer, note: PeerMessage, now: float) -> list[Action]:
-        out: list[Action] = []
-        if sender not in self.fleet.acceptors or not isinstance(note, Promise | Accept | Reject):
-            return self._inherits(note, now) if isinstance(note, Release) else out
-        bid = self.bids.get(note.lease)
-        if isinstance(note, Promise) and note.holder_ballot:
-            self._hint(note, now, out)
-            self.observe_counter(counter(note.holder_ballot))
-        if isinstance(note, Reject):
-            self.observe_counter(counter(note.promised))
-        if bid is None or note.ballot != bid.ballot or self._lapsed(bid, now, out):
-            return out
-        if isinstance(note, Accept):
-            self._accepted(sender, bid, note, now, out)
-        elif isinstance(note, Promise) and not note.holder_ballot:
-            bid.refused.pop(sender, None)
-            bid.promised.add(sender)
-            if bid.phase is Phase.PROPOSING:
-                out.append(self._to(sender, self._proposal(bid)))
-            elif bid.phase is Phase.ASKING and len(bid.promised) >= self.fleet.majority:
-                self._propose(bid, now, out)
-        elif bid.phase in (Phase.ASKING, Phase.PROPOSING):
-            bid.promised.discard(sender)
-            above = note.holder_ballot if isinstance(note, Promise) else note.promised
-            bid.spent |= above >= bid.ballot  # equal: a floor, or the ballot was given back
-            bid.refused[sender] = self._left(
-                note.remaining_ms if isinstance(note, Promise) else note.retry_after_ms
-            )
-            asking = bid.phase is Phase.ASKING
-            able = len(self.fleet.acceptors) - len(bid.refused) if asking else len(bid.promised)
-            if able < self.fleet.majority:
-                self._lost(bid, now, out)
-        return out
+    @property
+    def highest_counter(self) -> int:
+        """The highest ballot counter that this router has heard of."""
+        return self.elections.ballots.highest
 
-    def _accepted(self, sender: Peer, bid: Bid, note: Accept, now: float, out: list[Action]) -> None:
-        made = bid.rounds.get(note.round_number)
-        if made is None or bid.phase not in (Phase.PROPOSING, Phase.HOLDING):
-            return
-        made.accepted.add(sender)
-        if len(made.accepted) < self.enough():
-            return
-        until = self.ends(made.sent, now)
-        if until <= now:
-            return
-        bid.until = max(bid.until, until)
-        if bid.phase is Phase.PROPOSING:
-            bid.phase = Phase.HOLDING
-            bid.tries = 0
-            bid.renews = made.sent + self._counted() / 3
-            self._wake(bid, min(bid.renews, bid.until))
-            self.hints.pop(bid.lease, None)
-            out.append(LeaseAcquired(bid.lease, bid.ballot, bid.until))
+    def observe_counter(self, counter: int) -> None:
+        """Raises the ballot counter to one that another router uses."""
+        self.elections.ballots.observe(counter)
 
-    def enough(self) -> int:
-        return self.fleet.majority
+    # --- answers of acceptors ---
 
-    def ends(self, sent: float, now: float) -> float:
-        """When a lease ends whose proposal was first sent at `sent`; `now` is no measure of it."""
-        return sent + self._counted()
+    def handle_message(self, sender: Peer, message: PeerMessage, now: float) -> list[Action]:
+        """Handles an answer of an acceptor, or a release to this router as the successor."""
+        if isinstance(message, Release):
+            return self._handle_release(message, now)
+        if sender not in self.fleet.acceptors or not isinstance(message, Promise | Accept | Reject):
+            return []
+        actions = self._observe(message, now)
+        bid = self.bids.get(message.lease)
+        if bid is None or message.ballot != bid.ballot:
+            return actions
+        if self.elections.has_lapsed(bid, now):
+            return actions + self.elections.lose_lease(bid, now)
+        return actions + self._handle_answer(sender, bid, message, now)
+
+    def _handle_answer(
+        self, acceptor: Peer, bid: Bid, message: Promise | Accept | Reject, now: float
+    ) -> list[Action]:
+        timing = self.elections.timing
+        match message:
+            case Accept():
+                return self.elections.record_acceptance(acceptor, bid, message, now)
+            case Promise(holder_ballot=0):
+                return self.elections.record_promise(acceptor, bid, now)
+            case Promise():
+                wait = timing.told_wait(message.remaining_ms)
+                return self.elections.record_refusal(acceptor, bid, message.holder_ballot, wait, now)
+            case Reject():
+                wait = timing.told_wait(message.retry_after_ms)
+                return self.elections.record_refusal(acceptor, bid, message.promised, wait, now)
+
+    def _observe(self, message: Promise | Accept | Reject, now: float) -> list[Action]:
+        """Learns the holder and the ballot counter that an answer tells of."""
+        match message:
+            case Promise(holder_ballot=ballot) if ballot != 0:
+                actions = self._observe_holder(message, now)
+                self.observe_counter(counter_of(ballot))
+                return actions
+            case Reject():
+                self.observe_counter(counter_of(message.promised))
+        return []
 
-    def _counted(self) -> float:
-        return self.term_ms / 1000 * (1 - self.bounds.drift)
+    def _observe_holder(self, message: Promise, now: float) -> list[Action]:
+        if message.holder == self.fleet.me:
+            return []
+        valid_until = now + self.elections.timing.told_wait(message.remaining_ms)
+        if not self.hints.record(message, valid_until, now):
+            return []
+        return [HolderObserved(message.lease, message.holder, message.holder_ballot)]
 
-    def _inherits(self, note: Release, now: float) -> list[Action]:
-        """A lease was left to this router: it starts at once, whatever the pace, where it wants it."""
-        bid = self.bids.get(note.lease)
-        if note.successor != self.fleet.me or bid is None or bid.phase not in (Phase.WAITING, Phase.QUEUED):
+    def _handle_release(self, message: Release, now: float) -> list[Action]:
+        """Starts an election at once, whatever the pace, where this router bids and is the successor."""
+        bid = self.bids.get(message.lease)
+        if message.successor != self.fleet.me or bid is None:
             return []
-        self.observe_counter(counter(note.ballot))
-        bid.eager = now + self.bounds.lease * EAGER
-        out: list[Action] = []
-        self._ask(bid, now, out)
-        return out
+        if bid.phase not in (Phase.WAITING, Phase.QUEUED):
+            return []
+        self.observe_counter(counter_of(message.ballot))
+        bid.hurries_until = now + self.elections.timing.hurry()
+        return self.elections.start(bid, now)
 
     # --- time ---
 
     def due(self) -> float:
-        alarm = self._alarms[0][0] if self._alarms else NEVER
-        if not self._queue:
-            return alarm
-        return min(alarm, self._filled + max(0.0, 1 - self._tokens) / PACE)
+        """Returns when `tick` next has something to do."""
+        return self.schedule.due()
 
     def tick(self, now: float) -> list[Action]:
-        out: list[Action] = []
-        while self._alarms and self._alarms[0][0] <= now:
-            at, lease = heapq.heappop(self._alarms)
-            bid = self.bids.get(lease)
-            if bid is not None and bid.at == at:
-                bid.at = NEVER
-                self._step(bid, now, out)
-        self._tokens = min(BURST, self._tokens + max(0.0, now - self._filled) * PACE)
-        self._filled = now
-        while self._queue and self._tokens >= 1:
-            # In no order, so that routers that lost the same holder seldom bid for the same lease at once.
-            pick = self.rng.randrange(len(self._queue))
-            self._queue[pick], self._queue[-1] = self._queue[-1], self._queue[pick]
-            bid = self.bids.get(self._queue.pop())
-            if bid is not None and bid.phase is Phase.QUEUED:
-                self._tokens -= 1
-                self._ask(bid, now, out)
-        return out
-
-    def _step(self, bid: Bid, now: float, out: list[Action]) -> None:
-        if self._lapsed(bid, now, out):
-            return
-        if bid.phase is Phase.WAITING:
-            if now < bid.eager:
-                self._ask(bid, now, out)
-            else:
-                bid.phase = Phase.QUEUED
-                self._queue.append(bid.lease)
-                if len(self._queue) > 2 * BIDS_MOST:  # most of it is of bids that were dropped
-                    self._queue = [one.lease for one in self.bids.values() if one.phase is Phase.QUEUED]
-        elif bid.phase is Phase.HOLDING:
-            self._renew(bid, now, out)
-        elif now >= bid.gives_up:
-            self._lost(bid, now, out)
-        else:
-            self._tell(self._silent(bid.promised | bid.refused.keys()), Prepare(bid.lease, bid.ballot), out)
-            if bid.phase is Phase.PROPOSING:
-                behind = bid.promised - bid.rounds[bid.number].accepted
-                self._tell(sorted(behind), self._proposal(bid), out)
-            self._wake(bid, min(bid.gives_up, now + self.bounds.lease * RESEND))
-
-    def _ask(self, bid: Bid, now: float, out: list[Action]) -> None:
-        """Start an election, under the former ballot where nothing higher was heard of."""
-        if bid.spent:
-            if self.clock + 1 >= CLOCK_MOST:
-                out.append(LogEvent("lease-clock-spent"))
-                bid.phase = Phase.WAITING
-                self._wake(bid, now + self.bounds.lease)
-                return
-            self.clock += 1
-            bid.ballot = self.clock << 32 | self.run
-            bid.spent = False
-        bid.phase = Phase.ASKING
-        bid.promised.clear()
-        bid.refused.clear()
-        bid.gives_up = now + self.bounds.lease * PHASE
-        self._wake(bid, now + self.bounds.lease * RESEND)
-        self._tell(self.fleet.acceptors, Prepare(bid.lease, bid.ballot), out)
-
-    def _propose(self, bid: Bid, now: float, out: list[Action]) -> None:
-        bid.phase = Phase.PROPOSING
-        bid.spent = True
-        bid.refused.clear()
-        bid.number = 0
-        bid.rounds = {0: Round(now)}
-        bid.gives_up = now + self.bounds.lease * PHASE
-        self._wake(bid, now + self.bounds.lease * RESEND)
-        self._tell(sorted(bid.promised), self._proposal(bid), out)
-
-    def _renew(self, bid: Bid, now: float, out: list[Action]) -> None:
-        """Propose anew at a third of the lease, and until a majority answers send what has no answer."""
-        if now >= bid.renews:
-            bid.number += 1
-            bid.rounds[bid.number] = Round(now)
-            bid.rounds.pop(bid.number - ROUNDS, None)
-            bid.renews = now + self._counted() / 3
-        made = bid.rounds[bid.number]
-        again = now + self.bounds.lease * RESEND
-        if len(made.accepted) < self.fleet.majority:
-            self._tell(self._silent(made.accepted), self._proposal(bid), out)
-        else:
-            again = NEVER
-        self._wake(bid, min(bid.renews, bid.until, again))
-
-    def _lapsed(self, bid: Bid, now: float, out: list[Action]) -> bool:
-        """A held lease has run out: it is lost for good, even where an answer to a renewal comes now."""
-        if bid.phase is not Phase.HOLDING or now < bid.until:
-            return False
-        out.append(LeaseLost(bid.lease, bid.ballot))
-        out += self._release(bid, self.fleet.me)
-        self._later(bid, now, self._jitter())
-        return True
-
-    def _lost(self, bid: Bid, now: float, out: list[Action]) -> None:
-        """An election is over: try again when a majority may be open, or backed off."""
-        if bid.phase is Phase.PROPOSING:
-            out += self._release(bid, self.fleet.me)
-        waits = sorted([*bid.refused.values(), *(0.0 for _ in bid.promised)])
-        wait = waits[self.fleet.majority - 1] if len(waits) >= self.fleet.majority else 0.0
-        if now < bid.eager:
-            self._later(bid, now, self._jitter() / 2)
-        elif wait > 0:
-            bid.tries = 0
-            self._later(bid, now, wait + self.rng.uniform(0, SPREAD * self.bounds.lease))
-        else:
-            bid.tries = min(bid.tries + 1, DOUBLINGS)
-            self._later(bid, now, self._jitter() * 2 ** (bid.tries - 1))
-
-    def _left(self, told_ms: int) -> float:
-        """Seconds that an acceptor told; none can truly tell more than two leases."""
-        return min(told_ms / 1000, 2 * self.bounds.lease)
-
-    def _jitter(self) -> float:
-        return self.bounds.lease * BACKOFF * self.rng.uniform(0.5, 1.5)
-
-    def _later(self, bid: Bid, now: float, wait: float) -> None:
-        bid.phase = Phase.WAITING
-        bid.rounds = {}
-        self._wake(bid, now + wait)
-
-    def _wake(self, bid: Bid, at: float) -> None:
-        bid.at = at
-        heapq.heappush(self._alarms, (at, bid.lease))
-
-    # --- notes ---
-
-    def _proposal(self, bid: Bid) -> Propose:
-        return Propose(bid.lease, bid.ballot, self.term_ms, bid.number)
-
-    def _release(self, bid: Bid, successor: Peer) -> list[Action]:
-        out: list[Action] = []
-        bid.spent = True
-        to = self.fleet.acceptors
-        if successor != self.fleet.me and successor not in to:
-            to = (*to, successor)
-        self._tell(to, Release(bid.lease, bid.ballot, successor), out)
-        return out
-
-    def _silent(self, known: set[Peer]) -> list[Peer]:
-        return [each for each in self.fleet.acceptors if each not in known]
-
-    def _tell(self, to: "tuple[Peer, ...] | list[Peer]", note: PeerMessage, out: list[Action]) -> None:
-        out.extend(self._to(each, note) for each in to)
-
-    def _to(self, peer: Peer, note: PeerMessage) -> SendMessage:
-        return SendMessage(peer, note, Urgency.LEASE)
-
-    def _hint(self, note: Promise, now: float, out: list[Action]) -> None:
-        """Remember whom an acceptor told of; of two that still count, the higher term."""
-        if note.holder == self.fleet.me:
-            return
-        known = self.hints.pop(note.lease, None)
-        if known is not None and known[1] > note.holder_ballot and now < known[2]:
-            self.hints[note.lease] = known
-            return
-        self.hints[note.lease] = (note.holder, note.holder_ballot, now + self._left(note.remaining_ms))
-        if len(self.hints) > HINTS_MOST:
-            del self.hints[next(iter(self.hints))]
-        if known is None or known[1] != note.holder_ballot:
-            out.append(HolderObserved(note.lease, note.holder, note.holder_ballot))
+        """Acts for the bids whose time has come, and starts the elections that the pace admits."""
+        actions: list[Action] = []
+        for bid in self.schedule.due_bids(now):
+            actions += self.elections.advance(bid, now)
+        for bid in self.schedule.admitted_elections(now):
+            actions += self.elections.start(bid, now)
+        return actions
--- a/paddlequay/cluster/tables.py
+++ b/paddlequay/cluster/tables.py
@@ -21,7 +21,7 @@
 from collections.abc import Callable
 from typing import ClassVar
 
-from paddlequay.cluster.acceptor import number as run_of
+from paddlequay.cluster.ballots import router_of
 from paddlequay.cluster.epochs import LEASE, NUMBERS, Content, Declared, Declarer, Holds, epoch_of, mark
 from paddlequay.cluster.messages import PeerMessage, TableAcknowledgement, TableAnnouncement
 from paddlequay.cluster.types import (
@@ -191,7 +191,7 @@
     def _heard(self, sender: Peer, note: TableAnnouncement, now: float) -> list[Action]:
         """A proposal is answered; a declaration is taken up, or confirms what is in use."""
         epoch = epoch_of(note.term, note.epoch_number)
-        if note.term >= self.term and run_of(note.term) == sender:
+        if note.term >= self.term and router_of(note.term) == sender:
             self.holder, self.term = sender, note.term
         self.asked = max(self.asked, epoch)
         actions: list[Action] = []
--- a/paddlequay/lab/lease_search.py
+++ b/paddlequay/lab/lease_search.py
@@ -168,8 +168,8 @@
     """Seconds to the next step: mostly short, at times past a stall, at times just past the end of a lock."""
     chance = rng.random()
     if chance < mood.ends and process.leases.acceptor is not None:
-        ends = [vote.ends for vote in process.leases.acceptor.votes.values()]
-        ends = [end for end in (*ends, process.leases.acceptor.back) if end > process.clock]
+        ends = [vote.locked_until for vote in process.leases.acceptor.votes.values()]
+        ends = [end for end in (*ends, process.leases.acceptor.votes_from) if end > process.clock]
         if ends:
             return (rng.choice(ends) - process.clock) / process.rate + rng.choice((1e-6, 1e-3))
     if chance > 1 - mood.stalls:
@@ -256,7 +256,7 @@
             (round(process.clock, 6), leases.highest_counter, tuple(map(repr, leases.proposer.bids.values())))
         )
         if leases.acceptor is not None:
-            parts.append((leases.acceptor.floor, tuple(map(repr, leases.acceptor.votes.values()))))
+            parts.append((leases.acceptor.promise_floor, tuple(map(repr, leases.acceptor.votes.values()))))
     return hash(tuple(parts))
 
 
--- a/paddlequay/lab/lease_world.py
+++ b/paddlequay/lab/lease_world.py
@@ -8,10 +8,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from paddlequay.cluster.acceptor import Acceptor, Vote, counter
+from paddlequay.cluster.acceptor import Acceptor, Vote
+from paddlequay.cluster.ballots import counter_of
+from paddlequay.cluster.bids import Bid
+from paddlequay.cluster.elections import Elections
 from paddlequay.cluster.leases import Leases
 from paddlequay.cluster.messages import PeerMessage, Propose
-from paddlequay.cluster.proposer import Bid, Proposer
 from paddlequay.cluster.types import Action, Bounds, Fleet, LeaseAcquired, LeaseLost, Name, Peer, SendMessage
 
 BOUNDS = Bounds()
@@ -116,10 +118,10 @@
                 process.told.pop(action.lease, None)
         process.heard = max(process.heard, process.leases.highest_counter)
         acceptor = process.leases.acceptor
-        if process.out and acceptor is not None and acceptor.floor is not None:
+        if process.out and acceptor is not None and acceptor.promise_floor is not None:
             process.out = False
             for name, term in self.last.items():
-                if process.heard < counter(term):
+                if process.heard < counter_of(term):
                     # Nobody who had heard of the last term was heard: the order of terms starts anew.
                     self.last[name] = 0
                     self.forgotten += 1
@@ -226,48 +228,48 @@
 
 
 class NoStayOut(Acceptor):
-    def out(self, now: float) -> float:
+    def seconds_until_voting(self, now: float) -> float:
         return 0.0
 
 
 class NoDrift(Acceptor):
-    def lasts(self, term: float, now: float) -> float:
-        return now + term
+    def lock_end(self, duration_s: float, now: float) -> float:
+        return now + duration_s
 
 
-class NoDriftHeld(Proposer):
-    def ends(self, sent: float, now: float) -> float:
-        return sent + self.term_ms / 1000
+class NoDriftHeld(Elections):
+    def lease_end(self, sent_at: float, now: float) -> float:
+        return sent_at + self.timing.duration_ms / 1000
 
 
-class FromAnswer(Proposer):
-    def ends(self, sent: float, now: float) -> float:
-        return super().ends(now, now)
+class FromAnswer(Elections):
+    def lease_end(self, sent_at: float, now: float) -> float:
+        return super().lease_end(now, now)
 
 
-class OneIsEnough(Proposer):
-    def enough(self) -> int:
+class OneIsEnough(Elections):
+    def required_acceptances(self) -> int:
         return 1
 
 
 class AnyBallot(Acceptor):
-    def may(self, vote: Vote, note: Propose, now: float) -> bool:
+    def may_accept(self, vote: Vote, message: Propose, now: float) -> bool:
         return True
 
 
 class Overwrites(Acceptor):
-    def locked(self, vote: Vote, ballot: int, now: float) -> bool:
+    def is_locked_by_other(self, vote: Vote, ballot: int, now: float) -> bool:
         return False
 
 
 class NoFloor(Acceptor):
-    def rejoin(self, clock: int) -> int:
+    def floor_after_restart(self, highest_counter: int) -> int:
         return 0
 
 
-class NoEnd(Proposer):
-    def counts(self, bid: Bid, now: float) -> bool:
-        return bid.until > 0 and bid.phase.value == "holding"
+class NoEnd(Elections):
+    def is_held(self, bid: Bid, now: float) -> bool:
+        return bid.held_until > 0 and bid.phase.value == "holding"
 
 
 class WithoutStayOut(Leases):
@@ -279,15 +281,15 @@
 
 
 class WithoutDriftHeld(Leases):
-    proposer_kind = NoDriftHeld
+    elections_kind = NoDriftHeld
 
 
 class WithFromAnswer(Leases):
-    proposer_kind = FromAnswer
+    elections_kind = FromAnswer
 
 
 class WithOneIsEnough(Leases):
-    proposer_kind = OneIsEnough
+    elections_kind = OneIsEnough
 
 
 class WithAnyBallot(Leases):
@@ -299,11 +301,11 @@
 
 
 class WithoutEnd(Leases):
-    proposer_kind = NoEnd
+    elections_kind = NoEnd
 
 
 class WithoutClock(Leases):
-    def observe_counter(self, value: int) -> None:
+    def observe_counter(self, counter: int) -> None:
         return
 
 
--- a/tests/cluster/test_cluster_model.py
+++ b/tests/cluster/test_cluster_model.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from paddlequay.cluster import granter, limits, proposer
+from paddlequay.cluster import elections, granter, limits
+from paddlequay.cluster.bids import Bid
 from paddlequay.cluster.leases import Leases
 from paddlequay.cluster.node import Node
 from paddlequay.cluster.types import PeerState
@@ -31,15 +32,15 @@
     assert sum(told.faults.values()) > 3 and told.admitted > 300
 
 
-class Endless(proposer.Proposer):
+class Endless(elections.Elections):
     """A holder that believes in its lease whatever its clock says."""
 
-    def counts(self, bid: proposer.Bid, now: float) -> bool:
-        return bid.until > 0 and bid.phase.value == "holding"
+    def is_held(self, bid: Bid, now: float) -> bool:
+        return bid.held_until > 0 and bid.phase.value == "holding"
 
 
 class EndlessLeases(Leases):
-    proposer_kind = Endless
+    elections_kind = Endless
 
 
 class NoWait(granter.Granter):
--- a/tests/cluster/test_leases.py
+++ b/tests/cluster/test_leases.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from paddlequay.cluster import acceptor, proposer
-from paddlequay.cluster.acceptor import counter
+from paddlequay.cluster import acceptor, bid_schedule, holder_hints, proposer
+from paddlequay.cluster.ballots import counter_of
 from paddlequay.cluster.leases import Leases
 from paddlequay.cluster.messages import (
     MESSAGE_TYPES,
@@ -130,7 +130,7 @@
         world.run(OUT + 5 * T)
         world.want(4, 1)
         assert until_held(world, 2.0, by=4) < 2
-        assert counter(world.last[1]) > counter(term) and world.forgotten == 0
+        assert counter_of(world.last[1]) > counter_of(term) and world.forgotten == 0
 
 
 def test_an_heir_takes_what_it_is_left_at_once_and_before_others() -> None:
@@ -174,7 +174,9 @@
     world.run(OUT + 0.1)
     for name in names:
         world.want(3, name)
-    assert world.run(200 / proposer.PACE + 1, lambda: all(map(world.holders, names))) is not None
+    assert (
+        world.run(200 / bid_schedule.ELECTIONS_PER_S + 1, lambda: all(map(world.holders, names))) is not None
+    )
     for name in names:
         world.want(0, name)
     world.processes[3].stopped = True
@@ -185,12 +187,17 @@
         for message in world.pending:
             if message.sender == 0 and isinstance(message.note, Prepare):
                 bid = world.processes[0].leases.proposer.bids[message.note.lease]
-                asked.add((bid.lease, bid.ballot, round(bid.gives_up * 1000)))
-        assert len(asked) <= proposer.BURST + (world.time - start) * proposer.PACE * 1.05 + 1
+                asked.add((bid.lease, bid.ballot, round(bid.election_ends_at * 1000)))
+        assert (
+            len(asked)
+            <= bid_schedule.MAX_ELECTIONS_AT_ONCE
+            + (world.time - start) * bid_schedule.ELECTIONS_PER_S * 1.05
+            + 1
+        )
         return len(world.processes[0].told) == 200
 
     took = world.run(20.0, taken)
-    assert took is not None and took <= 2.2 + 200 / proposer.PACE
+    assert took is not None and took <= 2.2 + 200 / bid_schedule.ELECTIONS_PER_S
 
 
 def single(now: float = 0.0) -> Leases:
@@ -315,9 +322,10 @@
 
 
 def test_what_is_remembered_has_bounds_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(acceptor, "STATES_MOST", 3)
-    monkeypatch.setattr(proposer, "BIDS_MOST", 3)
-    monkeypatch.setattr(proposer, "HINTS_MOST", 3)
+    monkeypatch.setattr(acceptor, "MAX_VOTES", 3)
+    monkeypatch.setattr(proposer, "MAX_BIDS", 3)
+    monkeypatch.setattr(bid_schedule, "MAX_BIDS", 3)
+    monkeypatch.setattr(holder_hints, "MAX_HINTS", 3)
     leases = single()
     leases.tick(2.0)
     voting = leases.acceptor
@@ -331,7 +339,9 @@
     for name in range(3):
         leases.release(name, 2.0)
     leases.tick(2.0 + 2.1 * T)
-    assert not voting.votes and counter(voting.floor or 0) == 9  # forgotten, but not the order of terms
+    assert (
+        not voting.votes and counter_of(voting.promise_floor or 0) == 9
+    )  # forgotten, but not the order of terms
 
 
 def test_no_note_raises_or_is_believed_from_whom_it_cannot_come_from() -> None:
