--- a/paddlequay/cluster/acceptor.py
+++ b/paddlequay/cluster/acceptor.py
@@ -12,7 +12,7 @@
 
 from paddlequay.cluster.ballots import highest_of_counter, router_of, run_of
 from paddlequay.cluster.messages import Accept, PeerMessage, Prepare, Promise, Propose, Reject, Release
-from paddlequay.cluster.types import NEVER, Bounds, Name, Peer
+from paddlequay.cluster.types import NEVER, ClusterBounds, NameDigest, Peer
 
 MAX_VOTES = 8192  # about 2 MB; requests for more leases are told to come later
 
@@ -59,12 +59,12 @@
         promise_floor: What leases without a vote count as promised; None while the acceptor does not vote.
     """
 
-    def __init__(self, bounds: Bounds, now: float) -> None:
+    def __init__(self, bounds: ClusterBounds, now: float) -> None:
         self.bounds = bounds
-        self.votes: dict[Name, Vote] = {}
-        self.votes_from = now + bounds.lease * (1 + bounds.drift)
+        self.votes: dict[NameDigest, Vote] = {}
+        self.votes_from = now + bounds.lease_s * (1 + bounds.drift_ratio)
         self.promise_floor: int | None = None
-        self._expiry: list[tuple[float, Name]] = []
+        self._expiry: list[tuple[float, NameDigest]] = []
 
     def due(self) -> float:
         """Returns when the acceptor starts to vote, or when the first vote may be dropped."""
@@ -123,7 +123,7 @@
                 return _reject(message, self.promise_floor)
             vote = self._new_vote(message.lease, now)
             if vote is None:
-                return _retry_after(message, self.bounds.lease)
+                return _retry_after(message, self.bounds.lease_s)
         if self.is_locked_by_other(vote, message.ballot, now):
             remaining_ms = round_up_ms(vote.locked_until - now)
             holder = router_of(vote.lock_ballot)
@@ -133,7 +133,7 @@
         if message.ballot < max(vote.promised, vote.min_ballot, 1):
             return _reject(message, vote.promised)
         vote.promised = message.ballot
-        vote.promise_until = now + self.bounds.lease * PROMISE_RATIO
+        vote.promise_until = now + self.bounds.lease_s * PROMISE_RATIO
         self._extend_retention(vote, now)
         return Promise(message.lease, message.ballot, 0, 0, 0)
 
@@ -143,7 +143,7 @@
         Ignores a duration longer than the restart delay covers: its sender has other settings.
         """
         duration_s = message.duration_ms / 1000
-        if not 0 < duration_s <= self.bounds.lease:
+        if not 0 < duration_s <= self.bounds.lease_s:
             return None
         if self.promise_floor is None:
             return _retry_after(message, self.seconds_until_voting(now))
@@ -153,7 +153,7 @@
                 return _reject(message, self.promise_floor)
             vote = self._new_vote(message.lease, now)
             if vote is None:
-                return _retry_after(message, self.bounds.lease)
+                return _retry_after(message, self.bounds.lease_s)
         if self.is_locked_by_other(vote, message.ballot, now):
             return _reject(message, max(vote.promised, vote.lock_ballot))
         if not self.may_accept(vote, message, now):
@@ -182,7 +182,7 @@
 
     def lock_end(self, duration_s: float, now: float) -> float:
         """Returns when a lock given now ends: later than its holder counts, by the clock drift."""
-        return now + duration_s * (1 + self.bounds.drift)
+        return now + duration_s * (1 + self.bounds.drift_ratio)
 
     def _release(self, sender: Peer, message: Release, now: float) -> None:
         """Opens the lock, and keeps messages under its ballot that are still on their way from closing it."""
@@ -197,9 +197,9 @@
         vote.locked_until = 0.0
         if message.successor != sender:
             vote.successor = message.successor
-            vote.successor_until = now + self.bounds.lease * SUCCESSOR_RATIO
+            vote.successor_until = now + self.bounds.lease_s * SUCCESSOR_RATIO
 
-    def _new_vote(self, lease: Name, now: float) -> Vote | None:
+    def _new_vote(self, lease: NameDigest, now: float) -> Vote | None:
         if len(self.votes) >= MAX_VOTES:
             return None
         vote = Vote()
@@ -209,7 +209,7 @@
         return vote
 
     def _extend_retention(self, vote: Vote, now: float) -> None:
-        vote.forget_at = max(vote.locked_until, now) + self.bounds.lease * VOTE_RETENTION_RATIO
+        vote.forget_at = max(vote.locked_until, now) + self.bounds.lease_s * VOTE_RETENTION_RATIO
 
 
 def _reject(message: Prepare | Propose, promised: int) -> Reject:
--- a/paddlequay/cluster/bid_schedule.py
+++ b/paddlequay/cluster/bid_schedule.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator, Mapping
 
 from paddlequay.cluster.bids import Bid, Phase
-from paddlequay.cluster.types import NEVER, Name
+from paddlequay.cluster.types import NEVER, NameDigest
 
 MAX_BIDS = 4096  # leases that one router wants at once
 ELECTIONS_PER_S = 25.0  # some 3 messages of 20 bytes each
@@ -15,11 +15,11 @@
 class BidSchedule:
     """Wakes the bids of a router in time. Reads `bids`, which the proposer owns."""
 
-    def __init__(self, bids: Mapping[Name, Bid], rng: random.Random) -> None:
+    def __init__(self, bids: Mapping[NameDigest, Bid], rng: random.Random) -> None:
         self.bids = bids
         self.rng = rng
-        self._alarms: list[tuple[float, Name]] = []
-        self._queue: list[Name] = []
+        self._alarms: list[tuple[float, NameDigest]] = []
+        self._queue: list[NameDigest] = []
         self._tokens = MAX_ELECTIONS_AT_ONCE
         self._refilled_at = 0.0
 
@@ -65,7 +65,7 @@
                 self._tokens -= 1
                 yield bid
 
-    def _pop_random(self) -> Name:
+    def _pop_random(self) -> NameDigest:
         picked = self.rng.randrange(len(self._queue))
         self._queue[picked], self._queue[-1] = self._queue[-1], self._queue[picked]
         return self._queue.pop()
--- a/paddlequay/cluster/bids.py
+++ b/paddlequay/cluster/bids.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from paddlequay.cluster.types import Name, Peer
+from paddlequay.cluster.types import NameDigest, Peer
 
 
 class Phase(Enum):
@@ -42,7 +42,7 @@
         hurries_until: Until then the bid does not wait for the pace: the lease was left to this router.
     """
 
-    lease: Name
+    lease: NameDigest
     next_action_at: float
     phase: Phase = Phase.WAITING
     ballot: int = 0
--- a/paddlequay/cluster/elections.py
+++ b/paddlequay/cluster/elections.py
@@ -16,7 +16,7 @@
 from paddlequay.cluster.types import (
     NEVER,
     Action,
-    Bounds,
+    ClusterBounds,
     Fleet,
     LeaseAcquired,
     LeaseLost,
@@ -33,7 +33,12 @@
     """Takes single bids through their phases. The returned actions may send to this router itself."""
 
     def __init__(
-        self, fleet: Fleet, bounds: Bounds, rng: random.Random, schedule: BidSchedule, hints: HolderHints
+        self,
+        fleet: Fleet,
+        bounds: ClusterBounds,
+        rng: random.Random,
+        schedule: BidSchedule,
+        hints: HolderHints,
     ) -> None:
         self.fleet = fleet
         self.timing = LeaseTiming(bounds, rng)
@@ -67,7 +72,7 @@
             ballot = self.ballots.next_ballot()
             if ballot is None:
                 bid.phase = Phase.WAITING
-                self.schedule.wake(bid, now + self.timing.bounds.lease)
+                self.schedule.wake(bid, now + self.timing.bounds.lease_s)
                 return [LogEvent("lease-clock-spent")]
             bid.ballot = ballot
             bid.ballot_spent = False
--- a/paddlequay/cluster/holder_hints.py
+++ b/paddlequay/cluster/holder_hints.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from paddlequay.cluster.messages import Promise
-from paddlequay.cluster.types import Name, Peer
+from paddlequay.cluster.types import NameDigest, Peer
 
 MAX_HINTS = 8192
 
@@ -21,12 +21,12 @@
     """Remembers one hint for each lease, the oldest dropped first."""
 
     def __init__(self) -> None:
-        self._hints: dict[Name, HolderHint] = {}
+        self._hints: dict[NameDigest, HolderHint] = {}
 
     def __len__(self) -> int:
         return len(self._hints)
 
-    def holder(self, lease: Name, now: float) -> Peer | None:
+    def holder(self, lease: NameDigest, now: float) -> Peer | None:
         """Returns the router that was observed to hold a lease, None where its lock has ended."""
         hint = self._hints.get(lease)
         return hint.holder if hint is not None and now < hint.valid_until else None
@@ -46,6 +46,6 @@
             del self._hints[next(iter(self._hints))]
         return known is None or known.ballot != message.holder_ballot
 
-    def forget(self, lease: Name) -> None:
+    def forget(self, lease: NameDigest) -> None:
         """Drops the hint of a lease."""
         self._hints.pop(lease, None)
--- a/paddlequay/cluster/leases.py
+++ b/paddlequay/cluster/leases.py
@@ -20,10 +20,10 @@
 from paddlequay.cluster.types import (
     NEVER,
     Action,
-    Bounds,
+    ClusterBounds,
     Fleet,
     LocalEvent,
-    Name,
+    NameDigest,
     Peer,
     SendMessage,
     Urgency,
@@ -47,33 +47,33 @@
     acceptor_kind: ClassVar[type[Acceptor]] = Acceptor
     elections_kind: ClassVar[type[Elections]] = Elections
 
-    def __init__(self, fleet: Fleet, bounds: Bounds, rng: random.Random, now: float) -> None:
+    def __init__(self, fleet: Fleet, bounds: ClusterBounds, rng: random.Random, now: float) -> None:
         self.fleet = fleet
         self.proposer = Proposer(fleet, bounds, rng, self.elections_kind)
         self.acceptor = self.acceptor_kind(bounds, now) if fleet.me in fleet.acceptors else None
 
     # --- for the parts that need leases ---
 
-    def request(self, lease: Name, now: float) -> list[Action]:
+    def request(self, lease: NameDigest, now: float) -> list[Action]:
         """Bids for a lease until it is released, and renews it while held; logs a refusal past `MAX_BIDS`."""
         return self._deliver_local(self.proposer.request(lease, now), now)
 
-    def release(self, lease: Name, now: float, successor: Peer | None = None) -> list[Action]:
+    def release(self, lease: NameDigest, now: float, successor: Peer | None = None) -> list[Action]:
         """Gives a lease up, held or not; a successor that bids for it acquires it without waiting."""
         return self._deliver_local(self.proposer.release(lease, now, successor), now)
 
-    def holds(self, lease: Name, now: float) -> int | None:
+    def holds(self, lease: NameDigest, now: float) -> int | None:
         """Returns the term under which this router holds a lease now, or None: to be asked at each use."""
         return self.proposer.holds(lease, now)
 
-    def holder(self, lease: Name, now: float) -> Peer | None:
+    def holder(self, lease: NameDigest, now: float) -> Peer | None:
         """Returns the last router observed to hold a lease: a hint for whom to ask, never a proof."""
         return self.proposer.holder(lease, now)
 
-    def query_holder(self, lease: Name, now: float) -> list[Action]:
+    def query_holder(self, lease: NameDigest, now: float) -> list[Action]:
         """Asks all acceptors for the holder of a lease, without a bid; `HolderObserved` gives the answer."""
         query = Prepare(lease, 0)
-        queries: list[Action] = [SendMessage(each, query, Urgency.NEWS) for each in self.fleet.acceptors]
+        queries: list[Action] = [SendMessage(each, query, Urgency.CHANGE) for each in self.fleet.acceptors]
         return self._deliver_local(queries, now)
 
     @property
@@ -87,11 +87,13 @@
 
     # --- as a part of the cluster ---
 
-    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
+    def handle_message(
+        self, sender: Peer, incarnation: int, message: PeerMessage, now: float
+    ) -> list[Action]:
         """Handles a message of a proposer or an acceptor."""
-        return self._deliver_local(self._dispatch(sender, note, now), now)
+        return self._deliver_local(self._dispatch(sender, message, now), now)
 
-    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
+    def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
         """Ignores all events: liveness is a guess, and leases go by their own clocks alone."""
         return []
 
@@ -125,7 +127,7 @@
         while remaining:
             action = remaining.pop()
             if isinstance(action, SendMessage) and action.to == self.fleet.me:
-                remaining += self._dispatch(self.fleet.me, action.note, now)[::-1]
+                remaining += self._dispatch(self.fleet.me, action.message, now)[::-1]
             else:
                 outward.append(action)
         return outward
--- a/paddlequay/cluster/proposer.py
+++ b/paddlequay/cluster/proposer.py
@@ -10,12 +10,12 @@
 from paddlequay.cluster.messages import Accept, PeerMessage, Promise, Reject, Release
 from paddlequay.cluster.types import (
     Action,
-    Bounds,
+    ClusterBounds,
     Fleet,
     HolderObserved,
     LeaseLost,
     LogEvent,
-    Name,
+    NameDigest,
     Peer,
 )
 
@@ -24,17 +24,21 @@
     """Bids for leases. Returned actions may send to this router itself: `Leases` handles them."""
 
     def __init__(
-        self, fleet: Fleet, bounds: Bounds, rng: random.Random, elections_kind: type[Elections] = Elections
+        self,
+        fleet: Fleet,
+        bounds: ClusterBounds,
+        rng: random.Random,
+        elections_kind: type[Elections] = Elections,
     ) -> None:
         self.fleet = fleet
-        self.bids: dict[Name, Bid] = {}
+        self.bids: dict[NameDigest, Bid] = {}
         self.hints = HolderHints()
         self.schedule = BidSchedule(self.bids, rng)
         self.elections = elections_kind(fleet, bounds, rng, self.schedule, self.hints)
 
     # --- what the router asks for ---
 
-    def request(self, lease: Name, now: float) -> list[Action]:
+    def request(self, lease: NameDigest, now: float) -> list[Action]:
         """Bids for a lease until it is released; refuses more than `MAX_BIDS` bids."""
         if lease in self.bids:
             return []
@@ -45,7 +49,7 @@
         self.schedule.wake(bid, now)
         return []
 
-    def release(self, lease: Name, now: float, successor: Peer | None) -> list[Action]:
+    def release(self, lease: NameDigest, now: float, successor: Peer | None) -> list[Action]:
         """Ends a bid, and gives the lease back where it is held or proposed."""
         bid = self.bids.pop(lease, None)
         if bid is None:
@@ -57,12 +61,12 @@
             actions += self.elections.release(bid, self.fleet.me if successor is None else successor)
         return actions
 
-    def holds(self, lease: Name, now: float) -> int | None:
+    def holds(self, lease: NameDigest, now: float) -> int | None:
         """Returns the term under which this router holds a lease at this moment, or None."""
         bid = self.bids.get(lease)
         return bid.ballot if bid is not None and self.elections.is_held(bid, now) else None
 
-    def holder(self, lease: Name, now: float) -> Peer | None:
+    def holder(self, lease: NameDigest, now: float) -> Peer | None:
         """Returns the router that is known to hold a lease, or was last observed to."""
         if self.holds(lease, now) is not None:
             return self.fleet.me
