--- a/paddlequay/cluster/buckets.py
+++ b/paddlequay/cluster/buckets.py
@@ -1,247 +1,260 @@
-"""What one router has of a limit: tokens of a rate, or places for requests that are out at once.
+"""What one router has of a limit: tokens of a rate, or slots for requests in flight.
 
-Both are asked at the moment of use and bring themselves up to it first, so that a process that was stopped
-finds its grant gone. Whatever moves, at every instant the caps of all routers' buckets are the limit's burst
-at most and their rates the limit's rate at most, tokens never pass the cap, and a raised cap brings none:
-over any window of w seconds the fleet admits burst + rate * w at most.
+Both kinds first bring themselves up to the moment of use, so that a process that was stopped finds its grant
+expired. docs/cluster/limits.md proves that the fleet stays within the limit: at every instant the capacities
+and rates of all routers' buckets are the limit's at most, tokens never exceed the capacity, and a raised
+capacity brings no tokens.
 """
 
 import heapq
-import math
 from dataclasses import dataclass
+from enum import IntEnum
+from typing import Protocol
 
-from paddlequay.cluster.quotas import NOTHING, REQUEST, Share, Whole
+from paddlequay.cluster.demand_meter import DemandMeter
+from paddlequay.cluster.quotas import MILLI_PER_REQUEST, NO_QUOTA, LimitDivision, Quota
 from paddlequay.cluster.types import NEVER
 
-WINDOWS = 6  # averaged at most: 1.2 s, so that a shift too small to stand out is followed within 2 s
-TOLD_BY = 3  # windows that together may stand out
-UNLIKE = 2.5  # standard deviations of a count; by chance so far out about once in 80 windows
-LEAST_SEEN = 0.25  # of a window: a rate is told from no shorter time
-
 
 @dataclass(frozen=True, slots=True)
-class Times:
-    """How long things last by this process's clock, seconds."""
+class BucketTiming:
+    """The times of all buckets of a process, in seconds of its clock.
+
+    Attributes:
+        started_at: When the process started; its predecessor has spent its tokens, maybe not all its slots.
+        min_clock_rate: The true seconds in one second of this clock, at least.
+        retention_s: For how long an isolated router retains a part of its grant, with `PartitionMode.OPEN`.
+        floor_blocked_s: For how long after the start requests of the predecessor may still be in flight.
+        window_s: The length of a window of demand.
+    """
 
-    began: float  # when this process started: its predecessor's tokens are spent, its requests may be out
-    pace: float = 1.0  # of true time that a second of this clock is at least
-    keep: float = 0.0  # how long a router that is cut off keeps a share, with `Mode.OPEN`
-    shut: float = 0.0  # how long after `began` requests of its predecessor may still be out
-    window: float = 0.2  # over which demand is counted
+    started_at: float
+    min_clock_rate: float = 1.0
+    retention_s: float = 0.0
+    floor_blocked_s: float = 0.0
+    window_s: float = 0.2
 
 
-class Asked:
-    """Demand, refused or not: its mean, taken anew where a window is unlike those before it.
+@dataclass(frozen=True, slots=True)
+class ActiveGrant:
+    """The quota beside the floor.
 
-    A share that follows the noise of small counts would be lost to others for a grant's life each time, so
-    that windows are averaged for as long as chance explains how they differ.
+    Attributes:
+        quota: What may be used beside the floor.
+        valid_until: When it ends.
+        is_retained: Whether the router is isolated and the quota is what it retains.
     """
 
-    __slots__ = ("count", "last", "length", "mean", "opened", "windows")
-
-    def __init__(self, now: float, window: float) -> None:
-        self.length = window
-        self.opened = now
-        self.count = 0
-        self.last: tuple[int, ...] = ()  # counts of the last windows, the newest first
-        self.mean = 0.0  # a window
-        self.windows = 0  # that the mean rests on, `WINDOWS` at most
-
-    def unlike(self, count: int, mean: float) -> bool:
-        return abs(count - mean) > UNLIKE * math.sqrt(mean) + 1
-
-    def turn(self, now: float) -> None:
-        """Close the windows that ran out; those that passed without a call were empty."""
-        passed = math.floor((now - self.opened) / self.length)
-        if passed < 1:
-            return
-        for count in (self.count, 0)[:passed]:
-            self.last = (count, *self.last[: TOLD_BY - 1])
-            self.windows = min(WINDOWS, self.windows + 1)
-            mean = self.mean + (count - self.mean) / self.windows
-            for many in range(1, len(self.last) + 1):
-                if self.unlike(sum(self.last[:many]), self.mean * many):
-                    self.windows = many
-                    mean = sum(self.last[:many]) / many
-                    break
-            self.mean = mean
-        if passed > WINDOWS:
-            self.mean, self.last = 0.0, ()
-        self.count = 0
-        self.opened += passed * self.length
-
-    def add(self, now: float) -> None:
-        self.turn(now)
-        self.count += 1
-
-    def rate(self, now: float) -> int:
-        """Thousandths a second; a rise shows before its window has ended."""
-        self.turn(now)
-        mean = self.mean
-        so_far = (now - self.opened) / self.length
-        if self.count > mean * so_far and self.unlike(self.count, mean * so_far):
-            mean = max(mean, self.count / max(so_far, LEAST_SEEN))
-        return int(mean / self.length * REQUEST)
-
-    def peak(self, now: float) -> int:
-        """The larger of the counts of the last window and of the one that runs."""
-        self.turn(now)
-        return max(self.count, *self.last[:1], 0)
-
-
-class Bucket:
-    """Tokens of a rate, in thousandths; `floor` for good and `extra` until `until`.
-
-    A bucket that is made later holds what it would hold had it stood unused since the process began, which
-    was empty: a predecessor may have spent all. So one that is idle and full may be dropped and made again.
+    quota: Quota = NO_QUOTA
+    valid_until: float = NEVER
+    is_retained: bool = False
+
+    def after_expiry(self, division: LimitDivision, timing: BucketTiming, isolated: bool) -> "ActiveGrant":
+        """Returns what follows this grant: a retained part where the router is isolated, else nothing."""
+        if not isolated or self.is_retained or timing.retention_s <= 0:
+            return NO_GRANT
+        retained = self.quota.min_with(division.isolated)
+        return ActiveGrant(retained, self.valid_until + timing.retention_s, is_retained=True)
+
+
+NO_GRANT = ActiveGrant()
+
+
+class Bucket(Protocol):
+    """What one router has of one limit. Times are seconds of the process's clock."""
+
+    grant: ActiveGrant
+    demand: DemandMeter
+
+    def advance(self, now: float, isolated: bool) -> None:
+        """Brings the bucket up to `now`; to be called before every question."""
+
+    def receive_grant(self, quota: Quota, valid_until: float) -> None:
+        """Replaces the quota beside the floor by one that the holder has granted."""
+
+    def admits(self, now: float, duration_s: float) -> bool:
+        """Returns whether a request may start now that ends within `duration_s`."""
+
+    def acquire(self, permit: int, now: float, duration_s: float) -> None:
+        """Takes what a request needs; only where `admits` is true at the same moment."""
+
+    def release(self, permit: int) -> None:
+        """Gives back what a request has taken, when it ends."""
+
+    def retry_after(self, now: float) -> float | None:
+        """Returns the seconds until a request is admitted, None where only another grant can admit one."""
+
+    def demand_milli(self, now: float) -> int:
+        """Returns what the router would use, in thousandths; starts a new observation."""
+
+    def is_unused(self) -> bool:
+        """Returns whether a bucket that is made later is the same as this one."""
+
+
+class RateBucket:
+    """Tokens of a rate, in thousandths of a request.
+
+    A bucket that is made later holds what it would hold had it been unused since the process started, when it
+    was empty: the predecessor may have spent all tokens. So one that is full and without a grant may be
+    dropped.
     """
 
-    def __init__(self, whole: Whole, times: Times, now: float) -> None:
-        self.whole = whole
-        self.times = times
-        self.extra = NOTHING
-        self.until = NEVER
-        self.keeps = False  # `extra` is kept without its holder's word
-        self.at = now
-        self.asked = Asked(now, times.window)
-        self.tokens = self.born(now)
-
-    def born(self, now: float) -> float:
-        return min(
-            self.whole.floor.burst, self.whole.floor.milli * (now - self.times.began) * self.times.pace
-        )
+    def __init__(self, division: LimitDivision, timing: BucketTiming, now: float) -> None:
+        self.division = division
+        self.timing = timing
+        self.grant = NO_GRANT
+        self.filled_at = now
+        self.demand = DemandMeter(now, timing.window_s)
+        self.tokens = self.initial_tokens(now)
+
+    def initial_tokens(self, now: float) -> float:
+        """Returns the tokens of the floor since the process started."""
+        floor = self.division.floor
+        since_start = floor.amount_milli * (now - self.timing.started_at) * self.timing.min_clock_rate
+        return min(floor.burst_milli, since_start)
 
     @property
-    def cap(self) -> int:
-        return self.whole.floor.burst + self.extra.burst
+    def capacity_milli(self) -> int:
+        """The most tokens that the bucket holds."""
+        return self.division.floor.burst_milli + self.grant.quota.burst_milli
 
     @property
-    def rate(self) -> int:
-        return self.whole.floor.milli + self.extra.milli
+    def rate_milli(self) -> int:
+        """The tokens that it gains per second."""
+        return self.division.floor.amount_milli + self.grant.quota.amount_milli
 
     def fill(self, now: float) -> None:
-        if now > self.at:
-            self.tokens = min(self.cap, self.tokens + self.rate * (now - self.at) * self.times.pace)
-            self.at = now
-
-    def change(self, extra: Share, until: float) -> None:
-        """Another share from `at` on: what is above its cap is lost, what it may hold more is yet to come."""
-        self.extra, self.until = extra, until
-        self.tokens = min(self.tokens, self.cap)
-
-    def advance(self, now: float, cut_off: bool) -> None:
-        """Come to `now`, through the ends of the grant and of what was kept of it."""
-        while self.until <= now:
-            self.fill(self.until)
-            keeps = cut_off and not self.keeps and self.times.keep > 0
-            extra, until = self.extra.least(self.whole.kept), self.until + self.times.keep
-            self.keeps = keeps
-            self.change(extra if keeps else NOTHING, until if keeps else NEVER)
+        """Adds the tokens gained since the last call."""
+        if now > self.filled_at:
+            gained = self.rate_milli * (now - self.filled_at) * self.timing.min_clock_rate
+            self.tokens = min(self.capacity_milli, self.tokens + gained)
+            self.filled_at = now
+
+    def change_grant(self, grant: ActiveGrant) -> None:
+        """Replaces the grant as of `filled_at`: tokens above the new capacity are lost, none are gained."""
+        self.grant = grant
+        self.tokens = min(self.tokens, self.capacity_milli)
+
+    def advance(self, now: float, isolated: bool) -> None:
+        """Fills the bucket up to `now`, through the ends of the grant and of what was retained of it."""
+        while self.grant.valid_until <= now:
+            self.fill(self.grant.valid_until)
+            self.change_grant(self.grant.after_expiry(self.division, self.timing, isolated))
         self.fill(now)
 
-    def grant(self, share: Share, until: float) -> None:
-        """A share that the holder has told; call `advance` first."""
-        self.keeps = False
-        self.change(share, until)
+    def receive_grant(self, quota: Quota, valid_until: float) -> None:
+        """Replaces the quota beside the floor by one that the holder has granted."""
+        self.change_grant(ActiveGrant(quota, valid_until))
 
-    def fits(self, now: float, lasts: float) -> bool:
-        return self.tokens >= REQUEST
+    def admits(self, now: float, duration_s: float) -> bool:
+        """Returns whether there is a token."""
+        return self.tokens >= MILLI_PER_REQUEST
 
-    def take(self, ticket: int, now: float, lasts: float) -> None:
-        self.tokens -= REQUEST
+    def acquire(self, permit: int, now: float, duration_s: float) -> None:
+        """Spends a token; an admitted request is demand as well as a rejected one."""
+        self.tokens -= MILLI_PER_REQUEST
+        self.demand.add(now)
 
-    def give(self, ticket: int) -> None:
-        """Tokens are spent for good."""
+    def release(self, permit: int) -> None:
+        """Does nothing: tokens are spent for good."""
 
-    def retry_in(self, now: float) -> float | None:
-        """Seconds until there is a token, at the present rate; None: not before the share changes."""
-        if self.cap < REQUEST or not self.rate:
+    def retry_after(self, now: float) -> float | None:
+        """Returns the seconds until there is a token at the present rate."""
+        if self.capacity_milli < MILLI_PER_REQUEST or not self.rate_milli:
             return None
-        return (REQUEST - self.tokens) / (self.rate * self.times.pace)
+        return (MILLI_PER_REQUEST - self.tokens) / (self.rate_milli * self.timing.min_clock_rate)
 
-    def demand(self, now: float) -> int:
-        return self.asked.rate(now)
+    def demand_milli(self, now: float) -> int:
+        """Returns the rate of requests, rejected ones included, in thousandths per second."""
+        return self.demand.rate_milli(now)
 
-    def idle(self) -> bool:
-        """Whether making it again later comes to no more than keeping it."""
-        return self.until == NEVER and self.tokens >= self.cap
+    def is_unused(self) -> bool:
+        """Returns whether the bucket is full and has no grant."""
+        return self.grant.valid_until == NEVER and self.tokens >= self.capacity_milli
 
 
-class Places:
-    """Places for requests that are out at once: of the floor, granted, or kept while cut off.
+class SlotKind(IntEnum):
+    """What a request in flight counts against."""
 
-    Who starts on a granted place ends before the grant does: at any time the granted places in use were all
-    started within a grant that still lives, and are no more than that grant's. Kept places are counted apart.
-    Floor places stay shut until no request of the process before can be out.
-    """
+    FLOOR = 0
+    GRANTED = 1
+    RETAINED = 2
 
-    FLOOR, GRANTED, KEPT = range(3)
 
-    def __init__(self, whole: Whole, times: Times, now: float) -> None:
-        self.whole = whole
-        self.times = times
-        self.extra = NOTHING
-        self.until = NEVER
-        self.keeps = False
-        self.used = [0, 0, 0]
-        self.out: dict[int, int] = {}  # ticket to the kind of its place; no more than places
-        self.ends: list[tuple[float, int]] = []
-        self.asked = Asked(now, times.window)  # refused ones alone: the others are seen by `high`
-        self.high = 0  # most out at once since the last look
+class SlotBucket:
+    """Slots for requests in flight: of the floor, granted, or retained while the router is isolated.
 
-    @property
-    def rate(self) -> int:
-        return self.whole.floor.milli + self.extra.milli
-
-    def advance(self, now: float, cut_off: bool) -> None:
-        while self.ends and self.ends[0][0] <= now:
-            self.give(heapq.heappop(self.ends)[1])
-        while self.until <= now:
-            keeps = cut_off and not self.keeps and self.times.keep > 0
-            self.extra = self.extra.least(self.whole.kept) if keeps else NOTHING
-            self.until = self.until + self.times.keep if keeps else NEVER
-            self.keeps = keeps
-
-    def grant(self, share: Share, until: float) -> None:
-        self.extra, self.until, self.keeps = share, until, False
-
-    def opened(self, now: float) -> bool:
-        """Whether the floor's places may be used: nothing of the process before is out."""
-        return now >= self.times.began + self.times.shut
-
-    def kind(self, now: float, lasts: float) -> int | None:
-        """Which place a request of `lasts` seconds may have now."""
-        if self.opened(now) and self.used[self.FLOOR] * REQUEST < self.whole.floor.milli:
-            return self.FLOOR
-        kind = self.KEPT if self.keeps else self.GRANTED
-        if (self.used[kind] + 1) * REQUEST > self.extra.milli:
+    A request on a granted slot ends before the grant does: the granted slots in use were all acquired within
+    a grant that is still valid, and are no more than that grant's. Retained slots are counted apart. Floor
+    slots stay blocked while requests of the predecessor may be in flight.
+    """
+
+    def __init__(self, division: LimitDivision, timing: BucketTiming, now: float) -> None:
+        self.division = division
+        self.timing = timing
+        self.grant = NO_GRANT
+        self.demand = DemandMeter(now, timing.window_s)
+        self.in_use = [0] * len(SlotKind)
+        self.slots: dict[int, SlotKind] = {}
+        self.deadlines: list[tuple[float, int]] = []
+        self.peak_in_flight = 0
+
+    def advance(self, now: float, isolated: bool) -> None:
+        """Releases slots of requests past their time-out, and goes through the ends of grants."""
+        while self.deadlines and self.deadlines[0][0] <= now:
+            _, permit = heapq.heappop(self.deadlines)
+            self.release(permit)
+        while self.grant.valid_until <= now:
+            self.grant = self.grant.after_expiry(self.division, self.timing, isolated)
+
+    def receive_grant(self, quota: Quota, valid_until: float) -> None:
+        """Replaces the quota beside the floor by one that the holder has granted."""
+        self.grant = ActiveGrant(quota, valid_until)
+
+    def is_floor_open(self, now: float) -> bool:
+        """Returns whether no request of the predecessor can be in flight any more."""
+        return now >= self.timing.started_at + self.timing.floor_blocked_s
+
+    def free_slot(self, now: float, duration_s: float) -> SlotKind | None:
+        """Returns the kind of slot that a request of `duration_s` may have now, None where it has to wait."""
+        floor_in_use_milli = self.in_use[SlotKind.FLOOR] * MILLI_PER_REQUEST
+        if self.is_floor_open(now) and floor_in_use_milli < self.division.floor.amount_milli:
+            return SlotKind.FLOOR
+        kind = SlotKind.RETAINED if self.grant.is_retained else SlotKind.GRANTED
+        if (self.in_use[kind] + 1) * MILLI_PER_REQUEST > self.grant.quota.amount_milli:
             return None
-        return kind if self.keeps or now + lasts <= self.until else None
-
-    def fits(self, now: float, lasts: float) -> bool:
-        return self.kind(now, lasts) is not None
-
-    def take(self, ticket: int, now: float, lasts: float) -> None:
-        kind = self.kind(now, lasts)
-        assert kind is not None  # `fits` was asked at the same moment
-        self.used[kind] += 1
-        self.out[ticket] = kind
-        heapq.heappush(self.ends, (now + lasts, ticket))
-        self.high = max(self.high, len(self.out))
-
-    def give(self, ticket: int) -> None:
-        """The request is over; once it has ended by its time-out too, this is nothing."""
-        kind = self.out.pop(ticket, None)
+        ends_in_time = self.grant.is_retained or now + duration_s <= self.grant.valid_until
+        return kind if ends_in_time else None
+
+    def admits(self, now: float, duration_s: float) -> bool:
+        """Returns whether there is a slot for a request that ends within `duration_s`."""
+        return self.free_slot(now, duration_s) is not None
+
+    def acquire(self, permit: int, now: float, duration_s: float) -> None:
+        """Takes a slot until the request ends, by its time-out at the latest."""
+        kind = self.free_slot(now, duration_s)
+        assert kind is not None  # `admits` was asked at the same moment
+        self.in_use[kind] += 1
+        self.slots[permit] = kind
+        heapq.heappush(self.deadlines, (now + duration_s, permit))
+        self.peak_in_flight = max(self.peak_in_flight, len(self.slots))
+
+    def release(self, permit: int) -> None:
+        """Frees a slot; does nothing once the request has timed out."""
+        kind = self.slots.pop(permit, None)
         if kind is not None:
-            self.used[kind] -= 1
+            self.in_use[kind] -= 1
 
-    def retry_in(self, now: float) -> float | None:
+    def retry_after(self, now: float) -> float | None:
+        """Returns None: when a slot becomes free is not known."""
         return None
 
-    def demand(self, now: float) -> int:
-        """Places that would be used: the most that were, and what was refused in a window."""
-        high, self.high = self.high, len(self.out)
-        return (high + self.asked.peak(now)) * REQUEST
+    def demand_milli(self, now: float) -> int:
+        """Returns the slots that would be used: the peak in flight since the last call, and the rejected."""
+        peak = self.peak_in_flight
+        self.peak_in_flight = len(self.slots)
+        return (peak + self.demand.peak(now)) * MILLI_PER_REQUEST
 
-    def idle(self) -> bool:
-        return self.until == NEVER and not self.out
+    def is_unused(self) -> bool:
+        """Returns whether no request is in flight and there is no grant."""
+        return self.grant.valid_until == NEVER and not self.slots
--- /dev/null
+++ b/paddlequay/cluster/fleet_limits.py
@@ -0,0 +1,235 @@
+"""Limits that hold over all routers: each router has a floor, and a grant beside it by its demand.
+
+docs/cluster/limits.md compares the designs and proves that a limit is kept. A grant is valid for
+`ClusterBounds.grant_s` from when its request was sent, less the clock drift. Admission waits for nothing: it
+decides by what this router has.
+"""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from itertools import count
+
+from paddlequay.cluster.buckets import Bucket, BucketTiming, RateBucket, SlotBucket
+from paddlequay.cluster.granter import Granter, HeldTerm
+from paddlequay.cluster.limit_registry import FleetLimit, LimitRegistry, limit_of
+from paddlequay.cluster.local_limits import LocalLimit, LocalLimits
+from paddlequay.cluster.messages import PeerMessage, QuotaGrant, QuotaRequest
+from paddlequay.cluster.quota_client import QuotaClient
+from paddlequay.cluster.settings import LimitRule, LimitScope
+from paddlequay.cluster.types import (
+    Action,
+    ClusterBounds,
+    Fleet,
+    HolderObserved,
+    LeaseAcquired,
+    LocalEvent,
+    NameDigest,
+    Peer,
+    SendMessage,
+    Urgency,
+)
+
+MAX_LOCAL_LIMITS = 4096  # limits of single values that a router keeps at a time
+MAX_TOKEN_WAIT_S = 1.0  # told a rejected client; a grant may bring a token sooner
+
+LimitKey = tuple[LimitScope, str]  # a scope and a value of it, under which a request falls
+
+
+@dataclass(frozen=True, slots=True)
+class Permit:
+    """Permission for a request; `FleetLimits.release` takes it back when the request ends."""
+
+    number: int
+    limits: tuple[NameDigest, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class Rejection:
+    """The rule that rejects a request, and in how many seconds another attempt is worth it."""
+
+    rule: str
+    retry_after_s: float
+
+
+class FleetLimits:
+    """This router's side of all limits, and the holder's where it has the lease: a `Part` of the cluster.
+
+    After `admit`, `due()` may be earlier than before.
+    """
+
+    HANDLED_MESSAGES: tuple[type[PeerMessage], ...] = (QuotaRequest, QuotaGrant)
+    rate_bucket_kind: type[RateBucket] = RateBucket
+    slot_bucket_kind: type[SlotBucket] = SlotBucket
+    granter_kind: type[Granter] = Granter
+    client_kind: type[QuotaClient] = QuotaClient
+    local_limits_kind: type[LocalLimits] = LocalLimits
+
+    def __init__(
+        self,
+        fleet: Fleet,
+        bounds: ClusterBounds,
+        rules: Iterable[LimitRule],
+        held_term: HeldTerm,
+        incarnation: int,
+        now: float,
+        *,
+        slot_grant_extension_s: float = 0.0,
+        max_request_s: float = 30.0,
+        is_first_process: bool = False,
+        fast_ratio: float | None = None,
+        max_local_limits: int = MAX_LOCAL_LIMITS,
+    ) -> None:
+        """Starts with empty buckets.
+
+        Args:
+            fleet: The routers.
+            bounds: The times that all routers share.
+            rules: The limits of the settings.
+            held_term: Returns the term of a lease that this router holds at a moment, or None.
+            incarnation: Of this process.
+            now: Seconds of this process's clock.
+            slot_grant_extension_s: How much longer than `bounds.grant_s` grants of slots are valid, the same
+                at all routers: the longest request that may start on a granted slot.
+            max_request_s: The longest time-out of a request: floor slots stay blocked for as long.
+            is_first_process: Whether there was no process before, so that no floor slot has to be blocked.
+            fast_ratio: The most by which this clock runs faster than true time, a part of every rate that it
+                costs; `bounds.drift_ratio` by default.
+            max_local_limits: The limits of single values that are kept at a time.
+
+        Raises:
+            ValueError: A rule cannot be kept, or the names of two rules cannot be told apart.
+        """
+        self.fleet = fleet
+        self.bounds = bounds
+        self.incarnation = incarnation
+        self.fast_ratio = bounds.drift_ratio if fast_ratio is None else fast_ratio
+        slowest_per_fastest = (1 + bounds.drift_ratio) / (1 - bounds.drift_ratio)
+        self.timing = BucketTiming(
+            started_at=now,
+            min_clock_rate=self.min_clock_rate(),
+            retention_s=bounds.epoch_s,
+            floor_blocked_s=0.0 if is_first_process else max_request_s * slowest_per_fastest,
+            window_s=bounds.grant_s / 3,
+        )
+        self.registry = LimitRegistry(rules, fleet.size, bounds, slot_grant_extension_s)
+        self.granter = self.granter_kind(bounds, fleet.size, held_term)
+        self.local_limits = self.local_limits_kind(max_local_limits, self._make_bucket)
+        self.client = self.client_kind(fleet, bounds, incarnation, self.local_limits, self.granter)
+        self._permit_numbers = count(1)
+
+    def min_clock_rate(self) -> float:
+        """Returns the least true seconds in one of this clock: a fast clock must not fill buckets fast."""
+        return 1 / (1 + self.fast_ratio)
+
+    @property
+    def leases(self) -> tuple[NameDigest, ...]:
+        """The leases that some router has to hold."""
+        return self.registry.leases
+
+    # --- admission ---
+
+    def admit(self, scope: LimitScope, value: str, now: float, duration_s: float) -> Permit | Rejection:
+        """Admits or rejects one request that ends within `duration_s`, by its time-out."""
+        return self.admit_all(((scope, value),), now, duration_s)
+
+    def admit_all(self, keys: Iterable[LimitKey], now: float, duration_s: float) -> Permit | Rejection:
+        """Admits a request under all limits that it falls under, or uses nothing of any.
+
+        Args:
+            keys: What the request falls under.
+            now: Seconds of this process's clock.
+            duration_s: How long the request lasts at most.
+
+        Returns:
+            A permit, or the rejection by the limit that takes longest to admit it.
+        """
+        limits: dict[NameDigest, LocalLimit] = {}
+        for scope, value in keys:
+            for fleet_limit in self.registry.matching(scope, value):
+                name = limit_of(fleet_limit.lease, value)
+                limit = self.local_limits.use(name, fleet_limit, now, pinned=limits)
+                if limit is None:
+                    return Rejection(fleet_limit.rule.name, self.bounds.grant_s)
+                limits[name] = limit
+        for limit in limits.values():
+            limit.advance(now)
+        rejecting = {
+            name: limit for name, limit in limits.items() if not limit.bucket.admits(now, duration_s)
+        }
+        if rejecting:
+            return self._reject(rejecting, now)
+        return self._acquire(limits, now, duration_s)
+
+    def release(self, permit: Permit, now: float) -> None:
+        """Frees the slots of a request that has ended; tokens are spent. Twice is the same as once."""
+        for name in permit.limits:
+            limit = self.local_limits.get(name)
+            if limit is not None:
+                limit.bucket.release(permit.number)
+
+    def _acquire(self, limits: dict[NameDigest, LocalLimit], now: float, duration_s: float) -> Permit:
+        number = next(self._permit_numbers)
+        for name, limit in limits.items():
+            limit.bucket.acquire(number, now, duration_s)
+            self.client.record_admission(name, limit, now)
+        return Permit(number, tuple(limits))
+
+    def _reject(self, rejecting: dict[NameDigest, LocalLimit], now: float) -> Rejection:
+        """Counts demand only where it is rejected: elsewhere a higher share would be of no use to it."""
+        for name, limit in rejecting.items():
+            self.client.record_rejection(name, limit, now)
+        waits = [(self._retry_after(limit, now), limit.fleet_limit.rule.name) for limit in rejecting.values()]
+        retry_after_s, rule = max(waits)
+        return Rejection(rule, retry_after_s)
+
+    def _retry_after(self, limit: LocalLimit, now: float) -> float:
+        """Returns the seconds until there is a token, or until another answer of the holder may be here."""
+        token_wait_s = limit.bucket.retry_after(now)
+        if token_wait_s is None:
+            return self.bounds.grant_s / 3
+        return min(token_wait_s, MAX_TOKEN_WAIT_S)
+
+    def _make_bucket(self, limit: FleetLimit, now: float) -> Bucket:
+        if limit.rule.max_in_flight is not None:
+            return self.slot_bucket_kind(limit.division, self.timing, now)
+        return self.rate_bucket_kind(limit.division, self.timing, now)
+
+    # --- as a part of the cluster ---
+
+    def handle_message(
+        self, sender: Peer, incarnation: int, message: PeerMessage, now: float
+    ) -> list[Action]:
+        """Answers a request for a quota as the holder, or uses a grant."""
+        match message:
+            case QuotaRequest():
+                return self._handle_request(sender, incarnation, message, now)
+            case QuotaGrant():
+                self.client.handle_grant(sender, message, now)
+        return []
+
+    def _handle_request(
+        self, sender: Peer, incarnation: int, request: QuotaRequest, now: float
+    ) -> list[Action]:
+        limit = self.registry.of_name(request.limit)
+        if limit is None:
+            return []
+        grant = self.granter.handle_request(limit, sender, incarnation, request, now)
+        return [] if grant is None else [SendMessage(sender, grant, Urgency.CHANGE)]
+
+    def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
+        """Follows the holders of the limits' leases."""
+        match event:
+            case LeaseAcquired(lease, term) if lease in self.leases:
+                self.granter.record_term(lease, term, now)
+                self.client.observe_holder(lease, self.fleet.me, term)
+            case HolderObserved(lease, holder, term) if lease in self.leases:
+                self.client.observe_holder(lease, holder, term)
+        return []
+
+    def tick(self, now: float) -> list[Action]:
+        """Sends the requests for quotas that are due."""
+        return self.client.tick(now)
+
+    def due(self) -> float:
+        """Returns when the next request for a quota is due."""
+        return self.client.due()
--- a/paddlequay/cluster/granter.py
+++ b/paddlequay/cluster/granter.py
@@ -1,210 +1,171 @@
-"""The holder's side of a limit: who needs how much, what is out and until when, and what may be granted.
-
-A grant is out until its time of issue + life * `late`, by the holder's clock, whether it ever arrived: its
-receiver counts `life` from when it sent its Need, which was before, and ends early by the drift. A lower
-share does not shorten an older one; a higher share is made of what is free. A new holder knows nothing of its
-predecessor's grants: all were issued before it took the lease, and it waits until the last of them has ended.
-Whether the lease is held is asked at the very moment of issuing. What is granted here and the time it takes
-to leave the process do not matter: the life counts from the Need.
+"""The holder's side of a limit: what each router demands, what is outstanding, and what may be granted.
+
+A grant is outstanding until its issue plus its validity, lengthened by the clock drift, whether it arrived or
+not: its receiver counts the validity from when it sent its request, which was before, and ends early by the
+drift. A lower share does not shorten an older grant; a higher share is made of what is free. A new holder
+does not know its predecessor's grants: all were issued before it acquired the lease, so it waits until the
+last of them has ended. Whether the lease is held is asked at the moment of issuing.
 """
 
-from collections import OrderedDict
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field
 
+from paddlequay.cluster.grant_ledger import MAX_LEDGERS, Ledger, Ledgers, OutstandingGrants, Requester
+from paddlequay.cluster.limit_registry import FleetLimit
 from paddlequay.cluster.messages import QuotaGrant, QuotaRequest
-from paddlequay.cluster.quotas import NOTHING, Share, Whole, divide, divide_burst
-from paddlequay.cluster.types import NEVER, ClusterBounds, NameDigest, Peer
-
-Holds = Callable[[NameDigest, float], int | None]  # the term of a lease that this router holds at this moment
-
-BOOKS_MOST = 4096  # limits with demand at a time; past it a router that asks stays at its floor
-OUT_MOST = 16  # grants to one router that are alive and none of which covers another
-TURN = 8.0  # grant lives: where the burst is too small for all that ask at once, so long for each turn
-REUSED = 1 / 30  # of a grant's life that a division is used again, so that Needs of many cost little
-
-
-@dataclass(frozen=True, slots=True)
-class Kept:
-    """A limit's rule as the cluster keeps it."""
-
-    lease: NameDigest
-    whole: Whole
-    life: float  # of its grants, seconds
-
-
-@dataclass(slots=True)
-class Asker:
-    """A router that has asked in this term."""
-
-    incarnation: int
-    number: int
-    want: int  # thousandths beside its floor
-    until: float
-
-
-@dataclass(slots=True)
-class Out:
-    """What one process of a router may have, for all that the holder knows."""
-
-    grants: list[tuple[float, Share]] = field(default_factory=list)  # never changed in place
-    known: list[tuple[float, Share]] | None = None  # those of which `largest` is, until the first ends
-    largest: Share = NOTHING
-    ends: float = 0.0
-
-    def most(self, now: float) -> Share:
-        """The largest of those that live. Asked for each router at each Need, so it is kept."""
-        if self.grants is self.known and now < self.ends:
-            return self.largest
-        self.grants = [each for each in self.grants if each[0] > now]
-        share = NOTHING
-        for _, each in self.grants:
-            share = share.most(each)
-        self.known, self.largest = self.grants, share
-        self.ends = min((until for until, _ in self.grants), default=NEVER)
-        return share
+from paddlequay.cluster.quotas import NO_QUOTA, LimitDivision, Quota, even_bursts, max_min_shares
+from paddlequay.cluster.types import ClusterBounds, NameDigest, Peer
 
-    def add(self, share: Share, until: float) -> None:
-        """One that another covers in all counts no more; too many are two taken for the larger and longer."""
-        grants = [each for each in self.grants if each[1].least(share) != each[1]]
-        if len(grants) >= OUT_MOST:
-            share = share.most(grants.pop()[1])
-        self.grants = [*grants, (until, share)]
+HeldTerm = Callable[[NameDigest, float], int | None]  # the term of a lease that this router holds at a moment
 
+TURN_GRANTS = 8.0  # a turn in grants' validity, where the burst is too small for all that request at once
+DIVISION_REUSE_RATIO = 1 / 30  # of a grant's validity; many requests in a row cost one division
+SAME_DEMAND_RATIO = 8  # demands within an eighth of each other count as the same
 
-@dataclass(slots=True)
-class Book:
-    """One limit's demand and grants."""
 
-    askers: dict[Peer, Asker] = field(default_factory=dict)
-    out: dict[tuple[Peer, int], Out] = field(default_factory=dict)
-    shares: dict[Peer, Share] = field(default_factory=dict)
-    fresh: float = 0.0  # until when `shares` is used
+def is_same_demand(demand_milli: int, former_milli: int) -> bool:
+    """Returns whether a demand differs so little from a former one that no new division is worth it."""
+    return abs(demand_milli - former_milli) * SAME_DEMAND_RATIO <= former_milli
 
 
 class Granter:
-    """Grants shares of the limits whose leases this router holds. Pure; there is nothing to do in time."""
+    """Grants quotas of the limits whose leases this router holds. Has nothing to do by time."""
 
-    def __init__(self, bounds: ClusterBounds, size: int, holds: Holds, books_most: int = BOOKS_MOST) -> None:
+    def __init__(
+        self, bounds: ClusterBounds, fleet_size: int, held_term: HeldTerm, max_ledgers: int = MAX_LEDGERS
+    ) -> None:
         self.bounds = bounds
-        self.size = size
-        self.holds = holds
-        self.books_most = books_most
-        self.books: OrderedDict[NameDigest, Book] = OrderedDict()
+        self.fleet_size = fleet_size
+        self.held_term = held_term
+        self.ledgers = Ledgers(max_ledgers)
         self.terms: dict[
             NameDigest, tuple[int, float]
-        ] = {}  # lease: the term, and when it was first seen here
+        ] = {}  # by lease: the term, and when it was first observed
 
-    def late(self, life: float) -> float:
-        """What has to be waited for a life that another counts."""
-        return life * (1 + 2 * self.bounds.drift_ratio)
+    def outstanding_for(self, grant_s: float) -> float:
+        """Returns for how long the holder counts a grant as outstanding that another counts as `grant_s`."""
+        return grant_s * (1 + 2 * self.bounds.drift_ratio)
 
-    def taken(self, lease: NameDigest, term: int, now: float) -> None:
-        """This router holds a lease under a term, whose grants it knows all; of older ones it knows none."""
+    def record_term(self, lease: NameDigest, term: int, now: float) -> None:
+        """Starts a term: its grants are all known here, those of earlier terms are not."""
         if lease not in self.terms or self.terms[lease][0] != term:
             self.terms[lease] = (term, now)
 
-    def holding(self, lease: NameDigest, now: float) -> int | None:
-        """The term under which grants may be issued at this moment, or None."""
-        return self.holds(lease, now)
+    def granting_term(self, lease: NameDigest, now: float) -> int | None:
+        """Returns the term under which grants may be issued at this moment, or None."""
+        return self.held_term(lease, now)
 
-    def waits(self, kept: Kept) -> float:
-        """How long after taking the lease a holder issues nothing."""
-        return self.late(kept.life)
+    def wait_after_acquisition(self, limit: FleetLimit) -> float:
+        """Returns for how long a new holder issues nothing."""
+        return self.outstanding_for(limit.grant_s)
 
-    def need(
-        self, kept: Kept, sender: Peer, incarnation: int, message: QuotaRequest, now: float
+    def handle_request(
+        self, limit: FleetLimit, sender: Peer, incarnation: int, request: QuotaRequest, now: float
     ) -> QuotaGrant | None:
-        """Answer a Need: with a share, maybe of nothing, or not at all."""
-        term = self.holding(kept.lease, now)
-        if term is None or message.term > term or not 0 <= sender < self.size:
+        """Answers a request for a quota.
+
+        Args:
+            limit: The limit that the request is about.
+            sender: The router that requests.
+            incarnation: Of its process.
+            request: Its demand.
+            now: Seconds of this process's clock.
+
+        Returns:
+            A grant, maybe of nothing; None where the request is not answered: this router is not the holder,
+            a later holder is known, or the request is no newer than the last.
+        """
+        term = self.granting_term(limit.lease, now)
+        if term is None or request.term > term or not 0 <= sender < self.fleet_size:
             return None
-        self.taken(kept.lease, term, now)
-        book = self.book(message.limit, now)
-        if book is None or not self.noted(book, kept, sender, incarnation, message, now):
+        self.record_term(limit.lease, term, now)
+        ledger = self.ledgers.of_limit(request.limit, now)
+        if ledger is None or not self._record_request(ledger, limit, sender, incarnation, request, now):
             return None
-        if now < self.terms[kept.lease][1] + self.waits(kept):
+        _, term_started_at = self.terms[limit.lease]
+        if now < term_started_at + self.wait_after_acquisition(limit):
             return None
-        share = self.granted(book, kept, sender, incarnation, now)
+        quota = self.issue(ledger, limit, sender, incarnation, now)
         return QuotaGrant(
-            message.limit, message.request_number, term, share.milli, share.burst, int(kept.life * 1000)
+            request.limit,
+            request.request_number,
+            term,
+            quota.amount_milli,
+            quota.burst_milli,
+            int(limit.grant_s * 1000),
         )
 
-    def granted(self, book: Book, kept: Kept, sender: Peer, incarnation: int, now: float) -> Share:
-        """What the sender gets now: its share as far as it is free, written down as out."""
-        wanted = self.divided(book, kept, now).get(sender, NOTHING)
-        free = kept.whole.pool.without(self.others(book, sender, incarnation, now))
-        share = wanted.least(free)
-        unit = kept.whole.unit
-        if share.burst < kept.whole.lacks or share.milli < unit:
-            share = NOTHING
-        share = Share(share.milli // unit * unit, share.burst)
-        book.out.setdefault((sender, incarnation), Out()).add(share, now + self.late(kept.life))
-        return share
-
-    def others(self, book: Book, sender: Peer, incarnation: int, now: float) -> Share:
-        """What is out, but to this process itself: a former process of the same router counts too."""
-        milli = burst = 0
-        own = (sender, incarnation)
-        for key, out in list(book.out.items()):
-            most = out.most(now)
-            if not out.grants:
-                del book.out[key]
-            elif key != own:
-                milli += most.milli
-                burst += most.burst
-        return Share(milli, burst)
-
-    def noted(
-        self, book: Book, kept: Kept, sender: Peer, incarnation: int, message: QuotaRequest, now: float
+    def issue(self, ledger: Ledger, limit: FleetLimit, sender: Peer, incarnation: int, now: float) -> Quota:
+        """Returns the sender's share as far as it is free, and records it as outstanding."""
+        share = self._shares(ledger, limit, now).get(sender, NO_QUOTA)
+        free = limit.division.pool.minus(self.granted_to_others(ledger, sender, incarnation, now))
+        quota = _usable(share.min_with(free), limit.division)
+        outstanding = ledger.outstanding.setdefault((sender, incarnation), OutstandingGrants())
+        outstanding.add(quota, now + self.outstanding_for(limit.grant_s))
+        return quota
+
+    def granted_to_others(self, ledger: Ledger, sender: Peer, incarnation: int, now: float) -> Quota:
+        """Returns what all processes but the sender's may use."""
+        return ledger.granted_to_others((sender, incarnation), now)
+
+    def _record_request(
+        self,
+        ledger: Ledger,
+        limit: FleetLimit,
+        sender: Peer,
+        incarnation: int,
+        request: QuotaRequest,
+        now: float,
     ) -> bool:
-        """Write down what a router needs; False for a Need that is no newer than the last."""
-        want = max(0, min(message.amount_milli, kept.whole.limit.milli) - kept.whole.floor.milli)
-        asker = book.askers.get(sender)
-        if asker is not None and asker.until <= now:
-            asker = None
-        if asker is not None and (incarnation, message.request_number) <= (asker.incarnation, asker.number):
-            return False
-        if asker is None or abs(want - asker.want) * 8 > asker.want:
-            book.fresh = now  # somebody comes, or needs another share: divide anew
-        # A Need that asks is worth something beside the floor, even where it names no more than that: bursts.
-        book.askers[sender] = Asker(
-            incarnation, message.request_number, max(want, kept.whole.unit), now + kept.life
+        """Records what a router demands; returns False for a request that is no newer than the last."""
+        division = limit.division
+        demand = min(request.amount_milli, division.limit.amount_milli) - division.floor.amount_milli
+        demand = max(0, demand)
+        former = ledger.requesters.get(sender)
+        if former is not None and former.valid_until <= now:
+            former = None
+        if former is not None:
+            last = (former.incarnation, former.request_number)
+            if (incarnation, request.request_number) <= last:
+                return False
+        if former is None or not is_same_demand(demand, former.demand_milli):
+            ledger.shares_until = now
+        # A router that requests has use for burst, even where its rate is within the floor.
+        demand = max(demand, division.unit_milli)
+        ledger.requesters[sender] = Requester(
+            incarnation, request.request_number, demand, now + limit.grant_s
         )
         return True
 
-    def divided(self, book: Book, kept: Kept, now: float) -> Mapping[Peer, Share]:
-        """Max-min shares of the pool among those who have asked within a grant's life."""
-        if now < book.fresh:
-            return book.shares
-        book.askers = {peer: asker for peer, asker in book.askers.items() if asker.until > now}
-        wants = {peer: asker.want for peer, asker in book.askers.items()}
-        whole = kept.whole
-        if whole.lacks:
-            # The burst is too small for a request of each: so many as it is enough for, by turns.
-            served = max(1, whole.pool.burst // whole.lacks)
-            order = sorted(wants)
-            if served < len(order):
-                first = int(now / (TURN * kept.life)) * served % len(order)
-                order = (order[first:] + order[:first])[:served]
-            wants = {peer: wants[peer] for peer in order}
-        rates = divide(whole.pool.milli, wants, whole.unit)
-        bursts = divide_burst(whole.pool.burst, rates)
-        book.shares = {peer: Share(milli, bursts.get(peer, 0)) for peer, milli in rates.items()}
-        book.fresh = now + kept.life * REUSED
-        return book.shares
-
-    def book(self, limit: NameDigest, now: float) -> Book | None:
-        """The book of a limit; a full set lets go of one that has nothing out, or opens none."""
-        book = self.books.get(limit)
-        if book is not None:
-            self.books.move_to_end(limit)
-            return book
-        if len(self.books) >= self.books_most:
-            oldest = next(iter(self.books))
-            last = self.books[oldest]
-            if any(out.most(now).milli for out in last.out.values()):
-                return None
-            del self.books[oldest]
-        book = self.books[limit] = Book()
-        return book
+    def _shares(self, ledger: Ledger, limit: FleetLimit, now: float) -> Mapping[Peer, Quota]:
+        """Returns the max-min shares of the pool among the routers that have requested lately."""
+        if now < ledger.shares_until:
+            return ledger.shares
+        ledger.drop_expired_requesters(now)
+        demands = {peer: requester.demand_milli for peer, requester in ledger.requesters.items()}
+        division = limit.division
+        if division.burst_shortfall_milli:
+            demands = _take_turns(demands, limit, now)
+        amounts = max_min_shares(division.pool.amount_milli, demands, division.unit_milli)
+        bursts = even_bursts(division.pool.burst_milli, amounts)
+        ledger.shares = {peer: Quota(amount, bursts.get(peer, 0)) for peer, amount in amounts.items()}
+        ledger.shares_until = now + limit.grant_s * DIVISION_REUSE_RATIO
+        return ledger.shares
+
+
+def _usable(quota: Quota, division: LimitDivision) -> Quota:
+    """Returns a quota in whole units, nothing where it would admit no request."""
+    if quota.burst_milli < division.burst_shortfall_milli or quota.amount_milli < division.unit_milli:
+        return NO_QUOTA
+    unit = division.unit_milli
+    return Quota(quota.amount_milli // unit * unit, quota.burst_milli)
+
+
+def _take_turns(demands: dict[Peer, int], limit: FleetLimit, now: float) -> dict[Peer, int]:
+    """Returns the demands of as many routers as the burst admits a request of each, by turns."""
+    division = limit.division
+    served = max(1, division.pool.burst_milli // division.burst_shortfall_milli)
+    peers = sorted(demands)
+    if served < len(peers):
+        first = int(now / (TURN_GRANTS * limit.grant_s)) * served % len(peers)
+        peers = (peers[first:] + peers[:first])[:served]
+    return {peer: demands[peer] for peer in peers}
--- /dev/null
+++ b/paddlequay/cluster/limit_registry.py
@@ -0,0 +1,101 @@
+"""The limits of a fleet as its routers share them: their leases, division and names."""
+
+from collections.abc import Iterable, Iterator
+from dataclasses import dataclass
+
+from xxhash import xxh3_64_intdigest
+
+from paddlequay.cluster.quotas import LimitDivision, divide_limit
+from paddlequay.cluster.settings import LimitRule, LimitScope
+from paddlequay.cluster.types import ClusterBounds, NameDigest
+
+VALUE_BITS = 40  # of a limit's name that tell its value; the upper 24 tell its rule
+VALUE_MASK = (1 << VALUE_BITS) - 1
+ANY_VALUE = "*"
+
+
+def lease_of(rule: LimitRule) -> NameDigest:
+    """Returns the lease whose holder grants the quotas of a rule."""
+    return xxh3_64_intdigest(f"limit/{rule.name}")
+
+
+def limit_of(lease: NameDigest, value: str) -> NameDigest:
+    """Returns the name of a rule's limit for one value.
+
+    A holder can tell the rule of a value that it has never seen itself. Values of the same digest share a
+    limit, so that the limit still holds.
+    """
+    return (lease & ~VALUE_MASK) | (xxh3_64_intdigest(value) & VALUE_MASK)
+
+
+@dataclass(frozen=True, slots=True)
+class FleetLimit:
+    """A limit over all routers.
+
+    Attributes:
+        rule: What the settings say.
+        lease: The lease whose holder grants quotas of it.
+        division: How it is divided over the fleet.
+        grant_s: How long a grant is valid, in seconds.
+    """
+
+    rule: LimitRule
+    lease: NameDigest
+    division: LimitDivision
+    grant_s: float
+
+    def applies_to(self, value: str) -> bool:
+        """Returns whether a value of the rule's scope falls under this limit."""
+        return self.rule.match in (ANY_VALUE, value)
+
+
+class LimitRegistry:
+    """All limits of the settings, by what falls under them and by the names of their values."""
+
+    def __init__(
+        self,
+        rules: Iterable[LimitRule],
+        fleet_size: int,
+        bounds: ClusterBounds,
+        slot_grant_extension_s: float,
+    ) -> None:
+        """Divides the limits.
+
+        Args:
+            rules: The limits of the settings.
+            fleet_size: The number of routers.
+            bounds: The times that all routers share.
+            slot_grant_extension_s: How much longer than others grants of slots are valid.
+
+        Raises:
+            ValueError: A rule cannot be kept, or the names of two rules cannot be told apart.
+        """
+        self._by_scope: dict[LimitScope, list[FleetLimit]] = {}
+        self._by_rule_bits: dict[int, FleetLimit] = {}
+        for rule in rules:
+            lease = lease_of(rule)
+            extension_s = slot_grant_extension_s if rule.max_in_flight is not None else 0.0
+            limit = FleetLimit(rule, lease, divide_limit(rule, fleet_size), bounds.grant_s + extension_s)
+            rule_bits = lease >> VALUE_BITS
+            if rule_bits in self._by_rule_bits:
+                raise ValueError(
+                    f"limit {rule.name}: another has the same name, or one that cannot be told apart"
+                )
+            self._by_rule_bits[rule_bits] = limit
+            self._by_scope.setdefault(rule.scope, []).append(limit)
+
+    def __iter__(self) -> Iterator[FleetLimit]:
+        return iter(self._by_rule_bits.values())
+
+    @property
+    def leases(self) -> tuple[NameDigest, ...]:
+        """The leases that some router has to hold."""
+        return tuple(limit.lease for limit in self)
+
+    def of_name(self, limit: NameDigest) -> FleetLimit | None:
+        """Returns the limit that a value's limit belongs to, None for an unknown one."""
+        return self._by_rule_bits.get(limit >> VALUE_BITS)
+
+    def matching(self, scope: LimitScope, value: str) -> Iterator[FleetLimit]:
+        """Yields the limits that a value falls under."""
+        return (limit for limit in self._by_scope.get(scope, ()) if limit.applies_to(value))
--- a/paddlequay/cluster/node.py
+++ b/paddlequay/cluster/node.py
@@ -7,8 +7,8 @@
 import random
 from collections.abc import Sequence
 
+from paddlequay.cluster.fleet_limits import FleetLimits
 from paddlequay.cluster.leases import Leases
-from paddlequay.cluster.limits import Limits
 from paddlequay.cluster.liveness import Liveness
 from paddlequay.cluster.members import first_incarnation
 from paddlequay.cluster.messages import PeerMessage
@@ -64,18 +64,18 @@
         self.liveness = Liveness(fleet, settings, incarnation, rng, now)
         self.verdicts = Verdicts(fleet, settings, now) if settings.verdicts else None
         self.leases = Leases(fleet, settings.bounds, rng, now) if fleet.acceptors else None
-        self.limits: Limits | None = None
+        self.limits: FleetLimits | None = None
         if settings.limits and self.leases is not None:
-            self.limits = Limits(
+            self.limits = FleetLimits(
                 fleet,
                 settings.bounds,
                 settings.limits,
                 self.holds,
                 incarnation,
                 now,
-                stay=longest,
-                shut=longest,
-                first=first,
+                slot_grant_extension_s=longest,
+                max_request_s=longest,
+                is_first_process=first,
             )
         self.parts: list[Part] = [self.liveness]
         self.hears: dict[type[PeerMessage], Part] = dict.fromkeys(Liveness.HANDLED_MESSAGES, self.liveness)
--- /dev/null
+++ b/paddlequay/cluster/quota_client.py
@@ -0,0 +1,191 @@
+"""A router's side of quotas: requests them from the holders of limits, and uses the grants that come."""
+
+from dataclasses import dataclass
+from itertools import count
+
+from paddlequay.cluster.granter import Granter, is_same_demand
+from paddlequay.cluster.local_limits import LocalLimit, LocalLimits, RequestSchedule
+from paddlequay.cluster.messages import QuotaGrant, QuotaRequest
+from paddlequay.cluster.quotas import Quota
+from paddlequay.cluster.types import (
+    NEVER,
+    Action,
+    ClusterBounds,
+    Fleet,
+    NameDigest,
+    Peer,
+    SendMessage,
+    Urgency,
+)
+
+MAX_SENT_REQUESTS = 16  # of a limit whose answers are still accepted
+NUMBER_BITS = 20  # of a request's number below the incarnation: two processes never use the same number
+NUMBER_MODULUS = 2**63
+MAX_REQUESTS_PER_GRANT = 12  # within a grant's validity, of a limit that rejects
+
+# As parts of a grant's validity.
+RENEWAL_RATIO = 2 / 3  # until a grant is renewed: two attempts are left before its end
+RETRY_RATIO = 1 / 7  # until a request without an answer is sent again, later each time
+
+
+@dataclass(frozen=True, slots=True)
+class KnownHolder:
+    """The router last observed to hold a lease, and its term."""
+
+    term: int
+    holder: Peer
+
+
+class QuotaClient:
+    """Requests quotas for the local limits of a router. `incarnation` is that of its process."""
+
+    def __init__(
+        self, fleet: Fleet, bounds: ClusterBounds, incarnation: int, limits: LocalLimits, granter: Granter
+    ) -> None:
+        self.fleet = fleet
+        self.bounds = bounds
+        self.incarnation = incarnation
+        self.limits = limits
+        self.granter = granter
+        self.schedule = RequestSchedule(limits)
+        self._holders: dict[NameDigest, KnownHolder] = {}
+        self._numbers = count((incarnation << NUMBER_BITS) % NUMBER_MODULUS + 1)
+
+    def observe_holder(self, lease: NameDigest, holder: Peer, term: int) -> None:
+        """Remembers the holder of a lease, unless one of a later term is known."""
+        if term >= self._known_term(lease):
+            self._holders[lease] = KnownHolder(term, holder)
+
+    def record_rejection(self, name: NameDigest, limit: LocalLimit, now: float) -> None:
+        """Counts a rejected request as demand, and requests a quota soon."""
+        limit.bucket.demand.add(now)
+        limit.rejected_since_request = True
+        soonest = limit.last_request_at + self.bounds.grant_s / MAX_REQUESTS_PER_GRANT
+        self.schedule.request_by(name, limit, max(now, soonest))
+
+    def record_admission(self, name: NameDigest, limit: LocalLimit, now: float) -> None:
+        """Has the quota renewed in time."""
+        self.schedule.request_by(name, limit, max(now, self._renewal_at(limit)))
+
+    def due(self) -> float:
+        """Returns when the next request is due."""
+        return self.schedule.due()
+
+    def tick(self, now: float) -> list[Action]:
+        """Sends the requests that are due."""
+        actions: list[Action] = []
+        for name, limit in self.schedule.pop_due(now):
+            actions += self._request(name, limit, now)
+        return actions
+
+    def handle_grant(self, sender: Peer, grant: QuotaGrant, now: float) -> None:
+        """Uses a grant that answers a request of this process and has not ended."""
+        limit = self.limits.get(grant.limit)
+        if limit is None:
+            return
+        valid_from = self.valid_from(limit, grant, now)
+        if valid_from is None:
+            return
+        limit.advance(now)
+        limit.granted_request = grant.request_number
+        limit.unanswered_since = NEVER
+        if limit.next_request_at != NEVER and grant.request_number == max(limit.sent_requests):
+            self.schedule.postpone(grant.limit, limit, self._renewal_at(limit))
+        self.observe_holder(limit.fleet_limit.lease, sender, grant.term)
+        validity_s = min(grant.valid_ms / 1000, limit.fleet_limit.grant_s)
+        valid_until = valid_from + validity_s * (1 - self.bounds.drift_ratio)
+        if valid_until > now:
+            quota = Quota(grant.amount_milli, grant.burst_milli)
+            limit.bucket.receive_grant(quota.min_with(limit.fleet_limit.division.pool), valid_until)
+
+    def valid_from(self, limit: LocalLimit, grant: QuotaGrant, now: float) -> float | None:
+        """Returns when the validity of a grant began: when the request that it answers was sent.
+
+        Returns None for a void grant: one that answers no request of this process, or one older than that of
+        the grant in use, or one of a lower term than is known.
+        """
+        if grant.request_number <= limit.granted_request:
+            return None
+        if grant.term < self._known_term(limit.fleet_limit.lease):
+            return None
+        return limit.sent_requests.get(grant.request_number)
+
+    def _request(self, name: NameDigest, limit: LocalLimit, now: float) -> list[Action]:
+        """Requests a quota, as long as the demand exceeds the floor."""
+        limit.advance(now)
+        division = limit.fleet_limit.division
+        demand_milli = min(limit.bucket.demand_milli(now), division.limit.amount_milli)
+        if demand_milli <= division.floor.amount_milli and not limit.rejected_since_request:
+            return []
+        if self._is_answered(limit, demand_milli, now):
+            self.schedule.request_by(name, limit, self._renewal_at(limit))
+            return []
+        number = self._record_sent(limit, demand_milli, now)
+        self._schedule_retry(name, limit, now)
+        lease = limit.fleet_limit.lease
+        request = QuotaRequest(name, number, demand_milli, self._known_term(lease))
+        if self.granter.granting_term(lease, now) is not None:
+            self._request_from_self(limit, request, now)
+            return []
+        limit.unanswered_since = min(limit.unanswered_since, now)
+        return self._send_request(limit, request, now)
+
+    def _is_answered(self, limit: LocalLimit, demand_milli: int, now: float) -> bool:
+        """Returns whether the last request was answered, and the same again would get the same."""
+        return (
+            limit.granted_request in limit.sent_requests
+            and now < self._renewal_at(limit)
+            and is_same_demand(demand_milli, limit.last_demand_milli)
+        )
+
+    def _record_sent(self, limit: LocalLimit, demand_milli: int, now: float) -> int:
+        """Records a request as sent; forgets those whose answers would come too late or are too many."""
+        limit.rejected_since_request = False
+        limit.last_demand_milli = demand_milli
+        number = next(self._numbers)
+        limit.sent_requests[number] = now
+        limit.last_request_at = now
+        grant_s = limit.fleet_limit.grant_s
+        outdated = [old for old, sent_at in limit.sent_requests.items() if sent_at + grant_s < now]
+        for old in outdated:
+            del limit.sent_requests[old]
+        while len(limit.sent_requests) > MAX_SENT_REQUESTS:
+            del limit.sent_requests[next(iter(limit.sent_requests))]
+        return number
+
+    def _schedule_retry(self, name: NameDigest, limit: LocalLimit, now: float) -> None:
+        """Schedules the next request; without answers each wait is as long as all before it."""
+        wait = max(self.bounds.grant_s * RETRY_RATIO, now - limit.unanswered_since)
+        self.schedule.request_by(name, limit, now + min(wait, self.bounds.grant_s))
+
+    def _request_from_self(self, limit: LocalLimit, request: QuotaRequest, now: float) -> None:
+        """Requests a quota from this router as the holder."""
+        me = self.fleet.me
+        grant = self.granter.handle_request(limit.fleet_limit, me, self.incarnation, request, now)
+        if grant is not None:
+            self.handle_grant(me, grant, now)
+
+    def _send_request(self, limit: LocalLimit, request: QuotaRequest, now: float) -> list[Action]:
+        """Sends a request to the known holder; to all that may hold the lease where nobody has answered."""
+        holder = self._other_holder(limit.fleet_limit.lease)
+        patience_s = self.bounds.grant_s
+        asked_all_lately = now < limit.last_broadcast_at + patience_s
+        answer_may_come = now < limit.unanswered_since + patience_s
+        if holder is not None and (answer_may_come or asked_all_lately):
+            return [SendMessage(holder, request, Urgency.CHANGE)]
+        if asked_all_lately:
+            return []
+        limit.last_broadcast_at = now
+        voters = [peer for peer in self.fleet.acceptors if peer != self.fleet.me]
+        return [SendMessage(peer, request, Urgency.CHANGE) for peer in voters or (None,)]
+
+    def _renewal_at(self, limit: LocalLimit) -> float:
+        return limit.last_request_at + self.bounds.grant_s * RENEWAL_RATIO
+
+    def _other_holder(self, lease: NameDigest) -> Peer | None:
+        known = self._holders.get(lease)
+        return known.holder if known is not None and known.holder != self.fleet.me else None
+
+    def _known_term(self, lease: NameDigest) -> int:
+        known = self._holders.get(lease)
+        return known.term if known is not None else 0
--- a/paddlequay/cluster/quotas.py
+++ b/paddlequay/cluster/quotas.py
@@ -1,131 +1,189 @@
-"""Shares of a limit: what each router has for good, what is granted beside it, and how that is divided.
+"""Quotas of a limit: the floor of each router, the pool that is granted beside it, and its division.
 
 All amounts are whole thousandths of a request, so that sums are exact: the floors of all routers and the pool
-that grants come out of are the limit, to the last thousandth.
+are the limit, to the last thousandth.
 """
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
 from paddlequay.cluster.messages import MAX_TEXT_BYTES
-from paddlequay.cluster.settings import LimitRule, Mode
+from paddlequay.cluster.settings import LimitRule, PartitionMode
 
-REQUEST = 1000  # thousandths
+MILLI_PER_REQUEST = 1000
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
-    """A part of a limit: a second, and at once; of a limit on places the first are the places."""
+class Quota:
+    """A part of a limit, in thousandths of a request.
 
-    milli: int = 0
-    burst: int = 0
+    Attributes:
+        amount_milli: Per second; of a limit on requests in flight, the slots.
+        burst_milli: At once; 0 for a limit on requests in flight.
+    """
 
-    def least(self, other: "Share") -> "Share":
-        return Share(min(self.milli, other.milli), min(self.burst, other.burst))
+    amount_milli: int = 0
+    burst_milli: int = 0
 
-    def most(self, other: "Share") -> "Share":
-        return Share(max(self.milli, other.milli), max(self.burst, other.burst))
+    def min_with(self, other: "Quota") -> "Quota":
+        """Returns the smaller of both amounts and of both bursts."""
+        return Quota(
+            min(self.amount_milli, other.amount_milli),
+            min(self.burst_milli, other.burst_milli),
+        )
 
-    def plus(self, other: "Share") -> "Share":
-        return Share(self.milli + other.milli, self.burst + other.burst)
+    def max_with(self, other: "Quota") -> "Quota":
+        """Returns the larger of both amounts and of both bursts."""
+        return Quota(
+            max(self.amount_milli, other.amount_milli),
+            max(self.burst_milli, other.burst_milli),
+        )
 
-    def without(self, other: "Share") -> "Share":
-        """What is left, never below nothing."""
-        return Share(max(0, self.milli - other.milli), max(0, self.burst - other.burst))
+    def minus(self, other: "Quota") -> "Quota":
+        """Returns what is left, never below nothing."""
+        return Quota(
+            max(0, self.amount_milli - other.amount_milli),
+            max(0, self.burst_milli - other.burst_milli),
+        )
 
 
-NOTHING = Share()
+NO_QUOTA = Quota()
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
-    """A limit as it is divided: `floor` for each router, `pool` for grants, `kept` by one that is cut off.
-
-    limit = size * floor + pool. With `Mode.OPEN`, `kept` is (over - 1) * limit / size: whoever is cut off,
-    floors and living grants are the limit at most and what all routers can keep is (over - 1) * limit at
-    most, so that the whole is over * limit at most without anybody knowing who has kept what.
+class LimitDivision:
+    """A limit as it is divided over the fleet: `limit` = fleet size * `floor` + `pool`.
+
+    With `PartitionMode.OPEN`, `isolated` is (open_factor - 1) * limit / fleet size: floors and valid grants
+    are the limit at most, and what all routers can retain is (open_factor - 1) * limit at most. So the fleet
+    stays within open_factor * limit although no router knows what the others retain.
+
+    Attributes:
+        limit: The whole limit.
+        floor: What each router may always use.
+        pool: What the holder grants beside the floors.
+        isolated: What an isolated router retains of its last grant at most.
+        unit_milli: Grants are multiples of it: a thousandth per second, or a slot.
     """
 
-    limit: Share
-    floor: Share
-    pool: Share
-    kept: Share
-    unit: int  # grants are multiples: a thousandth a second, or a place
+    limit: Quota
+    floor: Quota
+    pool: Quota
+    isolated: Quota
+    unit_milli: int
 
     @property
-    def lacks(self) -> int:
-        """How much burst a router needs beside its floor to let a single request through."""
-        return max(0, REQUEST - self.floor.burst) if self.unit == 1 else 0
+    def burst_shortfall_milli(self) -> int:
+        """How much burst a router needs beside its floor to admit a single request."""
+        if self.unit_milli != 1:
+            return 0
+        return max(0, MILLI_PER_REQUEST - self.floor.burst_milli)
 
 
-def whole(rule: LimitRule, size: int) -> Whole:
-    """A rule's parts over `size` routers. Raises ValueError where the rule says nothing that can be kept.
+def divide_limit(rule: LimitRule, fleet_size: int) -> LimitDivision:
+    """Divides a limit over the routers of a fleet.
 
-    A floor whose burst is less than a request would admit nothing for ever: there is none then, and all goes
-    to the pool. Whoever wants floors of a rate sets a burst of `size / floor` requests at least.
+    Raises:
+        ValueError: The rule contradicts itself, or a figure of it is out of range.
     """
-    if (rule.rate is None) == (rule.at_once is None):
+    if (rule.rate_per_s is None) == (rule.max_in_flight is None):
         raise ValueError(f"limit {rule.name}: either a rate or a number at once")
-    if not 0 <= rule.floor <= 1 or rule.over < 1 or size < 1 or not 0 < len(rule.name) <= MAX_TEXT_BYTES:
+    figures_in_range = 0 <= rule.floor_ratio <= 1 and rule.open_factor >= 1 and fleet_size >= 1
+    if not figures_in_range or not 0 < len(rule.name) <= MAX_TEXT_BYTES:
         raise ValueError(f"limit {rule.name}: floor, over or name out of bounds")
-    spare = rule.over - 1 if rule.mode is Mode.OPEN else 0.0
-    if rule.at_once is not None:
-        if rule.at_once < 1:
-            raise ValueError(f"limit {rule.name}: less than one at once")
-        places = rule.at_once
-        each = min(int(places * rule.floor), places) // size
-        kept = int(places * spare) // size
-        return Whole(
-            Share(places * REQUEST),
-            Share(each * REQUEST),
-            Share((places - each * size) * REQUEST),
-            Share(kept * REQUEST),
-            REQUEST,
-        )
-    rate = rule.rate or 0.0
-    if rate <= 0 or rule.burst < 1:
+    if rule.max_in_flight is not None:
+        return _divide_slots(rule, rule.max_in_flight, fleet_size)
+    return _divide_rate(rule, rule.rate_per_s or 0.0, fleet_size)
+
+
+def _excess_factor(rule: LimitRule) -> float:
+    """Returns what isolated routers may use beside the limit, as a multiple of it."""
+    return rule.open_factor - 1 if rule.mode is PartitionMode.OPEN else 0.0
+
+
+def _divide_slots(rule: LimitRule, slots: int, fleet_size: int) -> LimitDivision:
+    if slots < 1:
+        raise ValueError(f"limit {rule.name}: less than one at once")
+    floor = min(int(slots * rule.floor_ratio), slots) // fleet_size
+    isolated = int(slots * _excess_factor(rule)) // fleet_size
+    return LimitDivision(
+        limit=Quota(slots * MILLI_PER_REQUEST),
+        floor=Quota(floor * MILLI_PER_REQUEST),
+        pool=Quota((slots - floor * fleet_size) * MILLI_PER_REQUEST),
+        isolated=Quota(isolated * MILLI_PER_REQUEST),
+        unit_milli=MILLI_PER_REQUEST,
+    )
+
+
+def _divide_rate(rule: LimitRule, rate_per_s: float, fleet_size: int) -> LimitDivision:
+    """Divides a rate. A floor whose burst admits no request would be lost, and goes to the pool instead."""
+    if rate_per_s <= 0 or rule.burst < 1:
         raise ValueError(f"limit {rule.name}: a rate above 0 and a burst of 1 at least")
-    limit = Share(int(rate * REQUEST), int(rule.burst * REQUEST))
-    floor = Share(
-        min(int(limit.milli * rule.floor), limit.milli) // size,
-        min(int(limit.burst * rule.floor), limit.burst) // size,
+    limit = Quota(int(rate_per_s * MILLI_PER_REQUEST), int(rule.burst * MILLI_PER_REQUEST))
+    floor = Quota(
+        min(int(limit.amount_milli * rule.floor_ratio), limit.amount_milli) // fleet_size,
+        min(int(limit.burst_milli * rule.floor_ratio), limit.burst_milli) // fleet_size,
     )
-    if floor.burst < REQUEST:
-        floor = NOTHING
-    pool = Share(limit.milli - size * floor.milli, limit.burst - size * floor.burst)
-    return Whole(
-        limit, floor, pool, Share(int(limit.milli * spare) // size, int(limit.burst * spare) // size), 1
+    if floor.burst_milli < MILLI_PER_REQUEST:
+        floor = NO_QUOTA
+    excess_factor = _excess_factor(rule)
+    return LimitDivision(
+        limit=limit,
+        floor=floor,
+        pool=Quota(
+            limit.amount_milli - fleet_size * floor.amount_milli,
+            limit.burst_milli - fleet_size * floor.burst_milli,
+        ),
+        isolated=Quota(
+            int(limit.amount_milli * excess_factor) // fleet_size,
+            int(limit.burst_milli * excess_factor) // fleet_size,
+        ),
+        unit_milli=1,
     )
 
 
-def divide(pool: int, wants: Mapping[int, int], unit: int = 1) -> dict[int, int]:
-    """Max-min fair: who wants less than an even share has it all, the others share the rest evenly.
+def max_min_shares(pool_milli: int, demands_milli: Mapping[int, int], unit_milli: int = 1) -> dict[int, int]:
+    """Divides a pool max-min fairly: small demands are met, the others share the rest evenly.
 
-    What nobody wants is handed out too, in proportion to what each wants, as headroom for what it has not
-    yet seen. Shares are multiples of `unit`; two that want more than they get differ by one unit at most.
+    What nobody demands is divided too, in proportion to the demands, as headroom for demand not yet seen.
+
+    Args:
+        pool_milli: What is divided, in thousandths.
+        demands_milli: The demand of each router, in thousandths; those without demand get no share.
+        unit_milli: Shares are multiples of it.
+
+    Returns:
+        The share of each router, in thousandths. Two that get less than they demand differ by a unit at most.
     """
-    order = sorted((-(-want // unit), peer) for peer, want in wants.items() if want > 0)
-    left = pool // unit
-    shares: dict[int, int] = {}
-    for place, (want, peer) in enumerate(order):
-        shares[peer] = min(want, left // (len(order) - place))
-        left -= shares[peer]
-    if left and order:
-        total = sum(want for want, _ in order)
-        spare = left
-        for want, peer in order:
-            more = spare * want // total
-            shares[peer] += more
-            left -= more
-        for _, peer in order[::-1][:left]:  # fewer units than routers: the quotients' remainders
-            shares[peer] += 1
-    return {peer: share * unit for peer, share in shares.items()}
-
-
-def divide_burst(pool: int, shares: Mapping[int, int]) -> dict[int, int]:
-    """The burst that goes with shares of a rate: the same for each.
-
-    Who has less than it wants has an empty bucket and no use for burst; who has what it wants needs it to
-    take requests as they come, the more of them the fewer they are.
+    by_demand = sorted(
+        (-(-demand // unit_milli), peer) for peer, demand in demands_milli.items() if demand > 0
+    )
+    left = pool_milli // unit_milli
+    units: dict[int, int] = {}
+    for position, (demand, peer) in enumerate(by_demand):
+        units[peer] = min(demand, left // (len(by_demand) - position))
+        left -= units[peer]
+    if left and by_demand:
+        _add_headroom(units, by_demand, left)
+    return {peer: count * unit_milli for peer, count in units.items()}
+
+
+def _add_headroom(units: dict[int, int], by_demand: list[tuple[int, int]], spare: int) -> None:
+    """Adds spare units in proportion to demands; the remainders go one each to the largest demands."""
+    total = sum(demand for demand, _ in by_demand)
+    left = spare
+    for demand, peer in by_demand:
+        headroom = spare * demand // total
+        units[peer] += headroom
+        left -= headroom
+    for _, peer in by_demand[::-1][:left]:
+        units[peer] += 1
+
+
+def even_bursts(pool_milli: int, shares_milli: Mapping[int, int]) -> dict[int, int]:
+    """Divides the burst that goes with shares of a rate evenly, in thousandths.
+
+    A router below its demand has an empty bucket and no use for burst; one at its demand needs it to admit
+    requests as they come, the more of it the fewer they are.
     """
-    return {peer: pool // len(shares) for peer in shares}
+    return {peer: pool_milli // len(shares_milli) for peer in shares_milli}
--- a/paddlequay/cluster/settings.py
+++ b/paddlequay/cluster/settings.py
@@ -1,4 +1,4 @@
-"""What an installation sets of the cluster, as its parts take it; `schema/cluster.py` reads the file."""
+"""The settings of the cluster, as its parts take them; `schema/cluster.py` reads the file."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,15 +7,15 @@
 from paddlequay.cluster.types import ClusterBounds, Peer
 
 
-class Mode(Enum):
+class PartitionMode(Enum):
     """What a limit does where its holder cannot be reached."""
 
-    STRICT = "strict"  # never over: a router that is cut off has its floor
-    OPEN = "open"  # service first: it goes on with its last share, over the whole by a stated multiple
+    STRICT = "strict"  # never exceeds the limit: an isolated router has its floor
+    OPEN = "open"  # availability first: an isolated router retains a part of its last grant
 
 
-class By(Enum):
-    """What a limit is kept for, one of each apart."""
+class LimitScope(Enum):
+    """What a limit is kept for, each value of it apart."""
 
     CLASS = "class"
     TENANT = "tenant"
@@ -26,17 +26,29 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitRule:
-    """A limit over all routers. Either `rate` (a second, with `burst`) or `at_once` is told."""
+    """A limit over all routers, on a rate or on requests in flight; exactly one of both is set.
+
+    Attributes:
+        name: Names the limit to all routers.
+        scope: What it is kept for.
+        match: A class, a tenant, a group's number, a member's name or kind; "*" for each of them.
+        rate_per_s: Requests per second.
+        burst: Requests at once, beside the rate.
+        max_in_flight: Requests in flight.
+        mode: What it does where the holder cannot be reached.
+        open_factor: With `PartitionMode.OPEN`, the multiple of the limit that is never exceeded.
+        floor_ratio: The part that is divided evenly among all routers, whatever their demand.
+    """
 
     name: str
-    by: By
-    match: str  # of what: a class, a tenant, a group's number, a member's name or kind; "*": each of them
-    rate: float | None = None
+    scope: LimitScope
+    match: str
+    rate_per_s: float | None = None
     burst: float = 1.0
-    at_once: int | None = None
-    mode: Mode = Mode.STRICT
-    over: float = 2.0  # with OPEN: the multiple of the limit that is never passed, whoever is cut off
-    floor: float = 0.2  # share of the limit that is divided evenly among all routers, whatever they need
+    max_in_flight: int | None = None
+    mode: PartitionMode = PartitionMode.STRICT
+    open_factor: float = 2.0
+    floor_ratio: float = 0.2
 
 
 @dataclass(frozen=True, slots=True)
--- a/paddlequay/lab/cluster_model_day.py
+++ b/paddlequay/lab/cluster_model_day.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from paddlequay.cluster.node import Node
-from paddlequay.cluster.settings import By, ClusterSettings, LimitRule
+from paddlequay.cluster.settings import ClusterSettings, LimitRule, LimitScope
 from paddlequay.cluster.types import PeerState
 from paddlequay.lab.cluster_model_drive import Auditor
 from paddlequay.lab.cluster_model_world import Box, Net, World
@@ -23,8 +23,8 @@
     Charges last 0.28 s in the mean: `places`, as a share of the rate, bind below that.
     """
     return (
-        LimitRule("charges", By.CLASS, "charge", rate, max(20.0, burst * size)),
-        LimitRule("places", By.SOURCE, "parent", at_once=int(rate * places)),
+        LimitRule("charges", LimitScope.CLASS, "charge", rate, max(20.0, burst * size)),
+        LimitRule("places", LimitScope.SOURCE, "parent", max_in_flight=int(rate * places)),
     )
 
 
--- a/paddlequay/lab/cluster_model_drive.py
+++ b/paddlequay/lab/cluster_model_drive.py
@@ -9,9 +9,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from paddlequay.cluster.limits import Ticket
+from paddlequay.cluster.fleet_limits import Permit
 from paddlequay.cluster.node import ClusterEvent, Node
-from paddlequay.cluster.settings import By, LimitRule
+from paddlequay.cluster.settings import LimitRule, LimitScope
 from paddlequay.cluster.types import (
     Fault,
     LeaseAcquired,
@@ -28,7 +28,7 @@
 from paddlequay.lab.limit_audit import Audit
 from paddlequay.placement.homes import digest
 
-WHAT = ((By.CLASS, "charge"), (By.SOURCE, "parent"))
+WHAT = ((LimitScope.CLASS, "charge"), (LimitScope.SOURCE, "parent"))
 REFUSED_S, SILENT_S = 0.005, 0.25  # after which an attempt at a dead parent ends: refused, or timed out
 NOISE = 0.01  # of attempts at a parent that serves which fail nevertheless
 OLD_S = (
@@ -92,8 +92,8 @@
             return world.at(ready + self.rng.random() * 0.002, self.ask, box)
         lasts = world.longest * self.rng.uniform(0.1, 1.0)
         answer = node.limits.admit_all(WHAT, box.clock(world.now), lasts)
-        self.counts["admitted" if isinstance(answer, Ticket) else "refused"] += 1
-        if isinstance(answer, Ticket):
+        self.counts["admitted" if isinstance(answer, Permit) else "refused"] += 1
+        if isinstance(answer, Permit):
             held = lasts / box.rate
             self.admitted.append(world.now)
             for audit in self.audits.values():
@@ -102,9 +102,9 @@
             world.at(world.now + held, self.ended, box, node, answer)
         world.flush(box, ())
 
-    def ended(self, box: Box, node: Node, ticket: Ticket) -> None:
+    def ended(self, box: Box, node: Node, permit: Permit) -> None:
         if box.node is node and node.limits is not None and self.world.alive(box):
-            node.limits.done(ticket, box.clock(self.world.now))
+            node.limits.release(permit, box.clock(self.world.now))
 
     def used(self, begin: float, end: float) -> float:
         """Charges a second let through."""
--- a/paddlequay/lab/limit_audit.py
+++ b/paddlequay/lab/limit_audit.py
@@ -2,7 +2,7 @@
 
 import heapq
 
-from paddlequay.cluster.settings import LimitRule, Mode
+from paddlequay.cluster.settings import LimitRule, PartitionMode
 
 
 class Audit:
@@ -12,7 +12,7 @@
     """
 
     def __init__(self, rule: LimitRule) -> None:
-        self.times = rule.over if rule.mode is Mode.OPEN else 1.0
+        self.times = rule.open_factor if rule.mode is PartitionMode.OPEN else 1.0
         self.rule = rule
         self.level = self.at = 0.0
         self.ends: list[float] = []
@@ -21,13 +21,13 @@
 
     def add(self, now: float, end: float) -> None:
         self.admitted.append(now)
-        if self.rule.at_once is not None:
+        if self.rule.max_in_flight is not None:
             while self.ends and self.ends[0] <= now:
                 heapq.heappop(self.ends)
             heapq.heappush(self.ends, end)
-            self.most = max(self.most, len(self.ends) / self.rule.at_once)
+            self.most = max(self.most, len(self.ends) / self.rule.max_in_flight)
             return
-        rate, burst = (self.rule.rate or 0) * self.times, self.rule.burst * self.times
+        rate, burst = (self.rule.rate_per_s or 0) * self.times, self.rule.burst * self.times
         self.level = max(0.0, self.level - rate * (now - self.at)) + 1
         self.at = now
         self.most = max(self.most, self.level / burst * self.times)
--- a/paddlequay/lab/limit_search.py
+++ b/paddlequay/lab/limit_search.py
@@ -7,14 +7,19 @@
 import random
 import sys
 import time
+from dataclasses import replace
 from functools import partial
 
-from paddlequay.cluster.buckets import Bucket, Places, Times
-from paddlequay.cluster.granter import Book, Granter, Kept
-from paddlequay.cluster.limits import Limits, Line
+from paddlequay.cluster.buckets import ActiveGrant, BucketTiming, RateBucket, SlotBucket, SlotKind
+from paddlequay.cluster.fleet_limits import FleetLimits
+from paddlequay.cluster.grant_ledger import Ledger
+from paddlequay.cluster.granter import Granter
+from paddlequay.cluster.limit_registry import FleetLimit
+from paddlequay.cluster.local_limits import LocalLimit
 from paddlequay.cluster.messages import QuotaGrant
-from paddlequay.cluster.quotas import NOTHING, Share, Whole
-from paddlequay.cluster.settings import By, LimitRule, Mode
+from paddlequay.cluster.quota_client import QuotaClient
+from paddlequay.cluster.quotas import NO_QUOTA, LimitDivision, Quota
+from paddlequay.cluster.settings import LimitRule, LimitScope, PartitionMode
 from paddlequay.cluster.types import NameDigest, Peer
 from paddlequay.lab.limit_world import Proc, World
 
@@ -23,23 +28,37 @@
 
 def rules_of(rng: random.Random) -> tuple[LimitRule, ...]:
     """Two levels and a limit on places, now and then in the open mode."""
-    mode = rng.choice((Mode.STRICT, Mode.STRICT, Mode.OPEN))
+    mode = rng.choice((PartitionMode.STRICT, PartitionMode.STRICT, PartitionMode.OPEN))
     over = rng.choice((1.2, 1.5, 2.0))
     floor = rng.choice((0.0, 0.2, 0.5, 1.0))
     rate = rng.choice((20.0, 60.0, 150.0))
     rules = (
         LimitRule(
-            "whole", By.CLASS, "c", rate, rng.choice((3.0, 8.0, 30.0)), mode=mode, floor=floor, over=over
+            "whole",
+            LimitScope.CLASS,
+            "c",
+            rate,
+            rng.choice((3.0, 8.0, 30.0)),
+            mode=mode,
+            floor_ratio=floor,
+            open_factor=over,
+        ),
+        LimitRule(
+            "each",
+            LimitScope.TENANT,
+            "*",
+            rate * rng.choice((0.7, 2)),
+            20.0,
+            floor_ratio=rng.choice((0.0, 0.3)),
         ),
-        LimitRule("each", By.TENANT, "*", rate * rng.choice((0.7, 2)), 20.0, floor=rng.choice((0.0, 0.3))),
         LimitRule(
             "out",
-            By.SOURCE,
+            LimitScope.SOURCE,
             "s",
-            at_once=rng.choice((3, 12, 24)),
+            max_in_flight=rng.choice((3, 12, 24)),
             mode=mode,
-            floor=floor,
-            over=over,
+            floor_ratio=floor,
+            open_factor=over,
         ),
     )
     # Alone, each comes closer to its limit.
@@ -83,7 +102,7 @@
         world.tail = rng.choice((0.0, 0.02, 0.2))
     else:
         # More than the limit, and on few: whose share that was before goes on with it for as long as it may.
-        total = 2 * (world.rules[0].rate or 40.0)
+        total = 2 * (world.rules[0].rate_per_s or 40.0)
         for each in world.procs:
             each.demand = rng.choice((0.0, total / len(world.procs), total))
             each.lasts = rng.choice((0.05, 0.3, 0.5, 1.0))
@@ -97,7 +116,7 @@
         each.side, each.far = 0, 0.0
 
 
-def search(seed: int, kind: type[Limits] = Limits) -> World:
+def search(seed: int, kind: type[FleetLimits] = FleetLimits) -> World:
     """One world, run to its end."""
     rng = random.Random(seed)
     stay = rng.choice((0.0, 0.0, 1.0))
@@ -115,147 +134,156 @@
 # --- each guard taken out ---
 
 
-class FromReceipt(Limits):
-    """A grant lives from when it came."""
+class FromReceipt(FleetLimits):
+    """A grant is valid from its receipt."""
 
-    def since(self, line: Line, note: QuotaGrant, now: float) -> float | None:
-        return None if super().since(line, note, now) is None else now
+    class client_kind(QuotaClient):  # noqa: N801
+        def valid_from(self, limit: LocalLimit, grant: QuotaGrant, now: float) -> float | None:
+            return None if super().valid_from(limit, grant, now) is None else now
 
 
-class AnyAnswer(Limits):
-    """A grant is taken for the last Need, whichever it answers."""
+class AnyAnswer(FleetLimits):
+    """A grant counts as the answer to the last request, whichever it answers."""
 
-    def since(self, line: Line, note: QuotaGrant, now: float) -> float | None:
-        return line.asked_at if line.sent else None
+    class client_kind(QuotaClient):  # noqa: N801
+        def valid_from(self, limit: LocalLimit, grant: QuotaGrant, now: float) -> float | None:
+            return limit.last_request_at if limit.sent_requests else None
 
 
-class FastFill(Limits):
+class FastFill(FleetLimits):
     """Buckets fill by a clock that may be fast."""
 
-    def pace(self) -> float:
+    def min_clock_rate(self) -> float:
         return 1.0
 
 
-class LowerAtOnce(Limits):
-    """A lower share counts as soon as it is told."""
+class LowerAtOnce(FleetLimits):
+    """A lower share counts as soon as it is granted."""
 
-    class granters(Granter):  # noqa: N801
-        def granted(self, book: Book, kept: Kept, sender: Peer, incarnation: int, now: float) -> Share:
-            share = super().granted(book, kept, sender, incarnation, now)
-            out = book.out[sender, incarnation]
-            out.grants = out.grants[-1:]
-            return share
+    class granter_kind(Granter):  # noqa: N801
+        def issue(
+            self, ledger: Ledger, limit: FleetLimit, sender: Peer, incarnation: int, now: float
+        ) -> Quota:
+            quota = super().issue(ledger, limit, sender, incarnation, now)
+            outstanding = ledger.outstanding[sender, incarnation]
+            outstanding.grants = outstanding.grants[-1:]
+            return quota
 
 
-class ForgottenProcess(Limits):
-    """What a router's former process had is forgotten when the next one asks."""
+class ForgottenProcess(FleetLimits):
+    """The grants of a router's former process are forgotten when the next one requests."""
 
-    class granters(Granter):  # noqa: N801
-        def others(self, book: Book, sender: Peer, incarnation: int, now: float) -> Share:
-            book.out = {
-                key: out for key, out in book.out.items() if key[0] != sender or key[1] == incarnation
+    class granter_kind(Granter):  # noqa: N801
+        def granted_to_others(self, ledger: Ledger, sender: Peer, incarnation: int, now: float) -> Quota:
+            ledger.outstanding = {
+                process: outstanding
+                for process, outstanding in ledger.outstanding.items()
+                if process[0] != sender or process[1] == incarnation
             }
-            return super().others(book, sender, incarnation, now)
+            return super().granted_to_others(ledger, sender, incarnation, now)
 
 
-class NoWait(Limits):
+class NoWait(FleetLimits):
     """A new holder grants at once."""
 
-    class granters(Granter):  # noqa: N801
-        def waits(self, kept: Kept) -> float:
+    class granter_kind(Granter):  # noqa: N801
+        def wait_after_acquisition(self, limit: FleetLimit) -> float:
             return 0.0
 
 
-class NotLate(Limits):
-    """The holder counts a life by its own clock, without the drift."""
+class NotLate(FleetLimits):
+    """The holder counts a grant's validity by its own clock, without the drift."""
 
-    class granters(Granter):  # noqa: N801
-        def late(self, life: float) -> float:
-            return life
+    class granter_kind(Granter):  # noqa: N801
+        def outstanding_for(self, grant_s: float) -> float:
+            return grant_s
 
 
-class Remembered(Limits):
-    """Who has held the lease once goes on granting under its term."""
+class Remembered(FleetLimits):
+    """A router that has held the lease once goes on granting under its term."""
 
-    class granters(Granter):  # noqa: N801
-        def holding(self, lease: NameDigest, now: float) -> int | None:
-            held = super().holding(lease, now)
+    class granter_kind(Granter):  # noqa: N801
+        def granting_term(self, lease: NameDigest, now: float) -> int | None:
+            held = super().granting_term(lease, now)
             return held if held is not None else self.terms.get(lease, (None, 0.0))[0]
 
 
-class FullStart(Limits):
+class FullStart(FleetLimits):
     """The buckets of a new process are full."""
 
-    class bucket(Bucket):  # noqa: N801
-        def born(self, now: float) -> float:
-            return self.whole.floor.burst
+    class rate_bucket_kind(RateBucket):  # noqa: N801
+        def initial_tokens(self, now: float) -> float:
+            return self.division.floor.burst_milli
 
 
-class FullRaise(Limits):
-    """A raised share brings its burst, and a lapsed one leaves its tokens."""
+class FullRaise(FleetLimits):
+    """A raised quota brings its burst, and an expired one leaves its tokens."""
 
-    class bucket(Bucket):  # noqa: N801
-        def change(self, extra: Share, until: float) -> None:
-            self.tokens += max(0, extra.burst - self.extra.burst)
-            super().change(extra, until)
+    class rate_bucket_kind(RateBucket):  # noqa: N801
+        def change_grant(self, grant: ActiveGrant) -> None:
+            self.tokens += max(0, grant.quota.burst_milli - self.grant.quota.burst_milli)
+            super().change_grant(grant)
 
 
-class NoClip(Limits):
-    """A lapsed share leaves its tokens."""
+class NoClip(FleetLimits):
+    """An expired quota leaves its tokens."""
 
-    class bucket(Bucket):  # noqa: N801
+    class rate_bucket_kind(RateBucket):  # noqa: N801
         def fill(self, now: float) -> None:
-            if now > self.at:
-                more = self.rate * (now - self.at) * self.times.pace
-                self.tokens, self.at = max(self.tokens, min(self.cap, self.tokens + more)), now
+            if now > self.filled_at:
+                gained = self.rate_milli * (now - self.filled_at) * self.timing.min_clock_rate
+                self.tokens = max(self.tokens, min(self.capacity_milli, self.tokens + gained))
+                self.filled_at = now
 
-        def change(self, extra: Share, until: float) -> None:
-            self.extra, self.until = extra, until
+        def change_grant(self, grant: ActiveGrant) -> None:
+            self.grant = grant
 
 
-class LateLook(Limits):
-    """That a grant is over is found when its router asks again, not at use."""
+class LateLook(FleetLimits):
+    """The end of a grant is found when its router requests again, not at use."""
 
-    class bucket(Bucket):  # noqa: N801
-        def advance(self, now: float, cut_off: bool) -> None:
-            if self.until <= now < self.until + 10:
+    class rate_bucket_kind(RateBucket):  # noqa: N801
+        def advance(self, now: float, isolated: bool) -> None:
+            if self.grant.valid_until <= now < self.grant.valid_until + 10:
                 self.fill(now)
             else:
-                super().advance(now, cut_off)
+                super().advance(now, isolated)
 
 
-class Unending(Limits):
+class Unending(FleetLimits):
     """Requests that end after the grant may start on it."""
 
-    class places(Places):  # noqa: N801
-        def kind(self, now: float, lasts: float) -> int | None:
-            return super().kind(now, min(lasts, self.until - now) if self.extra is not NOTHING else lasts)
+    class slot_bucket_kind(SlotBucket):  # noqa: N801
+        def free_slot(self, now: float, duration_s: float) -> SlotKind | None:
+            if self.grant.quota is NO_QUOTA:
+                return super().free_slot(now, duration_s)
+            return super().free_slot(now, min(duration_s, self.grant.valid_until - now))
 
 
-class OpenFloors(Limits):
-    """Floor places of a new process are open at once."""
+class OpenFloors(FleetLimits):
+    """Floor slots of a new process are open at once."""
 
-    class places(Places):  # noqa: N801
-        def opened(self, now: float) -> bool:
+    class slot_bucket_kind(SlotBucket):  # noqa: N801
+        def is_floor_open(self, now: float) -> bool:
             return True
 
 
-class KeptWhole(Limits):
-    """A router that is cut off in the open mode keeps all it had."""
+class KeptWhole(FleetLimits):
+    """A router that is isolated in the open mode retains all it had."""
 
-    class bucket(Bucket):  # noqa: N801
-        def __init__(self, whole: Whole, times: Times, now: float) -> None:
-            kept = whole.limit if whole.kept != NOTHING else NOTHING
-            super().__init__(Whole(whole.limit, whole.floor, whole.pool, kept, whole.unit), times, now)
+    class rate_bucket_kind(RateBucket):  # noqa: N801
+        def __init__(self, division: LimitDivision, timing: BucketTiming, now: float) -> None:
+            isolated = division.limit if division.isolated != NO_QUOTA else NO_QUOTA
+            super().__init__(replace(division, isolated=isolated), timing, now)
 
 
-GUARDS: tuple[type[Limits], ...] = (
+GUARDS: tuple[type[FleetLimits], ...] = (
     FromReceipt, AnyAnswer, FastFill, LowerAtOnce, ForgottenProcess, NoWait, NotLate, Remembered,
     FullStart, FullRaise, NoClip, LateLook, Unending, OpenFloors, KeptWhole,
 )  # fmt: skip
 
 
-def found(kind: type[Limits], steps: int, first: int = 0) -> tuple[int, int, list[str]]:
+def found(kind: type[FleetLimits], steps: int, first: int = 0) -> tuple[int, int, list[str]]:
     """Worlds until one passes a limit, or for so many steps: worlds, steps, and what was passed."""
     done = worlds = 0
     while done < steps:
--- a/paddlequay/lab/limit_world.py
+++ b/paddlequay/lab/limit_world.py
@@ -12,8 +12,8 @@
 from functools import partial
 from itertools import count
 
-from paddlequay.cluster.limits import Limits, Refused
-from paddlequay.cluster.settings import By, LimitRule
+from paddlequay.cluster.fleet_limits import FleetLimits, Rejection
+from paddlequay.cluster.settings import LimitRule, LimitScope
 from paddlequay.cluster.types import (
     Action,
     ClusterBounds,
@@ -26,7 +26,7 @@
 )
 from paddlequay.lab.limit_audit import Audit
 
-WHAT = ((By.CLASS, "c"), (By.TENANT, "t"), (By.SOURCE, "s"))
+WHAT = ((LimitScope.CLASS, "c"), (LimitScope.TENANT, "t"), (LimitScope.SOURCE, "s"))
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
     me: Peer
     rate: float  # of its clock to true time
     offset: float
-    limits: Limits = field(init=False)
+    limits: FleetLimits = field(init=False)
     incarnation: int = 0
     stalled: float = 0.0  # until when, true time
     demand: float = 0.0  # requests a second
@@ -58,7 +58,7 @@
         seed: int,
         size: int,
         rules: tuple[LimitRule, ...],
-        kind: type[Limits] = Limits,
+        kind: type[FleetLimits] = FleetLimits,
         clocks: float = 0.05,
         shut: float = 1.0,
         stay: float = 0.0,
@@ -112,10 +112,10 @@
             lambda lease, now: self.holds(proc, lease, now),
             proc.incarnation,
             proc.clock(self.now),
-            shut=self.shut,
-            stay=self.stay,
-            first=first,
-            fast=self.fast,
+            max_request_s=self.shut,
+            slot_grant_extension_s=self.stay,
+            is_first_process=first,
+            fast_ratio=self.fast,
         )
 
     def holds(self, proc: Proc, lease: NameDigest, now: float) -> int | None:
@@ -150,14 +150,14 @@
             return
         lasts = proc.lasts
         got = proc.limits.admit_all(WHAT, proc.clock(self.now), lasts)
-        if not isinstance(got, Refused):
+        if not isinstance(got, Rejection):
             proc.started += 1
             # As long as it may, or shorter; where it is cut short the router says so.
             held = lasts * self.rng.choice((0.2, 0.6, 1.0)) / proc.rate
             limits = proc.limits
             for audit in self.audits.values():
                 audit.add(self.now, self.now + held)
-            self.at(self.now + held, lambda: limits.done(got, proc.clock(self.now)))
+            self.at(self.now + held, lambda: limits.release(got, proc.clock(self.now)))
         self.arm(proc)
 
     def arm(self, proc: Proc) -> None:
--- a/paddlequay/net/cluster/sharing.py
+++ b/paddlequay/net/cluster/sharing.py
@@ -36,7 +36,7 @@
 )
 from paddlequay.cluster.wire import Head
 from paddlequay.config.loader import Config, Peering
-from paddlequay.net.cluster.leaves import Leaves
+from paddlequay.net.cluster.limit_permits import LimitPermits
 from paddlequay.net.cluster.peers import Peers
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
@@ -115,7 +115,7 @@
         self.waiting: asyncio.Task[None] | None = None
         self.stopped, self.away = True, False
         self.made()  # what cannot be used is said now
-        self.leaves = Leaves(settings, exchange, counters, self.loop.time)
+        self.permits = LimitPermits(settings, exchange, counters, self.loop.time)
         self.prefetcher: ChannelPrefetcher | None = None
         self.placement: PlacementTables | None = None
         if settings.rules is not None:
@@ -161,7 +161,7 @@
             peers.close()
             return False
         self.node, self.peers = node, peers
-        self.leaves.joined(node.limits)
+        self.permits.use_limits(node.limits)
         if self.placement is not None:
             self.placement.join(node)
         self.join_channels(node)
@@ -217,7 +217,7 @@
         if self.placement is not None:
             self.placement.leave_cluster()
             self.placement.stop()
-        self.leaves.joined(None)
+        self.permits.use_limits(None)
         self.node = self.peers = None
 
     def give_way(self) -> None:
@@ -234,7 +234,7 @@
     # --- the exchange's Watch ---
 
     def admit(self, item: PendingRequest, left: float) -> float | None:
-        wait = self.leaves.admit(item, left)
+        wait = self.permits.admit(item, left)
         with self.guarded():
             if wait is None and self.prefetcher is not None:
                 self.prefetcher.admit(item)
@@ -255,14 +255,14 @@
     def before_write(self, attempt: UpstreamAttempt, left: float) -> ReplyDetail | None:
         # Also after this process has left: a fill ahead that still waits is refused by its term.
         detail = self.prefetcher.before_write(attempt) if self.prefetcher is not None else None
-        detail = detail or self.leaves.before_write(attempt, left)
+        detail = detail or self.permits.before_write(attempt, left)
         with self.guarded():
             self.wake()
         return detail
 
     def attempt_ended(self, attempt: UpstreamAttempt, end: AttemptResult) -> None:
         with self.guarded():
-            self.leaves.attempt_ended(attempt, end)
+            self.permits.attempt_ended(attempt, end)
             self.evident(attempt, end)
 
     def evident(self, attempt: UpstreamAttempt, end: AttemptResult) -> None:
@@ -293,7 +293,7 @@
 
     def request_ended(self, item: PendingRequest) -> None:
         with self.guarded():
-            self.leaves.request_ended(item)
+            self.permits.request_ended(item)
             if self.prefetcher is not None:
                 self.prefetcher.request_ended(item)
 
--- a/paddlequay/net/cluster/sharing_page.py
+++ b/paddlequay/net/cluster/sharing_page.py
@@ -46,18 +46,18 @@
     if node.leases is None or node.limits is None:
         return {}
     return {
-        f"limit/{rule.name}": {
-            "holder": node.leases.holder(kept.lease, now),
-            "term": node.leases.holds(kept.lease, now),
+        f"limit/{limit.rule.name}": {
+            "holder": node.leases.holder(limit.lease, now),
+            "term": node.leases.holds(limit.lease, now),
         }
-        for rule, kept in node.limits.rules.values()
+        for limit in node.limits.registry
     }
 
 
 def limits(sharing: "Sharing", node: "Node") -> dict[str, Any]:
     """Of each limit: values that are kept apart now, and how much was refused here."""
-    lines = node.limits.lines.values() if node.limits is not None else ()
-    kept, counts = Counter(line.rule.name for line in lines), sharing.counters.counts
+    local_limits = node.limits.local_limits if node.limits is not None else ()
+    kept, counts = Counter(limit.fleet_limit.rule.name for limit in local_limits), sharing.counters.counts
     return {
         rule.name: {"values": kept[rule.name], "refused": counts[f"limit.refused.{rule.name}"]}
         for rule in sharing.settings.limits
--- a/paddlequay/schema/cluster.py
+++ b/paddlequay/schema/cluster.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from paddlequay.cluster.settings import By, ChannelRule, ClusterSettings, LimitRule, Mode
+from paddlequay.cluster.settings import ChannelRule, ClusterSettings, LimitRule, LimitScope, PartitionMode
 from paddlequay.cluster.types import MAX_PEERS, ClusterBounds
 from paddlequay.errors import ConfigError
 from paddlequay.hierarchy.topology import NAME
@@ -14,14 +14,14 @@
 LIMITS_MOST = 64
 ACCEPTORS_MOST = 9  # each lease asks all of them: more cost datagrams and stand no likelier failure
 RATE_MOST = 1e6
-BYS = {
-    schema.Limit.CLASS: By.CLASS,
-    schema.Limit.TENANT: By.TENANT,
-    schema.Limit.GROUP: By.GROUP,
-    schema.Limit.SOURCE: By.SOURCE,
-    schema.Limit.MEMBER: By.MEMBER,
+SCOPES = {
+    schema.Limit.CLASS: LimitScope.CLASS,
+    schema.Limit.TENANT: LimitScope.TENANT,
+    schema.Limit.GROUP: LimitScope.GROUP,
+    schema.Limit.SOURCE: LimitScope.SOURCE,
+    schema.Limit.MEMBER: LimitScope.MEMBER,
 }
-MODES = {schema.Limit.STRICT: Mode.STRICT, schema.Limit.OPEN: Mode.OPEN}
+MODES = {schema.Limit.STRICT: PartitionMode.STRICT, schema.Limit.OPEN: PartitionMode.OPEN}
 
 
 class Checked:
@@ -109,13 +109,13 @@
     lines = check.lines
     if not told.match or len(told.match) > 200:
         raise lines.error(f"{at}.match", 'expected what it is for, or "*"', told.match)
-    for field, known in (("by", BYS), ("mode", MODES)):
+    for field, known in (("by", SCOPES), ("mode", MODES)):
         value = getattr(told, field)
         if value not in known:
             raise lines.error(f"{at}.{field}", f"expected a name of the schema, got {value}", str(value))
-    by = BYS[told.by]
+    scope = SCOPES[told.by]
     whole = told.match.isdecimal() and str(int(told.match)) == told.match
-    if by is By.GROUP and told.match != "*" and not whole:
+    if scope is LimitScope.GROUP and told.match != "*" and not whole:
         raise lines.error(f"{at}.match", f"expected a group's number, got {told.match!r}", told.match)
     if bool(told.rate) == bool(told.at_once):
         raise lines.error(f"{at}.rate", f"{told.name}: expected either rate or at_once")
@@ -126,14 +126,14 @@
     rate = check.figure(told.rate, f"{at}.rate", 0.0, 0.001, RATE_MOST)
     return LimitRule(
         name=told.name,
-        by=by,
+        scope=scope,
         match=told.match,
-        rate=rate or None,
+        rate_per_s=rate or None,
         burst=check.figure(told.burst, f"{at}.burst", 1.0, 1.0, RATE_MOST),
-        at_once=int(check.figure(told.at_once, f"{at}.at_once", 0, 1, RATE_MOST)) or None,
+        max_in_flight=int(check.figure(told.at_once, f"{at}.at_once", 0, 1, RATE_MOST)) or None,
         mode=MODES[told.mode],
-        over=check.figure(told.over, f"{at}.over", 2.0, 1.0, 100.0),
-        floor=check.figure(told.floor, f"{at}.floor", 0.2, 0.001, 1.0),
+        open_factor=check.figure(told.over, f"{at}.over", 2.0, 1.0, 100.0),
+        floor_ratio=check.figure(told.floor, f"{at}.floor", 0.2, 0.001, 1.0),
     )
 
 
--- a/tests/cluster/test_cluster_model.py
+++ b/tests/cluster/test_cluster_model.py
@@ -4,9 +4,10 @@
 
 import pytest
 
-from paddlequay.cluster import elections, granter, limits
+from paddlequay.cluster import elections, fleet_limits, granter
 from paddlequay.cluster.bids import Bid
 from paddlequay.cluster.leases import Leases
+from paddlequay.cluster.limit_registry import FleetLimit
 from paddlequay.cluster.node import Node
 from paddlequay.cluster.types import PeerState
 from paddlequay.lab.cluster_model import found, moved, steady
@@ -46,15 +47,15 @@
 class NoWait(granter.Granter):
     """A new holder grants at once what its predecessor's grants may still hold."""
 
-    def waits(self, kept: granter.Kept) -> float:
+    def wait_after_acquisition(self, limit: FleetLimit) -> float:
         return 0.0
 
-    def late(self, life: float) -> float:
+    def outstanding_for(self, grant_s: float) -> float:
         return 0.0
 
 
-class Careless(limits.Limits):
-    granters = NoWait
+class Careless(fleet_limits.FleetLimits):
+    granter_kind = NoWait
 
 
 def test_the_auditor_sees_two_holders(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/cluster/test_cluster_settings.py
+++ b/tests/cluster/test_cluster_settings.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from paddlequay.cluster.settings import By, Mode
+from paddlequay.cluster.settings import LimitScope, PartitionMode
 from paddlequay.errors import ConfigError
 from paddlequay.schema.cluster import read_cluster
 
@@ -31,8 +31,12 @@
     settings = read_cluster(ROOT / "deploy/cluster.txtpb")
     assert settings.acceptors == (0, 1, 2) and settings.bounds.lease_s == 1.5
     charges, tenants = settings.limits
-    assert charges.by is By.CLASS and charges.mode is Mode.STRICT and charges.rate == 40
-    assert tenants.match == "*" and tenants.mode is Mode.OPEN and tenants.at_once is None
+    assert (
+        charges.scope is LimitScope.CLASS
+        and charges.mode is PartitionMode.STRICT
+        and charges.rate_per_s == 40
+    )
+    assert tenants.match == "*" and tenants.mode is PartitionMode.OPEN and tenants.max_in_flight is None
 
 
 @pytest.mark.parametrize(
--- a/tests/cluster/test_fleet_limits.py
+++ b/tests/cluster/test_fleet_limits.py
@@ -4,24 +4,33 @@
 
 import pytest
 
-from paddlequay.cluster.limits import Limits
+from paddlequay.cluster.fleet_limits import FleetLimits
 from paddlequay.cluster.messages import QuotaGrant, QuotaRequest
-from paddlequay.cluster.settings import By, LimitRule, Mode
+from paddlequay.cluster.settings import LimitRule, LimitScope, PartitionMode
 from paddlequay.cluster.types import SendMessage
 from paddlequay.lab import limit_search as broken
 from paddlequay.lab.limit_world import Proc, World
 
-RATE = LimitRule("rate", By.CLASS, "c", rate=100.0, burst=30.0, floor=0.0)
-SLOW = LimitRule("slow", By.CLASS, "c", rate=10.0, burst=30.0, floor=0.0)
-STEEP = LimitRule("steep", By.CLASS, "c", rate=2000.0, burst=10.0, floor=0.0)
-FLOORS = LimitRule("floors", By.CLASS, "c", rate=10.0, burst=40.0, floor=1.0)
-PLACES = LimitRule("places", By.SOURCE, "s", at_once=8, floor=0.0)
-OPEN = LimitRule("open", By.CLASS, "c", rate=100.0, burst=30.0, floor=0.0, mode=Mode.OPEN, over=1.2)
+RATE = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=100.0, burst=30.0, floor_ratio=0.0)
+SLOW = LimitRule("slow", LimitScope.CLASS, "c", rate_per_s=10.0, burst=30.0, floor_ratio=0.0)
+STEEP = LimitRule("steep", LimitScope.CLASS, "c", rate_per_s=2000.0, burst=10.0, floor_ratio=0.0)
+FLOORS = LimitRule("floors", LimitScope.CLASS, "c", rate_per_s=10.0, burst=40.0, floor_ratio=1.0)
+PLACES = LimitRule("places", LimitScope.SOURCE, "s", max_in_flight=8, floor_ratio=0.0)
+OPEN = LimitRule(
+    "open",
+    LimitScope.CLASS,
+    "c",
+    rate_per_s=100.0,
+    burst=30.0,
+    floor_ratio=0.0,
+    mode=PartitionMode.OPEN,
+    open_factor=1.2,
+)
 
 Link = Callable[[Proc, Proc, SendMessage], float | None]
 
 
-def world(kind: type[Limits], rule: LimitRule, size: int, seed: int = 1, **more: float) -> World:
+def world(kind: type[FleetLimits], rule: LimitRule, size: int, seed: int = 1, **more: float) -> World:
     """Clocks that run true, links without loss; router 0 holds the lease first."""
     made = World(seed, size, (rule,), kind, clocks=0.0, **more)
     made.chosen, made.tail = 0, 0.0
@@ -45,7 +54,7 @@
     return link
 
 
-def late_answers(kind: type[Limits], rule: LimitRule = RATE) -> World:
+def late_answers(kind: type[FleetLimits], rule: LimitRule = RATE) -> World:
     """Answers take half a second, the last ones asked for are all that comes; another takes the share."""
     made = world(kind, rule, 3)
     made.link = (
@@ -58,7 +67,7 @@
     return made.run(4.0)
 
 
-def lost_cut(kind: type[Limits]) -> World:
+def lost_cut(kind: type[FleetLimits]) -> World:
     """A router's share is lowered, and it does not hear so."""
     made = world(kind, STEEP, 3)
     loads(made, 0, 4000, 0)
@@ -67,7 +76,7 @@
     return made.run(3.0)
 
 
-def two_halves(kind: type[Limits]) -> World:
+def two_halves(kind: type[FleetLimits]) -> World:
     """The holder and one that it feeds are cut off from the rest, which takes the lease; then all is well."""
     made = world(kind, RATE, 5)
     loads(made, 0, 300, 0, 300, 0)
@@ -80,7 +89,7 @@
     return made.run(9.0)
 
 
-def slow_and_fast(kind: type[Limits]) -> World:
+def slow_and_fast(kind: type[FleetLimits]) -> World:
     """A slow clock lives on a grant that a fast one counts; the other has to ask at the right moment."""
     for step in range(20):
         made = world(kind, STEEP, 3)
@@ -97,7 +106,7 @@
     return made
 
 
-def stalled_holder(kind: type[Limits]) -> World:
+def stalled_holder(kind: type[FleetLimits]) -> World:
     """The holder stands still for longer than its lease, and goes on."""
     made = world(kind, RATE, 5)
     loads(made, 300, 0, 300)
@@ -106,7 +115,7 @@
     return made.run(7.0)
 
 
-def stalled_router(kind: type[Limits]) -> World:
+def stalled_router(kind: type[FleetLimits]) -> World:
     """A router stands still past its grant, which another has by then; both are asked for all they have."""
     made = world(kind, SLOW, 3)
     loads(made, 0, 4, 0)
@@ -118,7 +127,7 @@
     return made.run(12.0)
 
 
-def unused_tokens(kind: type[Limits]) -> World:
+def unused_tokens(kind: type[FleetLimits]) -> World:
     """A share full of tokens lapses, and another fills up; both are asked for all they have."""
     made = world(kind, SLOW, 3)
     loads(made, 0, 4, 0)
@@ -129,7 +138,7 @@
     return made.run(13.0)
 
 
-def moved_share(kind: type[Limits]) -> World:
+def moved_share(kind: type[FleetLimits]) -> World:
     """A share is spent, lapses, and moves."""
     made = world(kind, SLOW, 3)
     loads(made, 0, 4, 0)
@@ -139,7 +148,7 @@
     return made.run(8.0)
 
 
-def restarts(kind: type[Limits]) -> World:
+def restarts(kind: type[FleetLimits]) -> World:
     """Half of the routers start anew just after all tokens were used."""
     made = world(kind, FLOORS, 4)
     made.run(5.0)
@@ -151,9 +160,9 @@
     return made.run(6.0)
 
 
-def restarted_places(kind: type[Limits], floor: float = 1.0) -> World:
+def restarted_places(kind: type[FleetLimits], floor: float = 1.0) -> World:
     """A router starts anew while requests of its former process are out."""
-    made = world(kind, LimitRule("places", By.SOURCE, "s", at_once=8, floor=floor), 4)
+    made = world(kind, LimitRule("places", LimitScope.SOURCE, "s", max_in_flight=8, floor_ratio=floor), 4)
     loads(made, 0, 30, lasts=0.45)
     made.run(5.0).surge(20)
     made.run(5.05)
@@ -163,7 +172,7 @@
     return made.run(6.0)
 
 
-def long_requests(kind: type[Limits]) -> World:
+def long_requests(kind: type[FleetLimits]) -> World:
     """A router that is cut off starts requests that end after its grant."""
     made = world(kind, PLACES, 3)
     loads(made, 0, 100, lasts=0.1)
@@ -175,7 +184,7 @@
     return made.run(3.5)
 
 
-def cut_off(kind: type[Limits]) -> World:
+def cut_off(kind: type[FleetLimits]) -> World:
     """The one that has the whole in the open mode is cut off for good."""
     made = world(kind, OPEN, 5)
     loads(made, 0, 300, 0, 300)
@@ -186,15 +195,17 @@
     return made.run(8.0)
 
 
-def fast_clocks(kind: type[Limits]) -> World:
-    made = world(kind, LimitRule("rate", By.CLASS, "c", rate=100.0, burst=30.0, floor=1.0), 2)
+def fast_clocks(kind: type[FleetLimits]) -> World:
+    made = world(
+        kind, LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=100.0, burst=30.0, floor_ratio=1.0), 2
+    )
     for proc in made.procs:
         proc.rate = 1.05
     loads(made, 300, 300)
     return made.run(15.0)
 
 
-CASES: tuple[tuple[type[Limits], Callable[[type[Limits]], World]], ...] = (
+CASES: tuple[tuple[type[FleetLimits], Callable[[type[FleetLimits]], World]], ...] = (
     (broken.FromReceipt, late_answers),
     (broken.AnyAnswer, late_answers),
     (broken.LowerAtOnce, lost_cut),
@@ -215,9 +226,9 @@
 
 @pytest.mark.parametrize(("without", "case"), CASES, ids=[each.__name__ for each, _ in CASES])
 def test_a_limit_holds_and_does_not_without_the_guard(
-    without: type[Limits], case: Callable[[type[Limits]], World]
+    without: type[FleetLimits], case: Callable[[type[FleetLimits]], World]
 ) -> None:
-    for kind, over in ((Limits, False), (without, True)):
+    for kind, over in ((FleetLimits, False), (without, True)):
         made = case(kind)
         (audit,) = made.audits.values()
         assert audit.over is over, (kind, audit.most)
@@ -231,8 +242,8 @@
 
 
 def test_partitions_leave_floors_and_heal() -> None:
-    rule = LimitRule("rate", By.CLASS, "c", rate=100.0, burst=40.0)
-    made = world(Limits, rule, 4)
+    rule = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=100.0, burst=40.0)
+    made = world(FleetLimits, rule, 4)
     loads(made, 60, 60, 60, 60)
     made.run(4.0)
     assert served(made, 2.0, 4.0) > 93
@@ -248,8 +259,8 @@
 
 
 def test_holder_killed_while_demand_shifts() -> None:
-    rule = LimitRule("rate", By.CLASS, "c", rate=400.0, burst=240.0)
-    made = world(Limits, rule, 4)
+    rule = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=400.0, burst=240.0)
+    made = world(FleetLimits, rule, 4)
     loads(made, 80, 1200, 80, 80)
     made.run(4.0)
     made.start(made.procs[0])
@@ -263,7 +274,7 @@
 @pytest.mark.parametrize(("fast", "least"), [(0.0, 0.95), (None, 0.90)])
 def test_two_seconds_after_a_shift_the_limit_is_used(fast: float | None, least: float) -> None:
     """Without the pace's 4.8 % no more than 5 % lies idle; with the drift that Bounds assume, it adds."""
-    rule = LimitRule("rate", By.CLASS, "c", rate=400.0, burst=400.0)
+    rule = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=400.0, burst=400.0)
     made = World(3, 4, (rule,), clocks=0.0, fast=fast)
     made.tail = 0.0
     loads(made, 300, 40, 40, 300)
@@ -276,8 +287,17 @@
 
 def test_open_mode_under_one_cut_after_another_passes_its_multiple_never() -> None:
     """Each in turn gets the whole, is cut off, and keeps its part; in the end all are."""
-    rule = LimitRule("open", By.CLASS, "c", rate=100.0, burst=60.0, floor=0.2, mode=Mode.OPEN, over=1.5)
-    for kind, over in ((Limits, False), (broken.KeptWhole, True)):
+    rule = LimitRule(
+        "open",
+        LimitScope.CLASS,
+        "c",
+        rate_per_s=100.0,
+        burst=60.0,
+        floor_ratio=0.2,
+        mode=PartitionMode.OPEN,
+        open_factor=1.5,
+    )
+    for kind, over in ((FleetLimits, False), (broken.KeptWhole, True)):
         made = world(kind, rule, 5)
         for who in (4, 3, 2, 1):
             made.procs[who].demand = 400
@@ -306,8 +326,8 @@
 
 
 def test_a_burst_too_small_for_all_goes_round() -> None:
-    rule = LimitRule("rate", By.CLASS, "c", rate=20.0, burst=2.0)
-    made = world(Limits, rule, 4)
+    rule = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=20.0, burst=2.0)
+    made = world(FleetLimits, rule, 4)
     loads(made, 40, 40, 40, 40)
     made.run(50.0)
     # Two at a time, 4.8 s each; changing over costs a grant's life each time.
--- /dev/null
+++ b/tests/cluster/test_quota_exchange.py
@@ -0,0 +1,228 @@
+"""One router's limits and one holder's grants, each by itself."""
+
+import pytest
+
+from paddlequay.cluster.demand_meter import DemandMeter
+from paddlequay.cluster.fleet_limits import FleetLimits, Permit, Rejection
+from paddlequay.cluster.granter import Granter
+from paddlequay.cluster.limit_registry import FleetLimit, lease_of, limit_of
+from paddlequay.cluster.local_limits import LocalLimit, LocalLimits
+from paddlequay.cluster.messages import QuotaGrant, QuotaRequest
+from paddlequay.cluster.quotas import NO_QUOTA, Quota, divide_limit
+from paddlequay.cluster.settings import LimitRule, LimitScope
+from paddlequay.cluster.types import Action, ClusterBounds, Fleet, HolderObserved, LeaseAcquired, SendMessage
+
+RATE = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=100.0, burst=30.0, floor_ratio=0.0)
+
+
+def alone(
+    *rules: LimitRule, holds: int | None = 1, size: int = 1, acceptors: tuple[int, ...] = (), **more: int
+) -> FleetLimits:
+    """A router that holds all leases, or none, and began at 0."""
+    fleet = Fleet(0, size, acceptors)
+    return FleetLimits(fleet, ClusterBounds(), rules, lambda lease, now: holds, 7, 0.0, **more)  # type: ignore[arg-type]
+
+
+def test_two_levels_hold_together_and_leak_nothing() -> None:
+    outer = LimitRule("class", LimitScope.CLASS, "*", rate_per_s=10.0, burst=10.0, floor_ratio=1.0)
+    inner = LimitRule("tenant", LimitScope.TENANT, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0)
+    places = LimitRule("source", LimitScope.SOURCE, "s", max_in_flight=2, floor_ratio=1.0)
+    limits = alone(outer, inner, places)
+    now = 100.0
+    what = ((LimitScope.CLASS, "c"), (LimitScope.TENANT, "t"), (LimitScope.SOURCE, "s"))
+    first = limits.admit_all(what, now, 1.0)
+    second = limits.admit_all(what, now, 1.0)
+    assert isinstance(first, Permit) and isinstance(second, Permit)
+    for _ in range(20):
+        refused = limits.admit_all(what, now, 1.0)
+        assert isinstance(refused, Rejection) and refused.rule == "source"
+    limits.release(first, now)
+    limits.release(first, now)
+    assert isinstance(limits.admit_all(what, now, 1.0), Permit)
+    limits.release(second, now)
+    # The tenant's tokens are used; of the class's ten only three are, whatever was refused in between.
+    refused = limits.admit_all(what, now, 1.0)
+    assert isinstance(refused, Rejection) and refused.rule == "tenant" and 0.9 < refused.retry_after_s <= 1.0
+    assert sum(isinstance(limits.admit(LimitScope.CLASS, "c", now, 1.0), Permit) for _ in range(20)) == 7
+    # A place whose request never ends is free after its time-out.
+    assert isinstance(limits.admit(LimitScope.SOURCE, "s", now + 1.01, 1.0), Permit)
+    assert isinstance(limits.admit(LimitScope.SOURCE, "s", now + 1.01, 1.0), Permit)
+
+
+class DropsUsedLimits(FleetLimits):
+    """Drops limits that are in use."""
+
+    class local_limits_kind(LocalLimits):  # noqa: N801
+        def may_drop(self, limit: LocalLimit, now: float) -> bool:
+            return True
+
+
+def test_values_are_bounded_and_going_gains_nothing() -> None:
+    rule = LimitRule("tenant", LimitScope.TENANT, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0)
+    for kind, most in ((FleetLimits, 3), (DropsUsedLimits, 6)):
+        limits = kind(
+            Fleet(0, 1), ClusterBounds(), [rule], lambda lease, now: None, 7, 0.0, max_local_limits=2
+        )
+        got = [isinstance(limits.admit(LimitScope.TENANT, "a", 50.0, 1.0), Permit) for _ in range(5)]
+        assert got == [True] * 3 + [False] * 2
+        for value in ("b", "b", "c", "d"):
+            limits.admit(LimitScope.TENANT, value, 50.0, 1.0)
+        assert len(limits.local_limits) == 2
+        again = sum(isinstance(limits.admit(LimitScope.TENANT, "a", 50.0, 1.0), Permit) for _ in range(3))
+        assert 3 + again == most
+    # Full again, one goes for another.
+    limits = alone(rule, holds=None, max_local_limits=2)
+    for value, now in (("a", 50.0), ("b", 50.0), ("c", 54.0)):
+        assert isinstance(limits.admit(LimitScope.TENANT, value, now, 1.0), Permit)
+
+
+def told(actions: list[Action]) -> QuotaRequest:
+    (send,) = actions
+    assert isinstance(send, SendMessage) and isinstance(send.message, QuotaRequest)
+    return send.message
+
+
+def test_answers_to_no_need_are_void_and_nobody_without_demand_asks() -> None:
+    limits = alone(RATE, holds=None, size=3)
+    limits.handle_event(HolderObserved(lease_of(RATE), 2, 5), 10.0)
+    assert limits.due() == float("inf")
+    assert isinstance(limits.admit(LimitScope.CLASS, "c", 10.0, 1.0), Rejection)
+    assert limits.due() == 10.0
+    need = told(limits.tick(10.0))
+    assert need.limit == limit_of(lease_of(RATE), "c") and need.term == 5
+    limit, number = need.limit, need.request_number
+    local_limit = limits.local_limits.get(limit)
+    assert local_limit is not None
+    bucket = local_limit.bucket
+    for void in (
+        QuotaGrant(limit, number + 1, 5, 50_000, 9_000, 600),
+        QuotaGrant(limit, number, 4, 50_000, 9_000, 600),
+        QuotaGrant(limit + 1, number, 5, 50_000, 9_000, 600),
+    ):
+        limits.handle_message(2, 1, void, 10.1)
+        assert bucket.grant.quota == NO_QUOTA
+    # More than there is, for longer than there is, is no more than what there is.
+    limits.handle_message(2, 1, QuotaGrant(limit, number, 5, 2**62, 2**62, 2**40), 10.1)
+    assert bucket.grant.quota == Quota(100_000, 30_000) and bucket.grant.valid_until == pytest.approx(10.57)
+    limits.handle_message(2, 1, QuotaGrant(limit, number, 5, 1, 1, 600), 10.1)
+    assert bucket.grant.quota == Quota(100_000, 30_000)
+    # No demand any more: the last Needs end, and so does the share.
+    now = 10.2
+    for _ in range(150):
+        limits.tick(now)
+        now += 0.2
+    assert limits.due() == float("inf") and isinstance(
+        limits.admit(LimitScope.CLASS, "c", now, 1.0), Rejection
+    )
+
+
+def test_a_refused_demand_that_was_told_and_answered_is_not_told_again_before_its_time() -> None:
+    """Twenty Needs a second from each router that is refused were most of the traffic between routers."""
+    limits = alone(RATE, holds=None, size=3)
+    limits.handle_event(HolderObserved(lease_of(RATE), 2, 5), 10.0)
+    needs = 0
+    for step in range(500):
+        now = 10.0 + step / 100
+        limits.admit(LimitScope.CLASS, "c", now, 1.0)
+        for need in [action.message for action in limits.tick(now) if isinstance(action, SendMessage)]:
+            assert isinstance(need, QuotaRequest)
+            needs += 1
+            limits.handle_message(
+                2, 1, QuotaGrant(need.limit, need.request_number, 5, 20_000, 1_000, 600), now
+            )
+    assert 10 < needs < 25
+
+
+def test_unanswered_needs_wait_longer_each_time_and_go_to_those_who_may_hold() -> None:
+    """A busy holder is not asked the more the less it answers; nobody else has to hear of it."""
+    limits = alone(RATE, holds=None, size=9, acceptors=(0, 3, 5))
+    sent = []
+    for step in range(600):
+        now = 10.0 + step / 100
+        limits.admit(LimitScope.CLASS, "c", now, 1.0)
+        sent += [(now, action.to) for action in limits.tick(now) if isinstance(action, SendMessage)]
+    assert {to for _, to in sent} == {3, 5}
+    assert len(sent) <= 2 * 11
+
+
+def test_holder_counts_out_what_it_told_and_hears_no_need_twice() -> None:
+    limited = FleetLimit(RATE, lease_of(RATE), divide_limit(RATE, 4), 0.6)
+    term: list[int | None] = [3]
+    granter = Granter(ClusterBounds(), 4, lambda lease, now: term[0])
+    limit = limit_of(limited.lease, "c")
+    granter.record_term(limited.lease, 3, 0.0)
+    assert granter.handle_request(limited, 1, 1, QuotaRequest(limit, 1, 90_000, 0), 0.65) is None
+    first = granter.handle_request(limited, 1, 1, QuotaRequest(limit, 2, 90_000, 0), 0.67)
+    assert first is not None and first.amount_milli == 100_000
+    assert granter.handle_request(limited, 1, 1, QuotaRequest(limit, 2, 90_000, 0), 0.68) is None
+    second = granter.handle_request(limited, 2, 1, QuotaRequest(limit, 1, 90_000, 0), 0.7)
+    assert second is not None and second.amount_milli == 0
+    lowered = granter.handle_request(limited, 1, 1, QuotaRequest(limit, 3, 90_000, 0), 0.8)
+    assert lowered is not None and lowered.amount_milli == 50_000
+    still = granter.handle_request(limited, 2, 1, QuotaRequest(limit, 2, 90_000, 0), 0.67 + 0.65)
+    assert still is not None and still.amount_milli == 0
+    free = granter.handle_request(limited, 2, 1, QuotaRequest(limit, 3, 90_000, 0), 0.67 + 0.67)
+    assert free is not None and free.amount_milli == 50_000
+    assert (
+        granter.handle_request(limited, 2, 1, QuotaRequest(limit, 4, 90_000, 9), 1.4) is None
+    )  # it has heard a later holder
+    term[0] = None
+    assert granter.handle_request(limited, 2, 1, QuotaRequest(limit, 5, 90_000, 3), 1.4) is None
+    term[0] = 8
+    assert granter.handle_request(limited, 2, 1, QuotaRequest(limit, 6, 90_000, 3), 1.5) is None
+    assert granter.handle_request(limited, 2, 1, QuotaRequest(limit, 7, 90_000, 3), 2.17) is not None
+
+
+def test_holder_feeds_itself_and_routers_that_hear_of_no_holder_ask_all() -> None:
+    limits = alone(RATE, size=2)
+    limits.handle_event(LeaseAcquired(lease_of(RATE), 1, 2.0), 0.0)
+    assert isinstance(limits.admit(LimitScope.CLASS, "c", 1.0, 1.0), Rejection)
+    assert limits.tick(1.0) == []
+    assert isinstance(limits.admit(LimitScope.CLASS, "c", 1.1, 1.0), Permit)
+    lost = alone(RATE, holds=None, size=2)
+    lost.admit(LimitScope.CLASS, "c", 1.0, 1.0)
+    (send,) = lost.tick(1.0)
+    assert isinstance(send, SendMessage) and send.to is None
+    lost.admit(LimitScope.CLASS, "c", 1.1, 1.0)
+    assert lost.tick(1.3) == []
+
+
+def test_demand_is_steady_in_noise_and_quick_in_a_shift() -> None:
+    asked = DemandMeter(0.0, 0.2)
+    for window, many in enumerate((8, 11, 9, 12, 10, 9, 11, 10)):
+        for _ in range(many):
+            asked.add(window * 0.2 + 0.1)
+    assert 47_000 < asked.rate_milli(1.6) < 53_000
+    for n in range(30):
+        asked.add(1.6 + n * 0.002)
+    assert asked.rate_milli(1.66) > 400_000
+    assert asked.rate_milli(1.8) == 150_000
+    assert asked.rate_milli(2.01) == 0
+
+
+def test_a_value_is_not_let_go_for_another_of_the_same_request() -> None:
+    rules = (
+        LimitRule("class", LimitScope.CLASS, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0),
+        LimitRule("tenant", LimitScope.TENANT, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0),
+    )
+    limits = alone(*rules, holds=None, max_local_limits=1)
+    what = ((LimitScope.CLASS, "c"), (LimitScope.TENANT, "t"))
+    assert limits.admit_all(what, 50.0, 1.0) == Rejection("tenant", ClusterBounds().grant_s)
+    assert len(limits.local_limits) == 1
+
+
+def test_a_share_that_lets_no_request_through_is_left_to_others() -> None:
+    rule = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=90.0, burst=3.5, floor_ratio=0.0)
+    limited = FleetLimit(rule, lease_of(rule), divide_limit(rule, 3), 0.6)
+    granter = Granter(ClusterBounds(), 3, lambda lease, now: 1)
+    granter.record_term(limited.lease, 1, -1.0)
+    limit = limit_of(limited.lease, "c")
+    bursts = []
+    for number, (peer, now) in enumerate(
+        ((0, 0.0), (1, 0.1), (0, 0.2), (1, 0.67), (2, 0.7), (0, 0.75), (2, 0.9))
+    ):
+        grant = granter.handle_request(limited, peer, 1, QuotaRequest(limit, number + 1, 90_000, 0), now)
+        assert grant is not None
+        bursts.append(grant.burst_milli)
+    # At 0.9 the first's two shares are 1750 and 1166, the second's is 1750: nothing whole is left.
+    assert bursts == [3500, 0, 1750, 1750, 0, 1166, 0]
--- /dev/null
+++ b/tests/cluster/test_quotas.py
@@ -0,0 +1,106 @@
+"""Division of a limit: sums are exact, floors are kept, and nobody has less than a fair share for another."""
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from paddlequay.cluster.quotas import (
+    MILLI_PER_REQUEST,
+    NO_QUOTA,
+    Quota,
+    divide_limit,
+    even_bursts,
+    max_min_shares,
+)
+from paddlequay.cluster.settings import LimitRule, LimitScope, PartitionMode
+
+WANTS = st.dictionaries(st.integers(0, 60), st.integers(0, 200_000), max_size=20)
+
+
+@settings(max_examples=300, derandomize=True)
+@given(st.integers(0, 500_000), WANTS, st.sampled_from([1, MILLI_PER_REQUEST]))
+def test_shares_are_max_min_fair_and_all_is_handed_out(pool: int, wants: dict[int, int], unit: int) -> None:
+    shares = max_min_shares(pool, wants, unit)
+    asking = {peer: -(-want // unit) * unit for peer, want in wants.items() if want}
+    assert set(shares) == set(asking)
+    assert sum(shares.values()) == (pool // unit * unit if asking else 0)
+    assert all(share >= 0 and share % unit == 0 for share in shares.values())
+    if sum(asking.values()) <= pool // unit * unit:
+        assert all(shares[peer] >= want for peer, want in asking.items())
+        return
+    for peer, want in asking.items():
+        assert shares[peer] <= want
+        if shares[peer] < want:
+            # Who has less than it wants has no less, but for the unit that cannot be split, than anybody.
+            assert all(other <= shares[peer] + unit for other in shares.values())
+
+
+@settings(max_examples=300, derandomize=True)
+@given(
+    st.integers(1, 200),
+    st.floats(0, 1),
+    st.one_of(st.none(), st.integers(1, 500)),
+    st.floats(0.01, 1e5),
+    st.floats(1, 1e4),
+    st.floats(1, 4),
+)
+def test_floors_and_pool_are_the_limit_and_kept_shares_its_multiple(
+    size: int, floor: float, at_once: int | None, rate: float, burst: float, over: float
+) -> None:
+    rate_or_none = rate if at_once is None else None
+    rule = LimitRule(
+        "x", LimitScope.CLASS, "*", rate_or_none, burst, at_once, PartitionMode.OPEN, over, floor
+    )
+    parts = divide_limit(rule, size)
+    for which in ("amount_milli", "burst_milli"):
+        limit, pool = getattr(parts.limit, which), getattr(parts.pool, which)
+        assert size * getattr(parts.floor, which) + pool == limit and pool >= 0
+        assert size * getattr(parts.isolated, which) <= (over - 1) * limit + 1e-6
+    assert parts.floor.amount_milli <= floor * parts.limit.amount_milli / size + 1e-6
+    if at_once is None:
+        assert parts.floor == NO_QUOTA or parts.floor.burst_milli >= MILLI_PER_REQUEST
+    else:
+        assert (
+            parts.floor.amount_milli % MILLI_PER_REQUEST == 0
+            and parts.isolated.amount_milli % MILLI_PER_REQUEST == 0
+        )
+
+
+@given(st.integers(0, 500_000), WANTS)
+@settings(max_examples=100, derandomize=True)
+def test_bursts_are_no_more_than_the_pool(pool: int, wants: dict[int, int]) -> None:
+    bursts = even_bursts(pool, wants)
+    assert sum(bursts.values()) <= pool and len(set(bursts.values())) <= 1
+
+
+def test_shares_of_small_numbers() -> None:
+    assert max_min_shares(10, {1: 2, 2: 20, 3: 20}) == {1: 2, 2: 4, 3: 4}
+    assert max_min_shares(10, {1: 2, 2: 3}) == {1: 4, 2: 6}
+    assert max_min_shares(5 * MILLI_PER_REQUEST, {4: 1, 7: 9 * MILLI_PER_REQUEST}, MILLI_PER_REQUEST) == {
+        4: MILLI_PER_REQUEST,
+        7: 4 * MILLI_PER_REQUEST,
+    }
+    assert max_min_shares(10, {}) == {} == max_min_shares(10, {3: 0})
+    assert divide_limit(LimitRule("x", LimitScope.CLASS, "*", 10.0, 20.0), 4).floor == Quota(500, 1000)
+    assert divide_limit(LimitRule("x", LimitScope.CLASS, "*", 10.0, 19.0), 4).floor == NO_QUOTA
+    assert divide_limit(
+        LimitRule("x", LimitScope.CLASS, "*", max_in_flight=7, floor_ratio=0.9), 3
+    ).pool == Quota(1000)
+
+
+@pytest.mark.parametrize(
+    "rule",
+    [
+        LimitRule("x", LimitScope.CLASS, "*"),
+        LimitRule("x", LimitScope.CLASS, "*", rate_per_s=1.0, max_in_flight=1),
+        LimitRule("x", LimitScope.CLASS, "*", rate_per_s=0.0),
+        LimitRule("x", LimitScope.CLASS, "*", rate_per_s=1.0, burst=0.5),
+        LimitRule("x", LimitScope.CLASS, "*", max_in_flight=0),
+        LimitRule("x", LimitScope.CLASS, "*", rate_per_s=1.0, floor_ratio=1.1),
+        LimitRule("x", LimitScope.CLASS, "*", rate_per_s=1.0, open_factor=0.9),
+        LimitRule("", LimitScope.CLASS, "*", rate_per_s=1.0),
+    ],
+)
+def test_rules_that_say_nothing_are_refused(rule: LimitRule) -> None:
+    with pytest.raises(ValueError, match="limit"):
+        divide_limit(rule, 3)
