--- /dev/null
+++ b/paddlequay/cluster/table_epochs.py
@@ -0,0 +1,73 @@
+"""Epochs of placement tables: how they are numbered, what they name, and how they are announced.
+
+An epoch is the term of a holder with a number that starts anew under each term. No two runs share a term, so
+no two holders ever make the same epoch, and a later holder's epochs are higher, as its term is. One epoch
+names one table for good; a rollback is a new epoch with the earlier table.
+"""
+
+from dataclasses import dataclass
+
+from paddlequay.cluster.ballots import counter_of
+from paddlequay.cluster.messages import TableAnnouncement
+from paddlequay.cluster.types import NameDigest
+from paddlequay.placement.homes import digest
+
+TABLES_LEASE: NameDigest = digest("tables")
+
+NUMBER_BITS = 32
+MAX_NUMBER = (1 << NUMBER_BITS) - 1
+
+
+def epoch_of(term: int, number: int) -> int:
+    """Returns an epoch of 95 bits, to be compared as a number; messages carry both parts."""
+    return term << NUMBER_BITS | number
+
+
+def term_of(epoch: int) -> int:
+    """Returns the term under which an epoch was made."""
+    return epoch >> NUMBER_BITS
+
+
+def number_of(epoch: int) -> int:
+    """Returns the number of an epoch under its term."""
+    return epoch & MAX_NUMBER
+
+
+def short_epoch(epoch: int) -> int:
+    """Returns an epoch in 63 bits for messages and logs, in order but for terms of the same counter."""
+    return counter_of(term_of(epoch)) << NUMBER_BITS | number_of(epoch)
+
+
+@dataclass(frozen=True, slots=True)
+class TableContent:
+    """What a router has compiled, or what an epoch names.
+
+    Attributes:
+        table: The digest of the compiled table, 0 for none.
+        rules: The digest of the text of the rules, 0 where it is not told.
+    """
+
+    table: int
+    rules: int = 0
+
+
+NO_TABLE = TableContent(0)
+
+
+@dataclass(frozen=True, slots=True)
+class DeclaredEpoch:
+    """An epoch that a majority has agreed on, and its table."""
+
+    epoch: int
+    content: TableContent
+
+    def announcement(self) -> TableAnnouncement:
+        """Returns the message that declares it."""
+        return announcement(self.epoch, self.content, is_declaration=True)
+
+
+def announcement(epoch: int, content: TableContent, is_declaration: bool) -> TableAnnouncement:
+    """Returns the message that proposes or declares an epoch."""
+    return TableAnnouncement(
+        number_of(epoch), term_of(epoch), content.table, content.rules, int(is_declaration)
+    )
--- a/paddlequay/lab/table_world.py
+++ b/paddlequay/lab/table_world.py
@@ -8,10 +8,10 @@
 import random
 from collections.abc import Callable, Iterable
 
-from paddlequay.cluster.epochs import LEASE
 from paddlequay.cluster.leases import Leases
 from paddlequay.cluster.outbox import Outbox
-from paddlequay.cluster.tables import Tables
+from paddlequay.cluster.placement_epochs import PlacementEpochs
+from paddlequay.cluster.table_epochs import TABLES_LEASE
 from paddlequay.cluster.types import (
     Action,
     ClusterBounds,
@@ -39,7 +39,7 @@
 class Process:
     """One life of a router."""
 
-    def __init__(self, world: "World", me: Peer, kind: type[Tables], incarnation: int) -> None:
+    def __init__(self, world: "World", me: Peer, kind: type[PlacementEpochs], incarnation: int) -> None:
         self.world, self.me, self.began = world, me, world.time
         self.rate, self.base = world.rng.uniform(*world.rates), world.rng.uniform(0, 1000)
         fleet = Fleet(me, world.size, world.acceptors)
@@ -60,7 +60,7 @@
         return self.base + (self.world.time - self.began) * self.rate
 
     def retake(self, now: float) -> list[Action]:
-        return self.leases.release(LEASE, now) + self.leases.request(LEASE, now)
+        return self.leases.release(TABLES_LEASE, now) + self.leases.request(TABLES_LEASE, now)
 
     def do(self, act: Callable[[float], list[Action]]) -> None:
         """What follows from an event; nothing happens to a stopped process until it goes on."""
@@ -124,7 +124,7 @@
 
     def use(self) -> tuple[int | None, int | None]:
         """Epoch and digest in use now."""
-        return self.tables.in_use(self.clock), self.tables.table(self.clock)
+        return self.tables.epoch_in_use(self.clock), self.tables.table_in_use(self.clock)
 
 
 class World:
@@ -134,7 +134,7 @@
         self,
         size: int,
         seed: int,
-        kind: type[Tables] = Tables,
+        kind: type[PlacementEpochs] = PlacementEpochs,
         acceptors: tuple[Peer, ...] = (0, 1, 2),
         delay: tuple[float, float] = (0.005, 0.015),
         rates: tuple[float, float] = (0.95, 1.05),
@@ -160,7 +160,7 @@
 
     def begin(self, process: Process) -> None:
         if process.me in self.acceptors:
-            process.do(lambda now: process.leases.request(LEASE, now))
+            process.do(lambda now: process.leases.request(TABLES_LEASE, now))
         self.compile(process.me)
 
     def compile(self, me: Peer) -> None:
@@ -223,7 +223,7 @@
                 self.at(self.time + DETECTED, lambda other=other: told(self.processes[other]))  # type: ignore[misc]
 
     def holder(self) -> Peer | None:
-        return next((p.me for p in self.processes if p.leases.holds(LEASE, p.clock) is not None), None)
+        return next((p.me for p in self.processes if p.leases.holds(TABLES_LEASE, p.clock) is not None), None)
 
     def alike(self, peers: Iterable[Peer] | None = None, digest: int | None = None) -> bool:
         """Whether these routers use one epoch, of that table."""
--- a/paddlequay/net/cluster/placement_tables.py
+++ b/paddlequay/net/cluster/placement_tables.py
@@ -1,7 +1,8 @@
 """Joins rules of placement with the router: compiles them for its list, and has edges follow what is in use.
 
-`cluster/tables.py` says which table that is, at each request; without its word homes are plain, as without a
-file. Compiling is bounded by `compile.DRAWS_MOST`, some seconds at most, and done in a thread, one at a time.
+`cluster/placement_epochs.py` says which table that is, at each request; without its word homes are plain, as
+without a file. Compiling is bounded by `compile.DRAWS_MOST`, some seconds at most, and done in a thread, one
+at a time.
 """
 
 import asyncio
@@ -11,9 +12,9 @@
 from dataclasses import replace
 from pathlib import Path
 
-from paddlequay.cluster.epochs import LEASE, mark
 from paddlequay.cluster.node import Node
-from paddlequay.cluster.tables import Tables
+from paddlequay.cluster.placement_epochs import PlacementEpochs
+from paddlequay.cluster.table_epochs import TABLES_LEASE, short_epoch
 from paddlequay.cluster.types import Action, TableChanged
 from paddlequay.errors import ConfigError
 from paddlequay.observability import log
@@ -51,7 +52,7 @@
     """Placement by rules at one router. `ConfigError` where the file cannot be used.
 
     `told` hands on what follows at a node, `clock` is the one that the node goes by. Memory: the tables that
-    `Tables.needed` names, and the two that a `Mover` holds.
+    `PlacementEpochs.needed_tables` names, and the two that a `Mover` holds.
     """
 
     def __init__(
@@ -67,7 +68,7 @@
         self.told, self.clock = told, clock
         self.rules = self.read()
         self.node: Node | None = None
-        self.tables: Tables | None = None
+        self.tables: PlacementEpochs | None = None
         self.own: Table | None = None  # what was compiled last,
         self.listed: tuple[Member, ...] | None = None  # for this list; None: nothing yet
         self.held: dict[int, Table] = {}
@@ -90,14 +91,18 @@
 
         def retake(now: float) -> list[Action]:
             leases = node.leases
-            return [] if leases is None else leases.release(LEASE, now) + leases.request(LEASE, now)
+            return (
+                []
+                if leases is None
+                else leases.release(TABLES_LEASE, now) + leases.request(TABLES_LEASE, now)
+            )
 
         self.node, self.mover, self.waits = node, None, None
-        self.tables = Tables(node.fleet, node.settings.bounds, node.holds, retake)
-        node.join(self.tables, Tables.HANDLED_MESSAGES)
+        self.tables = PlacementEpochs(node.fleet, node.settings.bounds, node.holds, retake)
+        node.join(self.tables, PlacementEpochs.HANDLED_MESSAGES)
         now = self.clock()
         if node.leases is not None and node.fleet.me in node.fleet.acceptors:
-            node.begun += node.leases.request(LEASE, now)
+            node.begun += node.leases.request(TABLES_LEASE, now)
         node.begun += self.tables.compiled(*self.compiled(), now)
 
     def leave_cluster(self) -> None:
@@ -107,7 +112,7 @@
     def release_lease(self, now: float) -> list[Action]:
         """Give the lease back, so that nobody has to wait for its end."""
         leases = self.node.leases if self.node is not None else None
-        return leases.release(LEASE, now) if leases is not None else []
+        return leases.release(TABLES_LEASE, now) if leases is not None else []
 
     def start(self) -> None:
         self.tasks = [asyncio.ensure_future(self.beating())]
@@ -123,7 +128,7 @@
             return
         self.next = rules
         if self.tables is not None:
-            self.act(self.tables.wanted(named(rules), self.clock()))
+            self.act(self.tables.rules_changed(named(rules), self.clock()))
 
     async def beating(self) -> None:
         while True:
@@ -195,7 +200,7 @@
             self.held[whole(table)] = table
         if self.tables is not None:
             self.act(self.tables.compiled(*self.compiled(), now))
-            needed = self.tables.needed(now)
+            needed = self.tables.needed_tables(now)
             self.held = {key: each for key, each in self.held.items() if key in needed or each is table}
 
     # --- what the fleet has agreed on ---
@@ -233,7 +238,7 @@
     def found(self, key: HomeKey) -> tuple[Sheet, Placed] | None:
         """Where an object is placed now; asked for at each decision, so that nothing outlives its epoch."""
         mover, now = self.mover, self.clock()
-        if mover is None or self.tables is None or self.tables.in_use(now) is None:
+        if mover is None or self.tables is None or self.tables.epoch_in_use(now) is None:
             return None
         placed = mover.lookup(key.class_name, key.tenant, key.group, key.key, key.part, now)
         if placed is None:
@@ -255,10 +260,10 @@
     def status_page(self) -> dict[str, object]:
         """What is in use and what is compiled here."""
         now, tables, mover = self.clock(), self.tables, self.mover
-        epoch = tables.in_use(now) if tables is not None else None
+        epoch = tables.epoch_in_use(now) if tables is not None else None
         return {
-            "epoch": None if epoch is None else mark(epoch),
-            "table": None if epoch is None or tables is None else f"{tables.table(now) or 0:016x}",
+            "epoch": None if epoch is None else short_epoch(epoch),
+            "table": None if epoch is None or tables is None else f"{tables.table_in_use(now) or 0:016x}",
             "follows": None if epoch is None or mover is None else mover.table.digest[:16],
             "compiled": None if self.own is None else self.own.digest,
             "members": None if self.own is None else len(self.own.names),
--- a/tests/cluster/test_tables.py
+++ b/tests/cluster/test_placement_epochs.py
@@ -4,10 +4,11 @@
 
 import pytest
 
-from paddlequay.cluster import epochs
-from paddlequay.cluster.epochs import Content, Declared, Declarer, Proposal, epoch_of
 from paddlequay.cluster.messages import TableAcknowledgement, TableAnnouncement
-from paddlequay.cluster.tables import KEPT_MOST, Tables
+from paddlequay.cluster.placement_epochs import PlacementEpochs
+from paddlequay.cluster.table_epochs import TABLES_LEASE, DeclaredEpoch, TableContent, epoch_of, short_epoch
+from paddlequay.cluster.table_follower import MAX_OWN_TABLES, TableFollower
+from paddlequay.cluster.table_proposer import ResendTimer, TableProposal, TableProposer
 from paddlequay.cluster.types import (
     Action,
     ClusterBounds,
@@ -23,13 +24,13 @@
 AGREED = 15.0  # seconds after which all are alike that hear each other and have the same list
 
 
-def settled(size: int, seed: int, kind: type[Tables] = Tables) -> World:
+def settled(size: int, seed: int, kind: type[PlacementEpochs] = PlacementEpochs) -> World:
     world = World(size, seed, kind)
     assert world.run(AGREED, world.alike) is not None
     return world
 
 
-def troubled(seed: int, kind: type[Tables] = Tables, seconds: float = 60.0) -> World:
+def troubled(seed: int, kind: type[PlacementEpochs] = PlacementEpochs, seconds: float = 60.0) -> World:
     """Everything that can happen, some of it each second, to five routers."""
     world = World(5, seed, kind, delay=(0.001, 0.3))
     rng = world.rng
@@ -80,26 +81,28 @@
 # --- each guard taken out ---
 
 
-class GoesBack(Tables):
-    def later(self, epoch: int) -> bool:
-        return self.active is None or epoch != self.active.epoch
+class GoesBack(PlacementEpochs):
+    class follower_kind(TableFollower):  # noqa: N801
+        def is_later(self, epoch: int) -> bool:
+            return self.active is None or epoch != self.active.epoch
 
 
-class TakesAny(Tables):
+class TakesAny(PlacementEpochs):
     """Takes an epoch up with the table that it has."""
 
-    def may(self, declared: Declared) -> bool:
-        return self.own.table != 0
+    class follower_kind(TableFollower):  # noqa: N801
+        def has_table_of(self, declared: DeclaredEpoch) -> bool:
+            return self.own.table != 0
 
-    def _take(self, declared: Declared, now: float) -> list[Action]:
-        return super()._take(Declared(declared.epoch, self.own), now)
+        def take_up(self, declared: DeclaredEpoch, now: float) -> list[Action]:
+            return super().take_up(DeclaredEpoch(declared.epoch, self.own), now)
 
 
-class WithoutTerm(Tables):
+class WithoutTerm(PlacementEpochs):
     """Numbers its epochs from those that it has heard of."""
 
-    class declarers(Declarer):  # noqa: N801
-        def begin(self, term: int, active: Declared | None, now: float) -> None:
+    class proposer_kind(TableProposer):  # noqa: N801
+        def begin(self, term: int, active: DeclaredEpoch | None, now: float) -> None:
             super().begin(term, active, now)
             self.number = 0 if active is None else active.epoch & 0xFFFFFFFF
 
@@ -112,7 +115,7 @@
 
 
 @pytest.mark.parametrize("kind", [GoesBack, TakesAny, WithoutTerm])
-def test_the_world_sees_a_guard_that_is_taken_out(kind: type[Tables]) -> None:
+def test_the_world_sees_a_guard_that_is_taken_out(kind: type[PlacementEpochs]) -> None:
     def search() -> None:
         for seed in range(25):
             troubled(seed, kind)
@@ -216,13 +219,13 @@
     assert holder is not None
     process, rest = world.processes[holder], [peer for peer in range(5) if peer != holder]
     world.change(range(5), 1, 2)
-    declarer = process.tables.declarer
+    proposer = process.tables.proposer
 
     def agreed() -> bool:
         # From now on nothing of its own goes out; what it hears is a majority.
-        if declarer.proposal is not None:
-            world.cuts |= {(holder, peer) for peer in rest if declarer.answers}
-        return declarer.declared is not None and declarer.declared.content.table == digest_of(1, 2)
+        if proposer.proposal is not None:
+            world.cuts |= {(holder, peer) for peer in rest if proposer.answers.by_peer}
+        return proposer.declared is not None and proposer.declared.content.table == digest_of(1, 2)
 
     assert world.run(3.0, agreed, step=0.002) is not None
     assert not any(world.processes[peer].use()[1] == digest_of(1, 2) for peer in rest)
@@ -248,8 +251,8 @@
 # --- one router ---
 
 
-def one(me: int = 0, holds: Callable[[int, float], int | None] = lambda *_: None) -> Tables:
-    tables = Tables(Fleet(me, 5, (0, 1, 2)), ClusterBounds(), holds)
+def one(me: int = 0, holds: Callable[[int, float], int | None] = lambda *_: None) -> PlacementEpochs:
+    tables = PlacementEpochs(Fleet(me, 5, (0, 1, 2)), ClusterBounds(), holds)
     tables.compiled(1, 10, 0.0)
     return tables
 
@@ -262,43 +265,43 @@
     term, held = term_of(3, 0), [True]
     tables = one(0, lambda *_: term if held[0] else None)
     assert any(
-        isinstance(a, SendMessage) for a in tables.handle_event(LeaseAcquired(epochs.LEASE, term, 9.0), 0.0)
+        isinstance(a, SendMessage) for a in tables.handle_event(LeaseAcquired(TABLES_LEASE, term, 9.0), 0.0)
     )
     held[0] = False
     answers = [
         tables.handle_message(peer, 1, TableAcknowledgement(1, term, 10, 0), 5.0) for peer in (1, 2, 3, 4)
     ]
-    assert answers == [[]] * 4 and tables.in_use(5.0) is None
+    assert answers == [[]] * 4 and tables.epoch_in_use(5.0) is None
 
 
 def test_only_answers_to_this_epoch_count_for_its_majority() -> None:
     term = term_of(3, 0)
     tables = one(0, lambda *_: term)
-    tables.handle_event(LeaseAcquired(epochs.LEASE, term, 9.0), 0.0)
+    tables.handle_event(LeaseAcquired(TABLES_LEASE, term, 9.0), 0.0)
     for peer in (1, 2, 3, 4):
         tables.handle_message(peer, 1, TableAcknowledgement(7, term_of(2, 1), 10, 0), 0.1)
-    assert tables.in_use(0.2) is None
+    assert tables.epoch_in_use(0.2) is None
     tables.handle_message(1, 1, TableAcknowledgement(1, term, 10, 0), 0.2)
-    assert tables.in_use(0.2) is None
+    assert tables.epoch_in_use(0.2) is None
     tables.handle_message(2, 1, TableAcknowledgement(1, term, 10, 0), 0.2)
-    assert tables.in_use(0.2) == epoch_of(term, 1)
+    assert tables.epoch_in_use(0.2) == epoch_of(term, 1)
 
 
 def test_an_answer_that_was_overtaken_does_not_undo_the_later_one() -> None:
     term = term_of(3, 0)
-    declarer = Declarer(Fleet(0, 5, (0, 1, 2)), ClusterBounds(), lambda *_: term)
-    declarer.begin(term, None, 0.0)
-    declarer.heard(1, 1, TableAcknowledgement(2, term, 10, 0), 0.0)
-    declarer.heard(1, 1, TableAcknowledgement(1, term, 9, 0), 0.0)
-    proposal = Proposal(epoch_of(term, 2), Content(10), 0.0, epochs.Tries())
-    assert declarer.answers[1].table == 10 and not declarer.agreed(proposal)
+    proposer = TableProposer(Fleet(0, 5, (0, 1, 2)), ClusterBounds(), lambda *_: term)
+    proposer.begin(term, None, 0.0)
+    proposer.handle_acknowledgement(1, 1, TableAcknowledgement(2, term, 10, 0), 0.0)
+    proposer.handle_acknowledgement(1, 1, TableAcknowledgement(1, term, 9, 0), 0.0)
+    proposal = TableProposal(epoch_of(term, 2), TableContent(10), 0.0, ResendTimer())
+    assert proposer.answers.by_peer[1].table == 10 and not proposer.is_agreed(proposal)
 
 
 def test_a_lease_whose_term_is_below_epochs_in_use_is_taken_anew() -> None:
     term, retaken = term_of(3, 0), list[float]()
     fleet = Fleet(0, 5, (0,))
-    tables = Tables(fleet, ClusterBounds(), lambda *_: term, lambda now: retaken.append(now) or [])  # type: ignore[func-returns-value]
-    tables.handle_event(LeaseAcquired(epochs.LEASE, term, 9.0), 0.0)
+    tables = PlacementEpochs(fleet, ClusterBounds(), lambda *_: term, lambda now: retaken.append(now) or [])  # type: ignore[func-returns-value]
+    tables.handle_event(LeaseAcquired(TABLES_LEASE, term, 9.0), 0.0)
     for at in (1.0, 2.0):
         tables.handle_message(3, 1, TableAcknowledgement(1, term_of(8, 2), 10, 0), at)
     assert retaken == [1.0]
@@ -306,7 +309,7 @@
 
 def test_a_declaration_finds_a_table_that_the_list_has_moved_on_from_within_a_bound() -> None:
     tables, term = one(3), term_of(3, 1)
-    for table in range(11, 11 + KEPT_MOST):
+    for table in range(11, 11 + MAX_OWN_TABLES):
         tables.compiled(1, table, 1.0)
     assert tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 1.0)[0] == SendMessage(
         1, TableAcknowledgement(1, term, 14, 0), Urgency.CHANGE
@@ -315,12 +318,16 @@
     assert told[0] == TableChanged(epoch_of(term, 2), 11, None, 1.0)
     for table in range(20, 40):
         tables.compiled(1, table, 2.0)
-    assert tables.table(2.0) == 11 and 11 in tables.needed(2.0) and len(tables.needed(2.0)) <= KEPT_MOST + 2
+    assert (
+        tables.table_in_use(2.0) == 11
+        and 11 in tables.needed_tables(2.0)
+        and len(tables.needed_tables(2.0)) <= MAX_OWN_TABLES + 2
+    )
 
 
 def test_rules_that_are_not_compiled_yet_agree_with_nothing() -> None:
     tables, term = one(3), term_of(3, 1)
-    tables.wanted(2, 1.0)
+    tables.rules_changed(2, 1.0)
     assert tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 0), 1.0) == [
         SendMessage(1, TableAcknowledgement(1, term, 0, 0), Urgency.CHANGE)
     ]
@@ -335,7 +342,7 @@
     tables, term = one(3), term_of(3, 1)
     tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 1.0)
     tables.handle_message(1, 1, TableAnnouncement(2, term, 11, 1, 1), 2.0)
-    assert tables.table(2.0) == 10
+    assert tables.table_in_use(2.0) == 10
     assert TableChanged(epoch_of(term, 2), 11, 10, 63.0) in tables.compiled(1, 11, 3.0)
 
 
@@ -344,55 +351,55 @@
     tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 1.0)
     tables.handle_message(1, 1, TableAnnouncement(2, term, 11, 1, 1), 2.0)
     tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 20.0)
-    assert tables.in_use(30.9) == epoch_of(term, 1) and tables.in_use(31.0) is None
+    assert tables.epoch_in_use(30.9) == epoch_of(term, 1) and tables.epoch_in_use(31.0) is None
 
 
-def holder() -> Declarer:
+def holder() -> TableProposer:
     """The holder under a second term, which has in use what the one before it declared."""
-    declarer = Declarer(Fleet(0, 5, (0, 1, 2)), ClusterBounds(), lambda *_: term_of(4, 0))
-    declarer.compiled(Content(10), 0.0)
-    declarer.begin(term_of(4, 0), Declared(epoch_of(term_of(3, 1), 1), Content(10)), 0.0)
-    return declarer
+    proposer = TableProposer(Fleet(0, 5, (0, 1, 2)), ClusterBounds(), lambda *_: term_of(4, 0))
+    proposer.set_own(TableContent(10), 0.0)
+    proposer.begin(term_of(4, 0), DeclaredEpoch(epoch_of(term_of(3, 1), 1), TableContent(10)), 0.0)
+    return proposer
 
 
 def test_a_later_holder_repeats_the_epoch_before_until_it_hears_of_one_that_came_after() -> None:
-    declarer = holder()
+    proposer = holder()
     former = TableAnnouncement(1, term_of(3, 1), 10, 0, 1)
-    assert SendMessage(None, former) in declarer.tick(0.0)[0]
-    assert SendMessage(2, former, Urgency.CHANGE) in declarer.alive(2, 0.1)
-    declarer.heard(
-        2, 1, TableAcknowledgement(1, term_of(4, 0), 11, epochs.mark(epoch_of(term_of(3, 1), 2))), 0.1
+    assert SendMessage(None, former) in proposer.tick(0.0).actions
+    assert SendMessage(2, former, Urgency.CHANGE) in proposer.peer_alive(2, 0.1)
+    proposer.handle_acknowledgement(
+        2, 1, TableAcknowledgement(1, term_of(4, 0), 11, short_epoch(epoch_of(term_of(3, 1), 2))), 0.1
     )
-    assert declarer.declared is None
+    assert proposer.declared is None
 
 
 def test_a_proposal_goes_again_to_who_has_not_answered_or_has_another_table() -> None:
-    declarer = holder()
-    declarer.tick(0.0)
-    declarer.heard(1, 1, TableAcknowledgement(1, term_of(4, 0), 10, 0), 0.1)
-    declarer.heard(2, 1, TableAcknowledgement(1, term_of(4, 0), 11, 0), 0.1)
+    proposer = holder()
+    proposer.tick(0.0)
+    proposer.handle_acknowledgement(1, 1, TableAcknowledgement(1, term_of(4, 0), 10, 0), 0.1)
+    proposer.handle_acknowledgement(2, 1, TableAcknowledgement(1, term_of(4, 0), 11, 0), 0.1)
     note = TableAnnouncement(1, term_of(4, 0), 10, 0, 0)
     again = [
         action
-        for action in declarer.tick(0.2)[0]
+        for action in proposer.tick(0.2).actions
         if isinstance(action, SendMessage) and action.message == note
     ]
     assert [tell.to for tell in again] == [2, 3, 4]
-    assert declarer.tick(0.3)[0] == [] and declarer.due() < 0.7
+    assert proposer.tick(0.3).actions == [] and proposer.due() < 0.7
 
 
 def test_a_declaration_goes_again_to_who_has_not_confirmed_it_and_at_once_to_who_is_behind() -> None:
-    declarer = holder()
-    declarer.tick(0.0)
+    proposer = holder()
+    proposer.tick(0.0)
     for peer in (1, 2):
-        declarer.heard(peer, 1, TableAcknowledgement(1, term_of(4, 0), 10, 0), 0.1)
+        proposer.handle_acknowledgement(peer, 1, TableAcknowledgement(1, term_of(4, 0), 10, 0), 0.1)
     note = TableAnnouncement(1, term_of(4, 0), 10, 0, 1)
-    assert SendMessage(None, note, Urgency.CHANGE) in declarer.tick(0.1)[0]
-    declarer.heard(
-        2, 1, TableAcknowledgement(1, term_of(4, 0), 10, epochs.mark(epoch_of(term_of(4, 0), 1))), 0.2
+    assert SendMessage(None, note, Urgency.CHANGE) in proposer.tick(0.1).actions
+    proposer.handle_acknowledgement(
+        2, 1, TableAcknowledgement(1, term_of(4, 0), 10, short_epoch(epoch_of(term_of(4, 0), 1))), 0.2
     )
-    assert declarer.tick(0.31)[0] == [SendMessage(peer, note, Urgency.CHANGE) for peer in (1, 3, 4)]
+    assert proposer.tick(0.31).actions == [SendMessage(peer, note, Urgency.CHANGE) for peer in (1, 3, 4)]
     former = epoch_of(term_of(3, 1), 1)
-    assert declarer.heard(3, 1, TableAcknowledgement(1, term_of(3, 1), 10, epochs.mark(former)), 0.4) == [
-        SendMessage(3, note, Urgency.CHANGE)
-    ]
+    assert proposer.handle_acknowledgement(
+        3, 1, TableAcknowledgement(1, term_of(3, 1), 10, short_epoch(former)), 0.4
+    ) == [SendMessage(3, note, Urgency.CHANGE)]
--- a/tests/cluster/test_placement_tables.py
+++ b/tests/cluster/test_placement_tables.py
@@ -180,7 +180,7 @@
         await world.beat()
         await world.beat()
         assert world.counters.counts["placement_refused"] == 1 and world.all_at("e2")
-        assert world.placement.tables is not None and world.placement.tables.own.table != 0
+        assert world.placement.tables is not None and world.placement.tables.follower.own.table != 0
 
     play(tmp_path, script)
 
