--- a/tests/cluster/test_cluster_model.py
+++ b/tests/cluster/test_cluster_model.py
@@ -82,7 +82,7 @@
         return auditor.over
 
     assert 0.3 < shifted() <= 1.0
-    monkeypatch.setattr("paddlequay.cluster.node.Limits", Careless)
+    monkeypatch.setattr("paddlequay.cluster.node.FleetLimits", Careless)
     assert shifted() > 1.0
 
 
