--- a/tests/cluster/test_cluster_model.py
+++ b/tests/cluster/test_cluster_model.py
@@ -4,8 +4,10 @@
 
 import pytest
 
-from paddlequay.cluster import granter, limits, proposer
+from paddlequay.cluster import elections, fleet_limits, granter
+from paddlequay.cluster.bids import Bid
 from paddlequay.cluster.leases import Leases
+from paddlequay.cluster.limit_registry import FleetLimit
 from paddlequay.cluster.node import Node
 from paddlequay.cluster.types import PeerState
 from paddlequay.lab.cluster_model import found, moved, steady
@@ -31,29 +33,29 @@
     assert sum(told.faults.values()) > 3 and told.admitted > 300
 
 
-class Endless(proposer.Proposer):
+class Endless(elections.Elections):
     """A holder that believes in its lease whatever its clock says."""
 
-    def counts(self, bid: proposer.Bid, now: float) -> bool:
-        return bid.until > 0 and bid.phase.value == "holding"
+    def is_held(self, bid: Bid, now: float) -> bool:
+        return bid.held_until > 0 and bid.phase.value == "holding"
 
 
 class EndlessLeases(Leases):
-    proposer_kind = Endless
+    elections_kind = Endless
 
 
 class NoWait(granter.Granter):
     """A new holder grants at once what its predecessor's grants may still hold."""
 
-    def waits(self, kept: granter.Kept) -> float:
+    def wait_after_acquisition(self, limit: FleetLimit) -> float:
         return 0.0
 
-    def late(self, life: float) -> float:
+    def outstanding_for(self, grant_s: float) -> float:
         return 0.0
 
 
-class Careless(limits.Limits):
-    granters = NoWait
+class Careless(fleet_limits.FleetLimits):
+    granter_kind = NoWait
 
 
 def test_the_auditor_sees_two_holders(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -80,7 +82,7 @@
         return auditor.over
 
     assert 0.3 < shifted() <= 1.0
-    monkeypatch.setattr("paddlequay.cluster.node.Limits", Careless)
+    monkeypatch.setattr("paddlequay.cluster.node.FleetLimits", Careless)
     assert shifted() > 1.0
 
 
