--- a/paddlequay/net/clients/client_front.py
+++ b/paddlequay/net/clients/client_front.py
@@ -1,4 +1,4 @@
-"""The clients' front: which connections are accepted, which are closed for others, and how it drains."""
+"""The front for clients: accepts connections, closes idle ones for others, and drains all of them."""
 
 import asyncio
 import socket
@@ -20,7 +20,20 @@
 
 
 class ClientFront:
-    """The clients' listener and their connections. Another front beside it would use the same exchange."""
+    """Owns the listener of clients and their connections.
+
+    Attributes:
+        unsent_bytes: Bytes of answers that clients have not read yet, over all connections.
+        queued_bytes: Bytes of bodies of calls that are read but not submitted, over all connections.
+        shutting_down: Whether SIGTERM was received.
+        replaced: Whether a successor accepts clients.
+        refusing_new: Whether the late connections after SIGTERM have been served.
+        handing_over: Whether a successor accepts what is new, or the shutdown nears its end.
+        near_end: Whether the process exits in less than a second.
+        drained_at: When operators started a drain, in monotonic seconds.
+        closing_when_quiet: Whether each connection closes as soon as it is at rest.
+        rejecting_new: Whether new calls are rejected, so that every connection comes to rest.
+    """
 
     def __init__(
         self,
@@ -33,51 +46,54 @@
     ) -> None:
         self.operator_state = operator_state
         operator_state.on_change.append(self.override_changed)
-        self.exchange, self.quotas, self.limits, self.counters = exchange, quotas, limits, counters
+        self.exchange = exchange
+        self.quotas = quotas
+        self.limits = limits
+        self.counters = counters
         self.sessions: set[ClientSession] = set()
         self.idle_sessions = IdleSessions()
         self.tasks: set[asyncio.Task[None]] = set()
         self.overload = overload
         self.overload_answer = FinalAnswer(AnswerStatus.REJECTED, retry_after=limits.shed_retry_after)
         self.unsent_bytes = 0
-        self.queued_bytes = 0  # of the bodies of calls that are read and not submitted yet
+        self.queued_bytes = 0
         self.listener: socket.socket | None = None
         self.acceptor: Acceptor | None = None
-        self.shutting_down = False  # SIGTERM has come
-        self.replaced = False  # and a successor takes clients
-        self.refusing_new = False  # late connections after SIGTERM have been served
-        self.handing_over = False  # a successor takes what is new, or the end has come
-        self.near_end = False  # and it is less than a second away
-        self.drained_at: float | None = None  # when operators had the router drained
-        self.closing_when_quiet = False  # connections close at their next quiet moment
-        self.rejecting_new = False  # and those that never have one are given one
+        self.shutting_down = False
+        self.replaced = False
+        self.refusing_new = False
+        self.handing_over = False
+        self.near_end = False
+        self.drained_at: float | None = None
+        self.closing_when_quiet = False
+        self.rejecting_new = False
         self.draining_answer = FinalAnswer(AnswerStatus.REJECTED, retry_after=limits.busy_retry_after)
 
     def now(self) -> float:
-        """Monotonic seconds."""
+        """Returns the monotonic time in seconds."""
         return self.exchange.scheduler.monotonic()
 
     @property
     def max_unsent(self) -> float:
-        """Bytes of answers that clients may leave untaken, over all connections."""
+        """Returns the limit on `unsent_bytes`."""
         return self.limits.max_unsent * self.quotas.memory_share
 
     @property
     def writers(self) -> list[AnswerWriter]:
-        """The writers of all connections."""
+        """Returns the writers of all connections."""
         return [session.writer for session in self.sessions]
 
     @property
     def max_queued(self) -> float:
-        """Bytes of bodies that may wait before the exchange, which has a bound of its own."""
+        """Returns the limit on `queued_bytes`; the exchange limits the bodies of pending requests itself."""
         return self.limits.max_body_bytes * self.quotas.memory_share / 2
 
     def accepts_requests(self) -> bool:
-        """Whether this router is ready, as its clients are told; two processes count as one router."""
+        """Returns the readiness that clients see; two processes of a hot restart count as one router."""
         return not self.operator_state.draining and (not self.shutting_down or self.replaced)
 
     def override_changed(self, name: str) -> None:
-        """Operators have the router drained, or resumed: then all is as before, at once."""
+        """Starts a drain by operators, or resumes normal service at once."""
         if name == DRAIN and self.operator_state.draining:
             self.drained_at = self.now()
         elif name == DRAIN:
@@ -86,23 +102,19 @@
 
     @property
     def open_summary(self) -> str:
-        """What is open, for operators."""
+        """Returns the numbers of connections and pending requests, for operators."""
         return f"{len(self.sessions)} connections, {len(self.exchange.pending)} requests open"
 
     def close_quiet_connections(self) -> None:
-        """At each heartbeat: close what is quiet where connections are to go, and go on with a drain.
+        """Continues a drain or shutdown at each heartbeat: closes connections at rest.
 
-        Late connections are served first, then connections close as they fall quiet. The rest gets nothing
-        new done, which makes it quiet, and at last what is pending is abandoned: no client is left without an
-        answer.
+        Late connections are served first; then connections close as they come to rest. To bring the others
+        to rest, their new calls are rejected, and finally pending requests are abandoned with an answer.
         """
-        self.closing_when_quiet, self.rejecting_new = self.handing_over, self.near_end
+        self.closing_when_quiet = self.handing_over
+        self.rejecting_new = self.near_end
         if self.drained_at is not None:
-            since, limits = self.now() - self.drained_at, self.limits
-            self.closing_when_quiet = self.closing_when_quiet or since >= limits.drain_accept_time
-            self.rejecting_new = self.rejecting_new or since >= limits.drain_reject_after
-            if since >= limits.drain_abandon_after:
-                self.exchange.abandon_all()
+            self.continue_drain(self.now() - self.drained_at)
         if self.closing_when_quiet:
             for session in list(self.sessions):
                 if session.is_backpressured:
@@ -111,15 +123,23 @@
         if self.drained_at is not None and self.now() - self.drained_at >= self.limits.drain_close_after:
             self.shut_down_sessions("closed_by_drain")
 
+    def continue_drain(self, elapsed: float) -> None:
+        """Takes the steps of a drain that are due `elapsed` seconds after its start."""
+        limits = self.limits
+        self.closing_when_quiet = self.closing_when_quiet or elapsed >= limits.drain_accept_time
+        self.rejecting_new = self.rejecting_new or elapsed >= limits.drain_reject_after
+        if elapsed >= limits.drain_abandon_after:
+            self.exchange.abandon_all()
+
     def shut_down_sessions(self, cause: str) -> None:
-        """End all connections that are left, each with its answers; they close within `LINGER_S`."""
+        """Ends all remaining connections with their answers; counts them under `cause`."""
         for session in list(self.sessions):
             if not session.ended and not session.stream.closed():
                 self.counters.add(cause)
                 session.end()
 
     def closed_reason(self) -> str:
-        """Why this process takes no clients; empty while it does."""
+        """Returns why this process accepts no clients; an empty text while it does."""
         if self.shutting_down:
             return "this process is ending"
         if self.operator_state.draining:
@@ -127,16 +147,23 @@
         return "" if self.listener is not None else "starting: bulletin and connections are not there yet"
 
     def listen(self, listener: socket.socket) -> None:
-        """Accept clients on a bound socket from now on."""
+        """Starts accepting clients on a bound socket."""
         listener.listen(BACKLOG)
         self.listener = listener
         self.acceptor = Acceptor(listener, self.on_accept, self.accept_capacity)
 
     def stop_accepting(self, last: bool) -> bool:
-        """Accept all that waits, then close the listener: what is left in its queue would be reset.
+        """Accepts all connections in the listener's queue, then closes the listener.
+
+        A connection left in the queue would be reset. If no descriptor is free, connections at rest are
+        closed.
 
-        Where no descriptor is left, connections at rest give theirs. False while some still wait: a
-        connection just accepted is read first and may be at rest a turn later. `last` closes all the same.
+        Args:
+            last: Whether to close the listener even if connections still wait.
+
+        Returns:
+            Whether the listener is closed. A connection just accepted is read first and may be at rest
+            in the next iteration of the event loop.
         """
         if self.listener is None:
             return True
@@ -150,16 +177,19 @@
         return True
 
     def accept_capacity(self) -> int:
-        """How many connections may be accepted in this turn; one is closed for another where none may."""
+        """Returns how many connections may be accepted now; closes an idle one if the quota is used up."""
         free = self.quotas.client_connections - len(self.sessions)
-        return min(self.limits.accepts_per_turn, free) if free > 0 else int(self.close_one_idle())
+        if free > 0:
+            return min(self.limits.accepts_per_turn, free)
+        return int(self.close_one_idle())
 
     def on_accept(self, connection: socket.socket) -> None:
-        """A connection was accepted: it is served, or closed where there is no capacity."""
+        """Serves an accepted connection, or closes it if there is no capacity."""
         limits = self.limits
         if len(self.sessions) >= self.quotas.client_connections and not self.close_one_idle():
             self.counters.add("rejected_connections")
-            return connection.close()
+            connection.close()
+            return
         self.counters.add("client_connections")
         connection.setblocking(False)
         stream = IOStream(
@@ -173,7 +203,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def serve(self, session: ClientSession) -> None:
-        """Serve one connection until its end."""
+        """Serves one connection until it closes."""
         try:
             await SessionReader(session).run()
         finally:
@@ -182,7 +212,7 @@
                 session.idle_queue.pop(session, None)
 
     def close_one_idle(self) -> bool:
-        """Close one connection on which nothing is owed, if there is one."""
+        """Closes one idle connection, and returns whether there was one."""
         closed = self.idle_sessions.close_one(self.now(), self.limits.recent_progress)
         if closed is None:
             return False
@@ -192,26 +222,29 @@
         return True
 
     def sweep(self) -> None:
-        """Close connections whose client has long taken nothing, completed no message or requested nothing.
+        """Closes connections whose client has not read, completed a message or sent a request for too long.
 
-        What has come since and is unread is handled first: such a connection is left for the next time.
+        A connection with unread bytes is left for the next sweep.
         """
-        now, limits = self.now(), self.limits
+        now = self.now()
         for session in list(self.sessions):
             if session.is_backpressured:
                 session.submit_waiting()
-            since = session.input.partial_since
-            if since is None and not session.has_sent_message:
-                since = session.connected_at
-            if (
-                session.writer.unsent_bytes
-                and now - session.writer.last_taken_at > limits.client_stall_timeout
-            ):
-                self.counters.add("slow_readers")
-                session.stream.close()
-            elif since is not None and now - since > limits.client_silence_timeout:
-                if session.at_rest():
-                    self.counters.add("silent_clients")
-                    session.end()  # the rest of its message may come yet
-            elif now - session.last_used_at > limits.client_idle_timeout and session.close_at_rest():
-                self.counters.add("closed_idle_clients")
+            self.close_if_timed_out(session, now)
+
+    def close_if_timed_out(self, session: ClientSession, now: float) -> None:
+        """Closes one connection that has exceeded its stall, silence or idle time-out."""
+        limits = self.limits
+        silent_since = session.input.partial_since
+        if silent_since is None and not session.has_sent_message:
+            silent_since = session.connected_at
+        stalled_for = now - session.writer.last_taken_at
+        if session.writer.unsent_bytes and stalled_for > limits.client_stall_timeout:
+            self.counters.add("slow_readers")
+            session.stream.close()
+        elif silent_since is not None and now - silent_since > limits.client_silence_timeout:
+            if session.at_rest():
+                self.counters.add("silent_clients")
+                session.end()  # lingers, as the rest of its message may still arrive
+        elif now - session.last_used_at > limits.client_idle_timeout and session.close_at_rest():
+            self.counters.add("closed_idle_clients")
--- a/paddlequay/net/clients/client_messages.py
+++ b/paddlequay/net/clients/client_messages.py
@@ -1,4 +1,4 @@
-"""Calls of clients as requests in no protocol's terms, and answers as bytes."""
+"""Maps calls of clients to requests, and final answers to the bytes of the clients' protocol."""
 
 import re
 from collections.abc import Mapping
@@ -10,21 +10,20 @@
 from paddlequay.routing.interface import RequestClass
 
 HEX_ID = re.compile(r"[0-9a-f]{16}")
-WHOLE_NUMBER = re.compile(r"[0-9]{1,9}")
-IDEMPOTENCY_KEY = re.compile(
-    r"[!-+\--<>-~]{1,128}"
-)  # what fits into a list of fields for a cache: no comma, no =
+DECIMAL_NUMBER = re.compile(r"[0-9]{1,9}")
+# What fits into a list of fields for a cache: printable, no comma, no equals sign.
+IDEMPOTENCY_KEY = re.compile(r"[!-+\--<>-~]{1,128}")
 FLAG = re.compile(r"[01]")
 
 
 class FieldError(ValueError):
-    """A field that cannot be used."""
+    """A field of a call is missing or invalid."""
 
 
 def field_text(
     fields: Mapping[Any, Any], name: str, pattern: re.Pattern[str], needed: bool = True
 ) -> str | None:
-    """A field's text, as it is; raises `FieldError` where it does not match."""
+    """Returns a field's text; raises `FieldError` if it does not match, or is needed and missing."""
     value = fields.get(name)
     if value is None and not needed:
         return None
@@ -33,21 +32,21 @@
     return value
 
 
-def field_number(fields: Mapping[Any, Any], name: str, most: int, needed: bool = False) -> int | None:
-    """A field's whole number, from 0 to `highest`; raises `FieldError`."""
-    text = field_text(fields, name, WHOLE_NUMBER, needed)
+def field_number(fields: Mapping[Any, Any], name: str, highest: int, needed: bool = False) -> int | None:
+    """Returns a field's number, from 0 to `highest`; raises `FieldError`."""
+    text = field_text(fields, name, DECIMAL_NUMBER, needed)
     if text is None:
         return None
-    if int(text) > most:
+    if int(text) > highest:
         raise FieldError(f"field {name} is out of range")
     return int(text)
 
 
 def parse_request(call: wire.ClientCall, kind: RequestClass, limits: Limits) -> ClientRequest:
-    """A call's fields as a request in no protocol's terms; raises `FieldError`.
+    """Returns the request of a call; raises `FieldError`.
 
-    Nothing is forwarded that a cache could not use or read: it would answer by an error, or close the
-    connection on all that share it.
+    A request that a cache could not parse must not be forwarded: the cache would close the connection,
+    which other requests share.
     """
     fields = call.fields
     if not all(isinstance(name, str) and isinstance(value, str) for name, value in fields.items()):
@@ -74,7 +73,7 @@
 
 
 def format_answer(number: int, reply: FinalAnswer) -> tuple[Buffer, ...]:
-    """The final answer to a call, in pieces."""
+    """Returns the pieces of the final answer to a call."""
     match reply.status:
         case AnswerStatus.SERVED:
             return wire.served_answer(number, reply.body, {})
--- a/paddlequay/net/clients/idle_sessions.py
+++ b/paddlequay/net/clients/idle_sessions.py
@@ -1,4 +1,4 @@
-"""Client connections on which nothing is owed, and which of them is closed first for another."""
+"""Chooses which idle client connection is closed when a new one needs its place."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 from itertools import islice
 from typing import Protocol
 
-MAX_CANDIDATES = 8  # looked at in each state: thousands of connections are not searched for one
+MAX_CANDIDATES = 8  # of each state: the search must not walk through thousands of connections
 
 
 class IdleSession(Protocol):
@@ -15,40 +15,54 @@
     last_used_at: float
 
     def close_without_message(self) -> bool:
-        """Close at rest, or where no complete message has come."""
+        """Closes the connection if it is at rest or never had a complete message; returns whether it did."""
         ...
 
     def close_lingering(self) -> bool:
-        """Close one that has ended and still reads what comes."""
+        """Closes a connection that has ended and lingers; returns whether it did."""
         ...
 
     def close_at_rest(self) -> bool:
-        """Close where nothing is owed, unsent or unread."""
+        """Closes the connection if nothing is owed, unsent or unread; returns whether it did."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class ClosedSession:
-    """A connection that was closed for another, and whether it had ever sent a complete message."""
+    """A connection that was closed for another, and whether it had sent a complete message."""
 
     session: IdleSession
     had_message: bool
 
 
 class IdleSessions:
-    """Connections by state, the one used longest ago first in each; each is in one at most."""
+    """Idle connections by state, the least recently used one first; each is in one state at most.
+
+    Attributes:
+        lingering: Ended by this side, and still reading.
+        silent: Without a byte received.
+        message_begun: With an incomplete message, received in one read.
+        message_progressing: With an incomplete message, received in several reads.
+        idle: After a complete message.
+    """
 
     def __init__(self) -> None:
-        self.lingering: OrderedDict[IdleSession, None] = OrderedDict()  # ended, and still read
-        self.silent: OrderedDict[IdleSession, None] = OrderedDict()  # not one byte has come
-        self.message_begun: OrderedDict[IdleSession, None] = OrderedDict()  # one piece of a message
-        self.message_progressing: OrderedDict[IdleSession, None] = OrderedDict()  # several pieces of it
-        self.idle: OrderedDict[IdleSession, None] = OrderedDict()  # after a complete message
+        self.lingering: OrderedDict[IdleSession, None] = OrderedDict()
+        self.silent: OrderedDict[IdleSession, None] = OrderedDict()
+        self.message_begun: OrderedDict[IdleSession, None] = OrderedDict()
+        self.message_progressing: OrderedDict[IdleSession, None] = OrderedDict()
+        self.idle: OrderedDict[IdleSession, None] = OrderedDict()
 
     def queue_for(
         self, has_ended: bool, partial_reads: int, has_sent_message: bool
     ) -> OrderedDict[IdleSession, None]:
-        """The queue of a connection's state; `partial_reads`: in which an incomplete message has come."""
+        """Returns the queue of a connection's state.
+
+        Args:
+            has_ended: Whether this side has ended the connection.
+            partial_reads: The number of reads that brought parts of an incomplete message.
+            has_sent_message: Whether the client has sent a complete message.
+        """
         if has_ended:
             return self.lingering
         if partial_reads:
@@ -56,12 +70,12 @@
         return self.idle if has_sent_message else self.silent
 
     def close_one(self, now: float, recent_progress: float) -> ClosedSession | None:
-        """Close one connection on which nothing is owed, with no search among them all.
+        """Closes one idle connection, and returns it; None if there is none.
 
-        First one that has sent no byte, then one that has stopped inside a message: thousands that connect
-        and send nothing would else push out clients with requests. Then the one idle for longest: its client
-        sends again what crosses the close. One that went on with a message within `recent_progress` seconds
-        is closed only where there is no other.
+        Connections without a byte come first, then those that stopped inside a message, so that
+        connections without requests cannot displace clients with requests. The least recently used idle
+        one follows; its client repeats a request that crosses the close. A connection whose message
+        made progress within `recent_progress` seconds comes last.
         """
         order: tuple[tuple[OrderedDict[IdleSession, None], float, Callable[[IdleSession], bool]], ...] = (
             (self.silent, 0.0, lambda session: session.close_without_message()),
@@ -72,7 +86,7 @@
             (self.message_progressing, 0.0, lambda session: session.close_at_rest()),
         )
         for state, min_age, close in order:
-            # One whose request has come and is not read yet is passed over; a few are tried, not all.
+            # A connection with an unread request does not close, so a few candidates are tried.
             for session in list(islice(state, MAX_CANDIDATES)):
                 if now - session.last_used_at < min_age:
                     break
--- a/paddlequay/net/clients/open_requests.py
+++ b/paddlequay/net/clients/open_requests.py
@@ -1,4 +1,4 @@
-"""Requests of a client connection that the exchange has, by message number."""
+"""The requests of a client connection that were submitted to the exchange."""
 
 from collections.abc import Callable
 
@@ -8,7 +8,7 @@
 
 
 class OpenRequests:
-    """The numbers whose clients are owed an answer, each with its request at the exchange."""
+    """Open requests by message number; None marks a request whose submission has not returned yet."""
 
     __slots__ = ("by_number", "exchange")
 
@@ -29,32 +29,32 @@
         answer: Callable[[FinalAnswer], None],
         is_disconnected: Callable[[], bool],
     ) -> None:
-        """Hand a request to the exchange."""
-        # The answer may come before `submit` returns: then the place is gone again and stays so.
+        """Submits a request to the exchange."""
+        # The answer may be sent before `submit` returns: the number is removed then and stays so.
         self.by_number[number] = None
         pending = self.exchange.submit(request, answer, is_disconnected)
         if number in self.by_number:
             self.by_number[number] = pending
 
     def remove(self, number: int) -> None:
-        """A request has its answer; one that is not open is no error."""
+        """Removes an answered request; an unknown number is no error."""
         self.by_number.pop(number, None)
 
     def cancel(self, number: int) -> None:
-        """The client waits for one no longer; one that is not open is no error."""
+        """Withdraws a request that the client cancels; an unknown number is no error."""
         pending = self.by_number.pop(number, None)
         if pending is not None:
             self.exchange.withdraw(pending)
 
     def withdraw_all(self) -> None:
-        """The client waits for nothing any more."""
+        """Withdraws all requests."""
         for pending in list(self.by_number.values()):
             if pending is not None:
                 self.exchange.withdraw(pending)
         self.by_number.clear()
 
     def abandon_all(self) -> None:
-        """Give all their final answers now."""
+        """Abandons all requests, which sends their final answers now."""
         for pending in list(self.by_number.values()):
             if pending is not None:
                 self.exchange.counters.add("abandoned")
--- a/paddlequay/net/clients/session_front.py
+++ b/paddlequay/net/clients/session_front.py
@@ -1,4 +1,4 @@
-"""What a client connection needs of the front that all of them share."""
+"""The interface of the front that client connections use."""
 
 from typing import Protocol
 
@@ -11,7 +11,7 @@
 
 
 class SessionFront(WriterFront, QueueFront, Protocol):
-    """The exchange, idle connections, shared bounds, and whether connections are to close."""
+    """The state that all client connections share."""
 
     exchange: Exchange
     overload: OverloadGuard
@@ -23,9 +23,9 @@
 
     @property
     def max_queued(self) -> float:
-        """The bound on `queued_bytes`, over all connections."""
+        """Returns the limit on `queued_bytes` of all connections."""
         ...
 
     def accepts_requests(self) -> bool:
-        """Whether this router is ready, as its clients' platform is told."""
+        """Returns the readiness that clients see."""
         ...
--- a/paddlequay/net/clients/session_reader.py
+++ b/paddlequay/net/clients/session_reader.py
@@ -1,4 +1,4 @@
-"""The task of one client connection: it reads messages and hands them to the session until the end."""
+"""The task of one client connection: reads messages and passes them to the session until it closes."""
 
 import asyncio
 import logging
@@ -12,58 +12,63 @@
 
 LOGGER = logging.getLogger(__name__)
 
-MESSAGES_PER_PAUSE = 16  # read in one `rejection_pause` from a client that is only rejected
-READS_PER_TURN = 4  # of what is there already, before other connections have their turn
+MESSAGES_PER_PAUSE = 16  # read per `rejection_pause` from a client that gets only rejections
+READS_PER_TURN = 4  # that do not wait, before the event loop serves other connections
 
 
 class SessionReader:
-    """Reads for one session, and closes it at the end.
+    """Reads for one session, and closes it at the end of the connection.
 
-    All that has come is read before what it requests is submitted: a cancel, or the client's end of the
-    connection, holds for what stands before it. Half a close counts as a close, as nothing tells them apart.
-    The session does not refer to it: connections that refer to themselves are freed late.
+    Everything received is read before its requests are submitted, so that a cancel or the client's
+    close takes effect for the requests before it. A half-close counts as a close, as they cannot be
+    told apart. The session does not refer to its reader, because a connection in a reference cycle is
+    freed late.
     """
 
     def __init__(self, session: ClientSession) -> None:
-        self.session, self.input = session, session.input
-        self.front, self.limits = session.front, session.front.limits
+        self.session = session
+        self.input = session.input
+        self.front = session.front
+        self.limits = session.front.limits
         self.messages_since_pause = 0
 
     async def run(self) -> None:
-        """Read and handle messages until the end of the connection."""
+        """Reads and handles messages until the connection closes."""
         try:
             await self.read_messages()
         except StreamClosedError:
             pass
-        except Exception:  # this connection ends, and no other
+        except Exception:  # the edge of one connection: no other one is affected
             self.front.counters.add("client_errors")
             LOGGER.exception("client_connection_failed")
         finally:
             self.session.close()
 
     async def read_messages(self) -> None:
-        """Read for as long as the connection is open, and let other connections have their turn."""
-        limits, reads = self.limits, 0
+        """Reads while the connection is open, and yields to other connections."""
+        limits = self.limits
+        reads = 0
         while True:
             data = await self.read()
             reads += 1
             if not self.session.ended:
                 self.handle(data)
             if self.session.is_only_rejected and self.messages_since_pause >= MESSAGES_PER_PAUSE:
-                # A client that is only rejected is read more slowly, which costs nobody else.
+                # Backpressure for a client that gets only rejections.
                 self.messages_since_pause = 0
                 await asyncio.sleep(limits.rejection_pause)
             elif self.input.backlog_since is not None:
-                # A read of what is there does not yield: one client would keep the loop to itself.
+                # A read that does not wait does not yield, so one client could occupy the event loop.
                 if len(data) >= limits.client_read_size or reads % READS_PER_TURN == 0:
                     await asyncio.sleep(0)
 
     async def read(self) -> bytes:
-        """The next bytes. Once nothing more has come, what was read before is submitted."""
-        session, reading = self.session, self.input.start_read()
+        """Returns the next bytes; submits the waiting calls if none have been received yet."""
+        session = self.session
+        reading = self.input.start_read()
         if not reading.done():
             if not session.has_sent_message and not self.input.partial_reads:
-                # Silent only now: what came with the connect is read first, and nobody is closed for it.
+                # Idle only now: bytes received with the connect are read first.
                 session.update_idle_queue()
             session.submit_waiting()
         elif self.input.has_read_ahead():
@@ -72,19 +77,19 @@
             return await reading
         finally:
             self.input.pending_read = None
-            del reading  # it keeps its error, which keeps this frame: the cycle collector comes seldom
+            del reading  # its error refers to this frame: break the reference cycle
 
     def handle_backlog(self) -> None:
-        """More is to be read still, but calls have waited for it for long enough."""
+        """Submits calls that have waited for long enough, though more is still to be read."""
         session = self.session
-        # A flood hides what was cancelled: nothing begins for it, nor goes on.
+        # A flood may hide cancels, so the calls of a flooding client are abandoned.
         if session.is_only_rejected and self.input.backlog_messages > 2 * self.limits.client_streams:
             session.abandon_all()
         else:
             session.submit_waiting()
 
     def handle(self, data: bytes) -> None:
-        """Handle the messages that are complete with these bytes."""
+        """Handles the messages that are complete with these bytes."""
         session = self.session
         session.last_used_at = self.front.now()
         try:
@@ -94,19 +99,21 @@
                 self.messages_since_pause += 1
                 self.handle_message(message)
         except MalformedMessageError as error:
-            # Nothing after it can be told apart: this connection ends, and no other.
+            # The start of the next message is unknown, so the connection ends.
             if self.front.counters.add_once("bad_client_bytes"):
                 log.event(LOGGER, logging.WARNING, "bad_client_bytes", why=str(error))
-            return session.end()
-        except Exception:  # whatever a message raises ends its own connection alone
+            session.end()
+            return
+        except Exception:  # the edge of one connection: no other one is affected
             self.front.counters.add("client_errors")
             LOGGER.exception("client_message_failed")
-            return session.end()
+            session.end()
+            return
         self.input.note_partial_message(session.last_used_at)
         session.update_idle_queue()
 
     def handle_message(self, message: wire.ClientMessage) -> None:
-        """One complete message. Raises `MalformedMessageError`."""
+        """Handles one complete message; raises `MalformedMessageError`."""
         session = self.session
         match message:
             case wire.ReadinessQuery():
--- a/paddlequay/net/clients/waiting_calls.py
+++ b/paddlequay/net/clients/waiting_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a client connection that are read and not submitted; their bodies count for all connections."""
+"""The calls of a client connection that are read but not submitted to the exchange yet."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -8,21 +8,21 @@
 
 
 class QueueFront(Protocol):
-    """What all connections share: the bytes of bodies that wait."""
+    """The state that all connections share: the bytes of waiting bodies."""
 
     queued_bytes: int
 
 
 @dataclass(slots=True)
 class WaitingCall:
-    """A request and when it was read, in monotonic seconds."""
+    """A request, and when it was read in monotonic seconds."""
 
     request: ClientRequest
     read_at: float
 
 
 class WaitingCalls:
-    """Waiting calls by message number, in the order in which they were read."""
+    """Waiting calls by message number, in the order of their arrival."""
 
     __slots__ = ("by_number", "front")
 
@@ -43,17 +43,17 @@
         return self.by_number[number]
 
     def add(self, number: int, request: ClientRequest, read_at: float) -> None:
-        """A call waits from now on."""
+        """Adds a call."""
         self.by_number[number] = WaitingCall(request, read_at)
         self.front.queued_bytes += len(request.body)
 
     def remove(self, number: int) -> None:
-        """A call no longer waits; one that does not is no error."""
+        """Removes a call; an unknown number is no error."""
         call = self.by_number.pop(number, None)
         if call is not None:
             self.front.queued_bytes -= len(call.request.body)
 
     def clear(self) -> None:
-        """No call waits any more."""
+        """Removes all calls."""
         for number in list(self.by_number):
             self.remove(number)
