--- a/paddlequay/cluster/messages.py
+++ b/paddlequay/cluster/messages.py
@@ -1,25 +1,25 @@
-"""The notes that routers send each other. What a datagram is, and how notes are packed into one: `wire.py`.
+"""The messages that routers send each other; `wire.py` packs them into datagrams.
 
-Fields are whole numbers from 0 to 2^63 - 1 (digests: 2^64 - 1), short texts and bytes; times are durations in
-milliseconds, never points in time. A note tells nothing that has to be believed for safety without its
-sender's number and incarnation, which stand in the datagram's head. Kinds and the order of fields never
-change their meaning; a new field goes to the end with a default, a changed note gets a new kind.
+Fields are whole numbers from 0 to 2^63 - 1 (digests: 2^64 - 1), short texts and bytes. Times are durations in
+milliseconds, never points in time. Safety never rests on a message without its sender's number and
+incarnation, which the datagram's header carries. Kinds and the order of fields never change their meaning: a
+new field goes to the end with a default, a changed message gets a new kind.
 """
 
 from dataclasses import dataclass
 from typing import Annotated, ClassVar
 
-MAX_TEXT_BYTES = 64  # bytes of a text field
+MAX_TEXT_BYTES = 64
 MAX_FIELD_VALUE = (1 << 63) - 1
 MAX_DIGEST = (1 << 64) - 1
 
 
 @dataclass(frozen=True, slots=True)
 class IntRange:
-    """Which whole numbers a field may hold, both ends included."""
+    """The whole numbers that a field may hold, both ends included."""
 
-    least: int
-    most: int
+    minimum: int
+    maximum: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,13 +31,13 @@
 # of the wire format, the names of the fields are not.
 Digest = Annotated[int, IntRange(0, MAX_DIGEST)]
 PeerNumber = Annotated[int, PeerRange()]
-PeerStateNumber = Annotated[int, IntRange(1, 3)]
+PeerStateNumber = Annotated[int, IntRange(1, 3)]  # 1 alive, 2 suspect, 3 dead
 FaultNumber = Annotated[int, IntRange(0, 4)]  # 0: none; else a `Fault`
 Flag = Annotated[int, IntRange(0, 1)]
 
 
 class PeerMessage:
-    """A note; `KIND` tells them apart on the wire."""
+    """A message to another router. `KIND` is its number on the wire."""
 
     KIND: ClassVar[int]
     __slots__ = ()
@@ -48,16 +48,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping(PeerMessage):
-    """Are you there? Answered by `Ack` with the same number."""
+    """Asks the receiver for an `Ack` with the same number."""
 
     KIND: ClassVar[int] = 1
     number: int
-    about: int  # the incarnation that the sender believes the receiver to have, 0 unknown
+    known_incarnation: int  # the receiver's, as far as the sender knows; 0 unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Ack(PeerMessage):
-    """I am; or, for a `PingFor`, `peer` is, in this incarnation."""
+    """States that `peer` is alive in an incarnation: the sender, or the peer of a `PingRequest`."""
 
     KIND: ClassVar[int] = 2
     number: int
@@ -66,8 +66,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PingFor(PeerMessage):
-    """Ask `peer` in my place: my own ping was not answered."""
+class PingRequest(PeerMessage):
+    """Asks the receiver to ping `peer` and to forward the acknowledgement."""
 
     KIND: ClassVar[int] = 3
     number: int
@@ -76,13 +76,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipUpdate(PeerMessage):
-    """What is believed of a peer: `state` 1 alive, 2 suspect, 3 dead, in that incarnation, first `by`."""
+    """What is believed about a peer in an incarnation, as first reported by `reporter`."""
 
     KIND: ClassVar[int] = 4
     peer: PeerNumber
     incarnation: int
     state: PeerStateNumber
-    by: PeerNumber
+    reporter: PeerNumber
 
 
 # --- leases (PaxosLease): a ballot that acquires a lease is the holder's term ---
@@ -211,15 +211,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence(PeerMessage):
-    """What the sender itself has seen of a subject in the last `age_ms`."""
+    """What the sender itself has observed of a subject in the last `age_ms`."""
 
     KIND: ClassVar[int] = 30
     subject: Digest
-    start: int  # which life of the subject, by the list: its start in Unix milliseconds, 0 untold
-    fault: FaultNumber  # 0: it serves
-    count: int  # of attempts that this rests on
+    subject_start_ms: int  # Unix time of the subject's start, by the endpoint list; 0 unknown
+    fault: FaultNumber  # 0: the subject serves
+    attempt_count: int  # attempts that this rests on
     age_ms: int
-    others: int  # members of the same kind that the sender has had served by in that time
+    other_member_count: int  # members of the same kind that served the sender in that time
 
 
 # --- channels ---
@@ -322,7 +322,7 @@
 MESSAGE_TYPES: dict[int, type[PeerMessage]] = {
     kind.KIND: kind
     for kind in (
-        Ping, Ack, PingFor, MembershipUpdate,
+        Ping, Ack, PingRequest, MembershipUpdate,
         Prepare, Promise, Propose, Accept, Reject, Release,
         QuotaRequest, QuotaGrant,
         Evidence,
--- a/paddlequay/cluster/node.py
+++ b/paddlequay/cluster/node.py
@@ -1,16 +1,16 @@
-"""All parts of one router's cluster as one: notes in, datagrams out, what one part finds told to the others.
+"""All parts of one router's cluster as one: messages in, datagrams out, events of one part to all the others.
 
-Pure like its parts: `net/cluster/peers.py` brings datagrams and time. What the router itself is to know comes
-back from each call as news; what it asks at the moment of use it asks of the parts (`limits`, `verdicts`).
+Pure like its parts: `net/cluster/peers.py` brings datagrams and time. Each call returns the events that the
+router itself has to know; what it asks at the moment of use it asks the parts (`limits`, `verdicts`).
 """
 
 import random
 from collections.abc import Sequence
 
+from paddlequay.cluster.incarnations import first_incarnation
 from paddlequay.cluster.leases import Leases
 from paddlequay.cluster.limits import Limits
 from paddlequay.cluster.liveness import Liveness
-from paddlequay.cluster.members import first_incarnation
 from paddlequay.cluster.messages import PeerMessage
 from paddlequay.cluster.outbox import Outbox
 from paddlequay.cluster.settings import ClusterSettings
@@ -26,39 +26,49 @@
     earliest,
 )
 from paddlequay.cluster.verdicts import Verdicts
-from paddlequay.cluster.wire import Codec, Head, Wire
+from paddlequay.cluster.wire import Codec, Header, Wire
+from paddlequay.errors import PaddlequayError
 
 ClusterEvent = LocalEvent | LogEvent
 
-MAX_FOLLOWING_ACTIONS = (
-    10_000  # actions that follow from one event: past it a part answers itself without end
-)
+MAX_FOLLOWING_ACTIONS = 10_000  # that follow from one event: past it parts answer each other without end
 
 
-class UnsettledError(RuntimeError):
-    """Parts that tell each other news without end: a fault of theirs."""
+class EndlessEventsError(PaddlequayError, RuntimeError):
+    """Parts that send each other events without end, which is a fault of theirs."""
 
+    def __init__(self, action: Action) -> None:
+        super().__init__(f"{MAX_FOLLOWING_ACTIONS} actions after one event, the last {action}")
+        self.action = action
 
-class Node:
-    """One router's cluster. `unix` is the start's Unix time in seconds: it names this process's life.
 
-    `longest` is the longest that a request takes: a limit on requests out at once reckons with it. The parts
-    that the settings leave out are None. Nothing here raises for what peers say.
+class Node:
+    """One router's cluster. Parts that the settings leave out are None. No message of a peer makes it raise.
+
+    Args:
+        settings: the installation's settings of the cluster.
+        fleet: the routers.
+        start_unix_s: Unix time of the process's start in seconds, from which the incarnation is made.
+        seed: of the random draws, with the incarnation.
+        now: the process's monotonic clock in seconds.
+        max_request_s: the longest time that a request takes, which limits on concurrent requests allow for.
+        is_first_process: whether no earlier process of this router can have granted quotas in use.
     """
 
     def __init__(
         self,
         settings: ClusterSettings,
         fleet: Fleet,
-        unix: float,
+        start_unix_s: float,
         seed: int,
         now: float,
-        longest: float = 10.0,
-        first: bool = False,
+        max_request_s: float = 10.0,
+        is_first_process: bool = False,
     ) -> None:
-        incarnation = first_incarnation(int(unix * 1000))
-        rng = random.Random(seed << 64 | incarnation)  # each life draws anew: a nonce is used by one alone
-        self.settings, self.fleet = settings, fleet
+        incarnation = first_incarnation(int(start_unix_s * 1000))
+        rng = random.Random(seed << 64 | incarnation)  # no two processes draw the same numbers
+        self.settings = settings
+        self.fleet = fleet
         self.wire = Wire(Codec(settings.name, fleet.size), fleet, incarnation)
         self.outbox = Outbox(self.wire, settings.bytes_per_s, settings.bounds, now)
         self.liveness = Liveness(fleet, settings, incarnation, rng, now)
@@ -73,81 +83,95 @@
                 self.holds,
                 incarnation,
                 now,
-                stay=longest,
-                shut=longest,
-                first=first,
+                stay=max_request_s,
+                shut=max_request_s,
+                first=is_first_process,
             )
-        self.parts: list[Part] = [self.liveness]
-        self.hears: dict[type[PeerMessage], Part] = dict.fromkeys(Liveness.HANDLED_MESSAGES, self.liveness)
-        self.begun: list[Action] = []
-        for part in (self.verdicts, self.leases, self.limits):
+        self.parts: list[Part] = []
+        self._part_by_message: dict[type[PeerMessage], Part] = {}
+        self.initial_actions: list[Action] = []  # taken at the first tick
+        for part in (self.liveness, self.verdicts, self.leases, self.limits):
             if part is not None:
-                self.join(part, part.HANDLED_MESSAGES)
-        if self.limits is not None and self.leases is not None and fleet.me in fleet.acceptors:
-            # Only those who vote bid: two hundred bidders for each lease would be all the traffic there is.
-            for lease in self.limits.leases:
-                self.begun += self.leases.request(lease, now)
-
-    def join(self, part: Part, hears: Sequence[type[PeerMessage]]) -> None:
-        """One more part, which hears notes of these kinds."""
+                self.add_part(part, part.HANDLED_MESSAGES)
+        self._request_limit_leases(now)
+
+    def _request_limit_leases(self, now: float) -> None:
+        """Bids for the leases of limits. Only acceptors do: bids of all routers would be too much traffic."""
+        if self.limits is None or self.leases is None or self.fleet.me not in self.fleet.acceptors:
+            return
+        for lease in self.limits.leases:
+            self.initial_actions += self.leases.request(lease, now)
+
+    def add_part(self, part: Part, handled_messages: Sequence[type[PeerMessage]]) -> None:
+        """Adds a part, which handles messages of these types."""
         self.parts.append(part)
-        self.hears.update(dict.fromkeys(hears, part))
+        self._part_by_message.update(dict.fromkeys(handled_messages, part))
 
     def holds(self, lease: NameDigest, now: float) -> int | None:
-        """The term under which this router holds a lease now."""
+        """Returns the term under which this router holds a lease now; None where it does not."""
         return None if self.leases is None else self.leases.holds(lease, now)
 
-    # --- events ---
+    # --- inputs ---
 
-    def handle_message(
-        self, sender: Peer, head: Head, messages: Sequence[PeerMessage], now: float
+    def handle_datagram(
+        self, sender: Peer, header: Header, messages: Sequence[PeerMessage], now: float
     ) -> list[ClusterEvent]:
-        """A datagram has come, and was taken in."""
+        """Handles an accepted datagram and returns what the parts have found."""
         if self.leases is not None:
-            self.leases.observe_counter(head.clock)
-        events = self.settle(self.liveness.seen(sender, head.incarnation, now), now)
+            self.leases.observe_counter(header.clock)
+        events = self.execute(self.liveness.handle_datagram(sender, header.incarnation, now), now)
         for message in messages:
-            part = self.hears.get(type(message))
+            part = self._part_by_message.get(type(message))
             if part is not None:
-                events += self.settle(part.handle_message(sender, head.incarnation, message, now), now)
+                events += self.execute(part.handle_message(sender, header.incarnation, message, now), now)
         return events
 
     def tick(self, now: float) -> list[ClusterEvent]:
-        """Time has passed."""
-        events = self.settle(self.begun, now)
-        self.begun = []
+        """Handles the passing of time and returns what the parts have found."""
+        events = self.execute(self.initial_actions, now)
+        self.initial_actions = []
         for part in self.parts:
             if part.due() <= now:
-                events += self.settle(part.tick(now), now)
+                events += self.execute(part.tick(now), now)
         return events
 
-    def leave(self, now: float) -> list[ClusterEvent]:
-        """Give back all leases, so that nobody has to wait for their end; bids are over."""
+    def release_leases(self, now: float) -> list[ClusterEvent]:
+        """Gives the leases of limits back, so that nobody has to wait for their end, and stops bidding."""
         events: list[ClusterEvent] = []
         if self.leases is not None and self.limits is not None:
             for lease in self.limits.leases:
-                events += self.settle(self.leases.release(lease, now), now)
+                events += self.execute(self.leases.release(lease, now), now)
         return events
 
     def due(self) -> float:
-        """When `tick` is next to be called."""
-        return earliest(self.parts) if not self.begun else float("-inf")
+        """Returns when `tick` next has work."""
+        return earliest(self.parts) if not self.initial_actions else float("-inf")
 
-    def settle(self, actions: Sequence[Action], now: float) -> list[ClusterEvent]:
-        """Let notes go, and tell all parts what one has found, until nothing follows any more."""
+    # --- actions ---
+
+    def execute(self, actions: Sequence[Action], now: float) -> list[ClusterEvent]:
+        """Queues messages and gives events to all parts, until no action follows; returns the events.
+
+        Raises:
+            EndlessEventsError: the parts answer each other without end.
+        """
         events: list[ClusterEvent] = []
-        waiting = list(actions)
-        for place, action in enumerate(waiting):
-            if place >= MAX_FOLLOWING_ACTIONS:
-                raise UnsettledError(f"{MAX_FOLLOWING_ACTIONS} actions after one event, the last {action}")
+        pending = list(actions)
+        for position, action in enumerate(pending):
+            if position >= MAX_FOLLOWING_ACTIONS:
+                raise EndlessEventsError(action)
             if isinstance(action, SendMessage):
                 self.outbox.put(action, now)
                 continue
             events.append(action)
             if not isinstance(action, LogEvent):
                 for part in self.parts:
-                    waiting += part.handle_event(action, now)
+                    pending += part.handle_event(action, now)
+        self._update_header()
+        return events
+
+    def _update_header(self) -> None:
+        """Makes the next datagrams carry the present incarnation and clock."""
         self.wire.incarnation = self.liveness.incarnation
         if self.leases is not None:
             self.wire.clock = max(self.wire.clock, self.leases.highest_counter)
-        return events
--- a/paddlequay/cluster/outbox.py
+++ b/paddlequay/cluster/outbox.py
@@ -1,131 +1,71 @@
-"""What waits to be sent: notes packed into datagrams, the most urgent first, within a bound on bytes.
+"""Packs waiting messages into datagrams, the most urgent first, within a limit on bytes.
 
-The bound is a token bucket of `rate` bytes a second and `burst` bytes; a datagram to all costs its length for
-each receiver. In any span of t seconds a router sends at most `burst + rate * t`, and a fleet of n routers
-n times that, however many notes its parts tell: notes wait, are replaced or dropped, and are counted.
+The limit is a token bucket of `bytes_per_s` and `burst_bytes`. A datagram to all costs its length for each
+receiver. In any t seconds a router sends at most `burst_bytes + bytes_per_s * t`, and a fleet of n routers n
+times that, however many messages its parts send: messages wait, are replaced or dropped, and are counted.
 
-`reserve`, one full datagram to all, is a part of `burst` that only leases use: whatever the other notes are,
-a lease's note goes at once unless leases have used the reserve themselves, and then waits no longer than the
-bytes of the lease notes before it and its own take at `rate`. As nothing else goes while less than the
-reserve is left, nothing else overtakes a lease's note that waits for tokens either.
+`reserve_bytes`, one full datagram to all, is a part of the burst that only lease messages use. So a lease
+message goes at once unless lease messages have used the reserve themselves; then it waits no longer than the
+bytes of the lease messages before it and its own take at `bytes_per_s`. As nothing else is sent while less
+than the reserve is left, nothing else overtakes a lease message that waits for tokens either.
 """
 
 import math
 from collections import Counter
-from collections.abc import Iterable
 from dataclasses import dataclass
 
+from paddlequay.cluster import messages
 from paddlequay.cluster.messages import PeerMessage
-from paddlequay.cluster.types import NEVER, ClusterBounds, Peer, SendMessage, Urgency
-from paddlequay.cluster.wire import DATAGRAM_MOST, NOTES_MOST, Wire
+from paddlequay.cluster.outbox_queue import MessageKey, OutboxQueue, QueuedMessage, Receiver
+from paddlequay.cluster.types import NEVER, ClusterBounds, NameDigest, SendMessage, Urgency
+from paddlequay.cluster.wire import MAX_DATAGRAM_BYTES, MAX_MESSAGES, Wire
 
-To = Peer | None  # None: all others
-
-LANE_MOST = 64  # notes that wait for one receiver at one urgency; about eight datagrams
-ALL_MOST = 4096  # notes that wait at one urgency, or twice the fleet's size where that is more
-SWEEPS = 8  # times that a full queue is searched for old notes while a note grows old
-STALL = 0.25  # seconds of sending that are not lost when the process is not run for so long
-NEWS_PART = 8  # of the age of evidence: an age is fixed when told, and verdicts allow 0.5 s for its way
-ROUTINE_AGE = 1.0  # seconds: parts repeat what is routine about once a second, and say it better then
-QUEUE_NAMES = {Urgency.LEASE: "lease", Urgency.CHANGE: "news", Urgency.ROUTINE: "routine"}  # in counters
-SUBJECTS = ("lease", "limit", "subject", "channel", "bundle", "peer")  # what a note is about
+MIN_MAX_MESSAGES = 4096  # that wait at one urgency, or twice the fleet's size where that is more
+MAX_STALL_S = 0.25  # of sending that is not lost when the process is not run for so long
+# Part of the age of evidence: an age is fixed when it is packed, and verdicts allow 0.5 s for its way.
+CHANGE_AGE_DIVISOR = 8
+ROUTINE_MAX_AGE_S = 1.0  # parts repeat routine messages about once a second, and state them better then
+ROUNDING_TOKENS = 1e-3  # so that rounding does not wake the driver for a token too few
 
 
 @dataclass(frozen=True, slots=True)
-class Packet:
+class Datagram:
     """A datagram to send to one peer, or to all others."""
 
-    to: To
+    to: Receiver
     data: bytes
 
 
-@dataclass(frozen=True, slots=True)
-class Item:
-    data: bytes
-    since: float
-
-
-def subject(message: PeerMessage) -> object:
-    """What a newer note of the same kind replaces."""
-    name = next((name for name in SUBJECTS if hasattr(message, name)), None)
-    return message.KIND, None if name is None else getattr(message, name)
-
-
-class Queue:
-    """The notes of one urgency: a lane for each receiver, and the receivers in turn."""
-
-    def __init__(self, urgency: Urgency, age: float, most: int, counts: Counter[str]) -> None:
-        self.age, self.most, self.counts = age, most, counts
-        self.name = QUEUE_NAMES[urgency]
-        self.replaces = urgency is Urgency.ROUTINE
-        self.lanes: dict[To, dict[object, Item]] = {}  # the first is next; empty ones are taken out
-        self.count = 0
-        self.number = 0
-        self.swept = -math.inf
-
-    def put(self, to: To, message: PeerMessage, data: bytes, now: float) -> None:
-        """A full lane loses its oldest note; a full queue takes no more."""
-        lane = self.lanes.get(to, {})
-        self.number += 1
-        key: object = subject(message) if self.replaces else self.number
-        if key in lane:
-            self.drop("replaced")
-            lane[key] = Item(data, now)  # it keeps its turn, so that nothing is put off for ever
-            return
-        if len(lane) >= LANE_MOST:
-            self.drop("full")
-            self.remove(to, [next(iter(lane))])
-        elif self.count >= self.most:
-            self.sweep(now)
-            if self.count >= self.most:
-                return self.drop("full")
-        self.lanes.setdefault(to, {})[key] = Item(data, now)
-        self.count += 1
-
-    def drop(self, why: str, count: int = 1) -> None:
-        self.counts[f"dropped.{why}.{self.name}"] += count
-
-    def remove(self, to: To, keys: Iterable[object]) -> None:
-        lane = self.lanes[to]
-        for key in keys:
-            del lane[key]
-            self.count -= 1
-        if not lane:
-            del self.lanes[to]
-
-    def expire(self, to: To, now: float) -> None:
-        """Drop what has waited too long for one receiver."""
-        if old := [key for key, item in self.lanes.get(to, {}).items() if now - item.since > self.age]:
-            self.drop("old", len(old))
-            self.remove(to, old)
-
-    def sweep(self, now: float) -> None:
-        """Drop what is too old for any receiver, where this was not done just before."""
-        if now - self.swept >= self.age / SWEEPS:
-            self.swept = now
-            for to in list(self.lanes):
-                self.expire(to, now)
-
-    def first(self, now: float) -> Item | None:
-        """The note whose turn it is, for the first of `lanes`."""
-        while self.lanes:
-            to = next(iter(self.lanes))
-            self.expire(to, now)
-            if to in self.lanes:
-                return next(iter(self.lanes[to].values()))
-        return None
-
-    def sent(self, to: To, keys: list[object]) -> None:
-        """These have gone: the other receivers first."""
-        self.remove(to, keys)
-        if to in self.lanes:
-            self.lanes[to] = self.lanes.pop(to)
+def subject_of(message: PeerMessage) -> NameDigest | None:
+    """Returns what a message is about; a newer routine message of its kind on that replaces it."""
+    match message:
+        case (
+            messages.Prepare()
+            | messages.Promise()
+            | messages.Propose()
+            | messages.Accept()
+            | messages.Reject()
+            | messages.Release()
+        ):
+            return message.lease
+        case messages.QuotaRequest() | messages.QuotaGrant():
+            return message.limit
+        case messages.Evidence():
+            return message.subject
+        case messages.ChannelPartReport():
+            return message.channel
+        case messages.HandoffOffer() | messages.HandoffReply() | messages.HandoffComplete():
+            return message.bundle
+        case messages.Ack() | messages.PingRequest() | messages.MembershipUpdate():
+            return message.peer
+    return None
 
 
 class Outbox:
     """All that one router sends; `counts` tells what was sent, and what was dropped and why.
 
-    Time must not go back. What is told to oneself, to no peer or out of range is dropped and counted.
+    Time must not go back. Messages to this router itself or to a number outside the fleet are dropped and
+    counted.
     """
 
     def __init__(
@@ -134,99 +74,136 @@
         bytes_per_s: float,
         bounds: ClusterBounds,
         now: float,
-        routine_age: float = ROUTINE_AGE,
+        routine_max_age_s: float = ROUTINE_MAX_AGE_S,
     ) -> None:
-        self.wire, self.fleet, self.rate = wire, wire.fleet, float(bytes_per_s)
-        self.reserve = DATAGRAM_MOST * max(1, self.fleet.size - 1)
-        self.burst = self.reserve + max(self.reserve, STALL * self.rate)
-        self.tokens, self.at = float(self.burst), now
+        self.wire = wire
+        self.fleet = wire.fleet
+        self.bytes_per_s = float(bytes_per_s)
+        self.reserve_bytes = MAX_DATAGRAM_BYTES * max(1, self.fleet.size - 1)
+        self.burst_bytes = self.reserve_bytes + max(self.reserve_bytes, MAX_STALL_S * self.bytes_per_s)
+        self.tokens = float(self.burst_bytes)
+        self._refilled_at = now
         self.counts: Counter[str] = Counter()
-        most = max(ALL_MOST, 2 * self.fleet.size)
-        # An answer about a lease that has waited as long as a lease lives is of use to nobody.
-        change_age_s = bounds.evidence_s / NEWS_PART
-        ages = {Urgency.LEASE: bounds.lease_s, Urgency.CHANGE: change_age_s, Urgency.ROUTINE: routine_age}
-        self.queues = {each: Queue(each, ages[each], most, self.counts) for each in Urgency}
-
-    def put(self, message: SendMessage, now: float) -> None:
-        """Let a note wait for `take`."""
-        if message.to is None:
-            if self.fleet.size < 2:
-                return
-        elif not 0 <= message.to < self.fleet.size or message.to == self.fleet.me:
+        self._message_count = 0
+        max_messages = max(MIN_MAX_MESSAGES, 2 * self.fleet.size)
+        max_age_s = {
+            Urgency.LEASE: bounds.lease_s,  # an answer as old as a lease is of no use
+            Urgency.CHANGE: bounds.evidence_s / CHANGE_AGE_DIVISOR,
+            Urgency.ROUTINE: routine_max_age_s,
+        }
+        self.queues = {
+            urgency: OutboxQueue(urgency, max_age_s[urgency], max_messages, self.counts)
+            for urgency in Urgency
+        }
+
+    def put(self, action: SendMessage, now: float) -> None:
+        """Adds a message that `take` is to send."""
+        if action.to is None and self.fleet.size < 2:
+            return
+        if action.to is not None and not self._is_peer(action.to):
             self.counts["dropped.receiver"] += 1
             return
         try:
-            data = self.wire.codec.pack_message(message.message)
+            data = self.wire.codec.pack_message(action.message)
         except ValueError:
             self.counts["dropped.invalid"] += 1
             return
-        self.queues[message.urgency].put(message.to, message.message, data, now)
-
-    def take(self, now: float) -> list[Packet]:
-        """What is to be sent now, in this order."""
-        if now > self.at:
-            self.tokens = min(self.burst, self.tokens + (now - self.at) * self.rate)
-            self.at = now
-        packets = []
-        while (packet := self.next(now)) is not None:
-            packets.append(packet)
-        return packets
+        key = self._key_of(action)
+        self.queues[action.urgency].put(action.to, key, data, now)
+
+    def _is_peer(self, to: int) -> bool:
+        return 0 <= to < self.fleet.size and to != self.fleet.me
+
+    def _key_of(self, action: SendMessage) -> MessageKey:
+        if action.urgency is Urgency.ROUTINE:
+            return MessageKey(action.message.KIND, subject_of(action.message))
+        self._message_count += 1
+        return MessageKey(action.message.KIND, self._message_count)
+
+    def take(self, now: float) -> list[Datagram]:
+        """Returns the datagrams to send now, in this order."""
+        self._refill(now)
+        datagrams = []
+        while (datagram := self._next_datagram(now)) is not None:
+            datagrams.append(datagram)
+        return datagrams
+
+    def _refill(self, now: float) -> None:
+        if now > self._refilled_at:
+            refill = (now - self._refilled_at) * self.bytes_per_s
+            self.tokens = min(self.burst_bytes, self.tokens + refill)
+            self._refilled_at = now
 
     def due(self) -> float:
-        """When `take` may next have something to send; `NEVER` where nothing waits."""
+        """Returns when `take` may next have something to send; `NEVER` while nothing waits."""
         for urgency, queue in self.queues.items():
-            for to, lane in queue.lanes.items():
-                missing = self.needed(to, urgency, next(iter(lane.values()))) - self.tokens
-                # A hair late, so that rounding does not wake the driver for a token too few.
-                return self.at if missing <= 0 else self.at + (missing + 1e-3) / self.rate
+            for to, waiting in queue.by_receiver.items():
+                missing = self._required_tokens(to, urgency, next(iter(waiting.values()))) - self.tokens
+                if missing <= 0:
+                    return self._refilled_at
+                return self._refilled_at + (missing + ROUNDING_TOKENS) / self.bytes_per_s
         return NEVER
 
-    def price(self, to: To) -> int:
-        """Tokens that a byte costs."""
+    # --- cost ---
+
+    def _tokens_per_byte(self, to: Receiver) -> int:
         return self.fleet.size - 1 if to is None else 1
 
-    def kept(self, urgency: Urgency) -> int:
-        """Tokens that must be left when notes of an urgency have gone."""
-        return 0 if urgency is Urgency.LEASE else self.reserve
+    def _reserve_for(self, urgency: Urgency) -> int:
+        """Returns the tokens that must be left when messages of an urgency have been sent."""
+        return 0 if urgency is Urgency.LEASE else self.reserve_bytes
+
+    def _header_bytes(self) -> int:
+        """Returns the length of the next datagram without messages."""
+        return MAX_DATAGRAM_BYTES - self.wire.available_bytes()
 
-    def head(self) -> int:
-        """Bytes of the next datagram beside its notes."""
-        return DATAGRAM_MOST - self.wire.room()
+    def _required_tokens(self, to: Receiver, urgency: Urgency, message: QueuedMessage) -> int:
+        """Returns the tokens with which a message may be sent alone."""
+        length = self._header_bytes() + len(message.data)
+        return length * self._tokens_per_byte(to) + self._reserve_for(urgency)
 
-    def needed(self, to: To, urgency: Urgency, item: Item) -> int:
-        """Tokens with which a note may go alone."""
-        return (self.head() + len(item.data)) * self.price(to) + self.kept(urgency)
+    # --- packing ---
 
-    def next(self, now: float) -> Packet | None:
-        """The next datagram: for the receiver whose turn it is, of the most urgent notes that there are.
+    def _next_datagram(self, now: float) -> Datagram | None:
+        """Returns the next datagram: for the next receiver of the most urgent messages that wait.
 
-        Where the tokens do not reach for it, all wait: what is cheaper must not put off what is dearer.
+        Where the tokens do not suffice for it, all wait: a cheaper message must not delay a dearer one.
         """
         for urgency, queue in self.queues.items():
-            if (item := queue.first(now)) is not None:
-                to = next(iter(queue.lanes))
-                return self.fill(to, now) if self.needed(to, urgency, item) <= self.tokens else None
+            message = queue.next_message(now)
+            if message is not None:
+                to = next(iter(queue.by_receiver))
+                if self._required_tokens(to, urgency, message) > self.tokens:
+                    return None
+                return self._pack(to, now)
         return None
 
-    def fill(self, to: To, now: float) -> Packet:
-        """A datagram with as many notes for a receiver as fit and are paid for, the most urgent first."""
-        length, messages = self.head(), list[bytes]()
-        for each in Urgency:
-            queue = self.queues[each]
-            queue.expire(to, now)
-            # What lies beside a lease's note must leave the reserve as it would alone.
-            longest = min(DATAGRAM_MOST, math.floor((self.tokens - self.kept(each)) / self.price(to)))
+    def _pack(self, to: Receiver, now: float) -> Datagram:
+        """Packs as many messages for a receiver as fit and are paid for, the most urgent first."""
+        length = self._header_bytes()
+        packed: list[bytes] = []
+        for urgency, queue in self.queues.items():
+            queue.drop_expired(to, now)
+            max_length = self._max_length(to, urgency)
             keys = []
-            for key, item in queue.lanes.get(to, {}).items():
-                if len(messages) == NOTES_MOST or length + len(item.data) > longest:
+            for key, message in queue.by_receiver.get(to, {}).items():
+                if len(packed) == MAX_MESSAGES or length + len(message.data) > max_length:
                     break
-                messages.append(item.data)
-                length += len(item.data)
+                packed.append(message.data)
+                length += len(message.data)
                 keys.append(key)
             if keys:
-                queue.sent(to, keys)
-        packet = Packet(to, self.wire.write(messages))
-        cost = self.price(to) * len(packet.data)
+                queue.remove_sent(to, keys)
+        datagram = Datagram(to, self.wire.write(packed))
+        cost = self._tokens_per_byte(to) * len(datagram.data)
         self.tokens -= cost
-        self.counts.update({"sent": 1, "sent.notes": len(messages), "sent.bytes": cost})
-        return packet
+        self.counts.update({"sent": 1, "sent.notes": len(packed), "sent.bytes": cost})
+        return datagram
+
+    def _max_length(self, to: Receiver, urgency: Urgency) -> int:
+        """Returns the length up to which messages of an urgency are added.
+
+        What is sent along with a lease message must leave the reserve as it would alone.
+        """
+        affordable = (self.tokens - self._reserve_for(urgency)) / self._tokens_per_byte(to)
+        return min(MAX_DATAGRAM_BYTES, math.floor(affordable))
--- a/paddlequay/lab/cluster_model.py
+++ b/paddlequay/lab/cluster_model.py
@@ -47,8 +47,8 @@
         "bound_bytes_s": world.settings.bytes_per_s,
         "bytes_over_bound": max(
             box.node.outbox.counts["sent.bytes"]
-            - box.node.outbox.burst
-            - box.node.outbox.rate * world.now * box.rate
+            - box.node.outbox.burst_bytes
+            - box.node.outbox.bytes_per_s * world.now * box.rate
             for box in world.boxes
             if box.node is not None
         ),
--- a/paddlequay/lab/cluster_model_drive.py
+++ b/paddlequay/lab/cluster_model_drive.py
@@ -23,7 +23,7 @@
     SelfChanged,
     VerdictChanged,
 )
-from paddlequay.cluster.verdicts import DOWN
+from paddlequay.cluster.verdict_rules import DOWN_FAULTS
 from paddlequay.lab.cluster_model_world import Box, World
 from paddlequay.lab.limit_audit import Audit
 from paddlequay.placement.homes import digest
@@ -134,8 +134,8 @@
         if node is None or node.verdicts is None or box.lives != life or not self.world.alive(box):
             return
         now = box.clock(self.world.now)
-        actions = node.verdicts.saw(parent.subject, 0, "parent", ok, fault, now)
-        self.world.flush(box, node.settle(actions, now))
+        actions = node.verdicts.record_attempt(parent.subject, 0, "parent", ok, fault, now)
+        self.world.flush(box, node.execute(actions, now))
 
     def turn(self, parent: Parent, up: bool, silent: bool = True) -> None:
         """A parent dies, or is back."""
@@ -179,7 +179,7 @@
 
     def worded(self, box: Box, word: VerdictChanged) -> None:
         parent = self.by_subject[word.subject]
-        if word.fault not in DOWN:
+        if word.fault not in DOWN_FAULTS:
             self.words[word.subject].pop(box.me, None)
             return
         self.words[word.subject].setdefault(box.me, self.world.now)
--- a/paddlequay/lab/cluster_model_world.py
+++ b/paddlequay/lab/cluster_model_world.py
@@ -16,10 +16,10 @@
 from itertools import count
 
 from paddlequay.cluster.node import ClusterEvent, Node
-from paddlequay.cluster.outbox import Packet
+from paddlequay.cluster.outbox import Datagram
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import NEVER, Fleet, Peer
-from paddlequay.cluster.wire import VERSION, Codec, Head, Refusal
+from paddlequay.cluster.wire import VERSION, Codec, Header, RejectReason
 
 UNIX = 1_700_000_000.0  # true time 0; a start's Unix time is true up to `UNIX_OFF`
 UNIX_OFF = 0.2  # seconds by which machines' calendars differ
@@ -215,10 +215,10 @@
 
     def read(self, box: Box, node: Node, data: bytes, sender: Peer) -> Sequence[ClusterEvent]:
         told = node.wire.read(data, sender)
-        if isinstance(told, Refusal):
+        if isinstance(told, RejectReason):
             self.refused[told.value] += 1
             return ()
-        return node.handle_message(told.head.sender, told.head, told.messages, box.clock(self.now))
+        return node.handle_datagram(told.header.sender, told.header, told.messages, box.clock(self.now))
 
     def flush(self, box: Box, events: Sequence[ClusterEvent]) -> None:
         """After each call: what it found, what it sends, and when it is called next."""
@@ -241,7 +241,7 @@
 
     # --- links ---
 
-    def send(self, box: Box, packet: Packet) -> None:
+    def send(self, box: Box, packet: Datagram) -> None:
         if self.counting:
             many = self.size - 1 if packet.to is None else 1
             for note in self.plain.read(packet.data).messages:
@@ -281,7 +281,7 @@
         """Another installation's datagrams, from peers' addresses, as if one had been given their ports."""
         if self.now >= until:
             return
-        head = Head(VERSION, self.rng.randrange(self.size), 1 << 56, self.rng.getrandbits(20), 1)
+        head = Header(VERSION, self.rng.randrange(self.size), 1 << 56, self.rng.getrandbits(20), 1)
         self.arrive(box, self.foreign.pack(head, ()), head.sender)
         self.at(self.now + self.rng.expovariate(per_s), self.noise, box, per_s, until)
 
--- a/paddlequay/lab/table_world.py
+++ b/paddlequay/lab/table_world.py
@@ -26,7 +26,7 @@
     TableChanged,
     earliest,
 )
-from paddlequay.cluster.wire import Codec, Heard, Wire
+from paddlequay.cluster.wire import Codec, ReceivedDatagram, Wire
 
 BOUNDS = ClusterBounds()
 DETECTED = 1.0  # seconds after which a restart or the end of a cut is known, as by liveness
@@ -114,12 +114,12 @@
 
     def read(self, sender: Peer, data: bytes, now: float) -> list[Action]:
         heard, actions = self.wire.read(data, sender), list[Action]()
-        if isinstance(heard, Heard):
-            self.leases.observe_counter(heard.head.clock)
+        if isinstance(heard, ReceivedDatagram):
+            self.leases.observe_counter(heard.header.clock)
             for message in heard.messages:
                 part = self.leases if isinstance(message, self.leases.HANDLED_MESSAGES) else self.tables
                 if isinstance(message, part.HANDLED_MESSAGES):
-                    actions += part.handle_message(sender, heard.head.incarnation, message, now)
+                    actions += part.handle_message(sender, heard.header.incarnation, message, now)
         return actions
 
     def use(self) -> tuple[int | None, int | None]:
--- a/paddlequay/net/cluster/placement_tables.py
+++ b/paddlequay/net/cluster/placement_tables.py
@@ -94,11 +94,11 @@
 
         self.node, self.mover, self.waits = node, None, None
         self.tables = Tables(node.fleet, node.settings.bounds, node.holds, retake)
-        node.join(self.tables, Tables.HANDLED_MESSAGES)
+        node.add_part(self.tables, Tables.HANDLED_MESSAGES)
         now = self.clock()
         if node.leases is not None and node.fleet.me in node.fleet.acceptors:
-            node.begun += node.leases.request(LEASE, now)
-        node.begun += self.tables.compiled(*self.compiled(), now)
+            node.initial_actions += node.leases.request(LEASE, now)
+        node.initial_actions += self.tables.compiled(*self.compiled(), now)
 
     def leave_cluster(self) -> None:
         """This router's life in the cluster is over: homes are plain."""
--- /dev/null
+++ b/paddlequay/net/cluster/status_page.py
@@ -0,0 +1,91 @@
+"""The status page of the cluster for operators: what one router believes and holds now, as JSON.
+
+The keys of the page are part of its format, whatever the code's names are.
+"""
+
+import json
+import time
+from collections import Counter
+from typing import TYPE_CHECKING, Any
+
+if TYPE_CHECKING:
+    from paddlequay.cluster.bundles import Bundles
+    from paddlequay.cluster.node import Node
+    from paddlequay.net.cluster.driver import ClusterDriver
+
+MAX_SUBJECTS_SHOWN = 200
+SHOWN_COUNTERS = ("cluster.", "limit.", "channels.", "placement_", "peers.")
+
+
+def status_page(driver: "ClusterDriver") -> str:
+    """Returns the whole page; `out` is true while another process of this router is in the cluster."""
+    node = driver.node
+    now = driver.clock()
+    if node is None:
+        return json.dumps({"me": driver.fleet.me, "at": time.time(), "out": True})
+    counts = driver.counters.counts
+    shown: dict[str, Any] = {
+        "me": node.fleet.me,
+        "incarnation": node.liveness.incarnation,
+        "at": time.time(),
+        "peers": {peer: node.liveness.state_of(peer).value for peer in range(node.fleet.size)},
+        "leases": show_leases(node, now),
+        "limits": show_limits(driver, node),
+        "words": show_verdicts(driver, node, now),
+        "sent": dict(node.outbox.counts),
+        "counts": {name: count for name, count in counts.items() if name.startswith(SHOWN_COUNTERS)},
+    }
+    if driver.prefetcher is not None:
+        shown["channels"] = show_channels(driver.prefetcher.channels.bundles, now)
+    if driver.placement is not None:
+        shown["placement"] = driver.placement.status_page()
+    return json.dumps(shown)
+
+
+def show_leases(node: "Node", now: float) -> dict[str, Any]:
+    """Returns, for each limit, the lease's holder as far as known, and the term if this router holds it."""
+    if node.leases is None or node.limits is None:
+        return {}
+    return {
+        f"limit/{rule.name}": {
+            "holder": node.leases.holder(kept.lease, now),
+            "term": node.leases.holds(kept.lease, now),
+        }
+        for rule, kept in node.limits.rules.values()
+    }
+
+
+def show_limits(driver: "ClusterDriver", node: "Node") -> dict[str, Any]:
+    """Returns, for each limit, the number of values that are limited now, and of rejections here."""
+    lines = node.limits.lines.values() if node.limits is not None else ()
+    value_counts = Counter(line.rule.name for line in lines)
+    counts = driver.counters.counts
+    return {
+        rule.name: {"values": value_counts[rule.name], "refused": counts[f"limit.refused.{rule.name}"]}
+        for rule in driver.settings.limits
+    }
+
+
+def show_channels(bundles: "Bundles", now: float) -> dict[str, Any]:
+    """Returns the bundles with live channels, and the term of those that this router owns."""
+    return {
+        f"{bundle.lease:x}": {"term": bundles.terms(bundle, now), "live": len(bundle.live)}
+        for bundle in bundles.all
+        if bundle.live
+    }
+
+
+def show_verdicts(driver: "ClusterDriver", node: "Node", now: float) -> dict[str, Any]:
+    """Returns the fleet's verdicts that count for this router now."""
+    if node.verdicts is None:
+        return {}
+    shown = {}
+    for subject, name in driver.verdicts.names.latest(MAX_SUBJECTS_SHOWN):
+        verdict = node.verdicts.verdict_on(subject, now)
+        if verdict is not None:
+            shown[name] = {
+                "is": verdict.fault.name.lower(),
+                "by": verdict.witness_count,
+                "age_s": round(verdict.age_s, 3),
+            }
+    return shown
--- a/paddlequay/programs/handover.py
+++ b/paddlequay/programs/handover.py
@@ -20,7 +20,7 @@
 from paddlequay.requests.quotas import MIN_CACHE_CONNECTIONS, QuotaInUse
 
 if TYPE_CHECKING:
-    from paddlequay.net.cluster.sharing import Sharing
+    from paddlequay.net.cluster.driver import ClusterDriver
 
 LOGGER = logging.getLogger("paddlequay.main")
 
@@ -28,7 +28,7 @@
 class Handover:
     """Prepares this process beside a predecessor, and yields to a successor.
 
-    It owns no connection: it says to the clients' front, to the sharing of a fleet and to the link between
+    It owns no connection: it says to the clients' front, to the cluster of a fleet and to the link between
     the two processes what each has to do.
     """
 
@@ -49,7 +49,7 @@
         self.endpoint_watch = endpoint_watch
         self.limits = limits
         self.background = background
-        self.sharing: Sharing | None = None
+        self.cluster: ClusterDriver | None = None
         hot_restart.export_state = exchange.router.export_state
         hot_restart.on_inherited_state = exchange.inherit_state
         hot_restart.on_successor = self.reserve_for_successor
@@ -102,8 +102,8 @@
     def yield_to_successor(self) -> None:
         """Beside a successor that takes clients: keep what there is, and have it become less."""
         self.clients.handing_over = True
-        if self.sharing is not None:
-            self.sharing.give_way()
+        if self.cluster is not None:
+            self.cluster.yield_to_successor()
         self.hot_restart.give_quota(QuotaInUse(len(self.clients.sessions), len(self.pool.connections())))
 
     def update(self) -> None:
@@ -113,5 +113,5 @@
         """
         self.clients.handing_over = self.clients.refusing_new or self.hot_restart.replaced
         self.clients.close_quiet_connections()
-        if self.sharing is not None and not self.hot_restart.replaced:
-            self.sharing.come_back()
+        if self.cluster is not None and not self.hot_restart.replaced:
+            self.cluster.resume()
--- a/paddlequay/programs/router.py
+++ b/paddlequay/programs/router.py
@@ -36,7 +36,7 @@
 from paddlequay.requests.quotas import ProcessQuotas
 
 if TYPE_CHECKING:
-    from paddlequay.net.cluster.sharing import Sharing
+    from paddlequay.net.cluster.driver import ClusterDriver
     from paddlequay.net.endpoints.members import MemberSources
 
 LOGGER = logging.getLogger("paddlequay.main")
@@ -71,7 +71,7 @@
         )
         self.console = Console(operator_state, self.clients, self.hot_restart, limits, counters)
         self.members = self.make_members()
-        self.sharing = self.handover.sharing = self.make_sharing()
+        self.cluster = self.handover.cluster = self.make_cluster()
         try:
             self.endpoint_watch.start_from(config.known)
         except bulletin.EndpointWatchError as error:
@@ -106,13 +106,13 @@
         self.console.queries["members"] = members.explain
         return members
 
-    def make_sharing(self) -> "Sharing | None":
+    def make_cluster(self) -> "ClusterDriver | None":
         """What the routers share, where a settings file of the installation says so and peers are allowed."""
         path = os.environ.get(CLUSTER_VARIABLE)
         if not path:
             return None
-        from paddlequay.net.cluster.sharing import Sharing
-        from paddlequay.net.cluster.sharing_page import page
+        from paddlequay.net.cluster.driver import ClusterDriver
+        from paddlequay.net.cluster.status_page import status_page
         from paddlequay.schema.cluster import read_cluster
 
         settings = read_cluster(Path(path))
@@ -120,14 +120,14 @@
             log.event(LOGGER, logging.WARNING, "cluster_off", why="the platform allows or names no peers")
             return None
         try:
-            sharing = Sharing(settings, self.config.peering, self.config, self.exchange, self.counters)
+            cluster = ClusterDriver(settings, self.config.peering, self.config, self.exchange, self.counters)
         except ValueError as error:
             raise ConfigError(f"{path}: {error}") from None
-        self.exchange.attempts.interceptor = sharing
-        self.console.pages["cluster"] = lambda: page(sharing)
-        if sharing.placement is not None:
-            self.console.queries["placement"] = sharing.placement.explain
-        return sharing
+        self.exchange.attempts.interceptor = cluster.interceptor
+        self.console.pages["cluster"] = lambda: status_page(cluster)
+        if cluster.placement is not None:
+            self.console.queries["placement"] = cluster.placement.explain
+        return cluster
 
     @staticmethod
     def bind(name: str, address: Address) -> socket.socket:
@@ -158,8 +158,8 @@
                 from paddlequay.schema.sources import read_discovery
 
                 self.members.reload(read_discovery(Path(os.environ[DISCOVERY_VARIABLE])))
-            if self.sharing is not None and self.sharing.placement is not None:
-                self.sharing.placement.reload()
+            if self.cluster is not None and self.cluster.placement is not None:
+                self.cluster.placement.reload()
         except ConfigError as error:
             self.counters.add("reloads_refused")
             return log.event(LOGGER, logging.WARNING, "reload_refused", why=str(error))
@@ -212,14 +212,14 @@
         self.background.supervise("heartbeat", self.heartbeat)
         if self.members is not None:
             self.members.start()
-        if self.sharing is not None:
-            await self.sharing.start()
+        if self.cluster is not None:
+            await self.cluster.start()
         limits = self.limits
         log.event(LOGGER, logging.INFO, "started", cores=limits.cores, clients=limits.client_connections)
         if await self.run_until_stop(self.handover.take_over(self.listener)):
             await self.stop.wait()
-        if self.sharing is not None:
-            self.sharing.leave()
+        if self.cluster is not None:
+            self.cluster.release()
         if self.clients.listener is not None:  # else nothing was taken, and a predecessor goes on alone
             await shut_down(self.clients, self.hot_restart, self.limits)
         await self.close()
@@ -229,8 +229,8 @@
         await self.background.stop()
         if self.members is not None:
             self.members.stop()
-        if self.sharing is not None:
-            self.sharing.stop()
+        if self.cluster is not None:
+            self.cluster.stop()
         self.hot_restart.close()
         self.counters.print("exit")
         signals.ignore(asyncio.get_running_loop())
--- a/paddlequay/simulator/adapter.py
+++ b/paddlequay/simulator/adapter.py
@@ -36,7 +36,7 @@
 )
 
 if TYPE_CHECKING:
-    from paddlequay.simulator.sharing import SimShare
+    from paddlequay.simulator.cluster import SimulatorCluster
 
 T = TypeVar("T")
 CLUSTER = "cluster"  # the nonce of a cluster's alarms
@@ -238,10 +238,12 @@
 class Host:
     """All routers of one process; they share nothing but what goes by the wire, where `share` makes such."""
 
-    def __init__(self, share: "Callable[[Fields, Router, float], SimShare | None] | None" = None) -> None:
+    def __init__(
+        self, share: "Callable[[Fields, Router, float], SimulatorCluster | None] | None" = None
+    ) -> None:
         self.routers: dict[str, Router | None] = {}
         self.share = share
-        self.shares: dict[str, SimShare] = {}
+        self.shares: dict[str, SimulatorCluster] = {}
 
     def batch(self, lines: list[str]) -> list[str]:
         """The reply to one batch, its closing line left off."""
@@ -296,14 +298,14 @@
         return [] if instance is None else [write_action(router, act) for act in instance.handle(event, now)]
 
     def shared(
-        self, router: str, share: "SimShare", fields: Fields, entries: list[Member], now: float
+        self, router: str, share: "SimulatorCluster", fields: Fields, entries: list[Member], now: float
     ) -> list[str]:
         """One event to a router that has a share in a cluster, and what the cluster makes of it."""
         instance = self.routers[router]
         assert instance is not None
         events: list[Event] = []
         if fields.name == "note_from":
-            events += share.note_from(fields.need("srcPeer", int), fields.need("content", str), now)
+            events += share.receive(fields.need("srcPeer", int), fields.need("content", str), now)
         elif fields.name == "alarm" and fields.need("nonce", str) == CLUSTER:
             events += share.tick(now)
         else:
@@ -313,39 +315,41 @@
         reply: list[str] = []
         for event in events:
             actions = instance.handle(event, now)
-            share.acted(actions)
+            share.record_actions(actions)
             reply += [write_action(router, act) for act in actions]
             if isinstance(event, AttemptEnded):
-                events += share.ended(event, now)
+                events += share.handle_attempt_end(event, now)
             for act in actions:
                 if isinstance(act, Reject | Fail):
-                    share.over(act.request)
+                    share.forget_request(act.request)
             if isinstance(event, ClientDisconnected):
-                share.over(event.request)
+                share.forget_request(event.request)
         return reply + sent(router, share, now)
 
 
-def sent(router: str, share: "SimShare", now: float) -> list[str]:
+def sent(router: str, share: "SimulatorCluster", now: float) -> list[str]:
     """What a cluster sends, and its next alarm."""
-    reply = [f"post\trouter={router}\tpeer={post.peer}\tcontent={post.content}" for post in share.posts(now)]
-    wait = share.alarm(now)
+    reply = [
+        f"post\trouter={router}\tpeer={post.peer}\tcontent={post.content}" for post in share.take_posts(now)
+    ]
+    wait = share.set_alarm(now)
     return reply if wait is None else [*reply, write_action(router, SetTimer(wait, CLUSTER))]
 
 
-def sharing(path: str) -> "Callable[[Fields, Router, float], SimShare | None]":
+def sharing(path: str) -> "Callable[[Fields, Router, float], SimulatorCluster | None]":
     """Makes an instance's share in a cluster by a file of settings, where the platform's allow peers."""
     from paddlequay.schema.cluster import read_cluster
-    from paddlequay.simulator.sharing import SimShare
+    from paddlequay.simulator.cluster import SimulatorCluster
 
     settings = read_cluster(Path(path))
 
-    def share(fields: Fields, router: Router, now: float) -> SimShare | None:
+    def share(fields: Fields, router: Router, now: float) -> SimulatorCluster | None:
         told = json.loads(fields.need("settings", str))
         allowed = (told.get("limits") or {}).get("peers") is True
         me, size, salt = told.get("me"), told.get("groupSize"), fields.need("salt", int)
         if not allowed or not isinstance(me, int) or not isinstance(size, int) or not 0 <= me < size:
             return None
-        return SimShare(settings, me, size, router, salt, now)
+        return SimulatorCluster(settings, me, size, router, salt, now)
 
     return share
 
--- a/paddlequay/simulator/peer_messages.py
+++ b/paddlequay/simulator/peer_messages.py
@@ -1,6 +1,6 @@
-"""The same datagrams on the simulator's wire: base64 text in its messages between instances.
+"""The same datagrams as messages between the simulator's instances, as base64 text.
 
-There the number of a sender comes with the message, as on sockets it follows from the sender's address.
+There the sender's number comes with the message, as on sockets it follows from the sender's address.
 """
 
 import base64
@@ -10,28 +10,29 @@
 
 from paddlequay.cluster.outbox import Outbox
 from paddlequay.cluster.types import Peer
-from paddlequay.cluster.wire import DATAGRAM_MOST, Heard, Refusal, Wire
+from paddlequay.cluster.wire import MAX_DATAGRAM_BYTES, ReceivedDatagram, RejectReason, Wire
 
-ALL = "*"
-EMPTY = "-"
-CONTENT_MOST = 4 * -(-DATAGRAM_MOST // 3)  # characters
+ALL_PEERS = "*"
+EMPTY_CONTENT = "-"
+MAX_CONTENT_CHARACTERS = 4 * -(-MAX_DATAGRAM_BYTES // 3)  # base64 of the longest datagram
 
 
 @dataclass(frozen=True, slots=True)
 class Post:
-    """What an instance asks the simulator to carry: `peer` a number or `*`, `content` base64."""
+    """A message that the simulator is to carry: `peer` is a number or `*`, `content` base64."""
 
     peer: str
     content: str
 
 
-def to_content(data: bytes) -> str:
-    return base64.b64encode(data).decode() or EMPTY
+def encode_content(data: bytes) -> str:
+    """Returns a datagram as the simulator carries it."""
+    return base64.b64encode(data).decode() or EMPTY_CONTENT
 
 
-def from_content(content: str) -> bytes:
-    """Raises `ValueError` for what is not base64 with its padding."""
-    if content == EMPTY:
+def decode_content(content: str) -> bytes:
+    """Returns the datagram of a message. Raises `ValueError` for what is not base64 with its padding."""
+    if content == EMPTY_CONTENT:
         return b""
     try:
         return base64.b64decode(content, validate=True)
@@ -39,31 +40,34 @@
         raise ValueError(str(error)) from error
 
 
-class SimWire:
-    """Between the outbox and the wire's ends of one instance, and the simulator's messages."""
+class SimulatorTransport:
+    """Carries one instance's datagrams between its outbox and the simulator."""
 
     def __init__(self, wire: Wire, outbox: Outbox) -> None:
-        self.wire, self.outbox = wire, outbox
-        self.refused: Counter[Refusal] = Counter()
-
-    def note_from(self, sender: Peer, content: str) -> Heard | None:
-        """What a message says; None, and counted by its reason, where it is refused."""
-        told: Heard | Refusal
+        self.wire = wire
+        self.outbox = outbox
+        self.rejected: Counter[RejectReason] = Counter()
+
+    def receive(self, sender: Peer, content: str) -> ReceivedDatagram | None:
+        """Returns the datagram of a message; None, and counted by its reason, where it is rejected."""
+        received = self._read(sender, content)
+        if isinstance(received, RejectReason):
+            self.rejected[received] += 1
+            return None
+        return received
+
+    def _read(self, sender: Peer, content: str) -> ReceivedDatagram | RejectReason:
+        if len(content) > MAX_CONTENT_CHARACTERS:
+            return RejectReason.OVERSIZED
         try:
-            told = Refusal.OVERSIZED if len(content) > CONTENT_MOST else self.read(sender, content)
+            data = decode_content(content)
         except ValueError:
-            told = Refusal.MALFORMED
-        if isinstance(told, Heard):
-            return told
-        self.refused[told] += 1
-        return None
-
-    def read(self, sender: Peer, content: str) -> Heard | Refusal:
-        return self.wire.read(from_content(content), sender)
+            return RejectReason.MALFORMED
+        return self.wire.read(data, sender)
 
-    def posts(self, now: float) -> list[Post]:
-        """What is to be sent now."""
+    def take_posts(self, now: float) -> list[Post]:
+        """Returns the messages to send now."""
         return [
-            Post(ALL if packet.to is None else str(packet.to), to_content(packet.data))
-            for packet in self.outbox.take(now)
+            Post(ALL_PEERS if datagram.to is None else str(datagram.to), encode_content(datagram.data))
+            for datagram in self.outbox.take(now)
         ]
--- a/tests/cluster/simnet.py
+++ b/tests/cluster/simnet.py
@@ -1,9 +1,9 @@
-"""A network of routers in virtual time: drops, delays, cuts of one way, partitions, stalls, restarts; seeded.
+"""A simulated network of routers in virtual time: loss, delays, one-way cuts, partitions, stalls, restarts.
 
 net = Net(seed=1, drop=0.2)
-net.add(0, [part, ...], lambda: 7)  # parts, and the incarnation that heads carry
-net.cut(0, 1)                       # 1 does not hear 0 any more
-net.run(10.0)                       # to that time; `net.log` has what parts have found
+net.add(0, [part, ...], lambda: 7)  # parts, and the incarnation that headers carry
+net.cut(0, 1)                       # 1 no longer receives the datagrams of 0
+net.run(10.0)                       # to that time; `net.log` has the events of the parts
 """
 
 import heapq
@@ -20,14 +20,14 @@
 class Router:
     parts: Sequence[Any]
     incarnation: Callable[[], int]
-    stalled: float = 0.0  # until then it does nothing; what comes waits
+    stalled: float = 0.0  # until then it does not run; what arrives waits
     dead: bool = False
     due: float = NEVER  # of the tick that is scheduled
     waiting: list[tuple[Peer, int, list[PeerMessage]]] = field(default_factory=list)
 
 
 class Net:
-    """Delays are seconds, drawn evenly; `size` tells the bytes of a datagram's notes, for `bytes`."""
+    """Delays are seconds, drawn evenly; `size` returns the bytes of a datagram, which `bytes` adds up."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self._count = 0
 
     def add(self, peer: Peer, parts: Sequence[Any], incarnation: Callable[[], int]) -> Router:
-        """A router starts, or starts anew: the one before it under this number is dead."""
+        """Starts a router; the one before it under this number is killed."""
         self.kill(peer)
         router = self.routers[peer] = Router(parts, incarnation)
         self._schedule(peer, router)
@@ -66,7 +66,7 @@
         self.cuts.add((sender, receiver))
 
     def part(self, *sides: Iterable[Peer]) -> None:
-        """Only those of one side hear each other; `heal` ends it and all cuts."""
+        """Partitions the network: only routers of one side reach each other. `heal` ends it and all cuts."""
         side = {peer: number for number, peers in enumerate(sides) for peer in peers}
         self.cuts |= {(a, b) for a in side for b in side if side[a] != side[b]}
 
@@ -84,53 +84,53 @@
         self.now = until
 
     def act(self, peer: Peer, router: Router, actions: Iterable[Action]) -> None:
-        """Do what a part of `router` asked for: also for calls of one's own, such as `Verdicts.saw`."""
-        notes: dict[Peer, list[PeerMessage]] = {}
+        """Executes the actions of a part of `router`, also those of a test's own calls."""
+        messages: dict[Peer, list[PeerMessage]] = {}
         todo = list(actions)
         while todo:
             action = todo.pop(0)
             if isinstance(action, SendMessage):
                 others = [other for other in self.routers if other != peer]
                 for to in others if action.to is None else [action.to]:
-                    notes.setdefault(to, []).append(action.message)
+                    messages.setdefault(to, []).append(action.message)
             elif not isinstance(action, LogEvent):
                 self.log.append((self.now, peer, action))
                 for part in router.parts:
                     todo += part.handle_event(action, self.now)
-        for to, told in notes.items():
-            self._send(peer, router.incarnation(), to, told)
+        for to, sent in messages.items():
+            self._send(peer, router.incarnation(), to, sent)
         self._schedule(peer, router)
 
-    def _send(self, sender: Peer, incarnation: int, to: Peer, notes: list[PeerMessage]) -> None:
+    def _send(self, sender: Peer, incarnation: int, to: Peer, messages: list[PeerMessage]) -> None:
         self.datagrams += 1
         if self.size is not None:
-            self.bytes += self.size(incarnation, notes)
+            self.bytes += self.size(incarnation, messages)
         if (sender, to) not in self.cuts and self.rng.random() >= self.drop and to in self.routers:
             router = self.routers[to]
             when = self.now + self.rng.uniform(*self.delay)
-            self.at(when, lambda: self.deliver(to, router, sender, incarnation, notes))
+            self.at(when, lambda: self.deliver(to, router, sender, incarnation, messages))
 
     def deliver(
-        self, to: Peer, router: Router, sender: Peer, incarnation: int, notes: list[PeerMessage]
+        self, to: Peer, router: Router, sender: Peer, incarnation: int, messages: list[PeerMessage]
     ) -> None:
         if router.dead:
             return
         if self.now < router.stalled:
-            router.waiting.append((sender, incarnation, notes))
+            router.waiting.append((sender, incarnation, messages))
             return
         actions: list[Action] = []
         for part in router.parts:
-            if hasattr(part, "seen"):
-                actions += part.seen(sender, incarnation, self.now)
-            for note in notes:
-                if isinstance(note, part.HANDLED_MESSAGES):
-                    actions += part.handle_message(sender, incarnation, note, self.now)
+            if hasattr(part, "handle_datagram"):
+                actions += part.handle_datagram(sender, incarnation, self.now)
+            for message in messages:
+                if isinstance(message, part.HANDLED_MESSAGES):
+                    actions += part.handle_message(sender, incarnation, message, self.now)
         self.act(to, router, actions)
 
     def _wake(self, peer: Peer, router: Router) -> None:
         self._tick(peer, router)
-        for sender, incarnation, notes in router.waiting:
-            self.deliver(peer, router, sender, incarnation, notes)
+        for sender, incarnation, messages in router.waiting:
+            self.deliver(peer, router, sender, incarnation, messages)
         router.waiting.clear()
 
     def _schedule(self, peer: Peer, router: Router) -> None:
--- a/tests/cluster/test_cluster_audit.py
+++ b/tests/cluster/test_cluster_audit.py
@@ -18,7 +18,9 @@
 
 
 @given(st.lists(st.floats(0, 10), max_size=40), st.floats(0.5, 20), st.floats(1, 5))
-def test_the_sweep_finds_what_all_windows_show(times: list[float], rate: float, burst: float) -> None:
+def test_the_limit_audit_agrees_with_checking_every_window(
+    times: list[float], rate: float, burst: float
+) -> None:
     ordered = sorted(times)
     worst = max(
         (
@@ -31,7 +33,7 @@
     assert abs(over(times, rate, burst, 0.0) - max(0.0, worst - burst)) < 1e-6
 
 
-def test_a_bucket_of_its_own_is_never_over_and_one_request_more_is() -> None:
+def test_a_token_bucket_passes_the_limit_audit_and_a_burst_fails_it() -> None:
     drawn, now, tokens, times = random.Random(3), 0.0, 4.0, []
     for _ in range(500):
         wait = drawn.expovariate(30)
@@ -43,7 +45,7 @@
     assert over([*times, *([times[100]] * 5)], 10, 4, 0) > 1
 
 
-def test_only_a_look_between_two_of_another_router_proves_two_holders() -> None:
+def test_two_holders_are_proven_only_by_an_observation_between_two_of_another_router() -> None:
     handed_over = [Look(1, 0, 5), Look(2, 0, 5), Look(2.1, 1, 6), Look(3, 0, None), Look(4, 1, 6)]
     assert two_holders(handed_over) == 0 and terms_back(handed_over) == 0
     assert two_holders([*handed_over[:3], Look(3, 0, 5)]) == 1
--- a/tests/cluster/test_sharing.py
+++ b/tests/cluster/test_cluster_driver.py
@@ -18,7 +18,7 @@
 from paddlequay.lab.cluster import BURST, LEASE, RATE, RULES, TELL_S, Charges, Script, dead_parent
 from paddlequay.lab.fleet_rig import FleetRig, Moment, watch
 from paddlequay.lab.plaza import Plan
-from paddlequay.net.cluster.sharing import EVENT_NAMES
+from paddlequay.net.cluster.event_log import EVENT_NAMES
 
 Play = Callable[["World"], Awaitable[None]]
 
@@ -88,7 +88,7 @@
     return world
 
 
-def test_a_limit_holds_while_the_fleet_is_parted_into_two_and_into_singles_and_when_it_heals(
+def test_a_limit_holds_through_partitions_and_their_end(
     tmp_path: Path,
 ) -> None:
     async def script(world: World) -> None:
@@ -101,7 +101,7 @@
     play(tmp_path, script)
 
 
-def test_the_holder_is_killed_while_demand_shifts_and_another_takes_over(tmp_path: Path) -> None:
+def test_another_router_takes_the_lease_of_a_killed_holder_while_demand_shifts(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         holder = await world.script.holder()
         assert holder is not None
@@ -122,7 +122,7 @@
     assert after[0].at - killed < 1.5 + 1.0 + 0.5
 
 
-def test_a_holder_stopped_for_longer_than_its_lease_in_the_middle_of_sends_acts_on_nothing_it_held(
+def test_a_holder_stopped_for_longer_than_its_lease_does_not_act_on_it(
     tmp_path: Path,
 ) -> None:
     async def script(world: World) -> None:
@@ -132,7 +132,7 @@
     play(tmp_path, script, seed=3)
 
 
-def test_a_one_way_link_to_the_holder_and_half_the_routers_restarted_within_a_second(tmp_path: Path) -> None:
+def test_limits_hold_with_a_one_way_link_to_the_holder_and_half_the_routers_restarted(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         await world.script.one_way_to_holder()
         await world.held_again()
@@ -143,7 +143,9 @@
     play(tmp_path, script, seed=4)
 
 
-def test_loss_of_three_in_ten_with_repeats_and_reordering(tmp_path: Path) -> None:
+def test_limits_hold_with_three_in_ten_datagrams_lost_and_others_repeated_or_reordered(
+    tmp_path: Path,
+) -> None:
     async def script(world: World) -> None:
         await world.script.lossy()
         await world.script.shift(range(5))
@@ -152,7 +154,7 @@
     play(tmp_path, script, seed=5)
 
 
-def test_a_parent_that_dies_is_known_to_all_within_a_second_and_one_blind_router_convinces_nobody(
+def test_all_routers_have_the_verdict_on_a_dead_parent_within_a_second_and_an_isolated_one_convinces_nobody(
     tmp_path: Path,
 ) -> None:
     found: dict[str, float] = {}
@@ -180,7 +182,7 @@
     assert found["told"] == 5 and found["most"] <= 1.5, found  # 1 s is the aim; a busy machine tells it later
 
 
-def test_a_stream_of_broken_datagrams_has_no_effect_and_the_cut_off_serve_as_ever(tmp_path: Path) -> None:
+def test_malformed_datagrams_have_no_effect_and_isolated_routers_go_on_serving(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         drawn = random.Random(7)
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -204,7 +206,7 @@
     assert world.charges.answers
 
 
-def test_peers_that_do_not_fit_are_said_in_one_line(tmp_path: Path) -> None:
+def test_unusable_peers_are_reported_in_one_line(tmp_path: Path) -> None:
     async def run() -> None:
         rig = FleetRig(Plan(routers=2, boxes=1, tiers=0, regional=0), tmp_path, RULES)
         with pytest.raises(TimeoutError):
@@ -219,6 +221,6 @@
     assert "acceptors [0, 1, 2]: there are 2 peers" in log
 
 
-def test_every_finding_has_an_event_name_of_its_own() -> None:
+def test_every_local_event_has_a_log_name_of_its_own() -> None:
     assert set(EVENT_NAMES) == set(get_args(LocalEvent))
     assert len(set(EVENT_NAMES.values())) == len(EVENT_NAMES)
--- a/tests/cluster/test_sharing_twin.py
+++ b/tests/cluster/test_cluster_hot_restart.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-sys.path.insert(0, str(Path(__file__).parent.parent))  # the harness of the tests above
+sys.path.insert(0, str(Path(__file__).parent.parent))  # for `harness`
 
 from harness import SETTINGS, platform, until
 
@@ -20,7 +20,7 @@
 """
 
 
-def test_the_older_process_leaves_first_and_comes_back_where_the_newer_one_dies(
+def test_a_predecessor_leaves_the_cluster_first_and_joins_again_when_its_successor_dies(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     file = tmp_path / "cluster.txtpb"
--- a/tests/cluster/test_cluster_model.py
+++ b/tests/cluster/test_cluster_model.py
@@ -18,14 +18,14 @@
     return day(seed, size=6, seconds=22.0)
 
 
-def test_a_day_is_the_same_story_twice_and_another_with_another_seed() -> None:
+def test_a_simulated_day_is_determined_by_its_seed() -> None:
     again = day(1, size=6, seconds=22.0)
     assert again == story(1)
     assert again.digest != story(2).digest
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_days_of_faults_break_nothing(seed: int) -> None:
+def test_simulated_days_of_faults_break_no_guarantee(seed: int) -> None:
     told = story(seed)
     assert not told.broken
     assert sum(told.faults.values()) > 3 and told.admitted > 300
@@ -56,7 +56,7 @@
     granters = NoWait
 
 
-def test_the_auditor_sees_two_holders(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_auditor_detects_two_holders(monkeypatch: pytest.MonkeyPatch) -> None:
     def stopped() -> Auditor:
         auditor = made(1, 5, load=0.0, attempts=0.0)
         world = auditor.world.run(6.0)
@@ -71,7 +71,7 @@
     assert stopped().two_holders
 
 
-def test_the_auditor_sees_a_limit_passed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_auditor_detects_an_exceeded_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     def shifted() -> float:
         auditor = made(1, 5, load=0.0, attempts=0.0, burst=1.0, clocks=0.0)
         for box in auditor.world.boxes:
@@ -84,20 +84,20 @@
     assert shifted() > 1.0
 
 
-def test_forty_in_steady_state_keep_their_lease_and_most_of_the_limit() -> None:
+def test_forty_routers_in_steady_state_keep_their_lease_and_use_most_of_the_limit() -> None:
     """Needs repeated twenty times a second spent the holder's bytes on grants, and its lease with them."""
     row = steady(1, 40, 2.0, seconds=4.0)
     assert row["broken"] == 0 and row["used"] > 0.9
     assert row["pair_bytes_s"] < 64 and row["bytes_over_bound"] <= 0
 
 
-def test_a_dead_router_is_found_and_a_dead_parent_is_told() -> None:
+def test_a_dead_router_is_detected_and_a_dead_parent_gets_a_verdict() -> None:
     row = found(1, 12)
     assert row["broken"] == row["false_words"] == 0
     assert row["dead_95_s"] < 8.0 and row["word_95_s"] < 1.0
 
 
-def test_demand_that_moves_is_followed_and_a_killed_holder_replaced() -> None:
+def test_quotas_follow_demand_and_a_killed_holder_is_replaced() -> None:
     row = moved(1)
     assert row["broken"] == 0
     assert row["unused"] <= 0.05 and row["taken_s"] <= 2.5
@@ -112,14 +112,14 @@
         ("is not heard", 11, True),
     ],
 )
-def test_gray_failures_hurt_nobody_else(name: str, deaths: int, knows: bool) -> None:
+def test_a_gray_failure_of_one_router_harms_no_other(name: str, deaths: int, knows: bool) -> None:
     row = gray(name, 1)
     assert row["dead_by"] == deaths and row["others_dead"] == 0
     assert (row["knows_itself_s"] is not None) is knows
     assert row["two_holders"] == row["terms_back"] == 0 and row["most_of_limit"] <= 1
 
 
-def test_foreign_datagrams_are_refused_and_change_nothing() -> None:
+def test_foreign_datagrams_are_rejected_and_have_no_effect() -> None:
     auditor = made(1, 5, load=0.0, attempts=0.0)
     world = auditor.world
     for box in world.boxes:
--- a/tests/cluster/test_placement_tables.py
+++ b/tests/cluster/test_placement_tables.py
@@ -83,7 +83,7 @@
         return node
 
     def told(self, node: Node, actions: Sequence[Action]) -> None:
-        self.heard(node.settle(actions, self.clock.now))
+        self.heard(node.execute(actions, self.clock.now))
 
     def heard(self, event: Sequence[object]) -> None:
         for each in event:
--- a/tests/cluster/test_verdicts.py
+++ b/tests/cluster/test_verdicts.py
@@ -1,4 +1,4 @@
-"""The fleet's word: quorum, age, lives, routers that are cut off, bounds; and over a simulated network."""
+"""Verdicts: quorum, age of evidence, restarts, isolated routers and bounds; also over a simulated network."""
 
 from itertools import product
 from random import Random
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 from simnet import Net
 
-from paddlequay.cluster import verdicts
+from paddlequay.cluster import evidence_reports, evidence_store
+from paddlequay.cluster.incarnations import first_incarnation
 from paddlequay.cluster.liveness import Liveness
-from paddlequay.cluster.members import first_incarnation
 from paddlequay.cluster.messages import Evidence
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import (
@@ -29,214 +29,217 @@
 BAD = int(Fault.FAILING)
 
 
-class Bench:
-    """One router's part, ticked as it is due, and its clock."""
+class VerdictsRig:
+    """One router's verdicts with a clock; `advance` ticks them as they are due."""
 
     def __init__(self, size: int = 5) -> None:
         self.part = Verdicts(Fleet(0, size), SET, 0.0)
         self.now = 0.0
-        self.told: list[Evidence] = []
-        self.found: list[VerdictChanged] = []
+        self.sent: list[Evidence] = []
+        self.verdict_events: list[VerdictChanged] = []
 
-    def do(self, actions: list) -> None:  # type: ignore[type-arg]
-        self.told += [
+    def execute(self, actions: list) -> None:  # type: ignore[type-arg]
+        self.sent += [
             a.message for a in actions if isinstance(a, SendMessage) and isinstance(a.message, Evidence)
         ]
-        self.found += [a for a in actions if isinstance(a, VerdictChanged)]
+        self.verdict_events += [a for a in actions if isinstance(a, VerdictChanged)]
 
-    def past(self, seconds: float = SETTLE_S + 0.01) -> None:
+    def advance(self, seconds: float = SETTLE_S + 0.01) -> None:
         until = self.now + seconds
         while self.part.due() <= until:
             self.now = self.part.due()
-            self.do(self.part.tick(self.now))
+            self.execute(self.part.tick(self.now))
         self.now = until
 
-    def says(self, peer: int, fault: int = BAD, **fields: int) -> None:
-        note = {"start": 0, "count": 1, "age_ms": 10, "others": 1} | fields
-        incarnation = note.pop("incarnation", 1)
-        self.do(self.part.handle_message(peer, incarnation, Evidence(PARENT, fault=fault, **note), self.now))
+    def receive_evidence(self, peer: int, fault: int = BAD, incarnation: int = 1, **stated: int) -> None:
+        """Evidence of a peer on `PARENT`: fresh, after one attempt, unless stated otherwise."""
+        fields = {"subject_start_ms": 0, "attempt_count": 1, "age_ms": 10, "other_member_count": 1} | stated
+        evidence = Evidence(PARENT, fault=fault, **fields)
+        self.execute(self.part.handle_message(peer, incarnation, evidence, self.now))
 
-    def saw(self, ok: bool, subject: int = PARENT, start: int = 0, fault: Fault | None = None) -> None:
-        self.do(self.part.saw(subject, start, "parent", ok, fault, self.now))
+    def record_attempt(
+        self, served: bool, subject: int = PARENT, start: int = 0, fault: Fault | None = None
+    ) -> None:
+        self.execute(self.part.record_attempt(subject, start, "parent", served, fault, self.now))
 
     @property
-    def word(self) -> Fault | None:
-        word = self.part.word(PARENT, self.now)
-        return word.fault if word else None
+    def verdict(self) -> Fault | None:
+        verdict = self.part.verdict_on(PARENT, self.now)
+        return verdict.fault if verdict else None
 
 
-def test_two_witnesses_and_more_than_half_of_the_weight_are_a_word() -> None:
+def test_a_verdict_needs_two_witnesses_and_more_than_half_of_the_weight() -> None:
     for troubles, served in product(range(4), range(4)):
-        bench = Bench(9)
+        rig = VerdictsRig(9)
         for peer in range(troubles + served):
-            bench.says(peer + 1, BAD if peer < troubles else 0)
-        bench.past()
-        assert (bench.word is not None) == (troubles >= 2 and troubles > served)
-        assert len(bench.found) == (bench.word is not None)
-
-
-def test_one_router_whatever_its_count_is_no_fleet_and_no_two() -> None:
-    bench = Bench()
-    bench.says(1, count=1000)
-    bench.past()
-    assert bench.word is None
-    bench.says(2, 0, count=2)
-    bench.says(3, 0, count=2)
-    bench.says(4)
-    bench.past()
-    assert bench.word is None  # 2 and 1 against 4, not 1000 against 4
-
-
-def test_word_waits_for_those_who_are_served() -> None:
-    bench = Bench()
-    bench.says(1)
-    bench.says(2)
-    assert bench.word is None
+            rig.receive_evidence(peer + 1, BAD if peer < troubles else 0)
+        rig.advance()
+        assert (rig.verdict is not None) == (troubles >= 2 and troubles > served)
+        assert len(rig.verdict_events) == (rig.verdict is not None)
+
+
+def test_the_weight_of_one_router_is_limited() -> None:
+    rig = VerdictsRig()
+    rig.receive_evidence(1, attempt_count=1000)
+    rig.advance()
+    assert rig.verdict is None
+    rig.receive_evidence(2, 0, attempt_count=2)
+    rig.receive_evidence(3, 0, attempt_count=2)
+    rig.receive_evidence(4)
+    rig.advance()
+    assert rig.verdict is None  # 2 and 1 against 4, not 1000 against 4
+
+
+def test_a_verdict_waits_for_answers_of_routers_that_are_served() -> None:
+    rig = VerdictsRig()
+    rig.receive_evidence(1)
+    rig.receive_evidence(2)
+    assert rig.verdict is None
     for peer in (3, 4):
-        bench.says(peer, 0)
-    bench.past()
-    assert bench.word is None and bench.found == []
-
-
-def test_own_evidence_is_a_voice_and_being_served_since_overrules() -> None:
-    bench = Bench()
-    bench.saw(True, OTHER)
-    bench.saw(False)
-    bench.says(1)
-    bench.past()
-    assert bench.word is Fault.FAILING and bench.part.earlier_skip(PARENT, bench.now)
-    bench.says(2)
-    bench.says(3)
-    bench.saw(True)
-    assert bench.word is None and not bench.part.earlier_skip(PARENT, bench.now)
-    assert [a.fault for a in bench.found] == [Fault.FAILING, None]
-
-
-def test_served_before_the_word_fell_does_not_overrule() -> None:
-    bench = Bench()
-    bench.saw(True)
+        rig.receive_evidence(peer, 0)
+    rig.advance()
+    assert rig.verdict is None and rig.verdict_events == []
+
+
+def test_own_evidence_counts_once_and_being_served_since_overrules_a_verdict() -> None:
+    rig = VerdictsRig()
+    rig.record_attempt(True, OTHER)
+    rig.record_attempt(False)
+    rig.receive_evidence(1)
+    rig.advance()
+    assert rig.verdict is Fault.FAILING and rig.part.should_probe_early(PARENT, rig.now)
+    rig.receive_evidence(2)
+    rig.receive_evidence(3)
+    rig.record_attempt(True)
+    assert rig.verdict is None and not rig.part.should_probe_early(PARENT, rig.now)
+    assert [a.fault for a in rig.verdict_events] == [Fault.FAILING, None]
+
+
+def test_being_served_before_a_verdict_does_not_overrule_it() -> None:
+    rig = VerdictsRig()
+    rig.record_attempt(True)
     for peer in (1, 2, 3):
-        bench.says(peer)
-    bench.past()
-    assert bench.word is Fault.FAILING
-
-
-def test_nothing_is_used_that_may_be_older_than_the_bound() -> None:
-    """Asked for without any tick in between: age is seen at use. 10 ms, and 0.5 s for the way."""
-    bench = Bench()
-    bench.says(1)
-    bench.says(2)
-    bench.past()
-    assert bench.part.word(PARENT, 1.40) is not None
-    assert bench.part.word(PARENT, 1.45) is None  # (1.45 + 0.01) * 1.05 + 0.5 > 2
-    bench.past(2.0)
-    assert [a.fault for a in bench.found] == [Fault.FAILING, None]
-    assert bench.found[0].until <= 2.0
-    late = Bench()
-    late.says(1, age_ms=1500)
-    late.says(2, age_ms=1500)
-    late.past()
-    assert late.word is None
-
-
-def test_what_lay_here_while_the_process_stood_still_is_no_news() -> None:
-    bench = Bench()
-    bench.past(1.0)
-    bench.now = 4.0  # read before any tick, and again after one
-    bench.says(1)
-    bench.do(bench.part.tick(4.0))
-    bench.says(2)
-    bench.past()
-    assert bench.word is None
-    bench.past(0.5)
-    bench.says(1)
-    bench.says(2)
-    bench.past()
-    assert bench.word is Fault.FAILING
-
-
-def test_earlier_lives_of_subject_and_witness_are_void() -> None:
-    for void in ("subject", "witness", "list", "stale note"):
-        bench = Bench()
-        bench.says(1, start=5, incarnation=7)
-        bench.says(2, start=5, incarnation=7)
-        if void == "stale note":
-            bench.says(2, 0, start=5, incarnation=6)
-        bench.past()
-        assert bench.word is Fault.FAILING
-        if void == "subject":
-            bench.says(3, 0, start=6)
-        elif void == "witness":
-            bench.do(bench.part.handle_event(PeerChanged(2, 8, PeerState.ALIVE), bench.now))
-        elif void == "list":
-            bench.do(bench.part.began(PARENT, 6, bench.now))
-        assert (bench.word is None) == (void != "stale note")
-
-
-def test_who_is_cut_off_convinces_nobody() -> None:
-    bench = Bench()
-    bench.says(1, others=0)
-    bench.says(2, others=0)
-    bench.past()
-    assert bench.word is None
+        rig.receive_evidence(peer)
+    rig.advance()
+    assert rig.verdict is Fault.FAILING
+
+
+def test_evidence_beyond_its_maximum_age_does_not_count_at_use() -> None:
+    """Without a tick in between: the age is checked at use. 10 ms were stated, 0.5 s is for transit."""
+    rig = VerdictsRig()
+    rig.receive_evidence(1)
+    rig.receive_evidence(2)
+    rig.advance()
+    assert rig.part.verdict_on(PARENT, 1.40) is not None
+    assert rig.part.verdict_on(PARENT, 1.45) is None  # (1.45 + 0.01) * 1.05 + 0.5 > 2
+    rig.advance(2.0)
+    assert [a.fault for a in rig.verdict_events] == [Fault.FAILING, None]
+    assert rig.verdict_events[0].until <= 2.0
+    late = VerdictsRig()
+    late.receive_evidence(1, age_ms=1500)
+    late.receive_evidence(2, age_ms=1500)
+    late.advance()
+    assert late.verdict is None
+
+
+def test_evidence_that_waited_during_a_stall_counts_as_old_as_the_stall() -> None:
+    rig = VerdictsRig()
+    rig.advance(1.0)
+    rig.now = 4.0  # read before any tick, and again after one
+    rig.receive_evidence(1)
+    rig.execute(rig.part.tick(4.0))
+    rig.receive_evidence(2)
+    rig.advance()
+    assert rig.verdict is None
+    rig.advance(0.5)
+    rig.receive_evidence(1)
+    rig.receive_evidence(2)
+    rig.advance()
+    assert rig.verdict is Fault.FAILING
+
+
+def test_evidence_from_before_a_restart_of_subject_or_witness_does_not_count() -> None:
+    for restarted in ("subject", "witness", "list", "stale message"):
+        rig = VerdictsRig()
+        rig.receive_evidence(1, subject_start_ms=5, incarnation=7)
+        rig.receive_evidence(2, subject_start_ms=5, incarnation=7)
+        if restarted == "stale message":
+            rig.receive_evidence(2, 0, subject_start_ms=5, incarnation=6)
+        rig.advance()
+        assert rig.verdict is Fault.FAILING
+        if restarted == "subject":
+            rig.receive_evidence(3, 0, subject_start_ms=6)
+        elif restarted == "witness":
+            rig.execute(rig.part.handle_event(PeerChanged(2, 8, PeerState.ALIVE), rig.now))
+        elif restarted == "list":
+            rig.execute(rig.part.record_restart(PARENT, 6, rig.now))
+        assert (rig.verdict is None) == (restarted != "stale message")
+
+
+def test_evidence_of_isolated_suspect_or_dead_routers_does_not_count() -> None:
+    rig = VerdictsRig()
+    rig.receive_evidence(1, other_member_count=0)
+    rig.receive_evidence(2, other_member_count=0)
+    rig.advance()
+    assert rig.verdict is None
     for state in (PeerState.SUSPECT, PeerState.DEAD):
-        bench = Bench()
-        bench.says(1)
-        bench.says(2)
-        bench.do(bench.part.handle_event(PeerChanged(2, 1, state), bench.now))
-        bench.past()
-        assert bench.word is None
-
-
-@pytest.mark.parametrize("how", ["nothing serves", "last served has failed", "told so"])
-def test_router_that_is_cut_off_itself_tells_nothing_and_counts_nothing(how: str) -> None:
-    bench = Bench()
-    if how != "nothing serves":
-        bench.saw(True, OTHER)
-    if how == "last served has failed":
-        bench.saw(False, OTHER)
-    if how == "told so":
-        bench.do(bench.part.handle_event(SelfChanged(True, False), 0.0))
-    bench.saw(False)
-    bench.says(1)
-    bench.past()
-    assert bench.told == [] and bench.word is None
-
-
-def test_served_are_silent_until_asked_and_when_enough_have_answered() -> None:
-    bench = Bench(9)
-    bench.saw(True)
-    bench.says(1)
-    bench.past()
-    assert bench.told == []
-    bench.says(2)
-    bench.past()
-    assert [note.fault for note in bench.told] == [0]
-    quiet = Bench(9)
-    quiet.saw(True)
+        rig = VerdictsRig()
+        rig.receive_evidence(1)
+        rig.receive_evidence(2)
+        rig.execute(rig.part.handle_event(PeerChanged(2, 1, state), rig.now))
+        rig.advance()
+        assert rig.verdict is None
+
+
+@pytest.mark.parametrize("cause", ["nothing serves", "last served has failed", "reported by liveness"])
+def test_an_isolated_router_sends_no_evidence_and_does_not_count_its_own(cause: str) -> None:
+    rig = VerdictsRig()
+    if cause != "nothing serves":
+        rig.record_attempt(True, OTHER)
+    if cause == "last served has failed":
+        rig.record_attempt(False, OTHER)
+    if cause == "reported by liveness":
+        rig.execute(rig.part.handle_event(SelfChanged(True, False), 0.0))
+    rig.record_attempt(False)
+    rig.receive_evidence(1)
+    rig.advance()
+    assert rig.sent == [] and rig.verdict is None
+
+
+def test_a_served_router_answers_two_witnesses_unless_others_outweigh_them() -> None:
+    rig = VerdictsRig(9)
+    rig.record_attempt(True)
+    rig.receive_evidence(1)
+    rig.advance()
+    assert rig.sent == []
+    rig.receive_evidence(2)
+    rig.advance()
+    assert [evidence.fault for evidence in rig.sent] == [0]
+    quiet = VerdictsRig(9)
+    quiet.record_attempt(True)
     for peer in (4, 5, 6, 7):
-        quiet.says(peer, 0, count=2)
-    quiet.says(1)
-    quiet.says(2)
-    quiet.past()
-    assert quiet.told == []
+        quiet.receive_evidence(peer, 0, attempt_count=2)
+    quiet.receive_evidence(1)
+    quiet.receive_evidence(2)
+    quiet.advance()
+    assert quiet.sent == []
 
 
-def test_however_often_it_flaps_few_tells_go_out() -> None:
-    bench = Bench()
+def test_reports_on_a_flapping_subject_are_rate_limited() -> None:
+    rig = VerdictsRig()
     for turn in range(500):  # 5 s
-        bench.saw(True, OTHER)
-        bench.saw(turn % 2 == 0)
-        bench.past(0.01)
-    assert 10 <= len(bench.told) <= 5 / verdicts.GAP_S + 1
+        rig.record_attempt(True, OTHER)
+        rig.record_attempt(turn % 2 == 0)
+        rig.advance(0.01)
+    assert 10 <= len(rig.sent) <= 5 / evidence_reports.MIN_REPORT_INTERVAL_S + 1
 
 
-def test_full_and_cold_are_words_but_no_skips() -> None:
-    bench = Bench()
-    bench.says(1, int(Fault.FULL))
-    bench.saw(True, fault=Fault.FULL)
-    bench.past()
-    assert bench.word is Fault.FULL and not bench.part.earlier_skip(PARENT, bench.now)
+def test_a_verdict_of_a_full_link_causes_no_early_probe() -> None:
+    rig = VerdictsRig()
+    rig.receive_evidence(1, int(Fault.FULL))
+    rig.record_attempt(True, fault=Fault.FULL)
+    rig.advance()
+    assert rig.verdict is Fault.FULL and not rig.part.should_probe_early(PARENT, rig.now)
 
 
 EVIDENCE = st.builds(
@@ -248,33 +251,35 @@
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(-1, 99), st.integers(0, 9), EVIDENCE, st.floats(0, 1)), max_size=30))
-def test_whatever_is_heard_raises_nothing(steps: list[tuple[int, int, Evidence, float]]) -> None:
-    bench = Bench()
-    for sender, incarnation, note, step in steps:
-        bench.do(bench.part.handle_message(sender, incarnation, note, bench.now))
-        bench.past(step)
-        assert bench.part.due() >= bench.now
+def test_no_evidence_message_raises_an_error(steps: list[tuple[int, int, Evidence, float]]) -> None:
+    rig = VerdictsRig()
+    for sender, incarnation, evidence, step in steps:
+        rig.execute(rig.part.handle_message(sender, incarnation, evidence, rig.now))
+        rig.advance(step)
+        assert rig.part.due() >= rig.now
 
 
-def test_what_makes_no_sense_is_not_taken_in() -> None:
-    bench = Bench()
+def test_unusable_evidence_is_ignored() -> None:
+    rig = VerdictsRig()
     for peer, fault, count in ((1, 9, 1), (2, 9, 1), (3, BAD, 0), (0, BAD, 1), (5, BAD, 1), (-1, BAD, 1)):
-        bench.says(peer, fault, count=count)
-    assert not bench.part._subjects
+        rig.receive_evidence(peer, fault, attempt_count=count)
+    assert not rig.part._store._records
 
 
-def test_subjects_and_witnesses_have_bounds() -> None:
-    bench = Bench(200)
+def test_subjects_and_witnesses_are_bounded() -> None:
+    rig = VerdictsRig(200)
     for subject in range(1000):
-        bench.do(bench.part.handle_message(1, 1, Evidence(subject, 0, BAD, 1, 0, 1), 0.0))
+        rig.execute(rig.part.handle_message(1, 1, Evidence(subject, 0, BAD, 1, 0, 1), 0.0))
     for peer in range(1, 200):
-        bench.says(peer)
-    assert len(bench.part._subjects) <= verdicts.SUBJECTS_MOST >= len(bench.part._active)
-    assert len(bench.part._subjects[PARENT].said) <= verdicts.WITNESSES_MOST
+        rig.receive_evidence(peer)
+    assert len(rig.part._store._records) <= evidence_store.MAX_SUBJECTS >= len(rig.part._store.open_subjects)
+    assert len(rig.part._store._records[PARENT].by_peer) <= evidence_store.MAX_WITNESSES
 
 
-@pytest.mark.parametrize("cut_off", [False, True])
-def test_twelve_routers_know_of_a_dead_parent_in_a_second_and_none_from_one_cut_off(cut_off: bool) -> None:
+@pytest.mark.parametrize("isolated", [False, True])
+def test_twelve_routers_reach_a_verdict_in_a_second_and_none_on_an_isolated_routers_evidence(
+    isolated: bool,
+) -> None:
     net, parts = Net(4, drop=0.05), {}
     for peer in range(12):
         live = Liveness(Fleet(peer, 12), SET, first_incarnation(peer + 1), Random(peer), 0.0)
@@ -283,12 +288,12 @@
 
     def attempt(peer: int, subject: int) -> None:
         net.at(net.now + net.rng.expovariate(2.0), lambda: attempt(peer, subject))
-        fails = net.now >= 4.0 and (peer == 3 if cut_off else subject == PARENT)
-        saw = parts[peer].saw(subject, 0, "parent", not fails, None, net.now)
+        fails = net.now >= 4.0 and (peer == 3 if isolated else subject == PARENT)
+        saw = parts[peer].record_attempt(subject, 0, "parent", not fails, None, net.now)
         net.act(peer, net.routers[peer], saw)
 
     for peer, subject in product(range(12), (PARENT, OTHER)):
         attempt(peer, subject)
     net.run(5.0)
-    words = {p for _, p, a in net.log if isinstance(a, VerdictChanged) and a.subject == PARENT}
-    assert words == (set() if cut_off else set(range(12)))
+    reached = {p for _, p, a in net.log if isinstance(a, VerdictChanged) and a.subject == PARENT}
+    assert reached == (set() if isolated else set(range(12)))
--- a/tests/cluster/test_wire.py
+++ b/tests/cluster/test_wire.py
@@ -1,4 +1,4 @@
-"""Datagrams: what goes in comes out, and nothing else gets in."""
+"""Datagrams: what is packed reads back, and everything else is rejected."""
 
 import time
 from dataclasses import dataclass
@@ -10,6 +10,7 @@
 from hypothesis import strategies as st
 
 from paddlequay.cluster import wire as w
+from paddlequay.cluster.message_formats import FieldFormat
 from paddlequay.cluster.messages import (
     MAX_DIGEST,
     MAX_FIELD_VALUE,
@@ -20,8 +21,9 @@
     PeerMessage,
     Ping,
 )
+from paddlequay.cluster.replay_window import WINDOW_SIZE
 from paddlequay.cluster.types import Fault, Fleet
-from paddlequay.cluster.wire import Codec, Head, Heard, Refusal, Wire
+from paddlequay.cluster.wire import Codec, Header, ReceivedDatagram, RejectReason, Wire
 
 SIZE = 5
 QUICK = settings(max_examples=60, derandomize=True, deadline=None)
@@ -46,21 +48,21 @@
 
 KINDS: dict[int, type[PeerMessage]] = MESSAGE_TYPES | {200: Label}
 CODEC = Codec("quay", SIZE, KINDS)
-HEAD = Head(1, 1, 1, 1, 0)
+HEAD = Header(1, 1, 1, 1, 0)
 
 
-def made(field: w.Field) -> st.SearchStrategy[Any]:
+def values_of(field: FieldFormat) -> st.SearchStrategy[Any]:
     if field.type is int:
-        return st.integers(field.least, field.most) | st.sampled_from([field.least, field.most])
+        return st.integers(field.minimum, field.maximum) | st.sampled_from([field.minimum, field.maximum])
     texts = st.text(max_size=16) | st.just("x" * MAX_TEXT_BYTES)
-    return texts if field.type is str else st.binary(max_size=field.most)
+    return texts if field.type is str else st.binary(max_size=field.maximum)
 
 
-ANY_NOTE = st.sampled_from(list(KINDS)).flatmap(
-    lambda kind: st.builds(KINDS[kind], *(made(field) for field in CODEC.shapes[kind].fields))
+ANY_MESSAGE = st.sampled_from(list(KINDS)).flatmap(
+    lambda kind: st.builds(KINDS[kind], *(values_of(field) for field in CODEC.formats[kind].fields))
 )
 COUNTS = st.integers(0, MAX_FIELD_VALUE)
-HEADS = st.builds(Head, st.just(1), st.integers(0, SIZE - 1), COUNTS, COUNTS, COUNTS)
+HEADS = st.builds(Header, st.just(1), st.integers(0, SIZE - 1), COUNTS, COUNTS, COUNTS)
 
 
 def signed(items: object, codec: Codec = CODEC) -> bytes:
@@ -68,15 +70,15 @@
     return codec.tag(body) + body
 
 
-def refusal(data: bytes, codec: Codec = CODEC) -> Refusal | Heard:
+def read_or_reason(data: bytes, codec: Codec = CODEC) -> RejectReason | ReceivedDatagram:
     try:
         return codec.read(data)
-    except w.RefusedError as error:
-        return error.refusal
+    except w.RejectedDatagramError as error:
+        return error.reason
 
 
-def sent(*notes: PeerMessage, codec: Codec = CODEC, head: Head = HEAD) -> bytes:
-    return codec.pack(head, [codec.pack_message(note) for note in notes])
+def pack(*messages: PeerMessage, codec: Codec = CODEC, head: Header = HEAD) -> bytes:
+    return codec.pack(head, [codec.pack_message(message) for message in messages])
 
 
 def ends() -> tuple[Wire, Wire]:
@@ -84,20 +86,24 @@
 
 
 @QUICK
-@given(HEADS, st.lists(ANY_NOTE, max_size=w.NOTES_MOST))
-def test_what_is_packed_is_read_and_never_over_the_bound(head: Head, notes: list[PeerMessage]) -> None:
-    packed = [CODEC.pack_message(note) for note in notes]
-    length = w.TAG_SIZE + (1 if len(notes) < 11 else 3) + len(CODEC.pack_head(head)) + sum(map(len, packed))
-    if length > w.DATAGRAM_MOST:
+@given(HEADS, st.lists(ANY_MESSAGE, max_size=w.MAX_MESSAGES))
+def test_a_packed_datagram_reads_back_and_stays_within_the_size_limit(
+    head: Header, messages: list[PeerMessage]
+) -> None:
+    packed = [CODEC.pack_message(message) for message in messages]
+    length = (
+        w.TAG_SIZE + (1 if len(messages) < 11 else 3) + len(CODEC.pack_header(head)) + sum(map(len, packed))
+    )
+    if length > w.MAX_DATAGRAM_BYTES:
         with pytest.raises(ValueError):
             CODEC.pack(head, packed)
         return
-    for many in ([b"\x91\x63"] * (w.NOTES_MOST + 1), [bytes(w.NOTE_MOST), bytes(99)]):
+    for many in ([b"\x91\x63"] * (w.MAX_MESSAGES + 1), [bytes(w.MAX_MESSAGE_BYTES), bytes(99)]):
         with pytest.raises(ValueError):
             CODEC.pack(head, many)
     data = CODEC.pack(head, packed)
     assert len(data) == length
-    assert CODEC.read(data) == Heard(head, tuple(notes), 0)
+    assert CODEC.read(data) == ReceivedDatagram(head, tuple(messages), 0)
 
 
 JUNK = st.recursive(
@@ -109,44 +115,52 @@
 
 @QUICK
 @given(st.binary(max_size=240) | st.lists(JUNK, max_size=8))
-def test_random_bytes_are_refused_and_what_the_tag_vouches_for_is_checked_none_the_less(
+def test_random_bytes_are_rejected_and_a_valid_tag_does_not_skip_the_checks(
     items: object,
 ) -> None:
     if isinstance(items, bytes):
-        assert refusal(items) is Refusal.FOREIGN
-    told = refusal(signed(items))
-    if isinstance(told, Heard):  # by chance it says something: then it says just this
-        assert told.skipped + len(told.messages) == len(msgpack.unpackb(signed(items)[8:])) - w.HEAD_ITEMS
+        assert read_or_reason(items) is RejectReason.FOREIGN
+    told = read_or_reason(signed(items))
+    if isinstance(told, ReceivedDatagram):  # valid by chance: then it holds just these items
+        assert (
+            told.skipped_count + len(told.messages)
+            == len(msgpack.unpackb(signed(items)[8:])) - w.HEADER_ITEMS
+        )
 
 
 @QUICK
-@given(st.lists(ANY_NOTE, min_size=1, max_size=2), st.data())
-def test_a_changed_or_cut_datagram_is_refused(notes: list[PeerMessage], data: st.DataObject) -> None:
-    whole = sent(*notes)
+@given(st.lists(ANY_MESSAGE, min_size=1, max_size=2), st.data())
+def test_an_altered_or_truncated_datagram_is_rejected(
+    messages: list[PeerMessage], data: st.DataObject
+) -> None:
+    whole = pack(*messages)
     at = data.draw(st.integers(0, len(whole) - 1))
     flipped = bytearray(whole)
     flipped[at] ^= data.draw(st.integers(1, 255))
-    assert refusal(bytes(flipped)) is Refusal.FOREIGN
-    assert refusal(whole[:at]) is Refusal.FOREIGN
-    assert refusal(whole + b"\x00") in (Refusal.FOREIGN, Refusal.OVERSIZED)
-    assert refusal(sent(*notes, codec=Codec("quay2", SIZE, KINDS))) is Refusal.FOREIGN
+    assert read_or_reason(bytes(flipped)) is RejectReason.FOREIGN
+    assert read_or_reason(whole[:at]) is RejectReason.FOREIGN
+    assert read_or_reason(whole + b"\x00") in (RejectReason.FOREIGN, RejectReason.OVERSIZED)
+    assert read_or_reason(pack(*messages, codec=Codec("quay2", SIZE, KINDS))) is RejectReason.FOREIGN
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_one_field_that_does_not_fit_refuses_all(kind: int) -> None:
-    shape = CODEC.shapes[kind]
+def test_one_field_out_of_range_rejects_the_whole_datagram(kind: int) -> None:
+    format_ = CODEC.formats[kind]
     right: list[Any] = [
-        {int: field.most, str: "é" * 32, bytes: bytes(64)}[field.type] for field in shape.fields
+        {int: field.maximum, str: "é" * 32, bytes: bytes(64)}[field.type] for field in format_.fields
     ]
-    assert CODEC.read(sent(shape.make(*right))).messages == (shape.make(*right),)
-    for at, field in enumerate(shape.fields):
+    assert CODEC.read(pack(format_.message_type(*right))).messages == (format_.message_type(*right),)
+    for at, field in enumerate(format_.fields):
         wrong: list[object] = [None, True, 0.5, [1], -1, "é" * 33, bytes(65)]
-        wrong += [field.most + 1] if field.most < MAX_DIGEST else []
+        wrong += [field.maximum + 1] if field.maximum < MAX_DIGEST else []
         for value in wrong:
             values = [*right[:at], value, *right[at + 1 :]]
-            assert refusal(signed([1, 1, 1, 1, 0, [2, 1, 1, 1], [kind, *values]])) is Refusal.MALFORMED
+            assert (
+                read_or_reason(signed([1, 1, 1, 1, 0, [2, 1, 1, 1], [kind, *values]]))
+                is RejectReason.MALFORMED
+            )
             with pytest.raises(ValueError):
-                CODEC.pack_message(shape.make(*values))
+                CODEC.pack_message(format_.message_type(*values))
 
 
 DEEP, HUGE_ARRAY, HUGE_MAP, EXTENSION = (
@@ -157,87 +171,93 @@
 )
 HEAD5: list[object] = [1, 1, 1, 1, 1]
 HEADLESS, TRUTH, MAP, EMPTY = HEAD5[1:], [1, True, 1, 1, 0], [*HEAD5, {}], [*HEAD5, []]
-NESTED, SHORT, MANY = [*HEAD5, [[1]]], [*HEAD5, [2, 1, 1]], [*HEAD5, *[[99]] * (w.NOTES_MOST + 1)]
+NESTED, SHORT, MANY = [*HEAD5, [[1]]], [*HEAD5, [2, 1, 1]], [*HEAD5, *[[99]] * (w.MAX_MESSAGES + 1)]
 
 
 @pytest.mark.parametrize(
     "items", [b"", DEEP, HUGE_ARRAY, HUGE_MAP, EXTENSION, HEADLESS, TRUTH, MAP, EMPTY, NESTED, SHORT, MANY]
 )
-def test_malformed(items: object) -> None:
+def test_a_malformed_datagram_is_rejected_in_bounded_time(items: object) -> None:
     begun = time.process_time()
-    assert refusal(signed(items)) is Refusal.MALFORMED
+    assert read_or_reason(signed(items)) is RejectReason.MALFORMED
     assert time.process_time() - begun < 0.05
 
 
-def test_versions_side_by_side() -> None:
+def test_releases_read_the_versions_next_to_their_own() -> None:
     one, preparing, two, three = (
         Codec("quay", SIZE, writes=writes, reads=reads) for writes, reads in ((1, 1), (1, 2), (2, 2), (3, 3))
     )
-    old, new = (sent(Ping(1, 2), codec=each, head=Head(each.writes, 1, 1, 1, 0)) for each in (one, two))
-    assert refusal(new, one) is Refusal.NEWER
-    assert refusal(old, three) is Refusal.OLDER
-    assert all(isinstance(refusal(old, each), Heard) for each in (one, preparing, two))
-    assert all(isinstance(refusal(new, each), Heard) for each in (preparing, two, three))
-    # Whatever else a later version has after its number.
-    assert refusal(signed([2, {"a": 1.5}])) is Refusal.NEWER
+    old, new = (pack(Ping(1, 2), codec=each, head=Header(each.writes, 1, 1, 1, 0)) for each in (one, two))
+    assert read_or_reason(new, one) is RejectReason.NEWER
+    assert read_or_reason(old, three) is RejectReason.OLDER
+    assert all(isinstance(read_or_reason(old, each), ReceivedDatagram) for each in (one, preparing, two))
+    assert all(isinstance(read_or_reason(new, each), ReceivedDatagram) for each in (preparing, two, three))
+    # Whatever follows the number of a later version.
+    assert read_or_reason(signed([2, {"a": 1.5}])) is RejectReason.NEWER
     with pytest.raises(ValueError):
         Codec("quay", SIZE, writes=1, reads=3)
 
 
-def test_kinds_and_fields_of_other_releases() -> None:
+def test_unknown_kinds_are_skipped_and_missing_fields_take_their_defaults() -> None:
     newer = Codec("quay", SIZE, KINDS | {1: LongerPing})
-    assert CODEC.read(sent(LongerPing(3, 4, 5), codec=newer)).messages == (Ping(3, 4),)
-    assert newer.read(sent(Ping(3, 4))).messages == (LongerPing(3, 4, 7),)
+    assert CODEC.read(pack(LongerPing(3, 4, 5), codec=newer)).messages == (Ping(3, 4),)
+    assert newer.read(pack(Ping(3, 4))).messages == (LongerPing(3, 4, 7),)
     older = Codec("quay", SIZE)
-    (note,) = older.read(sent(Evidence(1, 2, Fault.COLD, 3, 4, 5))).messages
-    assert isinstance(note, Evidence) and type(note.fault) is int  # a named number is sent as a number
-    ranges = {(f.least, f.most) for shape in older.shapes.values() for f in shape.fields if f.type is int}
+    (evidence,) = older.read(pack(Evidence(1, 2, Fault.COLD, 3, 4, 5))).messages
+    assert isinstance(evidence, Evidence) and type(evidence.fault) is int  # an enum is sent as a number
+    ranges = {
+        (f.minimum, f.maximum) for format_ in older.formats.values() for f in format_.fields if f.type is int
+    }
     small = {(0, 1), (1, 3), (0, int(max(Fault))), (0, SIZE - 1)}
     assert ranges == small | {(0, MAX_FIELD_VALUE), (0, MAX_DIGEST)}
-    assert older.read(sent(Ping(1, 0), Label("a", b""), OwnerLoad(1, 2))) == Heard(
+    assert older.read(pack(Ping(1, 0), Label("a", b""), OwnerLoad(1, 2))) == ReceivedDatagram(
         HEAD, (Ping(1, 0), OwnerLoad(1, 2)), 1
     )
 
 
-@given(st.lists(st.integers(0, 3 * w.WINDOW), max_size=60))
+@given(st.lists(st.integers(0, 3 * WINDOW_SIZE), max_size=60))
 @QUICK
-def test_the_window_is_that_of_a_model(order: list[int]) -> None:
+def test_the_replay_window_agrees_with_a_model(order: list[int]) -> None:
     a, b = ends()
     come: set[int] = set()
     for number in order:
         a.sequence = number
-        stale, seen = bool(come) and number <= max(come) - w.WINDOW, number in come
+        stale, seen = bool(come) and number <= max(come) - WINDOW_SIZE, number in come
         told = b.read(a.write([]), 0)
         assert (
-            told is Refusal.STALE if stale else told is Refusal.REPEATED if seen else isinstance(told, Heard)
+            told is RejectReason.STALE
+            if stale
+            else told is RejectReason.REPEATED
+            if seen
+            else isinstance(told, ReceivedDatagram)
         )
         come |= set() if stale else {number}
-        assert all(window.bits < 1 << w.WINDOW for window in b.windows.values())
-    assert isinstance(b.read(Wire(CODEC, Fleet(0, SIZE), 11).write([]), 0), Heard)
-    assert b.read(a.write([]), 0) is Refusal.STALE  # of the incarnation before
+        assert all(window.received_bits < 1 << WINDOW_SIZE for window in b.windows.values())
+    assert isinstance(b.read(Wire(CODEC, Fleet(0, SIZE), 11).write([]), 0), ReceivedDatagram)
+    assert b.read(a.write([]), 0) is RejectReason.STALE  # of the incarnation before
 
 
-def test_a_sender_must_come_from_its_own_address() -> None:
+def test_a_datagram_from_another_address_than_its_senders_is_rejected() -> None:
     a, b = ends()
     for source in (2, None, SIZE, -1):
-        assert b.read(a.write([]), source) is Refusal.SENDER
-    assert b.read(b.write([]), 1) is Refusal.OWN
+        assert b.read(a.write([]), source) is RejectReason.SENDER
+    assert b.read(b.write([]), 1) is RejectReason.OWN
     beyond = Wire(CODEC, Fleet(SIZE, SIZE + 1), 1)
-    assert b.read(beyond.write([]), SIZE) is Refusal.SENDER
+    assert b.read(beyond.write([]), SIZE) is RejectReason.SENDER
     assert not b.windows
 
 
-def test_the_clock_grows_by_what_is_heard_and_does_not_jump() -> None:
+def test_a_received_clock_raises_the_own_one_and_a_jump_is_rejected() -> None:
     a, b = ends()
     c = Wire(CODEC, Fleet(2, SIZE), 1)
-    a.clock = 9 * w.CLOCK_JUMP  # a router that starts late takes the fleet's clock, however far it is
-    assert isinstance(b.read(a.write([]), 0), Heard)
+    a.clock = 9 * w.MAX_CLOCK_JUMP  # a router that starts late takes the fleet's clock, however far it is
+    assert isinstance(b.read(a.write([]), 0), ReceivedDatagram)
     assert b.clock == a.clock
-    c.clock = b.clock + w.CLOCK_JUMP + 1
+    c.clock = b.clock + w.MAX_CLOCK_JUMP + 1
     refused = c.write([])
-    assert (b.read(refused, 2), b.clock, list(b.windows)) == (Refusal.CLOCK, a.clock, [0])
+    assert (b.read(refused, 2), b.clock, list(b.windows)) == (RejectReason.CLOCK, a.clock, [0])
     c.clock -= 1
-    assert isinstance(b.read(c.write([]), 2), Heard)
+    assert isinstance(b.read(c.write([]), 2), ReceivedDatagram)
     assert b.clock == c.clock
-    a.clock = w.CLOCK_MOST + 1
-    assert Wire(CODEC, Fleet(1, SIZE), 1).read(a.write([]), 0) is Refusal.CLOCK
+    a.clock = w.MAX_FIRST_CLOCK + 1
+    assert Wire(CODEC, Fleet(1, SIZE), 1).read(a.write([]), 0) is RejectReason.CLOCK
--- a/tests/golden/golden_samples.py
+++ b/tests/golden/golden_samples.py
@@ -17,7 +17,7 @@
 from test_adapter import batch, provision, query
 
 from paddlequay.cluster.messages import MESSAGE_TYPES, PeerMessage
-from paddlequay.cluster.wire import Codec, Head
+from paddlequay.cluster.wire import Codec, Header
 from paddlequay.discovery.membership import Membership
 from paddlequay.discovery.reports import ReportedMember, SourceRule
 from paddlequay.hierarchy.migration import MigrationLimits, MigrationPlan
@@ -74,20 +74,22 @@
 
 def note_samples() -> Iterator[tuple[PeerMessage, PeerMessage]]:
     """Each datagram kind twice: with every field at its least, and at its greatest value."""
-    for shape in Codec("golden", FLEET_SIZE).shapes.values():
-        least = [field.least if field.type is int else field.type() for field in shape.fields]
-        most = [field.most if field.type is int else field.type() for field in shape.fields]
-        yield shape.make(*least), shape.make(*most)
+    for format_ in Codec("golden", FLEET_SIZE).formats.values():
+        least = [field.minimum if field.type is int else field.type() for field in format_.fields]
+        most = [field.maximum if field.type is int else field.type() for field in format_.fields]
+        yield format_.message_type(*least), format_.message_type(*most)
 
 
 def datagrams() -> Iterator[str]:
     """Kind, fields with type and range, and a whole datagram with two notes of the kind, in hex."""
     codec = Codec("golden", FLEET_SIZE)
     for number, (least, most) in zip(MESSAGE_TYPES, note_samples(), strict=True):
-        fields = [(field.type.__name__, field.least, field.most) for field in codec.shapes[number].fields]
-        head = Head(1, 3, 5, 70 + number, 9)
+        fields = [
+            (field.type.__name__, field.minimum, field.maximum) for field in codec.formats[number].fields
+        ]
+        head = Header(1, 3, 5, 70 + number, 9)
         data = codec.pack(head, [codec.pack_message(least), codec.pack_message(most)])
-        yield json.dumps([number, codec.shapes[number].required, fields, data.hex()])
+        yield json.dumps([number, codec.formats[number].required_count, fields, data.hex()])
 
 
 def left_out() -> Iterator[str]:
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -4,7 +4,16 @@
 
 import pytest
 from driver import EVERYBODY, settings
-from golden_samples import DATA, FLEET_SIZE, MARKS, SAMPLES, link_messages, membership, shape, trained_router
+from golden_samples import (
+    DATA,
+    FLEET_SIZE,
+    MARKS,
+    SAMPLES,
+    link_messages,
+    membership,
+    shape,
+    trained_router,
+)
 
 from paddlequay.cluster.wire import Codec
 from paddlequay.discovery.membership import Membership
@@ -41,9 +50,9 @@
     for line in sample("datagrams.jsonl").splitlines():
         number, required, _, text = json.loads(line)
         read = codec.read(bytes.fromhex(text))
-        assert [note.KIND for note in read.messages] == [number, number] and read.skipped == 0
-        assert codec.shapes[number].required == required
-        assert codec.pack(read.head, [codec.pack_message(note) for note in read.messages]).hex() == text
+        assert [note.KIND for note in read.messages] == [number, number] and read.skipped_count == 0
+        assert codec.formats[number].required_count == required
+        assert codec.pack(read.header, [codec.pack_message(note) for note in read.messages]).hex() == text
 
 
 def test_the_file_of_left_out_caches_is_read_and_written_alike(
--- a/tests/simulator/test_simulator_sharing.py
+++ b/tests/simulator/test_simulator_cluster.py
@@ -80,7 +80,7 @@
         self.batch(f"{told}\tdelaySeen=0.1" + ("\tlast=1" if result == "served" else ""))
 
 
-def test_a_parent_that_two_instances_find_dead_is_tried_out_by_a_third_at_once(tmp_path: Path) -> None:
+def test_a_third_instance_probes_a_parent_at_once_that_two_instances_find_dead(tmp_path: Path) -> None:
     world = World(tmp_path)
     items = []
     for item in range(40):
@@ -100,16 +100,16 @@
     assert first == "2:1" and set(rest) == {"2:2"}
 
 
-def test_where_peers_are_not_allowed_nothing_is_posted_and_no_alarm_set(tmp_path: Path) -> None:
+def test_without_peers_no_message_is_sent_and_no_alarm_set(tmp_path: Path) -> None:
     world = World(tmp_path, peers=False)
     world.ask(0, 1)
     assert world.posts == 0 and world.alarms == [] and world.host.shares == {}
 
 
-def test_broken_content_has_no_effect(tmp_path: Path) -> None:
+def test_malformed_message_content_has_no_effect(tmp_path: Path) -> None:
     world = World(tmp_path)
     for content in ("-", "AAAA", "!!!!", "A" * 4000):
         world.batch(f"note_from\trouter=0\tsrcPeer=1\tcontent={content}")
-    assert sum(world.host.shares["0"].wire.refused.values()) == 4
+    assert sum(world.host.shares["0"].transport.rejected.values()) == 4
     with pytest.raises(adapter.WireError):
         world.batch("note_from\trouter=0\tcontent=AAAA")
