--- a/paddlequay/cluster/node.py
+++ b/paddlequay/cluster/node.py
@@ -7,9 +7,9 @@
 import random
 from collections.abc import Sequence
 
+from paddlequay.cluster.fleet_limits import FleetLimits
 from paddlequay.cluster.incarnations import first_incarnation
 from paddlequay.cluster.leases import Leases
-from paddlequay.cluster.limits import Limits
 from paddlequay.cluster.liveness import Liveness
 from paddlequay.cluster.messages import PeerMessage
 from paddlequay.cluster.outbox import Outbox
@@ -74,18 +74,18 @@
         self.liveness = Liveness(fleet, settings, incarnation, rng, now)
         self.verdicts = Verdicts(fleet, settings, now) if settings.verdicts else None
         self.leases = Leases(fleet, settings.bounds, rng, now) if fleet.acceptors else None
-        self.limits: Limits | None = None
+        self.limits: FleetLimits | None = None
         if settings.limits and self.leases is not None:
-            self.limits = Limits(
+            self.limits = FleetLimits(
                 fleet,
                 settings.bounds,
                 settings.limits,
                 self.holds,
                 incarnation,
                 now,
-                stay=max_request_s,
-                shut=max_request_s,
-                first=is_first_process,
+                slot_grant_extension_s=max_request_s,
+                max_request_s=max_request_s,
+                is_first_process=is_first_process,
             )
         self.parts: list[Part] = []
         self._part_by_message: dict[type[PeerMessage], Part] = {}
--- a/paddlequay/net/cluster/driver.py
+++ b/paddlequay/net/cluster/driver.py
@@ -14,7 +14,7 @@
 from paddlequay.config.loader import Config, Peering
 from paddlequay.net.cluster.event_log import EventLog
 from paddlequay.net.cluster.interceptor import ClusterInterceptor
-from paddlequay.net.cluster.leaves import Leaves
+from paddlequay.net.cluster.limit_permits import LimitPermits
 from paddlequay.net.cluster.session import ClusterSession
 from paddlequay.net.cluster.verdict_exchange import VerdictExchange
 from paddlequay.observability import log
@@ -61,8 +61,8 @@
         self.clock = asyncio.get_running_loop().time
         self.fleet = make_fleet(settings, peering, config.settings.zone)
         self.verdicts = VerdictExchange(exchange, counters, self.clock)
-        self.leaves = Leaves(settings, exchange, counters, self.clock)
-        self.interceptor = ClusterInterceptor(self, self.leaves, self.verdicts, counters)
+        self.permits = LimitPermits(settings, exchange, counters, self.clock)
+        self.interceptor = ClusterInterceptor(self, self.permits, self.verdicts, counters)
         self.session: ClusterSession | None = None
         self.prefetcher: ChannelPrefetcher | None = None
         self.placement: PlacementTables | None = None
@@ -123,7 +123,7 @@
             session.transport.close()
             return False
         self.session = session
-        self.leaves.joined(session.node.limits)
+        self.permits.use_limits(session.node.limits)
         if self.placement is not None:
             self.placement.join(session.node)
         self._join_channels(session)
@@ -176,7 +176,7 @@
         if self.placement is not None:
             self.placement.leave_cluster()
             self.placement.stop()
-        self.leaves.joined(None)
+        self.permits.use_limits(None)
         self.session = None
 
     def yield_to_successor(self) -> None:
--- a/paddlequay/net/cluster/interceptor.py
+++ b/paddlequay/net/cluster/interceptor.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING, Protocol
 
-from paddlequay.net.cluster.leaves import Leaves
+from paddlequay.net.cluster.limit_permits import LimitPermits
 from paddlequay.net.cluster.session import ClusterSession
 from paddlequay.net.cluster.verdict_exchange import VerdictExchange
 from paddlequay.observability.counters import Counters
@@ -34,16 +34,16 @@
     """Implements the exchange's `RequestInterceptor`. No error of the cluster costs a request its answer."""
 
     def __init__(
-        self, driver: JoinedParts, leaves: Leaves, verdicts: VerdictExchange, counters: Counters
+        self, driver: JoinedParts, permits: LimitPermits, verdicts: VerdictExchange, counters: Counters
     ) -> None:
         self._driver = driver
-        self._leaves = leaves
+        self._permits = permits
         self._verdicts = verdicts
         self._counters = counters
 
     def admit(self, item: PendingRequest, left: float) -> float | None:
         """Returns None to admit a request, or the seconds after which its client may retry."""
-        retry_after_s = self._leaves.admit(item, left)
+        retry_after_s = self._permits.admit(item, left)
         with self._contained():
             if retry_after_s is None and self._driver.prefetcher is not None:
                 self._driver.prefetcher.admit(item)
@@ -58,7 +58,7 @@
         detail = (
             self._driver.prefetcher.before_write(attempt) if self._driver.prefetcher is not None else None
         )
-        detail = detail or self._leaves.before_write(attempt, left)
+        detail = detail or self._permits.before_write(attempt, left)
         with self._contained():
             self._wake()
         return detail
@@ -66,13 +66,13 @@
     def attempt_ended(self, attempt: UpstreamAttempt, end: AttemptResult) -> None:
         """Gives back what an attempt held, and reports what its end shows about members."""
         with self._contained():
-            self._leaves.attempt_ended(attempt, end)
+            self._permits.attempt_ended(attempt, end)
             self._report_attempt(attempt, end)
 
     def request_ended(self, item: PendingRequest) -> None:
         """Gives back what a request held."""
         with self._contained():
-            self._leaves.request_ended(item)
+            self._permits.request_ended(item)
             if self._driver.prefetcher is not None:
                 self._driver.prefetcher.request_ended(item)
 
--- a/paddlequay/net/cluster/status_page.py
+++ b/paddlequay/net/cluster/status_page.py
@@ -47,18 +47,18 @@
     if node.leases is None or node.limits is None:
         return {}
     return {
-        f"limit/{rule.name}": {
-            "holder": node.leases.holder(kept.lease, now),
-            "term": node.leases.holds(kept.lease, now),
+        f"limit/{limit.rule.name}": {
+            "holder": node.leases.holder(limit.lease, now),
+            "term": node.leases.holds(limit.lease, now),
         }
-        for rule, kept in node.limits.rules.values()
+        for limit in node.limits.registry
     }
 
 
 def show_limits(driver: "ClusterDriver", node: "Node") -> dict[str, Any]:
     """Returns, for each limit, the number of values that are limited now, and of rejections here."""
-    lines = node.limits.lines.values() if node.limits is not None else ()
-    value_counts = Counter(line.rule.name for line in lines)
+    local_limits = node.limits.local_limits if node.limits is not None else ()
+    value_counts = Counter(limit.fleet_limit.rule.name for limit in local_limits)
     counts = driver.counters.counts
     return {
         rule.name: {"values": value_counts[rule.name], "refused": counts[f"limit.refused.{rule.name}"]}
