--- /dev/null
+++ b/paddlequay/cluster/cache_hints.py
@@ -0,0 +1,54 @@
+"""Remembers which cache holds which part of a live channel, as the channels' owners report it."""
+
+from collections import OrderedDict
+from dataclasses import dataclass
+
+from paddlequay.cluster.types import Name
+
+MAX_PARTS_PER_CHANNEL = 16
+MAX_VALIDITY_S = 10.0  # whatever an owner reports
+
+
+@dataclass(frozen=True, slots=True)
+class CacheHint:
+    """The cache that holds a part, by the digest of its name, as reported under an owner's term."""
+
+    cache: Name
+    term: int
+    valid_until: float
+
+
+class CacheHints:
+    """Hints by channel and part, at most `max_channels` times `MAX_PARTS_PER_CHANNEL`.
+
+    A part stays in its cache when the owner changes; of two reports on one part the higher term wins.
+    """
+
+    def __init__(self, max_channels: int) -> None:
+        self.max_channels = max_channels
+        self.channels: OrderedDict[Name, dict[int, CacheHint]] = OrderedDict()
+
+    def add(self, channel: Name, part: int, cache: Name, term: int, valid_s: float, now: float) -> None:
+        """Records that a cache holds a part for `valid_s` seconds, at most `MAX_VALIDITY_S`."""
+        hints = self.channels.setdefault(channel, {})
+        self.channels.move_to_end(channel)
+        known = hints.get(part)
+        if known is None or known.term <= term or known.valid_until <= now:
+            hints[part] = CacheHint(cache, term, now + min(valid_s, MAX_VALIDITY_S))
+        if len(hints) > MAX_PARTS_PER_CHANNEL:
+            del hints[min(hints)]
+        if len(self.channels) > self.max_channels:
+            self.channels.popitem(last=False)
+
+    def find(self, channel: Name, part: int, now: float) -> Name | None:
+        """Returns the digest of the cache that holds a part, None if no valid hint is known."""
+        hint = self.channels.get(channel, {}).get(part)
+        return hint.cache if hint is not None and now < hint.valid_until else None
+
+    def drop_expired(self, now: float) -> None:
+        """Forgets channels without a valid hint, in the order of their last reports."""
+        while self.channels:
+            channel, hints = next(iter(self.channels.items()))
+            if any(now < hint.valid_until for hint in hints.values()):
+                return
+            del self.channels[channel]
--- a/paddlequay/cluster/channels.py
+++ b/paddlequay/cluster/channels.py
@@ -1,25 +1,17 @@
-"""Live channels: which router of a plaza alone fills the next part ahead, and which box holds what it filled.
+"""The live channels of a zone: one router owns each and alone prefetches its next part.
 
-Nobody waits for an owner: without one, or without its word, every router goes the ordinary way. A router that
-reads a live channel looks for the owner of its bundle by bidding for the lease, and stops bidding as soon as
-it hears who has it. From then on it tells that owner once a second that its word is waited for (an unasked
-`HandoffReply`, term 0), so that an owner's word goes to those who read and to nobody else, and those who may
-take a bundle over are warm: they read it. An owner that falls silent, or is suspected, is looked for anew.
-
-A bundle is handed on by Offer (asks whether the receiver still reads it), Ready (it does, and its bid waits),
-the release of the lease to it, and Took (its first part is filled). `bundles.py` tells what overlaps.
-
-Bounds, by a router: `BIDS` bids a second, `BIDS_BURST` at once, each one election at least (a bid that finds
-a holder is taken back; one that waits for a dead holder's lease asks again, within the leases' own pace);
-and what `handoff.py` says of moves.
+The owner reports to the routers that read the channel which cache holds a part. No request waits for an
+owner: without one, or without its reports, every router routes requests as it does for any object.
+`prefetch.py` detects channels, `cache_hints.py` keeps the owners' reports, `bundles.py` decides what may be
+filled at this moment, `owner_search.py` finds owners and bids, and `handoff.py` hands bundles on.
 """
 
-import math
 import random
 from typing import ClassVar
 
-from paddlequay.cluster.bundles import Bundle, Bundles, LeasesOf
-from paddlequay.cluster.handoff import Handoff
+from paddlequay.cluster.bundles import Bundle, Bundles, LeaseTerms
+from paddlequay.cluster.cache_hints import CacheHints
+from paddlequay.cluster.handoff import FOLLOW_TERM, Handoff, not_owner_message
 from paddlequay.cluster.messages import (
     ChannelPartReport,
     HandoffComplete,
@@ -28,7 +20,8 @@
     OwnerLoad,
     PeerMessage,
 )
-from paddlequay.cluster.prefetch import Ahead, Boxes, Reads
+from paddlequay.cluster.owner_search import OwnerSearch
+from paddlequay.cluster.prefetch import ChannelDetector, Prefetch
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import (
     NEVER,
@@ -48,14 +41,8 @@
     Urgency,
 )
 
-LOOK_S = 0.1  # between two looks at bundles and channels
-FOLLOW_S = 1.0  # between two words to an owner that it is followed, with one's load
-BEAT_S = 0.5  # an owner that has filled nothing says so
-SILENT_S = 1.2  # an owner not heard for so long is looked for: well under a lease, over two lost beats
-SPREAD_S, CROWD = 0.4, 64.0  # over which those who look for the same owner are spread
-DENIED_S = 1.0  # after a router has said that it owns nothing, what acceptors told of it is no word
-PATIENCE_S = 0.25  # of a bid that is told of a holder: one acceptor's word may be of an election that fails
-BIDS, BIDS_BURST = 10.0, 4.0
+TICK_INTERVAL_S = 0.1
+HEARTBEAT_INTERVAL_S = 0.5  # of an owner that has filled nothing meanwhile
 
 
 class Channels:
@@ -74,255 +61,256 @@
         fleet: Fleet,
         bounds: Bounds,
         rule: ChannelRule,
-        leases: LeasesOf,
+        leases: LeaseTerms,
         rng: random.Random,
         now: float,
     ) -> None:
-        self.fleet, self.bounds, self.rule, self.leases, self.rng = fleet, bounds, rule, leases, rng
+        self.rule = rule
         self.bundles = Bundles(fleet.zone, rule.bundles, bounds, leases)
-        self.reads = Reads(fleet.zone, rule)
-        self.boxes = Boxes(rule.most)
+        self.detector = ChannelDetector(fleet.zone, rule)
+        self.hints = CacheHints(rule.max_channels)
         self.handoff = Handoff(rule, self.bundles, leases)
-        self._tokens, self._filled = BIDS_BURST, now
-        self._look = NEVER
-        self._news: list[Action] = []  # found while only an answer could be given
+        self.owner_search = OwnerSearch(self.bundles, leases, self.handoff, rng, now)
+        self.tick_at = NEVER
+        self.pending_events: list[Action] = []  # found in calls that return no actions
 
-    # --- for the driver ---
+    # --- calls of the driver ---
 
-    def asked(self, name: str, kind: str, part: int, now: float) -> list[Ahead]:
-        """A client has asked for a part of an object of a class in `rule.classes`: what to fill ahead now."""
-        if kind not in self.rule.classes:
+    def record_read(self, object_name: str, class_name: str, part: int, now: float) -> list[Prefetch]:
+        """Counts a client's read of a part, and returns the parts to prefetch now.
+
+        Only objects of the classes of `rule.classes` become channels, and only their owner prefetches.
+        """
+        if class_name not in self.rule.classes:
             return []
-        self._wake(now)
-        channel = self.reads.read(name, kind, part, now)
-        bundle = self.bundles.of(channel.number)
-        if not channel.live:
-            bundle.live.discard(channel.number)
+        self._schedule_tick(now)
+        channel = self.detector.record_read(object_name, class_name, part, now)
+        bundle = self.bundles.bundle_of(channel.id)
+        if not channel.is_live:
+            bundle.live_channels.discard(channel.id)
             return []
-        term = self.bundles.terms(bundle, now)
-        if channel.number not in bundle.live:
-            bundle.live.add(channel.number)
+        term = self.bundles.active_term(bundle, now)
+        if channel.id not in bundle.live_channels:
+            bundle.live_channels.add(channel.id)
             if bundle.term:
-                self._news.append(ChannelOwnership(channel.number, bundle.term))
-        return [] if term is None else self.reads.due(channel, term, now)
-
-    def may_fill(self, ahead: Ahead, now: float) -> int | None:
-        """The term to write a fill under, asked right before writing; None: it must not be written."""
-        term = self.bundles.terms(self.bundles.of(ahead.channel), now)
-        return term if term == ahead.term else None
-
-    def filled(self, ahead: Ahead, box: Name, now: float) -> list[Action]:
-        """A part is filled, in the box of that digest: told to those who follow, unless a later owner is."""
-        self.reads.went(ahead.channel, ahead.part, ahead.term, True, now)
-        bundle = self.bundles.of(ahead.channel)
-        if not bundle.saw(ahead.term, now):
+                self.pending_events.append(ChannelOwnership(channel.id, bundle.term))
+        return [] if term is None else self.detector.due_prefetches(channel, term, now)
+
+    def writable_term(self, prefetch: Prefetch, now: float) -> int | None:
+        """Returns the term to write a prefetch under; None if it must not be written.
+
+        The driver asks this right before the write, since the lease may have ended meanwhile.
+        """
+        term = self.bundles.active_term(self.bundles.bundle_of(prefetch.channel), now)
+        return term if term == prefetch.term else None
+
+    def prefetch_succeeded(self, prefetch: Prefetch, cache: Name, now: float) -> list[Action]:
+        """Reports a filled part, with the digest of its cache's name, to the followers.
+
+        Nothing is reported once a later owner was heard of. The first part after a takeover also completes
+        it.
+        """
+        self.detector.record_result(prefetch, True, now)
+        bundle = self.bundles.bundle_of(prefetch.channel)
+        if not bundle.accept_term(prefetch.term, now):
             return []
-        life = self.rule.live_s
-        self.boxes.told(ahead.channel, ahead.part, box, ahead.term, life, now)
+        valid_s = self.rule.idle_timeout_s
+        self.hints.add(prefetch.channel, prefetch.part, cache, prefetch.term, valid_s, now)
         bundle.rate.add(now)
-        bundle.told = now
-        word = ChannelPartReport(ahead.channel, ahead.term, ahead.part, box, int(life * 1000))
-        # Routine: under the bound on bytes a hint yields to all that decides something, and to a newer one.
-        out: list[Action] = [SendMessage(peer, word, Urgency.ROUTINE) for peer in bundle.following(now)]
-        if bundle.former is not None and ahead.term == bundle.term:
-            took = HandoffComplete(bundle.lease, ahead.term, bundle.former.term)
-            out.append(SendMessage(bundle.former.former, took, Urgency.LEASE))
-            bundle.former = None
+        bundle.last_report_at = now
+        report = ChannelPartReport(prefetch.channel, prefetch.term, prefetch.part, cache, int(valid_s * 1000))
+        # Routine: where bytes are short, a hint yields to messages that decide something, and to a newer
+        # hint.
+        out: list[Action] = [
+            SendMessage(peer, report, Urgency.ROUTINE) for peer in bundle.current_followers(now)
+        ]
+        takeover = bundle.completed_takeover
+        if takeover is not None and prefetch.term == bundle.term:
+            bundle.completed_takeover = None
+            complete = HandoffComplete(bundle.lease, prefetch.term, takeover.term)
+            out.append(SendMessage(takeover.previous_owner, complete, Urgency.LEASE))
         return out
 
-    def failed(self, ahead: Ahead, now: float) -> None:
-        """A fill ahead was not written, or brought nothing: the next read tries again."""
-        self.reads.went(ahead.channel, ahead.part, ahead.term, False, now)
+    def prefetch_failed(self, prefetch: Prefetch, now: float) -> None:
+        """Notes that a prefetch was not written or brought nothing; a later read tries it again."""
+        self.detector.record_result(prefetch, False, now)
 
-    def carried(self, channel: Name, part: int, now: float) -> Name | None:
-        """The digest of the box that holds a part, as an owner said lately; a hint."""
-        return self.boxes.find(channel, part, now)
+    def find_cache(self, channel: Name, part: int, now: float) -> Name | None:
+        """Returns the digest of the cache that holds a part, as an owner reported it; a hint."""
+        return self.hints.find(channel, part, now)
 
     def drain(self, now: float) -> list[Action]:
-        """Give all bundles to others, and take no more."""
+        """Hands all bundles on, and takes none over from now on."""
         self.handoff.draining = True
-        self._wake(now)
-        return self.handoff.moves(now)
-
-    def drained(self, now: float) -> bool:
-        """Nothing is owned any more, nor filled under an old term."""
-        return all(self.bundles.terms(bundle, now) is None for bundle in self.bundles.all)
-
-    # --- as a part ---
-
-    def handle_message(self, sender: Peer, incarnation: int, note: PeerMessage, now: float) -> list[Action]:
-        match note:
-            case ChannelPartReport():
-                bundle = self.bundles.of(note.channel)
-                if bundle.saw(note.term, now):
-                    life = note.valid_ms / 1000
-                    if life > 0:  # else it only says that the owner is there
-                        self.boxes.told(note.channel, note.part, note.cache, note.term, life, now)
-                    self._owner(bundle, sender, now)
-            case OwnerLoad():
-                self.handoff.loads[sender] = (note.rate_milli / 1000, now)
-            case HandoffOffer() | HandoffReply() | HandoffComplete():
-                known = self.bundles.by_lease.get(note.bundle)
-                if isinstance(note, HandoffOffer):
-                    return self.handoff.offered(sender, known, note, now)
-                if known is not None and isinstance(note, HandoffReply):
-                    return self._ready(sender, known, note, now)
-                if known is not None and isinstance(note, HandoffComplete) and known.saw(note.term, now):
-                    self._owner(known, sender, now)
-                    return self.handoff.over(known, now)
+        self._schedule_tick(now)
+        return self.handoff.start_handoffs(now)
+
+    def is_drained(self, now: float) -> bool:
+        """Returns whether this router may fill no bundle any more, not even under an old term."""
+        return all(self.bundles.active_term(bundle, now) is None for bundle in self.bundles.all)
+
+    # --- calls of the node ---
+
+    def handle_message(
+        self, sender: Peer, incarnation: int, message: PeerMessage, now: float
+    ) -> list[Action]:
+        """Handles a message of one of the `HANDLED_MESSAGES`; a bundle of another zone is ignored."""
+        if isinstance(message, ChannelPartReport):
+            self._handle_report(sender, message, now)
+        elif isinstance(message, OwnerLoad):
+            self.handoff.record_load(sender, message, now)
+        elif isinstance(message, HandoffOffer | HandoffReply | HandoffComplete):
+            bundle = self.bundles.by_lease.get(message.bundle)
+            if bundle is not None:
+                return self._handle_handoff(sender, bundle, message, now)
         return []
 
-    def handle_event(self, news: LocalEvent, now: float) -> list[Action]:
-        match news:
+    def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
+        """Handles a change of a lease or of a peer's state."""
+        match event:
             case LeaseAcquired(lease=lease) if lease in self.bundles.by_lease:
-                return self._taken(self.bundles.by_lease[lease], news.term, now)
+                return self._lease_acquired(self.bundles.by_lease[lease], event.term, now)
             case LeaseLost(lease=lease) if lease in self.bundles.by_lease:
-                return self._lost(self.bundles.by_lease[lease], news.term, now)
+                return self._lease_lost(self.bundles.by_lease[lease], event.term, now)
             case HolderObserved(lease=lease) if lease in self.bundles.by_lease:
-                self.bundles.by_lease[lease].saw(news.term, now)
+                self.bundles.by_lease[lease].accept_term(event.term, now)
             case PeerChanged():
-                if news.standing is PeerState.ALIVE:
-                    self.handoff.away.discard(news.peer)
-                elif news.standing is not PeerState.UNKNOWN:
-                    self.handoff.away.add(news.peer)
+                self._peer_changed(event)
         return []
 
     def tick(self, now: float) -> list[Action]:
-        if now < self._look:
+        """Tends all bundles, starts due bids and moves bundles for load."""
+        if now < self.tick_at:
             return []
-        out, self._news = self._news, []
-        for channel in self.reads.ended(now):
-            self.bundles.of(channel.number).live.discard(channel.number)
-        self.boxes.end(now)
+        out = self.pending_events
+        self.pending_events = []
+        for channel in self.detector.pop_ended(now):
+            self.bundles.bundle_of(channel.id).live_channels.discard(channel.id)
+        self.hints.drop_expired(now)
         for bundle in self.bundles.all:
             out += self._tend(bundle, now)
-        out += self._bids(now)
-        out += self.handoff.moves(now)
-        idle = not self.reads.table and not self.boxes.table
-        busy = any(bundle.term or bundle.wanted or bundle.overlap for bundle in self.bundles.all)
-        self._look = NEVER if idle and not busy and not self._news else now + LOOK_S
+        out += self.owner_search.start_due_bids(now)
+        out += self.handoff.start_handoffs(now)
+        self.tick_at = NEVER if self._is_idle() else now + TICK_INTERVAL_S
         return out
 
     def due(self) -> float:
-        return self._look
+        """Returns when `tick` next has something to do."""
+        return self.tick_at
 
-    # --- finding the owner ---
+    # --- messages ---
 
-    def _owner(self, bundle: Bundle, peer: Peer, now: float) -> None:
-        if not bundle.term:
-            if bundle.owner != peer:
-                bundle.followed = -NEVER
-            bundle.owner, bundle.heard, bundle.bids_from = peer, now, None
+    def _handle_report(self, sender: Peer, report: ChannelPartReport, now: float) -> None:
+        bundle = self.bundles.bundle_of(report.channel)
+        if not bundle.accept_term(report.term, now):
+            return
+        valid_s = report.valid_ms / 1000
+        if valid_s > 0:  # else it is a heartbeat
+            self.hints.add(report.channel, report.part, report.cache, report.term, valid_s, now)
+        self.owner_search.observe_owner(bundle, sender, now)
 
-    def _tend(self, bundle: Bundle, now: float) -> list[Action]:
-        """One look at a bundle."""
-        out: list[Action] = []
-        if bundle.overlap is not None and self.bundles.terms(bundle, now) is None:
-            out += self.handoff.over(bundle, now)
-        if bundle.taking is not None:
-            out += self.handoff.take(bundle, bundle.taking, now)
+    def _handle_handoff(
+        self,
+        sender: Peer,
+        bundle: Bundle,
+        message: HandoffOffer | HandoffReply | HandoffComplete,
+        now: float,
+    ) -> list[Action]:
+        match message:
+            case HandoffOffer():
+                return self.handoff.handle_offer(sender, bundle, message, now)
+            case HandoffReply(term=term) if term == FOLLOW_TERM:
+                return self._handle_follow(sender, bundle, message, now)
+            case HandoffReply():
+                if not message.accepted and bundle.owner == sender:
+                    return self.owner_search.owner_denied(bundle, sender, now)
+                return self.handoff.handle_reply(sender, bundle, message, now)
+            case HandoffComplete():
+                if not bundle.accept_term(message.term, now):
+                    return []
+                self.owner_search.observe_owner(bundle, sender, now)
+                return self.handoff.end_overlap(bundle, now)
+
+    def _handle_follow(self, sender: Peer, bundle: Bundle, message: HandoffReply, now: float) -> list[Action]:
+        """Adds a follower, or tells it that this router does not own the bundle."""
+        if not message.accepted:
+            return []
         if bundle.term:
-            return out + self._own(bundle, now)
-        if bundle.wanted and bundle.taking is None:
-            out += self._bidding(bundle, now)
-        if not bundle.live or self.handoff.draining or bundle.overlap is not None:
-            bundle.bids_from = None
-            return out
-        holder = self._holder(bundle, now)
-        if bundle.owner is None and holder is not None and not bundle.wanted:
-            self._owner(bundle, holder, now)
-        owner = bundle.owner
-        if owner is not None and now - bundle.followed >= FOLLOW_S:
-            bundle.followed = now
-            out.append(SendMessage(owner, HandoffReply(bundle.lease, 0, 1), Urgency.NEWS))
-            out.append(SendMessage(owner, self.handoff.said(now), Urgency.ROUTINE))
-        lost = owner is None or owner in self.handoff.away or now - bundle.heard >= SILENT_S
-        # A lost owner's lease runs on for a while: a bid before its end would find it, and nothing else.
-        if lost and bundle.bids_from is None and not bundle.wanted and holder is None:
-            bundle.bids_from = now + self.spread()
-        return out
-
-    def _holder(self, bundle: Bundle, now: float) -> Peer | None:
-        """Who has the lease as acceptors said, and has not denied it lately."""
-        holder = self.leases.holder(bundle.lease, now)
-        return None if holder == bundle.denied and now - bundle.denied_at < DENIED_S else holder
-
-    def spread(self) -> float:
-        """Seconds to wait before a bid, so drawn that of any number of routers up to `CROWD` few are first.
+            if sender not in bundle.followers:
+                bundle.last_report_at = -NEVER  # the next tick sends a heartbeat
+            bundle.followers[sender] = now
+            return []
+        if bundle.overlap is not None:
+            return []
+        denial = not_owner_message(bundle, max(1, bundle.highest_term))
+        return [SendMessage(sender, denial, Urgency.NEWS)]
+
+    # --- events ---
+
+    def _lease_acquired(self, bundle: Bundle, term: int, now: float) -> list[Action]:
+        bundle.accept_term(term, now)
+        bundle.term = term
+        bundle.acquired_at = now
+        bundle.last_report_at = -NEVER
+        bundle.owner = None
+        bundle.bid_at = None
+        bundle.overlap = None
+        bundle.completed_takeover = bundle.takeover
+        bundle.takeover = None
+        self._schedule_tick(now)
+        return [ChannelOwnership(channel, term) for channel in sorted(bundle.live_channels)]
+
+    def _lease_lost(self, bundle: Bundle, term: int, now: float) -> list[Action]:
+        if bundle.term == term:
+            bundle.term = 0
+            bundle.offer = None
+            bundle.completed_takeover = None
+            bundle.owner_last_seen = now
+        return [ChannelOwnership(channel, 0) for channel in sorted(bundle.live_channels)]
 
-        Evenly drawn waits of many would be closer to each other than an election takes, and all would be
-        lost to each other (as with suppressed feedback: Nonnenmacher and Biersack, 1999).
-        """
-        return SPREAD_S * max(0.0, 1 + math.log(1 - self.rng.random()) / math.log(CROWD))
+    def _peer_changed(self, event: PeerChanged) -> None:
+        if event.standing is PeerState.ALIVE:
+            self.handoff.unreachable.discard(event.peer)
+        elif event.standing is not PeerState.UNKNOWN:
+            self.handoff.unreachable.add(event.peer)
 
-    def _bidding(self, bundle: Bundle, now: float) -> list[Action]:
-        """Take a bid back that has found another's lease, or that nobody here needs any more."""
-        holder = self._holder(bundle, now) if now - bundle.bid >= PATIENCE_S else None
-        if holder is None and bundle.live and not self.handoff.draining:
-            return []
-        bundle.wanted = False
-        if holder is not None and holder != bundle.owner:
-            self._owner(bundle, holder, now)
-        return self.leases.release(bundle.lease, now)
+    # --- time ---
 
-    def _bids(self, now: float) -> list[Action]:
-        """Bid for what has no owner, at a bounded pace, in no order."""
+    def _tend(self, bundle: Bundle, now: float) -> list[Action]:
         out: list[Action] = []
-        self._tokens = min(BIDS_BURST, self._tokens + max(0.0, now - self._filled) * BIDS)
-        self._filled = now
-        ready = [each for each in self.bundles.all if each.bids_from is not None and now >= each.bids_from]
-        self.rng.shuffle(ready)
-        for bundle in ready[: int(self._tokens)]:
-            self._tokens -= 1
-            bundle.bids_from, bundle.wanted, bundle.bid = None, True, now
-            out += self.leases.request(bundle.lease, now)
+        if bundle.overlap is not None and self.bundles.active_term(bundle, now) is None:
+            out += self.handoff.end_overlap(bundle, now)
+        if bundle.takeover is not None:
+            out += self.handoff.tend_takeover(bundle, bundle.takeover, now)
+        if bundle.term:
+            return out + self._tend_owned(bundle, now)
+        return out + self.owner_search.tend(bundle, now)
+
+    def _tend_owned(self, bundle: Bundle, now: float) -> list[Action]:
+        """Sends heartbeats, continues an offer, and gives up a bundle that is not read here."""
+        if not bundle.live_channels or bundle.is_superseded(bundle.term, now):
+            return self.handoff.give_up(bundle, now)
+        out = self._send_heartbeat(bundle, now)
+        if bundle.offer is not None:
+            out += self.handoff.tend_offer(bundle, bundle.offer, now)
         return out
 
-    def _ready(self, sender: Peer, bundle: Bundle, note: HandoffReply, now: float) -> list[Action]:
-        """A follower's word, its answer that this router has nothing to follow, or the answer to an offer."""
-        if note.term == 0:
-            if bundle.term and note.accepted:
-                if sender not in bundle.followers:
-                    bundle.told = -NEVER  # it is told at the next look whom it has found
-                bundle.followers[sender] = now
-            elif note.accepted and bundle.overlap is None:
-                return [SendMessage(sender, HandoffReply(bundle.lease, max(1, bundle.seen), 0), Urgency.NEWS)]
+    def _send_heartbeat(self, bundle: Bundle, now: float) -> list[Action]:
+        if now - bundle.last_report_at < HEARTBEAT_INTERVAL_S:
             return []
-        if not note.accepted and bundle.owner == sender:
-            # It is the owner no more, or what an acceptor told was of a lost election. Who has followed it is
-            # asked for at once; where nobody has, a bid comes by itself.
-            bundle.owner, bundle.denied, bundle.denied_at = None, sender, now
-            return self.leases.query_holder(bundle.lease, now)
-        return self.handoff.ready(sender, bundle, note, now)
-
-    # --- owning ---
-
-    def _taken(self, bundle: Bundle, term: int, now: float) -> list[Action]:
-        bundle.saw(term, now)
-        bundle.term, bundle.taken, bundle.told = term, now, -NEVER
-        bundle.owner, bundle.bids_from, bundle.overlap = None, None, None
-        bundle.former, bundle.taking = bundle.taking, None
-        self._wake(now)
-        return [ChannelOwnership(channel, term) for channel in sorted(bundle.live)]
-
-    def _lost(self, bundle: Bundle, term: int, now: float) -> list[Action]:
-        if bundle.term == term:
-            bundle.term, bundle.offered, bundle.former = 0, None, None
-            bundle.heard = now
-        return [ChannelOwnership(channel, 0) for channel in sorted(bundle.live)]
-
-    def _own(self, bundle: Bundle, now: float) -> list[Action]:
-        """Say that the owner is there; give up what nobody reads here; go on with an offer."""
-        if not bundle.live or bundle.passed(bundle.term, now):
-            return self.handoff.give_up(bundle, now)
-        out: list[Action] = []
-        if now - bundle.told >= BEAT_S:
-            bundle.told = now
-            # No box, and no life: it only says that the owner is there.
-            said = ChannelPartReport(min(bundle.live), bundle.term, 0, 0, 0)
-            out += [SendMessage(peer, said, Urgency.ROUTINE) for peer in bundle.following(now)]
-        offered = bundle.offered
-        return out if offered is None else out + self.handoff.offering(bundle, offered, now)
-
-    def _wake(self, now: float) -> None:
-        self._look = min(self._look, now + LOOK_S)
+        bundle.last_report_at = now
+        heartbeat = ChannelPartReport(min(bundle.live_channels), bundle.term, part=0, cache=0, valid_ms=0)
+        return [SendMessage(peer, heartbeat, Urgency.ROUTINE) for peer in bundle.current_followers(now)]
+
+    def _is_idle(self) -> bool:
+        """Returns whether nothing is read, remembered, owned or bid for, and no event is pending."""
+        is_active = any(bundle.term or bundle.bid_pending or bundle.overlap for bundle in self.bundles.all)
+        return (
+            not self.detector.channels
+            and not self.hints.channels
+            and not is_active
+            and not self.pending_events
+        )
+
+    def _schedule_tick(self, now: float) -> None:
+        self.tick_at = min(self.tick_at, now + TICK_INTERVAL_S)
--- a/paddlequay/cluster/handoff.py
+++ b/paddlequay/cluster/handoff.py
@@ -1,161 +1,244 @@
-"""Handing bundles on: whom an owner gives one to, when, and how the receiver takes it over.
+"""Hands bundles of live channels on: to which router, when, and how the receiver takes one over.
 
-Bounds, by a router: `AT_ONCE` bundles offered, or being taken over, at a time; one move for load in `MOVE_S`;
-a bundle stays `REST_S` at least with who took it before it is moved for load.
+An owner sends a `HandoffOffer`. The receiver bids for the lease, and answers with a `HandoffReply` once its
+bid waits for the owner's release. The owner releases the lease to it, and the new owner sends a
+`HandoffComplete` with its first filled part. `bundles.py` says how long both may fill.
+
+A router offers, and takes over, at most `MAX_CONCURRENT_HANDOFFS` bundles at a time; it moves at most one
+bundle per `REBALANCE_INTERVAL_S` for load, and none that it has owned for less than `MIN_OWNERSHIP_S`.
 """
 
-from paddlequay.cluster.bundles import FOLLOWED_S, Bundle, Bundles, LeasesOf, Offered, Taking
+from dataclasses import dataclass
+
+from paddlequay.cluster.bundles import (
+    FOLLOWER_TIMEOUT_S,
+    Bundle,
+    Bundles,
+    LeaseTerms,
+    PendingOffer,
+    Takeover,
+)
 from paddlequay.cluster.messages import HandoffOffer, HandoffReply, OwnerLoad
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import NEVER, Action, LogEvent, Peer, SendMessage, Urgency
 
-AT_ONCE = 4
-WARM_S = 0.1  # an offered bundle's bid has had its answer, and waits
-OFFER_S, OFFER_AGAIN_S = 3.0, 0.3  # an offer's answer may take two delays of a second and a vote's
-TAKE_S = 5.0  # a bundle offered but not released by then will not be
-REFUSED_S = 5.0  # before one that did not take a bundle is asked again
-MOVE_S, REST_S = 5.0, 10.0
+MAX_CONCURRENT_HANDOFFS = 4
+BID_SETTLE_S = 0.1  # until the bid for an offered bundle has its answers and waits
+OFFER_TIMEOUT_S = 3.0  # an answer may take two delays of a second and an election
+OFFER_RESEND_S = 0.3
+TAKEOVER_TIMEOUT_S = 5.0  # a bundle not released by then is not going to be
+DECLINE_MEMORY_S = 5.0  # before a router that declined a bundle is offered it again
+REBALANCE_INTERVAL_S = 5.0
+MIN_OWNERSHIP_S = 10.0
 
+FOLLOW_TERM = 0  # of a reply that answers no offer
+ACCEPTED = 1
+DECLINED = 0
+
+
+def follow_message(bundle: Bundle) -> HandoffReply:
+    """Returns the message by which a router follows the owner of a bundle."""
+    return HandoffReply(bundle.lease, FOLLOW_TERM, ACCEPTED)
+
+
+def not_owner_message(bundle: Bundle, term: int) -> HandoffReply:
+    """Returns the message that tells followers that this router does not, or no longer, own a bundle."""
+    return HandoffReply(bundle.lease, term, DECLINED)
 
-class Handoff:
-    """Both sides of a handoff. `loads`: parts filled ahead a second, and when that was heard; by peer."""
 
-    def __init__(self, rule: ChannelRule, bundles: Bundles, leases: LeasesOf) -> None:
-        self.rule, self.bundles, self.leases = rule, bundles, leases
-        self.loads: dict[Peer, tuple[float, float]] = {}
-        self.away: set[Peer] = set()  # suspect or dead
+@dataclass(frozen=True, slots=True)
+class PeerLoad:
+    """The parts that a peer prefetches a second, as it reported at `received_at`."""
+
+    rate_per_s: float
+    received_at: float
+
+
+class Handoff:
+    """Both sides of handoffs, with the loads of peers by which receivers are chosen."""
+
+    def __init__(self, rule: ChannelRule, bundles: Bundles, leases: LeaseTerms) -> None:
+        self.rule = rule
+        self.bundles = bundles
+        self.leases = leases
+        self.peer_loads: dict[Peer, PeerLoad] = {}
+        self.unreachable: set[Peer] = set()  # suspect or dead
         self.draining = False
-        self.moved = -NEVER
+        self.rebalanced_at = -NEVER
 
     # --- load ---
 
-    def said(self, now: float) -> OwnerLoad:
-        return OwnerLoad(int(self.load(now) * 1000), len(self.bundles.owned()))
+    def load_message(self, now: float) -> OwnerLoad:
+        """Returns the report of this router's load."""
+        return OwnerLoad(int(self.own_load(now) * 1000), len(self.bundles.owned()))
 
-    def load(self, now: float) -> float:
-        """Parts that this router fills ahead a second."""
-        return sum(bundle.rate.now(now) for bundle in self.bundles.owned())
+    def record_load(self, peer: Peer, report: OwnerLoad, now: float) -> None:
+        """Notes a peer's report of its load."""
+        self.peer_loads[peer] = PeerLoad(report.rate_milli / 1000, now)
 
-    def load_of(self, peer: Peer, now: float) -> float:
-        """A peer's load as told, and what it is being offered."""
-        coming = (b.rate.now(now) for b in self.bundles.owned() if b.offered and b.offered.to == peer)
-        return self.loads.get(peer, (0.0, 0.0))[0] + sum(coming)
+    def own_load(self, now: float) -> float:
+        """Returns the parts that this router prefetches a second."""
+        return sum(bundle.rate.per_second(now) for bundle in self.bundles.owned())
+
+    def expected_load(self, peer: Peer, now: float) -> float:
+        """Returns the parts a second that a peer reported, plus those of the bundles offered to it."""
+        reported = self.peer_loads[peer].rate_per_s if peer in self.peer_loads else 0.0
+        offered = (
+            bundle.rate.per_second(now)
+            for bundle in self.bundles.owned()
+            if bundle.offer and bundle.offer.receiver == peer
+        )
+        return reported + sum(offered)
 
     # --- the owner ---
 
     def give_up(self, bundle: Bundle, now: float) -> list[Action]:
-        """Release without an heir; whoever reads the bundle is told to look for an owner."""
-        gone = HandoffReply(bundle.lease, bundle.term, 0)
+        """Releases a bundle without a successor, and tells its followers to search for an owner."""
+        message = not_owner_message(bundle, bundle.term)
         out = self.bundles.release(bundle, now, None)
-        out += [SendMessage(peer, gone, Urgency.NEWS) for peer in bundle.following(now)]
+        out += [SendMessage(peer, message, Urgency.NEWS) for peer in bundle.current_followers(now)]
         bundle.followers.clear()
         return out
 
-    def moves(self, now: float) -> list[Action]:
-        """Give away: everything when drained, one bundle now and then when carrying far more than others."""
+    def start_handoffs(self, now: float) -> list[Action]:
+        """Offers bundles: all of them while draining, else one at a time while far above the mean load."""
         owned = self.bundles.owned()
-        out: list[Action] = []
-        room = AT_ONCE - sum(bundle.offered is not None for bundle in owned)
+        offered_count = sum(bundle.offer is not None for bundle in owned)
         if self.draining:
-            for bundle in [each for each in owned if each.offered is None]:
-                heir = self.heir(bundle, now)
-                if heir is None:
-                    out += self.give_up(bundle, now)
-                elif room > 0:
-                    room -= 1
-                    out += self.give(bundle, heir, now)
-        elif len(owned) > 1 and room == AT_ONCE and now - self.moved >= MOVE_S:
-            out += self.even(owned, now)
+            return self.drain_bundles(owned, MAX_CONCURRENT_HANDOFFS - offered_count, now)
+        is_due = now - self.rebalanced_at >= REBALANCE_INTERVAL_S
+        if len(owned) > 1 and offered_count == 0 and is_due:
+            return self.rebalance(owned, now)
+        return []
+
+    def drain_bundles(self, owned: list[Bundle], capacity: int, now: float) -> list[Action]:
+        """Offers up to `capacity` bundles, and gives up those that nobody can take."""
+        out: list[Action] = []
+        for bundle in [each for each in owned if each.offer is None]:
+            successor = self.choose_successor(bundle, now)
+            if successor is None:
+                out += self.give_up(bundle, now)
+            elif capacity > 0:
+                capacity -= 1
+                out += self.offer_bundle(bundle, successor, now)
         return out
 
-    def even(self, owned: list[Bundle], now: float) -> list[Action]:
-        """Move the largest bundle that leaves its receiver no more loaded than this router stays.
+    def rebalance(self, owned: list[Bundle], now: float) -> list[Action]:
+        """Offers the largest bundle whose receiver stays no more loaded than this router.
 
-        The mean is of all who could own and have told their load, those who own nothing among them: a router
-        that owns everything would else be the mean itself.
+        Nothing moves unless this router's load is above `rule.rebalance_ratio` times the mean of all that
+        reported theirs. The mean includes routers that own nothing; else a router that owns everything would
+        be the mean itself.
         """
-        others = [load for load, at in self.loads.values() if now - at <= FOLLOWED_S]
-        own = self.load(now)
-        mean = (own + sum(others)) / (1 + len(others))
-        if not others or own <= self.rule.move_above * mean:
+        own = self.own_load(now)
+        if not self.is_overloaded(own, now):
             return []
-        for bundle in sorted(owned, key=lambda each: -each.rate.now(now)):
-            heir, rate = self.heir(bundle, now), bundle.rate.now(now)
-            if heir is None or now - bundle.taken < REST_S:
+        for bundle in sorted(owned, key=lambda each: -each.rate.per_second(now)):
+            successor = self.choose_successor(bundle, now)
+            rate = bundle.rate.per_second(now)
+            if successor is None or now - bundle.acquired_at < MIN_OWNERSHIP_S:
                 continue
-            if rate > 0 and self.load_of(heir, now) + rate <= own - rate:
-                self.moved = now
-                return self.give(bundle, heir, now)
+            if rate > 0 and self.expected_load(successor, now) + rate <= own - rate:
+                self.rebalanced_at = now
+                return self.offer_bundle(bundle, successor, now)
         return []
 
-    def heir(self, bundle: Bundle, now: float) -> Peer | None:
-        """The least loaded of those who read the bundle, are alive and have not refused it lately."""
-        bundle.refused = {peer: at for peer, at in bundle.refused.items() if now - at < REFUSED_S}
-        shut = self.away | bundle.refused.keys()
-        able = [peer for peer in bundle.following(now) if peer not in shut]
-        return min(able, key=lambda peer: (self.load_of(peer, now), peer), default=None)
-
-    def give(self, bundle: Bundle, heir: Peer, now: float) -> list[Action]:
-        bundle.offered = Offered(heir, now, now)
-        return [SendMessage(heir, self.offer(bundle, now), Urgency.LEASE)]
-
-    def offer(self, bundle: Bundle, now: float) -> HandoffOffer:
-        return HandoffOffer(bundle.lease, bundle.term, int(bundle.rate.now(now) * 1000))
-
-    def offering(self, bundle: Bundle, offered: Offered, now: float) -> list[Action]:
-        """Say an offer again, or end it."""
-        if now - offered.since > OFFER_S or offered.to in self.away:
-            bundle.refused[offered.to], bundle.offered = now, None
-        elif now - offered.said >= OFFER_AGAIN_S:
-            offered.said = now
-            return [SendMessage(offered.to, self.offer(bundle, now), Urgency.LEASE)]
-        return []
-
-    def ready(self, sender: Peer, bundle: Bundle, note: HandoffReply, now: float) -> list[Action]:
-        """The answer to an offer."""
-        offered = bundle.offered
-        if not bundle.term or bundle.term != note.term or offered is None or offered.to != sender:
+    def is_overloaded(self, own: float, now: float) -> bool:
+        """Returns whether a load, in parts a second, is far above the mean of the peers heard lately."""
+        others = [
+            load.rate_per_s
+            for load in self.peer_loads.values()
+            if now - load.received_at <= FOLLOWER_TIMEOUT_S
+        ]
+        mean = (own + sum(others)) / (1 + len(others))
+        return bool(others) and own > self.rule.rebalance_ratio * mean
+
+    def choose_successor(self, bundle: Bundle, now: float) -> Peer | None:
+        """Returns the least loaded follower that is reachable and has not declined the bundle lately."""
+        bundle.declined = {peer: at for peer, at in bundle.declined.items() if now - at < DECLINE_MEMORY_S}
+        excluded = self.unreachable | bundle.declined.keys()
+        candidates = [peer for peer in bundle.current_followers(now) if peer not in excluded]
+        return min(candidates, key=lambda peer: (self.expected_load(peer, now), peer), default=None)
+
+    def offer_bundle(self, bundle: Bundle, receiver: Peer, now: float) -> list[Action]:
+        """Offers a bundle to a receiver."""
+        bundle.offer = PendingOffer(receiver, now, now)
+        return [SendMessage(receiver, self.offer_message(bundle, now), Urgency.LEASE)]
+
+    def offer_message(self, bundle: Bundle, now: float) -> HandoffOffer:
+        """Returns the offer of a bundle, with its load."""
+        return HandoffOffer(bundle.lease, bundle.term, int(bundle.rate.per_second(now) * 1000))
+
+    def tend_offer(self, bundle: Bundle, offer: PendingOffer, now: float) -> list[Action]:
+        """Repeats an unanswered offer, or ends it when it is too old or its receiver is unreachable."""
+        if now - offer.started_at > OFFER_TIMEOUT_S or offer.receiver in self.unreachable:
+            bundle.declined[offer.receiver] = now
+            bundle.offer = None
+            return []
+        if now - offer.last_sent_at < OFFER_RESEND_S:
             return []
-        if not note.accepted:
-            bundle.refused[sender], bundle.offered = now, None
-            return self.moves(now)
+        offer.last_sent_at = now
+        return [SendMessage(offer.receiver, self.offer_message(bundle, now), Urgency.LEASE)]
+
+    def handle_reply(self, sender: Peer, bundle: Bundle, reply: HandoffReply, now: float) -> list[Action]:
+        """Handles the answer to an offer: releases the bundle, or looks for another receiver."""
+        offer = bundle.offer
+        is_current_term = bool(bundle.term) and bundle.term == reply.term
+        if not is_current_term or offer is None or offer.receiver != sender:
+            return []
+        if not reply.accepted:
+            bundle.declined[sender] = now
+            bundle.offer = None
+            return self.start_handoffs(now)
         out = self.bundles.release(bundle, now, sender)
         return [*out, LogEvent("channels-handed-on", (("bundle", bundle.lease), ("to", sender)))]
 
-    def over(self, bundle: Bundle, now: float) -> list[Action]:
-        """The overlap has ended: followers look for the new owner."""
+    def end_overlap(self, bundle: Bundle, now: float) -> list[Action]:
+        """Ends the overlap after a handoff, and tells the followers to search for the new owner."""
         if bundle.overlap is None:
             return []
-        gone = HandoffReply(bundle.lease, bundle.overlap.term, 0)
+        message = not_owner_message(bundle, bundle.overlap.term)
         bundle.overlap = None
-        out: list[Action] = [SendMessage(peer, gone, Urgency.NEWS) for peer in bundle.following(now)]
+        followers = bundle.current_followers(now)
         bundle.followers.clear()
-        return out
+        return [SendMessage(peer, message, Urgency.NEWS) for peer in followers]
 
     # --- the receiver ---
 
-    def offered(self, sender: Peer, bundle: Bundle | None, note: HandoffOffer, now: float) -> list[Action]:
-        """Bid, or decline: only who reads the bundle itself knows which part comes next."""
-        if bundle is None or not bundle.saw(note.term, now):
+    def handle_offer(self, sender: Peer, bundle: Bundle, offer: HandoffOffer, now: float) -> list[Action]:
+        """Handles an offer: bids for the bundle, or declines it."""
+        if not bundle.accept_term(offer.term, now):
             return []
-        taking = bundle.taking
-        if taking is not None and taking.term == note.term:
-            return [self.yes(bundle, taking)] if taking.ready else []
-        busy = sum(each.taking is not None for each in self.bundles.all) >= AT_ONCE
-        if self.draining or busy or not bundle.live or bundle.term:
-            return [SendMessage(sender, HandoffReply(bundle.lease, note.term, 0), Urgency.LEASE)]
-        bundle.taking = Taking(sender, note.term, now)
-        bundle.wanted, bundle.bids_from = True, None
+        takeover = bundle.takeover
+        if takeover is not None and takeover.term == offer.term:
+            return [self.accept_message(bundle, takeover)] if takeover.ready else []
+        if not self.may_take_over(bundle):
+            return [SendMessage(sender, HandoffReply(bundle.lease, offer.term, DECLINED), Urgency.LEASE)]
+        bundle.takeover = Takeover(sender, offer.term, now)
+        bundle.bid_pending = True
+        bundle.bid_at = None
         return self.leases.request(bundle.lease, now)
 
-    def take(self, bundle: Bundle, taking: Taking, now: float) -> list[Action]:
-        """Say that this router is ready once its bid has been told who holds the lease, and waits."""
-        if now - taking.since > TAKE_S:
-            bundle.taking = None
-        elif not taking.ready and now - taking.since >= WARM_S:
-            taking.ready = self.leases.holder(bundle.lease, now) == taking.former
-            return [self.yes(bundle, taking)] if taking.ready else []
-        return []
+    def may_take_over(self, bundle: Bundle) -> bool:
+        """Returns whether this router can take a bundle over.
+
+        It must read the bundle itself, else it does not know which part comes next.
+        """
+        takeover_count = sum(each.takeover is not None for each in self.bundles.all)
+        has_capacity = takeover_count < MAX_CONCURRENT_HANDOFFS
+        return has_capacity and not self.draining and bool(bundle.live_channels) and not bundle.term
+
+    def tend_takeover(self, bundle: Bundle, takeover: Takeover, now: float) -> list[Action]:
+        """Accepts an offer once the bid waits for the sender's release; ends a takeover that is too old."""
+        if now - takeover.started_at > TAKEOVER_TIMEOUT_S:
+            bundle.takeover = None
+            return []
+        if takeover.ready or now - takeover.started_at < BID_SETTLE_S:
+            return []
+        takeover.ready = self.leases.holder(bundle.lease, now) == takeover.previous_owner
+        return [self.accept_message(bundle, takeover)] if takeover.ready else []
 
-    def yes(self, bundle: Bundle, taking: Taking) -> SendMessage:
-        return SendMessage(taking.former, HandoffReply(bundle.lease, taking.term, 1), Urgency.LEASE)
+    def accept_message(self, bundle: Bundle, takeover: Takeover) -> SendMessage:
+        """Returns the message that accepts an offer."""
+        reply = HandoffReply(bundle.lease, takeover.term, ACCEPTED)
+        return SendMessage(takeover.previous_owner, reply, Urgency.LEASE)
--- a/paddlequay/cluster/prefetch.py
+++ b/paddlequay/cluster/prefetch.py
@@ -1,9 +1,11 @@
-"""Live channels by what is read of them, which parts their owner fills ahead, and which box holds what.
-
-The evidence for a channel: reads of an object whose class is named for it move its highest part on `RISES`
-times, by `STEPS` parts at most each time, each within `live_s` of the one before. A plaza's routers share a
-channel's readers, so that each sees steps over one part or a few; whoever seeks in a recording jumps farther.
-A far part moves nothing while the channel goes on, so that one odd client cannot end it.
+"""Detects live channels from reads, and decides which parts their owner prefetches.
+
+A channel is an object whose parts are produced one after another and read by several clients. It is live
+once reads have advanced its highest part `MIN_ADVANCES` times, by at most `MAX_ADVANCE_PARTS` each, each
+advance within `ChannelRule.idle_timeout_s` of the one before. The routers of a zone share a channel's
+readers, so each of them sees advances over one part or a few; a client that seeks in a recording jumps
+farther. A read of a far part changes nothing while the channel advances, so that a single client cannot end
+it.
 """
 
 import math
@@ -15,151 +17,139 @@
 from paddlequay.cluster.types import NEVER, Name
 from paddlequay.placement.homes import digest
 
-RISES = 2
-STEPS = 4
-RETRY_S = 0.5  # after a fill ahead that failed: the part may not be there yet
-PARTS_MOST = 16  # of a channel, whose boxes are remembered
-LIFE_MOST = 10.0  # seconds that a box is believed to hold a part, whatever is said
-FADE_S = 5.0  # of a rate: what was done so long ago counts a third
+MIN_ADVANCES = 2
+MAX_ADVANCE_PARTS = 4
+RETRY_DELAY_S = 0.5  # after a failed prefetch: the part may not exist yet
+RATE_DECAY_S = 5.0  # an event this old counts 1/e
 
 
-def channel_of(zone: str, name: str) -> Name:
-    """A channel's number: of this plaza, since another one has an owner and boxes of its own."""
-    return digest(f"channel/{zone}/{name}")
+def channel_id(zone: str, object_name: str) -> Name:
+    """Returns the id of an object's channel in a zone; each zone has an owner of its own for it."""
+    return digest(f"channel/{zone}/{object_name}")
 
 
-def lease_of(zone: str, number: int) -> Name:
-    """The lease of a plaza's bundle of channels."""
+def bundle_lease(zone: str, number: int) -> Name:
+    """Returns the lease of one of a zone's bundles of channels."""
     return digest(f"channels/{zone}/{number}")
 
 
 @dataclass(frozen=True, slots=True)
-class Ahead:
-    """For the driver: fill this part. `may_fill` is to be asked right before it is written."""
+class Prefetch:
+    """Orders the driver to fill one part; `Channels.writable_term` is asked right before it is written."""
 
     channel: Name
-    name: str
-    kind: str  # the class of the requests that made the channel
+    object_name: str
+    class_name: str  # of the requests that made the channel
     part: int
     term: int
 
 
 @dataclass(slots=True)
-class Rate:
-    """Events a second, fading."""
+class DecayingRate:
+    """A rate of events a second, averaged with exponential decay."""
 
     value: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
-    def now(self, now: float) -> float:
-        return self.value * math.exp(min(0.0, self.at - now) / FADE_S)
+    def per_second(self, now: float) -> float:
+        """Returns the rate at `now`, in events a second."""
+        return self.value * math.exp(min(0.0, self.updated_at - now) / RATE_DECAY_S)
 
     def add(self, now: float) -> None:
-        self.value, self.at = self.now(now) + 1 / FADE_S, max(self.at, now)
+        """Counts one event."""
+        self.value = self.per_second(now) + 1 / RATE_DECAY_S
+        self.updated_at = max(self.updated_at, now)
+
+
+@dataclass(frozen=True, slots=True)
+class PrefetchAttempt:
+    """The last prefetch of a part: the owner's term, and when the part may be prefetched again."""
+
+    term: int
+    retry_at: float
 
 
 @dataclass(slots=True)
 class Channel:
-    """What is read of one object. `sent`: the term under which a part was last asked ahead, and when next."""
+    """The reads of one object, and the prefetches of its parts. Times are by the router's clock."""
 
-    number: Name
-    name: str
-    kind: str
-    high: int
-    rose: float
-    read: float
-    rises: int = 0
-    sent: dict[int, tuple[int, float]] = field(default_factory=dict)
+    id: Name
+    object_name: str
+    class_name: str
+    highest_part: int
+    advanced_at: float
+    last_read_at: float
+    advances: int = 0
+    attempts: dict[int, PrefetchAttempt] = field(default_factory=dict)  # by part
 
     @property
-    def live(self) -> bool:
-        return self.rises >= RISES
+    def is_live(self) -> bool:
+        """Whether reads have advanced often enough."""
+        return self.advances >= MIN_ADVANCES
 
+    def needs_prefetch(self, part: int, term: int, now: float) -> bool:
+        """Returns whether the owner under `term` is to fill a part: not yet tried under it, or due again."""
+        attempt = self.attempts.get(part)
+        return attempt is None or attempt.term != term or now >= attempt.retry_at
 
-class Reads:
-    """The table of channels, of `most` at most, the one not read for longest first."""
-
-    def __init__(self, zone: str, rule: ChannelRule) -> None:
-        self.zone, self.rule = zone, rule
-        self.table: OrderedDict[Name, Channel] = OrderedDict()
-
-    def read(self, name: str, kind: str, part: int, now: float) -> Channel:
-        """Count a read; who is past `most` is for `ended` to tell."""
-        number = channel_of(self.zone, name)
-        known = self.table.get(number)
-        if known is None:
-            known = self.table[number] = Channel(number, name, kind, part, now, now)
-        elif now - known.rose > self.rule.live_s:
-            known.high, known.rose, known.rises = part, now, 0
-        elif known.high < part <= known.high + STEPS:
-            known.high, known.rose, known.rises = part, now, known.rises + 1
-        known.read = now
-        self.table.move_to_end(number)
-        return known
-
-    def ended(self, now: float) -> Iterator[Channel]:
-        """Take out and tell what has not been read for `live_s`, or is too much."""
-        while self.table:
-            first = next(iter(self.table.values()))
-            if now - first.read <= self.rule.live_s and len(self.table) <= self.rule.most:
-                return
-            yield self.table.pop(first.number)
-
-    def due(self, channel: Channel, term: int, now: float) -> list[Ahead]:
-        """What an owner under `term` is to fill now; each part once, until it is known to have failed."""
-        found: list[Ahead] = []
-        channel.sent = {part: sent for part, sent in channel.sent.items() if part > channel.high}
-        for part in range(channel.high + 1, channel.high + 1 + self.rule.ahead):
-            sent, again = channel.sent.get(part, (0, 0.0))
-            if sent != term or now >= again:
-                # Where the driver never says how it went, it is asked again after `live_s`.
-                channel.sent[part] = (term, now + self.rule.live_s)
-                found.append(Ahead(channel.number, channel.name, channel.kind, part, term))
-        return found
-
-    def went(self, number: Name, part: int, term: int, well: bool, now: float) -> None:
-        """How a fill ahead ended."""
-        channel = self.table.get(number)
-        if channel is not None and channel.sent.get(part, (0, 0.0))[0] == term:
-            channel.sent[part] = (term, NEVER if well else now + RETRY_S)
 
+class ChannelDetector:
+    """The channels read at this router, `rule.max_channels` at most, least recently read first."""
 
-@dataclass(frozen=True, slots=True)
-class Held:
-    box: Name
-    term: int
-    until: float
-
-
-class Boxes:
-    """Which box holds which part, as owners have told; `most` channels of `PARTS_MOST` parts each.
-
-    A part's box stays what it is when the owner changes; for one part the higher term wins.
-    """
-
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.table: OrderedDict[Name, dict[int, Held]] = OrderedDict()
-
-    def told(self, channel: Name, part: int, box: Name, term: int, life: float, now: float) -> None:
-        parts = self.table.setdefault(channel, {})
-        self.table.move_to_end(channel)
-        known = parts.get(part)
-        if known is None or known.term <= term or known.until <= now:
-            parts[part] = Held(box, term, now + min(life, LIFE_MOST))
-        if len(parts) > PARTS_MOST:
-            del parts[min(parts)]
-        if len(self.table) > self.most:
-            self.table.popitem(last=False)
-
-    def find(self, channel: Name, part: int, now: float) -> Name | None:
-        known = self.table.get(channel, {}).get(part)
-        return known.box if known is not None and now < known.until else None
-
-    def end(self, now: float) -> None:
-        """Forget channels of which nothing holds any more, from the one told of longest ago on."""
-        while self.table:
-            channel, parts = next(iter(self.table.items()))
-            if any(now < held.until for held in parts.values()):
+    def __init__(self, zone: str, rule: ChannelRule) -> None:
+        self.zone = zone
+        self.rule = rule
+        self.channels: OrderedDict[Name, Channel] = OrderedDict()
+
+    def record_read(self, object_name: str, class_name: str, part: int, now: float) -> Channel:
+        """Counts a read. A channel beyond the bound stays until `pop_ended` removes it."""
+        number = channel_id(self.zone, object_name)
+        channel = self.channels.get(number)
+        if channel is None:
+            channel = Channel(number, object_name, class_name, part, now, now)
+            self.channels[number] = channel
+        elif now - channel.advanced_at > self.rule.idle_timeout_s:
+            channel.highest_part = part
+            channel.advanced_at = now
+            channel.advances = 0
+        elif channel.highest_part < part <= channel.highest_part + MAX_ADVANCE_PARTS:
+            channel.highest_part = part
+            channel.advanced_at = now
+            channel.advances += 1
+        channel.last_read_at = now
+        self.channels.move_to_end(number)
+        return channel
+
+    def pop_ended(self, now: float) -> Iterator[Channel]:
+        """Removes and yields channels that are idle for `rule.idle_timeout_s` or exceed the bound."""
+        while self.channels:
+            oldest = next(iter(self.channels.values()))
+            is_fresh = now - oldest.last_read_at <= self.rule.idle_timeout_s
+            if is_fresh and len(self.channels) <= self.rule.max_channels:
                 return
-            del self.table[channel]
+            yield self.channels.pop(oldest.id)
+
+    def due_prefetches(self, channel: Channel, term: int, now: float) -> list[Prefetch]:
+        """Returns the parts that an owner under `term` is to fill now.
+
+        Each part is ordered once per term. It is ordered again after a failure, or after
+        `rule.idle_timeout_s` seconds if the driver never reports a result.
+        """
+        highest = channel.highest_part
+        channel.attempts = {part: attempt for part, attempt in channel.attempts.items() if part > highest}
+        due: list[Prefetch] = []
+        for part in range(highest + 1, highest + 1 + self.rule.prefetch_parts):
+            if channel.needs_prefetch(part, term, now):
+                channel.attempts[part] = PrefetchAttempt(term, now + self.rule.idle_timeout_s)
+                due.append(Prefetch(channel.id, channel.object_name, channel.class_name, part, term))
+        return due
+
+    def record_result(self, prefetch: Prefetch, succeeded: bool, now: float) -> None:
+        """Notes how a prefetch ended; a failed one is due again after `RETRY_DELAY_S`."""
+        channel = self.channels.get(prefetch.channel)
+        if channel is None:
+            return
+        attempt = channel.attempts.get(prefetch.part)
+        if attempt is not None and attempt.term == prefetch.term:
+            retry_at = NEVER if succeeded else now + RETRY_DELAY_S
+            channel.attempts[prefetch.part] = PrefetchAttempt(prefetch.term, retry_at)
--- a/paddlequay/cluster/settings.py
+++ b/paddlequay/cluster/settings.py
@@ -41,14 +41,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelRule:
-    """Which requests make live channels, and how they are owned."""
+    """Which requests make live channels, and how channels are owned."""
 
     classes: tuple[str, ...]
-    bundles: int = 64  # channels share leases: so many for each plaza
-    ahead: int = 1  # parts that the owner fills ahead of the last one asked for
-    live_s: float = 3.0  # without a read for so long, a channel is none any more
-    most: int = 4096  # channels remembered
-    move_above: float = 1.5  # of the mean load of the plaza's owners: above it an owner gives a bundle away
+    bundles: int = 64  # leases of a zone that its channels share
+    prefetch_parts: int = 1  # parts that the owner fills beyond the highest one read
+    idle_timeout_s: float = 3.0  # a channel that is not read for so long ends
+    max_channels: int = 4096  # remembered at a router
+    rebalance_ratio: float = (
+        1.5  # of the mean load of the zone's routers, above which an owner moves a bundle
+    )
 
 
 @dataclass(frozen=True, slots=True)
--- a/paddlequay/lab/channel_world.py
+++ b/paddlequay/lab/channel_world.py
@@ -11,7 +11,7 @@
 from paddlequay.cluster.channels import Channels
 from paddlequay.cluster.leases import Leases
 from paddlequay.cluster.messages import PeerMessage, Prepare
-from paddlequay.cluster.prefetch import Ahead
+from paddlequay.cluster.prefetch import Prefetch
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import Action, Bounds, Fleet, Peer, SendMessage
 from paddlequay.hierarchy.fencing_tokens import FencingTokens
@@ -54,7 +54,7 @@
 class Fill:
     at: float
     by: Peer
-    ahead: Ahead
+    prefetch: Prefetch
     taken: bool
 
 
@@ -130,32 +130,32 @@
     def read(self, me: Peer, name: str, part: int) -> None:
         process = self.all[me]
         if process.runs and me in self.readers:
-            for ahead in process.channels.asked(name, "video", part, process.clock):
-                self.later(self.rng.uniform(0, 0.03), lambda ahead=ahead: self.write(me, ahead))  # type: ignore[misc]
+            for prefetch in process.channels.record_read(name, "video", part, process.clock):
+                self.later(self.rng.uniform(0, 0.03), lambda prefetch=prefetch: self.write(me, prefetch))  # type: ignore[misc]
 
-    def write(self, me: Peer, ahead: Ahead) -> None:
+    def write(self, me: Peer, prefetch: Prefetch) -> None:
         process = self.all[me]
         if process.stopped:
-            return self.later(STEP, lambda: self.write(me, ahead))
+            return self.later(STEP, lambda: self.write(me, prefetch))
         if process.dead:
             return
-        if process.channels.may_fill(ahead, process.clock) is None:
-            return process.channels.failed(ahead, process.clock)
-        self.later(self.rng.uniform(0.005, 0.05), lambda: self.arrive(me, ahead))
+        if process.channels.writable_term(prefetch, process.clock) is None:
+            return process.channels.prefetch_failed(prefetch, process.clock)
+        self.later(self.rng.uniform(0.005, 0.05), lambda: self.arrive(me, prefetch))
 
-    def arrive(self, me: Peer, ahead: Ahead) -> None:
-        taken = self.tier.takes(ahead.channel, ahead.term, self.time)
-        self.fills.append(Fill(self.time, me, ahead, taken))
+    def arrive(self, me: Peer, prefetch: Prefetch) -> None:
+        taken = self.tier.takes(prefetch.channel, prefetch.term, self.time)
+        self.fills.append(Fill(self.time, me, prefetch, taken))
         if taken:
             self.filling(me)
-            self.told(me, ahead)
+            self.told(me, prefetch)
 
-    def told(self, me: Peer, ahead: Ahead) -> None:
+    def told(self, me: Peer, prefetch: Prefetch) -> None:
         process = self.all[me]
         if process.stopped:
-            self.later(STEP, lambda: self.told(me, ahead))
+            self.later(STEP, lambda: self.told(me, prefetch))
         elif not process.dead:
-            self.act(me, process.channels.filled(ahead, BOX, process.clock))
+            self.act(me, process.channels.prefetch_succeeded(prefetch, BOX, process.clock))
 
     # --- time ---
 
@@ -195,7 +195,7 @@
         able = []
         for me, process in enumerate(self.all):
             bundles = process.channels.bundles
-            if process.runs and bundles.terms(bundles.all[number], process.clock) is not None:
+            if process.runs and bundles.active_term(bundles.all[number], process.clock) is not None:
                 able.append(me)
         return able
 
--- a/paddlequay/net/cluster/channel_prefetcher.py
+++ b/paddlequay/net/cluster/channel_prefetcher.py
@@ -1,13 +1,14 @@
-"""Joins the channels with the exchange: reads go in, fills ahead go out as requests of the router's own.
+"""Joins the live channels with the exchange: counts clients' reads, and sends prefetches as requests.
 
 It sends requests that no client has sent, so it exists only where the cluster's settings name channels. Its
-`asked`, `writing` and `over` are those of the exchange's `Watch`; who watches for several hands them on.
+`admit`, `before_write` and `request_ended` are those of the exchange's interceptor.
 """
 
 from collections.abc import Callable, Sequence
+from functools import partial
 
 from paddlequay.cluster.channels import Channels
-from paddlequay.cluster.prefetch import Ahead, channel_of
+from paddlequay.cluster.prefetch import Prefetch, channel_id
 from paddlequay.cluster.types import Action, Name
 from paddlequay.observability.counters import Counters
 from paddlequay.placement.homes import digest
@@ -21,12 +22,12 @@
 )
 from paddlequay.routing.interface import CopyReported, ReplyDetail
 
-OUT_MOST = 256  # fills ahead that are out; past it the next read of their channel asks again
-LOOK_S = 1.0  # between two walks through all members for a digest that is not known
+MAX_PENDING_PREFETCHES = 256  # beyond it the next read of a channel tries again
+MEMBER_SCAN_INTERVAL_S = 1.0  # between two scans of all members for an unknown digest
 
 
 class ChannelPrefetcher:
-    """One router's fills ahead. `tell` settles what the channels ask for; the clock is the cluster's."""
+    """Sends the prefetches of one router, and passes owners' hints to the routing decisions."""
 
     def __init__(
         self,
@@ -34,84 +35,119 @@
         zone: str,
         exchange: Exchange,
         counters: Counters,
-        tell: Callable[[Sequence[Action]], None],
+        apply_actions: Callable[[Sequence[Action]], None],
         clock: Callable[[], float],
     ) -> None:
-        self.channels, self.zone, self.exchange = channels, zone, exchange
-        self.counters, self.tell, self.clock = counters, tell, clock
-        self.out: dict[str, Ahead] = {}  # by the request's id
-        self.boxes: dict[Name, str] = {}  # members by digest, as many as are listed
-        self.number = 0
-        self.looked = -LOOK_S
+        """Makes a prefetcher.
 
-    # --- as a watch ---
+        Args:
+            channels: The decisions on channels.
+            zone: The router's zone.
+            exchange: Executes the prefetches as it does clients' requests.
+            counters: Counts hints and prefetches.
+            apply_actions: Executes the actions that the channels return.
+            clock: The cluster's clock, in seconds.
+        """
+        self.channels = channels
+        self.zone = zone
+        self.exchange = exchange
+        self.counters = counters
+        self.apply_actions = apply_actions
+        self.clock = clock
+        self.pending: dict[str, Prefetch] = {}  # by request id
+        self.names_by_digest: dict[Name, str] = {}  # of the listed members
+        self.last_number = 0
+        self.scanned_at = -MEMBER_SCAN_INTERVAL_S
+
+    # --- as an interceptor ---
 
     def admit(self, item: PendingRequest) -> None:
-        """A client's request is about to be taken in: tell the decisions who holds its part, and count it."""
-        ask = item.request
-        if ask.id in self.out or ask.part is None or ask.class_name not in self.channels.rule.classes:
+        """Counts a client's read; passes the hint on its part to the decisions, and starts due prefetches."""
+        request = item.request
+        if not self.is_channel_read(request) or request.part is None:
             return
         now = self.clock()
-        box = self.channels.carried(channel_of(self.zone, ask.object_name), ask.part, now)
-        member = None if box is None else self.member(box)
-        if member is not None:
-            self.counters.add("channels.hints")
-            self.exchange.deliver(CopyReported(ask.key, ask.part, member))
-        for ahead in self.channels.asked(ask.object_name, ask.class_name, ask.part, now):
+        self.pass_hint(request, request.part, now)
+        due = self.channels.record_read(request.object_name, request.class_name, request.part, now)
+        for prefetch in due:
             # Not inside the client's own request, which goes first.
-            self.exchange.scheduler.call_later(0.0, lambda ahead=ahead: self.fill(ahead, ask))  # type: ignore[misc]
+            self.exchange.scheduler.call_later(0.0, partial(self.send_prefetch, prefetch, request))
 
     def before_write(self, attempt: UpstreamAttempt) -> ReplyDetail | None:
-        """An attempt is about to be written: a fill ahead only by who owns its channel at this moment."""
+        """Withdraws a prefetch whose channel this router does not own any more; returns the reason then."""
         item = attempt.pending
-        ahead = self.out.get(item.request.id)
-        if ahead is None or self.channels.may_fill(ahead, self.clock()) is not None:
+        prefetch = self.pending.get(item.request.id)
+        if prefetch is None or self.channels.writable_term(prefetch, self.clock()) is not None:
             return None
         self.counters.add("channels.too_late")
-        self.channels.failed(ahead, self.clock())
-        self.exchange.withdraw(item)  # no member is to blame, and nobody else is to be asked
+        self.channels.prefetch_failed(prefetch, self.clock())
+        self.exchange.withdraw(item)  # no member is at fault, and no other is to be tried
         return ReplyDetail.STALE_TERM
 
     def request_ended(self, item: PendingRequest) -> None:
-        self.out.pop(item.request.id, None)
+        """Forgets a prefetch that has ended."""
+        self.pending.pop(item.request.id, None)
+
+    # --- reads ---
+
+    def is_channel_read(self, request: ClientRequest) -> bool:
+        """Returns whether a request is a client's, of a class that makes channels."""
+        return request.id not in self.pending and request.class_name in self.channels.rule.classes
+
+    def pass_hint(self, request: ClientRequest, part: int, now: float) -> None:
+        """Tells the routing decisions which member holds the part of a request, if a hint is known."""
+        cache = self.channels.find_cache(channel_id(self.zone, request.object_name), part, now)
+        member = None if cache is None else self.member_name(cache)
+        if member is not None:
+            self.counters.add("channels.hints")
+            self.exchange.deliver(CopyReported(request.key, part, member))
 
-    # --- fills ahead ---
+    def member_name(self, cache: Name) -> str | None:
+        """Returns the listed member of a digest, None if no listed member has it."""
+        name = self.names_by_digest.get(cache)
+        if name is None and self.clock() - self.scanned_at >= MEMBER_SCAN_INTERVAL_S:
+            self.scanned_at = self.clock()
+            self.names_by_digest = {digest(each): each for each in self.exchange.members}
+            name = self.names_by_digest.get(cache)
+        return name if name in self.exchange.members else None
+
+    # --- prefetches ---
 
-    def fill(self, ahead: Ahead, like: ClientRequest) -> None:
-        """Ask for a part in the way of any request; what comes back is kept by the box alone."""
+    def send_prefetch(self, prefetch: Prefetch, read: ClientRequest) -> None:
+        """Submits a prefetch as a request like the read that led to it; only the cache keeps the answer."""
         now = self.clock()
-        if len(self.out) >= OUT_MOST or self.channels.may_fill(ahead, now) is None:
-            return self.channels.failed(ahead, now)
-        self.number += 1
-        told = {"chan": f"{ahead.channel:x}", "term": f"{ahead.term:x}"}
-        ask = ClientRequest(
-            id=f"ahead.{self.number:x}",
-            class_name=ahead.kind,
-            time_to_live=self.exchange.router.classes[ahead.kind].deadline,
-            object_name=ahead.name,
-            key=like.key,
-            part=ahead.part,
-            group=like.group,
-            extra_fields=lambda target: told,
-        )
-        self.out[ask.id] = ahead
+        has_capacity = len(self.pending) < MAX_PENDING_PREFETCHES
+        if not has_capacity or self.channels.writable_term(prefetch, now) is None:
+            self.channels.prefetch_failed(prefetch, now)
+            return
+        request = self.prefetch_request(prefetch, read)
+        self.pending[request.id] = prefetch
         self.counters.add("channels.ahead")
-        if self.exchange.submit(ask, lambda reply: self.filled(ahead, reply)) is None:
-            self.out.pop(ask.id, None)
+        if self.exchange.submit(request, partial(self.prefetch_ended, prefetch)) is None:
+            self.pending.pop(request.id, None)
 
-    def filled(self, ahead: Ahead, reply: FinalAnswer) -> None:
+    def prefetch_request(self, prefetch: Prefetch, read: ClientRequest) -> ClientRequest:
+        """Returns the request of a prefetch, which carries the channel and the owner's term."""
+        self.last_number += 1
+        channel_fields = {"chan": f"{prefetch.channel:x}", "term": f"{prefetch.term:x}"}
+        return ClientRequest(
+            id=f"ahead.{self.last_number:x}",
+            class_name=prefetch.class_name,
+            time_to_live=self.exchange.router.classes[prefetch.class_name].deadline,
+            object_name=prefetch.object_name,
+            key=read.key,
+            part=prefetch.part,
+            group=read.group,
+            extra_fields=lambda target: channel_fields,
+        )
+
+    def prefetch_ended(self, prefetch: Prefetch, answer: FinalAnswer) -> None:
+        """Reports a filled part to the channel's followers, or notes the failure."""
         now = self.clock()
-        if reply.status is not AnswerStatus.SERVED or not reply.served_by:
+        if answer.status is not AnswerStatus.SERVED or not answer.served_by:
             self.counters.add("channels.ahead_failed")
-            return self.channels.failed(ahead, now)
-        self.boxes[digest(reply.served_by)] = reply.served_by
-        self.tell(self.channels.filled(ahead, digest(reply.served_by), now))
-
-    def member(self, box: Name) -> str | None:
-        """The listed member of a digest."""
-        name = self.boxes.get(box)
-        if name is None and self.clock() - self.looked >= LOOK_S:
-            self.looked = self.clock()
-            self.boxes = {digest(each): each for each in self.exchange.members}
-            name = self.boxes.get(box)
-        return name if name in self.exchange.members else None
+            self.channels.prefetch_failed(prefetch, now)
+            return
+        cache = digest(answer.served_by)
+        self.names_by_digest[cache] = answer.served_by
+        self.apply_actions(self.channels.prefetch_succeeded(prefetch, cache, now))
--- a/paddlequay/net/cluster/sharing_page.py
+++ b/paddlequay/net/cluster/sharing_page.py
@@ -32,9 +32,9 @@
     if sharing.prefetcher is not None:
         bundles = sharing.prefetcher.channels.bundles
         shown["channels"] = {
-            f"{bundle.lease:x}": {"term": bundles.terms(bundle, now), "live": len(bundle.live)}
+            f"{bundle.lease:x}": {"term": bundles.active_term(bundle, now), "live": len(bundle.live_channels)}
             for bundle in bundles.all
-            if bundle.live
+            if bundle.live_channels
         }
     if sharing.placement is not None:
         shown["placement"] = sharing.placement.status_page()
--- a/paddlequay/schema/cluster.py
+++ b/paddlequay/schema/cluster.py
@@ -151,8 +151,8 @@
     return ChannelRule(
         classes=classes,
         bundles=int(figure("bundles", usual.bundles, 1, 1024)),
-        ahead=int(figure("ahead", usual.ahead, 1, 8)),
-        live_s=figure("live_s", usual.live_s, 0.5, 60.0),
-        most=int(figure("most", usual.most, 1, 100_000)),
-        move_above=figure("move_above", usual.move_above, 1.05, math.inf),
+        prefetch_parts=int(figure("ahead", usual.prefetch_parts, 1, 8)),
+        idle_timeout_s=figure("live_s", usual.idle_timeout_s, 0.5, 60.0),
+        max_channels=int(figure("most", usual.max_channels, 1, 100_000)),
+        rebalance_ratio=figure("move_above", usual.rebalance_ratio, 1.05, math.inf),
     )
--- a/tests/cluster/test_channel_prefetcher.py
+++ b/tests/cluster/test_channel_prefetcher.py
@@ -9,7 +9,7 @@
 
 from paddlequay.cluster.channels import Channels
 from paddlequay.cluster.messages import ChannelPartReport, HandoffReply
-from paddlequay.cluster.prefetch import channel_of
+from paddlequay.cluster.prefetch import channel_id
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import Action, Bounds, Fleet, Peer, SendMessage
 from paddlequay.net.cluster.channel_prefetcher import ChannelPrefetcher
@@ -28,8 +28,8 @@
 NAME = "0000000000000007"
 
 
-class Granted:
-    """Leases that are held under a term, or not."""
+class FakeLeases:
+    """Leases that are held under one term, or not held."""
 
     term: int | None = 0x99
 
@@ -49,45 +49,45 @@
         return None
 
 
-class Watching(Looker):
-    """Hands on what the exchange tells its watch, as who watches for several does."""
+class PrefetchInterceptor(Looker):
+    """Hands the calls of the exchange on to the prefetcher, as the cluster's driver does."""
 
-    front: ChannelPrefetcher
+    prefetcher: ChannelPrefetcher
 
     def admit(self, item: PendingRequest, left: float) -> float | None:
-        self.front.admit(item)
+        self.prefetcher.admit(item)
         return None
 
     def before_write(self, attempt: UpstreamAttempt, left: float) -> ReplyDetail | None:
-        return self.front.before_write(attempt)
+        return self.prefetcher.before_write(attempt)
 
     def request_ended(self, item: PendingRequest) -> None:
-        self.front.request_ended(item)
+        self.prefetcher.request_ended(item)
 
 
 class Rig:
     def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         self.exchange: Exchange
         self.exchange, _, self.side = made(folder)
-        self.leases, self.told = Granted(), list[Action]()
+        self.leases, self.actions = FakeLeases(), list[Action]()
         rule = ChannelRule(("video",), bundles=1)
         rng = random.Random(1)
         self.channels = Channels(Fleet(0, 3, (0, 1, 2), "here"), Bounds(), rule, self.leases, rng, 10.0)
         bundle = self.channels.bundles.all[0]
         bundle.term = 0x99
         self.channels.handle_message(2, 0, HandoffReply(bundle.lease, 0, 1), 10.0)
-        watch = Watching()
-        watch.front = self.front = ChannelPrefetcher(
-            self.channels, "here", self.exchange, self.exchange.counters, self.tell, lambda: 10.0
+        interceptor = PrefetchInterceptor()
+        interceptor.prefetcher = self.prefetcher = ChannelPrefetcher(
+            self.channels, "here", self.exchange, self.exchange.counters, self.apply_actions, lambda: 10.0
         )
-        self.exchange.attempts.interceptor = watch
+        self.exchange.attempts.interceptor = interceptor
         later = self.exchange.scheduler.call_later
         monkeypatch.setattr(
             self.exchange.scheduler, "call_later", lambda delay, call: later(delay, call) if delay else call()
         )
 
-    def tell(self, actions: Sequence[Action]) -> None:
-        self.told += actions
+    def apply_actions(self, actions: Sequence[Action]) -> None:
+        self.actions += actions
 
     def read(self, *parts: int) -> Side:
         for part in parts:
@@ -97,44 +97,44 @@
         return self.side
 
 
-def test_the_next_part_is_asked_for_under_the_term_and_told_with_its_box(
+def test_the_next_part_is_prefetched_under_the_term_and_reported_with_its_cache(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path, monkeypatch)
-    ahead = next(each for each in rig.read(1, 2, 3).started if each.id.startswith("ahead"))
-    order = rig.exchange.attempts.prepare_write(ahead)
+    prefetch = next(each for each in rig.read(1, 2, 3).started if each.id.startswith("ahead"))
+    order = rig.exchange.attempts.prepare_write(prefetch)
     assert order is not None and order.part == 4
     assert request_fields(order)["term"] == "99"
-    assert request_fields(order)["chan"] == f"{channel_of('here', NAME):x}"
-    rig.exchange.attempts.end(ahead, AttemptResult(Outcome.SERVED, stamp=CopyStamp("t", 1.0)))
-    (word,) = rig.told
-    assert isinstance(word, SendMessage) and word.to == 2 and isinstance(word.note, ChannelPartReport)
-    assert (word.note.part, word.note.cache, word.note.term) == (4, digest("box"), 0x99)
-    assert not rig.front.out
+    assert request_fields(order)["chan"] == f"{channel_id('here', NAME):x}"
+    rig.exchange.attempts.end(prefetch, AttemptResult(Outcome.SERVED, stamp=CopyStamp("t", 1.0)))
+    (message,) = rig.actions
+    assert (
+        isinstance(message, SendMessage) and message.to == 2 and isinstance(message.note, ChannelPartReport)
+    )
+    assert (message.note.part, message.note.cache, message.note.term) == (4, digest("box"), 0x99)
+    assert not rig.prefetcher.pending
     # The hint that comes of it reaches the decisions with the client's own request.
     rig.exchange.router.state.hot_objects.objects.clear()
-    rig.channels.boxes.told(channel_of("here", NAME), 5, digest("aimag"), 0x99, 3.0, 10.0)
+    rig.channels.hints.add(channel_id("here", NAME), 5, digest("aimag"), 0x99, 3.0, 10.0)
     rig.read(4, 5)
     assert "aimag" in rig.exchange.router.state.hot_objects.objects[(7, 5)].holders
 
 
-def test_a_fill_whose_owner_has_lost_its_lease_is_not_written_and_no_member_is_blamed(
+def test_a_prefetch_is_not_written_after_the_lease_is_lost_and_no_member_is_blamed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Rig(tmp_path, monkeypatch)
-    ahead = next(each for each in rig.read(1, 2, 3).started if each.id.startswith("ahead"))
+    prefetch = next(each for each in rig.read(1, 2, 3).started if each.id.startswith("ahead"))
     count, box = len(rig.side.started), rig.exchange.router.state.members.upstreams["box"]
     limit = box.concurrency_limit
     rig.leases.term = None
-    assert rig.exchange.attempts.prepare_write(ahead) is None
-    assert ahead.id not in rig.exchange.intake.open_ids and not rig.front.out and not rig.told
+    assert rig.exchange.attempts.prepare_write(prefetch) is None
+    assert prefetch.id not in rig.exchange.intake.open_ids and not rig.prefetcher.pending and not rig.actions
     assert len(rig.side.started) == count and box.failures == 0 and box.concurrency_limit == limit
     assert rig.read(9).started[-1].id == "client 9"  # and nothing is asked ahead without it
 
 
-def test_nothing_is_asked_ahead_of_requests_that_make_no_channel(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_requests_of_other_classes_start_no_prefetch(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Rig(tmp_path, monkeypatch)
     replies: list[FinalAnswer] = []
     for number in range(5):
--- a/tests/cluster/test_channels.py
+++ b/tests/cluster/test_channels.py
@@ -1,63 +1,79 @@
-"""Live channels: what makes one, who fills ahead, and what handoffs, crashes, stops and partitions do."""
+"""Live channels: detection, prefetches by one owner, handoffs, crashes, stops and partitions."""
 
 import random
 from collections import Counter
 
 import pytest
 
-from paddlequay.cluster import channels as rules
-from paddlequay.cluster import handoff
+from paddlequay.cluster import handoff, owner_search
 from paddlequay.cluster.bundles import Bundle
+from paddlequay.cluster.cache_hints import CacheHints
 from paddlequay.cluster.channels import Channels
+from paddlequay.cluster.handoff import PeerLoad
 from paddlequay.cluster.messages import ChannelPartReport, HandoffOffer, HandoffReply, OwnerLoad
-from paddlequay.cluster.prefetch import Ahead, Boxes, Rate, Reads, channel_of
+from paddlequay.cluster.prefetch import ChannelDetector, DecayingRate, Prefetch, channel_id
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import Action, Fleet, PeerChanged, PeerState, SendMessage
 from paddlequay.lab.channel_world import BOUNDS, BOX, World
 
 RULE = ChannelRule(("video",), bundles=8)
 GAP = BOUNDS.lease + 1.0
-PLANNED, UNPLANNED = 200, 200
+PLANNED_RUNS = 200
+UNPLANNED_RUNS = 200
 
 
-# --- what makes a channel, and what is remembered ---
+# --- detection of channels, and bounds of the tables ---
 
 
-def test_parts_that_come_one_after_another_make_a_channel_and_what_is_sought_or_odd_does_not() -> None:
-    reads = Reads("here", RULE)
-    assert [reads.read("a", "video", part, part * 1.0).live for part in (5, 6, 7)] == [False, False, True]
-    assert reads.read("a", "video", 10**9, 7.5).high == 7  # one odd client moves nothing
-    assert reads.read("a", "video", 9, 8.0).high == 9  # the one between was read at another router
-    assert not any(reads.read("b", "video", part, 8.0).live for part in (3, 90, 4000, 2))
-    assert not reads.read("a", "video", 10, 8.0 + RULE.live_s + 0.1).live  # evidence anew after a pause
-    assert {channel.name for channel in reads.ended(30.0)} == {"a", "b"} and not reads.table
-
-
-def test_an_owner_fills_each_part_ahead_once_and_again_only_when_it_failed_or_the_term_is_new() -> None:
-    reads = Reads("here", ChannelRule(("video",), ahead=2))
+def test_consecutive_parts_make_a_live_channel_and_seeks_or_far_parts_do_not() -> None:
+    detector = ChannelDetector("here", RULE)
+    assert [detector.record_read("a", "video", part, part * 1.0).is_live for part in (5, 6, 7)] == [
+        False,
+        False,
+        True,
+    ]
+    assert detector.record_read("a", "video", 10**9, 7.5).highest_part == 7  # one odd client moves nothing
+    assert (
+        detector.record_read("a", "video", 9, 8.0).highest_part == 9
+    )  # the one between was read at another router
+    assert not any(detector.record_read("b", "video", part, 8.0).is_live for part in (3, 90, 4000, 2))
+    assert not detector.record_read(
+        "a", "video", 10, 8.0 + RULE.idle_timeout_s + 0.1
+    ).is_live  # evidence anew after a pause
+    assert {channel.object_name for channel in detector.pop_ended(30.0)} == {
+        "a",
+        "b",
+    } and not detector.channels
+
+
+def test_an_owner_prefetches_each_part_once_unless_it_failed_or_the_term_changed() -> None:
+    detector = ChannelDetector("here", ChannelRule(("video",), prefetch_parts=2))
     for part in (1, 2, 3):
-        channel = reads.read("a", "video", part, 0.0)
-    assert [ahead.part for ahead in reads.due(channel, 9, 0.0)] == [4, 5] and not reads.due(channel, 9, 0.1)
-    reads.went(channel.number, 4, 9, True, 0.2)
-    reads.went(channel.number, 5, 9, False, 0.2)
-    assert not reads.due(channel, 9, 0.3)
-    assert [ahead.part for ahead in reads.due(channel, 9, 0.8)] == [5]
-    assert [ahead.part for ahead in reads.due(channel, 10, 0.8)] == [4, 5]
-
-
-def test_tables_have_bounds_and_words_of_holders_an_end() -> None:
-    reads, boxes = Reads("here", ChannelRule(("video",), most=10)), Boxes(10)
+        channel = detector.record_read("a", "video", part, 0.0)
+    assert [prefetch.part for prefetch in detector.due_prefetches(channel, 9, 0.0)] == [
+        4,
+        5,
+    ] and not detector.due_prefetches(channel, 9, 0.1)
+    detector.record_result(Prefetch(channel.id, "a", "video", 4, 9), True, 0.2)
+    detector.record_result(Prefetch(channel.id, "a", "video", 5, 9), False, 0.2)
+    assert not detector.due_prefetches(channel, 9, 0.3)
+    assert [prefetch.part for prefetch in detector.due_prefetches(channel, 9, 0.8)] == [5]
+    assert [prefetch.part for prefetch in detector.due_prefetches(channel, 10, 0.8)] == [4, 5]
+
+
+def test_channel_and_hint_tables_are_bounded_and_hints_expire() -> None:
+    detector, hints = ChannelDetector("here", ChannelRule(("video",), max_channels=10)), CacheHints(10)
     for number in range(50):
-        reads.read(f"{number}", "video", 1, 0.0)
-        assert len(list(reads.ended(0.0))) <= 1
+        detector.record_read(f"{number}", "video", 1, 0.0)
+        assert len(list(detector.pop_ended(0.0))) <= 1
         for part in range(40):
-            boxes.told(number, part, BOX, 5, 3.0, 0.0)
-    assert len(reads.table) == len(boxes.table) == 10
-    assert max(len(parts) for parts in boxes.table.values()) <= 16
-    boxes.told(49, 39, BOX + 1, 4, 3.0, 1.0)
-    assert boxes.find(49, 39, 2.9) == BOX and boxes.find(49, 39, 3.1) is None  # the higher term's, and fresh
-    boxes.end(99.0)
-    assert not boxes.table
+            hints.add(number, part, BOX, 5, 3.0, 0.0)
+    assert len(detector.channels) == len(hints.channels) == 10
+    assert max(len(parts) for parts in hints.channels.values()) <= 16
+    hints.add(49, 39, BOX + 1, 4, 3.0, 1.0)
+    assert hints.find(49, 39, 2.9) == BOX and hints.find(49, 39, 3.1) is None  # the higher term's, and fresh
+    hints.drop_expired(99.0)
+    assert not hints.channels
 
 
 def owned_by_one(
@@ -66,7 +82,7 @@
     """A plaza in which router 4 has taken all bundles and all read; and the bundles that have channels."""
     names = tuple(f"cam{number}" for number in range(channels))
     world = World(3, names=names, rule=rule)
-    used = sorted({channel_of("here", name) % rule.bundles for name in names})
+    used = sorted({channel_id("here", name) % rule.bundles for name in names})
     world.readers = {4}
     assert world.run(20.0, lambda: all(world.owners(number) for number in used))
     world.readers = set(range(5))
@@ -78,8 +94,8 @@
 # --- planned handoffs ---
 
 
-def test_planned_handoffs_overlap_within_the_bound_and_never_make_three_owners() -> None:
-    for seed in range(PLANNED):
+def test_planned_handoffs_overlap_within_the_bound_and_never_have_three_owners() -> None:
+    for seed in range(PLANNED_RUNS):
         world = World(seed, drop=0.05 * (seed % 2))
         owner = world.settled()
         world.act(owner, world.all[owner].channels.drain(world.all[owner].clock))
@@ -87,11 +103,11 @@
         world.run(1.0)
         seen = world.seen[0]
         assert seen.most <= 2 and seen.overlap <= BOUNDS.overlap, (seed, seen)
-        assert world.all[owner].channels.drained(world.all[owner].clock)
+        assert world.all[owner].channels.is_drained(world.all[owner].clock)
         in_order(world)
 
 
-def test_who_follows_finds_the_new_owner_soon_after_a_move() -> None:
+def test_followers_find_the_new_owner_soon_after_a_handoff() -> None:
     for seed in range(20):
         world = World(seed, delay=(0.001, 0.02))
         owner = world.settled()
@@ -104,40 +120,42 @@
 
 def in_order(world: World) -> None:
     """The tier takes no fill under a lower term than before."""
-    for channel in {fill.ahead.channel for fill in world.fills}:
-        taken = [fill.ahead.term for fill in world.fills if fill.taken and fill.ahead.channel == channel]
+    for channel in {fill.prefetch.channel for fill in world.fills}:
+        taken = [
+            fill.prefetch.term for fill in world.fills if fill.taken and fill.prefetch.channel == channel
+        ]
         assert taken == sorted(taken)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_handoff_under_a_second_of_delay_is_cut_at_the_bound_by_the_old_owners_own_clock(seed: int) -> None:
+def test_a_handoff_delayed_by_a_second_ends_its_overlap_by_the_old_owners_clock(seed: int) -> None:
     world = World(seed)
     owner = world.settled()
     others = set(range(5)) - {owner, 0, 1, 2}
-    heir = min(others)
-    world.all[owner].rate, world.all[heir].rate = 0.95, 1.05
-    for reader in set(range(5)) - {owner, heir}:
+    successor = min(others)
+    world.all[owner].rate, world.all[successor].rate = 0.95, 1.05
+    for reader in set(range(5)) - {owner, successor}:
         world.all[owner].channels.handle_event(
             PeerChanged(reader, 1, PeerState.SUSPECT), world.all[owner].clock
         )
-    world.slow = {(owner, heir), (heir, owner)}
+    world.slow = {(owner, successor), (successor, owner)}
     world.act(owner, world.all[owner].channels.drain(world.all[owner].clock))
     assert world.run(9.0, lambda: world.moved(owner))
     world.run(2.0)
     # The release to the heir is as late as everything: the overlap ends before it, by the owner's own clock.
     assert world.seen[0].most <= 2 and world.seen[0].overlap <= BOUNDS.overlap
     released = [fill.at for fill in world.fills if fill.by == owner]
-    assert released and world.all[owner].channels.drained(world.all[owner].clock)
+    assert released and world.all[owner].channels.is_drained(world.all[owner].clock)
 
 
-def test_an_owner_with_everything_is_drained_under_load_within_seconds() -> None:
+def test_an_owner_of_all_bundles_is_drained_under_load_within_seconds() -> None:
     world, used = owned_by_one(RULE, 24)
     world.drop = 0.02
     for seen in world.seen:
         seen.gap = 0.0
     before = world.time
     world.act(4, world.all[4].channels.drain(world.all[4].clock))
-    assert world.run(6.0, lambda: world.all[4].channels.drained(world.all[4].clock)), world.time - before
+    assert world.run(6.0, lambda: world.all[4].channels.is_drained(world.all[4].clock)), world.time - before
     world.run(2.0)
     assert all(seen.most <= 2 and seen.overlap <= BOUNDS.overlap for seen in world.seen)
     assert max(seen.gap for seen in world.seen) <= GAP
@@ -149,8 +167,8 @@
 
 
 @pytest.mark.parametrize("how", ["killed", "stopped", "cut off"])
-def test_an_owner_that_is_lost_is_followed_without_overlap_within_a_lease_and_a_second(how: str) -> None:
-    for seed in range(UNPLANNED // 3 + 1):
+def test_a_lost_owner_is_replaced_without_overlap_within_a_lease_and_a_second(how: str) -> None:
+    for seed in range(UNPLANNED_RUNS // 3 + 1):
         world = World(seed, delay=(0.001, 0.02))
         owner = world.settled()
         process = world.all[owner]
@@ -167,7 +185,7 @@
         in_order(world)
 
 
-def test_an_owner_that_dies_between_fill_and_word_leaves_others_to_go_the_ordinary_way() -> None:
+def test_an_owner_that_dies_before_it_reports_a_fill_leaves_others_without_a_hint() -> None:
     world = World(5)
     owner = world.settled()
     process = world.all[owner]
@@ -176,106 +194,113 @@
     last = [fill for fill in world.fills if fill.by == owner][-1]
     for other in world.all:
         if other is not process:
-            assert other.channels.carried(last.ahead.channel, last.ahead.part, other.clock) is None
+            assert other.channels.find_cache(last.prefetch.channel, last.prefetch.part, other.clock) is None
     assert world.run(GAP, lambda: bool(world.owners()))
     world.run(1.0)
-    assert world.fills[-1].taken and world.fills[-1].ahead.term > last.ahead.term and world.seen[0].most == 1
+    assert (
+        world.fills[-1].taken
+        and world.fills[-1].prefetch.term > last.prefetch.term
+        and world.seen[0].most == 1
+    )
 
 
-def test_an_owner_stopped_in_the_middle_of_a_fill_does_nothing_with_what_it_held() -> None:
+def test_an_owner_stopped_during_a_fill_writes_and_reports_nothing_under_its_old_term() -> None:
     world = World(6)
     owner = world.settled()
     process = world.all[owner]
-    ahead = [fill for fill in world.fills if fill.by == owner][-1].ahead
-    assert process.channels.may_fill(ahead, process.clock) == ahead.term
+    prefetch = [fill for fill in world.fills if fill.by == owner][-1].prefetch
+    assert process.channels.writable_term(prefetch, process.clock) == prefetch.term
     process.stopped = True
     assert world.run(5.0, lambda: bool(world.owners()) and world.fills[-1].by != owner)
     process.stopped = False
-    assert process.channels.may_fill(ahead, process.clock) is None  # before anything has told it
-    world.arrive(owner, ahead)  # what was written just before the stop
+    assert process.channels.writable_term(prefetch, process.clock) is None  # before anything has told it
+    world.arrive(owner, prefetch)  # what was written just before the stop
     assert not world.fills[-1].taken
     world.run(1.0)
-    assert not process.channels.filled(ahead, BOX + 1, process.clock)
-    assert process.channels.carried(ahead.channel, ahead.part, process.clock) != BOX + 1
+    assert not process.channels.prefetch_succeeded(prefetch, BOX + 1, process.clock)
+    assert process.channels.find_cache(prefetch.channel, prefetch.part, process.clock) != BOX + 1
     assert world.seen[0].most == 1
 
 
-def test_routers_that_follow_are_told_what_is_held_and_a_lower_term_is_no_word() -> None:
+def test_followers_receive_hints_and_ignore_reports_under_a_lower_term() -> None:
     world = World(7)
     owner = world.settled()
-    ahead = world.fills[-1].ahead
+    prefetch = world.fills[-1].prefetch
     world.run(0.2)
-    assert all(p.channels.carried(ahead.channel, ahead.part, p.clock) == BOX for p in world.all)
+    assert all(p.channels.find_cache(prefetch.channel, prefetch.part, p.clock) == BOX for p in world.all)
     other = world.all[(owner + 1) % 5].channels
     now = world.all[(owner + 1) % 5].clock
     other.handle_message(
-        9, 0, ChannelPartReport(ahead.channel, ahead.term - 1, ahead.part, BOX + 1, 3000), now
+        9, 0, ChannelPartReport(prefetch.channel, prefetch.term - 1, prefetch.part, BOX + 1, 3000), now
     )
     other.handle_message(
-        9, 0, ChannelPartReport(ahead.channel, ahead.term - 1, ahead.part + 9, BOX + 1, 3000), now
+        9, 0, ChannelPartReport(prefetch.channel, prefetch.term - 1, prefetch.part + 9, BOX + 1, 3000), now
     )
-    assert other.carried(ahead.channel, ahead.part, now) == BOX
-    assert other.carried(ahead.channel, ahead.part + 9, now) is None
+    assert other.find_cache(prefetch.channel, prefetch.part, now) == BOX
+    assert other.find_cache(prefetch.channel, prefetch.part + 9, now) is None
 
 
 # --- bounds ---
 
 
-def test_hundreds_of_channels_that_lose_their_owner_start_few_elections_a_second() -> None:
+def test_loss_of_the_owner_of_hundreds_of_channels_starts_few_elections_a_second() -> None:
     world, used = owned_by_one(ChannelRule(("video",)), 300)
-    wants: list[tuple[float, int]] = []
+    requests: list[tuple[float, int]] = []
     for me, process in enumerate(world.all):
-        want = process.leases.request
+        request = process.leases.request
 
-        def counted(lease: int, now: float, me: int = me, want=want) -> list[object]:  # type: ignore[no-untyped-def]
-            wants.append((world.time, me))
-            return list(want(lease, now))
+        def counted(lease: int, now: float, me: int = me, request=request) -> list[object]:  # type: ignore[no-untyped-def]
+            requests.append((world.time, me))
+            return list(request(lease, now))
 
         process.leases.request = counted  # type: ignore[assignment,method-assign]
     world.asks.clear()
     world.all[4].dead = True
     assert world.run(10.0, lambda: all(world.owners(number) for number in used))
-    for events, most in ((wants, rules.BIDS + rules.BIDS_BURST), (world.asks, 25 + 8)):
+    for events, most in (
+        (requests, owner_search.BIDS_PER_S + owner_search.MAX_BURST_BIDS),
+        (world.asks, 25 + 8),
+    ):
         counts = Counter((int(at * 2), me) for at, me in events)
         pairs = [counts[half, me] + counts[half + 1, me] for half, me in counts]
         assert max(pairs) <= most, (max(pairs), most)
 
 
-def test_loads_that_flap_move_few_bundles() -> None:
+def test_oscillating_loads_move_few_bundles() -> None:
     world, _ = owned_by_one(ChannelRule(("video",), bundles=32), 100)
-    gives: list[tuple[float, int]] = []
+    offers_made: list[tuple[float, int]] = []
     for me, process in enumerate(world.all):
-        give = process.channels.handoff.give
+        offer_bundle = process.channels.handoff.offer_bundle
 
-        def counted(bundle, heir, now, me=me, give=give):  # type: ignore[no-untyped-def]
-            gives.append((world.time, me))
-            return give(bundle, heir, now)
+        def counted(bundle, successor, now, me=me, offer_bundle=offer_bundle):  # type: ignore[no-untyped-def]
+            offers_made.append((world.time, me))
+            return offer_bundle(bundle, successor, now)
 
-        process.channels.handoff.give = counted  # type: ignore[method-assign]
+        process.channels.handoff.offer_bundle = counted  # type: ignore[method-assign]
     for half in range(60):
         for me, process in enumerate(world.all):
             for peer in set(range(5)) - {me}:
                 word = OwnerLoad(1000_000 * ((half + peer) % 2), 0)  # nothing and very much, in turn
                 process.channels.handle_message(peer, 0, word, process.clock)
         world.run(0.5)
-    moves = Counter(me for _, me in gives)
-    assert 2 <= max(moves.values()) <= 30 * 1.05 / handoff.MOVE_S + 1
+    moves = Counter(me for _, me in offers_made)
+    assert 2 <= max(moves.values()) <= 30 * 1.05 / handoff.REBALANCE_INTERVAL_S + 1
     assert all(seen.most <= 2 for seen in world.seen)
 
 
-class Fixed:
-    """Leases as a test sets them; what is wanted of them is kept."""
+class FakeLeases:
+    """Leases as a test sets them; requested ones are recorded."""
 
     def __init__(self) -> None:
         self.held: dict[int, int] = {}
-        self.by: int | None = None
-        self.wants: list[int] = []
+        self.reported_holder: int | None = None
+        self.requested: list[int] = []
 
     def query_holder(self, lease: int, now: float) -> list[Action]:
         return []
 
     def request(self, lease: int, now: float) -> list[Action]:
-        self.wants.append(lease)
+        self.requested.append(lease)
         return []
 
     def release(self, lease: int, now: float, successor: int | None = None) -> list[Action]:
@@ -286,56 +311,58 @@
         return self.held.get(lease)
 
     def holder(self, lease: int, now: float) -> int | None:
-        return self.by
+        return self.reported_holder
 
 
-def made(bundles: int = 1, rates: tuple[float, ...] = ()) -> tuple[Channels, Fixed, list[Bundle]]:
-    """A router 0 that owns the bundles that have a rate, under term 5 since long ago; 1 follows them."""
-    leases = Fixed()
+def owner_of(bundles: int = 1, rates: tuple[float, ...] = ()) -> tuple[Channels, FakeLeases, list[Bundle]]:
+    """Router 0, which has long owned the bundles with a rate under term 5; router 1 follows them."""
+    leases = FakeLeases()
     rule = ChannelRule(("video",), bundles=bundles)
     rng = random.Random(1)
     channels = Channels(Fleet(0, 5, (0, 1, 2), "here"), BOUNDS, rule, leases, rng, 0.0)
     for bundle, rate in zip(channels.bundles.all, rates, strict=False):
-        leases.held[bundle.lease] = bundle.term = bundle.seen = 5
-        bundle.rate = Rate(rate, 100.0)
+        leases.held[bundle.lease] = bundle.term = bundle.highest_term = 5
+        bundle.rate = DecayingRate(rate, 100.0)
         bundle.followers[1] = 100.0
     return channels, leases, channels.bundles.all
 
 
-def test_the_old_term_ends_with_the_overlap_by_the_slowest_clock_and_with_any_higher_term() -> None:
-    channels, _, (bundle,) = made(1, (1.0,))
-    ahead = Ahead(7, "a", "video", 3, 5)
-    channels.bundles.release(bundle, 100.0, heir=1)
+def test_the_old_term_ends_with_the_overlap_by_the_slowest_clock_or_at_a_higher_term() -> None:
+    channels, _, (bundle,) = owner_of(1, (1.0,))
+    prefetch = Prefetch(7, "a", "video", 3, 5)
+    channels.bundles.release(bundle, 100.0, successor=1)
     ends = 100.0 + BOUNDS.overlap * (1 - BOUNDS.drift)
-    assert channels.may_fill(ahead, ends - 0.001) == 5 and channels.may_fill(ahead, ends) is None
-    bundle.saw(6, 100.1)
-    assert channels.may_fill(ahead, 100.1) is None
-    channels, leases, (bundle,) = made(1, (1.0,))
-    bundle.taken = 100.0 - BOUNDS.overlap  # the one before it may still fill
-    channels.bundles.release(bundle, 100.0, heir=1)
-    assert channels.may_fill(ahead, 100.0) is None
+    assert (
+        channels.writable_term(prefetch, ends - 0.001) == 5 and channels.writable_term(prefetch, ends) is None
+    )
+    bundle.accept_term(6, 100.1)
+    assert channels.writable_term(prefetch, 100.1) is None
+    channels, leases, (bundle,) = owner_of(1, (1.0,))
+    bundle.acquired_at = 100.0 - BOUNDS.overlap  # the one before it may still fill
+    channels.bundles.release(bundle, 100.0, successor=1)
+    assert channels.writable_term(prefetch, 100.0) is None
     leases.held[bundle.lease] = 8
-    assert channels.may_fill(ahead, 101.0) is None  # under a term of its own, but not this one
-    bundle.saw(9, 101.0)
-    assert channels.may_fill(Ahead(7, "a", "video", 3, 8), 101.0) is None
+    assert channels.writable_term(prefetch, 101.0) is None  # under a term of its own, but not this one
+    bundle.accept_term(9, 101.0)
+    assert channels.writable_term(Prefetch(7, "a", "video", 3, 8), 101.0) is None
 
 
-def test_of_many_routers_that_look_for_an_owner_few_are_first() -> None:
-    channels, _, _ = made()
-    firsts = [sorted(channels.spread() for _ in range(50))[:2] for _ in range(200)]
+def test_bid_delays_of_many_routers_leave_few_first() -> None:
+    channels, _, _ = owner_of()
+    firsts = [sorted(channels.owner_search.bid_delay_s() for _ in range(50))[:2] for _ in range(200)]
     # Seen 0.040 s: an election nearby. Evenly drawn, the second is 0.008 s behind the first.
     assert sum(second - first for first, second in firsts) / 200 > 0.03
 
 
-def test_what_an_acceptor_told_of_a_router_that_denies_it_keeps_nobody_from_bidding() -> None:
-    channels, leases, (bundle,) = made()
-    leases.by = bundle.owner = 3
+def test_a_holder_reported_by_acceptors_that_denies_it_does_not_prevent_a_bid() -> None:
+    channels, leases, (bundle,) = owner_of()
+    leases.reported_holder = bundle.owner = 3
     for part in (1, 2, 3):
-        channels.asked("a", "video", part, 100.0)
+        channels.record_read("a", "video", part, 100.0)
     channels.handle_message(3, 0, HandoffReply(bundle.lease, 5, 0), 100.0)
     for tenth in range(1, 6):
         channels.tick(100.0 + tenth / 10)
-    assert leases.wants == [bundle.lease]
+    assert leases.requested == [bundle.lease]
 
 
 def offers(actions: list[Action]) -> list[int | None]:
@@ -346,38 +373,38 @@
     ]
 
 
-def test_only_what_evens_the_load_is_moved_to_who_is_alive_and_reads() -> None:
-    channels, _, bundles = made(8, (10.0, 1.0))
-    mover = channels.handoff
-    mover.loads = {1: (8.0, 100.0), 2: (8.0, 100.0)}
-    assert not mover.moves(100.0)  # 11 is not much more than a mean of 9
-    mover.loads |= {2: (0.0, 100.0), 3: (0.0, 100.0)}
-    mover.away = {1}
-    assert not mover.moves(100.0)
-    mover.away = set()
-    assert offers(mover.moves(100.0)) == [1]
-    assert (
-        bundles[0].offered is None and bundles[1].offered is not None
-    )  # the large one would only swap places
-    bundles[1].offered = None
-    assert not mover.moves(100.0 + handoff.MOVE_S - 0.1)
-
-
-def test_a_drain_offers_few_bundles_at_once_and_who_reads_none_declines() -> None:
-    channels, _, _ = made(8, (1.0,) * 8)
-    assert offers(channels.drain(100.0)) == [1] * handoff.AT_ONCE
-    channels, leases, (bundle,) = made()
+def test_rebalancing_moves_only_a_bundle_that_evens_the_load_to_a_reachable_follower() -> None:
+    channels, _, bundles = owner_of(8, (10.0, 1.0))
+    handoffs = channels.handoff
+    handoffs.peer_loads = {1: PeerLoad(8.0, 100.0), 2: PeerLoad(8.0, 100.0)}
+    assert not handoffs.start_handoffs(100.0)  # 11 is not much more than a mean of 9
+    handoffs.peer_loads |= {2: PeerLoad(0.0, 100.0), 3: PeerLoad(0.0, 100.0)}
+    handoffs.unreachable = {1}
+    assert not handoffs.start_handoffs(100.0)
+    handoffs.unreachable = set()
+    assert offers(handoffs.start_handoffs(100.0)) == [1]
+    assert bundles[0].offer is None and bundles[1].offer is not None  # the large one would only swap places
+    bundles[1].offer = None
+    assert not handoffs.start_handoffs(100.0 + handoff.REBALANCE_INTERVAL_S - 0.1)
+
+
+def test_a_drain_offers_few_bundles_at_once_and_a_router_without_readers_declines() -> None:
+    channels, _, _ = owner_of(8, (1.0,) * 8)
+    assert offers(channels.drain(100.0)) == [1] * handoff.MAX_CONCURRENT_HANDOFFS
+    channels, leases, (bundle,) = owner_of()
     (word,) = channels.handle_message(3, 0, HandoffOffer(bundle.lease, 5, 0), 100.0)
     assert (
-        isinstance(word, SendMessage) and word.note == HandoffReply(bundle.lease, 5, 0) and not leases.wants
+        isinstance(word, SendMessage)
+        and word.note == HandoffReply(bundle.lease, 5, 0)
+        and not leases.requested
     )
-    bundle.live.add(7)
-    assert not channels.handle_message(3, 0, HandoffOffer(bundle.lease, 6, 0), 100.0) and leases.wants == [
-        bundle.lease
-    ]
+    bundle.live_channels.add(7)
+    assert not channels.handle_message(
+        3, 0, HandoffOffer(bundle.lease, 6, 0), 100.0
+    ) and leases.requested == [bundle.lease]
 
 
-def test_a_router_that_is_asked_for_a_word_it_cannot_give_says_so() -> None:
+def test_a_router_that_is_followed_without_owning_the_bundle_denies_it() -> None:
     world = World(11)
     owner = world.settled()
     other = (owner + 1) % 5
