--- a/paddlequay/cluster/bundles.py
+++ b/paddlequay/cluster/bundles.py
@@ -1,7 +1,7 @@
 """The bundles of live channels: a router's state of each, and the term under which it may fill now.
 
 Channels share leases: each belongs to one bundle of its zone, and the owner of a bundle holds the bundle's
-lease. An owner that has handed its lease on may fill under its old, lower term for `Bounds.overlap` seconds
+lease. An owner that has handed its lease on may fill under its old, lower term for `bounds.overlap_s` seconds
 from before the release, measured by its own clock less the drift, and only until it receives a higher term.
 The successor can take the lease only after the release, so two owners overlap for less than that whatever
 their clocks do. A lease held for less than two overlaps is handed on without one, so that three never
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from paddlequay.cluster.prefetch import DecayingRate, bundle_lease
-from paddlequay.cluster.types import Action, Bounds, Name, Peer
+from paddlequay.cluster.types import Action, ClusterBounds, NameDigest, Peer
 
 FOLLOWER_TIMEOUT_S = 3.5  # three follow messages: two may be lost
 TERM_MEMORY_S = 30.0  # an older higher term binds no more: acceptors can lose their memory as well
@@ -22,23 +22,23 @@
 class LeaseTerms(Protocol):
     """The calls of `cluster.leases.Leases` that channels use."""
 
-    def request(self, lease: Name, now: float) -> list[Action]:
+    def request(self, lease: NameDigest, now: float) -> list[Action]:
         """Bids for a lease until it is held or released."""
         ...
 
-    def release(self, lease: Name, now: float, successor: Peer | None = None) -> list[Action]:
+    def release(self, lease: NameDigest, now: float, successor: Peer | None = None) -> list[Action]:
         """Gives a lease or a bid back, for a successor to take if one is named."""
         ...
 
-    def holds(self, lease: Name, now: float) -> int | None:
+    def holds(self, lease: NameDigest, now: float) -> int | None:
         """Returns the term under which this router holds a lease at this moment, None if it does not."""
         ...
 
-    def holder(self, lease: Name, now: float) -> Peer | None:
+    def holder(self, lease: NameDigest, now: float) -> Peer | None:
         """Returns the holder that acceptors reported last, a hint."""
         ...
 
-    def query_holder(self, lease: Name, now: float) -> list[Action]:
+    def query_holder(self, lease: NameDigest, now: float) -> list[Action]:
         """Asks the acceptors for the holder."""
         ...
 
@@ -74,8 +74,8 @@
 class Bundle:
     """A router's state of one bundle. Times are by the router's clock; peers are bounded by the fleet."""
 
-    lease: Name
-    live_channels: set[Name] = field(default_factory=set)  # read at this router
+    lease: NameDigest
+    live_channels: set[NameDigest] = field(default_factory=set)  # read at this router
     highest_term: int = 0  # of any owner that was heard of
     highest_term_at: float = 0.0
     # while another router owns it, or none
@@ -123,13 +123,13 @@
 class Bundles:
     """All bundles of a zone, and the decision whether this router may fill at this moment."""
 
-    def __init__(self, zone: str, count: int, bounds: Bounds, leases: LeaseTerms) -> None:
+    def __init__(self, zone: str, count: int, bounds: ClusterBounds, leases: LeaseTerms) -> None:
         self.bounds = bounds
         self.leases = leases
         self.all = [Bundle(bundle_lease(zone, number)) for number in range(count)]
         self.by_lease = {bundle.lease: bundle for bundle in self.all}
 
-    def bundle_of(self, channel: Name) -> Bundle:
+    def bundle_of(self, channel: NameDigest) -> Bundle:
         """Returns the bundle that a channel belongs to."""
         return self.all[channel % len(self.all)]
 
@@ -165,8 +165,8 @@
     def may_overlap(self, bundle: Bundle, now: float) -> bool:
         """Returns whether the lease is held and the owner before this router has certainly stopped."""
         holds_lease = self.leases.holds(bundle.lease, now) == bundle.term
-        return holds_lease and now - bundle.acquired_at >= 2 * self.bounds.overlap
+        return holds_lease and now - bundle.acquired_at >= 2 * self.bounds.overlap_s
 
     def overlap_end(self, now: float) -> float:
         """Returns when an overlap that starts now ends: shortened, since this clock may be the slowest."""
-        return now + self.bounds.overlap * (1 - self.bounds.drift)
+        return now + self.bounds.overlap_s * (1 - self.bounds.drift_ratio)
--- a/paddlequay/cluster/cache_hints.py
+++ b/paddlequay/cluster/cache_hints.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from paddlequay.cluster.types import Name
+from paddlequay.cluster.types import NameDigest
 
 MAX_PARTS_PER_CHANNEL = 16
 MAX_VALIDITY_S = 10.0  # whatever an owner reports
@@ -13,7 +13,7 @@
 class CacheHint:
     """The cache that holds a part, by the digest of its name, as reported under an owner's term."""
 
-    cache: Name
+    cache: NameDigest
     term: int
     valid_until: float
 
@@ -26,9 +26,11 @@
 
     def __init__(self, max_channels: int) -> None:
         self.max_channels = max_channels
-        self.channels: OrderedDict[Name, dict[int, CacheHint]] = OrderedDict()
+        self.channels: OrderedDict[NameDigest, dict[int, CacheHint]] = OrderedDict()
 
-    def add(self, channel: Name, part: int, cache: Name, term: int, valid_s: float, now: float) -> None:
+    def add(
+        self, channel: NameDigest, part: int, cache: NameDigest, term: int, valid_s: float, now: float
+    ) -> None:
         """Records that a cache holds a part for `valid_s` seconds, at most `MAX_VALIDITY_S`."""
         hints = self.channels.setdefault(channel, {})
         self.channels.move_to_end(channel)
@@ -40,7 +42,7 @@
         if len(self.channels) > self.max_channels:
             self.channels.popitem(last=False)
 
-    def find(self, channel: Name, part: int, now: float) -> Name | None:
+    def find(self, channel: NameDigest, part: int, now: float) -> NameDigest | None:
         """Returns the digest of the cache that holds a part, None if no valid hint is known."""
         hint = self.channels.get(channel, {}).get(part)
         return hint.cache if hint is not None and now < hint.valid_until else None
--- a/paddlequay/cluster/channels.py
+++ b/paddlequay/cluster/channels.py
@@ -26,14 +26,14 @@
 from paddlequay.cluster.types import (
     NEVER,
     Action,
-    Bounds,
     ChannelOwnership,
+    ClusterBounds,
     Fleet,
     HolderObserved,
     LeaseAcquired,
     LeaseLost,
     LocalEvent,
-    Name,
+    NameDigest,
     Peer,
     PeerChanged,
     PeerState,
@@ -59,7 +59,7 @@
     def __init__(
         self,
         fleet: Fleet,
-        bounds: Bounds,
+        bounds: ClusterBounds,
         rule: ChannelRule,
         leases: LeaseTerms,
         rng: random.Random,
@@ -104,7 +104,7 @@
         term = self.bundles.active_term(self.bundles.bundle_of(prefetch.channel), now)
         return term if term == prefetch.term else None
 
-    def prefetch_succeeded(self, prefetch: Prefetch, cache: Name, now: float) -> list[Action]:
+    def prefetch_succeeded(self, prefetch: Prefetch, cache: NameDigest, now: float) -> list[Action]:
         """Reports a filled part, with the digest of its cache's name, to the followers.
 
         Nothing is reported once a later owner was heard of. The first part after a takeover also completes
@@ -135,7 +135,7 @@
         """Notes that a prefetch was not written or brought nothing; a later read tries it again."""
         self.detector.record_result(prefetch, False, now)
 
-    def find_cache(self, channel: Name, part: int, now: float) -> Name | None:
+    def find_cache(self, channel: NameDigest, part: int, now: float) -> NameDigest | None:
         """Returns the digest of the cache that holds a part, as an owner reported it; a hint."""
         return self.hints.find(channel, part, now)
 
@@ -243,7 +243,7 @@
         if bundle.overlap is not None:
             return []
         denial = not_owner_message(bundle, max(1, bundle.highest_term))
-        return [SendMessage(sender, denial, Urgency.NEWS)]
+        return [SendMessage(sender, denial, Urgency.CHANGE)]
 
     # --- events ---
 
@@ -269,9 +269,9 @@
         return [ChannelOwnership(channel, 0) for channel in sorted(bundle.live_channels)]
 
     def _peer_changed(self, event: PeerChanged) -> None:
-        if event.standing is PeerState.ALIVE:
+        if event.state is PeerState.ALIVE:
             self.handoff.unreachable.discard(event.peer)
-        elif event.standing is not PeerState.UNKNOWN:
+        elif event.state is not PeerState.UNKNOWN:
             self.handoff.unreachable.add(event.peer)
 
     # --- time ---
--- a/paddlequay/cluster/handoff.py
+++ b/paddlequay/cluster/handoff.py
@@ -96,7 +96,7 @@
         """Releases a bundle without a successor, and tells its followers to search for an owner."""
         message = not_owner_message(bundle, bundle.term)
         out = self.bundles.release(bundle, now, None)
-        out += [SendMessage(peer, message, Urgency.NEWS) for peer in bundle.current_followers(now)]
+        out += [SendMessage(peer, message, Urgency.CHANGE) for peer in bundle.current_followers(now)]
         bundle.followers.clear()
         return out
 
@@ -201,7 +201,7 @@
         bundle.overlap = None
         followers = bundle.current_followers(now)
         bundle.followers.clear()
-        return [SendMessage(peer, message, Urgency.NEWS) for peer in followers]
+        return [SendMessage(peer, message, Urgency.CHANGE) for peer in followers]
 
     # --- the receiver ---
 
--- a/paddlequay/cluster/owner_search.py
+++ b/paddlequay/cluster/owner_search.py
@@ -85,7 +85,7 @@
             return []
         bundle.follow_sent_at = now
         return [
-            SendMessage(bundle.owner, follow_message(bundle), Urgency.NEWS),
+            SendMessage(bundle.owner, follow_message(bundle), Urgency.CHANGE),
             SendMessage(bundle.owner, self.handoff.load_message(now), Urgency.ROUTINE),
         ]
 
--- a/paddlequay/cluster/prefetch.py
+++ b/paddlequay/cluster/prefetch.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from paddlequay.cluster.settings import ChannelRule
-from paddlequay.cluster.types import NEVER, Name
+from paddlequay.cluster.types import NEVER, NameDigest
 from paddlequay.placement.homes import digest
 
 MIN_ADVANCES = 2
@@ -23,12 +23,12 @@
 RATE_DECAY_S = 5.0  # an event this old counts 1/e
 
 
-def channel_id(zone: str, object_name: str) -> Name:
+def channel_id(zone: str, object_name: str) -> NameDigest:
     """Returns the id of an object's channel in a zone; each zone has an owner of its own for it."""
     return digest(f"channel/{zone}/{object_name}")
 
 
-def bundle_lease(zone: str, number: int) -> Name:
+def bundle_lease(zone: str, number: int) -> NameDigest:
     """Returns the lease of one of a zone's bundles of channels."""
     return digest(f"channels/{zone}/{number}")
 
@@ -37,7 +37,7 @@
 class Prefetch:
     """Orders the driver to fill one part; `Channels.writable_term` is asked right before it is written."""
 
-    channel: Name
+    channel: NameDigest
     object_name: str
     class_name: str  # of the requests that made the channel
     part: int
@@ -73,7 +73,7 @@
 class Channel:
     """The reads of one object, and the prefetches of its parts. Times are by the router's clock."""
 
-    id: Name
+    id: NameDigest
     object_name: str
     class_name: str
     highest_part: int
@@ -99,7 +99,7 @@
     def __init__(self, zone: str, rule: ChannelRule) -> None:
         self.zone = zone
         self.rule = rule
-        self.channels: OrderedDict[Name, Channel] = OrderedDict()
+        self.channels: OrderedDict[NameDigest, Channel] = OrderedDict()
 
     def record_read(self, object_name: str, class_name: str, part: int, now: float) -> Channel:
         """Counts a read. A channel beyond the bound stays until `pop_ended` removes it."""
--- a/paddlequay/net/cluster/channel_prefetcher.py
+++ b/paddlequay/net/cluster/channel_prefetcher.py
@@ -9,7 +9,7 @@
 
 from paddlequay.cluster.channels import Channels
 from paddlequay.cluster.prefetch import Prefetch, channel_id
-from paddlequay.cluster.types import Action, Name
+from paddlequay.cluster.types import Action, NameDigest
 from paddlequay.observability.counters import Counters
 from paddlequay.placement.homes import digest
 from paddlequay.requests.exchange import Exchange
@@ -55,7 +55,7 @@
         self.apply_actions = apply_actions
         self.clock = clock
         self.pending: dict[str, Prefetch] = {}  # by request id
-        self.names_by_digest: dict[Name, str] = {}  # of the listed members
+        self.names_by_digest: dict[NameDigest, str] = {}  # of the listed members
         self.last_number = 0
         self.scanned_at = -MEMBER_SCAN_INTERVAL_S
 
@@ -102,7 +102,7 @@
             self.counters.add("channels.hints")
             self.exchange.deliver(CopyReported(request.key, part, member))
 
-    def member_name(self, cache: Name) -> str | None:
+    def member_name(self, cache: NameDigest) -> str | None:
         """Returns the listed member of a digest, None if no listed member has it."""
         name = self.names_by_digest.get(cache)
         if name is None and self.clock() - self.scanned_at >= MEMBER_SCAN_INTERVAL_S:
--- a/tests/cluster/test_channels.py
+++ b/tests/cluster/test_channels.py
@@ -17,7 +17,7 @@
 from paddlequay.lab.channel_world import BOUNDS, BOX, World
 
 RULE = ChannelRule(("video",), bundles=8)
-GAP = BOUNDS.lease + 1.0
+GAP = BOUNDS.lease_s + 1.0
 PLANNED_RUNS = 200
 UNPLANNED_RUNS = 200
 
@@ -102,7 +102,7 @@
         assert world.run(4.0, lambda world=world, owner=owner: world.moved(owner)), seed  # type: ignore[misc]
         world.run(1.0)
         seen = world.seen[0]
-        assert seen.most <= 2 and seen.overlap <= BOUNDS.overlap, (seed, seen)
+        assert seen.most <= 2 and seen.overlap <= BOUNDS.overlap_s, (seed, seen)
         assert world.all[owner].channels.is_drained(world.all[owner].clock)
         in_order(world)
 
@@ -143,7 +143,7 @@
     assert world.run(9.0, lambda: world.moved(owner))
     world.run(2.0)
     # The release to the heir is as late as everything: the overlap ends before it, by the owner's own clock.
-    assert world.seen[0].most <= 2 and world.seen[0].overlap <= BOUNDS.overlap
+    assert world.seen[0].most <= 2 and world.seen[0].overlap <= BOUNDS.overlap_s
     released = [fill.at for fill in world.fills if fill.by == owner]
     assert released and world.all[owner].channels.is_drained(world.all[owner].clock)
 
@@ -157,7 +157,7 @@
     world.act(4, world.all[4].channels.drain(world.all[4].clock))
     assert world.run(6.0, lambda: world.all[4].channels.is_drained(world.all[4].clock)), world.time - before
     world.run(2.0)
-    assert all(seen.most <= 2 and seen.overlap <= BOUNDS.overlap for seen in world.seen)
+    assert all(seen.most <= 2 and seen.overlap <= BOUNDS.overlap_s for seen in world.seen)
     assert max(seen.gap for seen in world.seen) <= GAP
     assert all(world.owners(number) not in ([], [4]) for number in used)
     in_order(world)
@@ -331,14 +331,14 @@
     channels, _, (bundle,) = owner_of(1, (1.0,))
     prefetch = Prefetch(7, "a", "video", 3, 5)
     channels.bundles.release(bundle, 100.0, successor=1)
-    ends = 100.0 + BOUNDS.overlap * (1 - BOUNDS.drift)
+    ends = 100.0 + BOUNDS.overlap_s * (1 - BOUNDS.drift_ratio)
     assert (
         channels.writable_term(prefetch, ends - 0.001) == 5 and channels.writable_term(prefetch, ends) is None
     )
     bundle.accept_term(6, 100.1)
     assert channels.writable_term(prefetch, 100.1) is None
     channels, leases, (bundle,) = owner_of(1, (1.0,))
-    bundle.acquired_at = 100.0 - BOUNDS.overlap  # the one before it may still fill
+    bundle.acquired_at = 100.0 - BOUNDS.overlap_s  # the one before it may still fill
     channels.bundles.release(bundle, 100.0, successor=1)
     assert channels.writable_term(prefetch, 100.0) is None
     leases.held[bundle.lease] = 8
@@ -369,7 +369,7 @@
     return [
         action.to
         for action in actions
-        if isinstance(action, SendMessage) and isinstance(action.note, HandoffOffer)
+        if isinstance(action, SendMessage) and isinstance(action.message, HandoffOffer)
     ]
 
 
@@ -395,7 +395,7 @@
     (word,) = channels.handle_message(3, 0, HandoffOffer(bundle.lease, 5, 0), 100.0)
     assert (
         isinstance(word, SendMessage)
-        and word.note == HandoffReply(bundle.lease, 5, 0)
+        and word.message == HandoffReply(bundle.lease, 5, 0)
         and not leases.requested
     )
     bundle.live_channels.add(7)
@@ -411,5 +411,5 @@
     channels, now = world.all[other].channels, world.all[other].clock
     bundle = channels.bundles.all[0]
     (answer,) = channels.handle_message(owner, 0, HandoffReply(bundle.lease, 0, 1), now)
-    assert isinstance(answer.note, HandoffReply) and answer.note.accepted == 0  # type: ignore[union-attr]
+    assert isinstance(answer.message, HandoffReply) and answer.message.accepted == 0  # type: ignore[union-attr]
     assert channels.handle_message(owner, 0, HandoffReply(12345, 0, 1), now) == []  # another plaza's bundle
