--- a/paddlequay/net/cluster/placement_tables.py
+++ b/paddlequay/net/cluster/placement_tables.py
@@ -1,57 +1,42 @@
-"""Joins rules of placement with the router: compiles them for its list, and has edges follow what is in use.
+"""Joins placement by rules with the router: edges follow the table that the fleet has agreed on.
 
-`cluster/tables.py` says which table that is, at each request; without its word homes are plain, as without a
-file. Compiling is bounded by `compile.DRAWS_MOST`, some seconds at most, and done in a thread, one at a time.
+`table_compilation.py` compiles the tables, `cluster/tables.py` decides at each request which one is in use.
+While none is, homes are plain, as without a rules file.
 """
 
 import asyncio
-import json
 import logging
 from collections.abc import Callable, Sequence
-from dataclasses import replace
+from functools import partial
 from pathlib import Path
 
-from paddlequay.cluster.epochs import LEASE, mark
+from paddlequay.cluster.epochs import LEASE
 from paddlequay.cluster.node import Node
 from paddlequay.cluster.tables import Tables
 from paddlequay.cluster.types import Action, TableChanged
-from paddlequay.errors import ConfigError
+from paddlequay.net.cluster.placement_console import explain_placement, placement_page
+from paddlequay.net.cluster.table_compilation import TableCompilation, rules_digest, table_digest
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
-from paddlequay.placement.checks import read_rules_file
-from paddlequay.placement.compiler import compile_rules
-from paddlequay.placement.homes import digest, object_key
-from paddlequay.placement.migration import BusyError, Mover, Placed
-from paddlequay.placement.rules import Rules
+from paddlequay.placement.migration import CurrentPlacement, Migration, MigrationPendingError
 from paddlequay.placement.table import Sheet, Table
 from paddlequay.placement.table_homes import HomeKey, TableHomes, home_key
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import ClientRequest
-from paddlequay.routing.interface import CopyReported, Member, MemberState, Request, RoutingSettings
+from paddlequay.routing.interface import CopyReported, Request, RoutingSettings
 from paddlequay.routing.state import CacheTier
 
 LOGGER = logging.getLogger(__name__)
 
-BEAT = 0.25  # seconds between two looks at the list, and at a table that has to wait for shards in motion
-EXPLAINED = ("class", "tenant", "group", "key", "part")  # what `explain` is asked by
+UPDATE_INTERVAL_S = 0.25  # between two looks at the endpoint list, and at a table that waits for migrations
 
-Told = Callable[[Node, Sequence[Action]], None]
-
-
-def whole(table: Table) -> int:
-    """The 64 bits of a table's digest that routers compare; never 0, which says that there is none."""
-    return int(table.digest[:16], 16) or 1
-
-
-def named(rules: Rules) -> int:
-    return digest(rules.canonical().decode()) or 1
+ApplyActions = Callable[[Node, Sequence[Action]], None]
 
 
 class PlacementTables:
-    """Placement by rules at one router. `ConfigError` where the file cannot be used.
+    """Placement by rules at one router.
 
-    `told` hands on what follows at a node, `clock` is the one that the node goes by. Memory: the tables that
-    `Tables.needed` names, and the two that a `Mover` holds.
+    Memory: the tables that `Tables.needed` names, and the two that a `Migration` holds.
     """
 
     def __init__(
@@ -60,238 +45,192 @@
         settings: RoutingSettings,
         exchange: Exchange,
         counters: Counters,
-        told: Told,
+        apply_actions: ApplyActions,
         clock: Callable[[], float],
     ) -> None:
-        self.path, self.settings, self.exchange, self.counters = path, settings, exchange, counters
-        self.told, self.clock = told, clock
-        self.rules = self.read()
+        """Reads the rules; raises `ConfigError` if they cannot be used.
+
+        Args:
+            path: The rules file.
+            settings: The settings whose classes the rules may name.
+            exchange: Has the endpoint list and the homes that follow the table.
+            counters: Counts compilations, waits and failures.
+            apply_actions: Executes the actions that the tables return, at a node.
+            clock: The node's clock, in seconds.
+        """
+        self.exchange = exchange
+        self.counters = counters
+        self.apply_actions = apply_actions
+        self.clock = clock
+        self.compilation = TableCompilation(path, settings, exchange, counters, clock)
         self.node: Node | None = None
         self.tables: Tables | None = None
-        self.own: Table | None = None  # what was compiled last,
-        self.listed: tuple[Member, ...] | None = None  # for this list; None: nothing yet
-        self.held: dict[int, Table] = {}
-        self.mover: Mover | None = None
-        self.waits: Table | None = None  # follows once the shards in motion have come to rest
-        self.next: Rules | None = None  # a new file, which is not compiled yet
+        self.held_tables: dict[int, Table] = {}  # by digest
+        self.migration: Migration | None = None
+        self.pending_table: Table | None = None  # followed once the shards in motion have migrated
         self.tasks: list[asyncio.Task[None]] = []
-        self.compiling = asyncio.Lock()
         homes = exchange.router.state.members.homes[CacheTier.EDGE]
         assert isinstance(homes, TableHomes)
-        homes.source = self.found
+        homes.find_placement = self.find_placement
 
-    def read(self) -> Rules:
-        return read_rules_file(self.path, [kind.name for kind in self.settings.classes])
-
-    # --- its life ---
+    # --- the router's membership of the cluster ---
 
     def join(self, node: Node) -> None:
-        """A new life in the cluster: it has no epoch until the fleet's word comes."""
-
-        def retake(now: float) -> list[Action]:
-            leases = node.leases
-            return [] if leases is None else leases.release(LEASE, now) + leases.request(LEASE, now)
-
-        self.node, self.mover, self.waits = node, None, None
-        self.tables = Tables(node.fleet, node.settings.bounds, node.holds, retake)
+        """Joins the cluster under a new incarnation, without an epoch until the fleet's report arrives."""
+        self.node = node
+        self.migration = None
+        self.pending_table = None
+        self.tables = Tables(node.fleet, node.settings.bounds, node.holds, partial(reacquire_lease, node))
         node.join(self.tables, Tables.HANDLED_MESSAGES)
         now = self.clock()
         if node.leases is not None and node.fleet.me in node.fleet.acceptors:
             node.begun += node.leases.request(LEASE, now)
-        node.begun += self.tables.compiled(*self.compiled(), now)
+        node.begun += self.tables.compiled(*self.compilation.digests(), now)
 
     def leave_cluster(self) -> None:
-        """This router's life in the cluster is over: homes are plain."""
-        self.node = self.tables = self.mover = self.waits = None
+        """Leaves the cluster: homes are plain."""
+        self.node = None
+        self.tables = None
+        self.migration = None
+        self.pending_table = None
 
     def release_lease(self, now: float) -> list[Action]:
-        """Give the lease back, so that nobody has to wait for its end."""
+        """Releases the lease, so that no router has to wait for its end."""
         leases = self.node.leases if self.node is not None else None
         return leases.release(LEASE, now) if leases is not None else []
 
+    # --- the periodic update ---
+
     def start(self) -> None:
-        self.tasks = [asyncio.ensure_future(self.beating())]
+        """Starts the periodic update."""
+        self.tasks = [asyncio.ensure_future(self._update_forever())]
 
     def stop(self) -> None:
+        """Stops the periodic update."""
         for task in self.tasks:
             task.cancel()
 
     def reload(self) -> None:
-        """Take up a changed file; `ConfigError`: it cannot be used, and the one before holds on."""
-        rules = self.read()
-        if rules == (self.next or self.rules):
-            return
-        self.next = rules
-        if self.tables is not None:
-            self.act(self.tables.wanted(named(rules), self.clock()))
+        """Adopts a changed rules file; raises `ConfigError` if it cannot be used, and the old rules stay."""
+        rules = self.compilation.reload()
+        if rules is not None and self.tables is not None:
+            self._apply(self.tables.wanted(rules_digest(rules), self.clock()))
 
-    async def beating(self) -> None:
+    async def _update_forever(self) -> None:
         while True:
             try:
-                await self.beat()
-            except Exception:
+                await self.update()
+            except Exception:  # the edge of the task: placement must not end with one failure
                 if self.counters.add_once("placement_errors"):
                     LOGGER.exception("placement_failed")
-            await asyncio.sleep(BEAT)
-
-    async def beat(self) -> None:
-        """Look whether the list or the rules are others than what was compiled, or a table had to wait."""
-        if self.waits is not None:
-            self.move(self.waits, self.clock())
-        async with self.compiling:
-            listed = self.members()
-            if self.next is not None or listed != self.listed:
-                await self.compile(listed)
-
-    # --- compiling ---
-
-    def members(self) -> tuple[Member, ...]:
-        """The edges of all zones as rules see them: what differs otherwise makes no other table."""
-        weighted = self.settings.weights in ("nominal", "rough")
-        sources = {self.settings.parent_kind, self.settings.origin_kind} - {None}
-        members = [
-            replace(each, started=None, state=None, weight=(each.weight or 1.0) if weighted else 1.0)
-            for each in self.exchange.members.values()
-            if each.kind not in sources and each.state in (None, MemberState.READY)
-        ]
-        return tuple(sorted(members, key=lambda each: each.name))
-
-    def compiled(self) -> tuple[int, int]:
-        """Digests of rules and table; 0: there is none for them."""
-        if self.next is not None:
-            return named(self.next), 0
-        return named(self.rules), 0 if self.own is None else whole(self.own)
-
-    async def compile(self, listed: tuple[Member, ...]) -> None:
-        """A new file must go with the list that there is; a list that shrinks later gives what can be had."""
-        new, self.listed = self.next, listed
-        rules, old = new or self.rules, self.own
-
-        def work() -> Table:
-            table = compile_rules(rules, listed, strict=new is not None and bool(listed), old=old)
-            _ = table.digest  # takes its time, too
-            return table
-
-        began = self.clock()
-        try:
-            table = await asyncio.to_thread(work) if listed else None
-        except ConfigError as error:
-            self.counters.add("placement_refused")
-            log.event(LOGGER, logging.WARNING, "placement_refused", why=str(error))
-            if new is not None:
-                # The file before holds on, for whatever list there is by now.
-                self.next = self.next if self.next is not new else None
-                self.listed = None
-                return
-            table = None
-        if new is not None:
-            self.rules = new
-            self.next = self.next if self.next is not new else None
-        self.own = table
-        self.counters.add("placement_compiled")
-        now = self.clock()
-        log.event(LOGGER, logging.INFO, "placement_compiled", members=len(listed), took=round(now - began, 3))
+            await asyncio.sleep(UPDATE_INTERVAL_S)
+
+    async def update(self) -> None:
+        """Retries a table that had to wait, and compiles if the list or the rules have changed."""
+        if self.pending_table is not None:
+            self._follow(self.pending_table, self.clock())
+        if await self.compilation.update():
+            self._announce_table()
+
+    def _announce_table(self) -> None:
+        """Holds the table compiled last, tells the fleet of it, and forgets tables that are not needed."""
+        table = self.compilation.table
         if table is not None:
-            self.held[whole(table)] = table
-        if self.tables is not None:
-            self.act(self.tables.compiled(*self.compiled(), now))
-            needed = self.tables.needed(now)
-            self.held = {key: each for key, each in self.held.items() if key in needed or each is table}
-
-    # --- what the fleet has agreed on ---
+            self.held_tables[table_digest(table)] = table
+        if self.tables is None:
+            return
+        now = self.clock()
+        self._apply(self.tables.compiled(*self.compilation.digests(), now))
+        needed = self.tables.needed(now)
+        self.held_tables = {
+            key: held for key, held in self.held_tables.items() if key in needed or held is table
+        }
 
-    def act(self, actions: list[Action]) -> None:
-        if self.node is not None and actions:
-            self.told(self.node, actions)
+    # --- the table in use ---
 
     def table_changed(self, event: TableChanged) -> None:
-        """Another epoch is in use from now on."""
-        table, now = self.held.get(event.digest), self.clock()
+        """Follows the table of another epoch, which is in use from now on."""
+        table = self.held_tables.get(event.digest)
         if table is None:
             self.counters.add("placement_lost")  # homes are plain until the next epoch
-            self.mover = None
-        elif self.mover is None or (event.previous is None and whole(self.mover.table) != event.digest):
-            self.mover, self.waits = Mover(table), None
+            self.migration = None
+        elif self.migration is None or self._replaces_table(event):
+            self.migration = Migration(table)
+            self.pending_table = None
         else:
-            self.move(table, now)
-
-    def move(self, table: Table, now: float) -> None:
-        """Shard by shard, at the pace of the rules; a table that has to wait for others is tried again."""
-        self.waits = None
-        if self.mover is None or whole(table) == whole(self.mover.table):
+            self._follow(table, self.clock())
+
+    def _replaces_table(self, event: TableChanged) -> bool:
+        """Returns whether another table is in use without a previous one to migrate from."""
+        if self.migration is None or event.previous is not None:
+            return False
+        return table_digest(self.migration.table) != event.digest
+
+    def _follow(self, table: Table, now: float) -> None:
+        """Migrates to a table shard by shard; one that has to wait for other migrations is retried."""
+        self.pending_table = None
+        if self.migration is None or table_digest(table) == table_digest(self.migration.table):
             return
         try:
-            count = self.mover.change(table, now)
-        except BusyError:
-            self.waits = table
+            waiting = self.migration.change_table(table, now)
+        except MigrationPendingError:
+            self.pending_table = table
             self.counters.add("placement_waits")
-        else:
-            log.event(LOGGER, logging.INFO, "placement_moves", digest=table.digest, waiting=count)
+            return
+        log.event(LOGGER, logging.INFO, "placement_moves", digest=table.digest, waiting=waiting)
 
-    # --- at each request ---
+    def _apply(self, actions: list[Action]) -> None:
+        if self.node is not None and actions:
+            self.apply_actions(self.node, actions)
+
+    # --- requests ---
 
-    def found(self, key: HomeKey) -> tuple[Sheet, Placed] | None:
-        """Where an object is placed now; asked for at each decision, so that nothing outlives its epoch."""
-        mover, now = self.mover, self.clock()
-        if mover is None or self.tables is None or self.tables.in_use(now) is None:
+    def find_placement(self, key: HomeKey) -> tuple[Sheet, CurrentPlacement] | None:
+        """Returns the sheet and the placement of a request now, None for plain homes.
+
+        It is asked at each decision, so that no placement outlives its epoch.
+        """
+        migration = self.migration
+        now = self.clock()
+        if migration is None or self.tables is None or self.tables.in_use(now) is None:
             return None
-        placed = mover.lookup(key.class_name, key.tenant, key.group, key.key, key.part, now)
-        if placed is None:
+        placement = migration.lookup(key.class_name, key.tenant, key.group, key.key, key.part, now)
+        if placement is None:
             return None
-        table, found = mover.table, placed.found
-        return table.sheets[found.rule, found.cell], placed
+        found = placement.found
+        return migration.table.sheets[found.rule, found.cell], placement
 
-    def prepare_request(self, ask: ClientRequest) -> None:
-        """A request is about to be decided on: who had its object before may hold it, which spares a fill."""
-        if self.mover is None or not self.mover.turns or ask.key is None:
+    def prepare_request(self, request: ClientRequest) -> None:
+        """Tells the decisions on a request which member had its object before, which may spare a fill."""
+        if self.migration is None or not self.migration.scheduled or request.key is None:
             return
-        found = self.found(home_key(request_of(ask)))
-        if found is not None and found[1].former:
+        found = self.find_placement(home_key(routing_request(request)))
+        if found is None:
+            return
+        _, placement = found
+        if placement.previous:
             self.counters.add("placement_former_named")
-            self.exchange.deliver(CopyReported(ask.key, ask.part, found[1].former[0]))
+            self.exchange.deliver(CopyReported(request.key, request.part, placement.previous[0]))
 
-    # --- for operators ---
+    # --- the console ---
 
     def status_page(self) -> dict[str, object]:
-        """What is in use and what is compiled here."""
-        now, tables, mover = self.clock(), self.tables, self.mover
-        epoch = tables.in_use(now) if tables is not None else None
-        return {
-            "epoch": None if epoch is None else mark(epoch),
-            "table": None if epoch is None or tables is None else f"{tables.table(now) or 0:016x}",
-            "follows": None if epoch is None or mover is None else mover.table.digest[:16],
-            "compiled": None if self.own is None else self.own.digest,
-            "members": None if self.own is None else len(self.own.names),
-            "short": {} if self.own is None else self.own.short(),
-            "moving": mover.waiting(now) if mover is not None else 0,
-            "next_waits": self.waits is not None,
-        }
+        """Returns what is in use and what is compiled here, as JSON values."""
+        return placement_page(self.compilation, self.tables, self.migration, self.pending_table, self.clock())
 
     def explain(self, text: str) -> str:
-        """Where an object is placed, and why: asked by `key=ab12,part=3,class=video,group=7,tenant=acme`, of
-        which any may be missing."""
-        pairs = [each.partition("=")[::2] for each in text.split(",")]
-        told = {name.strip(): value.strip() for name, value in pairs if value}
-        if len(told) < len(pairs) or not set(told) <= set(EXPLAINED):
-            return json.dumps({"expected": [f"{name}=..." for name in EXPLAINED]})
-        try:
-            group, part = (int(told[name]) if name in told else None for name in ("group", "part"))
-        except ValueError:
-            return json.dumps({"expected": "whole numbers for group and part"})
-        key = object_key(told["key"]) if "key" in told else None
-        request = Request("", told.get("class", ""), 0.0, key, part, group, tenant=told.get("tenant"))
-        found = self.found(home_key(request))
-        if found is None or self.mover is None:
-            return json.dumps(
-                {"rule": None, "why": "no table is in use, or no rule is for it: as without a file"}
-            )
-        _, placed = found
-        why = self.mover.table.explain(told.get("class"), request.tenant, group, key, part)
-        del why["epoch"]
-        return json.dumps(
-            why | {"now": list(placed.found.members), "former": list(placed.former), "waits": placed.waits}
-        )
-
-
-def request_of(ask: ClientRequest) -> Request:
-    return Request("", ask.class_name, 0.0, ask.key, ask.part, ask.group, tenant=ask.tenant)
+        """Returns as JSON where an object is placed and why; see `explain_placement`."""
+        return explain_placement(text, self.find_placement, self.migration)
+
+
+def reacquire_lease(node: Node, now: float) -> list[Action]:
+    """Releases the tables' lease and bids for it again, to have it under a later term."""
+    leases = node.leases
+    return [] if leases is None else leases.release(LEASE, now) + leases.request(LEASE, now)
+
+
+def routing_request(request: ClientRequest) -> Request:
+    """Returns what placement sees of a client's request."""
+    return Request(
+        "", request.class_name, 0.0, request.key, request.part, request.group, tenant=request.tenant
+    )
--- a/paddlequay/placement/checks.py
+++ b/paddlequay/placement/checks.py
@@ -1,9 +1,9 @@
-"""Whether a file of rules can be used: what no list of members can satisfy, and what one list cannot.
+"""Reads files of placement rules, and checks them before a table is compiled.
 
-Everything here is decided before a table is compiled. A rule that is never reached, a pin to a member that
-the rule excludes or copies that no list could hold are mistakes in the file whatever the list is (`check`);
-copies, zones and cells that a given list is too small for are refused when rules are taken up
-(`check_members`), not when members leave later: then a shard has what can be had.
+A rule that is never reached, a pin to a member that the rule excludes or copies that no list of members
+could hold are mistakes whatever the list is (`check_rule_set`). Copies, zones and cells that a given list
+is too small for are refused when rules are adopted (`check_members`), not when members leave later: then a
+shard has the copies that are possible.
 """
 
 from collections import Counter
@@ -11,214 +11,302 @@
 from pathlib import Path
 
 from paddlequay.errors import ConfigError
-from paddlequay.placement.grammar import BYTES_MOST, Place, source_of
+from paddlequay.placement.grammar import FILE_START, MAX_FILE_BYTES, decode_source
 from paddlequay.placement.regions import (
     ANY,
     Box,
     Region,
-    TooMuchError,
-    Work,
-    both,
-    holds,
-    meet,
-    most,
-    these,
-    without,
+    Value,
+    WorkBudget,
+    WorkLimitError,
+    contains,
+    intersect_boxes,
+    intersect_regions,
+    max_value_count,
+    subtract_box,
+    value_set,
 )
-from paddlequay.placement.rules import ATTRIBUTES, WORK_MOST, Builder, Cell, Rule, Rules
-from paddlequay.placement.syntax_tree import spoken
+from paddlequay.placement.rule_builder import RuleBuilder
+from paddlequay.placement.rules import (
+    CLASS_INDEX,
+    MAX_RESOLVE_STEPS,
+    MEMBER_ATTRIBUTES,
+    Cell,
+    Rule,
+    RuleSet,
+)
+from paddlequay.placement.syntax_tree import Spread, parse_rules
 from paddlequay.routing.interface import Member
 
-SHEETS_MOST = 1_024  # tables of shards: a rule has one, and one for each cell whose tenants it is for
-SHEETS_SHARDS_MOST = 262_144  # of all rules with all their cells; one rule has 65,536 at most
-MEMBERS_MOST = 10_000
-SLACK = 1e-9  # of a share, for sums of decimal fractions
+MAX_SHEETS = 1_024  # a rule has one, and one for each cell whose tenants it is for
+MAX_TOTAL_SHARDS = 262_144  # of all sheets; one rule has 65,536 at most
+MAX_MEMBERS = 10_000
+MAX_SHOWN_CLASSES = 8  # in an error
+SHARE_TOLERANCE_RATIO = 1e-9  # for sums of decimal fractions
+NAME_INDEX = 0  # in `MEMBER_ATTRIBUTES`
 
 
-def thing(member: Member) -> tuple[str | int | None, ...]:
-    return member.name, member.zone, member.kind, member.cell
+# --- reading ---
 
 
-def weight_of(member: Member) -> float:
-    """Its share of the load beside others; a list that tells none has members of one size."""
-    return 1.0 if member.weight is None else max(0.0, member.weight)
+def read_rules(name: str, data: bytes, classes: Iterable[str] | None = None) -> RuleSet:
+    """Returns the checked rules of a file's bytes.
 
+    Args:
+        name: The file's name, for errors.
+        data: The file's bytes.
+        classes: The classes of the settings, if they are known.
 
-def read_rules(name: str, data: bytes, classes: Iterable[str] | None = None) -> Rules:
-    """The rules of a file's bytes, checked; `classes`: those that the settings know, where they are told.
-
-    Raises `ConfigError` with file, line, column, what was expected and a caret under the place.
+    Raises:
+        ConfigError: The rules cannot be used; the error has file, line, column, what was expected, and a
+        caret
+            under the position.
     """
-    source = source_of(name, data)
-    work = Work(WORK_MOST)
+    source = decode_source(name, data)
+    work = WorkBudget(MAX_RESOLVE_STEPS)
     try:
-        rules = Builder(source, work).build(spoken(source))
-        check(rules, work, classes)
-    except TooMuchError as error:
-        said = f"expected rules that are looked up with less work, got {error}"
-        raise source.error(Place(1, 1), said) from None
+        rules = RuleBuilder(source, work).build(parse_rules(source))
+        check_rule_set(rules, work, classes)
+    except WorkLimitError as error:
+        message = f"expected rules that are looked up with less work, got {error}"
+        raise source.error(FILE_START, message) from None
     return rules
 
 
-def read_rules_file(path: str | Path, classes: Iterable[str] | None = None) -> Rules:
-    """As `read_rules`, from a file; `ConfigError` too where it cannot be read."""
+def read_rules_file(path: str | Path, classes: Iterable[str] | None = None) -> RuleSet:
+    """Returns the checked rules of a file; raises `ConfigError` also if it cannot be read."""
     try:
         with open(path, "rb") as file:
-            data = file.read(BYTES_MOST + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror or error}") from None
     return read_rules(str(path), data, classes)
 
 
 def check_rules(path: str | Path) -> str:
-    """One line on what a file of rules holds; `ConfigError` where it cannot be used."""
+    """Returns one line on what a file of rules holds; raises `ConfigError` if it cannot be used."""
     rules = read_rules_file(path)
-    shards = sum(rule.shards for rule, _ in rules.plan())
-    pace = "all at once" if rules.pace is None else f"{rules.pace} shards a second"
-    told = (counted(rules.rules, "rule"), counted(rules.cells, "cell"), counted(rules.tenants, "tenant"))
-    return f"{path}: {', '.join(told)}, {shards} shards, moves {pace}: can be used"
+    shards = sum(rule.shards for rule, _ in rules.sheets())
+    pace = "all at once" if rules.shards_per_s is None else f"{rules.shards_per_s} shards a second"
+    counts = (
+        describe_count(rules.rules, "rule"),
+        describe_count(rules.cells, "cell"),
+        describe_count(rules.tenants, "tenant"),
+    )
+    return f"{path}: {', '.join(counts)}, {shards} shards, moves {pace}: can be used"
+
 
+def describe_count(items: Mapping[str, object] | tuple[object, ...], noun: str) -> str:
+    """Returns a number of items in words."""
+    return f"{len(items)} {noun}{'' if len(items) == 1 else 's'}"
 
-def counted(things: Mapping[str, object] | tuple[object, ...], what: str) -> str:
-    return f"{len(things)} {what}{'' if len(things) == 1 else 's'}"
 
+# --- checks that hold for any list of members ---
 
-def check(rules: Rules, work: Work, classes: Iterable[str] | None = None) -> None:
-    """Raise for what is wrong whatever the list of members is."""
+
+def check_rule_set(rules: RuleSet, work: WorkBudget, classes: Iterable[str] | None = None) -> None:
+    """Raises `ConfigError` for a mistake that no list of members can mend."""
     if not rules.rules:
-        raise rules.source.error(Place(1, 1), "expected at least one rule")
-    known_classes(rules, classes)
-    reached(rules, work)
+        raise rules.source.error(FILE_START, "expected at least one rule")
+    if classes is not None:
+        check_classes(rules, set(classes))
+    check_reachable(rules, work)
     for cell in rules.cells.values():
         if not cell.members:
-            said = f"expected a cell that can hold a member; {cell.name!r} cannot"
-            raise rules.source.error(cell.place, said)
-    shares(rules)
+            message = f"expected a cell that can hold a member; {cell.name!r} cannot"
+            raise rules.source.error(cell.position, message)
+    check_load_shares(rules)
+    check_sheets(rules, work)
+
+
+def check_sheets(rules: RuleSet, work: WorkBudget) -> None:
+    """Raises if there are too many sheets or shards, or if no list can hold a sheet's copies."""
     shards = 0
-    for number, (rule, cell_or_none) in enumerate(rules.plan(), 1):
-        if number > SHEETS_MOST:
-            said = f"expected at most {SHEETS_MOST} rules, counted with each cell whose tenants they are for"
-            raise rules.source.error(rule.place("rule"), said)
-        placeable(rules, rule, cell_or_none, work)
+    for number, (rule, cell) in enumerate(rules.sheets(), 1):
+        if number > MAX_SHEETS:
+            message = (
+                f"expected at most {MAX_SHEETS} rules, counted with each cell whose tenants they are for"
+            )
+            raise rules.source.error(rule.position("rule"), message)
+        check_sheet(rules, rule, cell, work)
         shards += rule.shards
-        if shards > SHEETS_SHARDS_MOST:
-            said = f"expected at most {SHEETS_SHARDS_MOST} shards in all rules and their cells, got more"
-            raise rules.source.error(rule.place("shards"), said)
+        if shards > MAX_TOTAL_SHARDS:
+            message = f"expected at most {MAX_TOTAL_SHARDS} shards in all rules and their cells, got more"
+            raise rules.source.error(rule.position("shards"), message)
 
 
-def known_classes(rules: Rules, classes: Iterable[str] | None) -> None:
-    if classes is None:
-        return
-    known = set(classes)
+def check_classes(rules: RuleSet, known: set[str]) -> None:
+    """Raises for a class that the settings lack."""
+    shown = ", ".join(sorted(known)[:MAX_SHOWN_CLASSES])
     for name in rules.classes or ():
         if name.text not in known:
-            said = f"expected a class of the settings ({', '.join(sorted(known)[:8])}), got {name.text!r}"
-            raise rules.source.error(name.place, said)
+            message = f"expected a class of the settings ({shown}), got {name.text!r}"
+            raise rules.source.error(name.position, message)
     for rule in rules.rules:
-        unknown = sorted(str(value) for value in rule.asked[0].values if value not in known)
+        classes = rule.requests[CLASS_INDEX].values
+        unknown = sorted(str(value) for value in classes if value not in known)
         if unknown:
-            said = f"expected classes of the settings ({', '.join(sorted(known)[:8])}), got {unknown[0]!r}"
-            raise rules.source.error(rule.place("class"), said)
-
-
-def reached(rules: Rules, work: Work) -> None:
-    """Every rule holds for some request, and no two of one precedence for the same."""
-    for at, rule in enumerate(rules.rules):
-        left: list[Box] = [rule.asked]
-        for earlier in rules.rules[:at]:
-            if earlier.precedence == rule.precedence and both(rule.asked, earlier.asked, work) is not None:
-                said = f"expected another precedence than that of {earlier.name!r}, for the same requests"
-                later = max(rule, earlier, key=lambda r: (r.place("rule").line, r.place("rule").column))
-                raise rules.source.error(later.place("precedence"), said)
-            left = [piece for box in left for piece in without(box, earlier.asked, work)]
-            if not left:
-                said = f"expected a rule that is reached; {earlier.name!r} is the last to take its requests"
-                raise rules.source.error(rule.place("rule"), said)
-
-
-def shares(rules: Rules) -> None:
+            message = f"expected classes of the settings ({shown}), got {unknown[0]!r}"
+            raise rules.source.error(rule.position("class"), message)
+
+
+def check_reachable(rules: RuleSet, work: WorkBudget) -> None:
+    """Raises if a rule holds for no request, or if two of one precedence match the same."""
+    for index, rule in enumerate(rules.rules):
+        rest: list[Box] = [rule.requests]
+        for earlier in rules.rules[:index]:
+            check_precedence(rules, rule, earlier, work)
+            rest = [piece for box in rest for piece in subtract_box(box, earlier.requests, work)]
+            if not rest:
+                message = (
+                    f"expected a rule that is reached; {earlier.name!r} is the last to take its requests"
+                )
+                raise rules.source.error(rule.position("rule"), message)
+
+
+def check_precedence(rules: RuleSet, rule: Rule, earlier: Rule, work: WorkBudget) -> None:
+    """Raises if two rules of one precedence match the same requests."""
+    if earlier.precedence != rule.precedence:
+        return
+    if intersect_boxes(rule.requests, earlier.requests, work) is None:
+        return
+    later = max(rule, earlier, key=lambda each: (each.position("rule").line, each.position("rule").column))
+    message = f"expected another precedence than that of {earlier.name!r}, for the same requests"
+    raise rules.source.error(later.position("precedence"), message)
+
+
+def check_load_shares(rules: RuleSet) -> None:
+    """Raises if the tenants' shares of all load are over 100 % in all."""
     total = 0.0
     for tenant in rules.tenants.values():
-        total += tenant.share or 0.0
-        if total > 1 + SLACK:
-            raise rules.source.error(tenant.place, f"expected shares of 100% in all, got {total * 100:g}%")
+        total += tenant.load_share or 0.0
+        if total > 1 + SHARE_TOLERANCE_RATIO:
+            message = f"expected shares of 100% in all, got {total * 100:g}%"
+            raise rules.source.error(tenant.position, message)
 
 
-def placeable(rules: Rules, rule: Rule, cell: Cell | None, work: Work) -> None:
-    """Some list could hold the copies of a rule, in a cell or without one."""
+def check_sheet(rules: RuleSet, rule: Rule, cell: Cell | None, work: WorkBudget) -> None:
+    """Raises if no list could hold the copies of a rule, in a cell or without one."""
     source = rules.source
-    where = "" if cell is None else f" in cell {cell.name!r}"
-    region = rule.members if cell is None else meet(rule.members, cell.members, work)
+    where = describe_cell(cell)
+    region = rule.members if cell is None else intersect_regions(rule.members, cell.members, work)
     if not region:
-        place = rule.place("avoid") if "avoid" in rule.places else rule.place("among")
-        raise source.error(place, f"expected members left for rule {rule.name!r}{where}, got none")
-    members = most(region, 0)
+        position = rule.position("avoid") if "avoid" in rule.positions else rule.position("among")
+        raise source.error(position, f"expected members left for rule {rule.name!r}{where}, got none")
+    members = max_value_count(region, NAME_INDEX)
     if members is not None and members < rule.copies:
-        said = f"expected at most {members} copies, as many as rule {rule.name!r} can have members{where}"
-        raise source.error(rule.place("copies"), f"{said}, got {rule.copies}")
+        message = f"expected at most {members} copies, as many as rule {rule.name!r} can have members{where}"
+        raise source.error(rule.position("copies"), f"{message}, got {rule.copies}")
     if rule.spread is not None:
-        if rule.over > rule.copies:
-            said = f"expected copies over at most {rule.copies} {rule.spread}(s), got {rule.over}"
-            raise source.error(rule.place("over"), said)
-        trunks = trunks_most(rules, rule.spread, region, work)
-        if trunks is not None and trunks < rule.over:
-            said = f"expected copies over at most {trunks} {rule.spread}(s), all that there are{where}"
-            raise source.error(rule.place("over"), f"{said}, got {rule.over}")
+        check_spread(rules, rule, rule.spread, region, where, work)
+    check_pins(rules, rule, work)
+
+
+def check_spread(
+    rules: RuleSet, rule: Rule, spread: Spread, region: Region, where: str, work: WorkBudget
+) -> None:
+    """Raises if copies are to be over more zones or kinds than copies, or than a region can have."""
+    if rule.min_domains > rule.copies:
+        message = f"expected copies over at most {rule.copies} {spread}(s), got {rule.min_domains}"
+        raise rules.source.error(rule.position("over"), message)
+    domains = max_domain_count(rules, spread, region, work)
+    if domains is not None and domains < rule.min_domains:
+        message = f"expected copies over at most {domains} {spread}(s), all that there are{where}"
+        raise rules.source.error(rule.position("over"), f"{message}, got {rule.min_domains}")
+
+
+def check_pins(rules: RuleSet, rule: Rule, work: WorkBudget) -> None:
+    """Raises for a pin to a member that its rule excludes.
+
+    A cell goes before a pin: its tenants have the shard in the cell, all others where it is pinned.
+    """
     for name in sorted(set(rule.pins.values())):
-        # A cell goes before a pin: its tenants have the shard in the cell, all others where it is pinned.
-        only = (these([name]), *(ANY,) * (len(ATTRIBUTES) - 1))
-        if not meet(rule.members, (only,), work):
-            said = f"expected a pin to a member that rule {rule.name!r} may use, got {name!r}"
-            raise source.error(rule.place(f"pin {name}"), said)
-
-
-def trunks_most(rules: Rules, spread: str, region: Region, work: Work) -> int | None:
-    """How many zones or kinds a region can have."""
-    listed = rules.zones if spread == "zone" else rules.kinds
-    at = ATTRIBUTES.index(spread)
-    if listed is not None:
-        known = [ANY] * len(ATTRIBUTES)
-        known[at] = these(name.text for name in listed)
-        region = meet(region, (tuple(known),), work)
-    return most(region, at)
-
-
-def check_list(members: Iterable[Member]) -> list[Member]:
-    """The members of a list by name; `ConfigError` for too many or for one name twice."""
+        only_member = (value_set([name]), *(ANY,) * (len(MEMBER_ATTRIBUTES) - 1))
+        if not intersect_regions(rule.members, (only_member,), work):
+            message = f"expected a pin to a member that rule {rule.name!r} may use, got {name!r}"
+            raise rules.source.error(rule.position(f"pin {name}"), message)
+
+
+def max_domain_count(rules: RuleSet, spread: Spread, region: Region, work: WorkBudget) -> int | None:
+    """Returns how many zones or kinds a region can have at most, None if unbounded."""
+    declared = rules.zones if spread == "zone" else rules.kinds
+    index = MEMBER_ATTRIBUTES.index(spread)
+    if declared is not None:
+        box = [ANY] * len(MEMBER_ATTRIBUTES)
+        box[index] = value_set(name.text for name in declared)
+        region = intersect_regions(region, (tuple(box),), work)
+    return max_value_count(region, index)
+
+
+# --- checks of a given list of members ---
+
+
+def member_attributes(member: Member) -> tuple[Value, ...]:
+    """Returns the values of `MEMBER_ATTRIBUTES` of a member."""
+    return member.name, member.zone, member.kind, member.cell
+
+
+def member_weight(member: Member) -> float:
+    """Returns a member's weight relative to others; without weights all members are alike."""
+    return 1.0 if member.weight is None else max(0.0, member.weight)
+
+
+def sorted_members(members: Iterable[Member]) -> list[Member]:
+    """Returns the members of a list by name; raises `ConfigError` for too many or a name listed twice."""
     listed = sorted(members, key=lambda member: member.name)
-    if len(listed) > MEMBERS_MOST:
-        raise ConfigError(f"members: expected at most {MEMBERS_MOST}, got {len(listed)}")
-    twice = [name for name, count in Counter(member.name for member in listed).items() if count > 1]
-    if twice:
-        raise ConfigError(f"members: expected each name once, got {twice[0]!r} again")
+    if len(listed) > MAX_MEMBERS:
+        raise ConfigError(f"members: expected at most {MAX_MEMBERS}, got {len(listed)}")
+    counts = Counter(member.name for member in listed)
+    duplicates = [name for name, count in counts.items() if count > 1]
+    if duplicates:
+        raise ConfigError(f"members: expected each name once, got {duplicates[0]!r} again")
     return listed
 
 
-def fitting(rule: Rule, cell: Cell | None, listed: list[Member], work: Work) -> list[Member]:
-    """The members that a rule may use, in a cell where one is given, in the order of the list."""
+def eligible_members(rule: Rule, cell: Cell | None, listed: list[Member], work: WorkBudget) -> list[Member]:
+    """Returns the members that a rule may use, in a cell if one is given, in the order of the list."""
     regions = [rule.members] if cell is None else [rule.members, cell.members]
     work.spend(len(listed) * sum(len(region) for region in regions))
-    return [m for m in listed if all(holds(region, thing(m)) for region in regions)]
-
-
-def check_members(rules: Rules, listed: list[Member], work: Work) -> None:
-    """Raise for what this list cannot hold: too few members, zones or kinds, or a cell too small."""
-    for rule, cell in rules.plan():
-        where = "" if cell is None else f" in cell {cell.name!r}"
-        fit = fitting(rule, cell, listed, work)
-        if len(fit) < rule.copies:
-            said = f"expected at most {len(fit)} copies, as many as the list has members{where}"
-            raise rules.source.error(rule.place("copies"), f"{said}, got {rule.copies}")
-        if rule.spread is not None:
-            trunks = {m.zone if rule.spread == "zone" else m.kind for m in fit} - {None}
-            if len(trunks) < rule.over:
-                said = f"expected copies over at most {len(trunks)} {rule.spread}(s) of the list{where}"
-                raise rules.source.error(rule.place("over"), f"{said}, got {rule.over}")
-    whole = sum(weight_of(m) for m in listed)
+    return [
+        member for member in listed if all(contains(region, member_attributes(member)) for region in regions)
+    ]
+
+
+def check_members(rules: RuleSet, listed: list[Member], work: WorkBudget) -> None:
+    """Raises `ConfigError` if a list has too few members, zones or kinds for a rule, or too small a cell."""
+    for rule, cell in rules.sheets():
+        check_eligible(rules, rule, cell, eligible_members(rule, cell, listed, work))
+    total = sum(member_weight(member) for member in listed)
     for cell in rules.cells.values():
         work.spend(len(listed) * len(cell.members))
-        needed = sum(tenant.share or 0.0 for tenant in rules.tenants.values() if tenant.cell == cell.name)
-        held = sum(weight_of(m) for m in listed if holds(cell.members, thing(m))) / whole if whole else 0.0
-        if needed > held + SLACK:
-            said = f"expected a cell with {needed * 100:g}% of all weight, the share of its tenants"
-            raise rules.source.error(cell.place, f"{said}, got {held * 100:.3g}%")
+        check_cell_weight(rules, cell, listed, total)
+
+
+def check_eligible(rules: RuleSet, rule: Rule, cell: Cell | None, eligible: list[Member]) -> None:
+    """Raises if the members that a rule may use are too few, or of too few zones or kinds."""
+    where = describe_cell(cell)
+    if len(eligible) < rule.copies:
+        message = f"expected at most {len(eligible)} copies, as many as the list has members{where}"
+        raise rules.source.error(rule.position("copies"), f"{message}, got {rule.copies}")
+    if rule.spread is None:
+        return
+    domains = {each.zone if rule.spread == "zone" else each.kind for each in eligible} - {None}
+    if len(domains) < rule.min_domains:
+        message = f"expected copies over at most {len(domains)} {rule.spread}(s) of the list{where}"
+        raise rules.source.error(rule.position("over"), f"{message}, got {rule.min_domains}")
+
+
+def check_cell_weight(rules: RuleSet, cell: Cell, listed: list[Member], total: float) -> None:
+    """Raises if a cell's share of all weight is below its tenants' share of all load."""
+    tenants = [tenant for tenant in rules.tenants.values() if tenant.cell == cell.name]
+    needed = sum(tenant.load_share or 0.0 for tenant in tenants)
+    weight = sum(member_weight(each) for each in listed if contains(cell.members, member_attributes(each)))
+    available = weight / total if total else 0.0
+    if needed > available + SHARE_TOLERANCE_RATIO:
+        message = f"expected a cell with {needed * 100:g}% of all weight, the share of its tenants"
+        raise rules.source.error(cell.position, f"{message}, got {available * 100:.3g}%")
+
+
+def describe_cell(cell: Cell | None) -> str:
+    """Returns the words that name a cell in an error."""
+    return "" if cell is None else f" in cell {cell.name!r}"
--- a/paddlequay/placement/grammar.py
+++ b/paddlequay/placement/grammar.py
@@ -1,9 +1,10 @@
-"""The language of placement rules: its grammar, and errors that show their place.
+"""The language of placement rules: its grammar and parser, and errors that show the position in the file.
 
-The grammar is LALR(1) and all its words are reserved (a name that is one of them stands in quotes), so that
-what is wrong shows at the first word that cannot follow. docs/placement.md states it for operators.
+The grammar is LALR(1) and reserves all its words (a name that is one of them stands in quotes), so that a
+mistake shows at the first word that cannot follow. docs/placement.md describes the language for operators.
 """
 
+from collections.abc import Iterable
 from dataclasses import dataclass
 from typing import Any
 
@@ -11,13 +12,14 @@
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedToken
 from lark.lexer import PatternStr
 
-from paddlequay.errors import ConfigError
+from paddlequay.errors import ConfigError, PaddlequayError
 
-BYTES_MOST = 65_536  # of a file
-SHOWN = 100  # characters of a line in an error
-NAME_MOST = 128  # characters of a name
-DIGITS_MOST = 9  # of a number, before and after its point together
-EXPECTED_MOST = 8  # alternatives told
+MAX_FILE_BYTES = 65_536
+MAX_SHOWN_CHARS = 100  # of a line in an error
+MAX_NAME_CHARS = 128
+MAX_NUMBER_DIGITS = 9  # before and after the point together
+MAX_TOKEN_CHARS = 40  # of an unexpected token in an error
+MAX_ALTERNATIVES = 8  # of what is expected, in an error
 
 GRAMMAR = r"""
 start: statement*
@@ -27,12 +29,12 @@
 zones: "zones" names "."
 kinds: "kinds" names "."
 pace: PACE "at" "most" NUMBER _shards "per" "second" "."
-cell: "cell" name "is" who "."
+cell: "cell" name "is" members "."
 tenant: "tenant" name "stays" "in" "cell" name ["with" NUMBER "%"] "."
-rule: "rule" name "," "precedence" NUMBER "," "for" what ":" clauses "."
+rule: "rule" name "," "precedence" NUMBER "," "for" requests ":" clauses "."
 fallback: OTHERWISE ":" clauses "."
 
-what: "everything" | match ("and" match)*
+requests: "everything" | match ("and" match)*
 match: CLASS names -> of_class
      | TENANT names -> of_tenant
      | GROUP ranges -> of_group
@@ -43,15 +45,15 @@
 by: OBJECT ["and" PART] | GROUP | TENANT
 copies: NUMBER _copies ["over" NUMBER spread]
 spread: (ZONE | ZONES) | (KIND | KINDS)
-among: AMONG who
-avoid: AVOID who
-weigh: WEIGH who "by" NUMBER
+among: AMONG members
+avoid: AVOID members
+weigh: WEIGH members "by" NUMBER
 pin: PIN _shards ranges "to" "member" name
 
-?who: both ("or" both)* -> either
-?both: one ("and" one)* -> both
-?one: NOT one -> other
-    | "(" who ")" -> nested
+?members: conjunction ("or" conjunction)* -> union
+?conjunction: term ("and" term)* -> intersection
+?term: NOT term -> negation
+    | "(" members ")" -> parenthesized
     | MEMBER names -> by_member
     | ZONE names -> by_zone
     | KIND names -> by_kind
@@ -92,28 +94,43 @@
 %ignore SPACE
 """
 
-READ = {"WORD": "a name", "QUOTED": "a name in quotes", "NUMBER": "a number", "$END": "the end of the file"}
+TOKEN_DESCRIPTIONS = {
+    "WORD": "a name",
+    "QUOTED": "a name in quotes",
+    "NUMBER": "a number",
+    "$END": "the end of the file",
+}
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where something stands; both count from 1, columns in characters."""
+class Position:
+    """Where something stands in a file: line and column from 1, column and length in characters."""
 
     line: int
     column: int
     length: int = 1
 
 
-def place_of(token: Token) -> Place:
-    return Place(token.line or 1, token.column or 1, max(1, len(token)))
+FILE_START = Position(1, 1)
 
 
-class MisplacedError(ValueError):
-    """What is wrong at a place, before the file's name is known."""
+def token_position(token: Token) -> Position:
+    """Returns the position of a token."""
+    return Position(token.line or 1, token.column or 1, max(1, len(token)))
 
-    def __init__(self, place: Place, said: str) -> None:
-        super().__init__(said)
-        self.place = place
+
+class RuleTextError(PaddlequayError, ValueError):
+    """A mistake at a position of a file of rules, before the file's name is known.
+
+    Attributes:
+        position: Where the mistake is.
+        message: What was expected there, and what was found.
+    """
+
+    def __init__(self, position: Position, message: str) -> None:
+        super().__init__(message)
+        self.position = position
+        self.message = message
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,70 +140,94 @@
     name: str
     text: str
 
-    def error(self, place: Place, said: str) -> ConfigError:
-        """`FILE:LINE:COLUMN: SAID`, the line, and a caret under the place."""
+    def error(self, position: Position, message: str) -> ConfigError:
+        """Returns an error of the form `FILE:LINE:COLUMN: MESSAGE`, with the line and a caret under it."""
         lines = self.text.split("\n")
-        line = lines[place.line - 1] if place.line <= len(lines) else ""
-        column = place.column - 1
-        start = max(0, column - SHOWN * 3 // 4)
-        shown = "".join(c if c == "\t" or c.isprintable() else "?" for c in line[start : start + SHOWN])
-        ahead = "".join(c if c == "\t" else " " for c in shown[: column - start])
-        carets = "^" * max(1, min(place.length, len(shown) - len(ahead)))
-        where = f"{self.name}:{place.line}:{place.column}"
-        return ConfigError(f"{where}: {said}\n    {shown}\n    {ahead}{carets}")
-
-
-def source_of(name: str, data: bytes) -> Source:
-    """The text of a file's bytes, which must be UTF-8 and no more than `BYTES_MOST`."""
-    if len(data) > BYTES_MOST:
-        raise ConfigError(f"{name}:1:1: expected at most {BYTES_MOST} bytes, got {len(data)}")
+        line = lines[position.line - 1] if position.line <= len(lines) else ""
+        column = position.column - 1
+        start = max(0, column - MAX_SHOWN_CHARS * 3 // 4)
+        shown_chars = line[start : start + MAX_SHOWN_CHARS]
+        shown = "".join(char if char == "\t" or char.isprintable() else "?" for char in shown_chars)
+        indent = "".join(char if char == "\t" else " " for char in shown[: column - start])
+        carets = "^" * max(1, min(position.length, len(shown) - len(indent)))
+        where = f"{self.name}:{position.line}:{position.column}"
+        return ConfigError(f"{where}: {message}\n    {shown}\n    {indent}{carets}")
+
+
+def decode_source(name: str, data: bytes) -> Source:
+    """Returns the text of a file's bytes.
+
+    Raises:
+        ConfigError: The bytes are more than `MAX_FILE_BYTES` or not UTF-8.
+    """
+    if len(data) > MAX_FILE_BYTES:
+        raise ConfigError(f"{name}:1:1: expected at most {MAX_FILE_BYTES} bytes, got {len(data)}")
     try:
         return Source(name, data.decode("utf-8"))
     except UnicodeDecodeError as error:
-        before = data[: error.start].decode("utf-8")
-        place = Place(before.count("\n") + 1, len(before) - before.rfind("\n"))
+        valid = data[: error.start].decode("utf-8")
+        position = Position(valid.count("\n") + 1, len(valid) - valid.rfind("\n"))
         text = data.decode("utf-8", "replace")
-        raise Source(name, text).error(place, "expected UTF-8 text, got other bytes") from None
+        raise Source(name, text).error(position, "expected UTF-8 text, got other bytes") from None
 
 
-class Language:
-    """The parser. `reader` turns each sentence into what it means while it is parsed, without recursion."""
+class RuleParser:
+    """The parser. `transformer` turns each sentence into its node while parsing, without recursion."""
 
-    def __init__(self, reader: Transformer[Token, Any]) -> None:
-        self.lark = Lark(GRAMMAR, parser="lalr", lexer="basic", transformer=reader)
+    def __init__(self, transformer: Transformer[Token, Any]) -> None:
+        self.lark = Lark(GRAMMAR, parser="lalr", lexer="basic", transformer=transformer)
         words = {t.name: t.pattern.value for t in self.lark.terminals if isinstance(t.pattern, PatternStr)}
-        self.words = {name: f'"{value}"' for name, value in words.items()} | READ
-
-    def expected(self, names: set[str]) -> str:
-        listed = sorted({self.words.get(name, name) for name in names} - {"a name in quotes"})
-        if len(listed) > EXPECTED_MOST:
-            listed = [*listed[:EXPECTED_MOST], f"{len(listed) - EXPECTED_MOST} more"]
-        return " or ".join([", ".join(listed[:-1]), listed[-1]] if len(listed) > 1 else listed)
+        self.words = {name: f'"{value}"' for name, value in words.items()} | TOKEN_DESCRIPTIONS
 
     def parse(self, source: Source) -> Any:
-        """What the reader makes of a text; `ConfigError` where the text is none of the language."""
+        """Returns what the transformer makes of a text.
+
+        Raises:
+            ConfigError: The text is not of the language; the error shows the position.
+        """
         try:
             return self.lark.parse(source.text)
-        except MisplacedError as error:
-            raise source.error(error.place, str(error)) from None
+        except RuleTextError as error:
+            raise source.error(error.position, error.message) from None
         except UnexpectedCharacters as error:
-            place = Place(error.line, error.column)
-            what = "a word, a number or a sign of the language"
-            if error.char == '"':
-                what = "a name of at least one character and its closing quote on the same line"
-            raise source.error(place, f"expected {what}, got {error.char!r}") from None
+            raise unexpected_character(source, error) from None
         except UnexpectedToken as error:
-            token, wanted = error.token, error.accepts or error.expected
-            if token.type == "$END":
-                raise self.ended(source, wanted) from None
-            said = f"expected {self.expected(set(wanted))}, got {str(token)[:40]!r}"
-            if "WORD" in wanted and str(token).isalpha():
-                said += " (a word of the language: in quotes where it is a name)"
-            raise source.error(place_of(token), said) from None
+            raise self.unexpected_token(source, error) from None
         except UnexpectedEOF as error:
-            raise self.ended(source, set(error.expected)) from None
-
-    def ended(self, source: Source, wanted: Any) -> ConfigError:
+            raise self.unexpected_end(source, error.expected) from None
+
+    def unexpected_token(self, source: Source, error: UnexpectedToken) -> ConfigError:
+        """Returns the error for a token that cannot follow."""
+        token = error.token
+        expected = error.accepts or error.expected
+        if token.type == "$END":
+            return self.unexpected_end(source, expected)
+        message = f"expected {self.describe(expected)}, got {str(token)[:MAX_TOKEN_CHARS]!r}"
+        if "WORD" in expected and str(token).isalpha():
+            message += " (a word of the language: in quotes where it is a name)"
+        return source.error(token_position(token), message)
+
+    def unexpected_end(self, source: Source, expected: Iterable[str]) -> ConfigError:
+        """Returns the error for a text that ends within a sentence."""
         text = source.text.rstrip()
-        place = Place(text.count("\n") + 1, len(text) - text.rfind("\n"))
-        return source.error(place, f"expected {self.expected(set(wanted))}, got the end of the file")
+        position = Position(text.count("\n") + 1, len(text) - text.rfind("\n"))
+        return source.error(position, f"expected {self.describe(expected)}, got the end of the file")
+
+    def describe(self, token_types: Iterable[str]) -> str:
+        """Returns the words for token types, `MAX_ALTERNATIVES` of them at most."""
+        names = {self.words.get(name, name) for name in set(token_types)}
+        listed = sorted(names - {TOKEN_DESCRIPTIONS["QUOTED"]})
+        if len(listed) > MAX_ALTERNATIVES:
+            listed = [*listed[:MAX_ALTERNATIVES], f"{len(listed) - MAX_ALTERNATIVES} more"]
+        if len(listed) <= 1:
+            return "".join(listed)
+        return " or ".join([", ".join(listed[:-1]), listed[-1]])
+
+
+def unexpected_character(source: Source, error: UnexpectedCharacters) -> ConfigError:
+    """Returns the error for a character that begins no token."""
+    expected = "a word, a number or a sign of the language"
+    if error.char == '"':
+        expected = "a name of at least one character and its closing quote on the same line"
+    position = Position(error.line, error.column)
+    return source.error(position, f"expected {expected}, got {error.char!r}")
--- a/paddlequay/placement/homes.py
+++ b/paddlequay/placement/homes.py
@@ -1,13 +1,13 @@
-"""Homes of objects: in which order members are asked for a key, at a cost that hardly grows with the members.
+"""The homes of objects: the order in which members are tried for a key, without a visit to all of them.
 
-Weighted rendezvous over slots. A key falls into one of `SLOTS` slots; for each slot every member draws an
-exponential arrival, and the order of the arrivals is the order of the homes (Thaler and Ravishankar, "Using
-name-based mappings to increase hit rates", 1998; weights by exponential arrivals as in Efraimidis and
-Spirakis, 2006). It is a pure function of the key, the members and their weights, so that routers which share
-nothing agree, and a change moves only the objects that it must.
+This is weighted rendezvous hashing over slots. A key falls into one of `SLOT_COUNT` slots. For each slot
+every member draws an exponential arrival, and the order of the arrivals is the order of the homes (Thaler
+and Ravishankar, "Using name-based mappings to increase hit rates", 1998; weights by exponential arrivals as
+in Efraimidis and Spirakis, 2006). The order is a pure function of the key, the members and their weights,
+so that routers agree without communication, and a change moves only the objects that it must.
 
-What is looked up is remembered for its slot and mended at the next look-up by the changes that came since, so
-that neither a look-up nor a change walks through all members. docs/hierarchy.md compares the ways.
+The first members of a slot are cached, and updated at the next look-up by the changes since, so that
+neither a look-up nor a change visits all members. docs/hierarchy.md compares this with other ways.
 """
 
 import heapq
@@ -22,190 +22,217 @@
 
 M = TypeVar("M")
 
-SLOTS = 1 << 16  # the same for all routers for good: another number moves every object
-DEPTH = 8  # homes remembered for a slot; who needs more has them sorted anew
-SMALL = 12  # up to so many members sorting is cheaper than remembering
-CHANGES_MOST = 256  # changes remembered for mending; past it a slot is sorted anew
-REMEMBERED_MOST = 32_768  # slots
-LEAST_WEIGHT = 1e-6  # a member of weight 0 stays last and divides nothing by zero
+SLOT_COUNT = 1 << 16  # part of the fleet's agreement: another number moves every object
+CACHED_SLOT_SIZE = 8  # members cached for a slot
+MAX_UNCACHED_SIZE = 12  # up to so many members sorting is cheaper than caching
+MAX_CHANGES = 256  # changes kept for updating slots; an older slot is ranked anew
+MAX_CACHED_SLOTS = 32_768
+MIN_WEIGHT = 1e-6  # a member of weight 0 stays last and divides nothing by zero
 
-MASK = (1 << 64) - 1
+MASK_64 = (1 << 64) - 1
 
-Entry = tuple[float, str]
+Entry = tuple[float, str]  # a member's arrival and name
 
 
 def digest(text: str) -> int:
-    """The same 64 bits for a text in every process, unlike the builtin hash."""
+    """Returns 64 bits that are the same for a text in every process, unlike the builtin hash."""
     return xxh3_64_intdigest(text)
 
 
 def arrival(seed: int, slot: int, weight: float) -> float:
-    """A member's draw for a slot: exponential with rate `weight`; the lowest is the home."""
-    unit = (seed ^ (slot * 0xD6E8FEB86659FD93)) * 0x9E3779B97F4A7C15 + 0x632BE59BD9B4E019 & MASK
-    unit = ((unit ^ (unit >> 29)) * 0xBF58476D1CE4E5B9) & MASK
+    """Returns a member's draw for a slot: exponential with rate `weight`. The lowest draw is the home.
+
+    Args:
+        seed: The `digest` of the member's name.
+        slot: The slot, or the shard of a table.
+        weight: The member's weight, above 0.
+    """
+    unit = (seed ^ (slot * 0xD6E8FEB86659FD93)) * 0x9E3779B97F4A7C15 + 0x632BE59BD9B4E019 & MASK_64
+    unit = ((unit ^ (unit >> 29)) * 0xBF58476D1CE4E5B9) & MASK_64
     unit ^= unit >> 32
     return -math.log((unit + 1) / 2.0**64) / weight
 
 
 def object_key(name: str) -> int:
-    """The number of an object by its name: hex digits as clients give them, else a digest."""
+    """Returns the 64-bit key of an object by its name: its hexadecimal value, else its digest."""
     try:
-        return int(name, 16) & MASK
+        return int(name, 16) & MASK_64
     except ValueError:
         return digest(name)
 
 
 def placement_key(key: int | None, part: int | None = None) -> int:
-    """One key for an object, or for one part of it."""
-    return (key or 0) ^ (0 if part is None else (part + 1) * 0xA0761D6478BD642F & MASK)
+    """Returns the 64-bit key by which an object, or one part of it, is placed."""
+    return (key or 0) ^ (0 if part is None else (part + 1) * 0xA0761D6478BD642F & MASK_64)
 
 
 def slot_of(key: int) -> int:
-    """The slot of a 64-bit key, which need not be evenly spread."""
-    mixed = (key * 0x9E3779B97F4A7C15) & MASK
-    return ((mixed ^ (mixed >> 29)) * 0xBF58476D1CE4E5B9 & MASK) >> 48
+    """Returns the slot of a 64-bit key, which need not be evenly distributed."""
+    mixed = (key * 0x9E3779B97F4A7C15) & MASK_64
+    return ((mixed ^ (mixed >> 29)) * 0xBF58476D1CE4E5B9 & MASK_64) >> 48
 
 
-def always_whole(_: object) -> float:
-    """The share of members that are all warm."""
+def full_weight(_: object) -> float:
+    """Returns the weight factor of a member that is not in slow start."""
     return 1.0
 
 
 class Homes(Generic[M]):
-    """Members by name, and the order in which they are homes of a key.
+    """Members by name, and the order in which they are the homes of a key.
 
-    Bounds: `remembered` slots of `DEPTH` entries, `CHANGES_MOST` changes. Who is removed is not held.
+    Memory: `max_cached_slots` slots of `CACHED_SLOT_SIZE` entries, and `MAX_CHANGES` changes.
     """
 
-    def __init__(self, small: int = SMALL, remembered: int | None = None) -> None:
-        self.small = small
-        self.remembered = REMEMBERED_MOST if remembered is None else remembered
+    def __init__(
+        self, max_uncached_size: int = MAX_UNCACHED_SIZE, max_cached_slots: int | None = None
+    ) -> None:
+        """Makes homes without members.
+
+        Args:
+            max_uncached_size: The number of members up to which nothing is cached.
+            max_cached_slots: The bound on cached slots; None means `MAX_CACHED_SLOTS`.
+        """
+        self.max_uncached_size = max_uncached_size
+        self.max_cached_slots = MAX_CACHED_SLOTS if max_cached_slots is None else max_cached_slots
         self.members: dict[str, M] = {}
         self.weights: dict[str, float] = {}
         self.seeds: dict[str, int] = {}
-        self.slots: dict[int, tuple[int, list[Entry]]] = {}  # the change they are mended up to, the entries
-        self.changes: list[str] = []  # names whose place changed: `first` is the number of the earliest kept
-        self.first = 0
-        self.sorted_anew = 0  # look-ups that walked through all members, for measurements
+        self.slots: dict[int, tuple[int, list[Entry]]] = {}  # the change up to which entries hold, entries
+        self.changes: list[str] = []  # names of members that were added, removed or weighted anew
+        self.first_change = 0  # the number of the earliest change kept
+        self.full_rankings = 0  # look-ups that visited all members, for measurements
 
     def __len__(self) -> int:
         return len(self.members)
 
+    # --- members ---
+
     def put(self, name: str, member: M, weight: float = 1.0) -> None:
-        """Add a member, or replace what stands under its name; a new weight moves its objects."""
-        weight = max(LEAST_WEIGHT, weight)
+        """Adds a member, or replaces the one of that name; a new weight moves its objects."""
+        weight = max(MIN_WEIGHT, weight)
         if self.weights.get(name) != weight:
             self.weights[name] = weight
             self.seeds[name] = digest(name)
-            self.changed(name)
+            self.record_change(name)
         self.members[name] = member
 
     def remove(self, name: str) -> None:
-        """Forget a member; unknown names are no error."""
+        """Removes a member; ignores an unknown name."""
         if name in self.members:
             del self.members[name], self.weights[name], self.seeds[name]
-            self.changed(name)
+            self.record_change(name)
 
     def reset(self, members: Iterable[tuple[str, M, float]]) -> None:
-        """Exactly these members from now on; what stays as it was keeps its slots."""
+        """Sets all members, by name, member and weight; an unchanged member keeps its cached slots."""
         listed = {name: (member, weight) for name, member, weight in members}
         for name in [name for name in self.members if name not in listed]:
             self.remove(name)
         for name, (member, weight) in listed.items():
             self.put(name, member, weight)
 
-    def changed(self, name: str) -> None:
+    def record_change(self, name: str) -> None:
+        """Notes a change; drops the older half once there are too many, which makes older slots stale."""
         self.changes.append(name)
-        if len(self.changes) > CHANGES_MOST:
-            # Half at once: slots mended up to before that are sorted anew when they are next asked for.
-            drop = CHANGES_MOST // 2
-            del self.changes[:drop]
-            self.first += drop
-
-    def ranking(self, slot: int, depth: int) -> list[Entry]:
-        """The first `depth` members of a slot by a walk through all."""
-        self.sorted_anew += 1
+        if len(self.changes) > MAX_CHANGES:
+            dropped = MAX_CHANGES // 2
+            del self.changes[:dropped]
+            self.first_change += dropped
+
+    # --- the order of a slot ---
+
+    def rank_all(self, slot: int, depth: int) -> list[Entry]:
+        """Returns the first `depth` entries of a slot by the draws of all members."""
+        self.full_rankings += 1
         seeds, weights = self.seeds, self.weights
         entries = [(arrival(seeds[name], slot, weights[name]), name) for name in seeds]
         return sorted(entries) if depth >= len(entries) else heapq.nsmallest(depth, entries)
 
-    def entries(self, slot: int) -> tuple[list[Entry], bool]:
-        """What is remembered of a slot, mended; and whether that is all members."""
-        if len(self.members) <= self.small:
-            return self.ranking(slot, len(self.members)), True
-        now = self.first + len(self.changes)
-        found = self.slots.get(slot)
-        if found is not None and found[0] >= self.first:
-            upto, entries = found
-            if upto == now:
+    def first_entries(self, slot: int) -> tuple[list[Entry], bool]:
+        """Returns the first entries of a slot, from the cache if possible, and whether they are all."""
+        if len(self.members) <= self.max_uncached_size:
+            return self.rank_all(slot, len(self.members)), True
+        current = self.first_change + len(self.changes)
+        cached = self.slots.get(slot)
+        if cached is not None and cached[0] >= self.first_change:
+            changed_at, entries = cached
+            if changed_at == current:
                 return entries, False
-            # A list, or one that a reader may be walking, is never changed in place.
-            entries = entries.copy()
-            last = entries[-1][0] if entries else -math.inf
-            for name in dict.fromkeys(self.changes[upto - self.first :]):
-                entries = [entry for entry in entries if entry[1] != name]
-                if name in self.seeds:
-                    at = arrival(self.seeds[name], slot, self.weights[name])
-                    # Past the last remembered there may be others before it.
-                    if at < last:
-                        insort(entries, (at, name))
-            if len(entries) >= DEPTH // 2:
-                entries = entries[:DEPTH]
-                self.slots[slot] = (now, entries)
+            entries = self.apply_changes(slot, entries, self.changes[changed_at - self.first_change :])
+            if len(entries) >= CACHED_SLOT_SIZE // 2:
+                entries = entries[:CACHED_SLOT_SIZE]
+                self.slots[slot] = (current, entries)
                 return entries, False
-        entries = self.ranking(slot, DEPTH)
+        entries = self.rank_all(slot, CACHED_SLOT_SIZE)
         self.slots.pop(slot, None)
-        while len(self.slots) >= self.remembered:
+        while len(self.slots) >= self.max_cached_slots:
             del self.slots[next(iter(self.slots))]
-        self.slots[slot] = (now, entries)
+        self.slots[slot] = (current, entries)
         return entries, False
 
-    def order(self, key: int, share: Callable[[M], float] = always_whole) -> Iterator[M]:
-        """Members from the first home on, lazily: who takes the first pays for the first.
-
-        `share` in (0, 1] scales a member's weight now, as for one that warms up: its arrivals come later by
-        that much, and move back as the share grows, so that each object moves to a newcomer once.
+    def apply_changes(self, slot: int, entries: list[Entry], changes: list[str]) -> list[Entry]:
+        """Returns a slot's entries after changes, as a new list: readers may iterate over the old one."""
+        entries = entries.copy()
+        # Beyond the last cached arrival there may be members that are not cached.
+        last_arrival = entries[-1][0] if entries else -math.inf
+        for name in dict.fromkeys(changes):
+            entries = [entry for entry in entries if entry[1] != name]
+            if name in self.seeds:
+                at = arrival(self.seeds[name], slot, self.weights[name])
+                if at < last_arrival:
+                    insort(entries, (at, name))
+        return entries
+
+    def order(self, key: int, weight_factor: Callable[[M], float] = full_weight) -> Iterator[M]:
+        """Yields the members from the first home of a key on, lazily.
+
+        Args:
+            key: The key of the object, by `lookup_key`.
+            weight_factor: The factor in (0, 1] on a member's weight now, below 1 in slow start. Its arrivals
+                come later by that much and move back as the factor grows, so that each object moves to a new
+                member once.
         """
-        return self.in_slot(slot_of(key), share)
+        return self.order_in_slot(slot_of(key), weight_factor)
 
-    def in_slot(self, slot: int, share: Callable[[M], float] = always_whole) -> Iterator[M]:
-        """The same for a slot, or for a shard of a table, whose numbers are as good."""
+    def order_in_slot(self, slot: int, weight_factor: Callable[[M], float] = full_weight) -> Iterator[M]:
+        """Yields the members in the order of a slot, or of a shard of a table, as `order` does for a key."""
         members = self.members
-        entries, whole = self.entries(slot)
-        later: list[Entry] = []
-        seen = 0
+        entries, complete = self.first_entries(slot)
+        delayed: list[Entry] = []
+        visited = 0
         for at, name in entries:
-            while later and later[0][0] <= at:
-                yield members[heapq.heappop(later)[1]]
+            while delayed and delayed[0][0] <= at:
+                yield members[heapq.heappop(delayed)[1]]
             member = members.get(name)
-            seen += 1
+            visited += 1
             if member is None:
-                continue  # removed while the order was walked
-            part = share(member)
-            if part < 1.0:
-                heapq.heappush(later, (at / max(LEAST_WEIGHT, part), name))
+                continue  # removed during the iteration
+            factor = weight_factor(member)
+            if factor < 1.0:
+                heapq.heappush(delayed, (at / max(MIN_WEIGHT, factor), name))
             else:
                 yield member
-        if not whole:
-            # Beyond what is remembered: all others, scaled, in their order.
-            for at, name in self.ranking(slot, len(members))[seen:]:
-                heapq.heappush(later, (at / max(LEAST_WEIGHT, share(members[name])), name))
-        while later:
-            name = heapq.heappop(later)[1]
+        if not complete:
+            for at, name in self.rank_all(slot, len(members))[visited:]:
+                factor = weight_factor(members[name])
+                heapq.heappush(delayed, (at / max(MIN_WEIGHT, factor), name))
+        while delayed:
+            name = heapq.heappop(delayed)[1]
             if name in members:
                 yield members[name]
 
+    # --- look-ups ---
+
     def lookup_key(self, request: Request) -> int:
-        """What the order of a request's homes is asked for by."""
+        """Returns the key by which `order` finds the homes of a request."""
         return placement_key(request.key, request.part)
 
     def first_home(self, key: int) -> M | None:
-        """The first home of a key, all members taken as warm."""
+        """Returns the first home of a key with all members at full weight, None without members."""
         return next(self.order(key), None)
 
     def first_home_names(self, key: int, count: int) -> list[str]:
-        """Names of the first homes, `count` of them or all there are, all taken as warm."""
-        entries, whole = self.entries(slot_of(key))
-        if count > len(entries) and not whole:
-            entries = self.ranking(slot_of(key), count)
+        """Returns the names of the first `count` homes with all members at full weight, or of all."""
+        entries, complete = self.first_entries(slot_of(key))
+        if count > len(entries) and not complete:
+            entries = self.rank_all(slot_of(key), count)
         return [name for _, name in entries[:count]]
--- a/paddlequay/placement/migration.py
+++ b/paddlequay/placement/migration.py
@@ -1,159 +1,191 @@
-"""Which shards another table moves, and which table each follows meanwhile: so many may move in a second.
+"""Decides which shards migrate to another table, and when each does: so many in a second.
 
-Time comes in, where to ask comes out. A shard that waits for its turn stays with its former members; one that
-has had it names them for a while, so that they can be asked for what they hold.
+A shard that waits for its migration stays with its previous members. Once it has migrated, its previous
+members are named for a while, so that requests can ask them for the objects that they hold.
 """
 
 from collections.abc import Iterator
 from typing import NamedTuple
 
+from paddlequay.errors import PaddlequayError
 from paddlequay.placement.homes import slot_of
-from paddlequay.placement.regions import TooMuchError, Work, less
-from paddlequay.placement.rules import WORK_MOST, Cell, Rule
-from paddlequay.placement.table import Found, Key, Table
+from paddlequay.placement.regions import WorkBudget, WorkLimitError, subtract_region
+from paddlequay.placement.rules import MAX_RESOLVE_STEPS, SheetKey, sheet_key
+from paddlequay.placement.table import FoundShard, Table
 
-LINGER = 60.0  # seconds in which former homes are named: as long as a shape's, `hierarchy.moves`
+LINGER_S = 60.0  # previous homes are named for so long: as long as in `hierarchy.migration`
 
+ShardKey = tuple[SheetKey, int]  # a sheet and a shard of it
 
-class Moved(NamedTuple):
-    """A shard that another table places otherwise.
 
-    `before` is `None` where the shard is new or cut otherwise: each object comes from where the former table
-    had it.
+class ShardMove(NamedTuple):
+    """A shard that another table places differently.
+
+    `before` is None if the shard is new or holds objects of other shards: each object comes from where the
+    previous table had it.
     """
 
-    key: Key
+    key: SheetKey
     shard: int
     before: tuple[str, ...] | None
     after: tuple[str, ...]
 
 
-class Turn(NamedTuple):
-    """When a shard follows the newer table."""
+class ScheduledMove(NamedTuple):
+    """The time at which a shard follows the newer table, and its previous members as in `ShardMove`."""
 
     due: float
     before: tuple[str, ...] | None
 
 
-class Placed(NamedTuple):
-    """Where an object is placed now; `former`: who had it and may be asked, in order."""
+class CurrentPlacement(NamedTuple):
+    """Where an object is placed now.
+
+    `previous` are the members that had it and may hold it, in order. `pending`: its shard has yet to
+    migrate, and `found` gives the members where it still is.
+    """
+
+    found: FoundShard
+    previous: tuple[str, ...]
+    pending: bool
+
 
-    found: Found
-    former: tuple[str, ...]
-    waits: bool  # for its turn: it is still where it was
+class MigrationPendingError(PaddlequayError, ValueError):
+    """Shards wait for their migrations; a table that cuts shards differently has to wait, too.
 
+    Attributes:
+        remaining_s: The seconds until the last shard has migrated.
+    """
 
-def key_of(rule: Rule, cell: Cell | None) -> Key:
-    return rule.name, None if cell is None else cell.name
+    def __init__(self, remaining_s: float) -> None:
+        super().__init__(f"shards wait for their turns for {remaining_s:.1f} s more")
+        self.remaining_s = remaining_s
 
 
-def kept(old: Table, new: Table) -> set[Key]:
-    """The sheets whose shards hold no object that was in another shard before."""
+def unchanged_sheets(old: Table, new: Table) -> set[SheetKey]:
+    """Returns the sheets whose shards hold no object that was in another shard before."""
     if old.rules is new.rules:
         return set(new.sheets)
-    work = Work(WORK_MOST)
-    before = {key_of(rule, cell): (rule, cell) for rule, cell in old.rules.plan()}
-    same: set[Key] = set()
+    work = WorkBudget(MAX_RESOLVE_STEPS)
+    before = {sheet_key(rule, cell): (rule, cell) for rule, cell in old.rules.sheets()}
+    unchanged: set[SheetKey] = set()
     try:
-        for rule, cell in new.rules.plan():
-            key = key_of(rule, cell)
+        for rule, cell in new.rules.sheets():
+            key = sheet_key(rule, cell)
             if key not in before:
                 continue
-            was, was_cell = before[key]
-            if (was.shards, was.by) != (rule.shards, rule.by):
+            old_rule, old_cell = before[key]
+            if (old_rule.shards, old_rule.shard_by) != (rule.shards, rule.shard_by):
                 continue
-            if not less(new.rules.taken(rule, cell, work), old.rules.taken(was, was_cell, work), work):
-                same.add(key)
-    except TooMuchError:
-        pass  # the rest is moved object by object, which is right for all
-    return same
+            requests = new.rules.effective_requests(rule, cell, work)
+            old_requests = old.rules.effective_requests(old_rule, old_cell, work)
+            if not subtract_region(requests, old_requests, work):
+                unchanged.add(key)
+    except WorkLimitError:
+        pass  # all other sheets migrate object by object, which is correct for any
+    return unchanged
 
 
-def moved(old: Table, new: Table) -> Iterator[Moved]:
-    """All shards of `new` that move. Rules are told apart by their names.
+def moved_shards(old: Table, new: Table) -> Iterator[ShardMove]:
+    """Yields all shards of `new` that move. Rules are identified by their names.
 
-    A shard that also holds objects which another rule, or another cut, placed before moves whole.
+    A shard that also holds objects which another rule, or another number of shards, placed before moves
+    whole.
     """
-    same = kept(old, new)
+    unchanged = unchanged_sheets(old, new)
     for key, sheet in new.sheets.items():
-        if key in same:
-            for shard, (was, now) in enumerate(zip(old.sheets[key].homes, sheet.homes, strict=True)):
-                if was is not now and was != now:
-                    yield Moved(key, shard, was, now)
-        else:
-            for shard, now in enumerate(sheet.homes):
-                yield Moved(key, shard, None, now)
-
-
-class BusyError(ValueError):
-    """Shards still wait for their turns: rules that cut them otherwise have to wait, too."""
+        if key not in unchanged:
+            for shard, after in enumerate(sheet.homes):
+                yield ShardMove(key, shard, None, after)
+            continue
+        pairs = zip(old.sheets[key].homes, sheet.homes, strict=True)
+        for shard, (before, after) in enumerate(pairs):
+            if before is not after and before != after:
+                yield ShardMove(key, shard, before, after)
 
 
-class Mover:
-    """The table in use and the shards that still follow, or just followed, the one before.
+class Migration:
+    """The table in use, and the shards that still follow the previous one or have just left it.
 
-    Bound: a turn for each shard of the table in use, all forgotten `linger` after the last has come; one
-    table besides that in use. Without a pace in the rules all shards move at once.
+    Memory: one scheduled move for each shard of the table in use, all forgotten `linger_s` after the last
+    is due, and the previous table. Without a pace in the rules all shards migrate at once.
     """
 
-    def __init__(self, table: Table, linger: float = LINGER) -> None:
+    def __init__(self, table: Table, linger_s: float = LINGER_S) -> None:
         self.table = table
-        self.linger = linger
-        self.turns: dict[tuple[Key, int], Turn] = {}
-        self.former: Table | None = None  # where a shard without `before` has its objects from
-        self.free = 0.0  # from when on another shard may move
-        self.ends = 0.0  # all turns have come, and the former homes are forgotten
-
-    def change(self, table: Table, now: float) -> int:
-        """Follow another table from now on, shard by shard; how many shards are yet to move.
-
-        A shard that waits keeps its turn and goes straight to its newest place. A shard whose home has left
-        the list moves at once, beyond the pace: who would wait for it there waits in vain. A change of the
-        list alone is always taken; rules that cut shards otherwise are not while any waits: `BusyError`.
+        self.linger_s = linger_s
+        self.scheduled: dict[ShardKey, ScheduledMove] = {}
+        self.previous_table: Table | None = None  # where a shard without `before` has its objects from
+        self.next_free_at = 0.0  # from then on another shard may migrate
+        self.ends_at = 0.0  # all shards have migrated, and the previous homes are forgotten
+
+    # --- changes ---
+
+    def change_table(self, table: Table, now: float) -> int:
+        """Follows another table from now on, shard by shard, and returns how many are yet to migrate.
+
+        A shard that waits keeps its time and goes straight to its newest members. A shard whose home has
+        left the list migrates at once, beyond the pace, since that home cannot serve it. A change of the
+        list alone is always accepted.
+
+        Raises:
+            MigrationPendingError: The table cuts shards differently while others wait.
         """
-        self.settle(now)
-        moves = list(moved(self.table, table))
+        self.forget_finished(now)
+        moves = list(moved_shards(self.table, table))
         if any(move.before is None for move in moves):
-            if self.waiting(now):
-                last = max(turn.due for turn in self.turns.values())
-                raise BusyError(f"shards wait for their turns for {last - now:.1f} s more")
-            # Objects of an earlier cut are where the table in use has them.
-            self.turns = {at: turn for at, turn in self.turns.items() if turn.before is not None}
-            self.former = self.table
-        self.turns = {at: turn for at, turn in self.turns.items() if at[0] in table.sheets}
-        # Neighbours have nothing to do with one another, so that all members take and give evenly.
+            self._begin_recut(now)
+        self.scheduled = {key: move for key, move in self.scheduled.items() if key[0] in table.sheets}
+        # In a hashed order, so that all members give and take evenly: neighbouring shards are unrelated.
         moves.sort(key=lambda move: (slot_of(move.shard + 1), move.shard, str(move.key)))
         self.table = table
-        pace = table.rules.pace
-        start, paced = max(self.free, now), 0
+        self._schedule(moves, now)
+        return self.pending_count(now)
+
+    def _begin_recut(self, now: float) -> None:
+        """Prepares for shards that hold objects of others; raises while any shard waits."""
+        if self.pending_count(now):
+            last_due = max(move.due for move in self.scheduled.values())
+            raise MigrationPendingError(last_due - now)
+        # Objects of an earlier cut are where the table in use has them.
+        self.scheduled = {key: move for key, move in self.scheduled.items() if move.before is not None}
+        self.previous_table = self.table
+
+    def _schedule(self, moves: list[ShardMove], now: float) -> None:
+        """Sets the time of each move, in order and at the pace of the rules."""
+        pace = self.table.rules.shards_per_s
+        start = max(self.next_free_at, now)
+        paced_count = 0
         for move in moves:
-            at = (move.key, move.shard)
-            turn = self.turns.get(at)
-            if turn is not None and turn.due > now:
-                if turn.before == move.after:
-                    del self.turns[at]  # it need not move any more
+            key = (move.key, move.shard)
+            waiting = self.scheduled.get(key)
+            if waiting is not None and waiting.due > now:
+                if waiting.before == move.after:
+                    del self.scheduled[key]  # it is back where it still is
                 continue
             due = now
-            if pace is not None and (move.before is None or self.stands(move.before)):
-                paced += 1
-                due = self.free = start + paced / pace
-            self.turns[at] = Turn(due, move.before)
-            self.ends = max(self.ends, due + self.linger)
-        return self.waiting(now)
-
-    def stands(self, members: tuple[str, ...]) -> bool:
-        """Whether the home of these is still listed."""
-        return bool(members) and members[0] in self.table.listed
-
-    def settle(self, now: float) -> None:
-        """Forget what is over."""
-        if now >= self.ends:
-            self.turns.clear()
-            self.former = None
-
-    def waiting(self, now: float) -> int:
-        """Shards whose turn has not come."""
-        return sum(turn.due > now for turn in self.turns.values())
+            if pace is not None and (move.before is None or self.is_home_listed(move.before)):
+                paced_count += 1
+                due = start + paced_count / pace
+                self.next_free_at = due
+            self.scheduled[key] = ScheduledMove(due, move.before)
+            self.ends_at = max(self.ends_at, due + self.linger_s)
+
+    def forget_finished(self, now: float) -> None:
+        """Forgets all moves and the previous table once the last previous homes are no longer named."""
+        if now >= self.ends_at:
+            self.scheduled.clear()
+            self.previous_table = None
+
+    # --- questions ---
+
+    def is_home_listed(self, members: tuple[str, ...]) -> bool:
+        """Returns whether the home of a shard with these members is still listed."""
+        return bool(members) and members[0] in self.table.name_set
+
+    def pending_count(self, now: float) -> int:
+        """Returns how many shards have yet to migrate."""
+        return sum(move.due > now for move in self.scheduled.values())
 
     def lookup(
         self,
@@ -163,21 +195,21 @@
         key: int | None,
         part: int | None,
         now: float,
-    ) -> Placed | None:
-        """Where an object is placed now; `None` by no rule."""
+    ) -> CurrentPlacement | None:
+        """Returns where an object is placed now, None if no rule is for it."""
         found = self.table.lookup(class_name, tenant, group, key, part)
         if found is None:
             return None
-        turn = self.turns.get(((found.rule, found.cell), found.shard)) if self.turns else None
-        if turn is None or now >= turn.due + self.linger:
-            return Placed(found, (), False)
-        before = turn.before
-        if before is None and self.former is not None:
-            earlier = self.former.lookup(class_name, tenant, group, key, part)
+        move = self.scheduled.get(((found.rule, found.cell), found.shard)) if self.scheduled else None
+        if move is None or now >= move.due + self.linger_s:
+            return CurrentPlacement(found, (), False)
+        before = move.before
+        if before is None and self.previous_table is not None:
+            earlier = self.previous_table.lookup(class_name, tenant, group, key, part)
             before = None if earlier is None else earlier.members
         before = before or ()
-        listed = self.table.listed
-        if now < turn.due and self.stands(before):
-            members = tuple(name for name in before if name in listed)
-            return Placed(found._replace(members=members), (), True)
-        return Placed(found, tuple(n for n in before if n in listed and n not in found.members), False)
+        listed = [name for name in before if name in self.table.name_set]
+        if now < move.due and self.is_home_listed(before):
+            return CurrentPlacement(found._replace(members=tuple(listed)), (), True)
+        previous = tuple(name for name in listed if name not in found.members)
+        return CurrentPlacement(found, previous, False)
--- a/paddlequay/placement/regions.py
+++ b/paddlequay/placement/regions.py
@@ -1,112 +1,137 @@
-"""Sets of things by their attributes, with exact union, difference and emptiness.
+"""Sets of members or requests by their attributes, with exact intersection, difference and emptiness.
 
-A thing is a tuple of values, one for each attribute. A box names for each attribute which values it takes:
-these, or all but these; a region is a union of boxes. That is enough to say without trying any list whether a
-rule is ever reached, or a member can be among those of a cell. All work is counted, so that no file takes
-longer than `Work` allows.
+An item is a tuple of values, one for each attribute. A box names for each attribute which values it contains:
+some values, or all but some; a region is a union of boxes. With these it is decided without trying any list
+whether a rule is ever reached, or whether a member can be in a cell. All work is counted in steps, so that no
+file takes longer than its `WorkBudget` allows.
 """
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
+from paddlequay.errors import PaddlequayError
+
 Value = str | int | None
 
+VALUES_PER_STEP = 64  # so many values take about as long to compare as the rest of a step
+
+
+class WorkLimitError(PaddlequayError, ValueError):
+    """A file of rules asks for more work than it may.
+
+    Attributes:
+        max_steps: The steps that were allowed.
+    """
 
-class TooMuchError(ValueError):
-    """More work than a file of rules may ask for."""
+    def __init__(self, max_steps: int) -> None:
+        super().__init__(f"more than {max_steps} steps")
+        self.max_steps = max_steps
 
 
-class Work:
-    """Steps that may still be taken; counted, not clocked, so that all machines refuse the same files."""
+class WorkBudget:
+    """The steps that may still be taken; counted, not timed, so that all machines refuse the same files."""
 
-    def __init__(self, most: int) -> None:
-        self.most = self.left = most
+    def __init__(self, max_steps: int) -> None:
+        self.max_steps = max_steps
+        self.steps_left = max_steps
 
     def spend(self, steps: int) -> None:
-        self.left -= steps
-        if self.left < 0:
-            raise TooMuchError(f"more than {self.most} steps")
+        """Takes steps from the budget; raises `WorkLimitError` once it is exceeded."""
+        self.steps_left -= steps
+        if self.steps_left < 0:
+            raise WorkLimitError(self.max_steps)
 
 
 @dataclass(frozen=True, slots=True)
-class Some:
-    """These values or, with `but`, all others."""
+class ValueSet:
+    """These values or, if `complement` is set, all others."""
 
     values: frozenset[Value] = frozenset()
-    but: bool = False
+    complement: bool = False
 
     def __contains__(self, value: object) -> bool:
-        return (value in self.values) is not self.but
+        return (value in self.values) is not self.complement
 
     @property
-    def empty(self) -> bool:
-        return not self.values and not self.but
-
-    def meet(self, other: "Some") -> "Some":
-        if self.but:
-            return Some(self.values | other.values, True) if other.but else Some(other.values - self.values)
-        return Some(self.values - other.values if other.but else self.values & other.values)
-
-    def others(self) -> "Some":
-        return Some(self.values, not self.but)
-
-
-ANY = Some(but=True)
-Box = tuple[Some, ...]
+    def is_empty(self) -> bool:
+        """Whether no value is in the set."""
+        return not self.values and not self.complement
+
+    def intersection(self, other: "ValueSet") -> "ValueSet":
+        """Returns the values that are in both sets."""
+        if self.complement and other.complement:
+            return ValueSet(self.values | other.values, True)
+        if self.complement:
+            return ValueSet(other.values - self.values)
+        if other.complement:
+            return ValueSet(self.values - other.values)
+        return ValueSet(self.values & other.values)
+
+    def inverted(self) -> "ValueSet":
+        """Returns the values that are not in the set."""
+        return ValueSet(self.values, not self.complement)
+
+
+ANY = ValueSet(complement=True)
+Box = tuple[ValueSet, ...]
 Region = tuple[Box, ...]
 
 
-def these(values: Iterable[Value]) -> Some:
-    return Some(frozenset(values))
+def value_set(values: Iterable[Value]) -> ValueSet:
+    """Returns the set of these values."""
+    return ValueSet(frozenset(values))
 
 
-def boxed(count: int, at: int, some: Some) -> Region:
-    """All things whose attribute `at` of `count` is in `some`."""
-    return (tuple(some if n == at else ANY for n in range(count)),)
+def attribute_region(attribute_count: int, index: int, values: ValueSet) -> Region:
+    """Returns the items whose attribute `index` of `attribute_count` has one of some values."""
+    return (tuple(values if n == index else ANY for n in range(attribute_count)),)
 
 
-def cost(*boxes: Box) -> int:
-    """Steps to compare boxes: some 3 µs each, of which 64 values take about as long as all the rest."""
-    return 1 + sum(len(some.values) for box in boxes for some in box) // 64
+def comparison_steps(*boxes: Box) -> int:
+    """Returns the steps to compare boxes, of about 3 µs each."""
+    return 1 + sum(len(values.values) for box in boxes for values in box) // VALUES_PER_STEP
 
 
-def both(a: Box, b: Box, work: Work) -> Box | None:
-    """What is in both, or `None` for nothing."""
-    work.spend(cost(a, b))
-    met = tuple(x.meet(y) for x, y in zip(a, b, strict=True))
-    return None if any(some.empty for some in met) else met
+def intersect_boxes(a: Box, b: Box, work: WorkBudget) -> Box | None:
+    """Returns the intersection of two boxes, None if it is empty."""
+    work.spend(comparison_steps(a, b))
+    common = tuple(x.intersection(y) for x, y in zip(a, b, strict=True))
+    return None if any(values.is_empty for values in common) else common
 
 
-def without(box: Box, other: Box, work: Work) -> list[Box]:
-    """`box` less `other`, as boxes that do not overlap, no more than there are attributes."""
-    met = both(box, other, work)
-    if met is None:
+def subtract_box(box: Box, other: Box, work: WorkBudget) -> list[Box]:
+    """Returns `box` less `other` as disjoint boxes, at most one for each attribute."""
+    common = intersect_boxes(box, other, work)
+    if common is None:
         return [box]
     pieces = []
-    for n, some in enumerate(box):
-        rest = some.meet(other[n].others())
-        if not rest.empty:
-            pieces.append((*met[:n], rest, *box[n + 1 :]))
+    for n, values in enumerate(box):
+        rest = values.intersection(other[n].inverted())
+        if not rest.is_empty:
+            pieces.append((*common[:n], rest, *box[n + 1 :]))
     return pieces
 
 
-def meet(a: Region, b: Region, work: Work) -> Region:
-    return tuple(met for x in a for y in b if (met := both(x, y, work)) is not None)
+def intersect_regions(a: Region, b: Region, work: WorkBudget) -> Region:
+    """Returns the intersection of two regions."""
+    return tuple(common for x in a for y in b if (common := intersect_boxes(x, y, work)) is not None)
 
 
-def less(a: Region, b: Region, work: Work) -> Region:
-    left = list(a)
+def subtract_region(a: Region, b: Region, work: WorkBudget) -> Region:
+    """Returns region `a` less region `b`."""
+    rest = list(a)
     for other in b:
-        left = [piece for box in left for piece in without(box, other, work)]
-    return tuple(left)
+        rest = [piece for box in rest for piece in subtract_box(box, other, work)]
+    return tuple(rest)
 
 
-def holds(region: Region, thing: Sequence[Value]) -> bool:
-    return any(all(value in some for value, some in zip(thing, box, strict=True)) for box in region)
+def contains(region: Region, item: Sequence[Value]) -> bool:
+    """Returns whether an item is in a region."""
+    return any(all(value in values for value, values in zip(item, box, strict=True)) for box in region)
 
 
-def most(region: Region, at: int) -> int | None:
-    """How many values of attribute `at` the region can have at most; `None`: no bound."""
-    if any(box[at].but for box in region):
+def max_value_count(region: Region, index: int) -> int | None:
+    """Returns how many values of attribute `index` a region can have at most, None if unbounded."""
+    if any(box[index].complement for box in region):
         return None
-    return len(frozenset[Value]().union(*(box[at].values for box in region)))
+    return len(frozenset[Value]().union(*(box[index].values for box in region)))
--- a/paddlequay/placement/syntax_tree.py
+++ b/paddlequay/placement/syntax_tree.py
@@ -1,329 +1,447 @@
-"""The sentences of a file of rules, as they stand there: typed, with their places, nothing looked up yet."""
+"""The syntax tree of a file of placement rules: typed sentences with positions, names not yet resolved."""
 
 from dataclasses import dataclass, field
 from functools import cache
-from typing import Any, Literal
+from typing import Any, ClassVar, Literal
 
 from lark import Token, Transformer, v_args
 
 from paddlequay.placement.grammar import (
-    DIGITS_MOST,
-    NAME_MOST,
-    Language,
-    MisplacedError,
-    Place,
+    MAX_NAME_CHARS,
+    MAX_NUMBER_DIGITS,
+    MAX_TOKEN_CHARS,
+    Position,
+    RuleParser,
+    RuleTextError,
     Source,
-    place_of,
+    token_position,
 )
 
-NESTING_MOST = 16  # parentheses and "not" within one another
-GROUP_MOST = 4_095  # the highest number of a group that rules can tell apart
-SHARDS_MOST = 65_536  # of one rule: the slots of `homes`, so that a shard is never less than a slot
-COPIES_MOST = 16
-PRECEDENCE_MOST = 1_000_000
-PACE_MOST = 1_000_000  # shards a second
-WEIGHT_RANGE = (0.01, 100.0)
+MAX_NESTING = 16  # of parentheses and "not"
+MAX_GROUP = 4_095  # the highest number of a group that rules can tell apart
+MAX_SHARDS = 65_536  # of one rule: the slots of `homes`, so that a shard is never less than a slot
+MAX_COPIES = 16
+MAX_PRECEDENCE = 1_000_000
+MAX_SHARDS_PER_S = 1_000_000
+MIN_WEIGHT_FACTOR = 0.01
+MAX_WEIGHT_FACTOR = 100.0
 
 Attribute = Literal["name", "zone", "kind", "cell"]
+Spread = Literal["zone", "kind"]
+
+
+# --- words ---
 
 
 @dataclass(frozen=True, slots=True)
 class Name:
+    """A name, without its quotes."""
+
     text: str
-    place: Place = field(compare=False)
+    position: Position = field(compare=False)
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class WholeNumber:
+    """A whole number."""
+
     value: int
-    place: Place = field(compare=False)
+    position: Position = field(compare=False)
+
+
+# --- expressions that choose members ---
 
 
 @dataclass(frozen=True, slots=True)
-class Which:
-    """Members by an attribute."""
+class AttributeTerm:
+    """The members whose attribute has one of some values."""
 
     attribute: Attribute
-    values: tuple[Name | Whole, ...]
+    values: tuple[Name | WholeNumber, ...]
     depth: int = 1
 
 
 @dataclass(frozen=True, slots=True)
-class InCell:
+class CellTerm:
+    """The members of a cell that the file defines."""
+
     cell: Name
     depth: int = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Join:
-    """`or`, `and` or `not` of others."""
+class Combination:
+    """The union, intersection or complement of other expressions; `depth` counts the nesting."""
 
-    how: Literal["or", "and", "not"]
-    parts: "tuple[Who, ...]"
+    operator: Literal["or", "and", "not"]
+    parts: "tuple[MemberExpression, ...]"
     depth: int
 
 
-Who = Which | InCell | Join
+MemberExpression = AttributeTerm | CellTerm | Combination
 
 
-@dataclass(frozen=True, slots=True)
-class Declared:
-    what: Literal["classes", "zones", "kinds"]
-    names: tuple[Name, ...]
+# --- clauses of a rule ---
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
-    shards: int
-    place: Place
+class RequestMatch:
+    """One condition on the requests that a rule is for."""
+
+    attribute: Literal["class", "tenant", "group"]
+    values: tuple[Name, ...] | frozenset[int]
+    position: Position
 
 
 @dataclass(frozen=True, slots=True)
-class CellIs:
-    name: Name
-    who: Who
+class ShardsClause:
+    """`64 shards by object`."""
+
+    WORD: ClassVar[str] = "shards"  # that names the clause in errors
+
+    count: WholeNumber
+    by: str
+    position: Position
 
 
 @dataclass(frozen=True, slots=True)
-class TenantStays:
-    name: Name
-    cell: Name
-    share: float | None  # of 1
+class CopiesClause:
+    """`2 copies over 2 zones`."""
+
+    WORD: ClassVar[str] = "copies"
+
+    count: WholeNumber
+    min_domains: WholeNumber | None
+    spread: Spread | None
+    position: Position
 
 
 @dataclass(frozen=True, slots=True)
-class For:
-    """One part of what a rule is for."""
+class MembersClause:
+    """`among zone north` or `avoid kind small`."""
 
-    what: Literal["class", "tenant", "group"]
-    values: tuple[Name, ...] | frozenset[int]
-    place: Place
+    word: Literal["among", "avoid"]
+    members: MemberExpression
+    position: Position
 
 
 @dataclass(frozen=True, slots=True)
-class Shards:
-    count: Whole
-    by: str
-    place: Place
+class WeightClause:
+    """`weigh kind big by 2`."""
+
+    members: MemberExpression
+    factor: float
 
 
 @dataclass(frozen=True, slots=True)
-class Copies:
-    count: Whole
-    over: Whole | None
-    spread: Literal["zone", "kind"] | None
-    place: Place
+class PinClause:
+    """`pin shards 3, 8 through 9 to member m`; ranges include both ends."""
+
+    ranges: tuple[tuple[WholeNumber, WholeNumber], ...]
+    member: Name
+    position: Position
+
+
+Clause = ShardsClause | CopiesClause | MembersClause | WeightClause | PinClause
+
+
+# --- statements ---
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
-    """`among` or `avoid`."""
+class Declaration:
+    """All classes, zones or kinds that the file may name."""
 
-    how: Literal["among", "avoid"]
-    who: Who
-    place: Place
+    what: Literal["classes", "zones", "kinds"]
+    names: tuple[Name, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Weigh:
-    who: Who
-    by: float
+class PaceStatement:
+    """How many shards may migrate in a second."""
+
+    shards_per_s: int
+    position: Position
 
 
 @dataclass(frozen=True, slots=True)
-class Pin:
-    ranges: tuple[tuple[Whole, Whole], ...]
-    member: Name
-    place: Place
+class CellStatement:
+    """The definition of a cell."""
 
+    name: Name
+    members: MemberExpression
+
+
+@dataclass(frozen=True, slots=True)
+class TenantStatement:
+    """A tenant that is confined to a cell, with its share of all load (of 1) if that is given."""
 
-Clause = Shards | Copies | Choice | Weigh | Pin
+    name: Name
+    cell: Name
+    load_share: float | None
 
 
 @dataclass(frozen=True, slots=True)
-class Spoken:
-    """A rule as it stands; without `precedence` it is the last one."""
+class RuleStatement:
+    """A rule; without `precedence` it is the fallback."""
 
     name: Name
-    precedence: Whole | None
-    matches: tuple[For, ...]
+    precedence: WholeNumber | None
+    matches: tuple[RequestMatch, ...]
     clauses: tuple[Clause, ...]
 
 
-Statement = Declared | Pace | CellIs | TenantStays | Spoken
+Statement = Declaration | PaceStatement | CellStatement | TenantStatement | RuleStatement
 
 
-def number(token: Token, low: float, high: float) -> float:
-    """The value of a number; `low` and `high` are allowed."""
+# --- numbers ---
+
+
+def read_number(token: Token, minimum: float, maximum: float) -> float:
+    """Returns the value of a number within bounds, both ends included.
+
+    Raises:
+        RuleTextError: The number is out of bounds or has too many digits.
+    """
     digits = len(token) - token.count(".")
-    value = float(token) if digits <= DIGITS_MOST else None
-    if value is None or not low <= value <= high:
-        raise MisplacedError(
-            place_of(token), f"expected a number from {low:g} to {high:g}, got {str(token)[:40]}"
-        )
+    value = float(token) if digits <= MAX_NUMBER_DIGITS else None
+    if value is None or not minimum <= value <= maximum:
+        shown = str(token)[:MAX_TOKEN_CHARS]
+        message = f"expected a number from {minimum:g} to {maximum:g}, got {shown}"
+        raise RuleTextError(token_position(token), message)
     return value
 
 
-def whole(token: Token, low: int, high: int) -> Whole:
-    if "." in token or len(token) > DIGITS_MOST or not low <= int(token) <= high:
-        said = f"expected a whole number from {low} to {high}, got {str(token)[:40]}"
-        raise MisplacedError(place_of(token), said)
-    return Whole(int(token), place_of(token))
+def read_whole_number(token: Token, minimum: int, maximum: int) -> WholeNumber:
+    """Returns a whole number within bounds, both ends included.
 
+    Raises:
+        RuleTextError: The number is not whole, out of bounds or has too many digits.
+    """
+    is_whole = "." not in token and len(token) <= MAX_NUMBER_DIGITS
+    if not is_whole or not minimum <= int(token) <= maximum:
+        shown = str(token)[:MAX_TOKEN_CHARS]
+        message = f"expected a whole number from {minimum} to {maximum}, got {shown}"
+        raise RuleTextError(token_position(token), message)
+    return WholeNumber(int(token), token_position(token))
 
-def span(first: Token, last: Token | None, most: int) -> tuple[Whole, Whole]:
-    low = whole(first, 0, most)
+
+def read_range(first: Token, last: Token | None, maximum: int) -> tuple[WholeNumber, WholeNumber]:
+    """Returns the ends of a range from 0 on; one number is a range of one.
+
+    Raises:
+        RuleTextError: An end is out of bounds, or the range goes backward.
+    """
+    low = read_whole_number(first, 0, maximum)
     if last is None:
         return low, low
-    high = whole(last, 0, most)
+    high = read_whole_number(last, 0, maximum)
     if high.value < low.value:
-        raise MisplacedError(high.place, f"expected a number from {low.value} on, got {high.value}")
+        raise RuleTextError(high.position, f"expected a number from {low.value} on, got {high.value}")
     return low, high
 
 
+# --- the transformer ---
+
+RangeTokens = tuple[Token, Token | None]
+
+
 @v_args(inline=True)
-class Reader(Transformer[Token, Any]):
-    """From the parser's tokens; each method is the sentence of that name in the grammar."""
+class TreeBuilder(Transformer[Token, Any]):
+    """Builds the tree from the parser's tokens; each method is for the grammar's rule of that name."""
 
     def start(self, *statements: Statement) -> tuple[Statement, ...]:
+        """Returns all statements in the order of the file."""
         return statements
 
     def name(self, token: Token) -> Name:
+        """Returns a name without its quotes."""
         text = str(token)[1:-1] if token.type == "QUOTED" else str(token)
-        if len(text) > NAME_MOST:
-            raise MisplacedError(place_of(token), f"expected a name of at most {NAME_MOST} characters")
-        return Name(text, place_of(token))
+        if len(text) > MAX_NAME_CHARS:
+            message = f"expected a name of at most {MAX_NAME_CHARS} characters"
+            raise RuleTextError(token_position(token), message)
+        return Name(text, token_position(token))
 
     def names(self, *names: Name) -> tuple[Name, ...]:
+        """Returns a list of names."""
         return names
 
-    def range(self, first: Token, last: Token | None) -> tuple[Token, Token | None]:
+    def range(self, first: Token, last: Token | None) -> RangeTokens:
+        """Returns the tokens of a range, whose bounds depend on the sentence."""
         return first, last
 
-    def ranges(self, *ranges: tuple[Token, Token | None]) -> tuple[tuple[Token, Token | None], ...]:
+    def ranges(self, *ranges: RangeTokens) -> tuple[RangeTokens, ...]:
+        """Returns a list of ranges."""
         return ranges
 
-    def classes(self, names: tuple[Name, ...]) -> Declared:
-        return Declared("classes", names)
+    def classes(self, names: tuple[Name, ...]) -> Declaration:
+        """Returns the declaration of all classes."""
+        return Declaration("classes", names)
 
-    def zones(self, names: tuple[Name, ...]) -> Declared:
-        return Declared("zones", names)
+    def zones(self, names: tuple[Name, ...]) -> Declaration:
+        """Returns the declaration of all zones."""
+        return Declaration("zones", names)
 
-    def kinds(self, names: tuple[Name, ...]) -> Declared:
-        return Declared("kinds", names)
+    def kinds(self, names: tuple[Name, ...]) -> Declaration:
+        """Returns the declaration of all kinds."""
+        return Declaration("kinds", names)
 
-    def pace(self, word: Token, count: Token) -> Pace:
-        return Pace(whole(count, 1, PACE_MOST).value, place_of(word))
+    def pace(self, word: Token, count: Token) -> PaceStatement:
+        """Returns the pace of migrations."""
+        return PaceStatement(read_whole_number(count, 1, MAX_SHARDS_PER_S).value, token_position(word))
 
-    def cell(self, name: Name, who: Who) -> CellIs:
-        return CellIs(name, who)
+    def cell(self, name: Name, members: MemberExpression) -> CellStatement:
+        """Returns the definition of a cell."""
+        return CellStatement(name, members)
 
-    def tenant(self, name: Name, cell: Name, share: Token | None) -> TenantStays:
-        return TenantStays(name, cell, None if share is None else number(share, 0, 100) / 100)
+    def tenant(self, name: Name, cell: Name, percent: Token | None) -> TenantStatement:
+        """Returns the cell of a tenant."""
+        share = None if percent is None else read_number(percent, 0, 100) / 100
+        return TenantStatement(name, cell, share)
 
     def rule(
-        self, name: Name, precedence: Token, what: tuple[For, ...], clauses: tuple[Clause, ...]
-    ) -> Spoken:
-        return Spoken(name, whole(precedence, 0, PRECEDENCE_MOST), what, clauses)
-
-    def fallback(self, word: Token, clauses: tuple[Clause, ...]) -> Spoken:
-        return Spoken(Name(str(word), place_of(word)), None, (), clauses)
-
-    def what(self, *matches: For) -> tuple[For, ...]:
+        self,
+        name: Name,
+        precedence: Token,
+        matches: tuple[RequestMatch, ...],
+        clauses: tuple[Clause, ...],
+    ) -> RuleStatement:
+        """Returns a rule."""
+        return RuleStatement(name, read_whole_number(precedence, 0, MAX_PRECEDENCE), matches, clauses)
+
+    def fallback(self, word: Token, clauses: tuple[Clause, ...]) -> RuleStatement:
+        """Returns the fallback, a rule without precedence."""
+        return RuleStatement(Name(str(word), token_position(word)), None, (), clauses)
+
+    def requests(self, *matches: RequestMatch) -> tuple[RequestMatch, ...]:
+        """Returns the conditions on a rule's requests; none means all requests."""
         return matches
 
-    def of_class(self, word: Token, names: tuple[Name, ...]) -> For:
-        return For("class", names, place_of(word))
+    def of_class(self, word: Token, names: tuple[Name, ...]) -> RequestMatch:
+        """Returns a condition on the class."""
+        return RequestMatch("class", names, token_position(word))
 
-    def of_tenant(self, word: Token, names: tuple[Name, ...]) -> For:
-        return For("tenant", names, place_of(word))
+    def of_tenant(self, word: Token, names: tuple[Name, ...]) -> RequestMatch:
+        """Returns a condition on the tenant."""
+        return RequestMatch("tenant", names, token_position(word))
 
-    def of_group(self, word: Token, ranges: tuple[tuple[Token, Token | None], ...]) -> For:
-        spans = [span(first, last, GROUP_MOST) for first, last in ranges]
+    def of_group(self, word: Token, ranges: tuple[RangeTokens, ...]) -> RequestMatch:
+        """Returns a condition on the group."""
+        spans = [read_range(first, last, MAX_GROUP) for first, last in ranges]
         groups = frozenset(n for low, high in spans for n in range(low.value, high.value + 1))
-        return For("group", groups, place_of(word))
+        return RequestMatch("group", groups, token_position(word))
 
     def clauses(self, *clauses: Clause) -> tuple[Clause, ...]:
+        """Returns the clauses of a rule."""
         return clauses
 
     def by(self, *words: Token | None) -> str:
+        """Returns by what objects fall into shards."""
         return " and ".join(str(word) for word in words if word is not None)
 
-    def shards(self, count: Token, by: str) -> Shards:
-        held = whole(count, 1, SHARDS_MOST)
-        return Shards(held, by, held.place)
+    def shards(self, count: Token, by: str) -> ShardsClause:
+        """Returns the number of shards."""
+        number = read_whole_number(count, 1, MAX_SHARDS)
+        return ShardsClause(number, by, number.position)
 
-    def copies(self, count: Token, over: Token | None, spread: Literal["zone", "kind"] | None) -> Copies:
-        held = whole(count, 1, COPIES_MOST)
-        return Copies(held, None if over is None else whole(over, 1, COPIES_MOST), spread, held.place)
+    def copies(self, count: Token, domains: Token | None, spread: Spread | None) -> CopiesClause:
+        """Returns the number of copies and how they are spread."""
+        number = read_whole_number(count, 1, MAX_COPIES)
+        min_domains = None if domains is None else read_whole_number(domains, 1, MAX_COPIES)
+        return CopiesClause(number, min_domains, spread, number.position)
 
     def spread(self, word: Token) -> str:
+        """Returns the attribute over which copies are spread."""
         return str(word).removesuffix("s")
 
-    def among(self, word: Token, who: Who) -> Choice:
-        return Choice("among", who, place_of(word))
+    def among(self, word: Token, members: MemberExpression) -> MembersClause:
+        """Returns the members that a rule may use."""
+        return MembersClause("among", members, token_position(word))
 
-    def avoid(self, word: Token, who: Who) -> Choice:
-        return Choice("avoid", who, place_of(word))
+    def avoid(self, word: Token, members: MemberExpression) -> MembersClause:
+        """Returns the members that a rule may not use."""
+        return MembersClause("avoid", members, token_position(word))
 
-    def weigh(self, _: Token, who: Who, by: Token) -> Weigh:
-        return Weigh(who, number(by, *WEIGHT_RANGE))
+    def weigh(self, _: Token, members: MemberExpression, factor: Token) -> WeightClause:
+        """Returns a factor on the weight of some members."""
+        return WeightClause(members, read_number(factor, MIN_WEIGHT_FACTOR, MAX_WEIGHT_FACTOR))
 
-    def pin(self, word: Token, ranges: tuple[tuple[Token, Token | None], ...], member: Name) -> Pin:
-        spans = tuple(span(first, last, SHARDS_MOST - 1) for first, last in ranges)
-        return Pin(spans, member, place_of(word))
+    def pin(self, word: Token, ranges: tuple[RangeTokens, ...], member: Name) -> PinClause:
+        """Returns shards that are pinned to a member."""
+        spans = tuple(read_range(first, last, MAX_SHARDS - 1) for first, last in ranges)
+        return PinClause(spans, member, token_position(word))
 
-    def either(self, *parts: Who) -> Who:
-        return joined("or", parts)
+    def union(self, *parts: MemberExpression) -> MemberExpression:
+        """Returns expressions joined by `or`."""
+        return combine("or", parts)
 
-    def both(self, *parts: Who) -> Who:
-        return joined("and", parts)
+    def intersection(self, *parts: MemberExpression) -> MemberExpression:
+        """Returns expressions joined by `and`."""
+        return combine("and", parts)
 
-    def other(self, word: Token, who: Who) -> Who:
-        return Join("not", (who,), deeper(who, place_of(word)))
+    def negation(self, word: Token, members: MemberExpression) -> MemberExpression:
+        """Returns the complement of an expression."""
+        return Combination("not", (members,), nested_depth(members, token_position(word)))
 
-    def nested(self, who: Who) -> Who:
-        first = who
-        while isinstance(first, Join):
+    def parenthesized(self, members: MemberExpression) -> MemberExpression:
+        """Returns an expression in parentheses, which count as nesting even around a single term."""
+        first = members
+        while isinstance(first, Combination):
             first = first.parts[0]
-        place = first.cell.place if isinstance(first, InCell) else first.values[0].place
-        deeper(who, place)
-        # A pair of parentheses counts even where it holds one thing only.
-        return Join("or", (who,), who.depth + 1)
+        position = first.cell.position if isinstance(first, CellTerm) else first.values[0].position
+        return Combination("or", (members,), nested_depth(members, position))
+
+    def by_member(self, _: Token, names: tuple[Name, ...]) -> AttributeTerm:
+        """Returns the members of some names."""
+        return AttributeTerm("name", names)
 
-    def by_member(self, _: Token, names: tuple[Name, ...]) -> Which:
-        return Which("name", names)
+    def by_zone(self, _: Token, names: tuple[Name, ...]) -> AttributeTerm:
+        """Returns the members of some zones."""
+        return AttributeTerm("zone", names)
 
-    def by_zone(self, _: Token, names: tuple[Name, ...]) -> Which:
-        return Which("zone", names)
+    def by_kind(self, _: Token, names: tuple[Name, ...]) -> AttributeTerm:
+        """Returns the members of some kinds."""
+        return AttributeTerm("kind", names)
 
-    def by_kind(self, _: Token, names: tuple[Name, ...]) -> Which:
-        return Which("kind", names)
+    def by_number(self, _: Token, count: Token) -> AttributeTerm:
+        """Returns the members of a cell of the endpoint list."""
+        return AttributeTerm("cell", (read_whole_number(count, 0, 10**MAX_NUMBER_DIGITS - 1),))
 
-    def by_number(self, _: Token, count: Token) -> Which:
-        return Which("cell", (whole(count, 0, 10**DIGITS_MOST - 1),))
+    def by_cell(self, _: Token, name: Name) -> CellTerm:
+        """Returns the members of a cell of the file."""
+        return CellTerm(name)
 
-    def by_cell(self, _: Token, name: Name) -> InCell:
-        return InCell(name)
 
+def combine(operator: Literal["or", "and"], parts: tuple[MemberExpression, ...]) -> MemberExpression:
+    """Returns expressions joined by an operator; a single one stays as it is."""
+    if len(parts) == 1:
+        return parts[0]
+    return Combination(operator, parts, max(part.depth for part in parts))
 
-def joined(how: Literal["or", "and"], parts: tuple[Who, ...]) -> Who:
-    return parts[0] if len(parts) == 1 else Join(how, parts, max(part.depth for part in parts))
 
+def nested_depth(members: MemberExpression, position: Position) -> int:
+    """Returns the depth of an expression in one more nesting.
 
-def deeper(who: Who, place: Place) -> int:
-    if who.depth >= NESTING_MOST:
-        raise MisplacedError(place, f'expected at most {NESTING_MOST} of "(" and "not" within one another')
-    return who.depth + 1
+    Raises:
+        RuleTextError: The nesting is deeper than `MAX_NESTING`.
+    """
+    if members.depth >= MAX_NESTING:
+        message = f'expected at most {MAX_NESTING} of "(" and "not" within one another'
+        raise RuleTextError(position, message)
+    return members.depth + 1
 
 
 @cache
-def language() -> Language:
-    """Made once, when the first file is read: some tens of milliseconds."""
-    return Language(Reader())
+def rule_parser() -> RuleParser:
+    """Returns the parser, made when the first file is read: that takes some tens of milliseconds."""
+    return RuleParser(TreeBuilder())
+
 
+def parse_rules(source: Source) -> tuple[Statement, ...]:
+    """Returns the statements of a text.
 
-def spoken(source: Source) -> tuple[Statement, ...]:
-    """The sentences of a text; `ConfigError` with the place where it is none of the language."""
-    result: tuple[Statement, ...] = language().parse(source)
+    Raises:
+        ConfigError: The text is not of the language; the error shows the position.
+    """
+    result: tuple[Statement, ...] = rule_parser().parse(source)
     return result
--- a/paddlequay/placement/table.py
+++ b/paddlequay/placement/table.py
@@ -1,8 +1,9 @@
 """Lookup tables of shards: where an object is placed, and why.
 
-A table has one sheet for each rule, and one more for each cell whose tenants the rule is for. A look-up finds
-the sheet by (class, tenant, group) and the shard by the object; its members stand in it ready. Tables are
-values: a change of rules or members makes another one (`compile`), and routers compare them by `digest`.
+A table has one sheet for each rule, and one more for each cell whose tenants the rule is for. A look-up
+finds the sheet by class, tenant and group, and the shard by the object; the shard's members stand in the
+sheet. Tables are immutable: a change of rules or members makes another one (`compiler.py`), and routers
+compare them by `digest`.
 """
 
 import json
@@ -16,18 +17,24 @@
 
 from paddlequay.placement.homes import digest, placement_key, slot_of
 from paddlequay.placement.regions import ANY
-from paddlequay.placement.rules import Rule, Rules
+from paddlequay.placement.rules import Rule, RuleSet, SheetKey
 
-FORM = b"paddlequay placement 1\n"  # of the bytes that the digest is made of
-NOBODY = 0xFFFF  # instead of a member's number, past the last copy that could be had
-MEMO_MOST = 4_096  # combinations of class, tenant and group whose sheet is remembered
+DIGEST_HEADER = b"paddlequay placement 1\n"  # of the bytes that the digest is made from
+NO_MEMBER = 0xFFFF  # stands for a copy that no member could have
+MAX_CACHED_SHEETS = 4_096  # combinations of class, tenant and group
 
-Draw = tuple[float, str | None]  # a member's weight in a sheet, and its zone or kind where copies are spread
-Key = tuple[str, str | None]  # rule and cell
+RequestKind = tuple[str | None, str | None, int | None]  # class, tenant, group
 
 
-class Found(NamedTuple):
-    """Where an object is placed: `members` in order, the first its home. Empty: no member may have it."""
+class Draw(NamedTuple):
+    """How a member takes part in a sheet's draws: its weight, and its zone or kind if copies are spread."""
+
+    weight: float
+    domain: str | None
+
+
+class FoundShard(NamedTuple):
+    """Where an object is placed: `members` in order, the first its home; empty if no member may have it."""
 
     rule: str
     cell: str | None
@@ -37,91 +44,96 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Sheet:
-    """The shards of one rule, for the tenants of one cell or for all others."""
+    """The shards of one rule, for the tenants of one cell or for all other requests."""
 
     rule: Rule
     cell: str | None
-    draws: dict[str, Draw]  # the members that may have its shards, by name in order
-    homes: list[tuple[str, ...]]  # of each shard
-    reach: "array[float]"  # the latest arrival that a shard's members depend on; infinite: on all
+    draws: dict[str, Draw]  # of the members that may have its shards, by name in order
+    homes: list[tuple[str, ...]]  # by shard
+    reach: "array[float]"  # by shard, the latest arrival that its members depend on; infinite: all members
 
-    @property
-    def key(self) -> Key:
-        return self.rule.name, self.cell
-
-    def short(self) -> int:
-        """Shards with fewer copies, or over fewer zones or kinds, than the rule asks for."""
-        rule, count = self.rule, 0
+    def incomplete_shards(self) -> int:
+        """Returns how many shards have fewer copies, or over fewer zones or kinds, than the rule asks for."""
+        count = 0
         for members in self.homes:
-            trunks = {self.draws[name][1] for name in members} - {None}
-            count += len(members) < rule.copies or (rule.spread is not None and len(trunks) < rule.over)
+            domains = {self.draws[name].domain for name in members} - {None}
+            has_copies = len(members) >= self.rule.copies
+            is_spread = self.rule.spread is None or len(domains) >= self.rule.min_domains
+            count += not (has_copies and is_spread)
         return count
 
 
 @dataclass(frozen=True, eq=False)
 class Table:
-    """One state of all placement; `epoch` is the number of the list or file that it came from."""
+    """All placement at one time; `epoch` is the number of the list or file that it came from."""
 
-    rules: Rules
+    rules: RuleSet
     epoch: int
-    names: tuple[str, ...]  # all members, in order
-    sheets: dict[Key, Sheet]
-    memo: dict[tuple[str | None, str | None, int | None], Sheet | None] = field(default_factory=dict)
+    names: tuple[str, ...]  # of all members, in order
+    sheets: dict[SheetKey, Sheet]
+    cached_sheets: dict[RequestKind, Sheet | None] = field(default_factory=dict)
+
+    # --- comparison ---
 
     @cached_property
     def packed(self) -> bytes:
-        """The same bytes for the same rules and members, in whatever order these came."""
+        """Bytes that are equal for equal rules and members, in whatever order these came."""
         number = {name: n for n, name in enumerate(self.names)}
-        parts = [FORM]
+        parts = [DIGEST_HEADER]
         for block in (self.rules.canonical(), json.dumps(self.names).encode()):
             parts += [len(block).to_bytes(4, "big"), block]
         for sheet in self.sheets.values():
-            copies = sheet.rule.copies
-            row = {m: [number[n] for n in m] + [NOBODY] * (copies - len(m)) for m in set(sheet.homes)}
-            numbers = array("H", [n for homes in sheet.homes for n in row[homes]])
-            if sys.byteorder == "little":
-                numbers.byteswap()
-            parts.append(numbers.tobytes())
+            parts.append(pack_homes(sheet, number))
         return b"".join(parts)
 
     @cached_property
     def digest(self) -> str:
-        """What routers compare: equal where they place every object alike. 32 hex digits."""
+        """The 32 hexadecimal digits that routers compare: equal if all objects are placed alike."""
         return xxh3_128_hexdigest(self.packed)
 
     @cached_property
-    def listed(self) -> frozenset[str]:
+    def name_set(self) -> frozenset[str]:
+        """The names of all members."""
         return frozenset(self.names)
 
+    # --- look-ups ---
+
     @cached_property
-    def told(self) -> tuple[frozenset[Any], frozenset[Any], frozenset[Any]]:
-        """The classes, tenants and groups that any rule tells apart; all others are as one."""
-        asked = [rule.asked for rule in self.rules.rules]
-        sets = [frozenset[Any]().union(*(box[n].values for box in asked)) for n in range(3)]
-        return sets[0], sets[1] | frozenset(self.rules.tenants), sets[2]
+    def distinguished(self) -> tuple[frozenset[Any], frozenset[Any], frozenset[Any]]:
+        """The classes, tenants and groups that any rule tells apart; all others are treated alike."""
+        requests = [rule.requests for rule in self.rules.rules]
+        classes, tenants, groups = (
+            frozenset[Any]().union(*(box[index].values for box in requests)) for index in range(3)
+        )
+        return classes, tenants | frozenset(self.rules.tenants), groups
 
     def sheet(self, class_name: str | None, tenant: str | None, group: int | None) -> Sheet | None:
-        """The sheet for a kind of request, or `None` where no rule is for it. Remembered, with a bound."""
-        classes, tenants, groups = self.told
-        asked = (
+        """Returns the sheet for a kind of request, None if no rule is for it."""
+        classes, tenants, groups = self.distinguished
+        kind = (
             class_name if class_name in classes else None,
             tenant if tenant in tenants else None,
             group if group in groups else None,
         )
         try:
-            return self.memo[asked]
+            return self.cached_sheets[kind]
         except KeyError:
             pass
-        found = None
+        sheet = self.find_sheet(kind)
+        if len(self.cached_sheets) >= MAX_CACHED_SHEETS:
+            self.cached_sheets.clear()
+        self.cached_sheets[kind] = sheet
+        return sheet
+
+    def find_sheet(self, kind: RequestKind) -> Sheet | None:
+        """Returns the sheet of the first rule that matches a kind of request, None if none does."""
+        _, tenant, _ = kind
         for rule in self.rules.rules:
-            if all(value in some for value, some in zip(asked, rule.asked, strict=True) if some is not ANY):
+            conditions = zip(kind, rule.requests, strict=True)
+            if all(value in values for value, values in conditions if values is not ANY):
                 confined = self.rules.tenants.get(tenant or "")
-                found = self.sheets[rule.name, None if confined is None else confined.cell]
-                break
-        if len(self.memo) >= MEMO_MOST:
-            self.memo.clear()
-        self.memo[asked] = found
-        return found
+                return self.sheets[rule.name, None if confined is None else confined.cell]
+        return None
 
     def lookup(
         self,
@@ -130,21 +142,23 @@
         group: int | None,
         key: int | None,
         part: int | None = None,
-    ) -> Found | None:
-        """Where an object is placed; `None`: by no rule, so as without a file."""
+    ) -> FoundShard | None:
+        """Returns where an object is placed, None if no rule is for it: then it is placed without rules."""
         sheet = self.sheet(class_name, tenant, group)
         if sheet is None:
             return None
         rule = sheet.rule
-        by = rule.by
-        if by == "object and part":
+        shard_by = rule.shard_by
+        if shard_by == "object and part":
             key = placement_key(key, part)
-        elif by == "group":
+        elif shard_by == "group":
             key = group
-        elif by == "tenant":
+        elif shard_by == "tenant":
             key = None if tenant is None else digest(tenant)
         shard = slot_of(key or 0) * rule.shards >> 16
-        return Found(rule.name, sheet.cell, shard, sheet.homes[shard])
+        return FoundShard(rule.name, sheet.cell, shard, sheet.homes[shard])
+
+    # --- for the console ---
 
     def explain(
         self,
@@ -154,29 +168,42 @@
         key: int | None,
         part: int | None = None,
     ) -> dict[str, object]:
-        """The same for the console, with what the placement came from."""
+        """Returns the result of a look-up as JSON values, with the rule that it came from."""
         found = self.lookup(class_name, tenant, group, key, part)
-        told: dict[str, object] = {"epoch": self.epoch, "digest": self.digest}
+        explanation: dict[str, object] = {"epoch": self.epoch, "digest": self.digest}
         if found is None:
-            return told | {"rule": None}
+            return explanation | {"rule": None}
         rule = self.sheets[found.rule, found.cell].rule
-        return told | {
+        return explanation | {
             "rule": found.rule,
             "precedence": rule.precedence,
-            "line": rule.place("rule").line,
+            "line": rule.position("rule").line,
             "cell": found.cell,
             "shard": found.shard,
             "shards": rule.shards,
-            "by": rule.by,
+            "by": rule.shard_by,
             "copies": list(found.members),
             "copies_asked": rule.copies,
-            "over": None if rule.spread is None else f"{rule.over} {rule.spread}s",
+            "over": None if rule.spread is None else f"{rule.min_domains} {rule.spread}s",
             "pinned": rule.pins.get(found.shard),
         }
 
-    def short(self) -> dict[str, int]:
-        """For the console: shards, by rule, that have less than the rule asks for."""
+    def incomplete_shards(self) -> dict[str, int]:
+        """Returns by rule how many shards have less than the rule asks for, without rules that have none."""
         counts: dict[str, int] = {}
         for sheet in self.sheets.values():
-            counts[sheet.rule.name] = counts.get(sheet.rule.name, 0) + sheet.short()
+            counts[sheet.rule.name] = counts.get(sheet.rule.name, 0) + sheet.incomplete_shards()
         return {name: count for name, count in counts.items() if count}
+
+
+def pack_homes(sheet: Sheet, number: dict[str, int]) -> bytes:
+    """Returns the numbers of a sheet's members by shard, 16 bits each, big-endian."""
+    copies = sheet.rule.copies
+    rows = {
+        members: [number[name] for name in members] + [NO_MEMBER] * (copies - len(members))
+        for members in set(sheet.homes)
+    }
+    numbers = array("H", [n for members in sheet.homes for n in rows[members]])
+    if sys.byteorder == "little":
+        numbers.byteswap()
+    return numbers.tobytes()
--- a/paddlequay/placement/table_homes.py
+++ b/paddlequay/placement/table_homes.py
@@ -1,25 +1,25 @@
-"""Homes that follow a table of placement while there is one, and are plain homes while there is none.
+"""Homes that follow a placement table while one is in use, and are plain homes otherwise.
 
-A table says where an object is to be; whether a member may be used now is the decisions' affair. The order
-goes on past the table's copies through all members that the rule allows, by their arrivals at the shard.
-Members that this router does not use, as those of other zones, are passed over.
+A table says where an object is to be; whether a member may be used now is left to the routing decisions.
+Past the table's copies the order goes on through all members that the rule allows, by their arrivals at the
+shard. Members that this router does not use, such as those of other zones, are skipped.
 """
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterator
-from typing import TYPE_CHECKING, TypeVar
+from typing import TYPE_CHECKING, NamedTuple, TypeVar
 
-from paddlequay.placement.homes import SLOTS, Homes, always_whole, digest, placement_key, slot_of
+from paddlequay.placement.homes import SLOT_COUNT, Homes, digest, full_weight, placement_key, slot_of
 from paddlequay.routing.interface import Request
 
 if TYPE_CHECKING:
-    from paddlequay.placement.migration import Placed
+    from paddlequay.placement.migration import CurrentPlacement
     from paddlequay.placement.table import Sheet
 
 M = TypeVar("M")
 
-SHEETS_MOST = 8  # whose members' orders are remembered,
-SHARDS_MOST = 4_096  # for so many shards each: together as much as plain homes remember
+MAX_CACHED_SHEETS = 8
+MAX_CACHED_SHARDS = 4_096  # of each sheet: all sheets together as much as plain homes cache
 
 
 class HomeKey(int):
@@ -33,78 +33,111 @@
 
 
 def home_key(request: Request) -> HomeKey:
-    """What an order of homes is asked for by a request."""
+    """Returns the key by which the homes of a request are looked up in a table."""
     key = HomeKey(placement_key(request.key, request.part))
-    key.class_name, key.tenant, key.group = request.class_name, request.tenant, request.group
-    key.key, key.part = request.key, request.part
+    key.class_name = request.class_name
+    key.tenant = request.tenant
+    key.group = request.group
+    key.key = request.key
+    key.part = request.part
     return key
 
 
+class CachedOrder(NamedTuple):
+    """The orders of a sheet's shards, valid at one change of the members."""
+
+    sheet: "Sheet"  # kept, so that the identity by which it is found stays its own
+    change: int
+    homes: Homes[str]
+
+
 class TableHomes(Homes[M]):
-    """Homes by the table that `source` has for a request now; without one, or by none of its rules, plain.
+    """Homes by the table in use; plain homes without a table, or for a request that no rule is for.
 
-    `source` gives the sheet and where the object is placed, `None` for plain homes. Memory beside that of
-    plain homes: orders of `SHARDS_MOST` shards of `SHEETS_MOST` sheets, those asked for last.
+    `find_placement` gives the sheet and the placement of a request now, None for plain homes. Memory beside
+    that of plain homes: the orders of `MAX_CACHED_SHARDS` shards of the `MAX_CACHED_SHEETS` sheets used
+    last.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.source: Callable[[HomeKey], tuple[Sheet, Placed] | None] | None = None
-        self.sheets: OrderedDict[int, tuple[Sheet, int, Homes[str]]] = OrderedDict()  # by identity
+        self.find_placement: Callable[[HomeKey], tuple[Sheet, CurrentPlacement] | None] | None = None
+        self.sheets: OrderedDict[int, CachedOrder] = OrderedDict()  # by identity of the sheet
 
     def lookup_key(self, request: Request) -> int:
-        return home_key(request) if self.source is not None else super().lookup_key(request)
-
-    def order(self, key: int, share: Callable[[M], float] = always_whole) -> Iterator[M]:
-        """Members from the first home on. A member that is cold has as much of its shards as it can give."""
-        found = self.source(key) if self.source is not None and isinstance(key, HomeKey) else None
+        """Returns the key by which `order` finds the homes of a request."""
+        return home_key(request) if self.find_placement is not None else super().lookup_key(request)
+
+    def order(self, key: int, weight_factor: Callable[[M], float] = full_weight) -> Iterator[M]:
+        """Yields members from the first home on; a member in slow start has a part of its shards' objects."""
+        found = None
+        if self.find_placement is not None and isinstance(key, HomeKey):
+            found = self.find_placement(key)
         if found is None:
-            return super().order(key, share)
-        sheet, placed = found
-        ranks = self.ranks(sheet)
+            return super().order(key, weight_factor)
+        sheet, placement = found
+        ranks = self.sheet_order(sheet)
         if not ranks.members and sheet.cell is None:
-            # Nobody here may have it by its rule: better anywhere than nowhere. A tenant stays in its cell.
-            return super().order(key, share)
-        return self.placed(key, sheet, placed, ranks, share)
-
-    def placed(
-        self, key: int, sheet: "Sheet", placed: "Placed", ranks: Homes[str], share: Callable[[M], float]
+            # The rule allows no member that is used here: any member is better than none. But a tenant that
+            # is confined to a cell stays there.
+            return super().order(key, weight_factor)
+        return self.table_order(key, sheet, placement, ranks, weight_factor)
+
+    def table_order(
+        self,
+        key: int,
+        sheet: "Sheet",
+        placement: "CurrentPlacement",
+        ranks: Homes[str],
+        weight_factor: Callable[[M], float],
     ) -> Iterator[M]:
-        """The copies of a shard, then the others that its rule allows; a cold one has its place by its share.
+        """Yields the copies of a shard, then the other members that its rule allows.
 
-        Copies that are the first by arrival stand in that order, which cold ones scale. Where a spread, a pin
-        or a turn that has not come says otherwise, a cold one has each object or has it not, by a draw.
+        Copies that are the first by arrival are ordered by arrivals that the weight factor scales. Where a
+        spread, a pin or a pending migration decides instead, a member in slow start has an object or not by a
+        draw.
         """
-        members, shard = self.members, placed.found.shard
-        plain = sheet.rule.spread is None and shard not in sheet.rule.pins and not placed.waits
-        given = [name for name in placed.found.members if name in members]
-        shares = [share(members[name]) for name in given]
+        members = self.members
+        shard = placement.found.shard
+        copies = [name for name in placement.found.members if name in members]
+        factors = [weight_factor(members[name]) for name in copies]
         first: list[str] = []
-        if not plain:
-            first = [n for n, part in zip(given, shares, strict=True) if part >= 1.0 or drawn(key, n) < part]
-        elif min(shares, default=0.0) >= 1.0:
-            first = given
+        if not is_ordered_by_arrival(sheet, placement):
+            pairs = zip(copies, factors, strict=True)
+            first = [name for name, factor in pairs if factor >= 1.0 or unit_draw(key, name) < factor]
+        elif min(factors, default=0.0) >= 1.0:
+            first = copies
         for name in first:
             if name in members:
                 yield members[name]
-        for name in ranks.in_slot(shard, lambda name: share(members[name]) if name in members else 1.0):
+
+        def factor_of(name: str) -> float:
+            return weight_factor(members[name]) if name in members else 1.0
+
+        for name in ranks.order_in_slot(shard, factor_of):
             if name in members and name not in first:
                 yield members[name]
 
-    def ranks(self, sheet: "Sheet") -> Homes[str]:
-        """The members of a sheet that are used here, in the order of their arrivals at each shard."""
-        change = self.first + len(self.changes)
-        kept = self.sheets.pop(id(sheet), None)
-        ranks: Homes[str] = Homes(remembered=SHARDS_MOST) if kept is None else kept[2]
-        if kept is None or kept[1] != change:
+    def sheet_order(self, sheet: "Sheet") -> Homes[str]:
+        """Returns the members of a sheet that are used here, as homes of the sheet's shards."""
+        change = self.first_change + len(self.changes)
+        cached = self.sheets.pop(id(sheet), None)
+        homes: Homes[str] = Homes(max_cached_slots=MAX_CACHED_SHARDS) if cached is None else cached.homes
+        if cached is None or cached.change != change:
             draws = sheet.draws.items()
-            ranks.reset((name, name, weight) for name, (weight, _) in draws if name in self.members)
-        self.sheets[id(sheet)] = sheet, change, ranks  # holds the sheet, so that its identity stays its own
-        if len(self.sheets) > SHEETS_MOST:
+            homes.reset((name, name, draw.weight) for name, draw in draws if name in self.members)
+        self.sheets[id(sheet)] = CachedOrder(sheet, change, homes)
+        if len(self.sheets) > MAX_CACHED_SHEETS:
             self.sheets.popitem(last=False)
-        return ranks
+        return homes
+
+
+def is_ordered_by_arrival(sheet: "Sheet", placement: "CurrentPlacement") -> bool:
+    """Returns whether the copies of a shard are the first members by arrival, in that order."""
+    is_pinned = placement.found.shard in sheet.rule.pins
+    return sheet.rule.spread is None and not is_pinned and not placement.pending
 
 
-def drawn(key: int, name: str) -> float:
-    """In (0, 1), the same at all routers."""
-    return (slot_of(key ^ digest(name)) + 0.5) / SLOTS
+def unit_draw(key: int, name: str) -> float:
+    """Returns a draw in (0, 1) for a key and a member, the same at all routers."""
+    return (slot_of(key ^ digest(name)) + 0.5) / SLOT_COUNT
--- a/tests/cluster/test_placement_tables.py
+++ b/tests/cluster/test_placement_tables.py
@@ -1,4 +1,4 @@
-"""Rules at one router: compiled for its list, followed by the fleet's word alone, moved at their pace."""
+"""Placement rules at one router: compiled for its list, followed once the fleet agrees, paced."""
 
 import asyncio
 import json
@@ -70,7 +70,7 @@
             router, OperatorState(folder / "o"), ProcessQuotas(limits), limits, self.clock, counters
         )
         self.placement = PlacementTables(
-            self.path, SETTINGS, self.exchange, counters, self.told, self.clock.monotonic
+            self.path, SETTINGS, self.exchange, counters, self.apply_actions, self.clock.monotonic
         )
         self.counters = counters
         self.exchange.update_members(EDGES + OTHERS, True)
@@ -82,10 +82,10 @@
         self.placement.join(node)
         return node
 
-    def told(self, node: Node, actions: Sequence[Action]) -> None:
-        self.heard(node.settle(actions, self.clock.now))
+    def apply_actions(self, node: Node, actions: Sequence[Action]) -> None:
+        self.handle_events(node.settle(actions, self.clock.now))
 
-    def heard(self, event: Sequence[object]) -> None:
+    def handle_events(self, event: Sequence[object]) -> None:
         for each in event:
             if isinstance(each, TableChanged):
                 self.placement.table_changed(each)
@@ -94,10 +94,10 @@
         end = self.clock.now + seconds
         while self.clock.now < end:
             self.clock.now = min(end, max(self.clock.now + 0.001, self.node.due()))
-            self.heard(self.node.tick(self.clock.now))
+            self.handle_events(self.node.tick(self.clock.now))
 
-    async def beat(self, seconds: float = 3.0) -> None:
-        await self.placement.beat()
+    async def update(self, seconds: float = 3.0) -> None:
+        await self.placement.update()
         self.run(seconds)
 
     def home(self, key: int) -> str | None:
@@ -115,10 +115,10 @@
     return world
 
 
-def test_rules_are_followed_once_the_fleet_has_agreed_and_no_longer_than_its_word(tmp_path: Path) -> None:
+def test_rules_are_followed_once_the_fleet_agrees_and_until_the_epoch_expires(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         assert not world.all_at("e2")
-        await world.placement.beat()
+        await world.placement.update()
         assert not world.all_at("e2")  # compiled, and nobody's word yet
         world.run(3.0)
         assert world.all_at("e2")
@@ -128,29 +128,31 @@
     play(tmp_path, script)
 
 
-def test_only_what_rules_see_of_the_list_is_compiled_anew(tmp_path: Path) -> None:
+def test_only_changes_that_rules_see_compile_a_new_table(tmp_path: Path) -> None:
     async def script(world: World) -> None:
-        await world.beat()
-        own = world.placement.own
+        await world.update()
+        own = world.placement.compilation.table
         assert own is not None and own.names == ("e0", "e1", "e2", "e3")
         world.exchange.update_members(
             (Member("e1", "here", "box", started=50.0), Member("p2", "hub", "parent")), False
         )
-        await world.beat()
-        assert world.placement.own is own
+        await world.update()
+        assert world.placement.compilation.table is own
         world.exchange.update_members((Member("e1", "here", "box", state=MemberState.DRAINING),), False)
-        await world.beat()
-        assert world.placement.own is not own and world.counters.counts["placement_compiled"] == 2
+        await world.update()
+        assert (
+            world.placement.compilation.table is not own and world.counters.counts["placement_compiled"] == 2
+        )
 
     play(tmp_path, script)
 
 
-def test_another_file_moves_shards_at_its_pace_and_names_who_had_them(tmp_path: Path) -> None:
+def test_another_file_migrates_shards_at_its_pace_and_names_previous_homes(tmp_path: Path) -> None:
     async def script(world: World) -> None:
-        await world.beat()
+        await world.update()
         world.path.write_text(RULES.format("e3"))
         world.placement.reload()
-        await world.placement.beat()
+        await world.placement.update()
         world.run(0.1)
         assert {world.home(key) for key in range(300)} == {"e2", "e3"}  # most shards wait
         world.run(1.0)
@@ -169,44 +171,44 @@
     play(tmp_path, script)
 
 
-def test_a_file_that_cannot_be_used_leaves_the_one_before(tmp_path: Path) -> None:
+def test_a_file_that_cannot_be_used_leaves_the_rules_before(tmp_path: Path) -> None:
     async def script(world: World) -> None:
-        await world.beat()
+        await world.update()
         world.path.write_text("otherwise: 64 shards by what.")
         with pytest.raises(ConfigError, match=r"p\.rules:1:"):
             world.placement.reload()
         world.path.write_text("otherwise: 64 shards by object; 9 copies.")  # more than the list has
         world.placement.reload()
-        await world.beat()
-        await world.beat()
+        await world.update()
+        await world.update()
         assert world.counters.counts["placement_refused"] == 1 and world.all_at("e2")
         assert world.placement.tables is not None and world.placement.tables.own.table != 0
 
     play(tmp_path, script)
 
 
-def test_shards_cut_otherwise_wait_for_those_in_motion(tmp_path: Path) -> None:
+def test_another_number_of_shards_waits_for_pending_migrations(tmp_path: Path) -> None:
     async def script(world: World) -> None:
-        await world.beat()
+        await world.update()
         world.path.write_text(RULES.format("e3").replace("100 shards", "10 shards"))
         world.placement.reload()
-        await world.beat(1.0)
+        await world.update(1.0)
         world.path.write_text(RULES.format("e1").replace("64 ", "128 ").replace("63", "127"))
         world.placement.reload()
-        await world.beat(1.0)
-        assert world.placement.waits is not None and world.placement.status_page()["next_waits"]
+        await world.update(1.0)
+        assert world.placement.pending_table is not None and world.placement.status_page()["next_waits"]
         world.run(6.0)
-        await world.beat(20.0)
-        assert world.placement.waits is None and world.all_at("e1")
+        await world.update(20.0)
+        assert world.placement.pending_table is None and world.all_at("e1")
 
     play(tmp_path, script)
 
 
-def test_a_new_life_in_the_cluster_has_no_epoch_until_the_fleets_word(tmp_path: Path) -> None:
+def test_a_new_incarnation_has_no_epoch_until_the_fleet_reports_one(tmp_path: Path) -> None:
     async def script(world: World) -> None:
-        await world.beat()
+        await world.update()
         world.node = world.join()
-        assert not world.all_at("e2") and world.placement.mover is None
+        assert not world.all_at("e2") and world.placement.migration is None
         world.run(5.0)
         assert world.all_at("e2")
         world.placement.leave_cluster()
@@ -215,18 +217,18 @@
     play(tmp_path, script)
 
 
-def test_the_console_is_told_what_it_may_ask_and_why_there_is_no_rule(tmp_path: Path) -> None:
+def test_the_console_explains_its_query_form_and_why_there_is_no_rule(tmp_path: Path) -> None:
     world = World(tmp_path, RULES.format("e2"))
     for text in ("", "key", "what=1", "class=video,", "group=x"):
         assert "expected" in json.loads(world.placement.explain(text))
     assert json.loads(world.placement.explain("class=video,key=7"))["rule"] is None
 
 
-def test_tables_held_are_few_however_often_the_list_changes(tmp_path: Path) -> None:
+def test_few_tables_are_held_however_often_the_list_changes(tmp_path: Path) -> None:
     async def script(world: World) -> None:
         for n in range(12):
             world.exchange.update_members((Member(f"x{n}", "here", "box"),), False)
-            await world.beat(0.6)
-        assert len(world.placement.held) <= 6
+            await world.update(0.6)
+        assert len(world.placement.held_tables) <= 6
 
     play(tmp_path, script)
--- a/tests/placement/test_homes.py
+++ b/tests/placement/test_homes.py
@@ -1,4 +1,4 @@
-"""Homes of objects: the remembered order is the sorted one, and a change moves only what it must."""
+"""Homes of objects: the cached order is the sorted one, and a change moves only the objects that it must."""
 
 import random
 from collections import Counter
@@ -6,23 +6,23 @@
 
 import pytest
 
-from paddlequay.placement.homes import CHANGES_MOST, DEPTH, Homes, arrival, digest, slot_of
+from paddlequay.placement.homes import CACHED_SLOT_SIZE, MAX_CHANGES, Homes, arrival, digest, slot_of
 
 RNG = random.Random(7)
 KEYS = [RNG.getrandbits(64) for _ in range(4000)]
 
 
-def homes_of(count: int, small: int = 12, **weights: float) -> Homes[str]:
-    homes: Homes[str] = Homes(small)
+def homes_of(count: int, max_uncached_size: int = 12, **weights: float) -> Homes[str]:
+    homes: Homes[str] = Homes(max_uncached_size)
     homes.reset((name, name, weights.get(name, 1.0)) for name in (f"n{n}" for n in range(count)))
     return homes
 
 
-def plainly(homes: Homes[str], key: int, share: dict[str, float]) -> list[str]:
-    """The order by a sort of all, as the definition has it."""
+def sorted_order(homes: Homes[str], key: int, factors: dict[str, float]) -> list[str]:
+    """The order by a sort of all members, as the definition states it."""
     slot = slot_of(key)
     draws = {
-        name: arrival(digest(name), slot, weight) / share.get(name, 1.0)
+        name: arrival(digest(name), slot, weight) / factors.get(name, 1.0)
         for name, weight in homes.weights.items()
     }
     return sorted(draws, key=lambda name: (draws[name], name))
@@ -41,8 +41,8 @@
             homes.put(name, name, rng.choice([1.0, 1.0, 2.5]))
         for key in rng.sample(KEYS, 5) + KEYS[:5]:
             given = list(homes.order(key, lambda each: cold.get(each, 1.0)))
-            assert given == plainly(homes, key, cold)
-            assert homes.first_home_names(key, 3) == plainly(homes, key, {})[:3]
+            assert given == sorted_order(homes, key, cold)
+            assert homes.first_home_names(key, 3) == sorted_order(homes, key, {})[:3]
 
 
 @pytest.mark.parametrize("count", [6, 40, 200])
@@ -57,7 +57,7 @@
     assert all(homes.first_home(key) == before[key] for key in KEYS)
 
 
-def test_shares_follow_weights_and_slow_start_ramps_up_to_them() -> None:
+def test_shares_follow_weights_and_grow_to_them_in_slow_start() -> None:
     homes = homes_of(16, n1=3.0)
     counts = Counter(homes.first_home(key) for key in KEYS)
     assert 2.2 < counts["n1"] / (sum(counts.values()) - counts["n1"]) * 15 < 3.9
@@ -69,32 +69,32 @@
         held = now
 
 
-def test_a_known_slot_is_looked_up_and_mended_without_a_walk_through_all_members() -> None:
+def test_a_cached_slot_is_updated_without_a_ranking_of_all_members() -> None:
     homes = homes_of(500)
     for key in KEYS[:50]:
         homes.first_home(key)
-    walked = homes.sorted_anew
+    rankings = homes.full_rankings
     for step in range(20):
         homes.put(f"late{step}", "late")
         homes.remove(f"n{step}")
         for key in KEYS[:50]:
             homes.first_home(key)
-    # Only slots whose remembered entries were used up by removals are sorted anew.
-    assert homes.sorted_anew - walked <= 10
+    # Only slots whose cached entries were used up by removals are ranked anew.
+    assert homes.full_rankings - rankings <= 10
 
 
-def test_remembered_orders_are_bounded_and_a_long_absence_is_harmless(
+def test_cached_slots_are_bounded_and_old_ones_are_ranked_anew(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("paddlequay.placement.homes.REMEMBERED_MOST", 64)
+    monkeypatch.setattr("paddlequay.placement.homes.MAX_CACHED_SLOTS", 64)
     homes = homes_of(30)
     for key in KEYS[:500]:
         homes.first_home(key)
-    for step in range(3 * CHANGES_MOST):
+    for step in range(3 * MAX_CHANGES):
         homes.put("n1", "n1", 1.0 + step % 2)
-    assert len(homes.slots) <= 64 and len(homes.changes) <= CHANGES_MOST
-    assert all(len(entries) <= DEPTH for _, entries in homes.slots.values())
-    assert all(list(homes.order(key)) == plainly(homes, key, {}) for key in KEYS[:500])
+    assert len(homes.slots) <= 64 and len(homes.changes) <= MAX_CHANGES
+    assert all(len(entries) <= CACHED_SLOT_SIZE for _, entries in homes.slots.values())
+    assert all(list(homes.order(key)) == sorted_order(homes, key, {}) for key in KEYS[:500])
 
 
 def test_a_member_removed_during_iteration_is_skipped() -> None:
--- a/tests/placement/test_rules_compile.py
+++ b/tests/placement/test_rules_compile.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from paddlequay.errors import ConfigError
-from paddlequay.placement import compiler
+from paddlequay.placement import compiler, copy_selection
 from paddlequay.placement.checks import read_rules
 from paddlequay.placement.compiler import compile_rules
 from paddlequay.placement.homes import Homes, arrival, digest, placement_key, slot_of
@@ -54,7 +54,7 @@
 
 
 def allowed(sheet: Sheet, member: Member) -> bool:
-    """What the rules of `ALL` say, told once more."""
+    """Whether the rules of `ALL` allow a member in a sheet, stated independently."""
     if sheet.cell == "quiet" and not (member.zone in ("a", "b") and member.kind != "small"):
         return False
     return {
@@ -66,7 +66,7 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(MEMBERS, st.randoms(use_true_random=False))
-def test_copies_are_as_the_rules_ask_and_the_bytes_the_same_in_any_order(
+def test_copies_satisfy_the_rules_and_tables_are_equal_in_any_order_of_the_list(
     members: list[Member], rng: random.Random
 ) -> None:
     table = compile_rules(ALL, members, strict=False)
@@ -77,33 +77,35 @@
     for each in table.sheets.values():
         rule = each.rule
         fit = {member.name for member in members if allowed(each, member)}
-        trunk = {name: by_name[name].zone if rule.spread == "zone" else by_name[name].kind for name in fit}
-        trunks = set(trunk.values()) - {None}
+        domain_of = {
+            name: by_name[name].zone if rule.spread == "zone" else by_name[name].kind for name in fit
+        }
+        domains = set(domain_of.values()) - {None}
         for shard, homes in enumerate(each.homes):
             assert len(set(homes)) == len(homes) == min(rule.copies, len(fit))
             assert fit.issuperset(homes)
-            if rule.spread is not None and len(fit) >= rule.copies and len(trunks) >= rule.over:
-                assert len({trunk[name] for name in homes} - {None}) >= rule.over
+            if rule.spread is not None and len(fit) >= rule.copies and len(domains) >= rule.min_domains:
+                assert len({domain_of[name] for name in homes} - {None}) >= rule.min_domains
             elif rule.spread is not None and shard not in rule.pins:
-                assert len({trunk[name] for name in homes} - {None}) == min(len(trunks), len(homes))
+                assert len({domain_of[name] for name in homes} - {None}) == min(len(domains), len(homes))
             pinned = rule.pins.get(shard)
             if pinned in fit:
                 assert homes[0] == pinned
             elif fit:
-                first = min(fit, key=lambda n: (arrival(digest(n), shard, each.draws[n][0]), n))
-                # Who is in no known zone takes no copy that another zone has to have.
-                assert homes[0] == first or (rule.spread is not None and trunk[first] is None)
+                first = min(fit, key=lambda n: (arrival(digest(n), shard, each.draws[n].weight), n))
+                # A member of no known zone takes no copy that another zone must have.
+                assert homes[0] == first or (rule.spread is not None and domain_of[first] is None)
     shuffled = rng.sample(members, len(members))
     assert compile_rules(ALL, shuffled, strict=False).packed == table.packed
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(MEMBERS, MEMBERS)
-def test_a_changed_list_gives_the_bytes_of_a_whole_compile(before: list[Member], after: list[Member]) -> None:
+def test_an_incremental_compile_equals_a_whole_one(before: list[Member], after: list[Member]) -> None:
     old = compile_rules(ALL, before, strict=False)
     whole = compile_rules(ALL, after, strict=False)
     assert compile_rules(ALL, after, strict=False, old=old).packed == whole.packed
-    # One after the other, so that what is carried on is carried on from what was itself carried on.
+    # One after the other, so that each incremental table is made from an incremental one.
     step, names = old, {member.name: member for member in before}
     for member in after:
         names[member.name] = member
@@ -112,7 +114,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_rule_that_states_todays_placement_gives_todays_homes(seed: int) -> None:
+def test_the_rule_that_states_the_default_placement_gives_the_homes_of_plain_hashing(seed: int) -> None:
     rng = random.Random(seed)
     sizes = [1.0, 1.0, 0.3, 2.5] if seed else [1e8, 3e8, 0.0]  # as bytes a second, one cache not sized yet
     weights = {f"edge-{rng.getrandbits(32):x}": rng.choice(sizes) for _ in range(rng.choice([1, 9, 70]))}
@@ -128,7 +130,7 @@
         assert found.shard == slot_of(placement_key(key, part))
 
 
-def test_one_members_change_moves_its_own_share_only() -> None:
+def test_one_members_change_moves_only_its_own_shards() -> None:
     members = listed(200)
     before = compile_rules(COPIED, members)
     for n in (0, 57, 199):
@@ -138,24 +140,24 @@
         moved = [(a, b) for a, b in zip(sheet(before).homes, sheet(after).homes, strict=True) if a != b]
         assert held / 2 <= len(moved) <= 1.2 * held
         assert all(len(set(a) - set(b)) == 1 for a, b in moved)
-        # Those who stay keep their order, so that a first copy stays the first.
+        # Members that stay keep their order, so that a first copy stays the first.
         assert all([m for m in a if m in b] == [m for m in b if m in a] for a, b in moved)
 
 
-def test_a_shards_members_are_those_of_the_definition_where_draws_are_close(
+def test_close_draws_are_decided_by_the_exact_arrivals(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     members = listed(40)
     exact = compile_rules(COPIED, members).packed
-    draws, rng = compiler.draws_of, np.random.default_rng(3)
+    draws, rng = copy_selection.draw_arrivals, np.random.default_rng(3)
 
     def rough(*given: object) -> object:
         times = draws(*given)  # type: ignore[arg-type]
         return times * (1 + rng.uniform(-3e-4, 3e-4, times.shape))
 
-    monkeypatch.setattr(compiler, "draws_of", rough)
-    monkeypatch.setattr(compiler, "OFF_SHARE", 1e-3)
-    monkeypatch.setattr(compiler, "OFF_LEAST", 1e-6)
+    monkeypatch.setattr(copy_selection, "draw_arrivals", rough)
+    monkeypatch.setattr(copy_selection, "DRAW_ERROR_RATIO", 1e-3)
+    monkeypatch.setattr(copy_selection, "DRAW_ERROR_FLOOR", 1e-6)
     table = compile_rules(COPIED, members)
     assert table.packed == exact
     fewer = compile_rules(COPIED, members[1:], old=table)
@@ -163,7 +165,7 @@
     assert fewer.packed == compile_rules(COPIED, members[1:]).packed
 
 
-def test_a_pinned_shard_is_drawn_while_its_member_is_away() -> None:
+def test_a_pinned_shard_is_drawn_while_its_member_is_not_listed() -> None:
     members = listed(30)
     fewer = [member for member in members if member.name != "m1"]
     table = compile_rules(ALL, members, strict=False)
@@ -173,7 +175,7 @@
     assert compile_rules(ALL, members, strict=False, old=away).packed == table.packed
 
 
-def test_a_zone_of_one_among_hundreds_has_its_copy_of_every_shard() -> None:
+def test_a_zone_of_one_member_among_hundreds_has_a_copy_of_every_shard() -> None:
     members = [
         Member(f"m{n}", zone="lone" if n == 9 else "all", weight=1e7 if n % 5 else 0.0) for n in range(300)
     ]
@@ -189,34 +191,34 @@
     assert compile_rules(COPIED, members, old=changed).packed == table.packed
 
 
-def test_a_list_that_is_too_small_is_refused_when_rules_are_taken_up_and_served_later() -> None:
+def test_a_list_too_small_is_refused_when_rules_are_adopted_and_accepted_later() -> None:
     with pytest.raises(ConfigError, match="1 zone"):
         compile_rules(COPIED, [Member(f"m{n}", zone="a") for n in range(5)])
     later = compile_rules(COPIED, [Member(f"m{n}", zone="a") for n in range(5)], strict=False)
     assert all(len(homes) == 3 for homes in sheet(later).homes)
-    assert later.short() == {"otherwise": 4096}
+    assert later.incomplete_shards() == {"otherwise": 4096}
     assert compile_rules(COPIED, [], strict=False).lookup("c", None, None, 1) == (
         "otherwise",
         None,
         slot_of(1) >> 4,
         (),
     )
-    assert compile_rules(COPIED, listed(9)).short() == {}
+    assert compile_rules(COPIED, listed(9)).incomplete_shards() == {}
 
 
-def test_lists_are_bounded_and_have_each_name_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lists_are_bounded_and_must_have_each_name_once(monkeypatch: pytest.MonkeyPatch) -> None:
     with pytest.raises(ConfigError, match="expected each name once, got 'm3'"):
         compile_rules(TODAY, [*listed(5), Member("m3")])
     with pytest.raises(ConfigError, match="expected at most 10000, got 10001"):
         compile_rules(TODAY, listed(10_001))
     with pytest.raises(ConfigError, match=r"today:1:12: expected at most 67108864 of shards times members"):
         compile_rules(TODAY, listed(1_025))
-    monkeypatch.setattr(compiler, "FITS_MOST", 1_000)
+    monkeypatch.setattr(compiler, "MAX_MATCH_STEPS", 1_000)
     with pytest.raises(ConfigError, match="with less work"):
         compile_rules(ALL, listed(200))
 
 
-def test_the_digest_tells_other_rules_members_and_homes_apart() -> None:
+def test_the_digest_differs_for_different_rules_members_and_homes() -> None:
     members = listed(12)
     heavier = [dataclasses.replace(members[0], weight=9.0), *members[1:]]
     lists = (members, members[:-1], heavier)
--- a/tests/placement/test_rules_errors.py
+++ b/tests/placement/test_rules_errors.py
@@ -1,4 +1,4 @@
-"""Files of rules: what is refused and where, to the column; any bytes end in rules or in an error."""
+"""Files of placement rules: which are refused and at which column; any bytes give rules or an error."""
 
 import random
 import time
@@ -9,8 +9,7 @@
 from hypothesis import strategies as st
 
 from paddlequay.errors import ConfigError
-from paddlequay.placement import checks, grammar, rules
-from paddlequay.placement import syntax_tree as spoken
+from paddlequay.placement import checks, grammar, rule_builder, syntax_tree
 from paddlequay.placement.checks import check_rules, read_rules
 from paddlequay.placement.compiler import compile_rules
 from paddlequay.routing.interface import Member
@@ -19,7 +18,7 @@
 REST = "\notherwise: 8 shards by object."
 LIST = [Member("a", zone="n", kind="k"), Member("b", zone="n", weight=3.0)]
 
-# The text with "@" before what is wrong, and what is said of it.
+# The text with "@" before the mistake, and a part of the error.
 WRONG = {
     "an unknown word": ("@island.", 'expected "cell", "classes", "kinds", "move", "otherwise", "rule"'),
     "a sign of no language": ("zones a@; b.", "expected"),
@@ -159,13 +158,15 @@
 
 
 @pytest.mark.parametrize("what", WRONG)
-def test_an_error_names_its_place_with_a_caret_under_it(what: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_error_names_its_position_with_a_caret_under_it(
+    what: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     marked, said = WRONG[what]
     text = marked.replace("@", "")
     before = marked.split("@")[0]
     line, column = before.count("\n") + 1, len(before) - before.rfind("\n")
     if what == "too much work":
-        monkeypatch.setattr(checks, "WORK_MOST", 20_000)
+        monkeypatch.setattr(checks, "MAX_RESOLVE_STEPS", 20_000)
     with pytest.raises(ConfigError) as caught:
         compile_rules(read_rules("f.rules", text.encode()), LIST)
     first, shown, caret = str(caught.value).split("\n")
@@ -177,7 +178,7 @@
     assert len(caret.expandtabs()) <= len(shown.expandtabs()) + 1
 
 
-def test_the_whole_error_as_an_operator_sees_it() -> None:
+def test_an_error_shows_file_position_line_and_caret() -> None:
     with pytest.raises(ConfigError) as caught:
         read_rules("p.rules", b"# films\notherwise:\n\t8 shards by object;\n\t2 copies over 5 zones.\n")
     assert str(caught.value) == (
@@ -187,13 +188,13 @@
     )
 
 
-def test_a_file_is_bounded_and_told_in_one_line(tmp_path: Path) -> None:
+def test_a_file_is_bounded_and_summarized_in_one_line(tmp_path: Path) -> None:
     path = tmp_path / "x.rules"
     path.write_text(EXAMPLE)
     assert check_rules(path) == (
         f"{path}: 3 rules, 1 cell, 1 tenant, 140288 shards, moves 200 shards a second: can be used"
     )
-    path.write_text("#" * (grammar.BYTES_MOST + 1))
+    path.write_text("#" * (grammar.MAX_FILE_BYTES + 1))
     with pytest.raises(ConfigError, match="at most 65536 bytes"):
         check_rules(path)
     path.write_bytes(b"zones a.\n  \xff")
@@ -203,7 +204,7 @@
         check_rules(tmp_path / "none")
 
 
-def test_classes_of_the_settings_are_held_to() -> None:
+def test_rules_name_only_classes_of_the_settings() -> None:
     read_rules("f", EXAMPLE.encode(), ["video", "photo", "page", "more"])
     with pytest.raises(ConfigError, match=r"f:\d+:\d+: expected a class of the settings"):
         read_rules("f", EXAMPLE.encode(), ["video", "photo"])
@@ -211,11 +212,11 @@
         read_rules("f", b"rule r, precedence 1, for class b: 8 shards by object.", ["a"])
 
 
-def test_rules_cells_and_shards_have_bounds() -> None:
+def test_rules_cells_and_shards_are_bounded() -> None:
     def rule(n: int, shards: int) -> str:
         return f"rule r{n}, precedence 1, for group {n}: {shards} shards by object.\n"
 
-    many = "".join(rule(n, 1) for n in range(rules.RULES_MOST))
+    many = "".join(rule(n, 1) for n in range(rule_builder.MAX_RULES))
     read_rules("f", many.encode())
     with pytest.raises(ConfigError, match="f:257:6: expected at most 256 of rule"):
         read_rules("f", (many + rule(300, 1)).encode())
@@ -226,7 +227,7 @@
         read_rules("f", (cells + many).encode())
 
 
-def test_the_same_rules_written_otherwise_are_the_same() -> None:
+def test_equal_rules_of_different_spelling_have_the_same_canonical_bytes() -> None:
     bare = "\n".join(line.split("#")[0] for line in EXAMPLE.split("\n"))
     other = bare.replace("video, photo, page", 'page, "photo", video').replace(" and ", "\n\t and # x\n")
     assert read_rules("g", other.encode()).canonical() == read_rules("f", EXAMPLE.encode()).canonical()
@@ -262,7 +263,7 @@
 
 
 LONG = {
-    "parentheses": "(" * grammar.BYTES_MOST,
+    "parentheses": "(" * grammar.MAX_FILE_BYTES,
     "nots": "cell c is " + "not " * 16_000,
     "ors": "cell c is " + "zone a or " * 6_000 + "zone b." + REST,
     "none of many": "cell c is not ("
@@ -278,17 +279,17 @@
 
 
 @pytest.mark.parametrize("what", LONG)
-def test_the_longest_files_end_in_bounded_work(what: str) -> None:
+def test_the_longest_files_take_bounded_work(what: str) -> None:
     before = time.process_time()
     try:
-        read_rules("f", LONG[what][: grammar.BYTES_MOST].encode())
+        read_rules("f", LONG[what][: grammar.MAX_FILE_BYTES].encode())
     except ConfigError as error:
         assert str(error).startswith("f:")
     assert time.process_time() - before < 8  # of this process alone; some 2 s at worst when it was written
 
 
-def test_words_of_the_language_are_all_reserved() -> None:
-    words = spoken.language().words
+def test_all_words_of_the_language_are_reserved() -> None:
+    words = syntax_tree.rule_parser().words
     for word in ("copies", "member", "otherwise", "through"):
         assert f'"{word}"' in words.values()
         read_rules("f", f'cell "{word}" is zone a.{REST}'.encode())
--- a/tests/placement/test_table.py
+++ b/tests/placement/test_table.py
@@ -1,4 +1,4 @@
-"""Look-ups by rule and cell, what the console is told, and shards that move at their pace."""
+"""Look-ups by rule and cell, their explanation, and shards that migrate at the pace of the rules."""
 
 import random
 
@@ -8,8 +8,8 @@
 from paddlequay.placement.checks import read_rules
 from paddlequay.placement.compiler import compile_rules
 from paddlequay.placement.homes import digest, placement_key, slot_of
-from paddlequay.placement.migration import BusyError, Mover, Placed, moved
-from paddlequay.placement.rules import Rules
+from paddlequay.placement.migration import CurrentPlacement, Migration, MigrationPendingError, moved_shards
+from paddlequay.placement.rules import RuleSet
 from paddlequay.placement.table import Table
 from paddlequay.routing.interface import Member
 
@@ -23,7 +23,7 @@
 """
 
 
-def rules(text: str = TEXT) -> Rules:
+def rules(text: str = TEXT) -> RuleSet:
     return read_rules("t", text.encode())
 
 
@@ -35,7 +35,7 @@
     return compile_rules(old.rules, [m for m in MEMBERS if m.name != without], epoch=old.epoch + 1, old=old)
 
 
-def test_the_rule_of_the_highest_precedence_holds_and_a_cell_confines() -> None:
+def test_the_rule_of_the_highest_precedence_holds_and_a_cell_confines_its_tenants() -> None:
     table = compile_rules(RULES, MEMBERS)
 
     def rule(class_name: str | None, tenant: str | None, group: int | None) -> tuple[str, str | None] | None:
@@ -54,7 +54,7 @@
         assert all(int(name[1:]) % 2 == 0 for name in found.members)
 
 
-def test_a_shard_goes_by_what_the_rule_says() -> None:
+def test_a_shard_is_found_by_the_attribute_that_the_rule_names() -> None:
     table = compile_rules(RULES, MEMBERS)
 
     def shard(class_name: str, tenant: str | None, group: int, key: int, part: int | None) -> int:
@@ -69,19 +69,19 @@
         assert shard("page", "cola", 4, key, 4) == slot_of(digest("cola")) >> 13
 
 
-def test_what_is_remembered_of_kinds_of_requests_has_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sheets_cached_by_kind_of_request_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     table = compile_rules(RULES, MEMBERS)
     for n in range(500):
         table.lookup(f"class {n}", f"tenant {n}", 5 + n, n)
-    assert len(table.memo) == 1
-    monkeypatch.setattr(tables, "MEMO_MOST", 3)
+    assert len(table.cached_sheets) == 1
+    monkeypatch.setattr(tables, "MAX_CACHED_SHEETS", 3)
     for group in range(6):
         for tenant in ("acme", "cola", "x"):
             assert table.lookup("video", tenant, group, 1) is not None
-            assert len(table.memo) <= 3
+            assert len(table.cached_sheets) <= 3
 
 
-def test_the_console_is_told_what_a_placement_came_from() -> None:
+def test_a_placement_is_explained_by_its_rule_cell_and_shard() -> None:
     table = compile_rules(RULES, MEMBERS, epoch=41)
     told = table.explain("page", "acme", 4, 9)
     assert told == {
@@ -105,10 +105,10 @@
     assert table.sheets["albums", "quiet"].homes[2] != ("m5",)
 
 
-def test_all_that_moves_is_listed_and_no_more() -> None:
+def test_exactly_the_shards_that_move_are_listed() -> None:
     old = compile_rules(RULES, MEMBERS)
     new = changed("m4", old)
-    moves = list(moved(old, new))
+    moves = list(moved_shards(old, new))
     assert moves
     for move in moves:
         assert move.before == old.sheets[move.key].homes[move.shard]
@@ -118,113 +118,127 @@
     assert len(moves) == held
     # A rule that is new takes its objects from others, one by one; these keep their shards otherwise.
     more = compile_rules(rules(TEXT + "rule few, precedence 9, for tenant t: 4 shards by object."), MEMBERS)
-    assert [(move.key, move.before) for move in moved(old, more)] == [(("few", None), None)] * 4
+    assert [(move.key, move.before) for move in moved_shards(old, more)] == [(("few", None), None)] * 4
     # What it took goes back to the others when it is gone: these hold more than they did.
-    assert {move.key for move in moved(more, old)} == {(name, None) for name in ("films", "albums", "rest")}
-    assert all(move.before is None for move in moved(more, old))
+    assert {move.key for move in moved_shards(more, old)} == {
+        (name, None) for name in ("films", "albums", "rest")
+    }
+    assert all(move.before is None for move in moved_shards(more, old))
     finer = compile_rules(rules(TEXT.replace("256 shards", "512 shards")), MEMBERS)
-    assert len(list(moved(old, finer))) == 1024
+    assert len(list(moved_shards(old, finer))) == 1024
 
 
-def placed(mover: Mover, key: int, now: float) -> Placed:
-    found = mover.lookup("photo", None, None, key, None, now)
+def placement_at(migration: Migration, key: int, now: float) -> CurrentPlacement:
+    found = migration.lookup("photo", None, None, key, None, now)
     assert found is not None
     return found
 
 
-def test_shards_move_at_the_pace_and_name_their_former_homes() -> None:
+def test_shards_migrate_at_the_pace_and_name_their_previous_homes() -> None:
     old = compile_rules(RULES, MEMBERS)
     # A weight, so that whoever gives a shard away is still there.
     new = compile_rules(
         RULES, [Member("m3", zone="b", weight=30.0), *(m for m in MEMBERS if m.name != "m3")], old=old
     )
-    moves = list(moved(old, new))
+    moves = list(moved_shards(old, new))
     assert len(moves) > 60
-    mover = Mover(old, linger=5.0)
-    assert mover.change(new, 100.0) == len(moves)
+    migration = Migration(old, linger_s=5.0)
+    assert migration.change_table(new, 100.0) == len(moves)
     for seconds in (0.0, 1.0, 2.55, 6.0):
-        assert len(moves) - mover.waiting(100.0 + seconds) == int(seconds * 10 + 1e-6)
+        assert len(moves) - migration.pending_count(100.0 + seconds) == int(seconds * 10 + 1e-6)
     shard_of = {move.shard: move for move in moves if move.key == ("rest", None)}
     keys = {slot_of(key) >> 8: key for key in range(20_000)}
-    due = {at: turn.due for at, turn in mover.turns.items()}
+    due = {at: move.due for at, move in migration.scheduled.items()}
     for shard, move in shard_of.items():
         at = due[("rest", None), shard]
-        assert placed(mover, keys[shard], at - 0.001) == (("rest", None, shard, move.before), (), True)
-        assert placed(mover, keys[shard], at) == (("rest", None, shard, move.after), move.before, False)
-        assert placed(mover, keys[shard], at + 5.0).former == ()
+        assert placement_at(migration, keys[shard], at - 0.001) == (
+            ("rest", None, shard, move.before),
+            (),
+            True,
+        )
+        assert placement_at(migration, keys[shard], at) == (
+            ("rest", None, shard, move.after),
+            move.before,
+            False,
+        )
+        assert placement_at(migration, keys[shard], at + 5.0).previous == ()
     still = next(shard for shard in keys if shard not in shard_of)
-    assert placed(mover, keys[still], 100.0) == (
+    assert placement_at(migration, keys[still], 100.0) == (
         ("rest", None, still, old.sheets["rest", None].homes[still]),
         (),
         False,
     )
-    mover.settle(mover.ends)
-    assert not mover.turns
+    migration.forget_finished(migration.ends_at)
+    assert not migration.scheduled
 
 
-def test_who_has_left_is_not_waited_for_and_not_named() -> None:
+def test_a_shard_whose_home_left_the_list_migrates_at_once() -> None:
     old = compile_rules(RULES, MEMBERS)
     new = changed("m4", old)
-    mover = Mover(old)
-    gone = [move for move in moved(old, new) if move.before and move.before[0] == "m4"]
-    assert 0 < mover.change(new, 0.0) == len(list(moved(old, new))) - len(gone)
+    migration = Migration(old)
+    gone = [move for move in moved_shards(old, new) if move.before and move.before[0] == "m4"]
+    assert 0 < migration.change_table(new, 0.0) == len(list(moved_shards(old, new))) - len(gone)
     keys = {slot_of(key) >> 8: key for key in range(20_000)}
     for move in gone:
         if move.key == ("rest", None):
-            assert placed(mover, keys[move.shard], 0.0) == (("rest", None, move.shard, move.after), (), False)
+            assert placement_at(migration, keys[move.shard], 0.0) == (
+                ("rest", None, move.shard, move.after),
+                (),
+                False,
+            )
 
 
-def test_a_shard_that_waits_keeps_its_turn_and_goes_to_its_newest_place() -> None:
+def test_a_waiting_shard_keeps_its_time_and_goes_to_its_newest_members() -> None:
     old = compile_rules(RULES, MEMBERS)
     more = [*MEMBERS, Member("n0", zone="b", weight=9.0)]
     grown = compile_rules(RULES, more, old=old)
-    mover = Mover(old)
-    mover.change(grown, 0.0)
-    turns = dict(mover.turns)
+    migration = Migration(old)
+    migration.change_table(grown, 0.0)
+    turns = dict(migration.scheduled)
     again = compile_rules(RULES, [*more, Member("n1", zone="b", weight=9.0)], old=grown)
-    mover.change(again, 0.05)
-    assert all(mover.turns[at] == turn for at, turn in turns.items())
-    assert min(turn.due for at, turn in mover.turns.items() if at not in turns) > max(
+    migration.change_table(again, 0.05)
+    assert all(migration.scheduled[at] == move for at, move in turns.items())
+    assert min(move.due for at, move in migration.scheduled.items() if at not in turns) > max(
         t.due for t in turns.values()
     )
-    assert mover.change(grown, 0.06) and mover.change(old, 0.07) == 0
+    assert migration.change_table(grown, 0.06) and migration.change_table(old, 0.07) == 0
     # The home that a shard waits at has left meanwhile: nobody waits for it.
-    mover = Mover(old)
-    mover.change(grown, 0.0)
-    at = next(at for at in mover.turns if at[0] == ("rest", None))
+    migration = Migration(old)
+    migration.change_table(grown, 0.0)
+    at = next(at for at in migration.scheduled if at[0] == ("rest", None))
     home = old.sheets["rest", None].homes[at[1]][0]
-    mover.change(compile_rules(RULES, [m for m in more if m.name != home], old=grown), 0.0)
+    migration.change_table(compile_rules(RULES, [m for m in more if m.name != home], old=grown), 0.0)
     keys = {slot_of(key) >> 8: key for key in range(20_000)}
-    assert not placed(mover, keys[at[1]], 0.0).waits
-    assert placed(mover, keys[at[1]], 0.0).found.members == ("n0",)
+    assert not placement_at(migration, keys[at[1]], 0.0).pending
+    assert placement_at(migration, keys[at[1]], 0.0).found.members == ("n0",)
 
 
-def test_shards_that_are_cut_otherwise_move_object_by_object_and_one_file_at_a_time() -> None:
+def test_another_number_of_shards_migrates_object_by_object_and_one_file_at_a_time() -> None:
     old = compile_rules(RULES, MEMBERS)
     finer = compile_rules(rules(TEXT.replace("256 shards", "300 shards")), MEMBERS)
-    mover = Mover(old, linger=5.0)
-    assert mover.change(finer, 0.0) == 600
+    migration = Migration(old, linger_s=5.0)
+    assert migration.change_table(finer, 0.0) == 600
     rng = random.Random(4)
     for key in (rng.getrandbits(64) for _ in range(200)):
         was, now = old.lookup("photo", None, None, key), finer.lookup("photo", None, None, key)
         assert was is not None and now is not None
-        assert placed(mover, key, 0.0).found.members == was.members
-        assert placed(mover, key, 60.0).found == now
-        former = was.members if was.members != now.members else ()
-        due = mover.turns[("rest", None), now.shard].due
-        assert placed(mover, key, due).former == former
-    with pytest.raises(BusyError, match=r"for 29\.0 s more"):
-        mover.change(old, 31.0)
-    assert mover.table is finer
-    assert mover.change(changed("m4", finer), 31.0) > 0  # the list alone is taken at any time
-    back = list(moved(mover.table, old))
+        assert placement_at(migration, key, 0.0).found.members == was.members
+        assert placement_at(migration, key, 60.0).found == now
+        previous = was.members if was.members != now.members else ()
+        due = migration.scheduled[("rest", None), now.shard].due
+        assert placement_at(migration, key, due).previous == previous
+    with pytest.raises(MigrationPendingError, match=r"for 29\.0 s more"):
+        migration.change_table(old, 31.0)
+    assert migration.table is finer
+    assert migration.change_table(changed("m4", finer), 31.0) > 0  # the list alone is taken at any time
+    back = list(moved_shards(migration.table, old))
     assert sum(move.before is None for move in back) == 512
-    assert mover.change(old, 200.0) == len(back)
+    assert migration.change_table(old, 200.0) == len(back)
 
 
-def test_without_a_pace_all_moves_at_once() -> None:
+def test_without_a_pace_all_shards_migrate_at_once() -> None:
     plain = rules(TEXT.split("\n", 1)[1])
     old = compile_rules(plain, MEMBERS)
-    mover = Mover(old)
-    assert mover.change(changed("m4", old), 3.0) == 0
-    assert mover.turns
+    migration = Migration(old)
+    assert migration.change_table(changed("m4", old), 3.0) == 0
+    assert migration.scheduled
--- a/tests/placement/test_table_homes.py
+++ b/tests/placement/test_table_homes.py
@@ -1,4 +1,4 @@
-"""Edges that follow a table: a rule that states today's placement gives today's homes; rules hold."""
+"""Homes that follow a placement table: the default rule gives the plain homes, and other rules hold."""
 
 import random
 from collections.abc import Callable
@@ -9,9 +9,9 @@
 from paddlequay.placement.checks import read_rules
 from paddlequay.placement.compiler import compile_rules
 from paddlequay.placement.homes import Homes, placement_key
-from paddlequay.placement.migration import Mover, Placed
+from paddlequay.placement.migration import CurrentPlacement, Migration
 from paddlequay.placement.table import Sheet, Table
-from paddlequay.placement.table_homes import SHEETS_MOST, HomeKey, TableHomes, home_key
+from paddlequay.placement.table_homes import MAX_CACHED_SHEETS, HomeKey, TableHomes, home_key
 from paddlequay.routing.interface import Member, Request
 
 TODAY = "otherwise: 65536 shards by object and part; 1 copy."
@@ -30,21 +30,25 @@
 ]
 
 
-def source(mover: Mover) -> Callable[[HomeKey], tuple[Sheet, Placed] | None]:
-    def found(key: HomeKey) -> tuple[Sheet, Placed] | None:
-        placed = mover.lookup(key.class_name, key.tenant, key.group, key.key, key.part, 0.0)
-        table = mover.table
-        return None if placed is None else (table.sheets[placed.found.rule, placed.found.cell], placed)
+def finder(migration: Migration) -> Callable[[HomeKey], tuple[Sheet, CurrentPlacement] | None]:
+    def find(key: HomeKey) -> tuple[Sheet, CurrentPlacement] | None:
+        placement = migration.lookup(key.class_name, key.tenant, key.group, key.key, key.part, 0.0)
+        table = migration.table
+        return (
+            None
+            if placement is None
+            else (table.sheets[placement.found.rule, placement.found.cell], placement)
+        )
 
-    return found
+    return find
 
 
-def following(text: str, zone: str = "a", members: list[Member] = MEMBERS) -> tuple[TableHomes[str], Table]:
+def homes_by(text: str, zone: str = "a", members: list[Member] = MEMBERS) -> tuple[TableHomes[str], Table]:
     """The homes of a router in a zone, by a table over all zones."""
     homes: TableHomes[str] = TableHomes()
     homes.reset((m.name, m.name, m.weight or 1.0) for m in members if m.zone == zone)
     table = compile_rules(read_rules("t", text.encode()), members)
-    homes.source = source(Mover(table))
+    homes.find_placement = finder(Migration(table))
     return homes, table
 
 
@@ -53,11 +57,11 @@
 
 
 @pytest.mark.parametrize("copies", [1, 3])
-def test_the_rule_that_states_todays_placement_gives_exactly_todays_homes(copies: int) -> None:
+def test_the_rule_that_states_the_default_placement_gives_the_plain_homes(copies: int) -> None:
     text = TODAY if copies == 1 else TODAY.replace("1 copy", "3 copies")
     rng = random.Random(copies)
     members, compared = list(MEMBERS), 0
-    followed, _ = following(text)
+    followed, _ = homes_by(text)
     plain: Homes[str] = Homes()
     for step in range(40):
         if step % 2:
@@ -65,7 +69,7 @@
             members.remove(gone)
         else:
             members.append(Member(f"n{step}", zone=rng.choice("ab"), weight=rng.choice((0.5, 1.0, 4.0))))
-        followed.source = source(Mover(compile_rules(read_rules("t", text.encode()), members)))
+        followed.find_placement = finder(Migration(compile_rules(read_rules("t", text.encode()), members)))
         for homes in (followed, plain):
             homes.reset((m.name, m.name, m.weight or 1.0) for m in members if m.zone == "a")
         cold = {m.name: rng.uniform(0.05, 1.0) for m in members if rng.random() < 0.3 and step > 10}
@@ -79,8 +83,8 @@
     assert compared == 2000
 
 
-def test_copies_come_first_and_then_all_that_the_rule_allows() -> None:
-    homes, table = following(RULES)
+def test_copies_come_first_and_then_all_members_that_the_rule_allows() -> None:
+    homes, table = homes_by(RULES)
     for key in range(200):
         order = list(homes.order(ask("video", key)))
         found = table.lookup("video", None, None, key)
@@ -89,10 +93,10 @@
         assert order[: len(copies)] == copies
 
 
-def test_a_tenant_stays_in_its_cell_and_a_rule_for_other_zones_alone_leaves_plain_homes() -> None:
-    homes, _ = following(RULES)
-    mine, _ = following(CELL)
-    other, _ = following(CELL, zone="b")
+def test_a_tenant_stays_in_its_cell_and_a_rule_for_other_zones_leaves_plain_homes() -> None:
+    homes, _ = homes_by(RULES)
+    mine, _ = homes_by(CELL)
+    other, _ = homes_by(CELL, zone="b")
     plain: Homes[str] = Homes()
     plain.reset((m.name, m.name, m.weight or 1.0) for m in MEMBERS if m.zone == "a")
     for key in range(100):
@@ -102,10 +106,8 @@
         assert list(homes.order(ask("charge", key))) == list(plain.order(placement_key(key)))  # by no rule
 
 
-def test_a_cold_pinned_member_has_as_much_of_its_shards_as_it_can_give_and_each_object_comes_back_once() -> (
-    None
-):
-    homes, _ = following(RULES)
+def test_a_pinned_member_in_slow_start_has_its_factor_of_objects_and_each_returns_once() -> None:
+    homes, _ = homes_by(RULES)
     keys = range(4000)
     first: dict[float, set[int]] = {}
     for share in (0.1, 0.5, 0.9, 1.0):
@@ -118,27 +120,27 @@
     assert first[0.1] < first[0.5] < first[0.9] < first[1.0]
 
 
-def test_where_the_table_ends_homes_are_plain_at_the_next_look_and_members_that_left_are_gone() -> None:
-    homes, _ = following(RULES)
+def test_homes_are_plain_at_once_without_a_table_and_lack_members_that_left() -> None:
+    homes, _ = homes_by(RULES)
     key = next(key for key in range(100) if next(homes.order(ask("video", key))) == "a3")
     homes.remove("a3")
     assert "a3" not in list(homes.order(ask("video", key)))
-    homes.source = lambda key: None
+    homes.find_placement = lambda key: None
     assert list(homes.order(ask("video", key))) == list(homes.order(placement_key(key)))
 
 
-def test_orders_are_remembered_for_few_sheets() -> None:
+def test_orders_are_cached_for_few_sheets() -> None:
     text = "\n".join(
         f"rule r{n}, precedence {n}, for class c{n}: 8 shards by object; 1 copy." for n in range(20)
     )
-    homes, _ = following(text)
+    homes, _ = homes_by(text)
     for n in range(20):
         assert len(list(homes.order(ask(f"c{n}", n)))) == 9
-    assert len(homes.sheets) == SHEETS_MOST
+    assert len(homes.sheets) == MAX_CACHED_SHEETS
 
 
-def test_a_member_that_comes_after_a_sheet_was_looked_at_is_in_its_order() -> None:
-    homes, table = following(RULES)
+def test_a_member_added_after_a_sheet_was_cached_is_in_its_order() -> None:
+    homes, table = homes_by(RULES)
     homes.remove("a3")
     copies = {key: table.lookup("video", None, None, key) for key in range(100)}
     key = next(key for key, found in copies.items() if found is not None and "a3" not in found.members)
