--- a/paddlequay/net/cluster/placement_console.py
+++ b/paddlequay/net/cluster/placement_console.py
@@ -3,8 +3,8 @@
 import json
 from collections.abc import Callable
 
-from paddlequay.cluster.epochs import mark
-from paddlequay.cluster.tables import Tables
+from paddlequay.cluster.placement_epochs import PlacementEpochs
+from paddlequay.cluster.table_epochs import short_epoch
 from paddlequay.errors import PaddlequayError
 from paddlequay.net.cluster.table_compilation import DIGEST_CHARS, TableCompilation
 from paddlequay.placement.homes import object_key
@@ -28,17 +28,17 @@
 
 def placement_page(
     compilation: TableCompilation,
-    tables: Tables | None,
+    tables: PlacementEpochs | None,
     migration: Migration | None,
     pending_table: Table | None,
     now: float,
 ) -> dict[str, object]:
     """Returns what is in use and what is compiled at a router, as JSON values."""
-    epoch = tables.in_use(now) if tables is not None else None
+    epoch = tables.epoch_in_use(now) if tables is not None else None
     compiled = compilation.table
     return {
-        "epoch": None if epoch is None else mark(epoch),
-        "table": None if epoch is None or tables is None else f"{tables.table(now) or 0:016x}",
+        "epoch": None if epoch is None else short_epoch(epoch),
+        "table": None if epoch is None or tables is None else f"{tables.table_in_use(now) or 0:016x}",
         "follows": None if epoch is None or migration is None else migration.table.digest[:DIGEST_CHARS],
         "compiled": None if compiled is None else compiled.digest,
         "members": None if compiled is None else len(compiled.names),
--- a/paddlequay/net/cluster/placement_tables.py
+++ b/paddlequay/net/cluster/placement_tables.py
@@ -1,7 +1,7 @@
 """Joins placement by rules with the router: edges follow the table that the fleet has agreed on.
 
-`table_compilation.py` compiles the tables, `cluster/tables.py` decides at each request which one is in use.
-While none is, homes are plain, as without a rules file.
+`table_compilation.py` compiles the tables, `cluster/placement_epochs.py` decides at each request which one
+is in use. While none is, homes are plain, as without a rules file.
 """
 
 import asyncio
@@ -10,9 +10,9 @@
 from functools import partial
 from pathlib import Path
 
-from paddlequay.cluster.epochs import LEASE
 from paddlequay.cluster.node import Node
-from paddlequay.cluster.tables import Tables
+from paddlequay.cluster.placement_epochs import PlacementEpochs
+from paddlequay.cluster.table_epochs import TABLES_LEASE
 from paddlequay.cluster.types import Action, TableChanged
 from paddlequay.net.cluster.placement_console import explain_placement, placement_page
 from paddlequay.net.cluster.table_compilation import TableCompilation, rules_digest, table_digest
@@ -36,7 +36,7 @@
 class PlacementTables:
     """Placement by rules at one router.
 
-    Memory: the tables that `Tables.needed` names, and the two that a `Migration` holds.
+    Memory: the tables that `PlacementEpochs.needed_tables` names, and the two that a `Migration` holds.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self.clock = clock
         self.compilation = TableCompilation(path, settings, exchange, counters, clock)
         self.node: Node | None = None
-        self.tables: Tables | None = None
+        self.tables: PlacementEpochs | None = None
         self.held_tables: dict[int, Table] = {}  # by digest
         self.migration: Migration | None = None
         self.pending_table: Table | None = None  # followed once the shards in motion have migrated
@@ -80,11 +80,13 @@
         self.node = node
         self.migration = None
         self.pending_table = None
-        self.tables = Tables(node.fleet, node.settings.bounds, node.holds, partial(reacquire_lease, node))
-        node.join(self.tables, Tables.HANDLED_MESSAGES)
+        self.tables = PlacementEpochs(
+            node.fleet, node.settings.bounds, node.holds, partial(reacquire_lease, node)
+        )
+        node.join(self.tables, PlacementEpochs.HANDLED_MESSAGES)
         now = self.clock()
         if node.leases is not None and node.fleet.me in node.fleet.acceptors:
-            node.begun += node.leases.request(LEASE, now)
+            node.begun += node.leases.request(TABLES_LEASE, now)
         node.begun += self.tables.compiled(*self.compilation.digests(), now)
 
     def leave_cluster(self) -> None:
@@ -97,7 +99,7 @@
     def release_lease(self, now: float) -> list[Action]:
         """Releases the lease, so that no router has to wait for its end."""
         leases = self.node.leases if self.node is not None else None
-        return leases.release(LEASE, now) if leases is not None else []
+        return leases.release(TABLES_LEASE, now) if leases is not None else []
 
     # --- the periodic update ---
 
@@ -114,7 +116,7 @@
         """Adopts a changed rules file; raises `ConfigError` if it cannot be used, and the old rules stay."""
         rules = self.compilation.reload()
         if rules is not None and self.tables is not None:
-            self._apply(self.tables.wanted(rules_digest(rules), self.clock()))
+            self._apply(self.tables.rules_changed(rules_digest(rules), self.clock()))
 
     async def _update_forever(self) -> None:
         while True:
@@ -141,7 +143,7 @@
             return
         now = self.clock()
         self._apply(self.tables.compiled(*self.compilation.digests(), now))
-        needed = self.tables.needed(now)
+        needed = self.tables.needed_tables(now)
         self.held_tables = {
             key: held for key, held in self.held_tables.items() if key in needed or held is table
         }
@@ -192,7 +194,7 @@
         """
         migration = self.migration
         now = self.clock()
-        if migration is None or self.tables is None or self.tables.in_use(now) is None:
+        if migration is None or self.tables is None or self.tables.epoch_in_use(now) is None:
             return None
         placement = migration.lookup(key.class_name, key.tenant, key.group, key.key, key.part, now)
         if placement is None:
@@ -226,7 +228,7 @@
 def reacquire_lease(node: Node, now: float) -> list[Action]:
     """Releases the tables' lease and bids for it again, to have it under a later term."""
     leases = node.leases
-    return [] if leases is None else leases.release(LEASE, now) + leases.request(LEASE, now)
+    return [] if leases is None else leases.release(TABLES_LEASE, now) + leases.request(TABLES_LEASE, now)
 
 
 def routing_request(request: ClientRequest) -> Request:
--- a/paddlequay/requests/exchange.py
+++ b/paddlequay/requests/exchange.py
@@ -240,7 +240,7 @@
         if pending is None:
             return
         tried = "attempted" if pending.attempts else "unattempted"
-        self.counters.add(f"rejected.{tried}.{action.cause}")
+        self.counters.add(f"rejected.{tried}.{action.cause.value}")
         answer = FinalAnswer(
             AnswerStatus.REJECTED, retry_after=action.retry_after, detail=pending.last_detail
         )
