--- a/paddlequay/lab/cluster_model_drive.py
+++ b/paddlequay/lab/cluster_model_drive.py
@@ -9,9 +9,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from paddlequay.cluster.limits import Ticket
+from paddlequay.cluster.fleet_limits import Permit
 from paddlequay.cluster.node import ClusterEvent, Node
-from paddlequay.cluster.settings import By, LimitRule
+from paddlequay.cluster.settings import LimitRule, LimitScope
 from paddlequay.cluster.types import (
     Fault,
     LeaseAcquired,
@@ -23,12 +23,12 @@
     SelfChanged,
     VerdictChanged,
 )
-from paddlequay.cluster.verdicts import DOWN
+from paddlequay.cluster.verdict_rules import DOWN_FAULTS
 from paddlequay.lab.cluster_model_world import Box, World
 from paddlequay.lab.limit_audit import Audit
 from paddlequay.placement.homes import digest
 
-WHAT = ((By.CLASS, "charge"), (By.SOURCE, "parent"))
+WHAT = ((LimitScope.CLASS, "charge"), (LimitScope.SOURCE, "parent"))
 REFUSED_S, SILENT_S = 0.005, 0.25  # after which an attempt at a dead parent ends: refused, or timed out
 NOISE = 0.01  # of attempts at a parent that serves which fail nevertheless
 OLD_S = (
@@ -92,8 +92,8 @@
             return world.at(ready + self.rng.random() * 0.002, self.ask, box)
         lasts = world.longest * self.rng.uniform(0.1, 1.0)
         answer = node.limits.admit_all(WHAT, box.clock(world.now), lasts)
-        self.counts["admitted" if isinstance(answer, Ticket) else "refused"] += 1
-        if isinstance(answer, Ticket):
+        self.counts["admitted" if isinstance(answer, Permit) else "refused"] += 1
+        if isinstance(answer, Permit):
             held = lasts / box.rate
             self.admitted.append(world.now)
             for audit in self.audits.values():
@@ -102,9 +102,9 @@
             world.at(world.now + held, self.ended, box, node, answer)
         world.flush(box, ())
 
-    def ended(self, box: Box, node: Node, ticket: Ticket) -> None:
+    def ended(self, box: Box, node: Node, permit: Permit) -> None:
         if box.node is node and node.limits is not None and self.world.alive(box):
-            node.limits.done(ticket, box.clock(self.world.now))
+            node.limits.release(permit, box.clock(self.world.now))
 
     def used(self, begin: float, end: float) -> float:
         """Charges a second let through."""
@@ -134,8 +134,8 @@
         if node is None or node.verdicts is None or box.lives != life or not self.world.alive(box):
             return
         now = box.clock(self.world.now)
-        actions = node.verdicts.saw(parent.subject, 0, "parent", ok, fault, now)
-        self.world.flush(box, node.settle(actions, now))
+        actions = node.verdicts.record_attempt(parent.subject, 0, "parent", ok, fault, now)
+        self.world.flush(box, node.execute(actions, now))
 
     def turn(self, parent: Parent, up: bool, silent: bool = True) -> None:
         """A parent dies, or is back."""
@@ -179,7 +179,7 @@
 
     def worded(self, box: Box, word: VerdictChanged) -> None:
         parent = self.by_subject[word.subject]
-        if word.fault not in DOWN:
+        if word.fault not in DOWN_FAULTS:
             self.words[word.subject].pop(box.me, None)
             return
         self.words[word.subject].setdefault(box.me, self.world.now)
