--- a/paddlequay/cli/lab.py
+++ b/paddlequay/cli/lab.py
@@ -18,7 +18,7 @@
 @click.option("--rate", default=150.0, show_default=True, type=click.FloatRange(1, 2000), help="requests/s")
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0, 1 << 31))
 def up(seconds: float, rate: float, seed: int) -> None:
-    """Bring up a whole small plaza, drive it, reshape it once, and sum it up in a table."""
+    """Start a small zone, drive requests through it, change its topology once, and print a table."""
     from paddlequay.lab.up import drive
 
     with tempfile.TemporaryDirectory(prefix="paddlequay-") as folder:
@@ -58,10 +58,10 @@
         cluster,
         cluster_model,
         fleet,
+        hierarchy_experiment,
+        hierarchy_search_experiment,
         homes,
-        model,
         placement,
-        reshape,
         sources,
         tables,
     )
@@ -75,9 +75,9 @@
         "discovery": sources.discovery,
         "dns-outage": sources.dns_outage,
         "fleet": fleet.run,
-        "hierarchy": reshape.run,
+        "hierarchy": hierarchy_experiment.run,
         "members": sources.members,
-        "model": model.run,
+        "model": hierarchy_search_experiment.run,
         "placement": placement.run,
         "tables": tables.run,
     }
--- a/paddlequay/lab/cluster.py
+++ b/paddlequay/lab/cluster.py
@@ -16,7 +16,7 @@
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.lab.fleet_rig import FleetRig, Moment, watch
 from paddlequay.lab.load import Connection
-from paddlequay.lab.plaza import Plan
+from paddlequay.lab.zone_cluster import ZonePlan
 
 RATE, BURST, FLOOR = 30.0, 6.0, 0.25
 RULES = (
@@ -244,7 +244,7 @@
 
 async def play(setup: Setup, routers: int, pause: float, load: float) -> Found:
     """One run of the whole script."""
-    plan = Plan(routers=routers, boxes=4, tiers=2, regional=1, rate=load, seed=setup.seed)
+    plan = ZonePlan(routers=routers, boxes=4, tiers=2, regional=1, rate=load, seed=setup.seed)
     rig = FleetRig(plan, setup.folder / "plaza", RULES, setup.seed)
     charges = Charges(rig.load.routers, 2.0 * RATE, setup.seed)
     script = Script(rig, charges, setup.seed)
--- a/paddlequay/lab/links.py
+++ b/paddlequay/lab/fault_links.py
@@ -14,11 +14,11 @@
 from typing import Any, cast
 
 Address = tuple[str, int]
-MANY = -1  # the number under which a router's socket for all others stands
+ALL_ROUTERS = -1  # the number under which a router's socket for all others stands
 
 
 @dataclass(frozen=True, slots=True)
-class Weather:
+class LinkConditions:
     """What happens to a datagram on its way: chances in [0, 1], times in seconds."""
 
     drop: float = 0.0
@@ -28,13 +28,13 @@
     cut: bool = False
 
 
-CLEAR = Weather()
+NO_FAULTS = LinkConditions()
 
 
-class Stand(asyncio.DatagramProtocol):
+class RelaySocket(asyncio.DatagramProtocol):
     """The socket that stands for one router (or for all) towards another."""
 
-    def __init__(self, links: "Links", near: int, far: int) -> None:
+    def __init__(self, links: "FaultLinks", near: int, far: int) -> None:
         self.links, self.near, self.far = links, near, far
         self.transport: asyncio.DatagramTransport | None = None
 
@@ -49,16 +49,16 @@
         self.links.refused += 1  # a router that is down: its port refuses
 
 
-class Links:
+class FaultLinks:
     """The sockets between `size` routers, and what the weather on each way is."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.size = size
         self.random = random.Random(seed)
-        self.stands: dict[tuple[int, int], Stand] = {}
+        self.stands: dict[tuple[int, int], RelaySocket] = {}
         self.homes: dict[int, Address] = {}  # where routers listen
-        self.weather: dict[tuple[int, int], Weather] = {}
-        self.usual = CLEAR
+        self.weather: dict[tuple[int, int], LinkConditions] = {}
+        self.usual = NO_FAULTS
         self.passed: dict[tuple[int, int], int] = {}
         self.bytes: dict[int, int] = dict.fromkeys(range(size), 0)  # sent by each, for each receiver
         self.lost = self.refused = self.strange = 0
@@ -68,14 +68,14 @@
         self.homes = dict(enumerate(homes))
         loop = asyncio.get_running_loop()
         for near in range(self.size):
-            for far in (*range(self.size), MANY):
-                make = partial(Stand, self, near, far)
+            for far in (*range(self.size), ALL_ROUTERS):
+                make = partial(RelaySocket, self, near, far)
                 self.stands[near, far] = (
                     await loop.create_datagram_endpoint(make, local_addr=("127.0.0.1", 0))
                 )[1]
 
     def address(self, near: int, far: int) -> str:
-        """Where router `near` finds `far`, or with `MANY` all others."""
+        """Where router `near` finds `far`, or with `ALL_ROUTERS` all others."""
         transport = self.stands[near, far].transport
         assert transport is not None
         host, port = transport.get_extra_info("sockname")[:2]
@@ -87,7 +87,7 @@
         return {
             "peer_listen": f"{host}:{port}",
             "peers": [self.address(number, far) for far in range(self.size)],
-            "peers_all": self.address(number, MANY),
+            "peers_all": self.address(number, ALL_ROUTERS),
         }
 
     def came(self, near: int, far: int, data: bytes, address: Address) -> None:
@@ -95,7 +95,7 @@
         if address != self.homes[near]:
             self.strange += 1
             return
-        for to in range(self.size) if far == MANY else (far,):
+        for to in range(self.size) if far == ALL_ROUTERS else (far,):
             if to != near:
                 self.bytes[near] += len(data)
                 self.send(near, to, data)
--- a/paddlequay/lab/fleet_rig.py
+++ b/paddlequay/lab/fleet_rig.py
@@ -15,8 +15,9 @@
 from pathlib import Path
 from typing import Any
 
-from paddlequay.lab.links import Links
-from paddlequay.lab.plaza import Plan, Plaza, free_port
+from paddlequay.lab.fault_links import FaultLinks
+from paddlequay.lab.ports import free_port
+from paddlequay.lab.zone_cluster import ZoneCluster, ZonePlan
 
 CLUSTER = """cluster {
   name: "rehearsal"
@@ -53,16 +54,16 @@
     whom: tuple[int, ...] = ()
 
 
-class FleetRig(Plaza):
+class FleetRig(ZoneCluster):
     """A plaza with a cluster. `rules` go into the cluster's settings, beside name and acceptors."""
 
-    def __init__(self, plan: Plan, folder: Path, rules: str = "", seed: int = 1) -> None:
+    def __init__(self, plan: ZonePlan, folder: Path, rules: str = "", seed: int = 1) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         settings = folder / "cluster.txtpb"
         settings.write_text(CLUSTER % rules)
         told = dict(plan.environment) | {"PADDLEQUAY_CLUSTER": str(settings)}
         super().__init__(replace(plan, environment=told), folder)
-        self.links = Links(plan.routers, seed)
+        self.links = FaultLinks(plan.routers, seed)
         self.nowhere = free_port()  # nobody listens there
         self.places = [Place(number, address) for number, address in enumerate(self.load.routers)]
         self.did: list[Did] = []
--- a/paddlequay/lab/reshape.py
+++ b/paddlequay/lab/hierarchy_experiment.py
@@ -8,48 +8,48 @@
 
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.lab.load import Tally
-from paddlequay.lab.plaza import Plan, Plaza, Script
+from paddlequay.lab.zone_cluster import Script, ZoneCluster, ZonePlan
 
 
 async def driven(
     setup: Setup, name: str, seconds: float, every: float, deaths: float = 0.0, down: float = 4.0
 ) -> dict[str, Any]:
     """One run: reshaped each `every` seconds (0: never), a tier killed each `deaths` seconds (0: none)."""
-    plaza = Plaza(Plan(seed=setup.seed), setup.folder / "runs" / name)
-    await plaza.up()
-    victims = [tier for tier in plaza.tiers if tier.startswith("aimag")]
+    cluster = ZoneCluster(ZonePlan(seed=setup.seed), setup.folder / "runs" / name)
+    await cluster.up()
+    victims = [tier for tier in cluster.tiers if tier.startswith("aimag")]
     number = 0
 
     async def reshape() -> None:
-        await plaza.change(plaza.random_change())
+        await cluster.change(cluster.random_change())
 
     async def purge() -> None:
-        await plaza.purge(plaza.load.video[int(plaza.rng.integers(20))])
+        await cluster.purge(cluster.load.video[int(cluster.rng.integers(20))])
 
     async def death() -> None:
         nonlocal number
         victim = victims[number % len(victims)]
         number += 1
-        await plaza.kill(victim)
+        await cluster.kill(victim)
         await asyncio.sleep(down)
-        await plaza.revive(victim)
+        await cluster.revive(victim)
 
-    script = Script(plaza, [(1.0, purge)])
+    script = Script(cluster, [(1.0, purge)])
     if every:
         script.steps.append((every, reshape))
     if deaths:
         script.steps.append((deaths, death))
     task = asyncio.ensure_future(script.run())
     try:
-        tally = await plaza.load.run(seconds)
+        tally = await cluster.load.run(seconds)
         task.cancel()
-        pages = await plaza.pages()
-        counts = {tier: counted(plaza.folder / f"{tier}.log") for tier in plaza.tiers}
+        pages = await cluster.pages()
+        counts = {tier: counted(cluster.folder / f"{tier}.log") for tier in cluster.tiers}
     finally:
         task.cancel()
-        await plaza.down()
-    counts = {tier: counted(plaza.folder / f"{tier}.log") for tier in plaza.tiers}
-    return {"tally": tally, "pages": pages, "plaza": plaza, "counts": counts}
+        await cluster.down()
+    counts = {tier: counted(cluster.folder / f"{tier}.log") for tier in cluster.tiers}
+    return {"tally": tally, "pages": pages, "plaza": cluster, "counts": counts}
 
 
 def counted(path: Path) -> dict[str, int]:
@@ -67,10 +67,10 @@
 def told(results: Results, name: str, run: dict[str, Any]) -> None:
     """One run's row and figures."""
     tally: Tally = run["tally"]
-    plaza: Plaza = run["plaza"]
+    cluster: ZoneCluster = run["plaza"]
     counts = run["counts"].values()
     total = {key: sum(count.get(key, 0) for count in counts) for key in KEYS}
-    second = plaza.second_fills()
+    second = cluster.second_fills()
     results.rows.append(
         {
             "run": name,
@@ -80,19 +80,19 @@
             "p50_ms": round(tally.percentile(50), 1),
             "p99_ms": round(tally.percentile(99), 1),
             "spoilt": tally.spoilt,
-            "store_fills": len(plaza.store.given),
+            "store_fills": len(cluster.store.given),
             "second_fills": len(second),
-            "versions": plaza.shape.version,
-            "charges_twice": sum(count > 1 for count in plaza.store.charges.values()),
+            "versions": cluster.shape.version,
+            "charges_twice": sum(count > 1 for count in cluster.store.charges.values()),
         }
         | {key.removeprefix("node."): value for key, value in total.items()}
     )
     results.figures[name] = ", ".join(
         f"{key} {value}" for key, value in results.rows[-1].items() if key != "run"
     )
-    began = plaza.store.given[0].at if plaza.store.given else time.time()
+    began = cluster.store.given[0].at if cluster.store.given else time.time()
     fills: dict[int, int] = {}
-    for given in plaza.store.given:
+    for given in cluster.store.given:
         fills[int(given.at - began)] = fills.get(int(given.at - began), 0) + 1
     results.lines[name] = [(float(second), float(count)) for second, count in sorted(fills.items())]
 
@@ -108,7 +108,7 @@
 )
 
 
-def cold_peak(plain: Plaza, plaza: Plaza) -> float:
+def cold_peak(plain: ZoneCluster, cluster: ZoneCluster) -> float:
     """The most that boxes asked of a tier within 2 s while it was cold, over what it could do then.
 
     What one can do warm is set to 1.35 times the mean of the plain run, as the brief has it (1.1 to 1.6).
@@ -117,12 +117,12 @@
     span = max(1.0, fills[-1][0] - fills[0][0]) if fills else 1.0
     capacity = 1.35 * max(1.0, len(fills) / plain.plan.tiers / span * 2.0)
     worst = 0.0
-    for began, name in plaza.revived:
+    for began, name in cluster.revived:
         for start in range(20):
             share = min(1.0, 0.062 + (1 - 0.062) * (start + 1) / 20.0)
             low = began + start
             asked = sum(
-                source == name and low <= at < low + 2 for box in plaza.boxes for at, source in box.filled
+                source == name and low <= at < low + 2 for box in cluster.boxes for at, source in box.filled
             )
             worst = max(worst, asked / (share * capacity))
     return worst
--- a/paddlequay/lab/load.py
+++ b/paddlequay/lab/load.py
@@ -13,7 +13,7 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from paddlequay.lab.standins import body_of
+from paddlequay.lab.cache_servers import body_of
 from paddlequay.protocol import msgpack
 
 
--- a/paddlequay/lab/sources.py
+++ b/paddlequay/lab/sources.py
@@ -22,7 +22,7 @@
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.lab.dns import DnsServer
 from paddlequay.lab.load import Tally
-from paddlequay.lab.plaza import Plan, Plaza
+from paddlequay.lab.zone_cluster import ZoneCluster, ZonePlan
 from paddlequay.routing.interface import MemberState
 
 SERVICE = "_box._tcp.plaza.example."
@@ -42,38 +42,38 @@
     def __init__(self, setup: Setup, name: str, dns_on: bool, boxes: int = 6, listed: bool = True) -> None:
         self.zone = DnsServer()
         self.setup, self.name, self.dns_on, self.boxes = setup, name, dns_on, boxes
-        self.plaza: Plaza
+        self.cluster: ZoneCluster
         self.listed = listed
         self.drained: list[tuple[float, float, str]] = []  # from, until, which box
 
     async def up(self) -> None:
         await self.zone.start()
         text = TEXT % self.zone.address if self.dns_on else ""
-        plan = Plan(boxes=self.boxes, tiers=0, regional=0, seed=self.setup.seed, discovery=text)
+        plan = ZonePlan(boxes=self.boxes, tiers=0, regional=0, seed=self.setup.seed, discovery=text)
         plan = replace(plan, listed=self.listed)
-        self.plaza = Plaza(plan, self.setup.folder / "runs" / self.name)
-        await self.plaza.up()
-        self.publish([box.name for box in self.plaza.boxes])
+        self.cluster = ZoneCluster(plan, self.setup.folder / "runs" / self.name)
+        await self.cluster.up()
+        self.publish([box.name for box in self.cluster.boxes])
 
     def publish(self, names: list[str], ttl: int = 2) -> None:
         """The zone names exactly these boxes."""
         data = []
-        for box in self.plaza.boxes:
+        for box in self.cluster.boxes:
             if box.name in names:
                 self.zone.put(f"{box.name}.plaza.example.", "A", ttl, "127.0.0.1")
                 data.append(f"1 1 {box.address[1]} {box.name}.plaza.example.")
         self.zone.put(SERVICE, "SRV", ttl, *data)
 
     async def state(self, name: str, word: str) -> None:
-        entry = self.plaza.listed[name] | {"lifecycle": word}
-        self.plaza.listed[name] = entry
-        await self.plaza.bulletin.tell(roster={"generation": 0, "reset": False, "instances": [entry]})
+        entry = self.cluster.listed[name] | {"lifecycle": word}
+        self.cluster.listed[name] = entry
+        await self.cluster.bulletin.tell(roster={"generation": 0, "reset": False, "instances": [entry]})
 
     async def drains(self, every: float) -> None:
         """The list drains one box after the other and takes it back, while DNS goes on naming it."""
         for number in range(1000):
             await asyncio.sleep(every)
-            name = self.plaza.boxes[number % len(self.plaza.boxes)].name
+            name = self.cluster.boxes[number % len(self.cluster.boxes)].name
             began = time.time()
             await self.state(name, "terminating")
             await asyncio.sleep(every)
@@ -85,13 +85,13 @@
         on."""
         count = 0
         for began, ended, name in self.drained:
-            for box in self.plaza.boxes:
+            for box in self.cluster.boxes:
                 for at, via in box.asked:
                     count += (box.name == name or via == name) and began + TOLD < at < ended
         return count
 
     async def down(self) -> None:
-        await self.plaza.down()
+        await self.cluster.down()
         self.zone.close()
 
 
@@ -102,15 +102,15 @@
 
     async def confuse() -> None:
         """DNS changes, truncates, fails, lies and comes back, over and over."""
-        names = [box.name for box in rig.plaza.boxes]
+        names = [box.name for box in rig.cluster.boxes]
         for fault in ["", "truncated", "servfail", "spoofed-first", "empty", "garbage", "late"] * 100:
             rig.zone.fault = fault
-            rig.publish(names if rig.plaza.rng.random() < 0.5 else names[:-1])
+            rig.publish(names if rig.cluster.rng.random() < 0.5 else names[:-1])
             await asyncio.sleep(1.0 if setup.quick else 3.0)
 
     confusing = asyncio.ensure_future(confuse())
     try:
-        tally = await rig.plaza.load.run(seconds)
+        tally = await rig.cluster.load.run(seconds)
     finally:
         task.cancel()
         confusing.cancel()
@@ -160,10 +160,10 @@
     """Routers that know boxes by DNS only; its server fails, then the zone is empty, then a new box comes."""
     rig = Rig(setup, f"outage-{fault or 'none'}", True, listed=False)
     await rig.up()
-    rig.publish([box.name for box in rig.plaza.boxes[:-1]])
+    rig.publish([box.name for box in rig.cluster.boxes[:-1]])
     await asyncio.sleep(4.0)
     learned = 0.0
-    task = asyncio.ensure_future(rig.plaza.load.run(seconds))
+    task = asyncio.ensure_future(rig.cluster.load.run(seconds))
     try:
         if fault:
             before, silent, empty = (1.0, 2.5, 0.7) if setup.quick else (10.0, 60.0, 5.0)
@@ -173,8 +173,8 @@
             rig.zone.fault = "empty"
             await asyncio.sleep(empty)
             rig.zone.fault = ""
-            rig.publish([box.name for box in rig.plaza.boxes])
-            began, last = time.time(), rig.plaza.boxes[-1]
+            rig.publish([box.name for box in rig.cluster.boxes])
+            began, last = time.time(), rig.cluster.boxes[-1]
             last.asked.clear()  # from before it was taken off
             while not last.asked and not task.done():
                 await asyncio.sleep(0.05)
--- a/paddlequay/lab/up.py
+++ b/paddlequay/lab/up.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from paddlequay.lab.plaza import Plan, Plaza
+from paddlequay.lab.zone_cluster import ZoneCluster, ZonePlan
 
 
 def table(rows: list[tuple[str, str]]) -> str:
@@ -16,31 +16,31 @@
     seconds: float, rate: float, seed: int, folder: Path, say: Callable[[str], None]
 ) -> tuple[str, bool]:
     """The table, and whether everything was served as it should be."""
-    plaza = Plaza(Plan(rate=rate, seed=seed), folder)
-    plan = plaza.plan
+    cluster = ZoneCluster(ZonePlan(rate=rate, seed=seed), folder)
+    plan = cluster.plan
     say(f"starting {plan.routers} routers, {plan.boxes} boxes, {plan.tiers + plan.regional} tiers, one store")
     try:
-        await plaza.up()
+        await cluster.up()
         say(f"driving {rate:g} requests a second for {seconds:g} s, with a change of shape half-way")
-        running = asyncio.ensure_future(plaza.load.run(seconds))
+        running = asyncio.ensure_future(cluster.load.run(seconds))
         await asyncio.sleep(seconds / 2)
-        await plaza.change(plaza.random_change())
-        await plaza.purge(plaza.load.video[0])
+        await cluster.change(cluster.random_change())
+        await cluster.purge(cluster.load.video[0])
         tally = await running
-        pages = await plaza.pages()
+        pages = await cluster.pages()
     finally:
-        await plaza.down()
+        await cluster.down()
     asked = sum(tally.asked.values())
-    charges = plaza.store.charges
+    charges = cluster.store.charges
     twice = sum(count > 1 for count in charges.values())
-    second = plaza.second_fills()
+    second = cluster.second_fills()
     rows = [
         ("asked", f"{asked}  ({', '.join(f'{k} {n}' for k, n in sorted(tally.asked.items()))})"),
         ("answers", ", ".join(f"{verdict} {count}" for verdict, count in tally.verdicts.most_common())),
         ("worth served in time", f"{tally.served_share:.3f}"),
         ("latency", f"p50 {tally.percentile(50):.1f} ms, p99 {tally.percentile(99):.1f} ms"),
         ("spoilt answers", str(tally.spoilt)),
-        ("fills at the store", f"{len(plaza.store.given)}, second ones of a video part {len(second)}"),
+        ("fills at the store", f"{len(cluster.store.given)}, second ones of a video part {len(second)}"),
         ("charges", f"{sum(charges.values())} run, {twice} twice"),
     ]
     for name, page in pages.items():
--- a/paddlequay/lab/plaza.py
+++ b/paddlequay/lab/zone_cluster.py
@@ -3,11 +3,9 @@
 
 import asyncio
 import contextlib
-import itertools
 import json
 import os
 import signal
-import socket
 import sys
 import time
 import urllib.request
@@ -27,8 +25,9 @@
     delta_between,
 )
 from paddlequay.hierarchy.topology_json import encode_delta
+from paddlequay.lab.cache_servers import Box, News, Store
 from paddlequay.lab.load import KINDS, Load
-from paddlequay.lab.standins import Box, News, Store
+from paddlequay.lab.ports import free_port
 from paddlequay.protocol.endpoint_watch import STATES
 from paddlequay.routing.interface import MemberState
 
@@ -38,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class ZonePlan:
     """What stands in a plaza."""
 
     routers: int = 2
@@ -53,22 +52,6 @@
     root: Path = ROOT  # whose program the routers run: another one is an earlier version to compare with
 
 
-# Below those that the kernel gives to connections, begun elsewhere in each process: a port that the kernel
-# names as free is another's by the time that a process started for it listens there.
-PORTS = itertools.cycle(range(10_000, 32_000))
-for _ in range(os.getpid() * 97 % 22_000):
-    next(PORTS)
-
-
-def free_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    """A port on loopback where nobody listens."""
-    for port in PORTS:
-        with socket.socket(socket.AF_INET, kind) as free, contextlib.suppress(OSError):
-            free.bind(("127.0.0.1", port))
-            return port
-    raise AssertionError
-
-
 @dataclass(slots=True, eq=False)
 class Tier:
     """One tier process, and the files that are its own."""
@@ -81,10 +64,10 @@
     started: float = 0.0
 
 
-class Plaza:
+class ZoneCluster:
     """Everything of one run. `folder` holds configurations, logs and what tiers keep."""
 
-    def __init__(self, plan: Plan, folder: Path) -> None:
+    def __init__(self, plan: ZonePlan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
         self.rng = np.random.default_rng(plan.seed)
         addresses = [("127.0.0.1", free_port()) for _ in range(plan.routers)]
@@ -384,7 +367,7 @@
 class Script:
     """What happens to a plaza while it is driven: each call after so many seconds, again and again."""
 
-    plaza: Plaza
+    plaza: ZoneCluster
     steps: list[tuple[float, Callable[[], Any]]] = field(default_factory=list)
 
     async def run(self) -> None:
--- a/tests/cluster/test_cluster_driver.py
+++ b/tests/cluster/test_cluster_driver.py
@@ -17,7 +17,7 @@
 from paddlequay.lab import cluster_audit as audit
 from paddlequay.lab.cluster import BURST, LEASE, RATE, RULES, TELL_S, Charges, Script, dead_parent
 from paddlequay.lab.fleet_rig import FleetRig, Moment, watch
-from paddlequay.lab.plaza import Plan
+from paddlequay.lab.zone_cluster import ZonePlan
 from paddlequay.net.cluster.event_log import EVENT_NAMES
 
 Play = Callable[["World"], Awaitable[None]]
@@ -27,7 +27,7 @@
     """Routers, charges at twice their limit, and what was seen."""
 
     def __init__(self, folder: Path, routers: int, tiers: int, seed: int) -> None:
-        plan = Plan(routers=routers, boxes=2, tiers=tiers, regional=min(1, tiers), rate=30.0, seed=seed)
+        plan = ZonePlan(routers=routers, boxes=2, tiers=tiers, regional=min(1, tiers), rate=30.0, seed=seed)
         self.rig = FleetRig(plan, folder, RULES, seed)
         self.charges = Charges(self.rig.load.routers, 2 * RATE, seed)
         self.script = Script(self.rig, self.charges, seed)
@@ -208,7 +208,7 @@
 
 def test_unusable_peers_are_reported_in_one_line(tmp_path: Path) -> None:
     async def run() -> None:
-        rig = FleetRig(Plan(routers=2, boxes=1, tiers=0, regional=0), tmp_path, RULES)
+        rig = FleetRig(ZonePlan(routers=2, boxes=1, tiers=0, regional=0), tmp_path, RULES)
         with pytest.raises(TimeoutError):
             rig.until_longest = 1.5
             try:
--- a/tests/cluster/test_sharing_channels.py
+++ b/tests/cluster/test_sharing_channels.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 from typing import Any
 
+from paddlequay.lab.cache_servers import body_of
 from paddlequay.lab.fleet_rig import FleetRig, Moment, watch
 from paddlequay.lab.load import Connection
-from paddlequay.lab.plaza import Plan
-from paddlequay.lab.standins import body_of
+from paddlequay.lab.zone_cluster import ZonePlan
 
 RULES = '  channels { class: "lane-video" bundles: 4 live_s: 3 }\n'
 NAME = "00000000000000c5"
@@ -84,7 +84,7 @@
 
 def test_one_owner_fills_ahead_and_a_drain_a_kill_and_a_stop_hand_it_on(tmp_path: Path) -> None:
     moments: list[Moment] = []
-    rig = FleetRig(Plan(routers=4, boxes=2, tiers=1, regional=0, rate=20.0, seed=5), tmp_path, RULES, 5)
+    rig = FleetRig(ZonePlan(routers=4, boxes=2, tiers=1, regional=0, rate=20.0, seed=5), tmp_path, RULES, 5)
     follower = Follower(rig)
 
     async def script() -> None:
--- a/tests/cluster/test_sharing_tables.py
+++ b/tests/cluster/test_sharing_tables.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from paddlequay.lab.fleet_rig import FleetRig, Moment, watch
-from paddlequay.lab.plaza import Plan
+from paddlequay.lab.zone_cluster import ZonePlan
 
 FIRST = "otherwise: 256 shards by object and part; 1 copy.\n"
 SECOND = "move at most 100 shards per second.\notherwise: 256 shards by object; 2 copies.\n"
@@ -21,7 +21,7 @@
     def __init__(self, folder: Path) -> None:
         (folder / "placement.rules").write_text(FIRST)
         self.file = folder / "placement.rules"
-        plan = Plan(routers=3, boxes=4, tiers=0, regional=0, rate=40.0, seed=3)
+        plan = ZonePlan(routers=3, boxes=4, tiers=0, regional=0, rate=40.0, seed=3)
         self.rig = FleetRig(plan, folder, '  rules: "placement.rules"\n  bounds { epoch_s: 2.5 }\n', 3)
         self.moments: list[Moment] = []
 
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from paddlequay.lab.plaza import free_port
+from paddlequay.lab.ports import free_port
 from paddlequay.protocol import msgpack
 
 ROOT = Path(__file__).parent.parent
--- a/tests/hierarchy/rig_tier.py
+++ b/tests/hierarchy/rig_tier.py
@@ -15,7 +15,7 @@
 
 from harness import ROOT, WAIT, Party, until
 
-from paddlequay.lab.plaza import free_port
+from paddlequay.lab.ports import free_port
 
 SECRET = b"a secret of all the nodes"
 
--- a/tests/lab/test_fault_links.py
+++ b/tests/lab/test_fault_links.py
@@ -4,7 +4,7 @@
 import socket
 from collections.abc import Awaitable, Callable
 
-from paddlequay.lab.links import MANY, Links
+from paddlequay.lab.fault_links import ALL_ROUTERS, FaultLinks
 
 
 class Ends:
@@ -21,7 +21,7 @@
     def homes(self) -> list[tuple[str, int]]:
         return [end.getsockname() for end in self.sockets]
 
-    def send(self, links: Links, near: int, far: int, data: bytes) -> None:
+    def send(self, links: FaultLinks, near: int, far: int, data: bytes) -> None:
         host, port = links.address(near, far).split(":")
         self.sockets[near].sendto(data, (host, int(port)))
 
@@ -30,16 +30,16 @@
         data, (host, port) = await asyncio.wait_for(loop.sock_recvfrom(self.sockets[number], 512), 2.0)
         return data, f"{host}:{port}"
 
-    async def nothing(self, links: Links, near: int, far: int, lost: int) -> None:
+    async def nothing(self, links: FaultLinks, near: int, far: int, lost: int) -> None:
         """What was sent is known to be lost, and did not arrive before what follows it."""
         self.send(links, near, far, b"lost")
         while links.lost < lost:
             await asyncio.sleep(0.005)
 
 
-def play(check: Callable[[Links, Ends], Awaitable[None]]) -> None:
+def play(check: Callable[[FaultLinks, Ends], Awaitable[None]]) -> None:
     async def run() -> None:
-        links, ends = Links(3, 1), Ends(3)
+        links, ends = FaultLinks(3, 1), Ends(3)
         await links.up(ends.homes())
         try:
             await check(links, ends)
@@ -52,10 +52,10 @@
 
 
 def test_a_datagram_arrives_from_the_address_that_peers_names_for_its_sender() -> None:
-    async def check(links: Links, ends: Ends) -> None:
+    async def check(links: FaultLinks, ends: Ends) -> None:
         ends.send(links, 0, 1, b"hello")
         assert await ends.came(1) == (b"hello", links.address(1, 0))
-        ends.send(links, 2, MANY, b"all")
+        ends.send(links, 2, ALL_ROUTERS, b"all")
         assert await ends.came(0) == (b"all", links.address(0, 2))
         assert await ends.came(1) == (b"all", links.address(1, 2))
         assert links.bytes == {0: 5, 1: 0, 2: 6}
@@ -64,7 +64,7 @@
 
 
 def test_a_one_way_cut_a_partition_and_a_heal() -> None:
-    async def check(links: Links, ends: Ends) -> None:
+    async def check(links: FaultLinks, ends: Ends) -> None:
         links.one_way(0, [1])
         await ends.nothing(links, 0, 1, 1)
         ends.send(links, 1, 0, b"back")
@@ -82,7 +82,7 @@
 
 
 def test_repeats_delays_and_strangers() -> None:
-    async def check(links: Links, ends: Ends) -> None:
+    async def check(links: FaultLinks, ends: Ends) -> None:
         links.set([(0, 1)], repeat=1.0, delay=0.03)
         links.set([(2, 1)], delay=0.0)
         ends.send(links, 0, 1, b"slow")
--- a/tests/race_conditions/test_readiness.py
+++ b/tests/race_conditions/test_readiness.py
@@ -15,7 +15,7 @@
 from harness import ROOT, Client, platform
 
 from paddlequay.config.limits import Limits
-from paddlequay.lab.plaza import free_port
+from paddlequay.lab.ports import free_port
 from paddlequay.protocol import msgpack
 
 READY_S = 10.0  # nine in ten restarted processes, by the operators' acceptance
--- a/tests/race_conditions/test_signals.py
+++ b/tests/race_conditions/test_signals.py
@@ -15,7 +15,7 @@
 from harness import ROOT, WAIT, Party, Platform, platform
 from rig_shutdown import asked, reply, served
 
-from paddlequay.lab.plaza import free_port
+from paddlequay.lab.ports import free_port
 
 
 @pytest.fixture
