--- a/tests/cluster/test_cluster_settings.py
+++ b/tests/cluster/test_cluster_settings.py
@@ -27,7 +27,7 @@
     read_cluster(file)
 
 
-def test_the_example_in_deploy_can_be_used() -> None:
+def test_the_example_settings_in_deploy_are_valid() -> None:
     settings = read_cluster(ROOT / "deploy/cluster.txtpb")
     assert settings.acceptors == (0, 1, 2) and settings.bounds.lease_s == 1.5
     charges, tenants = settings.limits
@@ -64,7 +64,9 @@
         ("limit {", "limits {", 'no field named "limits"'),
     ],
 )
-def test_what_cannot_be_used_is_said_with_its_field(tmp_path: Path, old: str, new: str, said: str) -> None:
+def test_invalid_cluster_settings_are_reported_with_their_field(
+    tmp_path: Path, old: str, new: str, said: str
+) -> None:
     read(tmp_path, GOOD)
     assert old in GOOD
     with pytest.raises(ConfigError) as error:
--- a/tests/cluster/test_fleet_limits.py
+++ b/tests/cluster/test_fleet_limits.py
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize(("without", "case"), CASES, ids=[each.__name__ for each, _ in CASES])
-def test_a_limit_holds_and_does_not_without_the_guard(
+def test_a_limit_is_kept_and_exceeded_once_the_guard_is_taken_out(
     without: type[FleetLimits], case: Callable[[type[FleetLimits]], World]
 ) -> None:
     for kind, over in ((FleetLimits, False), (without, True)):
@@ -241,7 +241,7 @@
     return sum(since <= at < until for at in audit.admitted) / (until - since)
 
 
-def test_partitions_leave_floors_and_heal() -> None:
+def test_a_partitioned_fleet_serves_its_floors_and_recovers() -> None:
     rule = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=100.0, burst=40.0)
     made = world(FleetLimits, rule, 4)
     loads(made, 60, 60, 60, 60)
@@ -258,7 +258,7 @@
     assert not made.audits["rate"].over
 
 
-def test_holder_killed_while_demand_shifts() -> None:
+def test_a_killed_holder_during_a_demand_shift_is_replaced_within_seconds() -> None:
     rule = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=400.0, burst=240.0)
     made = world(FleetLimits, rule, 4)
     loads(made, 80, 1200, 80, 80)
@@ -272,7 +272,7 @@
 
 
 @pytest.mark.parametrize(("fast", "least"), [(0.0, 0.95), (None, 0.90)])
-def test_two_seconds_after_a_shift_the_limit_is_used(fast: float | None, least: float) -> None:
+def test_the_limit_is_used_again_two_seconds_after_a_demand_shift(fast: float | None, least: float) -> None:
     """Without the pace's 4.8 % no more than 5 % lies idle; with the drift that Bounds assume, it adds."""
     rule = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=400.0, burst=400.0)
     made = World(3, 4, (rule,), clocks=0.0, fast=fast)
@@ -285,7 +285,7 @@
     assert not made.audits["rate"].over
 
 
-def test_open_mode_under_one_cut_after_another_passes_its_multiple_never() -> None:
+def test_open_mode_never_exceeds_its_multiple_while_routers_are_isolated_in_turn() -> None:
     """Each in turn gets the whole, is cut off, and keeps its part; in the end all are."""
     rule = LimitRule(
         "open",
@@ -310,13 +310,13 @@
             assert 40 < served(made, made.now - 2.0, made.now) <= 4 * (4 + 10)
 
 
-def test_random_worlds_pass_no_limit() -> None:
+def test_random_worlds_exceed_no_limit() -> None:
     for seed in range(4):
         made = broken.search(seed)
         assert not [name for name, audit in made.audits.items() if audit.over], seed
 
 
-def test_long_requests_start_on_granted_places_where_grants_stay_for_them() -> None:
+def test_long_requests_start_on_granted_slots_only_where_grants_are_extended() -> None:
     for stay, some in ((0.0, False), (1.0, True)):
         made = World(1, 3, (PLACES,), clocks=0.0, stay=stay)
         loads(made, 40, 40, lasts=1.0)
@@ -325,7 +325,7 @@
         assert not made.audits["places"].over
 
 
-def test_a_burst_too_small_for_all_goes_round() -> None:
+def test_a_burst_too_small_for_all_routers_is_used_in_turns() -> None:
     rule = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=20.0, burst=2.0)
     made = world(FleetLimits, rule, 4)
     loads(made, 40, 40, 40, 40)
--- a/tests/cluster/test_lease_search.py
+++ b/tests/cluster/test_lease_search.py
@@ -16,7 +16,7 @@
 }
 
 
-def test_walks_and_small_worlds_find_no_two_holders_and_no_terms_that_go_back() -> None:
+def test_walks_and_small_worlds_find_no_two_holders_and_no_decreasing_terms() -> None:
     report = search(40_000, seed=900_000, depth=3)
     assert report.faults == []
     assert report.steps >= 40_000 and report.takes > 250 and report.states > 400
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("guard", GUARDS)
-def test_each_guard_taken_out_is_found_by_walks(guard: str) -> None:
+def test_random_walks_find_the_fault_of_each_guard_taken_out(guard: str) -> None:
     report = search(20_000, SEEN_FROM.get(guard, 1), guard, depth=0)
     assert report.faults, guard
     assert ("go back" if guard.split()[0] in ("ballot", "clock", "floor") else "two hold") in report.faults[0]
@@ -37,6 +37,6 @@
     assert "two hold" in report.faults[0]
 
 
-def test_the_same_seed_goes_the_same_way() -> None:
+def test_the_same_seed_gives_the_same_walks() -> None:
     one, two = search(4_000, 5, depth=0), search(4_000, 5, depth=0)
     assert (one.kinds, one.takes, one.healed_most) == (two.kinds, two.takes, two.healed_most)
--- a/tests/cluster/test_leases.py
+++ b/tests/cluster/test_leases.py
@@ -62,7 +62,7 @@
     return world
 
 
-def test_a_killed_holders_lease_is_taken_again_within_the_stated_time() -> None:
+def test_a_lease_of_a_killed_holder_is_reacquired_within_the_stated_time() -> None:
     took = []
     for seed in SEEDS:
         world = holding(seed, 0, 4)
@@ -71,7 +71,7 @@
     assert max(took) <= 2.2
 
 
-def test_a_holder_stopped_past_its_lease_sees_at_once_that_it_holds_nothing() -> None:
+def test_a_holder_stopped_past_its_lease_finds_it_lost_before_any_message() -> None:
     world = holding(1, 4)
     world.processes[3].stopped = True
     term = world.processes[3].holds(1)
@@ -83,7 +83,7 @@
     assert [me for me, _ in world.holders(1)] == [4]
 
 
-def test_a_renewal_that_is_answered_after_the_end_does_not_bring_the_lease_back() -> None:
+def test_a_renewal_accepted_after_the_end_does_not_restore_the_lease() -> None:
     world = holding(1)
     process = world.processes[3]
     world.run(1.0, lambda: any(isinstance(message.note, Propose) for message in world.pending))
@@ -100,7 +100,9 @@
 
 
 @pytest.mark.parametrize(("deaf", "within"), [(True, 3.2), (False, 2.2)])
-def test_a_holder_whose_link_works_one_way_loses_its_lease_to_another(deaf: bool, within: float) -> None:
+def test_a_holder_with_a_one_way_link_loses_its_lease_to_another_within_the_stated_time(
+    deaf: bool, within: float
+) -> None:
     for seed in SEEDS:
         world = holding(seed, 4)
         for each in (0, 1, 2, 4):
@@ -108,7 +110,7 @@
         assert until_held(world, 6.0, by=4, above=world.last[1]) <= within
 
 
-def test_without_a_majority_nobody_holds_and_with_it_again_somebody_does() -> None:
+def test_no_router_holds_the_lease_without_a_majority_and_one_does_once_it_is_back() -> None:
     world = holding(2, 0, 4)
     world.processes[1].stopped = world.processes[2].stopped = True
     assert world.run(2.0, lambda: not held(world)) is not None
@@ -116,7 +118,7 @@
     assert world.settle(2.2, lambda: held(world)) is not None
 
 
-def test_acceptors_that_start_anew_one_after_another_cost_no_holder_and_no_terms_order() -> None:
+def test_acceptors_restarted_in_turn_keep_the_holder_and_the_order_of_terms() -> None:
     for seed in SEEDS:
         world = holding(seed)
         term = world.last[1]
@@ -133,7 +135,7 @@
         assert counter_of(world.last[1]) > counter_of(term) and world.forgotten == 0
 
 
-def test_an_heir_takes_what_it_is_left_at_once_and_before_others() -> None:
+def test_a_successor_acquires_a_released_lease_at_once_and_before_others() -> None:
     took = []
     for seed in SEEDS:
         world = holding(seed, 0, 1, 4)
@@ -143,7 +145,7 @@
     assert max(took) <= 0.15
 
 
-def test_bidders_at_once_do_not_duel_for_long() -> None:
+def test_concurrent_bidders_elect_a_holder_within_the_stated_time() -> None:
     took = []
     for seed in SEEDS:
         world = World(8, seed)
@@ -154,7 +156,7 @@
     assert sum(took) / len(took) <= 0.2 and max(took) <= 0.7
 
 
-def test_a_lease_is_taken_and_kept_where_three_of_ten_messages_are_lost() -> None:
+def test_a_lease_is_acquired_and_kept_with_30_percent_message_loss() -> None:
     took, terms = [], 0
     for seed in SEEDS:
         world = World(5, seed)
@@ -168,7 +170,7 @@
     assert terms <= len(SEEDS) + 3  # of 600 seconds held
 
 
-def test_the_leases_of_a_dead_holder_are_bid_for_at_the_stated_pace() -> None:
+def test_the_leases_of_a_dead_holder_are_bid_for_at_the_stated_rate() -> None:
     names = tuple(range(1, 201))
     world = World(4, 1, names=names)
     world.run(OUT + 0.1)
@@ -205,7 +207,7 @@
     return Leases(Fleet(0, 2, (0,)), ClusterBounds(), random.Random(1), now)
 
 
-def test_one_acceptor_alone_takes_renews_and_gives_back_without_a_note_to_itself() -> None:
+def test_a_single_acceptor_acquires_renews_and_releases_without_messages_to_itself() -> None:
     leases = single()
     leases.request(7, 0.0)
     now, said = 0.0, []
@@ -219,7 +221,7 @@
     assert leases.holds(7, now) is None
 
 
-def test_a_bidder_that_one_acceptor_promised_does_not_keep_the_holder_from_it() -> None:
+def test_a_promise_to_a_bidder_does_not_block_renewals_of_the_holder() -> None:
     for seed in SEEDS:
         world = World(5, seed)
         world.run(OUT + 0.1)
@@ -236,7 +238,7 @@
         assert world.holders(1) == [(3, term)]
 
 
-def test_acceptors_that_all_start_at_once_give_the_lease_soon_after_their_stay_out() -> None:
+def test_acceptors_started_at_once_grant_the_lease_soon_after_the_restart_delay() -> None:
     for seed in SEEDS:
         world = World(5, seed)
         for each in (0, 3, 4):
@@ -244,7 +246,7 @@
         assert OUT * 0.9 < until_held(world, 4.0) < OUT + 0.8
 
 
-def test_an_heir_that_hears_of_it_before_the_acceptors_does_not_wait_for_the_lock() -> None:
+def test_a_successor_told_before_the_acceptors_does_not_wait_for_the_lock_to_end() -> None:
     world = holding(3, 4)
     world.drop(3, 1, heir=4)
     (late, early) = ([m for m in world.pending if (m.to == 4) is early] for early in (False, True))
@@ -254,7 +256,7 @@
     assert until_held(world, 1.0, by=4) <= 0.2
 
 
-def test_a_bidder_whose_promises_were_forgotten_takes_a_new_ballot() -> None:
+def test_a_bidder_whose_promises_were_forgotten_uses_a_new_ballot() -> None:
     world = World(4, 1)
     world.run(OUT + 0.1)
     world.want(3, 1)
@@ -284,7 +286,7 @@
         ([(2.0, Propose(7, ME, 1501, 0))], []),  # longer than a stay-out
     ],
 )
-def test_an_acceptor_takes_a_proposal_only_while_its_ballot_stands(
+def test_an_acceptor_accepts_a_proposal_only_while_its_promise_binds(
     notes: list[tuple[float, PeerMessage]], answers: list[type[PeerMessage]]
 ) -> None:
     leases = single()
@@ -299,7 +301,7 @@
     assert all(each.holder_ballot != 0 for each in said if isinstance(each, Promise) and each.ballot != ME)
 
 
-def test_a_released_lock_is_kept_for_the_heir_for_a_moment() -> None:
+def test_a_released_lock_is_reserved_for_the_successor_for_a_short_time() -> None:
     leases = single()
     leases.tick(2.0)
     for note in (ASK, TAKE, Release(7, ME, 2)):
@@ -309,7 +311,7 @@
         assert isinstance(told, SendMessage) and type(told.message) is kind
 
 
-def test_who_only_asks_is_told_the_holder_and_disturbs_nothing() -> None:
+def test_a_query_for_the_holder_is_answered_and_changes_nothing() -> None:
     leases = single()
     leases.tick(2.0)
     ballot = 5 << 32 | 1 << 16
@@ -321,7 +323,7 @@
     assert isinstance(told, SendMessage) and isinstance(told.message, Promise) and told.message.holder == 1
 
 
-def test_what_is_remembered_has_bounds_and_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_votes_bids_and_hints_are_bounded_and_votes_expire(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(acceptor, "MAX_VOTES", 3)
     monkeypatch.setattr(proposer, "MAX_BIDS", 3)
     monkeypatch.setattr(bid_schedule, "MAX_BIDS", 3)
@@ -344,7 +346,7 @@
     )  # forgotten, but not the order of terms
 
 
-def test_no_note_raises_or_is_believed_from_whom_it_cannot_come_from() -> None:
+def test_malformed_messages_raise_nothing_and_ballots_of_other_routers_are_ignored() -> None:
     rng = random.Random(3)
     leases = single()
     leases.request(0, 0.0)
--- a/tests/cluster/test_limit_permits.py
+++ b/tests/cluster/test_limit_permits.py
@@ -51,7 +51,7 @@
     return LimitRule("r", by, match, rate_per_s=1.0, burst=burst, floor_ratio=1.0, mode=mode)
 
 
-def test_a_refused_renewal_leaves_the_next_attempt_without_leave_too(tmp_path: Path) -> None:
+def test_a_rejected_renewal_leaves_the_next_attempt_without_a_permit(tmp_path: Path) -> None:
     world = World(tmp_path, rate(LimitScope.CLASS, "video"))
     a, first = world.open()
     assert world.permits.admit(a, 2.0) is None
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(("outcome", "free"), [(Outcome.REJECTED, False), (Outcome.TIMEOUT, True)])
-def test_what_was_proven_idle_is_written_anew_only_by_a_leave_that_is_young(
+def test_a_retry_after_an_attempt_that_did_not_run_needs_a_fresh_permit(
     tmp_path: Path, outcome: Outcome, free: bool
 ) -> None:
     world = World(tmp_path, rate(LimitScope.CLASS, "video", burst=1.0))
@@ -81,7 +81,7 @@
     assert (world.permits.before_write(attempt, 1.0) is None) is free
 
 
-def test_a_place_is_held_for_all_that_is_left_of_the_request(tmp_path: Path) -> None:
+def test_a_renewed_slot_is_held_for_all_that_is_left_of_the_request(tmp_path: Path) -> None:
     world = World(tmp_path, LimitRule("r", LimitScope.CLASS, "video", max_in_flight=1, floor_ratio=1.0))
     a, attempt = world.open()
     assert world.permits.admit(a, 2.0) is None
@@ -95,9 +95,7 @@
 
 
 @pytest.mark.parametrize("mode", list(PartitionMode))
-def test_without_a_share_strict_limits_refuse_at_each_moment_and_open_ones_do_not(
-    tmp_path: Path, mode: PartitionMode
-) -> None:
+def test_without_limits_strict_rules_reject_and_open_rules_admit(tmp_path: Path, mode: PartitionMode) -> None:
     each = LimitRule("s", LimitScope.MEMBER, "*", rate_per_s=1.0, floor_ratio=1.0, mode=mode)
     world = World(tmp_path, rate(LimitScope.CLASS, "video", mode=mode), each)
     a, attempt = world.open()
@@ -111,7 +109,7 @@
     assert not world.permits.requests and not world.permits.attempts
 
 
-def test_a_limit_for_each_member_is_none_for_their_kind(tmp_path: Path) -> None:
+def test_a_limit_of_any_member_does_not_apply_to_their_kind(tmp_path: Path) -> None:
     kind = LimitRule("kind", LimitScope.SOURCE, "box", rate_per_s=9.0)
     world = World(tmp_path, LimitRule("each", LimitScope.MEMBER, "*", rate_per_s=1.0, floor_ratio=1.0), kind)
     assert list(world.permits.keys_of_member(LimitScope.MEMBER, "box")) == [(LimitScope.MEMBER, "box")]
--- a/tests/cluster/test_placement_epochs.py
+++ b/tests/cluster/test_placement_epochs.py
@@ -69,7 +69,7 @@
     return world.run(AGREED, lambda: world.alike(digest=digest_of(rules, listed)))
 
 
-def test_no_epoch_goes_back_or_names_two_tables_and_all_agree_after_a_heal() -> None:
+def test_epochs_never_decrease_or_name_two_tables_and_all_routers_agree_after_a_heal() -> None:
     took = []
     for seed in range(25):
         world = troubled(seed)
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("kind", [GoesBack, TakesAny, WithoutTerm])
-def test_the_world_sees_a_guard_that_is_taken_out(kind: type[PlacementEpochs]) -> None:
+def test_the_world_finds_the_fault_of_a_guard_taken_out(kind: type[PlacementEpochs]) -> None:
     def search() -> None:
         for seed in range(25):
             troubled(seed, kind)
@@ -127,7 +127,7 @@
 # --- named cases ---
 
 
-def test_two_holders_in_sequence_propose_at_once_and_the_later_ones_epoch_stays() -> None:
+def test_the_epoch_of_the_later_of_two_holders_stays_in_use() -> None:
     world = settled(5, 1)
     first = world.holder()
     assert first is not None
@@ -144,7 +144,7 @@
     assert world.processes[rest[0]].use()[0] == later
 
 
-def test_who_returns_two_epochs_behind_is_told_at_once_and_never_used_what_came_between() -> None:
+def test_a_router_two_epochs_behind_skips_to_the_current_one_at_once() -> None:
     world = settled(5, 2)
     world.part([4], range(4))
     for listed in (2, 3):
@@ -160,7 +160,7 @@
     assert len(world.processes[4].moves) == before + 1
 
 
-def test_a_third_that_is_cut_off_while_rules_change_keeps_to_its_epoch_and_then_to_none() -> None:
+def test_isolated_routers_keep_their_epoch_for_its_validity_and_then_use_none() -> None:
     world = settled(9, 3)
     old, lost = world.processes[8].use(), [6, 7, 8]
     world.part(lost, range(6))
@@ -178,7 +178,7 @@
     assert world.processes[8].moves[-1].previous is None  # no table was in use there before
 
 
-def test_a_stopped_router_sees_at_once_that_its_epoch_is_over() -> None:
+def test_a_stopped_router_finds_its_epoch_expired_before_any_message() -> None:
     world = settled(3, 4)
     process = world.processes[2]
     process.stopped = True
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("late", [(0, 1, 2), (3, 4, 5)])
-def test_news_of_the_list_late_at_half_the_routers_leave_all_at_the_epoch_before(
+def test_a_list_late_at_half_the_routers_leaves_all_at_the_former_epoch(
     late: tuple[int, ...],
 ) -> None:
     world = settled(6, 6)
@@ -213,7 +213,7 @@
     assert any(say.event == "tables_differ" for process in world.processes for say in process.said)
 
 
-def test_a_holder_killed_between_majority_and_declaration_costs_a_lease_and_no_epoch() -> None:
+def test_a_holder_killed_before_its_declaration_delays_the_epoch_by_one_lease() -> None:
     world = settled(5, 7)
     holder = world.holder()
     assert holder is not None
@@ -234,7 +234,7 @@
     assert took is not None and took <= 3.0
 
 
-def test_a_holder_with_other_rules_declares_what_the_majority_has_and_gives_its_own_up() -> None:
+def test_a_holder_with_other_rules_declares_the_table_of_the_majority() -> None:
     world = settled(5, 8)
     holder = world.holder()
     assert holder is not None
@@ -261,7 +261,7 @@
     return counter << 32 | peer << 16 | 1
 
 
-def test_the_holder_declares_nothing_by_a_lease_that_ended_while_it_stood_still() -> None:
+def test_a_holder_whose_lease_expired_while_stopped_declares_nothing() -> None:
     term, held = term_of(3, 0), [True]
     tables = one(0, lambda *_: term if held[0] else None)
     assert any(
@@ -274,7 +274,7 @@
     assert answers == [[]] * 4 and tables.epoch_in_use(5.0) is None
 
 
-def test_only_answers_to_this_epoch_count_for_its_majority() -> None:
+def test_only_answers_about_the_proposed_epoch_count_for_its_majority() -> None:
     term = term_of(3, 0)
     tables = one(0, lambda *_: term)
     tables.handle_event(LeaseAcquired(TABLES_LEASE, term, 9.0), 0.0)
@@ -287,7 +287,7 @@
     assert tables.epoch_in_use(0.2) == epoch_of(term, 1)
 
 
-def test_an_answer_that_was_overtaken_does_not_undo_the_later_one() -> None:
+def test_an_outdated_answer_does_not_replace_a_later_one() -> None:
     term = term_of(3, 0)
     proposer = TableProposer(Fleet(0, 5, (0, 1, 2)), ClusterBounds(), lambda *_: term)
     proposer.begin(term, None, 0.0)
@@ -297,7 +297,7 @@
     assert proposer.answers.by_peer[1].table == 10 and not proposer.is_agreed(proposal)
 
 
-def test_a_lease_whose_term_is_below_epochs_in_use_is_taken_anew() -> None:
+def test_a_lease_whose_term_is_below_the_epochs_in_use_is_acquired_anew() -> None:
     term, retaken = term_of(3, 0), list[float]()
     fleet = Fleet(0, 5, (0,))
     tables = PlacementEpochs(fleet, ClusterBounds(), lambda *_: term, lambda now: retaken.append(now) or [])  # type: ignore[func-returns-value]
@@ -307,7 +307,7 @@
     assert retaken == [1.0]
 
 
-def test_a_declaration_finds_a_table_that_the_list_has_moved_on_from_within_a_bound() -> None:
+def test_a_declaration_may_name_one_of_the_last_own_tables_of_a_bounded_number() -> None:
     tables, term = one(3), term_of(3, 1)
     for table in range(11, 11 + MAX_OWN_TABLES):
         tables.compiled(1, table, 1.0)
@@ -325,7 +325,7 @@
     )
 
 
-def test_rules_that_are_not_compiled_yet_agree_with_nothing() -> None:
+def test_a_router_with_uncompiled_rules_answers_that_it_has_no_table() -> None:
     tables, term = one(3), term_of(3, 1)
     tables.rules_changed(2, 1.0)
     assert tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 0), 1.0) == [
@@ -333,12 +333,12 @@
     ]
 
 
-def test_numbers_past_an_epochs_bits_are_passed_over() -> None:
+def test_epoch_numbers_out_of_range_are_ignored() -> None:
     tables = one(3)
     assert tables.handle_message(1, 1, TableAnnouncement(1 << 32, term_of(3, 1), 10, 1, 1), 1.0) == []
 
 
-def test_a_table_declared_before_it_is_compiled_is_taken_up_by_the_compile() -> None:
+def test_a_declared_table_is_taken_up_once_it_is_compiled() -> None:
     tables, term = one(3), term_of(3, 1)
     tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 1.0)
     tables.handle_message(1, 1, TableAnnouncement(2, term, 11, 1, 1), 2.0)
@@ -346,7 +346,7 @@
     assert TableChanged(epoch_of(term, 2), 11, 10, 63.0) in tables.compiled(1, 11, 3.0)
 
 
-def test_an_epoch_that_another_followed_is_not_kept_alive_by_late_word_of_it() -> None:
+def test_a_late_declaration_of_a_superseded_epoch_does_not_extend_it() -> None:
     tables, term = one(3), term_of(3, 1)
     tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 1.0)
     tables.handle_message(1, 1, TableAnnouncement(2, term, 11, 1, 1), 2.0)
@@ -362,7 +362,7 @@
     return proposer
 
 
-def test_a_later_holder_repeats_the_epoch_before_until_it_hears_of_one_that_came_after() -> None:
+def test_a_new_holder_repeats_the_former_epoch_until_it_hears_of_a_later_one() -> None:
     proposer = holder()
     former = TableAnnouncement(1, term_of(3, 1), 10, 0, 1)
     assert SendMessage(None, former) in proposer.tick(0.0).actions
@@ -373,7 +373,7 @@
     assert proposer.declared is None
 
 
-def test_a_proposal_goes_again_to_who_has_not_answered_or_has_another_table() -> None:
+def test_a_proposal_is_resent_to_routers_that_have_not_agreed() -> None:
     proposer = holder()
     proposer.tick(0.0)
     proposer.handle_acknowledgement(1, 1, TableAcknowledgement(1, term_of(4, 0), 10, 0), 0.1)
@@ -388,7 +388,7 @@
     assert proposer.tick(0.3).actions == [] and proposer.due() < 0.7
 
 
-def test_a_declaration_goes_again_to_who_has_not_confirmed_it_and_at_once_to_who_is_behind() -> None:
+def test_a_declaration_is_resent_to_unconfirmed_routers_and_at_once_to_those_behind() -> None:
     proposer = holder()
     proposer.tick(0.0)
     for peer in (1, 2):
--- a/tests/cluster/test_quota_exchange.py
+++ b/tests/cluster/test_quota_exchange.py
@@ -23,7 +23,7 @@
     return FleetLimits(fleet, ClusterBounds(), rules, lambda lease, now: holds, 7, 0.0, **more)  # type: ignore[arg-type]
 
 
-def test_two_levels_hold_together_and_leak_nothing() -> None:
+def test_a_request_is_admitted_by_all_of_its_limits_or_uses_none() -> None:
     outer = LimitRule("class", LimitScope.CLASS, "*", rate_per_s=10.0, burst=10.0, floor_ratio=1.0)
     inner = LimitRule("tenant", LimitScope.TENANT, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0)
     places = LimitRule("source", LimitScope.SOURCE, "s", max_in_flight=2, floor_ratio=1.0)
@@ -57,7 +57,7 @@
             return True
 
 
-def test_values_are_bounded_and_going_gains_nothing() -> None:
+def test_local_limits_are_bounded_and_eviction_admits_nothing_more() -> None:
     rule = LimitRule("tenant", LimitScope.TENANT, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0)
     for kind, most in ((FleetLimits, 3), (DropsUsedLimits, 6)):
         limits = kind(
@@ -82,7 +82,7 @@
     return send.message
 
 
-def test_answers_to_no_need_are_void_and_nobody_without_demand_asks() -> None:
+def test_grants_without_a_matching_request_are_void_and_no_demand_sends_no_request() -> None:
     limits = alone(RATE, holds=None, size=3)
     limits.handle_event(HolderObserved(lease_of(RATE), 2, 5), 10.0)
     assert limits.due() == float("inf")
@@ -116,7 +116,7 @@
     )
 
 
-def test_a_refused_demand_that_was_told_and_answered_is_not_told_again_before_its_time() -> None:
+def test_an_answered_demand_is_not_requested_again_before_the_renewal() -> None:
     """Twenty Needs a second from each router that is refused were most of the traffic between routers."""
     limits = alone(RATE, holds=None, size=3)
     limits.handle_event(HolderObserved(lease_of(RATE), 2, 5), 10.0)
@@ -133,7 +133,7 @@
     assert 10 < needs < 25
 
 
-def test_unanswered_needs_wait_longer_each_time_and_go_to_those_who_may_hold() -> None:
+def test_unanswered_quota_requests_back_off_and_go_to_acceptors_only() -> None:
     """A busy holder is not asked the more the less it answers; nobody else has to hear of it."""
     limits = alone(RATE, holds=None, size=9, acceptors=(0, 3, 5))
     sent = []
@@ -145,7 +145,7 @@
     assert len(sent) <= 2 * 11
 
 
-def test_holder_counts_out_what_it_told_and_hears_no_need_twice() -> None:
+def test_a_holder_counts_outstanding_grants_and_ignores_repeated_requests() -> None:
     limited = FleetLimit(RATE, lease_of(RATE), divide_limit(RATE, 4), 0.6)
     term: list[int | None] = [3]
     granter = Granter(ClusterBounds(), 4, lambda lease, now: term[0])
@@ -173,7 +173,7 @@
     assert granter.handle_request(limited, 2, 1, QuotaRequest(limit, 7, 90_000, 3), 2.17) is not None
 
 
-def test_holder_feeds_itself_and_routers_that_hear_of_no_holder_ask_all() -> None:
+def test_a_holder_grants_to_itself_and_a_router_without_a_known_holder_asks_all() -> None:
     limits = alone(RATE, size=2)
     limits.handle_event(LeaseAcquired(lease_of(RATE), 1, 2.0), 0.0)
     assert isinstance(limits.admit(LimitScope.CLASS, "c", 1.0, 1.0), Rejection)
@@ -187,7 +187,7 @@
     assert lost.tick(1.3) == []
 
 
-def test_demand_is_steady_in_noise_and_quick_in_a_shift() -> None:
+def test_measured_demand_is_steady_in_noise_and_follows_a_shift_quickly() -> None:
     asked = DemandMeter(0.0, 0.2)
     for window, many in enumerate((8, 11, 9, 12, 10, 9, 11, 10)):
         for _ in range(many):
@@ -200,7 +200,7 @@
     assert asked.rate_milli(2.01) == 0
 
 
-def test_a_value_is_not_let_go_for_another_of_the_same_request() -> None:
+def test_a_local_limit_is_not_evicted_for_another_of_the_same_request() -> None:
     rules = (
         LimitRule("class", LimitScope.CLASS, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0),
         LimitRule("tenant", LimitScope.TENANT, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0),
@@ -211,7 +211,7 @@
     assert len(limits.local_limits) == 1
 
 
-def test_a_share_that_lets_no_request_through_is_left_to_others() -> None:
+def test_a_share_that_admits_no_request_is_left_to_other_routers() -> None:
     rule = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=90.0, burst=3.5, floor_ratio=0.0)
     limited = FleetLimit(rule, lease_of(rule), divide_limit(rule, 3), 0.6)
     granter = Granter(ClusterBounds(), 3, lambda lease, now: 1)
--- a/tests/cluster/test_quotas.py
+++ b/tests/cluster/test_quotas.py
@@ -19,7 +19,7 @@
 
 @settings(max_examples=300, derandomize=True)
 @given(st.integers(0, 500_000), WANTS, st.sampled_from([1, MILLI_PER_REQUEST]))
-def test_shares_are_max_min_fair_and_all_is_handed_out(pool: int, wants: dict[int, int], unit: int) -> None:
+def test_shares_are_max_min_fair_and_use_the_whole_pool(pool: int, wants: dict[int, int], unit: int) -> None:
     shares = max_min_shares(pool, wants, unit)
     asking = {peer: -(-want // unit) * unit for peer, want in wants.items() if want}
     assert set(shares) == set(asking)
@@ -44,7 +44,7 @@
     st.floats(1, 1e4),
     st.floats(1, 4),
 )
-def test_floors_and_pool_are_the_limit_and_kept_shares_its_multiple(
+def test_floors_and_pool_sum_to_the_limit_and_retained_quotas_to_its_multiple(
     size: int, floor: float, at_once: int | None, rate: float, burst: float, over: float
 ) -> None:
     rate_or_none = rate if at_once is None else None
@@ -68,12 +68,12 @@
 
 @given(st.integers(0, 500_000), WANTS)
 @settings(max_examples=100, derandomize=True)
-def test_bursts_are_no_more_than_the_pool(pool: int, wants: dict[int, int]) -> None:
+def test_even_bursts_sum_to_no_more_than_the_pool(pool: int, wants: dict[int, int]) -> None:
     bursts = even_bursts(pool, wants)
     assert sum(bursts.values()) <= pool and len(set(bursts.values())) <= 1
 
 
-def test_shares_of_small_numbers() -> None:
+def test_shares_and_floors_of_small_limits() -> None:
     assert max_min_shares(10, {1: 2, 2: 20, 3: 20}) == {1: 2, 2: 4, 3: 4}
     assert max_min_shares(10, {1: 2, 2: 3}) == {1: 4, 2: 6}
     assert max_min_shares(5 * MILLI_PER_REQUEST, {4: 1, 7: 9 * MILLI_PER_REQUEST}, MILLI_PER_REQUEST) == {
@@ -101,6 +101,6 @@
         LimitRule("", LimitScope.CLASS, "*", rate_per_s=1.0),
     ],
 )
-def test_rules_that_say_nothing_are_refused(rule: LimitRule) -> None:
+def test_contradictory_or_out_of_range_limit_rules_raise_an_error(rule: LimitRule) -> None:
     with pytest.raises(ValueError, match="limit"):
         divide_limit(rule, 3)
--- a/tests/cluster/test_sharing_tables.py
+++ b/tests/cluster/test_sharing_tables.py
@@ -44,7 +44,9 @@
     return len({(page["epoch"], page["table"]) for page in now.values()}) == 1 and bool(now[0]["epoch"])
 
 
-def test_rules_change_one_router_at_a_time_and_while_one_is_cut_off_and_back(tmp_path: Path) -> None:
+def test_routers_agree_on_rules_that_change_one_router_at_a_time_and_during_a_partition(
+    tmp_path: Path,
+) -> None:
     world = World(tmp_path)
 
     async def script() -> None:
