--- a/paddlequay/cluster/bids.py
+++ b/paddlequay/cluster/bids.py
@@ -78,11 +78,11 @@
         self.rounds = {0: Round(now)}
         self.election_ends_at = ends_at
 
-    def begin_round(self, now: float, kept_rounds: int) -> None:
+    def begin_round(self, now: float, max_rounds: int) -> None:
         """Starts another round, and forgets the one whose answers are too old to count."""
         self.round_number += 1
         self.rounds[self.round_number] = Round(now)
-        self.rounds.pop(self.round_number - kept_rounds, None)
+        self.rounds.pop(self.round_number - max_rounds, None)
 
     def begin_waiting(self) -> None:
         """Ends an election or a lease."""
--- a/paddlequay/cluster/elections.py
+++ b/paddlequay/cluster/elections.py
@@ -26,7 +26,7 @@
     Urgency,
 )
 
-KEPT_ROUNDS = 3  # rounds of a bid whose answers still count
+MAX_COUNTED_ROUNDS = 3  # rounds of a bid whose answers still count
 
 
 class Elections:
@@ -173,7 +173,7 @@
     def _renew(self, bid: Bid, now: float) -> list[Action]:
         """Starts a round when it is due, and resends the last one until a majority has accepted it."""
         if now >= bid.renew_at:
-            bid.begin_round(now, KEPT_ROUNDS)
+            bid.begin_round(now, MAX_COUNTED_ROUNDS)
             bid.renew_at = now + self.timing.renewal_interval()
         accepted_by = bid.rounds[bid.round_number].accepted_by
         actions: list[Action] = []
--- a/paddlequay/cluster/fleet_limits.py
+++ b/paddlequay/cluster/fleet_limits.py
@@ -54,7 +54,25 @@
 class FleetLimits:
     """This router's side of all limits, and the holder's where it has the lease: a `Part` of the cluster.
 
-    After `admit`, `due()` may be earlier than before.
+    Starts with empty buckets. After `admit`, `due()` may be earlier than before.
+
+    Args:
+        fleet: The routers.
+        bounds: The times that all routers share.
+        rules: The limits of the settings.
+        held_term: Returns the term of a lease that this router holds at a moment, or None.
+        incarnation: Of this process.
+        now: Seconds of this process's clock.
+        slot_grant_extension_s: How much longer than `bounds.grant_s` grants of slots are valid, the same at
+            all routers: the longest request that may start on a granted slot.
+        max_request_s: The longest time-out of a request: floor slots stay blocked for as long.
+        is_first_process: Whether there was no process before, so that no floor slot has to be blocked.
+        fast_ratio: The most by which this clock runs faster than true time, a part of every rate that it
+            costs; `bounds.drift_ratio` by default.
+        max_local_limits: The limits of single values that are kept at a time.
+
+    Raises:
+        ValueError: A rule cannot be kept, or the names of two rules cannot be told apart.
     """
 
     HANDLED_MESSAGES: tuple[type[PeerMessage], ...] = (QuotaRequest, QuotaGrant)
@@ -79,36 +97,15 @@
         fast_ratio: float | None = None,
         max_local_limits: int = MAX_LOCAL_LIMITS,
     ) -> None:
-        """Starts with empty buckets.
-
-        Args:
-            fleet: The routers.
-            bounds: The times that all routers share.
-            rules: The limits of the settings.
-            held_term: Returns the term of a lease that this router holds at a moment, or None.
-            incarnation: Of this process.
-            now: Seconds of this process's clock.
-            slot_grant_extension_s: How much longer than `bounds.grant_s` grants of slots are valid, the same
-                at all routers: the longest request that may start on a granted slot.
-            max_request_s: The longest time-out of a request: floor slots stay blocked for as long.
-            is_first_process: Whether there was no process before, so that no floor slot has to be blocked.
-            fast_ratio: The most by which this clock runs faster than true time, a part of every rate that it
-                costs; `bounds.drift_ratio` by default.
-            max_local_limits: The limits of single values that are kept at a time.
-
-        Raises:
-            ValueError: A rule cannot be kept, or the names of two rules cannot be told apart.
-        """
         self.fleet = fleet
         self.bounds = bounds
         self.incarnation = incarnation
         self.fast_ratio = bounds.drift_ratio if fast_ratio is None else fast_ratio
-        slowest_per_fastest = (1 + bounds.drift_ratio) / (1 - bounds.drift_ratio)
         self.timing = BucketTiming(
             started_at=now,
             min_clock_rate=self.min_clock_rate(),
             retention_s=bounds.epoch_s,
-            floor_blocked_s=0.0 if is_first_process else max_request_s * slowest_per_fastest,
+            floor_blocked_s=0.0 if is_first_process else _longest_by_slow_clock(max_request_s, bounds),
             window_s=bounds.grant_s / 3,
         )
         self.registry = LimitRegistry(rules, fleet.size, bounds, slot_grant_extension_s)
@@ -233,3 +230,8 @@
     def due(self) -> float:
         """Returns when the next request for a quota is due."""
         return self.client.due()
+
+
+def _longest_by_slow_clock(seconds: float, bounds: ClusterBounds) -> float:
+    """Returns what a fast clock measures while a slow clock measures `seconds`."""
+    return seconds * (1 + bounds.drift_ratio) / (1 - bounds.drift_ratio)
--- a/paddlequay/cluster/lease_timing.py
+++ b/paddlequay/cluster/lease_timing.py
@@ -43,7 +43,7 @@
         """Returns for how long a successor bids without waiting for the pace."""
         return self.bounds.lease_s * HURRY_RATIO
 
-    def told_wait(self, milliseconds: int) -> float:
+    def bounded_wait(self, milliseconds: int) -> float:
         """Returns the seconds that an acceptor told; none can truly tell more than two leases."""
         return min(milliseconds / 1000, 2 * self.bounds.lease_s)
 
--- a/paddlequay/cluster/proposer.py
+++ b/paddlequay/cluster/proposer.py
@@ -107,10 +107,10 @@
             case Promise(holder_ballot=0):
                 return self.elections.record_promise(acceptor, bid, now)
             case Promise():
-                wait = timing.told_wait(message.remaining_ms)
+                wait = timing.bounded_wait(message.remaining_ms)
                 return self.elections.record_refusal(acceptor, bid, message.holder_ballot, wait, now)
             case Reject():
-                wait = timing.told_wait(message.retry_after_ms)
+                wait = timing.bounded_wait(message.retry_after_ms)
                 return self.elections.record_refusal(acceptor, bid, message.promised, wait, now)
 
     def _observe(self, message: Promise | Accept | Reject, now: float) -> list[Action]:
@@ -127,7 +127,7 @@
     def _observe_holder(self, message: Promise, now: float) -> list[Action]:
         if message.holder == self.fleet.me:
             return []
-        valid_until = now + self.elections.timing.told_wait(message.remaining_ms)
+        valid_until = now + self.elections.timing.bounded_wait(message.remaining_ms)
         if not self.hints.record(message, valid_until, now):
             return []
         return [HolderObserved(message.lease, message.holder, message.holder_ballot)]
