--- a/paddlequay/lab/lease_search.py
+++ b/paddlequay/lab/lease_search.py
@@ -1,6 +1,6 @@
-"""A search through what may happen to leases: random walks by seed, and small worlds gone through to a depth.
+"""A search through what may happen to leases: random walks by seed, and small worlds searched to a depth.
 
-`python -m paddlequay.lab.lease_search --steps 1000000 --seed 1` prints what was gone through. With
+`python -m paddlequay.lab.lease_search --steps 1000000 --seed 1` prints what was searched. With
 `--without GUARD` the same search runs with that guard taken out, and should find a fault.
 """
 
@@ -9,19 +9,21 @@
 import random
 import time
 from collections import Counter
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 from itertools import accumulate
 
-from paddlequay.cluster.leases import Leases
-from paddlequay.lab.lease_world import GUARDS, FaultError, Process, World
+from paddlequay.cluster.types import NameDigest, Peer
+from paddlequay.lab.lease_guards import COMPLETE, WITHOUT_GUARD, Variant
+from paddlequay.lab.lease_world import LeaseFaultError, LeaseProcess, LeaseWorld
 
-WALK = 400  # steps of one walk
-PENDING_MOST = 60  # messages under way in a walk; older ones are lost
-HEALED_WITHIN = 6.0  # true seconds from healing until each wanted lease is held
-FULL_DEPTH = 6  # of small worlds: some 90,000 states, a minute; each step more is five times that
+STEPS_PER_WALK = 400
+MAX_PENDING_MESSAGES = 60  # in a walk; older ones are lost
+MAX_HEALING_S = 6.0  # true seconds from healing until each wanted lease is held
+FULL_DEPTH_STEPS = 6  # of small worlds: some 90,000 states, a minute; each step more is five times that
 
 
-KINDS = (
+STEP_KINDS = (
     "deliver", "duplicate", "drop", "advance", "drift", "stop", "continue",
     "restart", "cut", "heal", "heads", "want", "release",
 )  # fmt: skip
@@ -29,250 +31,326 @@
 
 @dataclass(frozen=True, slots=True)
 class Mood:
-    """What a walk has much of."""
+    """How often a walk does what.
 
-    shares: tuple[float, ...]  # of each of `KINDS`
-    ends: float  # of advances that go to the end of a lock or of a stay-out
-    stalls: float  # of advances that are long
-    steps_a_second: float  # of the others
+    Attributes:
+        shares: Of each of `STEP_KINDS`.
+        to_ends: The share of advances that go to the end of a lock or of a restart delay.
+        stalls: The share of advances that are long.
+        steps_per_s: Of the other advances.
+    """
+
+    shares: tuple[float, ...]
+    to_ends: float
+    stalls: float
+    steps_per_s: float
 
     @property
-    def weights(self) -> tuple[float, ...]:
+    def cumulative_shares(self) -> tuple[float, ...]:
+        """The shares as `random.choices` takes them."""
         return tuple(accumulate(self.shares))
 
 
 MOODS = (
     Mood((50, 4, 4, 26, 1, 1.2, 3, 1, 1, 1.5, 2, 2, 1), 0.1, 0.04, 30),  # a bit of all
-    Mood((60, 8, 2, 10, 1, 2, 3, 0.3, 0.5, 2, 1, 8, 5), 0.05, 0.02, 200),  # owners change in a rush
-    Mood((60, 4, 2, 16, 3, 1, 3, 0.5, 4, 4, 2, 3, 0.5), 0.4, 0.05, 60),  # holders are cut off
-    Mood((55, 4, 4, 18, 1, 1, 3, 5, 1, 2, 8, 2, 1), 0.3, 0.05, 40),  # all start anew often
+    Mood((60, 8, 2, 10, 1, 2, 3, 0.3, 0.5, 2, 1, 8, 5), 0.05, 0.02, 200),  # owners change often
+    Mood((60, 4, 2, 16, 3, 1, 3, 0.5, 4, 4, 2, 3, 0.5), 0.4, 0.05, 60),  # holders are isolated
+    Mood((55, 4, 4, 18, 1, 1, 3, 5, 1, 2, 8, 2, 1), 0.3, 0.05, 40),  # all restart often
 )
 
 
 @dataclass(slots=True)
 class Report:
-    """What a search went through, and what it found."""
+    """What a search went through, and the faults that it found.
+
+    Attributes:
+        states: Of small worlds, each different.
+        forgotten_terms: Restarts after which no router that was received had heard of the last term.
+        max_healing_s: The longest time until each wanted lease was held again.
+    """
 
     steps: int = 0
     walks: int = 0
-    states: int = 0  # of small worlds, each different
-    takes: int = 0
-    forgotten: int = 0  # restarts after which nobody heard had heard of the last term
-    healed_most: float = 0.0
+    states: int = 0
+    acquisitions: int = 0
+    forgotten_terms: int = 0
+    max_healing_s: float = 0.0
     seconds: float = 0.0
     kinds: Counter[str] = field(default_factory=Counter)
     faults: list[str] = field(default_factory=list)
 
 
 def search(
-    steps: int, seed: int, without: str | None = None, depth: int = FULL_DEPTH, faults_most: int = 1
+    steps: int, seed: int, without: str | None = None, depth: int = FULL_DEPTH_STEPS, max_faults: int = 1
 ) -> Report:
-    """Walks of `steps` steps in all, then small worlds; ends at `faults_most` faults."""
-    kind, process = GUARDS[without] if without is not None else (Leases, Process)
+    """Runs walks of `steps` steps in all, then small worlds; ends at `max_faults` faults."""
+    variant = WITHOUT_GUARD[without] if without is not None else COMPLETE
     report = Report()
     start = time.perf_counter()
-    while report.steps < steps and len(report.faults) < faults_most:
-        walk(seed + report.walks, report, kind, process)
-    if len(report.faults) < faults_most and depth:
+    while report.steps < steps and len(report.faults) < max_faults:
+        walk(seed + report.walks, report, variant)
+    if len(report.faults) < max_faults and depth:
         for number in range(2):
-            small_world(seed + number, depth, report, number == 1, kind, process)
+            small_world(seed + number, depth, report, starts_held=number == 1, variant=variant)
     report.seconds = time.perf_counter() - start
     return report
 
 
-def walk(seed: int, report: Report, kind: type[Leases] = Leases, process: type[Process] = Process) -> None:
-    """One random walk, and how long its world takes to heal."""
-    rng = random.Random(seed)
-    size = rng.randint(3, 5)
-    mood = rng.choice(MOODS)
-    names = (1, 2)[: rng.randint(1, 2)]
-    world = World(size, rng.getrandbits(32), kind, process, names)
+def walk(seed: int, report: Report, variant: Variant = COMPLETE) -> None:
+    """Runs one random walk, and measures how long its world takes to heal."""
     report.walks += 1
+    random_walk = RandomWalk(seed, variant)
+    world = random_walk.world
     try:
-        for me in range(size):
-            for name in names:
-                if rng.random() < 0.7:
-                    world.want(me, name)
-        if rng.random() < 0.8:
-            world.settle(4.0, lambda: all(map(world.holders, names)))
-        for _ in range(WALK):
-            report.kinds[step(world, rng, mood)] += 1
+        random_walk.prepare()
+        for _ in range(STEPS_PER_WALK):
+            report.kinds[random_walk.step()] += 1
             report.steps += 1
             world.check()
-            if len(world.pending) > PENDING_MOST:
+            if len(world.pending) > MAX_PENDING_MESSAGES:
                 del world.pending[0]
-        wanted = set().union(*world.wanted.values())
-        healed = world.settle(HEALED_WITHIN, lambda: all(world.holders(name) for name in wanted))
-        if healed is None:
-            raise FaultError(f"a wanted lease is not held {HEALED_WITHIN} s after all healed")
-        report.healed_most = max(report.healed_most, healed)
-    except FaultError as fault:
+        report.max_healing_s = max(report.max_healing_s, random_walk.heal())
+    except LeaseFaultError as fault:
         report.faults.append(f"walk {seed}: {fault}")
-    report.takes += world.takes
-    report.forgotten += world.forgotten
-
-
-def step(world: World, rng: random.Random, mood: Mood) -> str:
-    """One thing that happens, by its kind."""
-    me = rng.randrange(len(world.processes))
-    process = world.processes[me]
-    name = rng.choice(world.names)
-    holders = world.holders(name)
-    (what,) = rng.choices(KINDS, cum_weights=mood.weights)
-    if what in ("deliver", "duplicate", "drop") and world.pending:
-        pick = rng.randrange(len(world.pending))
-        message = world.pending[pick] if what == "duplicate" else world.pending.pop(pick)
-        if what != "drop":
-            world.deliver(message)
-    elif what == "advance":
-        world.advance(span(world, process, rng, mood))
-        for each, other in enumerate(world.processes):
-            if other.leases.due() <= other.clock and rng.random() < 0.8:
-                world.tick(each)
-    elif what == "drift":
-        process.rate = world.rate()
-    elif what == "stop":
-        process.stopped = True
-    elif what == "continue":
-        # A message may reach it before it looks at the time.
+    report.acquisitions += world.acquisitions
+    report.forgotten_terms += world.forgotten_terms
+
+
+class RandomWalk:
+    """A world and the draws that decide what happens to it."""
+
+    def __init__(self, seed: int, variant: Variant) -> None:
+        self.rng = random.Random(seed)
+        self.size = self.rng.randint(3, 5)
+        self.mood = self.rng.choice(MOODS)
+        self.names: tuple[NameDigest, ...] = (1, 2)[: self.rng.randint(1, 2)]
+        self.world = LeaseWorld(
+            self.size, self.rng.getrandbits(32), variant.leases, variant.process, self.names
+        )
+
+    def prepare(self) -> None:
+        """Has some routers bid, and mostly waits until the leases are held."""
+        for me in range(self.size):
+            for name in self.names:
+                if self.rng.random() < 0.7:
+                    self.world.request(me, name)
+        if self.rng.random() < 0.8:
+            self.world.settle(4.0, lambda: all(map(self.world.holders, self.names)))
+
+    def heal(self) -> float:
+        """Heals all; returns the seconds until each wanted lease is held.
+
+        Raises:
+            LeaseFaultError: A wanted lease is not held in time.
+        """
+        wanted = set().union(*self.world.wanted.values())
+        healing_s = self.world.settle(MAX_HEALING_S, lambda: all(self.world.holders(name) for name in wanted))
+        if healing_s is None:
+            raise LeaseFaultError(f"a wanted lease is not held {MAX_HEALING_S} s after all healed")
+        return healing_s
+
+    def step(self) -> str:
+        """Does one thing to the world; returns its kind."""
+        me = self.rng.randrange(self.size)
+        process = self.world.processes[me]
+        name = self.rng.choice(self.names)
+        holders = [holder for holder, _ in self.world.holders(name)]
+        (kind,) = self.rng.choices(STEP_KINDS, cum_weights=self.mood.cumulative_shares)
+        match kind:
+            case "deliver" | "duplicate" | "drop":
+                self._handle_message(kind)
+            case "advance":
+                self._advance(process)
+            case "drift":
+                process.clock_rate = self.world.draw_clock_rate()
+            case "stop":
+                process.stopped = True
+            case "continue":
+                self._continue(me, process)
+            case "restart":
+                self._restart(me)
+            case "cut":
+                self._cut_links(holders)
+            case "heal":
+                self.world.blocked_links.clear()
+            case "heads":
+                self.world.exchange_counters()
+            case "want" if not process.stopped:
+                self.world.request(me, name)
+            case "release":
+                self._release(holders[0] if holders else me, name)
+        return kind
+
+    def _handle_message(self, kind: str) -> None:
+        """Delivers, duplicates or drops one pending message."""
+        pending = self.world.pending
+        if not pending:
+            return
+        picked = self.rng.randrange(len(pending))
+        message = pending[picked] if kind == "duplicate" else pending.pop(picked)
+        if kind != "drop":
+            self.world.deliver(message)
+
+    def _advance(self, process: LeaseProcess) -> None:
+        self.world.advance(self._draw_advance(process))
+        for each, other in enumerate(self.world.processes):
+            if other.leases.due() <= other.clock and self.rng.random() < 0.8:
+                self.world.tick(each)
+
+    def _draw_advance(self, process: LeaseProcess) -> float:
+        """Draws the seconds to the next step: mostly short, at times long, at times to the end of a lock."""
+        chance = self.rng.random()
+        acceptor = process.leases.acceptor
+        if chance < self.mood.to_ends and acceptor is not None:
+            ends = [*(vote.locked_until for vote in acceptor.votes.values()), acceptor.votes_from]
+            ends = [end for end in ends if end > process.clock]
+            if ends:
+                until_end = (self.rng.choice(ends) - process.clock) / process.clock_rate
+                return until_end + self.rng.choice((1e-6, 1e-3))
+        if chance > 1 - self.mood.stalls:
+            return self.rng.uniform(0.1, 2.0)
+        return self.rng.expovariate(self.mood.steps_per_s)
+
+    def _continue(self, me: Peer, process: LeaseProcess) -> None:
+        """Continues a process; a message may reach it before it looks at the time."""
         process.stopped = False
-        if rng.random() < 0.5:
-            world.tick(me)
-    elif what == "restart":
-        world.restart(me)
-        if rng.random() < 0.3:
-            world.restart(rng.randrange(len(world.processes)))
-    elif what == "cut":
-        # The holder, or some, from the rest, both ways or one.
-        some = {each for each in range(len(world.processes)) if rng.random() < 0.4}
-        side = {holders[0][0]} if holders and rng.random() < 0.7 else some
-        ways = rng.choice((1, 2, 3))
-        for one in side:
-            for far in set(range(len(world.processes))) - side:
-                world.blocked |= {pair for bit, pair in ((1, (one, far)), (2, (far, one))) if ways & bit}
-    elif what == "heal":
-        world.blocked.clear()
-    elif what == "heads":
-        world.beat()
-    elif what == "want" and not process.stopped:
-        world.want(me, name)
-    elif what == "release":
-        me = holders[0][0] if holders else me
-        heir = rng.randrange(len(world.processes)) if rng.random() < 0.5 else None
-        if not world.processes[me].stopped:
-            world.drop(me, name, heir)
-    return what
-
-
-def span(world: World, process: Process, rng: random.Random, mood: Mood) -> float:
-    """Seconds to the next step: mostly short, at times past a stall, at times just past the end of a lock."""
-    chance = rng.random()
-    if chance < mood.ends and process.leases.acceptor is not None:
-        ends = [vote.locked_until for vote in process.leases.acceptor.votes.values()]
-        ends = [end for end in (*ends, process.leases.acceptor.votes_from) if end > process.clock]
-        if ends:
-            return (rng.choice(ends) - process.clock) / process.rate + rng.choice((1e-6, 1e-3))
-    if chance > 1 - mood.stalls:
-        return rng.uniform(0.1, 2.0)
-    return rng.expovariate(mood.steps_a_second)
+        if self.rng.random() < 0.5:
+            self.world.tick(me)
+
+    def _restart(self, me: Peer) -> None:
+        self.world.restart(me)
+        if self.rng.random() < 0.3:
+            self.world.restart(self.rng.randrange(self.size))
+
+    def _cut_links(self, holders: list[Peer]) -> None:
+        """Cuts the holder, or some routers, off from the rest, one way or both."""
+        drawn = {each for each in range(self.size) if self.rng.random() < 0.4}
+        side = {holders[0]} if holders and self.rng.random() < 0.7 else drawn
+        directions = self.rng.choice((1, 2, 3))
+        for near in side:
+            for far in set(range(self.size)) - side:
+                if directions & 1:
+                    self.world.blocked_links.add((near, far))
+                if directions & 2:
+                    self.world.blocked_links.add((far, near))
+
+    def _release(self, me: Peer, name: NameDigest) -> None:
+        successor = self.rng.randrange(self.size) if self.rng.random() < 0.5 else None
+        if not self.world.processes[me].stopped:
+            self.world.release(me, name, successor)
 
 
 # --- small worlds ---
 
-SPANS = (0.14, 1.43)
+ADVANCES_S = (0.14, 1.43)
+ONCE = frozenset(("restart", "release"))
 
 
 def small_world(
-    seed: int,
-    depth: int,
-    report: Report,
-    held: bool,
-    kind: type[Leases] = Leases,
-    process: type[Process] = Process,
+    seed: int, depth: int, report: Report, starts_held: bool, variant: Variant = COMPLETE
 ) -> None:
-    """Everything that can happen in `depth` steps to two routers that bid and three that vote.
+    """Searches everything that can happen in `depth` steps to two routers that bid and three that vote.
 
-    A step delivers one message, lets time pass by one of `SPANS` (all clocks at their rates), lets all look
-    at the time, restarts the third acceptor (once) or has the first router release (once). States met before
-    are not gone on from. `held`: the first router holds the lease to begin with.
+    A step delivers one message, lets time pass by one of `ADVANCES_S` (all clocks at their rates), lets all
+    processes look at the time, restarts the third acceptor (once) or has the first router release (once). A
+    state that was reached before is not searched again. With `starts_held` the first router holds the lease.
     """
-    world = World(3, seed, kind, process)
-    world.advance(2.0)
-    for me in range(3):
-        world.tick(me)
-    world.want(0, 1)
-    if held:
-        world.settle(1.0, lambda: bool(world.holders(1)) and not world.pending)
-    world.want(1, 1)
-    for me in (0, 1):
-        world.tick(me)
-    seen = {frozen(world)}
-    layer = [(pickle.dumps(world), frozenset[str]())]
-    for left in reversed(range(depth)):
-        former, layer = layer, []
-        for saved, done in former:
-            count = len(pickle.loads(saved).pending)
-            ways = [*(f"deliver {number}" for number in range(count)), *(f"pass {span}" for span in SPANS)]
-            ways += ["tick", *(once for once in ("restart", "release") if once not in done)]
-            for way in ways:
-                after: World = pickle.loads(saved)
+    start = _start_of_small_world(seed, starts_held, variant)
+    seen = {state_hash(start)}
+    layer = [(pickle.dumps(start), frozenset[str]())]
+    for steps_left in reversed(range(depth)):
+        former_layer = layer
+        layer = []
+        for saved, done_once in former_layer:
+            for step in _possible_steps(saved, done_once):
+                world: LeaseWorld = pickle.loads(saved)
                 try:
-                    take(after, way)
-                    after.check()
-                except FaultError as fault:
+                    take_step(world, step)
+                    world.check()
+                except LeaseFaultError as fault:
                     report.faults.append(f"small world {seed}: {fault}")
                     return
-                key = frozen(after)
-                if key not in seen:
-                    seen.add(key)
-                    if left:
-                        once = {way} & {"restart", "release"}
-                        layer.append((pickle.dumps(after), done | once))
+                key = state_hash(world)
+                if key in seen:
+                    continue
+                seen.add(key)
+                if steps_left:
+                    layer.append((pickle.dumps(world), done_once | ({step} & ONCE)))
     report.states += len(seen)
 
 
-def take(world: World, way: str) -> None:
-    what, _, which = way.partition(" ")
-    if what == "deliver":
-        world.deliver(world.pending.pop(int(which)))
-    elif what == "pass":
-        world.advance(float(which))
-    elif what == "tick":
-        for me, process in enumerate(world.processes):
-            if process.leases.due() <= process.clock:
-                world.tick(me)
-    elif what == "restart":
-        world.restart(2)
-    else:
-        world.drop(0, 1)
-
-
-def frozen(world: World) -> int:
-    """The state as a number; what is still to be drawn by chance is left out."""
+def _start_of_small_world(seed: int, starts_held: bool, variant: Variant) -> LeaseWorld:
+    world = LeaseWorld(3, seed, variant.leases, variant.process)
+    world.advance(2.0)
+    for me in range(3):
+        world.tick(me)
+    world.request(0, 1)
+    if starts_held:
+        world.settle(1.0, lambda: bool(world.holders(1)) and not world.pending)
+    world.request(1, 1)
+    for me in (0, 1):
+        world.tick(me)
+    return world
+
+
+def _possible_steps(saved: bytes, done_once: frozenset[str]) -> Iterator[str]:
+    world: LeaseWorld = pickle.loads(saved)
+    for number in range(len(world.pending)):
+        yield f"deliver {number}"
+    for seconds in ADVANCES_S:
+        yield f"pass {seconds}"
+    yield "tick"
+    for once in ("restart", "release"):
+        if once not in done_once:
+            yield once
+
+
+def take_step(world: LeaseWorld, step: str) -> None:
+    """Takes a step of a small world."""
+    kind, _, argument = step.partition(" ")
+    match kind:
+        case "deliver":
+            world.deliver(world.pending.pop(int(argument)))
+        case "pass":
+            world.advance(float(argument))
+        case "tick":
+            for me, process in enumerate(world.processes):
+                if process.leases.due() <= process.clock:
+                    world.tick(me)
+        case "restart":
+            world.restart(2)
+        case "release":
+            world.release(0, 1)
+
+
+def state_hash(world: LeaseWorld) -> int:
+    """Returns the state of a world as a number, without what is still to be drawn."""
     parts: list[object] = [round(world.time, 6), tuple(sorted(repr(message) for message in world.pending))]
     for process in world.processes:
         leases = process.leases
-        parts.append(
-            (round(process.clock, 6), leases.highest_counter, tuple(map(repr, leases.proposer.bids.values())))
-        )
+        bids = tuple(map(repr, leases.proposer.bids.values()))
+        parts.append((round(process.clock, 6), leases.highest_counter, bids))
         if leases.acceptor is not None:
-            parts.append((leases.acceptor.promise_floor, tuple(map(repr, leases.acceptor.votes.values()))))
+            votes = tuple(map(repr, leases.acceptor.votes.values()))
+            parts.append((leases.acceptor.promise_floor, votes))
     return hash(tuple(parts))
 
 
 def main() -> None:
+    """Searches, and prints the report."""
     parser = argparse.ArgumentParser(description="search through what may happen to leases")
     parser.add_argument("--steps", type=int, default=100_000)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--depth", type=int, default=FULL_DEPTH, help="of small worlds; 0: none")
-    parser.add_argument("--without", choices=sorted(GUARDS))
+    parser.add_argument("--depth", type=int, default=FULL_DEPTH_STEPS, help="of small worlds; 0: none")
+    parser.add_argument("--without", choices=sorted(WITHOUT_GUARD))
     given = parser.parse_args()
     report = search(given.steps, given.seed, given.without, given.depth)
     kinds = " ".join(f"{name} {count}" for name, count in report.kinds.most_common())
     print(
         f"{report.steps} steps in {report.walks} walks, {report.states} states of small worlds, "
-        f"{report.takes} takes, {report.forgotten} restarts unheard, healed within "
-        f"{report.healed_most:.2f} s, {report.seconds:.1f} s\n{kinds}\nfaults: {report.faults or 'none'}"
+        f"{report.acquisitions} acquisitions, {report.forgotten_terms} restarts without the last term, "
+        f"healed within {report.max_healing_s:.2f} s, {report.seconds:.1f} s\n{kinds}\n"
+        f"faults: {report.faults or 'none'}"
     )
 
 
--- a/paddlequay/lab/lease_world.py
+++ b/paddlequay/lab/lease_world.py
@@ -1,19 +1,16 @@
 """Routers with leases on clocks of their own, and messages between them that a search may do anything to.
 
-The world knows the true time, and looks after each step whether two processes hold a lease at one instant and
-whether terms go back. The guards are classes in which one rule of the product is taken out.
+The world knows the true time. After each step it checks that no two processes hold a lease at one instant,
+and that terms do not decrease.
 """
 
 import random
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from paddlequay.cluster.acceptor import Acceptor, Vote
 from paddlequay.cluster.ballots import counter_of
-from paddlequay.cluster.bids import Bid
-from paddlequay.cluster.elections import Elections
 from paddlequay.cluster.leases import Leases
-from paddlequay.cluster.messages import PeerMessage, Propose
+from paddlequay.cluster.messages import PeerMessage
 from paddlequay.cluster.types import (
     Action,
     ClusterBounds,
@@ -24,314 +21,263 @@
     Peer,
     SendMessage,
 )
+from paddlequay.errors import PaddlequayError
 
 BOUNDS = ClusterBounds()
-SLOW, FAST = 1 - BOUNDS.drift_ratio, 1 + BOUNDS.drift_ratio
+MIN_CLOCK_RATE = 1 - BOUNDS.drift_ratio
+MAX_CLOCK_RATE = 1 + BOUNDS.drift_ratio
+HOP_S = 0.01
 
+Link = tuple[Peer, Peer]  # from a router to another
 
-class Draws(random.Random):
-    """Chance with a small state, which is at its edges often: waits are then at their shortest."""
+
+class EdgeRandom(random.Random):
+    """A random generator of a small state, whose `uniform` gives its ends often, as the hardest waits."""
 
     def __init__(self, state: int) -> None:
         self.state = state
 
-    def __reduce__(self) -> tuple[type["Draws"], tuple[int]]:
-        return Draws, (self.state,)
+    def __reduce__(self) -> tuple[type["EdgeRandom"], tuple[int]]:
+        return EdgeRandom, (self.state,)
 
     def getrandbits(self, k: int, /) -> int:
+        """Returns the highest bits of the next state of a linear congruential generator."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) & ((1 << 64) - 1)
         return self.state >> (64 - k)
 
     def random(self) -> float:
+        """Returns a number in [0, 1)."""
         return self.getrandbits(53) / (1 << 53)
 
     def uniform(self, a: float, b: float) -> float:
+        """Returns a number from `a` to `b`, half of the time one of both."""
         drawn = 4 * self.random() - 2
         return a + (b - a) * min(max(drawn, 0.0), 1.0)
 
 
-class FaultError(Exception):
-    """What must hold does not."""
+class LeaseFaultError(PaddlequayError):
+    """Two holders of a lease, a term that decreases, or a wanted lease that stays without a holder."""
 
 
 @dataclass(slots=True)
 class Message:
+    """A message on its way, with the ballot counter of its datagram's header."""
+
     sender: Peer
     to: Peer
-    note: PeerMessage
-    clock: int
+    message: PeerMessage
+    counter: int
+
 
+class LeaseProcess:
+    """One process of a router.
 
-class Process:
-    """One life of a router. `heard` is the world's own count of what its clock must have come to."""
+    Attributes:
+        highest_counter: The world's own count of the highest ballot counter that the process has heard of.
+        is_restarting: Whether its acceptor does not vote yet.
+        acquired: The terms of the leases that it has acquired and not lost, by its own events.
+    """
 
-    def __init__(self, leases: Leases, clock: float, rate: float) -> None:
+    def __init__(self, leases: Leases, clock: float, clock_rate: float) -> None:
         self.leases = leases
         self.clock = clock
-        self.rate = rate
+        self.clock_rate = clock_rate
         self.stopped = False
-        self.heard = 0
-        self.out = leases.acceptor is not None
-        self.told: dict[NameDigest, int] = {}  # leases taken and not yet lost, by what was said
+        self.highest_counter = 0
+        self.is_restarting = leases.acceptor is not None
+        self.acquired: dict[NameDigest, int] = {}
 
     def holds(self, lease: NameDigest) -> int | None:
+        """Returns the term under which it holds a lease, asked at the moment of use."""
         return self.leases.holds(lease, self.clock)
 
 
-class Cached(Process):
-    """Does not ask at the moment of use, but believes what it was told last."""
-
-    def holds(self, lease: NameDigest) -> int | None:
-        return self.told.get(lease)
+class LeaseWorld:
+    """Routers, the messages on their way, and the true time in seconds."""
 
-
-class World:
     def __init__(
         self,
         size: int,
         seed: int,
         kind: type[Leases] = Leases,
-        process: type[Process] = Process,
+        process_kind: type[LeaseProcess] = LeaseProcess,
         names: tuple[NameDigest, ...] = (1,),
         acceptors: tuple[Peer, ...] = (0, 1, 2),
     ) -> None:
-        self.rng = Draws(seed)
-        self.kind, self.process = kind, process
+        self.rng = EdgeRandom(seed)
+        self.kind = kind
+        self.process_kind = process_kind
         self.acceptors = acceptors
         self.names = names
         self.time = 0.0
         self.pending: list[Message] = []
-        self.blocked: set[tuple[Peer, Peer]] = set()
+        self.blocked_links: set[Link] = set()
         self.wanted: dict[Peer, set[NameDigest]] = {each: set() for each in range(size)}
-        self.last: dict[NameDigest, int] = {}
-        self.takes = self.forgotten = 0
-        self.processes = [self._process(each, size) for each in range(size)]
+        self.last_terms: dict[NameDigest, int] = {}
+        self.acquisitions = 0
+        self.forgotten_terms = 0
+        self.processes = [self._new_process(each, size) for each in range(size)]
 
-    def _process(self, me: Peer, size: int) -> Process:
+    def _new_process(self, me: Peer, size: int) -> LeaseProcess:
         clock = self.rng.uniform(0, 1000)
-        rng = Draws(self.rng.getrandbits(64))
+        rng = EdgeRandom(self.rng.getrandbits(64))
         leases = self.kind(Fleet(me, size, self.acceptors), BOUNDS, rng, clock)
-        return self.process(leases, clock, self.rate())
+        return self.process_kind(leases, clock, self.draw_clock_rate())
 
-    def rate(self) -> float:
-        return self.rng.choice((SLOW, FAST, self.rng.uniform(SLOW, FAST)))
+    def draw_clock_rate(self) -> float:
+        """Draws the rate of a clock, often one of its bounds."""
+        drawn = self.rng.uniform(MIN_CLOCK_RATE, MAX_CLOCK_RATE)
+        return self.rng.choice((MIN_CLOCK_RATE, MAX_CLOCK_RATE, drawn))
 
-    def do(self, me: Peer, act: Callable[[Leases, float], list[Action]]) -> None:
-        process = self.processes[me]
-        for action in act(process.leases, process.clock):
-            if isinstance(action, SendMessage) and action.to is not None:
-                self.pending.append(Message(me, action.to, action.message, process.leases.highest_counter))
-            elif isinstance(action, LeaseAcquired):
-                process.told[action.lease] = action.term
-            elif isinstance(action, LeaseLost):
-                process.told.pop(action.lease, None)
-        process.heard = max(process.heard, process.leases.highest_counter)
-        acceptor = process.leases.acceptor
-        if process.out and acceptor is not None and acceptor.promise_floor is not None:
-            process.out = False
-            for name, term in self.last.items():
-                if process.heard < counter_of(term):
-                    # Nobody who had heard of the last term was heard: the order of terms starts anew.
-                    self.last[name] = 0
-                    self.forgotten += 1
-
-    def want(self, me: Peer, name: NameDigest) -> None:
+    # --- calls to a process ---
+
+    def request(self, me: Peer, name: NameDigest) -> None:
+        """Has a router bid for a lease."""
         self.wanted[me].add(name)
-        self.do(me, lambda leases, now: leases.request(name, now))
+        self._run(me, lambda leases, now: leases.request(name, now))
 
-    def drop(self, me: Peer, name: NameDigest, heir: Peer | None = None) -> None:
+    def release(self, me: Peer, name: NameDigest, successor: Peer | None = None) -> None:
+        """Has a router give a lease up."""
         self.wanted[me].discard(name)
-        self.do(me, lambda leases, now: leases.release(name, now, heir))
+        self._run(me, lambda leases, now: leases.release(name, now, successor))
 
     def tick(self, me: Peer) -> None:
+        """Lets a process that runs look at the time."""
         if not self.processes[me].stopped:
-            self.do(me, lambda leases, now: leases.tick(now))
+            self._run(me, lambda leases, now: leases.tick(now))
 
     def deliver(self, message: Message) -> None:
-        if (message.sender, message.to) in self.blocked:
+        """Delivers a message, unless its link is blocked; it waits for a process that is stopped."""
+        if (message.sender, message.to) in self.blocked_links:
             return
         if self.processes[message.to].stopped:
-            self.pending.append(message)  # it waits for the process to go on
+            self.pending.append(message)
             return
-        self.head(message.to, message.clock)
-        self.do(message.to, lambda leases, now: leases.handle_message(message.sender, 0, message.note, now))
-
-    def head(self, to: Peer, clock: int) -> None:
-        self.processes[to].heard = max(self.processes[to].heard, clock)
-        self.processes[to].leases.observe_counter(clock)
-
-    def beat(self) -> None:
-        """Heads of all datagrams that can arrive."""
+        self._deliver_counter(message.to, message.counter)
+        self._run(
+            message.to,
+            lambda leases, now: leases.handle_message(message.sender, 0, message.message, now),
+        )
+
+    def exchange_counters(self) -> None:
+        """Delivers the headers of all datagrams that can arrive."""
         for to, process in enumerate(self.processes):
             for sender, other in enumerate(self.processes):
-                if not (process.stopped or other.stopped or (sender, to) in self.blocked):
-                    self.head(to, other.heard)
+                is_blocked = (sender, to) in self.blocked_links
+                if not (process.stopped or other.stopped or is_blocked):
+                    self._deliver_counter(to, other.highest_counter)
+
+    def _deliver_counter(self, to: Peer, counter: int) -> None:
+        process = self.processes[to]
+        process.highest_counter = max(process.highest_counter, counter)
+        process.leases.observe_counter(counter)
+
+    def _run(self, me: Peer, call: Callable[[Leases, float], list[Action]]) -> None:
+        process = self.processes[me]
+        for action in call(process.leases, process.clock):
+            if isinstance(action, SendMessage) and action.to is not None:
+                counter = process.leases.highest_counter
+                self.pending.append(Message(me, action.to, action.message, counter))
+            elif isinstance(action, LeaseAcquired):
+                process.acquired[action.lease] = action.term
+            elif isinstance(action, LeaseLost):
+                process.acquired.pop(action.lease, None)
+        process.highest_counter = max(process.highest_counter, process.leases.highest_counter)
+        self._note_end_of_restart(process)
+
+    def _note_end_of_restart(self, process: LeaseProcess) -> None:
+        """Lets the order of terms start anew where a restarted acceptor has heard of no last term."""
+        acceptor = process.leases.acceptor
+        if not process.is_restarting or acceptor is None or acceptor.promise_floor is None:
+            return
+        process.is_restarting = False
+        for name, term in self.last_terms.items():
+            if process.highest_counter < counter_of(term):
+                self.last_terms[name] = 0
+                self.forgotten_terms += 1
+
+    # --- time and faults ---
 
     def advance(self, seconds: float) -> None:
-        """True time; each clock runs at its own rate."""
+        """Lets true time pass; each clock runs at its own rate."""
         self.time += seconds
         for process in self.processes:
-            process.clock += seconds * process.rate
+            process.clock += seconds * process.clock_rate
 
     def restart(self, me: Peer) -> None:
-        """A new life with nothing in memory, on a new clock; it wants what it wanted."""
-        self.processes[me] = self._process(me, len(self.processes))
+        """Starts a new process with nothing in memory, on a new clock; it wants the same leases."""
+        self.processes[me] = self._new_process(me, len(self.processes))
         for name in sorted(self.wanted[me]):
-            self.want(me, name)
+            self.request(me, name)
 
     def holders(self, name: NameDigest) -> list[tuple[Peer, int]]:
-        held = ((me, process.holds(name)) for me, process in enumerate(self.processes))
-        return [(me, term) for me, term in held if term is not None]
+        """Returns the routers that hold a lease, with their terms."""
+        terms = ((me, process.holds(name)) for me, process in enumerate(self.processes))
+        return [(me, term) for me, term in terms if term is not None]
 
     def check(self) -> None:
+        """Raises LeaseFaultError where two routers hold a lease, or a term is lower than the last."""
         for name in self.names:
             holders = self.holders(name)
             if len(holders) > 1:
-                raise FaultError(f"two hold lease {name} at {self.time:.3f}: {holders}")
+                raise LeaseFaultError(f"two hold lease {name} at {self.time:.3f}: {holders}")
             for _, term in holders:
-                last = self.last.get(name, 0)
+                last = self.last_terms.get(name, 0)
                 if term < last:
-                    raise FaultError(f"terms of lease {name} go back at {self.time:.3f}: {last} to {term}")
+                    raise LeaseFaultError(
+                        f"terms of lease {name} go back at {self.time:.3f}: {last} to {term}"
+                    )
                 if term > last:
-                    self.takes += 1
-                    self.last[name] = term
+                    self.acquisitions += 1
+                    self.last_terms[name] = term
 
-    def settle(self, seconds: float, done: Callable[[], bool]) -> float | None:
-        """All links heal and all processes run: then as `run`."""
-        self.blocked.clear()
+    def settle(self, seconds: float, is_done: Callable[[], bool]) -> float | None:
+        """Heals all links and continues all processes, then runs as `run` does."""
+        self.blocked_links.clear()
         for process in self.processes:
             process.stopped = False
-        return self.run(seconds, done)
+        return self.run(seconds, is_done)
 
     def run(
-        self, seconds: float, done: Callable[[], bool] = lambda: False, loss: float = 0.0, delay: float = 0.01
+        self,
+        seconds: float,
+        is_done: Callable[[], bool] = lambda: False,
+        loss: float = 0.0,
+        hop_s: float = HOP_S,
     ) -> float | None:
-        """Let things go as they stand: the true seconds until `done`, None: not within `seconds`.
+        """Runs until `is_done`, at most for `seconds` of true time.
+
+        Args:
+            seconds: How long to run at most.
+            is_done: Asked once per hop.
+            loss: The share of messages that never arrive; as many of the others arrive late, in any order.
+            hop_s: How long a message takes.
 
-        A message takes `delay`; `loss` of them never come, and as many of the others late, in any order.
+        Returns:
+            The true seconds until `is_done`, None where it was not.
         """
         start = self.time
         while self.time - start < seconds:
-            if done():
+            if is_done():
                 return self.time - start
-            batch, self.pending = self.pending, []
-            if loss:
-                self.rng.shuffle(batch)
-            for message in batch:
-                if loss and self.rng.random() < loss:
-                    continue
-                if loss and self.rng.random() < loss:
-                    self.pending.append(message)
-                else:
-                    self.deliver(message)
+            self._deliver_pending(loss)
             for me, process in enumerate(self.processes):
                 if process.leases.due() <= process.clock:
                     self.tick(me)
             self.check()
-            self.beat()
-            self.advance(delay)
+            self.exchange_counters()
+            self.advance(hop_s)
         return None
 
-
-# --- guards, each taken out ---
-
-
-class NoStayOut(Acceptor):
-    def seconds_until_voting(self, now: float) -> float:
-        return 0.0
-
-
-class NoDrift(Acceptor):
-    def lock_end(self, duration_s: float, now: float) -> float:
-        return now + duration_s
-
-
-class NoDriftHeld(Elections):
-    def lease_end(self, sent_at: float, now: float) -> float:
-        return sent_at + self.timing.duration_ms / 1000
-
-
-class FromAnswer(Elections):
-    def lease_end(self, sent_at: float, now: float) -> float:
-        return super().lease_end(now, now)
-
-
-class OneIsEnough(Elections):
-    def required_acceptances(self) -> int:
-        return 1
-
-
-class AnyBallot(Acceptor):
-    def may_accept(self, vote: Vote, message: Propose, now: float) -> bool:
-        return True
-
-
-class Overwrites(Acceptor):
-    def is_locked_by_other(self, vote: Vote, ballot: int, now: float) -> bool:
-        return False
-
-
-class NoFloor(Acceptor):
-    def floor_after_restart(self, highest_counter: int) -> int:
-        return 0
-
-
-class NoEnd(Elections):
-    def is_held(self, bid: Bid, now: float) -> bool:
-        return bid.held_until > 0 and bid.phase.value == "holding"
-
-
-class WithoutStayOut(Leases):
-    acceptor_kind = NoStayOut
-
-
-class WithoutDrift(Leases):
-    acceptor_kind = NoDrift
-
-
-class WithoutDriftHeld(Leases):
-    elections_kind = NoDriftHeld
-
-
-class WithFromAnswer(Leases):
-    elections_kind = FromAnswer
-
-
-class WithOneIsEnough(Leases):
-    elections_kind = OneIsEnough
-
-
-class WithAnyBallot(Leases):
-    acceptor_kind = AnyBallot
-
-
-class WithOverwrites(Leases):
-    acceptor_kind = Overwrites
-
-
-class WithoutEnd(Leases):
-    elections_kind = NoEnd
-
-
-class WithoutClock(Leases):
-    def observe_counter(self, counter: int) -> None:
-        return
-
-
-class WithoutFloor(Leases):
-    acceptor_kind = NoFloor
-
-
-GUARDS: dict[str, tuple[type[Leases], type[Process]]] = {
-    "restart stay-out": (WithoutStayOut, Process),
-    "drift at the acceptor": (WithoutDrift, Process),
-    "drift at the holder": (WithoutDriftHeld, Process),
-    "count from before sending": (WithFromAnswer, Process),
-    "majority": (WithOneIsEnough, Process),
-    "ballot check in accept": (WithAnyBallot, Process),
-    "no overwriting of a lock": (WithOverwrites, Process),
-    "clock in heads": (WithoutClock, Process),
-    "floor after a restart": (WithoutFloor, Process),
-    "end of what is held": (WithoutEnd, Process),
-    "holds asked at use": (Leases, Cached),
-}
+    def _deliver_pending(self, loss: float) -> None:
+        batch = self.pending
+        self.pending = []
+        if loss:
+            self.rng.shuffle(batch)
+        for message in batch:
+            if loss and self.rng.random() < loss:
+                continue
+            if loss and self.rng.random() < loss:
+                self.pending.append(message)
+            else:
+                self.deliver(message)
