--- a/paddlequay/lab/table_world.py
+++ b/paddlequay/lab/table_world.py
@@ -28,7 +28,7 @@
     TableChanged,
     earliest,
 )
-from paddlequay.cluster.wire import Codec, Heard, Wire
+from paddlequay.cluster.wire import Codec, ReceivedDatagram, Wire
 from paddlequay.errors import PaddlequayError
 
 BOUNDS = ClusterBounds()
@@ -140,13 +140,13 @@
     def _read(self, sender: Peer, data: bytes, now: float) -> list[Action]:
         received = self.wire.read(data, sender)
         actions: list[Action] = []
-        if not isinstance(received, Heard):
+        if not isinstance(received, ReceivedDatagram):
             return actions
-        self.leases.observe_counter(received.head.clock)
+        self.leases.observe_counter(received.header.clock)
         for message in received.messages:
             part = self.leases if isinstance(message, self.leases.HANDLED_MESSAGES) else self.tables
             if isinstance(message, part.HANDLED_MESSAGES):
-                actions += part.handle_message(sender, received.head.incarnation, message, now)
+                actions += part.handle_message(sender, received.header.incarnation, message, now)
         return actions
 
     def _check(self, event: LocalEvent) -> None:
--- a/paddlequay/net/cluster/placement_tables.py
+++ b/paddlequay/net/cluster/placement_tables.py
@@ -99,11 +99,11 @@
 
         self.node, self.mover, self.waits = node, None, None
         self.tables = PlacementEpochs(node.fleet, node.settings.bounds, node.holds, retake)
-        node.join(self.tables, PlacementEpochs.HANDLED_MESSAGES)
+        node.add_part(self.tables, PlacementEpochs.HANDLED_MESSAGES)
         now = self.clock()
         if node.leases is not None and node.fleet.me in node.fleet.acceptors:
-            node.begun += node.leases.request(TABLES_LEASE, now)
-        node.begun += self.tables.compiled(*self.compiled(), now)
+            node.initial_actions += node.leases.request(TABLES_LEASE, now)
+        node.initial_actions += self.tables.compiled(*self.compiled(), now)
 
     def leave_cluster(self) -> None:
         """This router's life in the cluster is over: homes are plain."""
