--- a/paddlequay/discovery/absence.py
+++ b/paddlequay/discovery/address_rules.py
@@ -1,8 +1,9 @@
-"""Explains why no member stands at an address."""
+"""Explains why a member stands at an address, or why none does."""
 
 from paddlequay.discovery.flapping import FlapGuard
 from paddlequay.discovery.report_index import ReportIndex
-from paddlequay.discovery.reports import Address, Explanation, MembershipRule
+from paddlequay.discovery.reports import Address, Explanation, MembershipRule, SourceReport, SourceState
+from paddlequay.routing.interface import MemberState
 
 
 def explain_absence(index: ReportIndex, flaps: FlapGuard, address: Address, now: float) -> Explanation:
@@ -27,3 +28,18 @@
     if any(index.is_shadowed(report) for report in reports):
         return Explanation(MembershipRule.ADDRESS, "an earlier source places the same id elsewhere")
     return Explanation(MembershipRule.AUTHORITY, "only sources that may not add name it")
+
+
+def find_drain(index: ReportIndex, address: Address, reports: list[SourceReport]) -> Explanation | None:
+    """Returns the last drain among the reports about an address; None if no source drains it."""
+    drain = None
+    for report in index.reports_about(address, reports):
+        if report.member.state is MemberState.DRAINING:
+            drain = Explanation(MembershipRule.DRAIN, f"{report.source} drains {report.member.id}")
+    return drain
+
+
+def explain_presence(source: SourceState, report: SourceReport, now: float) -> Explanation:
+    """Returns why the report of the first source that may add makes a member."""
+    retained = source.explain_retention(report, now)
+    return retained or Explanation(MembershipRule.AUTHORITY, f"{report.source} says so")
--- a/paddlequay/discovery/explanation.py
+++ b/paddlequay/discovery/explanation.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from paddlequay.discovery.absence import explain_absence
+from paddlequay.discovery.address_rules import explain_absence
 from paddlequay.discovery.membership import Membership
 from paddlequay.discovery.reports import Address, MembershipChange, SourceReport, SourceState
 
--- a/paddlequay/discovery/membership.py
+++ b/paddlequay/discovery/membership.py
@@ -22,16 +22,14 @@
 from dataclasses import replace
 from typing import Any
 
-from paddlequay.discovery.absence import explain_absence
+from paddlequay.discovery.address_rules import explain_absence, explain_presence, find_drain
 from paddlequay.discovery.address_timers import AddressTimers
 from paddlequay.discovery.flapping import FlapGuard
 from paddlequay.discovery.report_index import ReportIndex
 from paddlequay.discovery.reports import (
     Address,
-    Explanation,
     MembershipChange,
     MembershipLimits,
-    MembershipRule,
     ReportedMember,
     SourceReport,
     SourceRule,
@@ -181,7 +179,9 @@
             before = self.members.get(address)
             if before is not None and (change is None or change.member.id != before.member.id):
                 del self.members[address], self.address_by_id[before.member.id]
-                removed[before.member.id] = self.removal_of(before, change, address, now)
+                cause = change or explain_absence(self.index, self.flaps, address, now)
+                gone = replace(before.member, state=MemberState.REMOVED)
+                removed[before.member.id] = MembershipChange(gone, cause.rule, cause.reason)
                 self.flaps.record(address, now)
         added = []
         for address, change in after.items():
@@ -197,16 +197,6 @@
                 added.append(change)
         return [*removed.values(), *added]
 
-    def removal_of(
-        self, before: MembershipChange, change: MembershipChange | None, address: Address, now: float
-    ) -> MembershipChange:
-        """Returns the removal of the member before, explained by the member now at its address or by none."""
-        removed = replace(before.member, state=MemberState.REMOVED)
-        if change is not None:
-            return MembershipChange(removed, change.rule, change.reason)
-        absence = explain_absence(self.index, self.flaps, address, now)
-        return MembershipChange(removed, absence.rule, absence.reason)
-
     def decide(self, address: Address, now: float) -> MembershipChange | None:
         """Returns the member that stands at an address, and why; None if there is none."""
         reports = self.index.reports_at(address)
@@ -218,9 +208,9 @@
         if address not in self.members and self.is_paused(address, now):
             return None
         first = adding[0]
-        drain = self.find_drain(address, reports)
+        drain = find_drain(self.index, address, reports)
         state = MemberState.READY if drain is None else MemberState.DRAINING
-        explanation = drain or self.explain_presence(first, now)
+        explanation = drain or explain_presence(self.sources[first.source], first, now)
         announced = self.members.get(address)
         last = None if announced is None else announced.member
         started = self.start_times.start_time(first, address, last, now)
@@ -229,19 +219,6 @@
             return replace(announced, rule=explanation.rule, reason=explanation.reason)
         return MembershipChange(member, explanation.rule, explanation.reason)
 
-    def find_drain(self, address: Address, reports: list[SourceReport]) -> Explanation | None:
-        """Returns the last drain among the reports about an address; None if no source drains it."""
-        drain = None
-        for report in self.index.reports_about(address, reports):
-            if report.member.state is MemberState.DRAINING:
-                drain = Explanation(MembershipRule.DRAIN, f"{report.source} drains {report.member.id}")
-        return drain
-
-    def explain_presence(self, first: SourceReport, now: float) -> Explanation:
-        """Returns why the report of the first source that may add makes a member."""
-        retained = self.sources[first.source].explain_retention(first, now)
-        return retained or Explanation(MembershipRule.AUTHORITY, f"{first.source} says so")
-
     def is_paused(self, address: Address, now: float) -> bool:
         """Returns whether an address is kept out for flapping, and schedules a new decision for its end."""
         paused_until = self.flaps.paused_until(address, now)
--- a/paddlequay/net/clients/client_front.py
+++ b/paddlequay/net/clients/client_front.py
@@ -12,6 +12,7 @@
 from paddlequay.net.clients.idle_sessions import IdleSessions
 from paddlequay.net.clients.session import ClientSession
 from paddlequay.net.clients.session_reader import SessionReader
+from paddlequay.net.clients.session_timeouts import close_if_timed_out
 from paddlequay.net.listener import BACKLOG, Acceptor, accept_backlog
 from paddlequay.observability.counters import Counters
 from paddlequay.requests.exchange import Exchange
@@ -19,6 +20,16 @@
 from paddlequay.requests.quotas import ProcessQuotas
 
 
+def open_stream(connection: socket.socket, limits: Limits) -> IOStream:
+    """Returns the stream of an accepted connection."""
+    connection.setblocking(False)
+    stream = IOStream(
+        connection, max_buffer_size=2 * limits.max_client_frame, read_chunk_size=limits.client_read_size
+    )
+    stream.set_nodelay(True)
+    return stream
+
+
 class ClientFront:
     """Owns the listener of clients and their connections.
 
@@ -108,8 +119,8 @@
     def close_quiet_connections(self) -> None:
         """Continues a drain or shutdown at each heartbeat: closes connections at rest.
 
-        Late connections are served first; then connections close as they come to rest. To bring the others
-        to rest, their new calls are rejected, and finally pending requests are abandoned with an answer.
+        Late connections are served first; then connections close as they come to rest. The new calls of
+        the others are rejected, and finally pending requests are abandoned with an answer.
         """
         self.closing_when_quiet = self.handing_over
         self.rejecting_new = self.near_end
@@ -185,18 +196,12 @@
 
     def on_accept(self, connection: socket.socket) -> None:
         """Serves an accepted connection, or closes it if there is no capacity."""
-        limits = self.limits
         if len(self.sessions) >= self.quotas.client_connections and not self.close_one_idle():
             self.counters.add("rejected_connections")
             connection.close()
             return
         self.counters.add("client_connections")
-        connection.setblocking(False)
-        stream = IOStream(
-            connection, max_buffer_size=2 * limits.max_client_frame, read_chunk_size=limits.client_read_size
-        )
-        stream.set_nodelay(True)
-        session = ClientSession(self, stream)
+        session = ClientSession(self, open_stream(connection, self.limits))
         self.sessions.add(session)
         task = asyncio.ensure_future(self.serve(session))
         self.tasks.add(task)
@@ -230,21 +235,4 @@
         for session in list(self.sessions):
             if session.is_backpressured:
                 session.submit_waiting()
-            self.close_if_timed_out(session, now)
-
-    def close_if_timed_out(self, session: ClientSession, now: float) -> None:
-        """Closes one connection that has exceeded its stall, silence or idle time-out."""
-        limits = self.limits
-        silent_since = session.input.partial_since
-        if silent_since is None and not session.has_sent_message:
-            silent_since = session.connected_at
-        stalled_for = now - session.writer.last_taken_at
-        if session.writer.unsent_bytes and stalled_for > limits.client_stall_timeout:
-            self.counters.add("slow_readers")
-            session.stream.close()
-        elif silent_since is not None and now - silent_since > limits.client_silence_timeout:
-            if session.at_rest():
-                self.counters.add("silent_clients")
-                session.end()  # lingers, as the rest of its message may still arrive
-        elif now - session.last_used_at > limits.client_idle_timeout and session.close_at_rest():
-            self.counters.add("closed_idle_clients")
+            close_if_timed_out(session, now)
--- /dev/null
+++ b/paddlequay/net/clients/session_timeouts.py
@@ -0,0 +1,27 @@
+"""Closes client connections that exceed the time-out for reading answers, for a message or for a request."""
+
+from paddlequay.net.clients.session import ClientSession
+
+
+def close_if_timed_out(session: ClientSession, now: float) -> None:
+    """Closes a connection that has exceeded its stall, silence or idle time-out.
+
+    Args:
+        session: The connection, with the limits of its front.
+        now: The monotonic time in seconds.
+    """
+    limits = session.front.limits
+    counters = session.front.counters
+    silent_since = session.input.partial_since
+    if silent_since is None and not session.has_sent_message:
+        silent_since = session.connected_at
+    stalled_for = now - session.writer.last_taken_at
+    if session.writer.unsent_bytes and stalled_for > limits.client_stall_timeout:
+        counters.add("slow_readers")
+        session.stream.close()
+    elif silent_since is not None and now - silent_since > limits.client_silence_timeout:
+        if session.at_rest():
+            counters.add("silent_clients")
+            session.end()  # lingers, as the rest of its message may still arrive
+    elif now - session.last_used_at > limits.client_idle_timeout and session.close_at_rest():
+        counters.add("closed_idle_clients")
--- a/paddlequay/requests/attempts.py
+++ b/paddlequay/requests/attempts.py
@@ -81,6 +81,10 @@
         self.interceptor: RequestInterceptor | None = None
         self.clock_offset = scheduler.unix() - scheduler.monotonic()
 
+    def fleet_retry_after(self, pending: PendingRequest, time_left: float) -> float | None:
+        """Returns the Retry-After in seconds if a limit of the fleet rejects a request; None if none does."""
+        return None if self.interceptor is None else self.interceptor.admit(pending, time_left)
+
     def start(self, fetch: Fetch) -> None:
         """Starts an attempt; one that must not or cannot be sent ends at once as not sent."""
         pending = self.owner.pending.get(fetch.request)
--- a/paddlequay/requests/exchange.py
+++ b/paddlequay/requests/exchange.py
@@ -5,7 +5,6 @@
 """
 
 import logging
-from collections import deque
 from collections.abc import Callable
 
 from paddlequay.config.limits import Limits
@@ -14,6 +13,7 @@
 from paddlequay.observability.counters import Counters
 from paddlequay.policy import Router
 from paddlequay.requests.attempts import AttemptRunner
+from paddlequay.requests.event_queue import EventQueue
 from paddlequay.requests.intake import RequestIntake
 from paddlequay.requests.messages import (
     AnswerStatus,
@@ -73,8 +73,7 @@
         self.members = self.write_checks.members
         self.attempts = AttemptRunner(self, router.classes, self.write_checks, limits, scheduler, counters)
         self.last_serial = 0
-        self.events: deque[Event] = deque()
-        self.delivering = False
+        self.events = EventQueue(self.handle)
 
     # --- from the front ---
 
@@ -105,7 +104,7 @@
         serial = f"q{self.last_serial}"
         time_left = request.time_to_live - self.limits.answer_margin
         pending = PendingRequest(serial, request, send_answer, now, now + time_left, client_disconnected)
-        retry_after = self.fleet_retry_after(pending, time_left)
+        retry_after = self.attempts.fleet_retry_after(pending, time_left)
         if retry_after is not None:
             self.counters.add("rejected.fleet_limit")
             send_answer(FinalAnswer(AnswerStatus.REJECTED, retry_after=retry_after))
@@ -116,11 +115,6 @@
             self.schedule_deadline(pending, time_left)
         return pending
 
-    def fleet_retry_after(self, pending: PendingRequest, time_left: float) -> float | None:
-        """Returns the Retry-After in seconds if a limit of the fleet rejects a request; None if none does."""
-        interceptor = self.attempts.interceptor
-        return None if interceptor is None else interceptor.admit(pending, time_left)
-
     def schedule_deadline(self, pending: PendingRequest, time_left: float) -> None:
         """Guarantees a final answer at the deadline, whatever the decisions do."""
         delay = max(0.0, time_left) + DEADLINE_SLACK_S
@@ -181,15 +175,7 @@
 
     def deliver(self, event: Event) -> None:
         """Delivers an event to the decisions and executes their actions; queues events raised meanwhile."""
-        self.events.append(event)
-        if self.delivering:
-            return
-        self.delivering = True
-        try:
-            while self.events:
-                self.handle(self.events.popleft())
-        finally:
-            self.delivering = False
+        self.events.deliver(event)
 
     def handle(self, event: Event) -> None:
         """Handles one event; an error fails only the request that the event concerns."""
