--- a/paddlequay/policy/concurrency_limits.py
+++ b/paddlequay/policy/concurrency_limits.py
@@ -110,7 +110,7 @@
             return
         attempt.source.in_flight = max(0.0, attempt.source.in_flight + cost)
         if attempt.source.tier is not CacheTier.EDGE:
-            self.zone_link.fills_in_flight += count
+            self.zone_link.add_fills(count)
 
     def record_report(self, upstream: Upstream, report: LoadReport, now: float) -> None:
         """Raises the limit of a member that reports spare capacity above its work in flight."""
--- a/paddlequay/policy/fill_admission.py
+++ b/paddlequay/policy/fill_admission.py
@@ -83,6 +83,10 @@
         capacity = link_kb_per_s / flow_kb_per_s if link_kb_per_s and flow_kb_per_s else None
         return cls(capacity, settings.zone_router_count or 1)
 
+    def add_fills(self, count: int) -> None:
+        """Counts fills that begin, or with a negative count end."""
+        self.fills_in_flight += count
+
     def utilization(self) -> float:
         """Returns transfers in flight through the link over those that fit; 0 where its size is unknown."""
         if not self.transfer_capacity:
