--- a/paddlequay/schema/cluster.py
+++ b/paddlequay/schema/cluster.py
@@ -7,7 +7,7 @@
 from paddlequay.cluster.settings import ChannelRule, ClusterSettings, LimitRule, LimitScope, PartitionMode
 from paddlequay.cluster.types import MAX_PEERS, ClusterBounds
 from paddlequay.errors import ConfigError
-from paddlequay.hierarchy.topology import NAME
+from paddlequay.hierarchy.topology import NODE_NAME
 from paddlequay.schema import paddlequay_pb2 as schema
 from paddlequay.schema.read import Lines, parsed
 
@@ -42,7 +42,7 @@
         """Names of their own."""
         seen: set[str] = set()
         for value in values:
-            if not NAME.fullmatch(value):
+            if not NODE_NAME.fullmatch(value):
                 why = f"expected 1 to 64 letters, digits, - and _, got {value[:70]!r}"
                 raise self.lines.error(field, why, value)
             if value in seen:
@@ -151,8 +151,8 @@
     return ChannelRule(
         classes=classes,
         bundles=int(figure("bundles", usual.bundles, 1, 1024)),
-        ahead=int(figure("ahead", usual.ahead, 1, 8)),
-        live_s=figure("live_s", usual.live_s, 0.5, 60.0),
-        most=int(figure("most", usual.most, 1, 100_000)),
-        move_above=figure("move_above", usual.move_above, 1.05, math.inf),
+        prefetch_parts=int(figure("ahead", usual.prefetch_parts, 1, 8)),
+        idle_timeout_s=figure("live_s", usual.idle_timeout_s, 0.5, 60.0),
+        max_channels=int(figure("most", usual.max_channels, 1, 100_000)),
+        rebalance_ratio=figure("move_above", usual.rebalance_ratio, 1.05, math.inf),
     )
--- a/tests/golden/golden_samples.py
+++ b/tests/golden/golden_samples.py
@@ -17,19 +17,19 @@
 from test_adapter import batch, provision, query
 
 from paddlequay.cluster.messages import MESSAGE_TYPES, PeerMessage
-from paddlequay.cluster.wire import Codec, Head
+from paddlequay.cluster.wire import Codec, Header
 from paddlequay.discovery.membership import Membership
 from paddlequay.discovery.reports import ReportedMember, SourceRule
 from paddlequay.hierarchy.migration import MigrationLimits, MigrationPlan
 from paddlequay.hierarchy.topology import (
-    Delta,
     NodeSpec,
     Topology,
+    TopologyDelta,
     TopologyLimits,
-    delta_data,
-    next_shape,
-    whole,
+    apply_delta,
+    full_delta,
 )
+from paddlequay.hierarchy.topology_json import encode_delta
 from paddlequay.lifecycle.operator_state import OperatorState, Override
 from paddlequay.net.clients.client_messages import format_answer
 from paddlequay.net.upstreams.cache_messages import request_fields
@@ -82,20 +82,22 @@
 
 def note_samples() -> Iterator[tuple[PeerMessage, PeerMessage]]:
     """Each datagram kind twice: with every field at its least, and at its greatest value."""
-    for shape in Codec("golden", FLEET_SIZE).shapes.values():
-        least = [field.least if field.type is int else field.type() for field in shape.fields]
-        most = [field.most if field.type is int else field.type() for field in shape.fields]
-        yield shape.make(*least), shape.make(*most)
+    for format_ in Codec("golden", FLEET_SIZE).formats.values():
+        least = [field.minimum if field.type is int else field.type() for field in format_.fields]
+        most = [field.maximum if field.type is int else field.type() for field in format_.fields]
+        yield format_.message_type(*least), format_.message_type(*most)
 
 
 def datagrams() -> Iterator[str]:
     """Kind, fields with type and range, and a whole datagram with two notes of the kind, in hex."""
     codec = Codec("golden", FLEET_SIZE)
     for number, (least, most) in zip(MESSAGE_TYPES, note_samples(), strict=True):
-        fields = [(field.type.__name__, field.least, field.most) for field in codec.shapes[number].fields]
-        head = Head(1, 3, 5, 70 + number, 9)
+        fields = [
+            (field.type.__name__, field.minimum, field.maximum) for field in codec.formats[number].fields
+        ]
+        head = Header(1, 3, 5, 70 + number, 9)
         data = codec.pack(head, [codec.pack_message(least), codec.pack_message(most)])
-        yield json.dumps([number, codec.shapes[number].required, fields, data.hex()])
+        yield json.dumps([number, codec.formats[number].required_count, fields, data.hex()])
 
 
 def left_out() -> Iterator[str]:
@@ -127,18 +129,21 @@
 def shape() -> Topology:
     """A store, and two nodes of which one drains."""
     nodes = (
-        NodeSpec("o", ("127.0.0.1", 9), store=True, group="g"),
-        NodeSpec("r", ("127.0.0.1", 10), parents=("o",), weight=2.0, started=3.5),
+        NodeSpec("o", ("127.0.0.1", 9), is_origin=True, group="g"),
+        NodeSpec("r", ("127.0.0.1", 10), parents=("o",), weight=2.0, started_at=3.5),
         NodeSpec("a", ("127.0.0.1", 11), parents=("r", "o"), state=MemberState.DRAINING),
     )
-    return next_shape(Topology(), Delta(4, None, nodes), TopologyLimits())
+    return apply_delta(Topology(), TopologyDelta(4, None, nodes), TopologyLimits())
 
 
 def saved_shape() -> Iterator[str]:
     """The shape of a hierarchy as a tier's node saves it, and a record's bytes."""
-    moves = MigrationPlan("a", MigrationLimits())
-    moves.restore([{"version": 3, "left": 1.5, "members": {"a": 1.0, "r": 2.0}}], 2.0)
-    body = json.dumps({"shape": delta_data(whole(shape())), "epochs": moves.data()}, separators=(",", ":"))
+    migration = MigrationPlan("a", MigrationLimits())
+    migration.restore_state([{"version": 3, "left": 1.5, "members": {"a": 1.0, "r": 2.0}}], 2.0)
+    body = json.dumps(
+        {"shape": encode_delta(full_delta(shape())), "epochs": migration.export_state()},
+        separators=(",", ":"),
+    )
     yield body
     yield encode("shape", 1, body.encode()).partition(b"\n")[0].decode()
 
