--- a/paddlequay/policy/attempts.py
+++ b/paddlequay/policy/attempts.py
@@ -50,10 +50,8 @@
         """Counts an attempt in the limits, slow start and probes of its target and source."""
         state = self.state
         work = state.latency.work[request.request_class.name]
-        for upstream in {
-            attempt.target.member.name: attempt.target,
-            attempt.source.member.name: attempt.source,
-        }.values():
+        upstreams = [attempt.target] if attempt.target is attempt.source else [attempt.target, attempt.source]
+        for upstream in upstreams:
             upstream.slow_start_bucket.take(work)
             state.outliers.begin_probe(upstream, request.received.id)
         state.limits.acquire(attempt, request.cost)
