--- a/paddlequay/cluster/channels.py
+++ b/paddlequay/cluster/channels.py
@@ -41,18 +41,14 @@
 )
 
 TICK_INTERVAL_S = 0.1
+CHANNEL_MESSAGES = (ChannelPartReport, HandoffOffer, HandoffReply, HandoffComplete, OwnerLoad)
+HandoffMessage = HandoffOffer | HandoffReply | HandoffComplete
 
 
 class Channels:
     """The part of the cluster that owns live channels; `rng` is seeded anew for each run."""
 
-    HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (
-        ChannelPartReport,
-        HandoffOffer,
-        HandoffReply,
-        HandoffComplete,
-        OwnerLoad,
-    )
+    HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = CHANNEL_MESSAGES
 
     def __init__(
         self,
@@ -104,10 +100,12 @@
         return term if term == prefetch.term else None
 
     def prefetch_succeeded(self, prefetch: Prefetch, cache: NameDigest, now: float) -> list[Action]:
-        """Reports a filled part, with the digest of its cache's name, to the followers.
+        """Reports a filled part to the followers, unless a later owner is known.
 
-        Nothing is reported once a later owner was heard of. The first part after a takeover also completes
-        it.
+        Args:
+            prefetch: The order that led to the fill.
+            cache: The digest of the cache's name.
+            now: The time, in seconds of the router's clock.
         """
         self.detector.record_result(prefetch, True, now)
         bundle = self.bundles.bundle_of(prefetch.channel)
@@ -197,11 +195,7 @@
         self.owner_search.observe_owner(bundle, sender, now)
 
     def _handle_handoff(
-        self,
-        sender: Peer,
-        bundle: Bundle,
-        message: HandoffOffer | HandoffReply | HandoffComplete,
-        now: float,
+        self, sender: Peer, bundle: Bundle, message: HandoffMessage, now: float
     ) -> list[Action]:
         match message:
             case HandoffOffer():
--- a/paddlequay/lab/channel_world.py
+++ b/paddlequay/lab/channel_world.py
@@ -1,7 +1,8 @@
-"""A plaza of routers with live channels in virtual time, on clocks of their own, and a tier that they fill.
+"""A zone of routers with live channels in virtual time, each on its own clock, and a tier that they fill.
 
-Real leases and channels; messages are lost, late or cut, processes stop, go on and die. The world alone knows
-the true time: it measures for how long more than one router may fill a bundle, and for how long none may.
+Leases and channels are the real ones. Messages are lost, delayed or cut off; processes stop, continue and
+die. Only the world knows the true time. It measures for how long more than one router may fill a bundle,
+and for how long none may.
 """
 
 import random
@@ -13,18 +14,20 @@
 from paddlequay.cluster.messages import PeerMessage, Prepare
 from paddlequay.cluster.prefetch import Prefetch
 from paddlequay.cluster.settings import ChannelRule
-from paddlequay.cluster.types import Action, ClusterBounds, Fleet, Peer, SendMessage
+from paddlequay.cluster.types import Action, ClusterBounds, Fleet, LogEvent, Peer, SendMessage
 from paddlequay.hierarchy.fencing_tokens import FencingTokens
 
 BOUNDS = ClusterBounds()
-STEP = 0.01  # seconds of true time; what is measured is exact to two of them
-PART = 0.4  # seconds of a part
-BOX = 99
+STEP_S = 0.01  # of true time; measurements are exact to two steps
+PART_INTERVAL_S = 0.4  # between two parts of a channel
+SLOW_LINK_DELAY_S = 1.0
+ACCEPTORS = (0, 1, 2)
+CACHE = 99  # the digest of the cache that holds all parts
 
 
 @dataclass(slots=True)
 class Process:
-    """One life of a router."""
+    """One process of a router; `rate` is its clock's speed."""
 
     leases: Leases
     channels: Channels
@@ -34,195 +37,268 @@
     dead: bool = False
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
+        """Whether the process is neither stopped nor dead."""
         return not (self.stopped or self.dead)
 
 
 @dataclass(slots=True)
-class Seen:
-    """What the world has measured of one bundle, in seconds."""
-
-    most: int = 0
-    overlap: float = 0.0  # longest time with more than one owner
-    gap: float = 0.0  # longest time without one, after the first
-    begun: float | None = None  # of what is going on
-    alone: float | None = None
-    owned: bool = False
+class Measurement:
+    """What the world has measured of one bundle. Times are in seconds of true time."""
+
+    max_owners: int = 0
+    overlap_s: float = 0.0  # the longest time with more than one owner
+    gap_s: float = 0.0  # the longest time without an owner, after the first
+    overlap_since: float | None = None
+    gap_since: float | None = None
+    was_owned: bool = False
+
+    def record(self, owners: int, now: float) -> None:
+        """Records how many routers could fill the bundle at `now`."""
+        self.max_owners = max(self.max_owners, owners)
+        self.was_owned |= owners > 0
+        self.overlap_since = first_time(self.overlap_since, owners > 1, now)
+        self.gap_since = first_time(self.gap_since, owners == 0 and self.was_owned, now)
+        if self.overlap_since is not None:
+            self.overlap_s = max(self.overlap_s, now - self.overlap_since + STEP_S)
+        if self.gap_since is not None:
+            self.gap_s = max(self.gap_s, now - self.gap_since + STEP_S)
+
+
+def first_time(since: float | None, holds: bool, now: float) -> float | None:
+    """Returns since when a condition holds without interruption, None if it does not hold."""
+    if not holds:
+        return None
+    return now if since is None else since
 
 
 @dataclass(slots=True)
 class Fill:
+    """A prefetch that reached the tier; `accepted`: its term was not superseded there."""
+
     at: float
-    by: Peer
+    router: Peer
     prefetch: Prefetch
-    taken: bool
+    accepted: bool
 
 
 class World:
+    """The routers, the links between them, and the tier."""
+
     def __init__(
         self,
         seed: int,
         size: int = 5,
         names: tuple[str, ...] = ("live",),
-        kind: type[Channels] = Channels,
-        drop: float = 0.0,
-        delay: tuple[float, float] = (0.001, 0.05),
+        loss_ratio: float = 0.0,
+        delay_s: tuple[float, float] = (0.001, 0.05),
         rule: ChannelRule | None = None,
     ) -> None:
+        """Makes a zone in which all routers read all channels.
+
+        Args:
+            seed: Of all random draws.
+            size: The number of routers.
+            names: The objects that are live channels.
+            loss_ratio: The share of messages that are lost.
+            delay_s: The range of a message's delay, in seconds.
+            rule: The settings of channels; None means one bundle.
+        """
         self.rng = random.Random(seed)
         self.rule = rule or ChannelRule(("video",), bundles=1)
-        self.names, self.drop, self.delay = names, drop, delay
+        self.names = names
+        self.loss_ratio = loss_ratio
+        self.delay_s = delay_s
         self.time = 0.0
-        self.blocked: set[tuple[Peer, Peer]] = set()
-        self.slow: set[tuple[Peer, Peer]] = set()  # a second late
+        self.blocked_links: set[tuple[Peer, Peer]] = set()
+        self.slow_links: set[tuple[Peer, Peer]] = set()
         self.pending: list[tuple[float, Callable[[], None]]] = []
         self.tier = FencingTokens()
         self.fills: list[Fill] = []
-        self.asks: list[tuple[float, Peer]] = []  # elections begun
+        self.elections: list[tuple[float, Peer]] = []  # begun when, by which router
         self.readers = set(range(size))
-        self.filling: Callable[[Peer], None] = lambda me: None  # called between a fill and its announcement
-        self.seen = [Seen() for _ in range(self.rule.bundles)]
-        self.all: list[Process] = []
-        for me in range(size):
-            clock, rate = (
-                self.rng.uniform(0, 1000),
-                self.rng.choice((0.95, 1.05, self.rng.uniform(0.95, 1.05))),
-            )
-            fleet = Fleet(me, size, (0, 1, 2), "here")
-            leases = Leases(fleet, BOUNDS, random.Random(self.rng.getrandbits(64)), clock)
-            rng = random.Random(self.rng.getrandbits(64))
-            channels = kind(fleet, BOUNDS, self.rule, leases, rng, clock)
-            self.all.append(Process(leases, channels, clock, rate))
-
-    # --- what happens ---
-
-    def later(self, after: float, call: Callable[[], None]) -> None:
-        self.pending.append((self.time + after, call))
-
-    def act(self, me: Peer, actions: list[Action]) -> None:
-        process, todo = self.all[me], list(actions)
-        while todo:
-            action = todo.pop(0)
+        self.before_report: Callable[[Peer], None] = lambda router: None  # between a fill and its report
+        self.measurements = [Measurement() for _ in range(self.rule.bundles)]
+        self.processes = [self.make_process(router, size) for router in range(size)]
+
+    def make_process(self, router: Peer, size: int) -> Process:
+        """Makes the process of a router, with a clock of its own."""
+        clock = self.rng.uniform(0, 1000)
+        rate = self.rng.choice((0.95, 1.05, self.rng.uniform(0.95, 1.05)))
+        fleet = Fleet(router, size, ACCEPTORS, "here")
+        leases = Leases(fleet, BOUNDS, random.Random(self.rng.getrandbits(64)), clock)
+        rng = random.Random(self.rng.getrandbits(64))
+        channels = Channels(fleet, BOUNDS, self.rule, leases, rng, clock)
+        return Process(leases, channels, clock, rate)
+
+    # --- messages ---
+
+    def call_later(self, delay_s: float, call: Callable[[], None]) -> None:
+        """Calls something after a delay of true time."""
+        self.pending.append((self.time + delay_s, call))
+
+    def apply(self, router: Peer, actions: list[Action]) -> None:
+        """Executes the actions of a router's parts."""
+        process = self.processes[router]
+        queue = list(actions)
+        while queue:
+            action = queue.pop(0)
             if isinstance(action, SendMessage):
-                if isinstance(action.message, Prepare) and action.to == next(p for p in (0, 1, 2) if p != me):
-                    self.asks.append((self.time, me))
-                for to in [action.to] if action.to is not None else range(len(self.all)):
-                    self.send(me, to, action.message, process.leases.highest_counter)
-            elif type(action).__name__ != "LogEvent":
-                todo += process.channels.handle_event(action, process.clock)  # type: ignore[arg-type]
-
-    def send(self, me: Peer, to: Peer, message: PeerMessage, clock: int) -> None:
-        if (me, to) in self.blocked or to == me or self.rng.random() < self.drop:
+                self.send_message(router, action)
+            elif not isinstance(action, LogEvent):
+                queue += process.channels.handle_event(action, process.clock)
+
+    def send_message(self, router: Peer, action: SendMessage) -> None:
+        """Sends a message to its receivers; counts an election by its first Prepare."""
+        first_acceptor = next(peer for peer in ACCEPTORS if peer != router)
+        if isinstance(action.message, Prepare) and action.to == first_acceptor:
+            self.elections.append((self.time, router))
+        receivers = [action.to] if action.to is not None else range(len(self.processes))
+        counter = self.processes[router].leases.highest_counter
+        for receiver in receivers:
+            self.send(router, receiver, action.message, counter)
+
+    def send(self, sender: Peer, receiver: Peer, message: PeerMessage, counter: int) -> None:
+        """Sends a message over a link, which may lose or delay it."""
+        if (sender, receiver) in self.blocked_links or receiver == sender:
+            return
+        if self.rng.random() < self.loss_ratio:
             return
-        wait = 1.0 if (me, to) in self.slow else self.rng.uniform(*self.delay)
-        self.later(wait, lambda: self.deliver(me, to, message, clock))
+        is_slow = (sender, receiver) in self.slow_links
+        delay_s = SLOW_LINK_DELAY_S if is_slow else self.rng.uniform(*self.delay_s)
+        self.call_later(delay_s, lambda: self.deliver(sender, receiver, message, counter))
 
-    def deliver(self, me: Peer, to: Peer, message: PeerMessage, clock: int) -> None:
-        process = self.all[to]
+    def deliver(self, sender: Peer, receiver: Peer, message: PeerMessage, counter: int) -> None:
+        """Hands a message to its receiver, once that runs."""
+        process = self.processes[receiver]
         if process.stopped:
-            return self.later(STEP, lambda: self.deliver(me, to, message, clock))
-        if process.dead or (me, to) in self.blocked:
+            self.call_later(STEP_S, lambda: self.deliver(sender, receiver, message, counter))
+            return
+        if process.dead or (sender, receiver) in self.blocked_links:
+            return
+        process.leases.observe_counter(counter)
+        is_for_leases = isinstance(message, process.leases.HANDLED_MESSAGES)
+        part = process.leases if is_for_leases else process.channels
+        self.apply(receiver, part.handle_message(sender, 0, message, process.clock))
+
+    # --- reads and fills ---
+
+    def read(self, router: Peer, name: str, part: int) -> None:
+        """A client reads a part at a router; due prefetches are written a little later."""
+        process = self.processes[router]
+        if not process.is_running or router not in self.readers:
             return
-        process.leases.observe_counter(clock)
-        part = process.leases if isinstance(message, process.leases.HANDLED_MESSAGES) else process.channels
-        self.act(to, part.handle_message(me, 0, message, process.clock))
-
-    def read(self, me: Peer, name: str, part: int) -> None:
-        process = self.all[me]
-        if process.runs and me in self.readers:
-            for prefetch in process.channels.record_read(name, "video", part, process.clock):
-                self.later(self.rng.uniform(0, 0.03), lambda prefetch=prefetch: self.write(me, prefetch))  # type: ignore[misc]
-
-    def write(self, me: Peer, prefetch: Prefetch) -> None:
-        process = self.all[me]
+        for prefetch in process.channels.record_read(name, "video", part, process.clock):
+            self.write_later(router, prefetch, self.rng.uniform(0, 0.03))
+
+    def write_later(self, router: Peer, prefetch: Prefetch, delay_s: float) -> None:
+        """Writes a prefetch after a delay."""
+        self.call_later(delay_s, lambda: self.write(router, prefetch))
+
+    def write(self, router: Peer, prefetch: Prefetch) -> None:
+        """A running router writes a prefetch if it may."""
+        process = self.processes[router]
         if process.stopped:
-            return self.later(STEP, lambda: self.write(me, prefetch))
+            self.write_later(router, prefetch, STEP_S)
+            return
         if process.dead:
             return
         if process.channels.writable_term(prefetch, process.clock) is None:
-            return process.channels.prefetch_failed(prefetch, process.clock)
-        self.later(self.rng.uniform(0.005, 0.05), lambda: self.arrive(me, prefetch))
-
-    def arrive(self, me: Peer, prefetch: Prefetch) -> None:
-        taken = self.tier.takes(prefetch.channel, prefetch.term, self.time)
-        self.fills.append(Fill(self.time, me, prefetch, taken))
-        if taken:
-            self.filling(me)
-            self.told(me, prefetch)
-
-    def told(self, me: Peer, prefetch: Prefetch) -> None:
-        process = self.all[me]
+            process.channels.prefetch_failed(prefetch, process.clock)
+            return
+        self.call_later(self.rng.uniform(0.005, 0.05), lambda: self.arrive(router, prefetch))
+
+    def arrive(self, router: Peer, prefetch: Prefetch) -> None:
+        """A prefetch reaches the tier, which refuses a superseded term."""
+        accepted = self.tier.takes(prefetch.channel, prefetch.term, self.time)
+        self.fills.append(Fill(self.time, router, prefetch, accepted))
+        if accepted:
+            self.before_report(router)
+            self.report(router, prefetch)
+
+    def report(self, router: Peer, prefetch: Prefetch) -> None:
+        """A running router reports a filled part."""
+        process = self.processes[router]
         if process.stopped:
-            self.later(STEP, lambda: self.told(me, prefetch))
+            self.call_later(STEP_S, lambda: self.report(router, prefetch))
         elif not process.dead:
-            self.act(me, process.channels.prefetch_succeeded(prefetch, BOX, process.clock))
+            self.apply(router, process.channels.prefetch_succeeded(prefetch, CACHE, process.clock))
 
     # --- time ---
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> bool:
-        """Let time pass; True as soon as `until` holds."""
-        for _ in range(round(seconds / STEP)):
+        """Lets true time pass; returns True as soon as `until` holds."""
+        for _ in range(round(seconds / STEP_S)):
             if until():
                 return True
             self.step()
         return until()
 
     def step(self) -> None:
-        before, self.time = self.time, self.time + STEP
-        if int(before / PART) != int(self.time / PART):
-            for name in self.names:
-                for me in range(len(self.all)):
-                    part = int(self.time / PART)
-                    self.later(
-                        self.rng.uniform(0, PART / 2),
-                        lambda me=me, name=name, part=part: self.read(me, name, part),  # type: ignore[misc]
-                    )
+        """Lets one step pass: reads, pending calls, ticks, and the measurement."""
+        before = self.time
+        self.time += STEP_S
+        if int(before / PART_INTERVAL_S) != int(self.time / PART_INTERVAL_S):
+            self.schedule_reads(int(self.time / PART_INTERVAL_S))
         due = [event for event in self.pending if event[0] <= self.time]
         self.pending = [event for event in self.pending if event[0] > self.time]
-        for process in self.all:
-            process.clock += STEP * process.rate
+        for process in self.processes:
+            process.clock += STEP_S * process.rate
         for _, call in sorted(due, key=lambda event: event[0]):
             call()
-        for me, process in enumerate(self.all):
-            if process.runs:
-                for each in (process.leases, process.channels):
-                    if each.due() <= process.clock:
-                        self.act(me, each.tick(process.clock))
-        self.measure()
+        for router, process in enumerate(self.processes):
+            if process.is_running:
+                self.tick(router, process)
+        for number, measurement in enumerate(self.measurements):
+            measurement.record(len(self.owners(number)), self.time)
+
+    def schedule_reads(self, part: int) -> None:
+        """Has a new part of each channel read at each router."""
+        for name in self.names:
+            for router in range(len(self.processes)):
+                self.schedule_read(router, name, part)
+
+    def schedule_read(self, router: Peer, name: str, part: int) -> None:
+        """Has a part read at a router within half of a part's interval."""
+        delay_s = self.rng.uniform(0, PART_INTERVAL_S / 2)
+        self.call_later(delay_s, lambda: self.read(router, name, part))
+
+    def tick(self, router: Peer, process: Process) -> None:
+        """Ticks the parts of a router that are due."""
+        for part in (process.leases, process.channels):
+            if part.due() <= process.clock:
+                self.apply(router, part.tick(process.clock))
+
+    # --- states that tests need ---
 
     def owners(self, number: int = 0) -> list[Peer]:
-        """Who could write a fill at this instant."""
-        able = []
-        for me, process in enumerate(self.all):
+        """Returns the routers that could write a fill of a bundle at this instant."""
+        owners = []
+        for router, process in enumerate(self.processes):
             bundles = process.channels.bundles
-            if process.runs and bundles.active_term(bundles.all[number], process.clock) is not None:
-                able.append(me)
-        return able
-
-    def measure(self) -> None:
-        for number, seen in enumerate(self.seen):
-            count = len(self.owners(number))
-            seen.most = max(seen.most, count)
-            seen.owned |= count > 0
-            seen.begun = (self.time if seen.begun is None else seen.begun) if count > 1 else None
-            seen.alone = (
-                (self.time if seen.alone is None else seen.alone) if not count and seen.owned else None
-            )
-            seen.overlap = max(seen.overlap, 0.0 if seen.begun is None else self.time - seen.begun + STEP)
-            seen.gap = max(seen.gap, 0.0 if seen.alone is None else self.time - seen.alone + STEP)
-
-    def settled(self) -> Peer:
-        """Run until a bundle's one owner is old enough to hand on, and followed; forget what was measured."""
+            term = bundles.active_term(bundles.all[number], process.clock)
+            if process.is_running and term is not None:
+                owners.append(router)
+        return owners
+
+    def settle(self) -> Peer:
+        """Runs until the first bundle has an owner that is followed and may hand it on with an overlap.
+
+        Returns that owner; the measurements start anew.
+        """
         assert self.run(8.0, lambda: len(self.owners()) == 1)
         owner = self.owners()[0]
         self.run(2.5)
         assert self.owners() == [owner]
-        self.seen = [Seen(owned=True) for _ in self.seen]
+        self.measurements = [Measurement(was_owned=True) for _ in self.measurements]
         return owner
 
-    def moved(self, owner: Peer) -> bool:
+    def has_moved_from(self, owner: Peer) -> bool:
+        """Returns whether the first bundle has an owner, and not this one."""
         return bool(self.owners()) and owner not in self.owners()
 
-    def cut(self, one: Peer) -> None:
-        for other in range(len(self.all)):
-            self.blocked |= {(one, other), (other, one)} if other != one else set()
+    def isolate(self, router: Peer) -> None:
+        """Cuts a router off from all others."""
+        for other in range(len(self.processes)):
+            if other != router:
+                self.blocked_links |= {(router, other), (other, router)}
--- a/paddlequay/lab/homes.py
+++ b/paddlequay/lab/homes.py
@@ -1,5 +1,4 @@
-"""`lab run homes`: what a decision costs with many members, how evenly homes spread, and what a change
-moves."""
+"""`lab run homes`: the cost of a decision with many members, the balance of homes and what a change moves."""
 
 import json
 import random
@@ -15,8 +14,8 @@
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.placement.homes import Homes, arrival, digest, slot_of
 
-SIZES = ((4, 3), (60, 20), (1000, 200))
-# Run in the version that is measured, this one or an earlier one: arguments go by place, as names differ.
+SIZES = ((4, 3), (60, 20), (1000, 200))  # caches and parents
+# Runs in the version that is measured, this one or an earlier one: arguments are positional, as names differ.
 COST = """
 import json, random, sys, time
 try:
@@ -50,27 +49,28 @@
 
 
 def cost(root: Path, edges: int, parents: int, count: int, seed: int) -> tuple[float, float]:
-    """Microseconds of processor time a request, in the first half of the requests and in the second."""
-    words = [sys.executable, "-c", COST, *map(str, (edges, parents, count, seed))]
-    done = subprocess.run(words, cwd=root, capture_output=True, text=True, check=True)
+    """Returns the processor time of a request in µs, in the first half of the requests and in the second."""
+    command = [sys.executable, "-c", COST, *map(str, (edges, parents, count, seed))]
+    done = subprocess.run(command, cwd=root, capture_output=True, text=True, check=True)
     first, second = json.loads(done.stdout)
     return first, second
 
 
 class Ring:
-    """Consistent hashing (Karger et al., 1997) with points on a ring, to compare with."""
+    """Consistent hashing (Karger et al., 1997) with points on a ring, for comparison."""
 
     def __init__(self, names: list[str], points: int = 128) -> None:
-        self.ring = sorted((digest(f"{name} {n}"), name) for name in names for n in range(points))
-        self.at = [at for at, _ in self.ring]
+        self.points = sorted((digest(f"{name} {n}"), name) for name in names for n in range(points))
+        self.positions = [position for position, _ in self.points]
 
     def home(self, key: int) -> str:
+        """Returns the member whose point follows a key."""
         mixed = digest(str(key))
-        return self.ring[bisect(self.at, mixed) % len(self.ring)][1]
+        return self.points[bisect(self.positions, mixed) % len(self.points)][1]
 
 
 def tree_home(names: list[str], key: int, fan: int = 8) -> str:
-    """Rendezvous down a tree of groups, to compare with: cheap, but a change moves more than it must."""
+    """Returns the home by rendezvous down a tree of groups: cheap, but a change moves more than it must."""
     slot = slot_of(key)
     while len(names) > 1:
         size = -(-len(names) // fan)
@@ -81,22 +81,23 @@
     return names[0]
 
 
-def slots_homes(names: list[str]) -> Homes[str]:
+def slot_homes(names: list[str]) -> Homes[str]:
+    """Returns the project's homes over members of equal weight."""
     homes: Homes[str] = Homes()
     homes.reset((name, name, 1.0) for name in names)
     return homes
 
 
 def moved(count: int, keys: list[int]) -> dict[str, float]:
-    """Share of the keys that move when one member joins, over the optimum, for each way."""
+    """Returns by way the share of keys that move when a member joins, over the optimum."""
     names = [f"n{n}" for n in range(count)]
     more = [*names, "new"]
     found = {}
-    homes = slots_homes(names)
+    homes = slot_homes(names)
     before = [homes.first_home(key) for key in keys]
     homes.put("new", "new")
     after = [homes.first_home(key) for key in keys]
-    # What the newcomer takes must move: all else that moves does so in vain.
+    # The keys of the new member must move, no others.
     ways: list[tuple[str, list[Any], list[Any]]] = [
         ("slots", before, after),
         ("ring", list(map(Ring(names).home, keys)), list(map(Ring(more).home, keys))),
@@ -110,9 +111,9 @@
 
 
 def spread(count: int, keys: list[int]) -> dict[str, float]:
-    """The fullest member's share over the mean."""
+    """Returns by way the share of the fullest member over the mean."""
     names = [f"n{n}" for n in range(count)]
-    homes, ring = slots_homes(names), Ring(names)
+    homes, ring = slot_homes(names), Ring(names)
     found = {}
     for name, home in (("slots", homes.first_home), ("ring", ring.home)):
         counts = np.unique([home(key) for key in keys], return_counts=True)[1]
@@ -121,61 +122,82 @@
 
 
 def run(setup: Setup, base: Path | None) -> Results:
-    """The experiment; `base` is the root of an earlier version to compare with."""
+    """Runs the experiment; `base` is the root of an earlier version for comparison."""
     results = Results("homes", x="members", y="microseconds a request", logarithmic=True)
-    rounds, count = (3, 4000) if setup.quick else (7, 20_000)
-    here = Path(__file__).parent.parent.parent
-    programs = {"now": here} | ({"before": base} if base is not None else {})
-    medians: dict[tuple[str, int], float] = {}
-    for edges, parents in SIZES:
-        costs: dict[str, list[tuple[float, float]]] = {name: [] for name in programs}
-        for turn in range(rounds):
-            for name, root in programs.items():  # one after the other, so that both see the same machine
-                asked = min(count, 600) if name == "before" and edges >= 1000 else count
-                costs[name].append(cost(root, edges, parents, asked, setup.seed + turn))
-        setup.say(f"{edges} caches and {parents} parents: done")
-        for name, found in costs.items():
-            cold = float(np.median([first for first, _ in found]))
-            warm = float(np.median([second for _, second in found]))
-            medians[name, edges] = (cold + warm) / 2
-            spans = [min(map(sum, found)) / 2, max(map(sum, found)) / 2]
-            results.rows.append(
-                {
-                    "program": name,
-                    "caches": edges,
-                    "parents": parents,
-                    "us_first_half": round(cold, 1),
-                    "us_second_half": round(warm, 1),
-                    "us_least": round(spans[0], 1),
-                    "us_most": round(spans[1], 1),
-                }
-            )
-            results.lines.setdefault(name, []).append((edges + parents, medians[name, edges]))
-            results.figures[f"us a request, {name}, {edges}+{parents}"] = (
-                f"{medians[name, edges]:.1f} (first half {cold:.1f}, second {warm:.1f})"
-            )
+    medians = measure_costs(setup, base, results)
     if base is not None:
         ratio = medians["now", 4] / medians["before", 4]
         results.claim("cost at 4+3 over that of before", ratio, "<=", 1.0)
         ratio = medians["now", 1000] / medians["before", 4]
         results.claim("cost at 1,000+200 over 4+3 of before", ratio, "<=", 3.0)
     results.claim("cost at 1,000+200 over 4+3", medians["now", 1000] / medians["now", 4], "<=", 3.0)
+    measure_changes(setup, results)
+    started_at = process_time()
+    homes = slot_homes([f"n{n}" for n in range(1000)])
+    homes.put("new", "new")
+    elapsed_ms = (process_time() - started_at) * 1000
+    results.figures["ms to take in 1,000 members and one more"] = f"{elapsed_ms:.1f}"
+    return results
+
+
+def measure_costs(setup: Setup, base: Path | None, results: Results) -> dict[tuple[str, int], float]:
+    """Measures the cost of a request for all sizes; returns its median in µs by program and caches."""
+    rounds, count = (3, 4000) if setup.quick else (7, 20_000)
+    programs = {"now": Path(__file__).parent.parent.parent}
+    if base is not None:
+        programs["before"] = base
+    medians: dict[tuple[str, int], float] = {}
+    for edges, parents in SIZES:
+        costs: dict[str, list[tuple[float, float]]] = {name: [] for name in programs}
+        for round_number in range(rounds):
+            for name, root in programs.items():  # one after the other, so that both run on the same load
+                requests = min(count, 600) if name == "before" and edges >= 1000 else count
+                costs[name].append(cost(root, edges, parents, requests, setup.seed + round_number))
+        setup.say(f"{edges} caches and {parents} parents: done")
+        for name, halves in costs.items():
+            medians[name, edges] = record_cost(results, name, edges, parents, halves)
+    return medians
+
+
+def record_cost(
+    results: Results, name: str, edges: int, parents: int, halves: list[tuple[float, float]]
+) -> float:
+    """Records the costs of a program at one size; returns their median in µs."""
+    cold = float(np.median([first for first, _ in halves]))
+    warm = float(np.median([second for _, second in halves]))
+    median = (cold + warm) / 2
+    means = [sum(each) / 2 for each in halves]
+    results.rows.append(
+        {
+            "program": name,
+            "caches": edges,
+            "parents": parents,
+            "us_first_half": round(cold, 1),
+            "us_second_half": round(warm, 1),
+            "us_least": round(min(means), 1),
+            "us_most": round(max(means), 1),
+        }
+    )
+    results.lines.setdefault(name, []).append((edges + parents, median))
+    results.figures[f"us a request, {name}, {edges}+{parents}"] = (
+        f"{median:.1f} (first half {cold:.1f}, second {warm:.1f})"
+    )
+    return median
+
+
+def measure_changes(setup: Setup, results: Results) -> None:
+    """Measures what a new member moves, and how evenly keys are spread."""
     rng = random.Random(setup.seed)
     keys = [rng.getrandbits(64) for _ in range(4000 if setup.quick else 40_000)]
     for size in (4, 60, 200):
         shares = moved(size, keys)
         for name, share in shares.items():
             results.rows.append({"program": name, "caches": size, "moved_over_optimum": round(share, 4)})
-        results.figures[f"moved over the optimum, {size} members"] = ", ".join(
-            f"{name} {share:.3f}" for name, share in shares.items()
-        )
+        results.figures[f"moved over the optimum, {size} members"] = describe(shares)
         results.claim(f"moved over the optimum, {size} members", shares["slots"], "<=", 1.05)
-        fullest = spread(size, keys)
-        results.figures[f"fullest over the mean, {size} members"] = ", ".join(
-            f"{name} {share:.3f}" for name, share in fullest.items()
-        )
-    began = process_time()
-    homes = slots_homes([f"n{n}" for n in range(1000)])
-    homes.put("new", "new")
-    results.figures["ms to take in 1,000 members and one more"] = f"{(process_time() - began) * 1000:.1f}"
-    return results
+        results.figures[f"fullest over the mean, {size} members"] = describe(spread(size, keys))
+
+
+def describe(shares: dict[str, float]) -> str:
+    """Returns shares by way in words."""
+    return ", ".join(f"{name} {share:.3f}" for name, share in shares.items())
--- a/paddlequay/lab/placement.py
+++ b/paddlequay/lab/placement.py
@@ -1,4 +1,4 @@
-"""`lab run placement`: what compiling rules of placement costs, what a change moves and a look-up costs."""
+"""`lab run placement`: the cost of compiling placement rules, of a change of the list and of a look-up."""
 
 import gc
 import random
@@ -15,47 +15,49 @@
 from paddlequay.placement.table import Table
 from paddlequay.routing.interface import Member
 
-MEMBERS = 200
-COPIED = b"otherwise: 4096 shards by object and part; 3 copies over 2 zones."
-TODAY = b"otherwise: 65536 shards by object and part; 1 copy."
-KEYS = 4_000  # so few that the homes of all are remembered: the look-up to compare with at its best
+MEMBERS_COUNT = 200
+SPREAD_RULES = b"otherwise: 4096 shards by object and part; 3 copies over 2 zones."
+DEFAULT_RULES = b"otherwise: 65536 shards by object and part; 1 copy."
+KEYS_COUNT = 4_000  # so few that all their homes are cached: the look-up compared with is at its best
 
 
 def members(count: int) -> list[Member]:
+    """Returns members over 5 zones and 2 kinds."""
     return [Member(f"e{n}", zone=f"z{n % 5}", kind=f"k{n % 2}", weight=1.0) for n in range(count)]
 
 
-def timed(do: Callable[[], object]) -> float:
-    began = perf_counter()
-    do()
-    return perf_counter() - began
+def elapsed_s(call: Callable[[], object]) -> float:
+    """Returns the seconds that a call takes."""
+    started_at = perf_counter()
+    call()
+    return perf_counter() - started_at
 
 
-def nanoseconds(do: Callable[[int, int], object], keys: list[tuple[int, int]]) -> float:
-    """Of processor time for one call, without pauses of the garbage collector."""
+def nanoseconds(lookup: Callable[[int, int], object], keys: list[tuple[int, int]]) -> float:
+    """Returns the processor time of one call in nanoseconds, without pauses of the garbage collector."""
     gc.collect()
     gc.disable()
-    began = process_time_ns()
+    started_at = process_time_ns()
     for key, part in keys:
-        do(key, part)
-    took = process_time_ns() - began
+        lookup(key, part)
+    elapsed = process_time_ns() - started_at
     gc.enable()
-    return took / len(keys)
+    return elapsed / len(keys)
 
 
 def compiled(results: Results, name: str, text: bytes, rounds: int) -> Table:
-    """One rule for 200 members: all of it, one member less, the same member back; with the claims on them."""
+    """Compiles a rule for all members, for one less and for that one back, and claims the costs."""
     rules = read_rules(name, text)
-    listed = members(MEMBERS)
+    listed = members(MEMBERS_COUNT)
     table = compile_rules(rules, listed)
     whole, less, more, shares = [], [], [], []
     for n in range(rounds):
-        out = n * 7 % MEMBERS
+        out = n * 7 % MEMBERS_COUNT
         fewer = listed[:out] + listed[out + 1 :]
-        whole.append(timed(lambda: compile_rules(rules, listed).digest))
-        less.append(timed(lambda fewer=fewer: compile_rules(rules, fewer, old=table).digest))  # type: ignore[misc]
+        whole.append(elapsed_s(lambda: compile_rules(rules, listed).digest))
+        less.append(elapsed_s(lambda fewer=fewer: compile_rules(rules, fewer, old=table).digest))  # type: ignore[misc]
         after = compile_rules(rules, fewer, old=table)
-        more.append(timed(lambda after=after: compile_rules(rules, listed, old=after).digest))  # type: ignore[misc]
+        more.append(elapsed_s(lambda after=after: compile_rules(rules, listed, old=after).digest))  # type: ignore[misc]
         if after.digest != compile_rules(rules, fewer).digest:
             raise AssertionError(f"{name}: a changed table is not that of a whole compile")
         homes = table.shard_maps["otherwise", None].homes
@@ -63,7 +65,7 @@
         shares.append(moved / sum(listed[out].name in each for each in homes))
     for what, times, most in (("all", whole, 1.0), ("one less", less, 0.1), ("one more", more, 0.1)):
         figure = f"{np.median(times) * 1000:.2f} ms ({min(times) * 1000:.2f} to {max(times) * 1000:.2f})"
-        results.figures[f"{name}, {MEMBERS} members, {what}"] = figure
+        results.figures[f"{name}, {MEMBERS_COUNT} members, {what}"] = figure
         results.claim(f"{name}, {what}: seconds", float(np.median(times)), "<=", most)
     results.claim(f"{name}: shards moved over those of the member", max(shares), "<=", 1.2)
     tracemalloc.start()
@@ -74,33 +76,33 @@
 
 
 def run(setup: Setup) -> Results:
-    """The experiment: one run, all that is compared in turns within it."""
+    """Runs the experiment; all that is compared takes turns within it."""
     results = Results("placement", x="round", y="nanoseconds a look-up", logarithmic=False)
     rounds = 5 if setup.quick else 15
-    copied = compiled(results, "4,096 shards, 3 copies over 2 zones", COPIED, rounds)
-    today = compiled(results, "65,536 shards", TODAY, rounds)
+    copied = compiled(results, "4,096 shards, 3 copies over 2 zones", SPREAD_RULES, rounds)
+    today = compiled(results, "65,536 shards", DEFAULT_RULES, rounds)
     homes: Homes[str] = Homes()
-    homes.reset((member.name, member.name, 1.0) for member in members(MEMBERS))
+    homes.reset((member.name, member.name, 1.0) for member in members(MEMBERS_COUNT))
     rng = random.Random(setup.seed)
-    keys = [(rng.getrandbits(64), rng.randrange(64)) for _ in range(KEYS)]
+    keys = [(rng.getrandbits(64), rng.randrange(64)) for _ in range(KEYS_COUNT)]
     ways: dict[str, Callable[[int, int], object]] = {
         "homes": lambda key, part: next(homes.order(placement_key(key, part))),
         "table": lambda key, part: today.lookup("video", None, 7, key, part),
         "table, 3 copies": lambda key, part: copied.lookup("video", None, 7, key, part),
     }
-    took: dict[str, list[float]] = {name: [] for name in ways}
-    for turn in range(rounds + 1):
-        for name, do in ways.items():  # one after the other, so that all see the same machine
-            found = nanoseconds(do, keys)
-            if turn:  # the first fills what is remembered
-                took[name].append(found)
-                results.lines.setdefault(name, []).append((turn, found))
-                results.rows.append({"way": name, "turn": turn, "ns": round(found)})
-    for name, times in took.items():
+    times_by_way: dict[str, list[float]] = {name: [] for name in ways}
+    for round_number in range(rounds + 1):
+        for name, lookup in ways.items():  # one after the other, so that all run on the same load
+            found = nanoseconds(lookup, keys)
+            if round_number:  # the first one fills the caches
+                times_by_way[name].append(found)
+                results.lines.setdefault(name, []).append((round_number, found))
+                results.rows.append({"way": name, "turn": round_number, "ns": round(found)})
+    for name, times in times_by_way.items():
         results.figures[f"ns a look-up, {name}"] = (
             f"{np.median(times):.0f} ({min(times):.0f} to {max(times):.0f})"
         )
-    ratios = [a / b for a, b in zip(took["table"], took["homes"], strict=True)]
+    ratios = [a / b for a, b in zip(times_by_way["table"], times_by_way["homes"], strict=True)]
     spread = f"{np.median(ratios):.2f} ({min(ratios):.2f} to {max(ratios):.2f})"
     results.figures["a look-up in a table over the first home"] = spread
     results.claim("a look-up in a table over the first home, median", float(np.median(ratios)), "<=", 1.0)
--- a/tests/cluster/test_channels.py
+++ b/tests/cluster/test_channels.py
@@ -14,10 +14,10 @@
 from paddlequay.cluster.prefetch import ChannelDetector, DecayingRate, Prefetch, channel_id
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import Action, Fleet, PeerChanged, PeerState, SendMessage
-from paddlequay.lab.channel_world import BOUNDS, BOX, World
+from paddlequay.lab.channel_world import BOUNDS, CACHE, World
 
 RULE = ChannelRule(("video",), bundles=8)
-GAP = BOUNDS.lease_s + 1.0
+MAX_GAP_S = BOUNDS.lease_s + 1.0
 PLANNED_RUNS = 200
 UNPLANNED_RUNS = 200
 
@@ -67,19 +67,18 @@
         detector.record_read(f"{number}", "video", 1, 0.0)
         assert len(list(detector.pop_ended(0.0))) <= 1
         for part in range(40):
-            hints.add(number, part, BOX, 5, 3.0, 0.0)
+            hints.add(number, part, CACHE, 5, 3.0, 0.0)
     assert len(detector.channels) == len(hints.channels) == 10
     assert max(len(parts) for parts in hints.channels.values()) <= 16
-    hints.add(49, 39, BOX + 1, 4, 3.0, 1.0)
-    assert hints.find(49, 39, 2.9) == BOX and hints.find(49, 39, 3.1) is None  # the higher term's, and fresh
+    hints.add(49, 39, CACHE + 1, 4, 3.0, 1.0)
+    # The hint under the higher term, until it expires.
+    assert hints.find(49, 39, 2.9) == CACHE and hints.find(49, 39, 3.1) is None
     hints.drop_expired(99.0)
     assert not hints.channels
 
 
-def owned_by_one(
-    rule: ChannelRule, channels: int, kind: type[Channels] = Channels
-) -> tuple[World, list[int]]:
-    """A plaza in which router 4 has taken all bundles and all read; and the bundles that have channels."""
+def owned_by_one(rule: ChannelRule, channels: int) -> tuple[World, list[int]]:
+    """Returns a zone whose router 4 owns all bundles and all routers read, and the bundles with channels."""
     names = tuple(f"cam{number}" for number in range(channels))
     world = World(3, names=names, rule=rule)
     used = sorted({channel_id("here", name) % rule.bundles for name in names})
@@ -96,71 +95,77 @@
 
 def test_planned_handoffs_overlap_within_the_bound_and_never_have_three_owners() -> None:
     for seed in range(PLANNED_RUNS):
-        world = World(seed, drop=0.05 * (seed % 2))
-        owner = world.settled()
-        world.act(owner, world.all[owner].channels.drain(world.all[owner].clock))
-        assert world.run(4.0, lambda world=world, owner=owner: world.moved(owner)), seed  # type: ignore[misc]
+        world = World(seed, loss_ratio=0.05 * (seed % 2))
+        owner = world.settle()
+        world.apply(owner, world.processes[owner].channels.drain(world.processes[owner].clock))
+        assert world.run(4.0, lambda world=world, owner=owner: world.has_moved_from(owner)), seed  # type: ignore[misc]
         world.run(1.0)
-        seen = world.seen[0]
-        assert seen.most <= 2 and seen.overlap <= BOUNDS.overlap_s, (seed, seen)
-        assert world.all[owner].channels.is_drained(world.all[owner].clock)
-        in_order(world)
+        measured = world.measurements[0]
+        assert measured.max_owners <= 2 and measured.overlap_s <= BOUNDS.overlap_s, (seed, measured)
+        assert world.processes[owner].channels.is_drained(world.processes[owner].clock)
+        assert_terms_grow(world)
 
 
 def test_followers_find_the_new_owner_soon_after_a_handoff() -> None:
     for seed in range(20):
-        world = World(seed, delay=(0.001, 0.02))
-        owner = world.settled()
-        world.act(owner, world.all[owner].channels.drain(world.all[owner].clock))
-        assert world.run(4.0, lambda world=world, owner=owner: world.moved(owner))  # type: ignore[misc]
+        world = World(seed, delay_s=(0.001, 0.02))
+        owner = world.settle()
+        world.apply(owner, world.processes[owner].channels.drain(world.processes[owner].clock))
+        assert world.run(4.0, lambda world=world, owner=owner: world.has_moved_from(owner))  # type: ignore[misc]
         world.run(0.4)
         (new,) = world.owners()
-        assert set(range(5)) - {owner, new} <= world.all[new].channels.bundles.all[0].followers.keys(), seed
+        assert (
+            set(range(5)) - {owner, new} <= world.processes[new].channels.bundles.all[0].followers.keys()
+        ), seed
 
 
-def in_order(world: World) -> None:
-    """The tier takes no fill under a lower term than before."""
+def assert_terms_grow(world: World) -> None:
+    """Asserts that the tier accepts no fill under a lower term than before."""
     for channel in {fill.prefetch.channel for fill in world.fills}:
-        taken = [
-            fill.prefetch.term for fill in world.fills if fill.taken and fill.prefetch.channel == channel
+        terms = [
+            fill.prefetch.term for fill in world.fills if fill.accepted and fill.prefetch.channel == channel
         ]
-        assert taken == sorted(taken)
+        assert terms == sorted(terms)
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_handoff_delayed_by_a_second_ends_its_overlap_by_the_old_owners_clock(seed: int) -> None:
     world = World(seed)
-    owner = world.settled()
+    owner = world.settle()
     others = set(range(5)) - {owner, 0, 1, 2}
     successor = min(others)
-    world.all[owner].rate, world.all[successor].rate = 0.95, 1.05
+    world.processes[owner].rate, world.processes[successor].rate = 0.95, 1.05
     for reader in set(range(5)) - {owner, successor}:
-        world.all[owner].channels.handle_event(
-            PeerChanged(reader, 1, PeerState.SUSPECT), world.all[owner].clock
+        world.processes[owner].channels.handle_event(
+            PeerChanged(reader, 1, PeerState.SUSPECT), world.processes[owner].clock
         )
-    world.slow = {(owner, successor), (successor, owner)}
-    world.act(owner, world.all[owner].channels.drain(world.all[owner].clock))
-    assert world.run(9.0, lambda: world.moved(owner))
+    world.slow_links = {(owner, successor), (successor, owner)}
+    world.apply(owner, world.processes[owner].channels.drain(world.processes[owner].clock))
+    assert world.run(9.0, lambda: world.has_moved_from(owner))
     world.run(2.0)
-    # The release to the heir is as late as everything: the overlap ends before it, by the owner's own clock.
-    assert world.seen[0].most <= 2 and world.seen[0].overlap <= BOUNDS.overlap_s
-    released = [fill.at for fill in world.fills if fill.by == owner]
-    assert released and world.all[owner].channels.is_drained(world.all[owner].clock)
+    # The release to the successor is late, too: the overlap ends before it, by the owner's own clock.
+    assert world.measurements[0].max_owners <= 2 and world.measurements[0].overlap_s <= BOUNDS.overlap_s
+    released = [fill.at for fill in world.fills if fill.router == owner]
+    assert released and world.processes[owner].channels.is_drained(world.processes[owner].clock)
 
 
 def test_an_owner_of_all_bundles_is_drained_under_load_within_seconds() -> None:
     world, used = owned_by_one(RULE, 24)
-    world.drop = 0.02
-    for seen in world.seen:
-        seen.gap = 0.0
+    world.loss_ratio = 0.02
+    for measured in world.measurements:
+        measured.gap_s = 0.0
     before = world.time
-    world.act(4, world.all[4].channels.drain(world.all[4].clock))
-    assert world.run(6.0, lambda: world.all[4].channels.is_drained(world.all[4].clock)), world.time - before
+    world.apply(4, world.processes[4].channels.drain(world.processes[4].clock))
+    assert world.run(6.0, lambda: world.processes[4].channels.is_drained(world.processes[4].clock)), (
+        world.time - before
+    )
     world.run(2.0)
-    assert all(seen.most <= 2 and seen.overlap <= BOUNDS.overlap_s for seen in world.seen)
-    assert max(seen.gap for seen in world.seen) <= GAP
+    assert all(
+        measured.max_owners <= 2 and measured.overlap_s <= BOUNDS.overlap_s for measured in world.measurements
+    )
+    assert max(measured.gap_s for measured in world.measurements) <= MAX_GAP_S
     assert all(world.owners(number) not in ([], [4]) for number in used)
-    in_order(world)
+    assert_terms_grow(world)
 
 
 # --- unplanned ---
@@ -169,74 +174,76 @@
 @pytest.mark.parametrize("how", ["killed", "stopped", "cut off"])
 def test_a_lost_owner_is_replaced_without_overlap_within_a_lease_and_a_second(how: str) -> None:
     for seed in range(UNPLANNED_RUNS // 3 + 1):
-        world = World(seed, delay=(0.001, 0.02))
-        owner = world.settled()
-        process = world.all[owner]
+        world = World(seed, delay_s=(0.001, 0.02))
+        owner = world.settle()
+        process = world.processes[owner]
         process.dead, process.stopped = how == "killed", how == "stopped"
         if how == "cut off":
-            world.cut(owner)
+            world.isolate(owner)
         world.run(2.0 + random.Random(seed).random() * 2)
         process.stopped = False
-        world.blocked.clear()
+        world.blocked_links.clear()
         world.run(2.0)
-        seen = world.seen[0]
-        assert seen.most == 1 and seen.overlap == 0.0, (seed, seen)
-        assert seen.gap <= GAP and len(world.owners()) == 1, (seed, seen)
-        in_order(world)
+        measured = world.measurements[0]
+        assert measured.max_owners == 1 and measured.overlap_s == 0.0, (seed, measured)
+        assert measured.gap_s <= MAX_GAP_S and len(world.owners()) == 1, (seed, measured)
+        assert_terms_grow(world)
 
 
 def test_an_owner_that_dies_before_it_reports_a_fill_leaves_others_without_a_hint() -> None:
     world = World(5)
-    owner = world.settled()
-    process = world.all[owner]
-    world.filling = lambda me: setattr(process, "dead", me == owner or process.dead)
+    owner = world.settle()
+    process = world.processes[owner]
+    world.before_report = lambda me: setattr(process, "dead", me == owner or process.dead)
     assert world.run(2.0, lambda: process.dead)
-    last = [fill for fill in world.fills if fill.by == owner][-1]
-    for other in world.all:
+    last = [fill for fill in world.fills if fill.router == owner][-1]
+    for other in world.processes:
         if other is not process:
             assert other.channels.find_cache(last.prefetch.channel, last.prefetch.part, other.clock) is None
-    assert world.run(GAP, lambda: bool(world.owners()))
+    assert world.run(MAX_GAP_S, lambda: bool(world.owners()))
     world.run(1.0)
     assert (
-        world.fills[-1].taken
+        world.fills[-1].accepted
         and world.fills[-1].prefetch.term > last.prefetch.term
-        and world.seen[0].most == 1
+        and world.measurements[0].max_owners == 1
     )
 
 
 def test_an_owner_stopped_during_a_fill_writes_and_reports_nothing_under_its_old_term() -> None:
     world = World(6)
-    owner = world.settled()
-    process = world.all[owner]
-    prefetch = [fill for fill in world.fills if fill.by == owner][-1].prefetch
+    owner = world.settle()
+    process = world.processes[owner]
+    prefetch = [fill for fill in world.fills if fill.router == owner][-1].prefetch
     assert process.channels.writable_term(prefetch, process.clock) == prefetch.term
     process.stopped = True
-    assert world.run(5.0, lambda: bool(world.owners()) and world.fills[-1].by != owner)
+    assert world.run(5.0, lambda: bool(world.owners()) and world.fills[-1].router != owner)
     process.stopped = False
-    assert process.channels.writable_term(prefetch, process.clock) is None  # before anything has told it
+    assert process.channels.writable_term(prefetch, process.clock) is None  # before any message tells it
     world.arrive(owner, prefetch)  # what was written just before the stop
-    assert not world.fills[-1].taken
+    assert not world.fills[-1].accepted
     world.run(1.0)
-    assert not process.channels.prefetch_succeeded(prefetch, BOX + 1, process.clock)
-    assert process.channels.find_cache(prefetch.channel, prefetch.part, process.clock) != BOX + 1
-    assert world.seen[0].most == 1
+    assert not process.channels.prefetch_succeeded(prefetch, CACHE + 1, process.clock)
+    assert process.channels.find_cache(prefetch.channel, prefetch.part, process.clock) != CACHE + 1
+    assert world.measurements[0].max_owners == 1
 
 
 def test_followers_receive_hints_and_ignore_reports_under_a_lower_term() -> None:
     world = World(7)
-    owner = world.settled()
+    owner = world.settle()
     prefetch = world.fills[-1].prefetch
     world.run(0.2)
-    assert all(p.channels.find_cache(prefetch.channel, prefetch.part, p.clock) == BOX for p in world.all)
-    other = world.all[(owner + 1) % 5].channels
-    now = world.all[(owner + 1) % 5].clock
+    assert all(
+        p.channels.find_cache(prefetch.channel, prefetch.part, p.clock) == CACHE for p in world.processes
+    )
+    other = world.processes[(owner + 1) % 5].channels
+    now = world.processes[(owner + 1) % 5].clock
     other.handle_message(
-        9, 0, ChannelPartReport(prefetch.channel, prefetch.term - 1, prefetch.part, BOX + 1, 3000), now
+        9, 0, ChannelPartReport(prefetch.channel, prefetch.term - 1, prefetch.part, CACHE + 1, 3000), now
     )
     other.handle_message(
-        9, 0, ChannelPartReport(prefetch.channel, prefetch.term - 1, prefetch.part + 9, BOX + 1, 3000), now
+        9, 0, ChannelPartReport(prefetch.channel, prefetch.term - 1, prefetch.part + 9, CACHE + 1, 3000), now
     )
-    assert other.find_cache(prefetch.channel, prefetch.part, now) == BOX
+    assert other.find_cache(prefetch.channel, prefetch.part, now) == CACHE
     assert other.find_cache(prefetch.channel, prefetch.part + 9, now) is None
 
 
@@ -246,7 +253,7 @@
 def test_loss_of_the_owner_of_hundreds_of_channels_starts_few_elections_a_second() -> None:
     world, used = owned_by_one(ChannelRule(("video",)), 300)
     requests: list[tuple[float, int]] = []
-    for me, process in enumerate(world.all):
+    for me, process in enumerate(world.processes):
         request = process.leases.request
 
         def counted(lease: int, now: float, me: int = me, request=request) -> list[object]:  # type: ignore[no-untyped-def]
@@ -254,12 +261,12 @@
             return list(request(lease, now))
 
         process.leases.request = counted  # type: ignore[assignment,method-assign]
-    world.asks.clear()
-    world.all[4].dead = True
+    world.elections.clear()
+    world.processes[4].dead = True
     assert world.run(10.0, lambda: all(world.owners(number) for number in used))
     for events, most in (
         (requests, owner_search.BIDS_PER_S + owner_search.MAX_BURST_BIDS),
-        (world.asks, 25 + 8),
+        (world.elections, 25 + 8),
     ):
         counts = Counter((int(at * 2), me) for at, me in events)
         pairs = [counts[half, me] + counts[half + 1, me] for half, me in counts]
@@ -269,7 +276,7 @@
 def test_oscillating_loads_move_few_bundles() -> None:
     world, _ = owned_by_one(ChannelRule(("video",), bundles=32), 100)
     offers_made: list[tuple[float, int]] = []
-    for me, process in enumerate(world.all):
+    for me, process in enumerate(world.processes):
         offer_bundle = process.channels.handoff.offer_bundle
 
         def counted(bundle, successor, now, me=me, offer_bundle=offer_bundle):  # type: ignore[no-untyped-def]
@@ -278,14 +285,14 @@
 
         process.channels.handoff.offer_bundle = counted  # type: ignore[method-assign]
     for half in range(60):
-        for me, process in enumerate(world.all):
+        for me, process in enumerate(world.processes):
             for peer in set(range(5)) - {me}:
-                word = OwnerLoad(1000_000 * ((half + peer) % 2), 0)  # nothing and very much, in turn
-                process.channels.handle_message(peer, 0, word, process.clock)
+                message = OwnerLoad(1000_000 * ((half + peer) % 2), 0)  # nothing and very much, in turn
+                process.channels.handle_message(peer, 0, message, process.clock)
         world.run(0.5)
     moves = Counter(me for _, me in offers_made)
     assert 2 <= max(moves.values()) <= 30 * 1.05 / handoff.REBALANCE_INTERVAL_S + 1
-    assert all(seen.most <= 2 for seen in world.seen)
+    assert all(measured.max_owners <= 2 for measured in world.measurements)
 
 
 class FakeLeases:
@@ -392,10 +399,10 @@
     channels, _, _ = owner_of(8, (1.0,) * 8)
     assert offers(channels.drain(100.0)) == [1] * handoff.MAX_CONCURRENT_HANDOFFS
     channels, leases, (bundle,) = owner_of()
-    (word,) = channels.handle_message(3, 0, HandoffOffer(bundle.lease, 5, 0), 100.0)
+    (message,) = channels.handle_message(3, 0, HandoffOffer(bundle.lease, 5, 0), 100.0)
     assert (
-        isinstance(word, SendMessage)
-        and word.message == HandoffReply(bundle.lease, 5, 0)
+        isinstance(message, SendMessage)
+        and message.message == HandoffReply(bundle.lease, 5, 0)
         and not leases.requested
     )
     bundle.live_channels.add(7)
@@ -406,9 +413,9 @@
 
 def test_a_router_that_is_followed_without_owning_the_bundle_denies_it() -> None:
     world = World(11)
-    owner = world.settled()
+    owner = world.settle()
     other = (owner + 1) % 5
-    channels, now = world.all[other].channels, world.all[other].clock
+    channels, now = world.processes[other].channels, world.processes[other].clock
     bundle = channels.bundles.all[0]
     (answer,) = channels.handle_message(owner, 0, HandoffReply(bundle.lease, 0, 1), now)
     assert isinstance(answer.message, HandoffReply) and answer.message.accepted == 0  # type: ignore[union-attr]
--- a/tests/cluster/test_sharing_channels.py
+++ b/tests/cluster/test_sharing_channels.py
@@ -1,4 +1,4 @@
-"""Live channels of real routers: one owner fills ahead, the others ask its box, and owners come and go."""
+"""Live channels of real routers: one owner prefetches, the others use its hints, and owners are replaced."""
 
 import asyncio
 import itertools
@@ -14,33 +14,33 @@
 
 RULES = '  channels { class: "lane-video" bundles: 4 live_s: 3 }\n'
 NAME = "00000000000000c5"
-EVERY = 0.15  # seconds between two parts, and over which those who follow ask for one
+PART_INTERVAL_S = 0.15  # between two parts, and over which the readers of one are spread
 
 
-class Follower:
-    """Clients of all routers that follow one live object, part by part, until told to end."""
+class Readers:
+    """Clients of all routers that read one live object, part by part, until cancelled."""
 
     def __init__(self, rig: FleetRig) -> None:
         self.rig = rig
         self.connections = [Connection(address) for address in rig.load.routers]
-        self.down: set[int] = set()  # routers that nobody asks
+        self.down: set[int] = set()  # routers that no client reads from
         self.part = 0
         self.number = 0
-        self.said: Counter[str] = Counter()
-        self.spoilt = 0
+        self.outcomes: Counter[str] = Counter()
+        self.corrupt = 0
 
-    async def one(self, router: int, part: int) -> None:
-        await asyncio.sleep(0.3 * EVERY * router)
+    async def read(self, router: int, part: int) -> None:
+        await asyncio.sleep(0.3 * PART_INTERVAL_S * router)
         self.number += 1
-        told = {"call": f"{self.number:016x}", "ttl": "3000", "row": NAME, "slice": str(part), "set": "197"}
+        fields = {"call": f"{self.number:016x}", "ttl": "3000", "row": NAME, "slice": str(part), "set": "197"}
         try:
-            error, result = await self.connections[router].ask("lane-video", told, b"", 4.0)
+            error, result = await self.connections[router].ask("lane-video", fields, b"", 4.0)
         except (OSError, TimeoutError) as problem:
-            self.said[type(problem).__name__] += 1
+            self.outcomes[type(problem).__name__] += 1
             return
-        self.said["served" if error is None else str(error[0])] += 1
+        self.outcomes["served" if error is None else str(error[0])] += 1
         if error is None:
-            self.spoilt += bytes(result[0]) != body_of(NAME, str(part), self.rig.load.size(NAME))
+            self.corrupt += bytes(result[0]) != body_of(NAME, str(part), self.rig.load.size(NAME))
 
     async def run(self) -> None:
         tasks: set[asyncio.Task[None]] = set()
@@ -48,14 +48,14 @@
             self.part += 1
             for router in range(len(self.connections)):
                 if router not in self.down:
-                    task = asyncio.ensure_future(self.one(router, self.part))
+                    task = asyncio.ensure_future(self.read(router, self.part))
                     tasks.add(task)
                     task.add_done_callback(tasks.discard)
-            await asyncio.sleep(EVERY)
+            await asyncio.sleep(PART_INTERVAL_S)
 
 
 def owners(moment: Moment) -> dict[int, int]:
-    """Routers that say that they own the bundle, and their terms."""
+    """Returns the routers whose consoles show that they own the bundle, with their terms."""
     found = {}
     for router, page in moment.pages.items():
         terms = [each["term"] for each in page.get("channels", {}).values() if each["term"]]
@@ -64,48 +64,48 @@
     return found
 
 
-async def until_owned(moments: list[Moment], but: set[int], longest: float) -> int:
-    """The router that owns it next, seen after now."""
+async def until_owned(moments: list[Moment], excluded: set[int], timeout_s: float) -> int:
+    """Returns a router that owns the bundle after now."""
     begun = time.time()
-    while time.time() - begun < longest:
+    while time.time() - begun < timeout_s:
         for moment in moments[::-1]:
             if moment.at <= begun:
                 break
-            known = [router for router in owners(moment) if router not in but]
+            known = [router for router in owners(moment) if router not in excluded]
             if known:
                 return known[0]
         await asyncio.sleep(0.05)
-    raise AssertionError(f"nobody owns the channel within {longest} s")
+    raise AssertionError(f"no router owns the channel within {timeout_s} s")
 
 
-def counts(moment: Moment, name: str) -> int:
+def counter_sum(moment: Moment, name: str) -> int:
     return sum(page["counts"].get(name, 0) for page in moment.pages.values())
 
 
-def test_one_owner_fills_ahead_and_a_drain_a_kill_and_a_stop_hand_it_on(tmp_path: Path) -> None:
+def test_one_owner_prefetches_and_a_drain_a_kill_or_a_stop_replaces_it(tmp_path: Path) -> None:
     moments: list[Moment] = []
     rig = FleetRig(Plan(routers=4, boxes=2, tiers=1, regional=0, rate=20.0, seed=5), tmp_path, RULES, 5)
-    follower = Follower(rig)
+    readers = Readers(rig)
 
     async def script() -> None:
         first = await until_owned(moments, set(), 6.0)
         await asyncio.sleep(1.5)
-        assert counts(moments[-1], "channels.hints") > 0
-        # Planned: SIGTERM, the owner is drained; those who follow go to the others.
-        follower.down.add(first)
+        assert counter_sum(moments[-1], "channels.hints") > 0
+        # Planned: SIGTERM drains the owner; its clients go to the other routers.
+        readers.down.add(first)
         rig.process(first).terminate()
         second = await until_owned(moments, {first}, 3.0)
         await rig.process(first).wait()
         await rig.restart(first)
-        follower.down.clear()
-        # Killed: a lease and an election later another owns it.
-        follower.down.add(second)
+        readers.down.clear()
+        # Killed: after a lease and an election another router owns it.
+        readers.down.add(second)
         await rig.kill_router(second)
         third = await until_owned(moments, {second}, 1.5 + 1.0 + 1.5)
         await rig.restart(second)
-        follower.down.clear()
-        # Stopped for longer than its lease, and on again with an old term.
-        follower.down.add(third)
+        readers.down.clear()
+        # Stopped for longer than its lease, and continued with an old term.
+        readers.down.add(third)
         rig.stop(third)
         await until_owned(moments, {third}, 1.5 + 1.0 + 1.5)
         rig.go_on(third)
@@ -115,7 +115,7 @@
         tasks: list[asyncio.Future[Any]] = []
         try:
             await rig.up()
-            tasks = [asyncio.ensure_future(each) for each in (follower.run(), watch(rig, 0.05, moments))]
+            tasks = [asyncio.ensure_future(each) for each in (readers.run(), watch(rig, 0.05, moments))]
             await script()
         finally:
             for task in tasks:
@@ -123,13 +123,13 @@
             await rig.down()
 
     asyncio.run(run())
-    assert follower.spoilt == 0
-    # Nobody waits for an owner: what is not served is what a router that went down still had.
-    assert follower.said["served"] > 0.95 * sum(follower.said.values()), follower.said
-    looks = sorted((page["at"], router, owners(moment).get(router))
+    assert readers.corrupt == 0
+    # No request waits for an owner: only requests at a router that went down may fail.
+    assert readers.outcomes["served"] > 0.95 * sum(readers.outcomes.values()), readers.outcomes
+    observations = sorted((page["at"], router, owners(moment).get(router))
                    for moment in moments for router, page in moment.pages.items())  # fmt: skip
     terms: dict[int, list[float]] = {}
-    for at, _, term in looks:
+    for at, _, term in observations:
         if term is not None:
             terms.setdefault(term, []).append(at)
     # Two owners at once, each by its own term, for the bound of a planned handoff at most.
