--- a/paddlequay/lab/channel_world.py
+++ b/paddlequay/lab/channel_world.py
@@ -210,7 +210,7 @@
 
     def arrive(self, router: Peer, prefetch: Prefetch) -> None:
         """A prefetch reaches the tier, which refuses a superseded term."""
-        accepted = self.tier.takes(prefetch.channel, prefetch.term, self.time)
+        accepted = self.tier.accepts(prefetch.channel, prefetch.term, self.time)
         self.fills.append(Fill(self.time, router, prefetch, accepted))
         if accepted:
             self.before_report(router)
--- a/paddlequay/net/cluster/placement_tables.py
+++ b/paddlequay/net/cluster/placement_tables.py
@@ -83,11 +83,11 @@
         self.tables = PlacementEpochs(
             node.fleet, node.settings.bounds, node.holds, partial(reacquire_lease, node)
         )
-        node.join(self.tables, PlacementEpochs.HANDLED_MESSAGES)
+        node.add_part(self.tables, PlacementEpochs.HANDLED_MESSAGES)
         now = self.clock()
         if node.leases is not None and node.fleet.me in node.fleet.acceptors:
-            node.begun += node.leases.request(TABLES_LEASE, now)
-        node.begun += self.tables.compiled(*self.compilation.digests(), now)
+            node.initial_actions += node.leases.request(TABLES_LEASE, now)
+        node.initial_actions += self.tables.compiled(*self.compilation.digests(), now)
 
     def leave_cluster(self) -> None:
         """Leaves the cluster: homes are plain."""
--- a/tests/cluster/test_placement_tables.py
+++ b/tests/cluster/test_placement_tables.py
@@ -83,7 +83,7 @@
         return node
 
     def apply_actions(self, node: Node, actions: Sequence[Action]) -> None:
-        self.handle_events(node.settle(actions, self.clock.now))
+        self.handle_events(node.execute(actions, self.clock.now))
 
     def handle_events(self, event: Sequence[object]) -> None:
         for each in event:
--- a/tests/golden/test_golden.py
+++ b/tests/golden/test_golden.py
@@ -4,14 +4,24 @@
 
 import pytest
 from driver import EVERYBODY, settings
-from golden_samples import DATA, FLEET_SIZE, MARKS, SAMPLES, link_messages, membership, shape, trained_router
+from golden_samples import (
+    DATA,
+    FLEET_SIZE,
+    MARKS,
+    SAMPLES,
+    link_messages,
+    membership,
+    shape,
+    trained_router,
+)
 
 from paddlequay.cluster.wire import Codec
 from paddlequay.discovery.membership import Membership
 from paddlequay.discovery.reports import SourceRule
 from paddlequay.errors import RecordError
 from paddlequay.hierarchy.migration import MigrationLimits, MigrationPlan
-from paddlequay.hierarchy.topology import Topology, TopologyLimits, delta_data, next_shape, read_delta, whole
+from paddlequay.hierarchy.topology import Topology, TopologyLimits, apply_delta, full_delta
+from paddlequay.hierarchy.topology_json import decode_delta, encode_delta
 from paddlequay.lifecycle.operator_state import OperatorState
 from paddlequay.policy import Router
 from paddlequay.protocol import hot_restart as twin
@@ -41,9 +51,9 @@
     for line in sample("datagrams.jsonl").splitlines():
         number, required, _, text = json.loads(line)
         read = codec.read(bytes.fromhex(text))
-        assert [note.KIND for note in read.messages] == [number, number] and read.skipped == 0
-        assert codec.shapes[number].required == required
-        assert codec.pack(read.head, [codec.pack_message(note) for note in read.messages]).hex() == text
+        assert [note.KIND for note in read.messages] == [number, number] and read.skipped_count == 0
+        assert codec.formats[number].required_count == required
+        assert codec.pack(read.header, [codec.pack_message(note) for note in read.messages]).hex() == text
 
 
 def test_the_file_of_left_out_caches_is_read_and_written_alike(
@@ -69,11 +79,11 @@
 def test_a_saved_shape_is_read_and_written_alike() -> None:
     body, head = sample("saved_shape.txt").splitlines()
     data = json.loads(body)
-    read = next_shape(Topology(), read_delta(data["shape"], TopologyLimits()), TopologyLimits())
-    assert read == shape() and delta_data(whole(read)) == data["shape"]
-    moves = MigrationPlan("a", MigrationLimits())
-    moves.restore(data["epochs"], 2.0)
-    assert moves.data() == data["epochs"]
+    read = apply_delta(Topology(), decode_delta(data["shape"], TopologyLimits()), TopologyLimits())
+    assert read == shape() and encode_delta(full_delta(read)) == data["shape"]
+    migration = MigrationPlan("a", MigrationLimits())
+    migration.restore_state(data["epochs"], 2.0)
+    assert migration.export_state() == data["epochs"]
     record = head.encode() + b"\n" + body.encode()
     assert decode(record, "shape", 1) == body.encode()
     with pytest.raises(RecordError):
