--- a/paddlequay/hierarchy/fencing_tokens.py
+++ b/paddlequay/hierarchy/fencing_tokens.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeenToken:
+class HighestToken:
     """The highest token of a channel, and when a fill last came under it (seconds)."""
 
     token: int
@@ -31,7 +31,7 @@
     def __init__(self, max_channels: int = MAX_CHANNELS, memory_s: float = TOKEN_MEMORY_S) -> None:
         self.max_channels = max_channels
         self.memory_s = memory_s
-        self.highest: OrderedDict[int, SeenToken] = OrderedDict()  # the channel seen least recently first
+        self.highest: OrderedDict[int, HighestToken] = OrderedDict()  # the channel seen least recently first
 
     def __len__(self) -> int:
         return len(self.highest)
@@ -51,7 +51,7 @@
         known = self.highest.get(channel)
         if known is not None and token < known.token:
             return False
-        self.highest[channel] = SeenToken(token, now)
+        self.highest[channel] = HighestToken(token, now)
         self.highest.move_to_end(channel)
         if len(self.highest) > self.max_channels:
             self.highest.popitem(last=False)
--- a/paddlequay/hierarchy/fill_path.py
+++ b/paddlequay/hierarchy/fill_path.py
@@ -20,7 +20,7 @@
 
 MAX_HOPS = 12  # twice the deepest topology: a fill may go to a peer at every level
 MAX_TEXT_CHARS = 1024
-MAC_HEX_DIGITS = 32  # 128 bits of HMAC-SHA256 (truncated as in RFC 2104, section 5)
+MAC_HEX_DIGIT_COUNT = 32  # 128 bits of HMAC-SHA256 (truncated as in RFC 2104, section 5)
 MAX_STARTED_US = (1 << 63) - 1
 MAX_STARTED_DIGITS = 19
 MIN_SECRET_BYTES = 16
@@ -179,4 +179,4 @@
 
 def _signature(key: SigningKey, signed: str, context: str) -> str:
     message = f"{len(signed)}:{signed}{context}".encode()
-    return hmac.new(key.secret, message, hashlib.sha256).hexdigest()[:MAC_HEX_DIGITS]
+    return hmac.new(key.secret, message, hashlib.sha256).hexdigest()[:MAC_HEX_DIGIT_COUNT]
--- a/paddlequay/hierarchy/migration.py
+++ b/paddlequay/hierarchy/migration.py
@@ -21,7 +21,7 @@
 MAX_EPOCHS = 8
 MAX_LOOKUPS = 2  # earlier homes that one fill asks
 MAX_NEW_NODE_LOOKUPS = 4  # the same at a new node: others served in its place
-NEW_NODE_EXTRA_CANDIDATES = 2  # this node itself and one that may not be asked
+NEW_NODE_EXTRA_COUNT = 2  # this node itself and one that may not be asked
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,7 +131,7 @@
         max_lookups = MAX_LOOKUPS
         if is_new:
             max_lookups = MAX_NEW_NODE_LOOKUPS
-            homes += self.homes.first_home_names(hash_key, MAX_NEW_NODE_LOOKUPS + NEW_NODE_EXTRA_CANDIDATES)
+            homes += self.homes.first_home_names(hash_key, MAX_NEW_NODE_LOOKUPS + NEW_NODE_EXTRA_COUNT)
         candidates = dict.fromkeys(
             home for home in homes if home is not None and home != self.own_name and may_ask(home)
         )
--- a/paddlequay/net/hierarchy/load_meter.py
+++ b/paddlequay/net/hierarchy/load_meter.py
@@ -1,6 +1,6 @@
 """The load report of a node, which goes back with every reply."""
 
-BUSY_SMOOTHING = 0.2  # weight of the last beat
+BUSY_SMOOTHING_FACTOR = 0.2  # weight of the last beat
 HIT_DECAY_FACTOR = 0.98  # each beat
 
 
@@ -17,9 +17,9 @@
         self.replies += 1.0
         self.hits += is_hit
 
-    def beat(self, busy_ratio: float) -> None:
+    def on_heartbeat(self, busy_ratio: float) -> None:
         """Ages the averages; `busy_ratio` is the use of the node's cores since the last beat, 0 to 1."""
-        self.busy_ratio += BUSY_SMOOTHING * (min(1.0, busy_ratio) - self.busy_ratio)
+        self.busy_ratio += BUSY_SMOOTHING_FACTOR * (min(1.0, busy_ratio) - self.busy_ratio)
         self.hits *= HIT_DECAY_FACTOR
         self.replies *= HIT_DECAY_FACTOR
 
--- a/paddlequay/net/hierarchy/tier_front.py
+++ b/paddlequay/net/hierarchy/tier_front.py
@@ -31,7 +31,7 @@
 from paddlequay.requests.exchange import Exchange
 from paddlequay.routing.interface import RequestClass
 
-LISTEN_BACKLOG = 1024
+LISTEN_BACKLOG_SIZE = 1024
 
 
 class TierFront:
@@ -79,7 +79,7 @@
 
     def listen(self, listener: socket.socket) -> None:
         """Accepts connections on a bound socket from now on."""
-        listener.listen(LISTEN_BACKLOG)
+        listener.listen(LISTEN_BACKLOG_SIZE)
         self.address = listener.getsockname()[:2]
         self.fills.own_address = self.address
         self.acceptor = Acceptor(listener, self._on_accept, lambda: self.limits.accepts_per_turn)
@@ -146,9 +146,9 @@
         """Returns the load report of the node."""
         return self.load.report(self.node.waiting_count, self.fills.in_flight)
 
-    def beat(self, busy_ratio: float) -> None:
+    def on_heartbeat(self, busy_ratio: float) -> None:
         """Times out requests and ages the load report; `busy_ratio` is the use of the cores, 0 to 1."""
-        self.load.beat(busy_ratio)
+        self.load.on_heartbeat(busy_ratio)
         self.execute(self.node.expire(self.unix()))
 
     @property
--- a/paddlequay/programs/tier.py
+++ b/paddlequay/programs/tier.py
@@ -227,7 +227,7 @@
         self.counters.counts["node.evicted"] = self.node.cache.copies.evicted
         self.counters.print(reason)
 
-    async def beat(self) -> None:
+    async def run_heartbeats(self) -> None:
         """At each heartbeat: times out requests, and closes upstream connections that no longer answer."""
         limits = self.limits
         previous = time.monotonic()
@@ -236,14 +236,14 @@
             await asyncio.sleep(limits.heartbeat_interval)
             now = time.monotonic()
             cpu = time.process_time()
-            self.front.beat((cpu - previous_cpu) / max(1e-9, now - previous) / limits.cores)
+            self.front.on_heartbeat((cpu - previous_cpu) / max(1e-9, now - previous) / limits.cores)
             is_late = now - previous > limits.heartbeat_interval + limits.max_heartbeat_delay
             previous = now
             previous_cpu = cpu
             if not is_late:
                 self.pool.close_unresponsive()
 
-    async def sweep(self) -> None:
+    async def run_sweeps(self) -> None:
         """Now and then: closes connections that are idle or stalled."""
         while True:
             await asyncio.sleep(self.limits.sweep_interval)
@@ -253,8 +253,8 @@
     async def run(self) -> None:
         """Serves until SIGTERM, then shuts down in order."""
         self.background.spawn("feed", self.feed.follow())
-        self.background.spawn("heartbeat", self.beat())
-        self.background.spawn("sweep", self.sweep())
+        self.background.spawn("heartbeat", self.run_heartbeats())
+        self.background.spawn("sweep", self.run_sweeps())
         self.front.listen(self.listener)
         host, port = self.front.address
         log.event(LOGGER, logging.INFO, SERVING_EVENT, node=self.node.name, at=f"{host}:{port}")
