--- a/paddlequay/routing/state.py
+++ b/paddlequay/routing/state.py
@@ -5,13 +5,16 @@
 
 import math
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import IntEnum
 
 from paddlequay.routing.interface import Member, MemberState, Request, RequestClass, RetryBound
 
 
-class CacheTier(Enum):
-    """The place of a member between clients and the origin."""
+class CacheTier(IntEnum):
+    """The place of a member between clients and the origin.
+
+    An integer enum, because members are looked up by tier for each request and plain enums hash slowly.
+    """
 
     EDGE = 0
     PARENT = 1
