--- a/paddlequay/lab/cluster_model_workload.py
+++ b/paddlequay/lab/cluster_model_workload.py
@@ -10,7 +10,7 @@
 from paddlequay.cluster.types import Fault, NameDigest, Peer
 from paddlequay.lab.cluster_model_fleet import FleetSimulation
 from paddlequay.lab.cluster_model_router import LONG_AGO_S, SimulatedRouter
-from paddlequay.lab.limit_audit import Audit
+from paddlequay.lab.limit_audit import LimitAudit
 from paddlequay.placement.homes import digest
 
 CHARGE_SUBJECTS = ((LimitScope.CLASS, "charge"), (LimitScope.SOURCE, "parent"))
@@ -38,7 +38,7 @@
     def __init__(self, simulation: FleetSimulation, rules: Sequence[LimitRule]) -> None:
         self.simulation = simulation
         self.rng = simulation.rng
-        self.audits = {rule.name: Audit(rule) for rule in rules}
+        self.audits = {rule.name: LimitAudit(rule) for rule in rules}
         self.demand_per_s: dict[Peer, float] = {}
         self.admitted_at: list[float] = []
         self.counts: Counter[str] = Counter()
@@ -107,7 +107,8 @@
     @property
     def max_limit_ratio(self) -> float:
         """Returns the highest use of any limit, as a multiple of what it allows; over 1 is a violation."""
-        return max((audit.most / audit.times for audit in self.audits.values()), default=0.0)
+        ratios = (audit.max_ratio / audit.allowed_ratio for audit in self.audits.values())
+        return max(ratios, default=0.0)
 
     # --- attempts ---
 
