--- a/paddlequay/cli/lab.py
+++ b/paddlequay/cli/lab.py
@@ -1,4 +1,4 @@
-"""`paddlequay lab`: a plaza to look at, and experiments with claims."""
+"""The commands `paddlequay lab`: a small zone to watch, and experiments with assertions."""
 
 import asyncio
 import sys
@@ -22,12 +22,12 @@
     from paddlequay.lab.up import drive
 
     with tempfile.TemporaryDirectory(prefix="paddlequay-") as folder:
-        table, good = asyncio.run(drive(seconds, rate, seed, Path(folder), click.echo))
+        table, succeeded = asyncio.run(drive(seconds, rate, seed, Path(folder), click.echo))
     click.echo(table)
-    sys.exit(0 if good else 1)
+    sys.exit(0 if succeeded else 1)
 
 
-NAMES = (
+EXPERIMENTS = (
     "cluster",
     "cluster-model",
     "discovery",
@@ -43,7 +43,7 @@
 
 
 @lab.command("run")
-@click.argument("name", type=click.Choice(NAMES))
+@click.argument("name", type=click.Choice(EXPERIMENTS))
 @click.option("--quick", is_flag=True, help="within 40 seconds")
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0, 1 << 31))
 @click.option("--out", type=click.Path(path_type=Path, file_okay=False), help="folder for the results")
@@ -52,8 +52,8 @@
     type=click.Path(path_type=Path, exists=True, file_okay=False),
     help="root of an earlier version to compare with, a git worktree of it",
 )
-def run_(name: str, quick: bool, seed: int, out: Path | None, base: Path | None) -> None:
-    """Play experiment NAME; exit 0 when all its claims hold, 1 when not."""
+def run_experiment(name: str, quick: bool, seed: int, out: Path | None, base: Path | None) -> None:
+    """Run experiment NAME; exit 0 when all its assertions hold, 1 when not."""
     from paddlequay.lab import (
         cluster,
         cluster_model,
@@ -69,7 +69,7 @@
 
     folder = out or Path(tempfile.mkdtemp(prefix=f"paddlequay-{name}-"))
     setup = Setup(quick, seed, folder, click.echo)
-    plain = {
+    experiments = {
         "cluster": cluster.run,
         "cluster-model": cluster_model.run,
         "discovery": sources.discovery,
@@ -81,7 +81,7 @@
         "placement": placement.run,
         "tables": tables.run,
     }
-    results = homes.run(setup, base) if name == "homes" else plain[name](setup)
+    results = homes.run(setup, base) if name == "homes" else experiments[name](setup)
     click.echo(results.text())
     try:
         results.write(folder)
--- a/paddlequay/cli/logs.py
+++ b/paddlequay/cli/logs.py
@@ -1,4 +1,4 @@
-"""Log lines of the sub-commands: the logging module's records, as key=value by structlog's renderer."""
+"""Formats the log records of the sub-commands as key=value lines, by structlog."""
 
 import logging
 import sys
@@ -8,8 +8,8 @@
 from structlog.typing import EventDict
 
 
-def fields(_: Any, __: str, event: EventDict) -> EventDict:
-    """The fields that `log.event` gives a record, the part of the program, and numbers in few digits."""
+def add_fields(_: Any, __: str, event: EventDict) -> EventDict:
+    """Adds the module and the fields of a record by `log.event`, and shortens numbers."""
     record: logging.LogRecord = event["_record"]
     event["part"] = record.name.removeprefix("paddlequay.")
     event.update(getattr(record, "fields", {}))
@@ -20,13 +20,13 @@
 
 
 def set_up(level: int = logging.INFO) -> None:
-    """One handler for the whole program, on standard error."""
+    """Installs the one log handler of the program, on standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
             processors=[
                 structlog.stdlib.add_log_level,
-                fields,
+                add_fields,
                 structlog.processors.TimeStamper(fmt="iso", utc=True, key="ts"),
                 structlog.stdlib.ProcessorFormatter.remove_processors_meta,
                 structlog.processors.format_exc_info,
--- a/paddlequay/cli/main.py
+++ b/paddlequay/cli/main.py
@@ -1,9 +1,14 @@
-"""`python -m paddlequay COMMAND`. Exit 0: done; 1: a claim or a check did not hold; 2: bad use."""
+"""The command line `python -m paddlequay COMMAND`.
+
+Exit codes: 0 for success, 1 if an assertion of an experiment does not hold, 2 for wrong use.
+"""
 
 import asyncio
 import gc
 import sys
+from collections.abc import Iterator
 from pathlib import Path
+from typing import NoReturn
 
 import click
 
@@ -17,8 +22,8 @@
     """The edge router and what stands round it. Without a command: the router of the deploy file."""
 
 
-def refuse(error: Exception) -> None:
-    """Bad use: one line, exit 2."""
+def exit_with_error(error: Exception) -> NoReturn:
+    """Prints an error as one line and exits with code 2."""
     click.echo(f"paddlequay: {error}", err=True)
     sys.exit(2)
 
@@ -27,34 +32,39 @@
 @click.argument("file", type=click.Path(path_type=Path))
 def check(file: Path) -> None:
     """Check a settings file, or placement rules (FILE.rules); an error names file, line and field."""
-    from paddlequay.schema.cluster import read_cluster
-    from paddlequay.schema.read import parsed, read_settings
-    from paddlequay.schema.sources import read_discovery
-
     try:
-        if file.suffix == ".rules":
-            return click.echo(check_rules_of(file))
-        role = parsed(file)[0].WhichOneof("role")
-        if role == "discovery":
-            sources = ", ".join(rule.name for rule in read_discovery(file).rules)
-            return click.echo(f"{file}: discovery from {sources}: can be used")
-        if role == "cluster":
-            cluster = read_cluster(file)
-            limits = ", ".join(limit.name for limit in cluster.limits) or "none"
-            told = f"{len(cluster.acceptors)} acceptors, limits {limits}"
-            if cluster.rules is not None:
-                click.echo(check_rules_of(cluster.rules))
-            return click.echo(f"{file}: cluster {cluster.name}: {told}: can be used")
-        settings = read_settings(file)
+        for line in check_lines(file):
+            click.echo(line)
     except ConfigError as error:
-        return refuse(error)
-    click.echo(f"{file}: tier {settings.name} of {settings.group}: can be used")
+        exit_with_error(error)
 
 
-def check_rules_of(path: Path) -> str:
+def check_lines(file: Path) -> Iterator[str]:
+    """Yields the lines that describe a usable file; raises `ConfigError` for any other."""
     from paddlequay.placement.checks import check_rules
-
-    return check_rules(path)
+    from paddlequay.schema.cluster import read_cluster
+    from paddlequay.schema.discovery import read_discovery
+    from paddlequay.schema.text_settings import parse_settings
+    from paddlequay.schema.tier import read_tier
+
+    if file.suffix == ".rules":
+        yield check_rules(file)
+        return
+    message, _ = parse_settings(file)
+    match message.WhichOneof("role"):
+        case "discovery":
+            sources = ", ".join(rule.name for rule in read_discovery(file).rules)
+            yield f"{file}: discovery from {sources}: can be used"
+        case "cluster":
+            settings = read_cluster(file)
+            if settings.rules is not None:
+                yield check_rules(settings.rules)
+            limits = ", ".join(limit.name for limit in settings.limits) or "none"
+            summary = f"{len(settings.acceptors)} acceptors, limits {limits}"
+            yield f"{file}: cluster {settings.name}: {summary}: can be used"
+        case _:
+            tier_settings = read_tier(file)
+            yield f"{file}: tier {tier_settings.name} of {tier_settings.group}: can be used"
 
 
 @cli.command()
@@ -69,7 +79,7 @@
     try:
         asyncio.run(program.serve(file))
     except ConfigError as error:
-        refuse(error)
+        exit_with_error(error)
 
 
 cli.add_command(lab)
@@ -77,12 +87,13 @@
 
 
 def run() -> int:
-    """The command line of `python -m paddlequay`."""
+    """Runs the command line; returns the exit code."""
     result = cli.main(prog_name="paddlequay", standalone_mode=False)
     return result if isinstance(result, int) else 0
 
 
 def main() -> int:
+    """Runs the command line and prints errors of use; returns the exit code."""
     try:
         return run()
     except click.ClickException as error:
--- a/paddlequay/net/endpoints/dns_source.py
+++ b/paddlequay/net/endpoints/dns_source.py
@@ -13,7 +13,7 @@
 from paddlequay.net.endpoints.dns import ResolverDriver
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
-from paddlequay.schema.sources import DiscoverySettings
+from paddlequay.schema.discovery import DiscoverySettings
 
 LOGGER = logging.getLogger(__name__)
 
--- a/paddlequay/net/endpoints/members.py
+++ b/paddlequay/net/endpoints/members.py
@@ -20,7 +20,7 @@
 from paddlequay.protocol.endpoint_watch import Endpoint, EndpointList
 from paddlequay.requests.exchange import Exchange
 from paddlequay.routing.interface import Member, MemberState
-from paddlequay.schema.sources import DiscoverySettings
+from paddlequay.schema.discovery import DiscoverySettings
 
 LOGGER = logging.getLogger(__name__)
 
--- a/paddlequay/programs/router.py
+++ b/paddlequay/programs/router.py
@@ -97,7 +97,7 @@
         if not path:
             return None
         from paddlequay.net.endpoints.members import MemberSources
-        from paddlequay.schema.sources import read_discovery
+        from paddlequay.schema.discovery import read_discovery
 
         settings = read_discovery(Path(path))
         name = self.config.name
@@ -155,7 +155,7 @@
         try:
             config = read_config(os.environ)
             if self.members is not None:
-                from paddlequay.schema.sources import read_discovery
+                from paddlequay.schema.discovery import read_discovery
 
                 self.members.reload(read_discovery(Path(os.environ[DISCOVERY_VARIABLE])))
             if self.cluster is not None and self.cluster.placement is not None:
--- a/paddlequay/programs/tier.py
+++ b/paddlequay/programs/tier.py
@@ -40,7 +40,7 @@
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.quotas import ProcessQuotas
 from paddlequay.routing.interface import RoutingSettings
-from paddlequay.schema.read import TierSettings, read_settings
+from paddlequay.schema.tier import TierSettings, read_tier
 
 LOGGER = logging.getLogger("paddlequay.programs.tier")
 
@@ -72,7 +72,7 @@
         weights="nominal",
         can_cancel=True,
         max_attempts=limits.max_attempts,
-        parent_slow_start=settings.cold,
+        parent_slow_start=settings.slow_start,
         purge_completion=settings.node.purge_memory_s,
     )
 
@@ -204,7 +204,7 @@
     def reload(self) -> None:
         """Reads the settings again: the keys and the feed's address change while serving."""
         try:
-            settings = read_settings(self.path)
+            settings = read_tier(self.path)
         except ConfigError as error:
             self.counters.add("reloads_refused")
             log.event(LOGGER, logging.WARNING, RELOAD_REFUSED_EVENT, why=str(error))
@@ -266,4 +266,4 @@
 
 async def serve(path: Path) -> None:
     """Runs the node whose settings a file holds, until it is told to stop."""
-    await TierProgram(read_settings(path), path).run()
+    await TierProgram(read_tier(path), path).run()
--- a/paddlequay/programs/tier_limits.py
+++ b/paddlequay/programs/tier_limits.py
@@ -1,7 +1,7 @@
 """The limits of a tier's parts, derived from its settings."""
 
 from paddlequay.config.limits import RESERVED_DESCRIPTORS, Limits
-from paddlequay.schema.read import TierSettings
+from paddlequay.schema.tier import TierSettings
 
 MIN_CACHE_CONNECTIONS = 4
 MAX_BODY_BYTES = 1024 * 1024
--- a/paddlequay/schema/__init__.py
+++ b/paddlequay/schema/__init__.py
@@ -1,1 +1,1 @@
-"""The project's own settings: the schema of `deploy/*.txtpb`, and the code that protoc makes of it."""
+"""Settings files in protobuf text format: their schema, and readers that check every field."""
--- a/paddlequay/schema/cluster.py
+++ b/paddlequay/schema/cluster.py
@@ -1,19 +1,17 @@
-"""The settings of the cluster, checked: limits, channels, bounds, and who votes on leases."""
+"""Reads the settings of a cluster of routers: acceptors of leases, time bounds, limits and channels."""
 
 import math
-from collections.abc import Iterable
 from pathlib import Path
 
 from paddlequay.cluster.settings import ChannelRule, ClusterSettings, LimitRule, LimitScope, PartitionMode
 from paddlequay.cluster.types import MAX_PEERS, ClusterBounds
-from paddlequay.errors import ConfigError
-from paddlequay.hierarchy.topology import NODE_NAME
 from paddlequay.schema import paddlequay_pb2 as schema
-from paddlequay.schema.read import Lines, parsed
+from paddlequay.schema.text_settings import FieldChecker, parse_role
 
-LIMITS_MOST = 64
-ACCEPTORS_MOST = 9  # each lease asks all of them: more cost datagrams and stand no likelier failure
-RATE_MOST = 1e6
+MAX_LIMITS = 64
+MAX_ACCEPTORS = 9  # every lease asks all acceptors: more cost datagrams without surviving likelier failures
+MAX_RATE_PER_S = 1e6
+MAX_MATCH_SIZE = 200  # characters
 SCOPES = {
     schema.Limit.CLASS: LimitScope.CLASS,
     schema.Limit.TENANT: LimitScope.TENANT,
@@ -24,135 +22,120 @@
 MODES = {schema.Limit.STRICT: PartitionMode.STRICT, schema.Limit.OPEN: PartitionMode.OPEN}
 
 
-class Checked:
-    """Figures of the file within their bounds, or an error that names line and field."""
-
-    def __init__(self, lines: Lines) -> None:
-        self.lines = lines
-
-    def figure(self, value: float, field: str, default: float, least: float, most: float) -> float:
-        """A figure within bounds; the default where the field is left out (0)."""
-        if value == 0:
-            return default
-        if not least <= value <= most:  # also where it is not a number
-            raise self.lines.error(field, f"expected {least:g} to {most:g}, got {value:g}", f"{value:g}")
-        return value
-
-    def apart(self, values: Iterable[str], field: str) -> None:
-        """Names of their own."""
-        seen: set[str] = set()
-        for value in values:
-            if not NODE_NAME.fullmatch(value):
-                why = f"expected 1 to 64 letters, digits, - and _, got {value[:70]!r}"
-                raise self.lines.error(field, why, value)
-            if value in seen:
-                raise self.lines.error(field, f"{value!r} stands there twice", value)
-            seen.add(value)
-
-
 def read_cluster(path: Path) -> ClusterSettings:
-    """ConfigError with file, line and field where the settings cannot be used."""
-    message, lines = parsed(path)
-    if message.WhichOneof("role") != "cluster":
-        raise ConfigError(f"{path}: expected cluster {{ ... }}")
-    told, check = message.cluster, Checked(lines)
-    check.apart([told.name], "cluster.name")
-    acceptors = tuple(told.acceptor)
-    if len(set(acceptors)) < len(acceptors):
-        raise lines.error("cluster.acceptor", "a number stands there twice")
-    if len(acceptors) > ACCEPTORS_MOST or (acceptors and len(acceptors) % 2 == 0):
-        raise lines.error("cluster.acceptor", f"expected 1, 3, 5, 7 or 9 numbers, got {len(acceptors)}")
-    if any(number >= MAX_PEERS for number in acceptors):
-        raise lines.error("cluster.acceptor", f"expected numbers under {MAX_PEERS}")
-    bounds = read_bounds(told.bounds, check)
-    if len(told.limit) > LIMITS_MOST:
-        raise lines.error("cluster.limit", f"at most {LIMITS_MOST}, got {len(told.limit)}")
-    check.apart((limit.name for limit in told.limit), "cluster.limit.name")
-    limits = tuple(read_limit(limit, f"cluster.limit[{n}]", check) for n, limit in enumerate(told.limit))
-    channels = read_channels(told.channels, check) if told.HasField("channels") else None
-    if (limits or channels or told.rules) and not acceptors:
-        raise lines.error("cluster.acceptor", "limits, channels and rules need leases, and they acceptors")
-    if "\0" in told.rules:
-        raise lines.error("cluster.rules", "expected a path, got one with a NUL character")
+    """Returns the settings in a file; raises `ConfigError` with file, line and field."""
+    message, checker = parse_role(path, "cluster")
+    cluster = message.cluster
+    checker.unique_names([cluster.name], "cluster.name")
+    acceptors = read_acceptors(cluster, checker)
+    bounds = read_bounds(cluster.bounds, checker)
+    if len(cluster.limit) > MAX_LIMITS:
+        raise checker.error("cluster.limit", f"at most {MAX_LIMITS}, got {len(cluster.limit)}")
+    checker.unique_names((limit.name for limit in cluster.limit), "cluster.limit.name")
+    limits = tuple(read_limit(limit, f"cluster.limit[{n}]", checker) for n, limit in enumerate(cluster.limit))
+    channels = read_channels(cluster.channels, checker) if cluster.HasField("channels") else None
+    if (limits or channels or cluster.rules) and not acceptors:
+        raise checker.error("cluster.acceptor", "limits, channels and rules need leases, and they acceptors")
+    if "\0" in cluster.rules:
+        raise checker.error("cluster.rules", "expected a path, got one with a NUL character")
     return ClusterSettings(
-        name=told.name,
+        name=cluster.name,
         acceptors=acceptors,
         bounds=bounds,
-        bytes_per_s=int(check.figure(told.bytes_per_s, "cluster.bytes_per_s", 16_000, 1000, 10_000_000)),
-        pings=check.figure(told.pings_per_s, "cluster.pings_per_s", 1.0, 0.1, 20.0),
-        verdicts=told.verdicts,
+        bytes_per_s=int(
+            checker.between(cluster.bytes_per_s, "cluster.bytes_per_s", 16_000, 1000, 10_000_000)
+        ),
+        pings=checker.between(cluster.pings_per_s, "cluster.pings_per_s", 1.0, 0.1, 20.0),
+        verdicts=cluster.verdicts,
         limits=limits,
         channels=channels,
-        rules=path.parent / told.rules if told.rules else None,
+        rules=path.parent / cluster.rules if cluster.rules else None,
     )
 
 
-def read_bounds(told: schema.ClusterBounds, check: Checked) -> ClusterBounds:
-    """The times that all routers reckon with; a grant is no longer than the lease that it comes from."""
-    usual = ClusterBounds()
+def read_acceptors(cluster: schema.Cluster, checker: FieldChecker) -> tuple[int, ...]:
+    """Returns the numbers of the routers that vote on leases: none, or an odd number of them."""
+    acceptors = tuple(cluster.acceptor)
+    if len(set(acceptors)) < len(acceptors):
+        raise checker.error("cluster.acceptor", "a number stands there twice")
+    if len(acceptors) > MAX_ACCEPTORS or (acceptors and len(acceptors) % 2 == 0):
+        raise checker.error("cluster.acceptor", f"expected 1, 3, 5, 7 or 9 numbers, got {len(acceptors)}")
+    if any(number >= MAX_PEERS for number in acceptors):
+        raise checker.error("cluster.acceptor", f"expected numbers under {MAX_PEERS}")
+    return acceptors
+
+
+def read_bounds(message: schema.ClusterBounds, checker: FieldChecker) -> ClusterBounds:
+    """Returns the time bounds that all routers share; a grant must not outlast the lease it comes from."""
+    default = ClusterBounds()
+
+    def between(field: str, default_value: float, lowest: float, highest: float) -> float:
+        value = getattr(message, field)
+        return checker.between(value, f"cluster.bounds.{field}", default_value, lowest, highest)
+
     bounds = ClusterBounds(
-        drift_ratio=check.figure(told.drift, "cluster.bounds.drift", usual.drift_ratio, 0.001, 0.25),
-        lease_s=check.figure(told.lease_s, "cluster.bounds.lease_s", usual.lease_s, 0.3, 60.0),
-        grant_s=check.figure(told.grant_s, "cluster.bounds.grant_s", usual.grant_s, 0.1, 60.0),
-        suspect_s=check.figure(told.suspect_s, "cluster.bounds.suspect_s", usual.suspect_s, 0.1, 60.0),
-        evidence_s=check.figure(told.evidence_s, "cluster.bounds.evidence_s", usual.evidence_s, 0.5, 60.0),
-        overlap_s=check.figure(told.overlap_s, "cluster.bounds.overlap_s", usual.overlap_s, 0.05, 10.0),
-        epoch_s=check.figure(told.epoch_s, "cluster.bounds.epoch_s", usual.epoch_s, 1.0, 86_400.0),
+        drift_ratio=between("drift", default.drift_ratio, 0.001, 0.25),
+        lease_s=between("lease_s", default.lease_s, 0.3, 60.0),
+        grant_s=between("grant_s", default.grant_s, 0.1, 60.0),
+        suspect_s=between("suspect_s", default.suspect_s, 0.1, 60.0),
+        evidence_s=between("evidence_s", default.evidence_s, 0.5, 60.0),
+        overlap_s=between("overlap_s", default.overlap_s, 0.05, 10.0),
+        epoch_s=between("epoch_s", default.epoch_s, 1.0, 86_400.0),
     )
     if bounds.grant_s > bounds.lease_s:
-        raise check.lines.error("cluster.bounds.grant_s", f"expected at most the lease, {bounds.lease_s:g}")
+        raise checker.error("cluster.bounds.grant_s", f"expected at most the lease, {bounds.lease_s:g}")
     return bounds
 
 
-def read_limit(told: schema.Limit, at: str, check: Checked) -> LimitRule:
-    """One limit: a rate with its burst, or requests out at once."""
-    lines = check.lines
-    if not told.match or len(told.match) > 200:
-        raise lines.error(f"{at}.match", 'expected what it is for, or "*"', told.match)
+def read_limit(message: schema.Limit, at: str, checker: FieldChecker) -> LimitRule:
+    """Returns one limit: a rate with its burst, or a number of requests in flight."""
+    if not message.match or len(message.match) > MAX_MATCH_SIZE:
+        raise checker.error(f"{at}.match", 'expected what it is for, or "*"', message.match)
     for field, known in (("by", SCOPES), ("mode", MODES)):
-        value = getattr(told, field)
+        value = getattr(message, field)
         if value not in known:
-            raise lines.error(f"{at}.{field}", f"expected a name of the schema, got {value}", str(value))
-    scope = SCOPES[told.by]
-    whole = told.match.isdecimal() and str(int(told.match)) == told.match
-    if scope is LimitScope.GROUP and told.match != "*" and not whole:
-        raise lines.error(f"{at}.match", f"expected a group's number, got {told.match!r}", told.match)
-    if bool(told.rate) == bool(told.at_once):
-        raise lines.error(f"{at}.rate", f"{told.name}: expected either rate or at_once")
-    if told.at_once and told.burst:
-        raise lines.error(f"{at}.burst", f"{told.name}: goes with rate only")
-    if told.over and told.mode != schema.Limit.OPEN:
-        raise lines.error(f"{at}.over", f"{told.name}: goes with mode OPEN only")
-    rate = check.figure(told.rate, f"{at}.rate", 0.0, 0.001, RATE_MOST)
+            raise checker.error(f"{at}.{field}", f"expected a name of the schema, got {value}", str(value))
+    scope = SCOPES[message.by]
+    whole = message.match.isdecimal() and str(int(message.match)) == message.match
+    if scope is LimitScope.GROUP and message.match != "*" and not whole:
+        raise checker.error(f"{at}.match", f"expected a group's number, got {message.match!r}", message.match)
+    if bool(message.rate) == bool(message.at_once):
+        raise checker.error(f"{at}.rate", f"{message.name}: expected either rate or at_once")
+    if message.at_once and message.burst:
+        raise checker.error(f"{at}.burst", f"{message.name}: goes with rate only")
+    if message.over and message.mode != schema.Limit.OPEN:
+        raise checker.error(f"{at}.over", f"{message.name}: goes with mode OPEN only")
+    rate = checker.between(message.rate, f"{at}.rate", 0.0, 0.001, MAX_RATE_PER_S)
     return LimitRule(
-        name=told.name,
+        name=message.name,
         scope=scope,
-        match=told.match,
+        match=message.match,
         rate_per_s=rate or None,
-        burst=check.figure(told.burst, f"{at}.burst", 1.0, 1.0, RATE_MOST),
-        max_in_flight=int(check.figure(told.at_once, f"{at}.at_once", 0, 1, RATE_MOST)) or None,
-        mode=MODES[told.mode],
-        open_factor=check.figure(told.over, f"{at}.over", 2.0, 1.0, 100.0),
-        floor_ratio=check.figure(told.floor, f"{at}.floor", 0.2, 0.001, 1.0),
+        burst=checker.between(message.burst, f"{at}.burst", 1.0, 1.0, MAX_RATE_PER_S),
+        max_in_flight=int(checker.between(message.at_once, f"{at}.at_once", 0, 1, MAX_RATE_PER_S)) or None,
+        mode=MODES[message.mode],
+        open_factor=checker.between(message.over, f"{at}.over", 2.0, 1.0, 100.0),
+        floor_ratio=checker.between(message.floor, f"{at}.floor", 0.2, 0.001, 1.0),
     )
 
 
-def read_channels(told: schema.Channels, check: Checked) -> ChannelRule:
-    """Which classes make channels."""
-    classes = tuple(getattr(told, "class"))
+def read_channels(message: schema.Channels, checker: FieldChecker) -> ChannelRule:
+    """Returns which request classes form channels, and how channels are spread."""
+    classes = tuple(getattr(message, "class"))
     if not classes:
-        raise check.lines.error("cluster.channels.class", "expected at least one class")
-    check.apart(classes, "cluster.channels.class")
-    usual = ChannelRule(classes)
+        raise checker.error("cluster.channels.class", "expected at least one class")
+    checker.unique_names(classes, "cluster.channels.class")
+    default = ChannelRule(classes)
 
-    def figure(field: str, default: float, least: float, most: float) -> float:
-        return check.figure(getattr(told, field), f"cluster.channels.{field}", default, least, most)
+    def between(field: str, default_value: float, lowest: float, highest: float) -> float:
+        value = getattr(message, field)
+        return checker.between(value, f"cluster.channels.{field}", default_value, lowest, highest)
 
     return ChannelRule(
         classes=classes,
-        bundles=int(figure("bundles", usual.bundles, 1, 1024)),
-        prefetch_parts=int(figure("ahead", usual.prefetch_parts, 1, 8)),
-        idle_timeout_s=figure("live_s", usual.idle_timeout_s, 0.5, 60.0),
-        max_channels=int(figure("most", usual.max_channels, 1, 100_000)),
-        rebalance_ratio=figure("move_above", usual.rebalance_ratio, 1.05, math.inf),
+        bundles=int(between("bundles", default.bundles, 1, 1024)),
+        prefetch_parts=int(between("ahead", default.prefetch_parts, 1, 8)),
+        idle_timeout_s=between("live_s", default.idle_timeout_s, 0.5, 60.0),
+        max_channels=int(between("most", default.max_channels, 1, 100_000)),
+        rebalance_ratio=between("move_above", default.rebalance_ratio, 1.05, math.inf),
     )
