--- a/paddlequay/net/cluster/placement_tables.py
+++ b/paddlequay/net/cluster/placement_tables.py
@@ -65,7 +65,7 @@
         self.compilation = TableCompilation(path, settings, exchange, counters, clock)
         self.node: Node | None = None
         self.tables: PlacementEpochs | None = None
-        self.held_tables: dict[int, Table] = {}  # by digest
+        self.known_tables: dict[int, Table] = {}  # by digest
         self.migration: Migration | None = None
         self.pending_table: Table | None = None  # followed once the shards in motion have migrated
         self.tasks: list[asyncio.Task[None]] = []
@@ -135,24 +135,24 @@
             self._announce_table()
 
     def _announce_table(self) -> None:
-        """Holds the table compiled last, tells the fleet of it, and forgets tables that are not needed."""
+        """Announces the table compiled last to the fleet, and forgets tables that are not needed any more."""
         table = self.compilation.table
         if table is not None:
-            self.held_tables[table_digest(table)] = table
+            self.known_tables[table_digest(table)] = table
         if self.tables is None:
             return
         now = self.clock()
         self._apply(self.tables.compiled(*self.compilation.digests(), now))
         needed = self.tables.needed_tables(now)
-        self.held_tables = {
-            key: held for key, held in self.held_tables.items() if key in needed or held is table
+        self.known_tables = {
+            key: known for key, known in self.known_tables.items() if key in needed or known is table
         }
 
     # --- the table in use ---
 
     def table_changed(self, event: TableChanged) -> None:
         """Follows the table of another epoch, which is in use from now on."""
-        table = self.held_tables.get(event.digest)
+        table = self.known_tables.get(event.digest)
         if table is None:
             self.counters.add("placement_lost")  # homes are plain until the next epoch
             self.migration = None
--- a/paddlequay/placement/copy_selection.py
+++ b/paddlequay/placement/copy_selection.py
@@ -102,13 +102,12 @@
         return homes, reach
 
     def select_batch(self, shards: Integers) -> tuple[list[tuple[str, ...]], Floats]:
-        """Returns the same for few enough shards to hold their draws at a time."""
+        """Returns the same as `select`, for shards whose draws fit in one batch."""
         lower = lower_bounds(self.seeds, self.weights, shards)
         candidates = self.earliest_candidates(lower)
         candidate_lower = np.take_along_axis(lower, candidates, axis=1)
         candidate_upper = upper_bounds(candidate_lower, self.weights[candidates])
-        # The order is certain where each arrival ends before the next, and so before all later ones, can
-        # begin.
+        # The order is certain where the bounds of no two successive arrivals overlap.
         overlaps = np.any(candidate_upper[:, :-1] >= candidate_lower[:, 1:], axis=1, keepdims=True)
         is_uncertain: list[bool] = overlaps[:, 0].tolist()
         rows: list[list[int]] = candidates[:, : self.depth].tolist()
@@ -188,8 +187,8 @@
     def domain_candidates(self, row: list[int], lower: Floats) -> Integers:
         """Returns the earliest members and those that may be the first of their zone or kind.
 
-        No others are selected: all members are admitted until the free choices are used up, and from then on
-        only members of a new domain.
+        No others are selected: all members are admitted until no free choice is left, and from then on only
+        members of a new domain.
         """
         upper = upper_bounds(lower, self.weights)
         earliest_by_domain = np.minimum.reduceat(upper[self.by_domain], self.domain_starts)
--- a/tests/cluster/test_placement_tables.py
+++ b/tests/cluster/test_placement_tables.py
@@ -229,6 +229,6 @@
         for n in range(12):
             world.exchange.update_members((Member(f"x{n}", "here", "box"),), False)
             await world.update(0.6)
-        assert len(world.placement.held_tables) <= 6
+        assert len(world.placement.known_tables) <= 6
 
     play(tmp_path, script)
