--- a/paddlequay/hierarchy/source_selection.py
+++ b/paddlequay/hierarchy/source_selection.py
@@ -90,8 +90,8 @@
             self.counters.add("claims_old")
             return None
         self.counters.add("claims_believed")
-        claims_by_later_topology = claim.topology_version > self.topology.version
-        if claimant in self.topology.nodes or not claims_by_later_topology:
+        is_from_later_topology = claim.topology_version > self.topology.version
+        if claimant in self.topology.nodes or not is_from_later_topology:
             return None
         is_known = self.introduced_peers.get(claimant) == claim.address
         self.introduced_peers[claimant] = claim.address
