--- a/paddlequay/cli/main.py
+++ b/paddlequay/cli/main.py
@@ -42,8 +42,8 @@
             cluster = read_cluster(file)
             limits = ", ".join(limit.name for limit in cluster.limits) or "none"
             told = f"{len(cluster.acceptors)} acceptors, limits {limits}"
-            if cluster.rules is not None:
-                click.echo(check_rules_of(cluster.rules))
+            if cluster.placement_rules is not None:
+                click.echo(check_rules_of(cluster.placement_rules))
             return click.echo(f"{file}: cluster {cluster.name}: {told}: can be used")
         settings = read_settings(file)
     except ConfigError as error:
--- a/paddlequay/cluster/fleet_limits.py
+++ b/paddlequay/cluster/fleet_limits.py
@@ -10,7 +10,7 @@
 from itertools import count
 
 from paddlequay.cluster.buckets import Bucket, BucketTiming, RateBucket, SlotBucket
-from paddlequay.cluster.granter import Granter, HeldTerm
+from paddlequay.cluster.granter import Granter
 from paddlequay.cluster.limit_registry import FleetLimit, LimitRegistry, limit_of
 from paddlequay.cluster.local_limits import LocalLimit, LocalLimits
 from paddlequay.cluster.messages import PeerMessage, QuotaGrant, QuotaRequest
@@ -20,6 +20,7 @@
     Action,
     ClusterBounds,
     Fleet,
+    HeldTerm,
     HolderObserved,
     LeaseAcquired,
     LocalEvent,
--- a/paddlequay/cluster/granter.py
+++ b/paddlequay/cluster/granter.py
@@ -7,15 +7,13 @@
 last of them has ended. Whether the lease is held is asked at the moment of issuing.
 """
 
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 
 from paddlequay.cluster.grant_ledger import MAX_LEDGERS, Ledger, Ledgers, OutstandingGrants, Requester
 from paddlequay.cluster.limit_registry import FleetLimit
 from paddlequay.cluster.messages import QuotaGrant, QuotaRequest
 from paddlequay.cluster.quotas import NO_QUOTA, LimitDivision, Quota, even_bursts, max_min_shares
-from paddlequay.cluster.types import ClusterBounds, NameDigest, Peer
-
-HeldTerm = Callable[[NameDigest, float], int | None]  # the term of a lease that this router holds at a moment
+from paddlequay.cluster.types import ClusterBounds, HeldTerm, NameDigest, Peer
 
 TURN_GRANTS = 8.0  # a turn in grants' validity, where the burst is too small for all that request at once
 DIVISION_REUSE_RATIO = 1 / 30  # of a grant's validity; many requests in a row cost one division
--- a/paddlequay/cluster/liveness.py
+++ b/paddlequay/cluster/liveness.py
@@ -47,7 +47,7 @@
     def __init__(
         self, fleet: Fleet, settings: ClusterSettings, incarnation: int, rng: Random, now: float
     ) -> None:
-        period_s = 1.0 / settings.pings
+        period_s = 1.0 / settings.pings_per_s
         suspicion_s = settings.bounds.suspect_s * max(1.0, math.log10(fleet.size))
         transmissions = 4 * math.ceil(math.log10(fleet.size + 1))  # as memberlist bounds them
         self._me = fleet.me
--- a/paddlequay/cluster/placement_epochs.py
+++ b/paddlequay/cluster/placement_epochs.py
@@ -14,7 +14,6 @@
 from typing import ClassVar
 
 from paddlequay.cluster.ballots import router_of
-from paddlequay.cluster.granter import HeldTerm
 from paddlequay.cluster.messages import PeerMessage, TableAcknowledgement, TableAnnouncement
 from paddlequay.cluster.table_epochs import (
     MAX_NUMBER,
@@ -33,6 +32,7 @@
     Action,
     ClusterBounds,
     Fleet,
+    HeldTerm,
     HolderObserved,
     LeaseAcquired,
     LeaseLost,
--- a/paddlequay/cluster/settings.py
+++ b/paddlequay/cluster/settings.py
@@ -65,14 +65,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterSettings:
-    """One router's settings of the cluster."""
+    """One router's settings of the cluster.
 
-    name: str  # of the installation: datagrams of others are foreign
+    Attributes:
+        name: Of the installation; datagrams of other installations are ignored.
+        acceptors: The routers that vote on leases.
+        bounds: The times that all routers share.
+        bytes_per_s: What this router sends at most; a message to all counts for each receiver.
+        pings_per_s: How often this router probes a peer.
+        verdicts: Whether routers share verdicts on sources and caches.
+        limits: The limits over all routers.
+        channels: How live channels are owned, None where they are not.
+        placement_rules: The file of the placement rules, None for plain homes.
+    """
+
+    name: str
     acceptors: tuple[Peer, ...]
     bounds: ClusterBounds = field(default_factory=ClusterBounds)
-    bytes_per_s: int = 16_000  # sent by this router at most; what goes to all counts for each receiver
-    pings: float = 1.0  # a second
+    bytes_per_s: int = 16_000
+    pings_per_s: float = 1.0
     verdicts: bool = True
     limits: tuple[LimitRule, ...] = ()
     channels: ChannelRule | None = None
-    rules: Path | None = None  # placement rules
+    placement_rules: Path | None = None
--- a/paddlequay/cluster/table_proposer.py
+++ b/paddlequay/cluster/table_proposer.py
@@ -6,7 +6,6 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from paddlequay.cluster.granter import HeldTerm
 from paddlequay.cluster.messages import TableAcknowledgement, TableAnnouncement
 from paddlequay.cluster.table_answers import DisagreementLog, TableAnswers
 from paddlequay.cluster.table_epochs import (
@@ -24,6 +23,7 @@
     Action,
     ClusterBounds,
     Fleet,
+    HeldTerm,
     LogEvent,
     Peer,
     SendMessage,
--- a/paddlequay/cluster/types.py
+++ b/paddlequay/cluster/types.py
@@ -7,7 +7,7 @@
 """
 
 import math
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 from typing import Protocol
@@ -16,6 +16,7 @@
 
 Peer = int  # a router's number: its index in `peers`, `me` in the settings
 NameDigest = int  # 64-bit digest (placement.homes.digest) of a lease's, limit's, subject's or channel's name
+HeldTerm = Callable[[NameDigest, float], int | None]  # term of a lease held by this router at a moment
 
 MAX_PEERS = 4096
 NEVER = math.inf
--- a/paddlequay/net/cluster/driver.py
+++ b/paddlequay/net/cluster/driver.py
@@ -75,11 +75,11 @@
         self._is_stopped = True
         self._has_yielded = False
         self._make_session()  # raises now for peers that cannot be used
-        if settings.rules is not None:
+        if settings.placement_rules is not None:
             from paddlequay.net.cluster import placement_tables
 
             self.placement = placement_tables.PlacementTables(
-                settings.rules, config.settings, exchange, counters, self.execute, self.clock
+                settings.placement_rules, config.settings, exchange, counters, self.execute, self.clock
             )
 
     @property
--- a/paddlequay/schema/cluster.py
+++ b/paddlequay/schema/cluster.py
@@ -79,11 +79,11 @@
         acceptors=acceptors,
         bounds=bounds,
         bytes_per_s=int(check.figure(told.bytes_per_s, "cluster.bytes_per_s", 16_000, 1000, 10_000_000)),
-        pings=check.figure(told.pings_per_s, "cluster.pings_per_s", 1.0, 0.1, 20.0),
+        pings_per_s=check.figure(told.pings_per_s, "cluster.pings_per_s", 1.0, 0.1, 20.0),
         verdicts=told.verdicts,
         limits=limits,
         channels=channels,
-        rules=path.parent / told.rules if told.rules else None,
+        placement_rules=path.parent / told.rules if told.rules else None,
     )
 
 
--- a/paddlequay/simulator/cluster.py
+++ b/paddlequay/simulator/cluster.py
@@ -25,7 +25,7 @@
     def __init__(
         self, settings: ClusterSettings, me: int, size: int, router: Router, salt: int, now: float
     ) -> None:
-        verdicts_only = replace(settings, acceptors=(), limits=(), channels=None, rules=None)
+        verdicts_only = replace(settings, acceptors=(), limits=(), channels=None, placement_rules=None)
         self.router = router
         # The simulator's clock stands for Unix time: an instance that restarts does so later.
         self.node = Node(verdicts_only, Fleet(me, size), 1.0 + now, salt, now)
--- a/tests/cluster/test_cluster_settings.py
+++ b/tests/cluster/test_cluster_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the cluster: what stands in deploy/, and errors that name line and field."""
+"""The settings of the cluster: the example in deploy/, and errors that name line and field."""
 
 from pathlib import Path
 
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "error_text"),
     [
         ('name: "here"', 'name: "not here"', ":2: cluster.name: expected 1 to 64 letters"),
         ("acceptor: 2\n", "", "cluster.acceptor: expected 1, 3, 5, 7 or 9 numbers, got 2"),
@@ -65,10 +65,10 @@
     ],
 )
 def test_invalid_cluster_settings_are_reported_with_their_field(
-    tmp_path: Path, old: str, new: str, said: str
+    tmp_path: Path, old: str, new: str, error_text: str
 ) -> None:
     read(tmp_path, GOOD)
     assert old in GOOD
     with pytest.raises(ConfigError) as error:
         read(tmp_path, GOOD.replace(old, new, 1))
-    assert said in str(error.value)
+    assert error_text in str(error.value)
--- a/tests/cluster/test_limit_permits.py
+++ b/tests/cluster/test_limit_permits.py
@@ -1,4 +1,4 @@
-"""Leaves: none is used twice, none outlives a stop, and none is missing where a strict limit is."""
+"""Permits: none is used twice or outlives a stop, and strict limits need one."""
 
 from pathlib import Path
 
@@ -15,7 +15,7 @@
 
 
 class World:
-    """Leaves over the real limits of a fleet of one, whose floor is the whole, on a clock of its own."""
+    """Permits of the real limits of a fleet of one, whose floor is the whole limit, on a clock of its own."""
 
     def __init__(self, folder: Path, *rules: LimitRule) -> None:
         self.exchange: Exchange
--- a/tests/cluster/test_placement_epochs.py
+++ b/tests/cluster/test_placement_epochs.py
@@ -173,11 +173,11 @@
     assert all(
         "table_given_up" in [event.event for event in world.processes[peer].log_events] for peer in lost
     )
-    assert world.agree(range(6), digest_of(2, 1))  # the others are told again and again
+    assert world.agree(range(6), digest_of(2, 1))  # the others hear the declaration again and again
     world.heal()
     world.change(lost, 2, 1)
     assert world.run(AGREEMENT_S, world.agree) is not None
-    assert world.processes[8].changes[-1].previous is None  # no table was in use there before
+    assert world.processes[8].changes[-1].previous is None  # no table was in use there
 
 
 def test_a_stopped_router_finds_its_epoch_expired_before_any_message() -> None:
@@ -185,7 +185,7 @@
     process = world.processes[2]
     process.stopped = True
     world.run(VALIDITY_S + 5.0)
-    assert process.in_use() == TableInUse(None, None)  # before it was told anything
+    assert process.in_use() == TableInUse(None, None)  # before any message
 
 
 def test_a_rollback_is_a_new_epoch_with_the_earlier_table() -> None:
@@ -212,7 +212,7 @@
     world = settled(6, 6)
     old = world.processes[0].in_use()
     world.change([peer for peer in range(6) if peer not in late], 1, 2)
-    world.run(VALIDITY_S + 5.0)  # longer than anybody keeps to an epoch without a word
+    world.run(VALIDITY_S + 5.0)  # longer than an epoch is used without a declaration
     assert {process.in_use() for process in world.processes} == {old}
     world.change(late, 1, 2)
     elapsed = world.run(AGREEMENT_S, lambda: world.agree(digest=digest_of(1, 2)))
@@ -229,7 +229,7 @@
     proposer = process.tables.proposer
 
     def agreed() -> bool:
-        # From now on nothing of its own goes out; what it hears is a majority.
+        # From now on none of its messages arrive; it receives the answers of a majority.
         if proposer.proposal is not None:
             world.blocked_links |= {(holder, peer) for peer in rest if proposer.answers.by_peer}
         return proposer.declared is not None and proposer.declared.content.table == digest_of(1, 2)
@@ -323,8 +323,8 @@
     assert tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 1.0)[0] == SendMessage(
         1, TableAcknowledgement(1, term, 14, 0), Urgency.CHANGE
     )
-    told = tables.handle_message(1, 1, TableAnnouncement(2, term, 11, 1, 1), 1.0)
-    assert told[0] == TableChanged(epoch_of(term, 2), 11, None, 1.0)
+    actions = tables.handle_message(1, 1, TableAnnouncement(2, term, 11, 1, 1), 1.0)
+    assert actions[0] == TableChanged(epoch_of(term, 2), 11, None, 1.0)
     for table in range(20, 40):
         tables.compiled(1, table, 2.0)
     assert (
@@ -364,7 +364,7 @@
 
 
 def holder() -> TableProposer:
-    """The holder under a second term, which has in use what the one before it declared."""
+    """The holder under a second term, which uses the epoch that the former holder declared."""
     proposer = TableProposer(Fleet(0, 5, (0, 1, 2)), ClusterBounds(), lambda *_: term_of(4, 0))
     proposer.set_own(TableContent(10), 0.0)
     proposer.begin(term_of(4, 0), DeclaredEpoch(epoch_of(term_of(3, 1), 1), TableContent(10)), 0.0)
@@ -387,13 +387,13 @@
     proposer.tick(0.0)
     proposer.handle_acknowledgement(1, 1, TableAcknowledgement(1, term_of(4, 0), 10, 0), 0.1)
     proposer.handle_acknowledgement(2, 1, TableAcknowledgement(1, term_of(4, 0), 11, 0), 0.1)
-    note = TableAnnouncement(1, term_of(4, 0), 10, 0, 0)
+    announcement = TableAnnouncement(1, term_of(4, 0), 10, 0, 0)
     again = [
         action
         for action in proposer.tick(0.2).actions
-        if isinstance(action, SendMessage) and action.message == note
+        if isinstance(action, SendMessage) and action.message == announcement
     ]
-    assert [tell.to for tell in again] == [2, 3, 4]
+    assert [action.to for action in again] == [2, 3, 4]
     assert proposer.tick(0.3).actions == [] and proposer.due() < 0.7
 
 
@@ -402,13 +402,15 @@
     proposer.tick(0.0)
     for peer in (1, 2):
         proposer.handle_acknowledgement(peer, 1, TableAcknowledgement(1, term_of(4, 0), 10, 0), 0.1)
-    note = TableAnnouncement(1, term_of(4, 0), 10, 0, 1)
-    assert SendMessage(None, note, Urgency.CHANGE) in proposer.tick(0.1).actions
+    announcement = TableAnnouncement(1, term_of(4, 0), 10, 0, 1)
+    assert SendMessage(None, announcement, Urgency.CHANGE) in proposer.tick(0.1).actions
     proposer.handle_acknowledgement(
         2, 1, TableAcknowledgement(1, term_of(4, 0), 10, short_epoch(epoch_of(term_of(4, 0), 1))), 0.2
     )
-    assert proposer.tick(0.31).actions == [SendMessage(peer, note, Urgency.CHANGE) for peer in (1, 3, 4)]
+    assert proposer.tick(0.31).actions == [
+        SendMessage(peer, announcement, Urgency.CHANGE) for peer in (1, 3, 4)
+    ]
     former = epoch_of(term_of(3, 1), 1)
     assert proposer.handle_acknowledgement(
         3, 1, TableAcknowledgement(1, term_of(3, 1), 10, short_epoch(former)), 0.4
-    ) == [SendMessage(3, note, Urgency.CHANGE)]
+    ) == [SendMessage(3, announcement, Urgency.CHANGE)]
--- a/tests/cluster/test_quota_exchange.py
+++ b/tests/cluster/test_quota_exchange.py
@@ -1,4 +1,4 @@
-"""One router's limits and one holder's grants, each by itself."""
+"""The limits of one router and the grants of one holder, each by itself."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 def alone(
     *rules: LimitRule, holds: int | None = 1, size: int = 1, acceptors: tuple[int, ...] = (), **more: int
 ) -> FleetLimits:
-    """A router that holds all leases, or none, and began at 0."""
+    """The limits of a router that holds all leases or none, and has started at 0."""
     fleet = Fleet(0, size, acceptors)
     return FleetLimits(fleet, ClusterBounds(), rules, lambda lease, now: holds, 7, 0.0, **more)  # type: ignore[arg-type]
 
@@ -26,25 +26,29 @@
 def test_a_request_is_admitted_by_all_of_its_limits_or_uses_none() -> None:
     outer = LimitRule("class", LimitScope.CLASS, "*", rate_per_s=10.0, burst=10.0, floor_ratio=1.0)
     inner = LimitRule("tenant", LimitScope.TENANT, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0)
-    places = LimitRule("source", LimitScope.SOURCE, "s", max_in_flight=2, floor_ratio=1.0)
-    limits = alone(outer, inner, places)
+    slots = LimitRule("source", LimitScope.SOURCE, "s", max_in_flight=2, floor_ratio=1.0)
+    limits = alone(outer, inner, slots)
     now = 100.0
-    what = ((LimitScope.CLASS, "c"), (LimitScope.TENANT, "t"), (LimitScope.SOURCE, "s"))
-    first = limits.admit_all(what, now, 1.0)
-    second = limits.admit_all(what, now, 1.0)
+    keys = ((LimitScope.CLASS, "c"), (LimitScope.TENANT, "t"), (LimitScope.SOURCE, "s"))
+    first = limits.admit_all(keys, now, 1.0)
+    second = limits.admit_all(keys, now, 1.0)
     assert isinstance(first, Permit) and isinstance(second, Permit)
     for _ in range(20):
-        refused = limits.admit_all(what, now, 1.0)
-        assert isinstance(refused, Rejection) and refused.rule == "source"
+        rejection = limits.admit_all(keys, now, 1.0)
+        assert isinstance(rejection, Rejection) and rejection.rule == "source"
     limits.release(first, now)
     limits.release(first, now)
-    assert isinstance(limits.admit_all(what, now, 1.0), Permit)
+    assert isinstance(limits.admit_all(keys, now, 1.0), Permit)
     limits.release(second, now)
-    # The tenant's tokens are used; of the class's ten only three are, whatever was refused in between.
-    refused = limits.admit_all(what, now, 1.0)
-    assert isinstance(refused, Rejection) and refused.rule == "tenant" and 0.9 < refused.retry_after_s <= 1.0
+    # The tenant's tokens are used; of the class's ten only three are, however many were rejected.
+    rejection = limits.admit_all(keys, now, 1.0)
+    assert (
+        isinstance(rejection, Rejection)
+        and rejection.rule == "tenant"
+        and 0.9 < rejection.retry_after_s <= 1.0
+    )
     assert sum(isinstance(limits.admit(LimitScope.CLASS, "c", now, 1.0), Permit) for _ in range(20)) == 7
-    # A place whose request never ends is free after its time-out.
+    # A slot whose request never ends is free after its time-out.
     assert isinstance(limits.admit(LimitScope.SOURCE, "s", now + 1.01, 1.0), Permit)
     assert isinstance(limits.admit(LimitScope.SOURCE, "s", now + 1.01, 1.0), Permit)
 
@@ -59,7 +63,7 @@
 
 def test_local_limits_are_bounded_and_eviction_admits_nothing_more() -> None:
     rule = LimitRule("tenant", LimitScope.TENANT, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0)
-    for kind, most in ((FleetLimits, 3), (DropsUsedLimits, 6)):
+    for kind, admitted in ((FleetLimits, 3), (DropsUsedLimits, 6)):
         limits = kind(
             Fleet(0, 1), ClusterBounds(), [rule], lambda lease, now: None, 7, 0.0, max_local_limits=2
         )
@@ -69,14 +73,14 @@
             limits.admit(LimitScope.TENANT, value, 50.0, 1.0)
         assert len(limits.local_limits) == 2
         again = sum(isinstance(limits.admit(LimitScope.TENANT, "a", 50.0, 1.0), Permit) for _ in range(3))
-        assert 3 + again == most
-    # Full again, one goes for another.
+        assert 3 + again == admitted
+    # One whose bucket is full again is evicted for another.
     limits = alone(rule, holds=None, max_local_limits=2)
     for value, now in (("a", 50.0), ("b", 50.0), ("c", 54.0)):
         assert isinstance(limits.admit(LimitScope.TENANT, value, now, 1.0), Permit)
 
 
-def told(actions: list[Action]) -> QuotaRequest:
+def sent_request(actions: list[Action]) -> QuotaRequest:
     (send,) = actions
     assert isinstance(send, SendMessage) and isinstance(send.message, QuotaRequest)
     return send.message
@@ -88,9 +92,9 @@
     assert limits.due() == float("inf")
     assert isinstance(limits.admit(LimitScope.CLASS, "c", 10.0, 1.0), Rejection)
     assert limits.due() == 10.0
-    need = told(limits.tick(10.0))
-    assert need.limit == limit_of(lease_of(RATE), "c") and need.term == 5
-    limit, number = need.limit, need.request_number
+    request = sent_request(limits.tick(10.0))
+    assert request.limit == limit_of(lease_of(RATE), "c") and request.term == 5
+    limit, number = request.limit, request.request_number
     local_limit = limits.local_limits.get(limit)
     assert local_limit is not None
     bucket = local_limit.bucket
@@ -101,12 +105,12 @@
     ):
         limits.handle_message(2, 1, void, 10.1)
         assert bucket.grant.quota == NO_QUOTA
-    # More than there is, for longer than there is, is no more than what there is.
+    # A grant above the pool and its validity counts as the pool, for the validity.
     limits.handle_message(2, 1, QuotaGrant(limit, number, 5, 2**62, 2**62, 2**40), 10.1)
     assert bucket.grant.quota == Quota(100_000, 30_000) and bucket.grant.valid_until == pytest.approx(10.57)
     limits.handle_message(2, 1, QuotaGrant(limit, number, 5, 1, 1, 600), 10.1)
     assert bucket.grant.quota == Quota(100_000, 30_000)
-    # No demand any more: the last Needs end, and so does the share.
+    # Without demand the requests end, and so does the grant.
     now = 10.2
     for _ in range(150):
         limits.tick(now)
@@ -117,24 +121,24 @@
 
 
 def test_an_answered_demand_is_not_requested_again_before_the_renewal() -> None:
-    """Twenty Needs a second from each router that is refused were most of the traffic between routers."""
+    """Rejected demand must not send a request each time: that would be most of the traffic."""
     limits = alone(RATE, holds=None, size=3)
     limits.handle_event(HolderObserved(lease_of(RATE), 2, 5), 10.0)
-    needs = 0
+    request_count = 0
     for step in range(500):
         now = 10.0 + step / 100
         limits.admit(LimitScope.CLASS, "c", now, 1.0)
-        for need in [action.message for action in limits.tick(now) if isinstance(action, SendMessage)]:
-            assert isinstance(need, QuotaRequest)
-            needs += 1
+        for request in [action.message for action in limits.tick(now) if isinstance(action, SendMessage)]:
+            assert isinstance(request, QuotaRequest)
+            request_count += 1
             limits.handle_message(
-                2, 1, QuotaGrant(need.limit, need.request_number, 5, 20_000, 1_000, 600), now
+                2, 1, QuotaGrant(request.limit, request.request_number, 5, 20_000, 1_000, 600), now
             )
-    assert 10 < needs < 25
+    assert 10 < request_count < 25
 
 
 def test_unanswered_quota_requests_back_off_and_go_to_acceptors_only() -> None:
-    """A busy holder is not asked the more the less it answers; nobody else has to hear of it."""
+    """A busy holder is not asked the more the less it answers; other routers are not asked."""
     limits = alone(RATE, holds=None, size=9, acceptors=(0, 3, 5))
     sent = []
     for step in range(600):
@@ -188,16 +192,16 @@
 
 
 def test_measured_demand_is_steady_in_noise_and_follows_a_shift_quickly() -> None:
-    asked = DemandMeter(0.0, 0.2)
-    for window, many in enumerate((8, 11, 9, 12, 10, 9, 11, 10)):
-        for _ in range(many):
-            asked.add(window * 0.2 + 0.1)
-    assert 47_000 < asked.rate_milli(1.6) < 53_000
+    meter = DemandMeter(0.0, 0.2)
+    for window, count in enumerate((8, 11, 9, 12, 10, 9, 11, 10)):
+        for _ in range(count):
+            meter.add(window * 0.2 + 0.1)
+    assert 47_000 < meter.rate_milli(1.6) < 53_000
     for n in range(30):
-        asked.add(1.6 + n * 0.002)
-    assert asked.rate_milli(1.66) > 400_000
-    assert asked.rate_milli(1.8) == 150_000
-    assert asked.rate_milli(2.01) == 0
+        meter.add(1.6 + n * 0.002)
+    assert meter.rate_milli(1.66) > 400_000
+    assert meter.rate_milli(1.8) == 150_000
+    assert meter.rate_milli(2.01) == 0
 
 
 def test_a_local_limit_is_not_evicted_for_another_of_the_same_request() -> None:
@@ -206,8 +210,8 @@
         LimitRule("tenant", LimitScope.TENANT, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0),
     )
     limits = alone(*rules, holds=None, max_local_limits=1)
-    what = ((LimitScope.CLASS, "c"), (LimitScope.TENANT, "t"))
-    assert limits.admit_all(what, 50.0, 1.0) == Rejection("tenant", ClusterBounds().grant_s)
+    keys = ((LimitScope.CLASS, "c"), (LimitScope.TENANT, "t"))
+    assert limits.admit_all(keys, 50.0, 1.0) == Rejection("tenant", ClusterBounds().grant_s)
     assert len(limits.local_limits) == 1
 
 
--- a/tests/cluster/test_quotas.py
+++ b/tests/cluster/test_quotas.py
@@ -1,4 +1,4 @@
-"""Division of a limit: sums are exact, floors are kept, and nobody has less than a fair share for another."""
+"""The division of a limit: sums are exact, and shares are max-min fair."""
 
 import pytest
 from hypothesis import given, settings
@@ -14,24 +14,26 @@
 )
 from paddlequay.cluster.settings import LimitRule, LimitScope, PartitionMode
 
-WANTS = st.dictionaries(st.integers(0, 60), st.integers(0, 200_000), max_size=20)
+DEMANDS = st.dictionaries(st.integers(0, 60), st.integers(0, 200_000), max_size=20)
 
 
 @settings(max_examples=300, derandomize=True)
-@given(st.integers(0, 500_000), WANTS, st.sampled_from([1, MILLI_PER_REQUEST]))
-def test_shares_are_max_min_fair_and_use_the_whole_pool(pool: int, wants: dict[int, int], unit: int) -> None:
-    shares = max_min_shares(pool, wants, unit)
-    asking = {peer: -(-want // unit) * unit for peer, want in wants.items() if want}
+@given(st.integers(0, 500_000), DEMANDS, st.sampled_from([1, MILLI_PER_REQUEST]))
+def test_shares_are_max_min_fair_and_use_the_whole_pool(
+    pool: int, demands: dict[int, int], unit: int
+) -> None:
+    shares = max_min_shares(pool, demands, unit)
+    asking = {peer: -(-demand // unit) * unit for peer, demand in demands.items() if demand}
     assert set(shares) == set(asking)
     assert sum(shares.values()) == (pool // unit * unit if asking else 0)
     assert all(share >= 0 and share % unit == 0 for share in shares.values())
     if sum(asking.values()) <= pool // unit * unit:
-        assert all(shares[peer] >= want for peer, want in asking.items())
+        assert all(shares[peer] >= demand for peer, demand in asking.items())
         return
-    for peer, want in asking.items():
-        assert shares[peer] <= want
-        if shares[peer] < want:
-            # Who has less than it wants has no less, but for the unit that cannot be split, than anybody.
+    for peer, demand in asking.items():
+        assert shares[peer] <= demand
+        if shares[peer] < demand:
+            # A router below its demand has no less than any other, but for the unit that cannot be split.
             assert all(other <= shares[peer] + unit for other in shares.values())
 
 
@@ -45,31 +47,31 @@
     st.floats(1, 4),
 )
 def test_floors_and_pool_sum_to_the_limit_and_retained_quotas_to_its_multiple(
-    size: int, floor: float, at_once: int | None, rate: float, burst: float, over: float
+    size: int, floor: float, max_in_flight: int | None, rate: float, burst: float, open_factor: float
 ) -> None:
-    rate_or_none = rate if at_once is None else None
+    rate_per_s = rate if max_in_flight is None else None
     rule = LimitRule(
-        "x", LimitScope.CLASS, "*", rate_or_none, burst, at_once, PartitionMode.OPEN, over, floor
+        "x", LimitScope.CLASS, "*", rate_per_s, burst, max_in_flight, PartitionMode.OPEN, open_factor, floor
     )
-    parts = divide_limit(rule, size)
-    for which in ("amount_milli", "burst_milli"):
-        limit, pool = getattr(parts.limit, which), getattr(parts.pool, which)
-        assert size * getattr(parts.floor, which) + pool == limit and pool >= 0
-        assert size * getattr(parts.isolated, which) <= (over - 1) * limit + 1e-6
-    assert parts.floor.amount_milli <= floor * parts.limit.amount_milli / size + 1e-6
-    if at_once is None:
-        assert parts.floor == NO_QUOTA or parts.floor.burst_milli >= MILLI_PER_REQUEST
+    division = divide_limit(rule, size)
+    for field in ("amount_milli", "burst_milli"):
+        limit, pool = getattr(division.limit, field), getattr(division.pool, field)
+        assert size * getattr(division.floor, field) + pool == limit and pool >= 0
+        assert size * getattr(division.isolated, field) <= (open_factor - 1) * limit + 1e-6
+    assert division.floor.amount_milli <= floor * division.limit.amount_milli / size + 1e-6
+    if max_in_flight is None:
+        assert division.floor == NO_QUOTA or division.floor.burst_milli >= MILLI_PER_REQUEST
     else:
         assert (
-            parts.floor.amount_milli % MILLI_PER_REQUEST == 0
-            and parts.isolated.amount_milli % MILLI_PER_REQUEST == 0
+            division.floor.amount_milli % MILLI_PER_REQUEST == 0
+            and division.isolated.amount_milli % MILLI_PER_REQUEST == 0
         )
 
 
-@given(st.integers(0, 500_000), WANTS)
+@given(st.integers(0, 500_000), DEMANDS)
 @settings(max_examples=100, derandomize=True)
-def test_even_bursts_sum_to_no_more_than_the_pool(pool: int, wants: dict[int, int]) -> None:
-    bursts = even_bursts(pool, wants)
+def test_even_bursts_sum_to_no_more_than_the_pool(pool: int, demands: dict[int, int]) -> None:
+    bursts = even_bursts(pool, demands)
     assert sum(bursts.values()) <= pool and len(set(bursts.values())) <= 1
 
 
--- a/tests/cluster/test_sharing_tables.py
+++ b/tests/cluster/test_sharing_tables.py
@@ -1,4 +1,4 @@
-"""Real routers follow placement tables by epochs, through rules that change one router at a time and cuts."""
+"""Real routers follow placement tables by epochs while rules change one router at a time, and partitions."""
 
 import asyncio
 import signal
@@ -25,14 +25,16 @@
         self.rig = FleetRig(plan, folder, '  rules: "placement.rules"\n  bounds { epoch_s: 2.5 }\n', 3)
         self.moments: list[Moment] = []
 
-    async def until(self, check: Callable[[dict[int, dict[str, Any]]], bool], what: str) -> dict[str, Any]:
-        """The page of the first router once a check holds for what all of them say."""
+    async def until(
+        self, check: Callable[[dict[int, dict[str, Any]]], bool], expectation: str
+    ) -> dict[str, Any]:
+        """Returns the page of the first router once a check holds for the pages of all."""
         for _ in range(300):
             now = placed(self.moments[-1]) if self.moments else {}
             if len(now) == 3 and check(now):
                 return now[0]
             await asyncio.sleep(0.05)
-        raise AssertionError(f"not within 15 s: {what}: {placed(self.moments[-1])}")
+        raise AssertionError(f"not within 15 s: {expectation}: {placed(self.moments[-1])}")
 
     def hup(self, *numbers: int) -> None:
         for number in numbers:
@@ -61,7 +63,7 @@
         await world.until(
             lambda now: now[0]["table"] == now[1]["table"] != first["table"], "the new table at two"
         )
-        # Cut off, the third counts on what it had for a stated time, and then places as without a file.
+        # The isolated router uses its epoch for its validity, and then places objects as without rules.
         await world.until(lambda now: now[2]["epoch"] is None, "the fallback where it is cut off")
         world.rig.links.heal()
         second = await world.until(alike, "one epoch after the heal")
@@ -96,5 +98,5 @@
     assert all(len(tables) == 1 for tables in under.values()), under
     for number in range(3):
         epochs = [placed(moment)[number]["epoch"] for moment in world.moments if number in placed(moment)]
-        told = [epoch for epoch in epochs if epoch is not None]
-        assert told == sorted(told)
+        in_use = [epoch for epoch in epochs if epoch is not None]
+        assert in_use == sorted(in_use)
