--- a/paddlequay/net/cluster/status_page.py
+++ b/paddlequay/net/cluster/status_page.py
@@ -69,9 +69,9 @@
 def show_channels(bundles: "Bundles", now: float) -> dict[str, Any]:
     """Returns the bundles with live channels, and the term of those that this router owns."""
     return {
-        f"{bundle.lease:x}": {"term": bundles.terms(bundle, now), "live": len(bundle.live)}
+        f"{bundle.lease:x}": {"term": bundles.active_term(bundle, now), "live": len(bundle.live_channels)}
         for bundle in bundles.all
-        if bundle.live
+        if bundle.live_channels
     }
 
 
