--- a/paddlequay/lab/lease_search.py
+++ b/paddlequay/lab/lease_search.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mood:
+class Scenario:
     """How often a walk does what.
 
     Attributes:
@@ -51,11 +51,11 @@
         return tuple(accumulate(self.shares))
 
 
-MOODS = (
-    Mood((50, 4, 4, 26, 1, 1.2, 3, 1, 1, 1.5, 2, 2, 1), 0.1, 0.04, 30),  # a bit of all
-    Mood((60, 8, 2, 10, 1, 2, 3, 0.3, 0.5, 2, 1, 8, 5), 0.05, 0.02, 200),  # owners change often
-    Mood((60, 4, 2, 16, 3, 1, 3, 0.5, 4, 4, 2, 3, 0.5), 0.4, 0.05, 60),  # holders are isolated
-    Mood((55, 4, 4, 18, 1, 1, 3, 5, 1, 2, 8, 2, 1), 0.3, 0.05, 40),  # all restart often
+SCENARIOS = (
+    Scenario((50, 4, 4, 26, 1, 1.2, 3, 1, 1, 1.5, 2, 2, 1), 0.1, 0.04, 30),  # a bit of all
+    Scenario((60, 8, 2, 10, 1, 2, 3, 0.3, 0.5, 2, 1, 8, 5), 0.05, 0.02, 200),  # owners change often
+    Scenario((60, 4, 2, 16, 3, 1, 3, 0.5, 4, 4, 2, 3, 0.5), 0.4, 0.05, 60),  # holders are isolated
+    Scenario((55, 4, 4, 18, 1, 1, 3, 5, 1, 2, 8, 2, 1), 0.3, 0.05, 40),  # all restart often
 )
 
 
@@ -122,7 +122,7 @@
     def __init__(self, seed: int, variant: Variant) -> None:
         self.rng = random.Random(seed)
         self.size = self.rng.randint(3, 5)
-        self.mood = self.rng.choice(MOODS)
+        self.scenario = self.rng.choice(SCENARIOS)
         self.names: tuple[NameDigest, ...] = (1, 2)[: self.rng.randint(1, 2)]
         self.world = LeaseWorld(
             self.size, self.rng.getrandbits(32), variant.leases, variant.process, self.names
@@ -155,7 +155,7 @@
         process = self.world.processes[me]
         name = self.rng.choice(self.names)
         holders = [holder for holder, _ in self.world.holders(name)]
-        (kind,) = self.rng.choices(STEP_KINDS, cum_weights=self.mood.cumulative_shares)
+        (kind,) = self.rng.choices(STEP_KINDS, cum_weights=self.scenario.cumulative_shares)
         match kind:
             case "deliver" | "duplicate" | "drop":
                 self._handle_message(kind)
@@ -201,15 +201,15 @@
         """Draws the seconds to the next step: mostly short, at times long, at times to the end of a lock."""
         chance = self.rng.random()
         acceptor = process.leases.acceptor
-        if chance < self.mood.to_ends and acceptor is not None:
+        if chance < self.scenario.to_ends and acceptor is not None:
             ends = [*(vote.locked_until for vote in acceptor.votes.values()), acceptor.votes_from]
             ends = [end for end in ends if end > process.clock]
             if ends:
                 until_end = (self.rng.choice(ends) - process.clock) / process.clock_rate
                 return until_end + self.rng.choice((1e-6, 1e-3))
-        if chance > 1 - self.mood.stalls:
+        if chance > 1 - self.scenario.stalls:
             return self.rng.uniform(0.1, 2.0)
-        return self.rng.expovariate(self.mood.steps_per_s)
+        return self.rng.expovariate(self.scenario.steps_per_s)
 
     def _continue(self, me: Peer, process: LeaseProcess) -> None:
         """Continues a process; a message may reach it before it looks at the time."""
@@ -259,9 +259,9 @@
     seen = {state_hash(start)}
     layer = [(pickle.dumps(start), frozenset[str]())]
     for steps_left in reversed(range(depth)):
-        former_layer = layer
+        previous_layer = layer
         layer = []
-        for saved, done_once in former_layer:
+        for saved, done_once in previous_layer:
             for step in _possible_steps(saved, done_once):
                 world: LeaseWorld = pickle.loads(saved)
                 try:
--- a/paddlequay/lab/limit_audit.py
+++ b/paddlequay/lab/limit_audit.py
@@ -4,7 +4,7 @@
 
 from paddlequay.cluster.settings import LimitRule, PartitionMode
 
-ROUNDING = 1e-6
+ROUNDING_RATIO = 1e-6
 
 
 class LimitAudit:
@@ -38,7 +38,7 @@
     @property
     def is_exceeded(self) -> bool:
         """Whether more than the allowed multiple was used."""
-        return self.max_ratio > self.allowed_ratio + ROUNDING
+        return self.max_ratio > self.allowed_ratio + ROUNDING_RATIO
 
     def _add_in_flight(self, now: float, ends_at: float, max_in_flight: int) -> None:
         while self._ends and self._ends[0] <= now:
--- a/paddlequay/lab/limit_search.py
+++ b/paddlequay/lab/limit_search.py
@@ -123,7 +123,7 @@
     def _stall_holders(self) -> None:
         """Stalls the holders: their grants stay valid while others take over."""
         world = self.world
-        for record in list(world.lease_records.values()):
+        for record in list(world.leases.records.values()):
             holder = world.routers[record.holder]
             world.stall(holder, 2.0)
             if self.rng.random() < 0.5:
--- a/paddlequay/lab/limit_world.py
+++ b/paddlequay/lab/limit_world.py
@@ -102,6 +102,71 @@
 Link = Callable[[SimulatedRouter, SimulatedRouter, SendMessage], float | None]
 
 
+class SimulatedLeases:
+    """Stands in for the leases: one holder at a time in true time, on a side with a majority only.
+
+    Attributes:
+        records: The true holders, by lease.
+        first_holder: The router that acquires the leases first, None for a drawn one.
+    """
+
+    def __init__(self, world: "LimitWorld") -> None:
+        self.world = world
+        self.records: dict[NameDigest, LeaseRecord] = {}
+        self.first_holder: Peer | None = None
+        self._term = 0
+
+    def renew(self) -> None:
+        """Renews leases, or gives those that have run out to others; schedules itself again."""
+        world = self.world
+        world.at(world.now + LEASE_CHECK_S, self.renew)
+        sides = Counter(router.side for router in world.routers)
+        eligible = [
+            router
+            for router in world.routers
+            if router.stalled_until <= world.now and sides[router.side] * 2 > len(world.routers)
+        ]
+        for lease in world.routers[0].limits.leases:
+            self._renew_one(lease, eligible)
+
+    def _renew_one(self, lease: NameDigest, eligible: list[SimulatedRouter]) -> None:
+        record = self.records.get(lease, NO_HOLDER)
+        term = record.term
+        holders = [
+            router
+            for router in eligible
+            if (router.me, router.incarnation) == (record.holder, record.incarnation)
+        ]
+        has_expired = record.until <= self.world.now
+        if (not holders or self.world.now > record.until) and has_expired and eligible:
+            self._term += 1
+            term = self._term
+            chosen = [router for router in eligible if router.me == self.first_holder]
+            holders = chosen[:1] or [self.world.rng.choice(eligible)]
+            self.first_holder = None
+        for router in holders:
+            self._hold(lease, router, term, eligible)
+
+    def _hold(
+        self, lease: NameDigest, router: SimulatedRouter, term: int, eligible: list[SimulatedRouter]
+    ) -> None:
+        """Lets a router hold a lease for its whole length, and tells the others of a new holder."""
+        bounds = self.world.bounds
+        now = router.clock(self.world.now)
+        is_new = router.leases.get(lease, NOT_HELD).term != term
+        believed_s = bounds.lease_s * (1 - bounds.drift_ratio)
+        router.leases[lease] = HeldLease(term, now + believed_s)
+        until = self.world.now + bounds.lease_s
+        self.records[lease] = LeaseRecord(router.me, router.incarnation, term, until)
+        if not is_new:
+            return
+        router.limits.handle_event(LeaseAcquired(lease, term, now + bounds.lease_s), now)
+        for other in eligible:
+            if other is not router and self.world.rng.random() < 0.8:
+                observed = HolderObserved(lease, router.me, term)
+                other.limits.handle_event(observed, other.clock(self.world.now))
+
+
 class LimitWorld:
     """A fleet, its load and its faults.
 
@@ -140,10 +205,8 @@
         self.duplicates = 0.0
         self.long_delays = 0.02  # the share of messages that are late by up to `LONG_DELAY_S`
         self.link: Link = self.draw_delay
-        self.first_holder: Peer | None = None  # acquires the leases first
         self.audits = {rule.name: LimitAudit(rule) for rule in rules}
-        self.lease_records: dict[NameDigest, LeaseRecord] = {}
-        self.term = 0
+        self.leases = SimulatedLeases(self)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
         self.routers = [
@@ -153,7 +216,7 @@
         for router in self.routers:
             self.start(router, is_first_process=True)
             self.at(self.rng.random() * 0.01, partial(self.arrive, router))
-        self.at(0.0, self._renew_leases)
+        self.at(0.0, self.leases.renew)
 
     def at(self, when: float, call: Callable[[], None]) -> None:
         """Schedules a call at a true time."""
@@ -280,53 +343,3 @@
                 self._schedule_tick(other)
 
         self.at(self.now + delay_s, deliver)
-
-    # --- the leases ---
-
-    def _renew_leases(self) -> None:
-        """Renews leases, or gives those that have run out to others, on a side with a majority only."""
-        self.at(self.now + LEASE_CHECK_S, self._renew_leases)
-        sides = Counter(router.side for router in self.routers)
-        eligible = [
-            router
-            for router in self.routers
-            if router.stalled_until <= self.now and sides[router.side] * 2 > len(self.routers)
-        ]
-        for lease in self.routers[0].limits.leases:
-            self._renew_lease(lease, eligible)
-
-    def _renew_lease(self, lease: NameDigest, eligible: list[SimulatedRouter]) -> None:
-        record = self.lease_records.get(lease, NO_HOLDER)
-        term = record.term
-        holders = [
-            router
-            for router in eligible
-            if (router.me, router.incarnation) == (record.holder, record.incarnation)
-        ]
-        has_expired = record.until <= self.now
-        if (not holders or self.now > record.until) and has_expired and eligible:
-            self.term += 1
-            term = self.term
-            chosen = [router for router in eligible if router.me == self.first_holder]
-            holders = chosen[:1] or [self.rng.choice(eligible)]
-            self.first_holder = None
-        for router in holders:
-            self._hold(lease, router, term, eligible)
-
-    def _hold(
-        self, lease: NameDigest, router: SimulatedRouter, term: int, eligible: list[SimulatedRouter]
-    ) -> None:
-        """Lets a router hold a lease for its whole length, and tells the others of a new holder."""
-        now = router.clock(self.now)
-        is_new = router.leases.get(lease, NOT_HELD).term != term
-        believed_s = self.bounds.lease_s * (1 - self.bounds.drift_ratio)
-        router.leases[lease] = HeldLease(term, now + believed_s)
-        until = self.now + self.bounds.lease_s
-        self.lease_records[lease] = LeaseRecord(router.me, router.incarnation, term, until)
-        if not is_new:
-            return
-        router.limits.handle_event(LeaseAcquired(lease, term, now + self.bounds.lease_s), now)
-        for other in eligible:
-            if other is not router and self.rng.random() < 0.8:
-                observed = HolderObserved(lease, router.me, term)
-                other.limits.handle_event(observed, other.clock(self.now))
--- a/tests/cluster/test_fleet_limits.py
+++ b/tests/cluster/test_fleet_limits.py
@@ -35,7 +35,7 @@
 ) -> LimitWorld:
     """A world of true clocks and links without loss, where router 0 holds the lease first."""
     world = LimitWorld(seed, size, (rule,), kind, clock_error=0.0, **more)
-    world.first_holder = 0
+    world.leases.first_holder = 0
     world.long_delays = 0.0
     return world
 
