--- a/paddlequay/lab/cluster.py
+++ b/paddlequay/lab/cluster.py
@@ -17,7 +17,7 @@
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.lab.fleet_rig import FleetRig, Moment, watch
 from paddlequay.lab.load import Connection
-from paddlequay.lab.plaza import Plan
+from paddlequay.lab.zone_cluster import ZonePlan
 
 LIMIT_PER_S = 30.0
 BURST = 6.0
@@ -290,7 +290,7 @@
 
 async def run_script(setup: Setup, routers: int, pause_s: float, load_per_s: float) -> RunRecord:
     """Runs the whole script on real routers."""
-    plan = Plan(routers=routers, boxes=4, tiers=2, regional=1, rate=load_per_s, seed=setup.seed)
+    plan = ZonePlan(routers=routers, boxes=4, tiers=2, regional=1, rate=load_per_s, seed=setup.seed)
     rig = FleetRig(plan, setup.folder / "plaza", CLUSTER_RULES, setup.seed)
     charges = ChargeLoad(rig.load.routers, 2.0 * LIMIT_PER_S, setup.seed)
     script = FaultScript(rig, charges, setup.seed)
