--- a/paddlequay/cli/main.py
+++ b/paddlequay/cli/main.py
@@ -57,8 +57,8 @@
             yield f"{file}: discovery from {sources}: can be used"
         case "cluster":
             settings = read_cluster(file)
-            if settings.rules is not None:
-                yield check_rules(settings.rules)
+            if settings.placement_rules is not None:
+                yield check_rules(settings.placement_rules)
             limits = ", ".join(limit.name for limit in settings.limits) or "none"
             summary = f"{len(settings.acceptors)} acceptors, limits {limits}"
             yield f"{file}: cluster {settings.name}: {summary}: can be used"
--- a/paddlequay/schema/cluster.py
+++ b/paddlequay/schema/cluster.py
@@ -45,11 +45,11 @@
         bytes_per_s=int(
             checker.between(cluster.bytes_per_s, "cluster.bytes_per_s", 16_000, 1000, 10_000_000)
         ),
-        pings=checker.between(cluster.pings_per_s, "cluster.pings_per_s", 1.0, 0.1, 20.0),
+        pings_per_s=checker.between(cluster.pings_per_s, "cluster.pings_per_s", 1.0, 0.1, 20.0),
         verdicts=cluster.verdicts,
         limits=limits,
         channels=channels,
-        rules=path.parent / cluster.rules if cluster.rules else None,
+        placement_rules=path.parent / cluster.rules if cluster.rules else None,
     )
 
 
