--- a/paddlequay/discovery/flapping.py
+++ b/paddlequay/discovery/flapping.py
@@ -7,6 +7,7 @@
 from paddlequay.discovery.reports import Address, MembershipLimits
 
 MAX_HISTORIES = 20_000
+CHANGES_PER_FLAP_COUNT = 2  # an addition and a removal
 
 
 @dataclass(slots=True)
@@ -35,7 +36,7 @@
         flaps.changed_at.append(now)
         while now - flaps.changed_at[0] > limits.flap_window:
             flaps.changed_at.popleft()
-        if len(flaps.changed_at) > 2 * limits.max_flaps:
+        if len(flaps.changed_at) > CHANGES_PER_FLAP_COUNT * limits.max_flaps:
             flaps.pause = min(limits.max_flap_pause, max(limits.flap_pause, 2 * flaps.pause))
             flaps.paused_until = now + flaps.pause
             flaps.changed_at.clear()
--- a/paddlequay/discovery/membership.py
+++ b/paddlequay/discovery/membership.py
@@ -6,7 +6,7 @@
 
 1. `DRAIN`: a drain or a removal reported by any source holds at once, until the same source revokes it.
 2. `AUTHORITY`: a member is added only on the report of a source that may add.
-3. `RETENTION`: the reports of a silent source hold for `retain_for` seconds; then its members leave singly.
+3. `RETENTION`: reports of a silent source hold for `retain_for` seconds; then its members leave one by one.
 4. `MASS_REMOVAL`: if complete reports omit more than `mass_share` of a source's members within `mass_window`
    seconds, these members stay until they have been omitted for `confirm_after` seconds, because an
    empty answer is likelier a fault of the source than the loss of a fleet. A reported drain or removal
@@ -40,7 +40,7 @@
 from paddlequay.discovery.start_times import StartTimes
 from paddlequay.routing.interface import MemberState
 
-JUST_SILENT_S = 0.001
+JUST_SILENT_S = 0.001  # past `silent_after`, so that a recovered source counts as silent at once
 
 Touched = dict[Address, None]  # addresses to decide anew, in the order of the changes
 
@@ -140,7 +140,9 @@
             report = source.reports[id]
             if report.missing_since is None:
                 report.missing_since = now
-            retained = is_mass or report.missing_since < now
+            # A member retained in an earlier mass removal stays retained in the reports that follow.
+            was_retained = report.missing_since < now
+            retained = is_mass or was_retained
             # A later report confirms the omission once `confirm_after` has passed.
             is_confirmed = now - report.missing_since >= self.limits.confirm_after
             if not retained or is_confirmed:
@@ -179,6 +181,7 @@
             before = self.members.get(address)
             if before is not None and (change is None or change.member.id != before.member.id):
                 del self.members[address], self.address_by_id[before.member.id]
+                # A member that another one replaces is removed by the rule of the new one.
                 cause = change or explain_absence(self.index, self.flaps, address, now)
                 gone = replace(before.member, state=MemberState.REMOVED)
                 removed[before.member.id] = MembershipChange(gone, cause.rule, cause.reason)
--- a/paddlequay/discovery/reports.py
+++ b/paddlequay/discovery/reports.py
@@ -63,14 +63,14 @@
     """Bounds of the membership: times in seconds, shares in 0 to 1."""
 
     max_members: int = 20_000  # of one source
-    mass_share: float = 0.3
-    mass_window: float = 10.0
-    min_mass: int = 3  # fewer members than these are no mass removal
-    confirm_after: float = 30.0
+    mass_share: float = 0.3  # of a source's members: omitting more at once is a mass removal
+    mass_window: float = 10.0  # in which omissions are counted together
+    min_mass: int = 3  # fewer members are no mass removal
+    confirm_after: float = 30.0  # until an omission in a mass removal is believed
     expiry_interval: float = 2.0  # between two members that leave because a source's reports expire
-    max_flaps: int = 3
+    max_flaps: int = 3  # within `flap_window`
     flap_window: float = 60.0
-    flap_pause: float = 5.0
+    flap_pause: float = 5.0  # the first pause of a flapping member; each further one is twice as long
     max_flap_pause: float = 300.0
 
 
--- a/paddlequay/lifecycle/background.py
+++ b/paddlequay/lifecycle/background.py
@@ -63,7 +63,7 @@
                 if current_task is None or current_task.cancelling():
                     raise
                 error = cancelled  # what the work awaited was cancelled, not this task
-            except Exception as raised:  # the edge of a task: whatever it raises, the task is restarted
+            except Exception as raised:  # error boundary of a task: whatever it raises, the task is restarted
                 error = raised
             self.report_failure(name, error)
             ended_early = loop.time() - started_at <= MAX_BACKOFF_S
--- a/paddlequay/net/clients/answer_writer.py
+++ b/paddlequay/net/clients/answer_writer.py
@@ -44,25 +44,25 @@
         last_taken_at: When the kernel last accepted an answer completely, in monotonic seconds.
     """
 
-    __slots__ = ("front", "last_taken_at", "stream", "unsent_bytes")
+    __slots__ = ("front", "last_written_at", "stream", "unsent_bytes")
 
     def __init__(self, front: WriterFront, stream: IOStream) -> None:
         self.front = front
         self.stream = stream
         self.unsent_bytes = 0
-        self.last_taken_at = front.now()
+        self.last_written_at = front.now()
 
-    def write(self, pieces: tuple[Buffer, ...], on_taken: Callable[[], None]) -> None:
+    def write(self, pieces: tuple[Buffer, ...], on_written: Callable[[], None]) -> None:
         """Writes an answer without waiting; closes the slowest connection if too much is unsent.
 
         Args:
             pieces: The answer.
-            on_taken: Called once the kernel has accepted the whole answer. It is not stored, because a
+            on_written: Called once the kernel has accepted the whole answer. It is not stored, because a
                 connection in a reference cycle is freed late.
         """
         size = sum(map(len, pieces))
         if not self.unsent_bytes:
-            self.last_taken_at = self.front.now()
+            self.last_written_at = self.front.now()
         if self.unsent_bytes + size > self.front.limits.max_client_unsent:
             self.front.counters.add("slow_readers")
             self.stream.close()
@@ -84,9 +84,9 @@
             return
         self.front.counters.add("answer_bytes", size)
         if done.done():  # the usual case
-            self.taken(size, on_taken)
+            self.note_written(size, on_written)
         else:
-            done.add_done_callback(lambda _: self.taken(size, on_taken))
+            done.add_done_callback(lambda _: self.note_written(size, on_written))
 
     def close_slowest(self) -> "AnswerWriter":
         """Closes the connection with the most unsent bytes, and returns its writer."""
@@ -95,12 +95,12 @@
         slowest.stream.close()
         return slowest
 
-    def taken(self, size: int, on_taken: Callable[[], None]) -> None:
+    def note_written(self, size: int, on_written: Callable[[], None]) -> None:
         """Notes that the kernel has accepted an answer of `size` bytes."""
         self.unsent_bytes -= size
         self.front.unsent_bytes -= size
-        self.last_taken_at = self.front.now()
-        on_taken()
+        self.last_written_at = self.front.now()
+        on_written()
 
     def shut_down(self) -> None:
         """Closes the sending side, once all answers are sent."""
--- a/paddlequay/net/clients/client_front.py
+++ b/paddlequay/net/clients/client_front.py
@@ -72,12 +72,12 @@
         self.acceptor: Acceptor | None = None
         self.shutting_down = False
         self.replaced = False
-        self.refusing_new = False
+        self.served_late_connections = False
         self.handing_over = False
         self.near_end = False
         self.drained_at: float | None = None
         self.closing_when_quiet = False
-        self.rejecting_new = False
+        self.rejects_new_calls = False
         self.draining_answer = FinalAnswer(AnswerStatus.REJECTED, retry_after=limits.busy_retry_after)
 
     def now(self) -> float:
@@ -123,7 +123,7 @@
         the others are rejected, and finally pending requests are abandoned with an answer.
         """
         self.closing_when_quiet = self.handing_over
-        self.rejecting_new = self.near_end
+        self.rejects_new_calls = self.near_end
         if self.drained_at is not None:
             self.continue_drain(self.now() - self.drained_at)
         if self.closing_when_quiet:
@@ -138,7 +138,7 @@
         """Takes the steps of a drain that are due `elapsed` seconds after its start."""
         limits = self.limits
         self.closing_when_quiet = self.closing_when_quiet or elapsed >= limits.drain_accept_time
-        self.rejecting_new = self.rejecting_new or elapsed >= limits.drain_reject_after
+        self.rejects_new_calls = self.rejects_new_calls or elapsed >= limits.drain_reject_after
         if elapsed >= limits.drain_abandon_after:
             self.exchange.abandon_all()
 
--- a/paddlequay/net/clients/client_input.py
+++ b/paddlequay/net/clients/client_input.py
@@ -105,7 +105,7 @@
         """Returns whether the unread bytes complete a message."""
         return self.parser.completes(self.unread_bytes() or b"")
 
-    def is_quiet(self) -> bool:
+    def has_nothing_unread(self) -> bool:
         """Returns whether nothing is unread, as of this iteration of the event loop."""
         # A read that is under way has received nothing, and the stream buffers nothing.
         return self.stream.reading() and not peek_unread(self.stream.socket, 1)
--- a/paddlequay/net/clients/idle_sessions.py
+++ b/paddlequay/net/clients/idle_sessions.py
@@ -35,6 +35,15 @@
     had_message: bool
 
 
+@dataclass(frozen=True, slots=True)
+class ClosingStep:
+    """One queue of idle connections to try: the unused time that is required, and how one is closed."""
+
+    queue: OrderedDict[IdleSession, None]
+    min_age_s: float
+    close: Callable[[IdleSession], bool]
+
+
 class IdleSessions:
     """Idle connections by state, the least recently used one first; each is in one state at most.
 
@@ -77,20 +86,20 @@
         one follows; its client repeats a request that crosses the close. A connection whose message
         made progress within `recent_progress` seconds comes last.
         """
-        order: tuple[tuple[OrderedDict[IdleSession, None], float, Callable[[IdleSession], bool]], ...] = (
-            (self.silent, 0.0, lambda session: session.close_without_message()),
-            (self.message_begun, 0.0, lambda session: session.close_without_message()),
-            (self.lingering, 0.0, lambda session: session.close_lingering()),
-            (self.message_progressing, recent_progress, lambda session: session.close_at_rest()),
-            (self.idle, 0.0, lambda session: session.close_at_rest()),
-            (self.message_progressing, 0.0, lambda session: session.close_at_rest()),
+        steps = (
+            ClosingStep(self.silent, 0.0, lambda session: session.close_without_message()),
+            ClosingStep(self.message_begun, 0.0, lambda session: session.close_without_message()),
+            ClosingStep(self.lingering, 0.0, lambda session: session.close_lingering()),
+            ClosingStep(self.message_progressing, recent_progress, lambda session: session.close_at_rest()),
+            ClosingStep(self.idle, 0.0, lambda session: session.close_at_rest()),
+            ClosingStep(self.message_progressing, 0.0, lambda session: session.close_at_rest()),
         )
-        for state, min_age, close in order:
+        for step in steps:
             # A connection with an unread request does not close, so a few candidates are tried.
-            for session in list(islice(state, MAX_CANDIDATES)):
-                if now - session.last_used_at < min_age:
+            for session in list(islice(step.queue, MAX_CANDIDATES)):
+                if now - session.last_used_at < step.min_age_s:
                     break
-                if close(session):
-                    del state[session]
-                    return ClosedSession(session, had_message=state is self.idle)
+                if step.close(session):
+                    del step.queue[session]
+                    return ClosedSession(session, had_message=step.queue is self.idle)
         return None
--- a/paddlequay/net/clients/session.py
+++ b/paddlequay/net/clients/session.py
@@ -19,6 +19,7 @@
 from paddlequay.routing.interface import Idempotency
 
 MIN_TIME_TO_LIVE_S = 0.001
+BACKPRESSURE_RATIO = 0.5  # of `max_client_unsent`: above it, calls of this client wait
 LINGER_S = 0.3  # a connection that this side ends still reads for this long
 
 
@@ -120,7 +121,7 @@
         Submits the waiting calls first if their bodies leave no capacity for another one.
         """
         front = self.front
-        if front.rejecting_new:
+        if front.rejects_new_calls:
             return "emptying"
         if len(self.open_requests) + len(self.waiting_calls) >= front.limits.client_streams:
             return "too_many_streams"
@@ -146,10 +147,10 @@
     def submit_or_reject(self, number: int, now: float) -> None:
         """Submits one waiting call, rejects it, or leaves it waiting for the client to read its answers."""
         front = self.front
-        self.is_backpressured = self.writer.unsent_bytes > front.limits.max_client_unsent / 2
+        self.is_backpressured = self.writer.unsent_bytes > BACKPRESSURE_RATIO * front.limits.max_client_unsent
         call = self.waiting_calls[number]
         time_left = call.request.time_to_live - (now - call.read_at)
-        if front.rejecting_new or (self.is_backpressured and front.closing_when_quiet):
+        if front.rejects_new_calls or (self.is_backpressured and front.closing_when_quiet):
             self.reject_waiting(number, "emptying")
         elif not self.is_backpressured:
             self.waiting_calls.remove(number)
@@ -187,15 +188,15 @@
     def send(self, *pieces: Buffer) -> None:
         """Writes a message without waiting for the client to read it."""
         self.last_used_at = self.front.now()
-        self.writer.write(pieces, self.on_taken)
+        self.writer.write(pieces, self.on_written)
 
-    def on_taken(self) -> None:
+    def on_written(self) -> None:
         """Continues after the kernel has accepted an answer completely: submits calls, or closes if idle."""
         if self.ended:
             self.writer.shut_down()
             return
         unsent = self.writer.unsent_bytes
-        if self.is_backpressured and unsent <= self.front.limits.max_client_unsent / 2:
+        if self.is_backpressured and unsent <= BACKPRESSURE_RATIO * self.front.limits.max_client_unsent:
             self.is_backpressured = False
             asyncio.get_running_loop().call_soon(self.submit_waiting)
         if not unsent and not self.has_open_requests:
@@ -206,7 +207,7 @@
     def at_rest(self) -> bool:
         """Returns whether nothing is owed, unsent or unread, as of this iteration of the event loop."""
         busy = self.has_open_requests or self.writer.unsent_bytes or self.ended
-        return not busy and self.input.is_quiet()
+        return not busy and self.input.has_nothing_unread()
 
     def close_at_rest(self) -> bool:
         """Closes the connection if it is at rest, and returns whether it was; drops an incomplete message."""
--- a/paddlequay/net/clients/session_front.py
+++ b/paddlequay/net/clients/session_front.py
@@ -18,7 +18,7 @@
     overload_answer: FinalAnswer
     draining_answer: FinalAnswer
     idle_sessions: IdleSessions
-    rejecting_new: bool
+    rejects_new_calls: bool
     closing_when_quiet: bool
 
     @property
--- a/paddlequay/net/clients/session_reader.py
+++ b/paddlequay/net/clients/session_reader.py
@@ -38,7 +38,7 @@
             await self.read_messages()
         except StreamClosedError:
             pass
-        except Exception:  # the edge of one connection: no other one is affected
+        except Exception:  # error boundary of one connection: no other one is affected
             self.front.counters.add("client_errors")
             LOGGER.exception("client_connection_failed")
         finally:
@@ -104,7 +104,7 @@
                 log.event(LOGGER, logging.WARNING, "bad_client_bytes", why=str(error))
             session.end()
             return
-        except Exception:  # the edge of one connection: no other one is affected
+        except Exception:  # error boundary of one connection: no other one is affected
             self.front.counters.add("client_errors")
             LOGGER.exception("client_message_failed")
             session.end()
--- a/paddlequay/programs/handover.py
+++ b/paddlequay/programs/handover.py
@@ -111,7 +111,7 @@
 
         Also at once where a successor has died: connections made until the next heartbeat would be closed.
         """
-        self.clients.handing_over = self.clients.refusing_new or self.hot_restart.replaced
+        self.clients.handing_over = self.clients.served_late_connections or self.hot_restart.replaced
         self.clients.close_quiet_connections()
         if self.cluster is not None and not self.hot_restart.replaced:
             self.cluster.resume()
--- a/paddlequay/programs/shutdown.py
+++ b/paddlequay/programs/shutdown.py
@@ -40,7 +40,7 @@
     front.shutting_down = True
     log.event(LOGGER, logging.INFO, "shutdown_started", open=pending, replaced=hot_restart.replaced)
     await stop_accepting(front, hot_restart, limits, began)
-    front.refusing_new = front.handing_over = True
+    front.served_late_connections = front.handing_over = True
     await answer_pending(front, limits, began)
     front.near_end = True
     front.close_quiet_connections()
--- a/paddlequay/requests/attempts.py
+++ b/paddlequay/requests/attempts.py
@@ -31,7 +31,7 @@
 
 LOGGER = logging.getLogger(__name__)
 
-READ_FIRST_S = 0.002  # two iterations of the event loop, in which received bytes are read
+READ_FIRST_S = 0.002  # an attempt with unread bytes may end this much later: two turns of the event loop
 
 
 class AttemptOwner(Protocol):
@@ -56,10 +56,10 @@
     """Runs the attempts that the decisions choose; each attempt ends exactly once.
 
     Attributes:
-        upstreams: Carries the attempts; None until the connection pool exists. interceptor: May reject
-        a write by the limits of the fleet; None without a cluster. clock_offset: Seconds from the
-        monotonic clock to the clock of the decisions, which shows Unix time at the
-            start of the process and never goes back.
+        upstreams: Carries the attempts; None until the connection pool exists.
+        interceptor: May reject a write by the limits of the fleet; None without a cluster.
+        clock_offset: Seconds from the monotonic clock to the clock of the decisions, which shows Unix
+            time at the start of the process and never goes back.
     """
 
     def __init__(
@@ -81,8 +81,8 @@
         self.interceptor: RequestInterceptor | None = None
         self.clock_offset = scheduler.unix() - scheduler.monotonic()
 
-    def fleet_retry_after(self, pending: PendingRequest, time_left: float) -> float | None:
-        """Returns the Retry-After in seconds if a limit of the fleet rejects a request; None if none does."""
+    def admit_by_fleet_limits(self, pending: PendingRequest, time_left: float) -> float | None:
+        """Admits a request by the limits of the fleet; returns the Retry-After (s) if it is rejected."""
         return None if self.interceptor is None else self.interceptor.admit(pending, time_left)
 
     def start(self, fetch: Fetch) -> None:
@@ -103,7 +103,7 @@
         attempt.timer = self.scheduler.call_later(expires - now, lambda: self.expire(attempt))
         try:
             self.upstreams.start(attempt)
-        except Exception:  # the edge of one attempt, such as no free descriptor for its connection
+        except Exception:  # error boundary of one attempt, such as no free descriptor for its connection
             self.log_failure("start", attempt)
             self.abandon(attempt)
 
@@ -234,7 +234,7 @@
         """Makes an attempt's carrier drop it; returns whether that was unresponsive since the write."""
         try:
             return attempt.carrier is not None and attempt.carrier.abandon(attempt)
-        except Exception:  # the edge of one carrier: its error must not keep the attempt from ending
+        except Exception:  # error boundary of one carrier: its error must not keep the attempt from ending
             self.log_failure("abandon", attempt)
             return False
 
--- a/paddlequay/requests/exchange.py
+++ b/paddlequay/requests/exchange.py
@@ -104,7 +104,7 @@
         serial = f"q{self.last_serial}"
         time_left = request.time_to_live - self.limits.answer_margin
         pending = PendingRequest(serial, request, send_answer, now, now + time_left, client_disconnected)
-        retry_after = self.attempts.fleet_retry_after(pending, time_left)
+        retry_after = self.attempts.admit_by_fleet_limits(pending, time_left)
         if retry_after is not None:
             self.counters.add("rejected.fleet_limit")
             send_answer(FinalAnswer(AnswerStatus.REJECTED, retry_after=retry_after))
@@ -181,14 +181,14 @@
         """Handles one event; an error fails only the request that the event concerns."""
         try:
             actions = self.router.handle(event, self.scheduler.monotonic() + self.attempts.clock_offset)
-        except Exception:  # the edge of one event: whatever the decisions raise, other requests go on
+        except Exception:  # error boundary of one event: whatever the decisions raise, other requests go on
             self.attempts.log_failure("decision", event)
             self.abort_request(event.id if isinstance(event, Request) else getattr(event, "request", ""))
             return
         for action in actions:
             try:
                 self.execute(action)
-            except Exception:  # the edge of one action: the others may concern other requests
+            except Exception:  # error boundary of one action: the others may concern other requests
                 self.attempts.log_failure("action", action)
                 self.abort_request(getattr(action, "request", ""))
 
@@ -238,7 +238,7 @@
         self.counters.add(f"answered.{answer.status.value}")
         try:
             pending.send_answer(answer)
-        except Exception:  # the edge of one client: the decisions still learn that the request has ended
+        except Exception:  # error boundary of one client: the decisions still learn the end
             self.attempts.log_failure("reply", answer)
 
     def release(self, pending: PendingRequest) -> None:
--- a/paddlequay/requests/messages.py
+++ b/paddlequay/requests/messages.py
@@ -156,19 +156,19 @@
 class RequestInterceptor(Protocol):
     """Observes each request and attempt, and may reject it by the limits of the fleet. No call blocks."""
 
-    def admit(self, item: "PendingRequest", left: float) -> float | None:
-        """Returns None to admit a request with `left` seconds to its deadline, else a Retry-After (s)."""
+    def admit(self, pending: "PendingRequest", time_left: float) -> float | None:
+        """Returns None to admit a request with `time_left` seconds left, else a Retry-After (s)."""
         ...
 
-    def before_write(self, attempt: "UpstreamAttempt", left: float) -> ReplyDetail | None:
+    def before_write(self, attempt: "UpstreamAttempt", time_left: float) -> ReplyDetail | None:
         """Returns None to let an attempt be written, else the detail of its rejection."""
         ...
 
-    def attempt_ended(self, attempt: "UpstreamAttempt", end: "AttemptResult") -> None:
+    def attempt_ended(self, attempt: "UpstreamAttempt", result: "AttemptResult") -> None:
         """Notes the end of an attempt, whether it was written or not."""
         ...
 
-    def request_ended(self, item: "PendingRequest") -> None:
+    def request_ended(self, pending: "PendingRequest") -> None:
         """Notes the end of an admitted request, by its final answer or by its client's disconnect."""
         ...
 
--- a/paddlequay/requests/write_checks.py
+++ b/paddlequay/requests/write_checks.py
@@ -13,7 +13,7 @@
 from paddlequay.requests.messages import ClientRequest, Scheduler, UpstreamAttempt
 from paddlequay.routing.interface import Fetch, Member, MemberState, RequestClass
 
-MAX_PURGES = 4096  # the latest by object or group: an hour's at one a second
+MAX_PURGES = 4096  # the latest by object or group: more than an hour's at one a second
 MIN_AGE_S = 0.001  # on the wire an age limit of 0 selects the cache's default
 
 
@@ -65,8 +65,10 @@
             self.purged_at.popitem(last=False)
         return max(0.0, self.scheduler.unix() - issued)
 
-    def max_age(self, request: ClientRequest, kind: RequestClass, decided: float | None) -> float | None:
-        """Returns the maximum age of a copy that may serve the request, in seconds; None for no limit.
+    def max_age(
+        self, request: ClientRequest, request_class: RequestClass, decided: float | None
+    ) -> float | None:
+        """Returns the maximum age in seconds of a copy that may serve the request; None for the default.
 
         The limit is the one decided, else the freshness lifetime of the class, lowered to the age of
         the last purge. A purge counts for as long as it is remembered, because a cache that hung while
@@ -74,15 +76,15 @@
 
         Args:
             request: The request, with the number of its object and group.
-            kind: The class of the request.
+            request_class: The class of the request.
             decided: The limit that the decisions have chosen, in seconds.
         """
-        if kind.uncacheable:
+        if request_class.uncacheable:
             return decided
         key_purged_at = self.purged_at.get(("key", request.key), -math.inf)
         group_purged_at = self.purged_at.get(("group", request.group), -math.inf)
         purge_age = max(MIN_AGE_S, self.scheduler.unix() - max(key_purged_at, group_purged_at))
-        limit = decided or kind.freshness_lifetime or math.inf
+        limit = decided or request_class.freshness_lifetime or math.inf
         return decided if purge_age >= limit else purge_age
 
     def is_usable(self, name: str) -> bool:
--- a/paddlequay/schema/cluster.py
+++ b/paddlequay/schema/cluster.py
@@ -9,7 +9,7 @@
 from paddlequay.schema.text_settings import FieldChecker, parse_role
 
 MAX_LIMITS = 64
-MAX_ACCEPTORS = 9  # every lease asks all acceptors: more cost datagrams without surviving likelier failures
+MAX_ACCEPTORS = 9  # each lease costs datagrams to all; five failures at once are unlikely already
 MAX_RATE_PER_S = 1e6
 MAX_MATCH_SIZE = 200  # characters
 SCOPES = {
@@ -87,35 +87,37 @@
     return bounds
 
 
-def read_limit(message: schema.Limit, at: str, checker: FieldChecker) -> LimitRule:
+def read_limit(message: schema.Limit, where: str, checker: FieldChecker) -> LimitRule:
     """Returns one limit: a rate with its burst, or a number of requests in flight."""
     if not message.match or len(message.match) > MAX_MATCH_SIZE:
-        raise checker.error(f"{at}.match", 'expected what it is for, or "*"', message.match)
+        raise checker.error(f"{where}.match", 'expected what it is for, or "*"', message.match)
     for field, known in (("by", SCOPES), ("mode", MODES)):
         value = getattr(message, field)
         if value not in known:
-            raise checker.error(f"{at}.{field}", f"expected a name of the schema, got {value}", str(value))
+            raise checker.error(f"{where}.{field}", f"expected a name of the schema, got {value}", str(value))
     scope = SCOPES[message.by]
     whole = message.match.isdecimal() and str(int(message.match)) == message.match
     if scope is LimitScope.GROUP and message.match != "*" and not whole:
-        raise checker.error(f"{at}.match", f"expected a group's number, got {message.match!r}", message.match)
+        raise checker.error(
+            f"{where}.match", f"expected a group's number, got {message.match!r}", message.match
+        )
     if bool(message.rate) == bool(message.at_once):
-        raise checker.error(f"{at}.rate", f"{message.name}: expected either rate or at_once")
+        raise checker.error(f"{where}.rate", f"{message.name}: expected either rate or at_once")
     if message.at_once and message.burst:
-        raise checker.error(f"{at}.burst", f"{message.name}: goes with rate only")
+        raise checker.error(f"{where}.burst", f"{message.name}: goes with rate only")
     if message.over and message.mode != schema.Limit.OPEN:
-        raise checker.error(f"{at}.over", f"{message.name}: goes with mode OPEN only")
-    rate = checker.between(message.rate, f"{at}.rate", 0.0, 0.001, MAX_RATE_PER_S)
+        raise checker.error(f"{where}.over", f"{message.name}: goes with mode OPEN only")
+    rate = checker.between(message.rate, f"{where}.rate", 0.0, 0.001, MAX_RATE_PER_S)
     return LimitRule(
         name=message.name,
         scope=scope,
         match=message.match,
         rate_per_s=rate or None,
-        burst=checker.between(message.burst, f"{at}.burst", 1.0, 1.0, MAX_RATE_PER_S),
-        max_in_flight=int(checker.between(message.at_once, f"{at}.at_once", 0, 1, MAX_RATE_PER_S)) or None,
+        burst=checker.between(message.burst, f"{where}.burst", 1.0, 1.0, MAX_RATE_PER_S),
+        max_in_flight=int(checker.between(message.at_once, f"{where}.at_once", 0, 1, MAX_RATE_PER_S)) or None,
         mode=MODES[message.mode],
-        open_factor=checker.between(message.over, f"{at}.over", 2.0, 1.0, 100.0),
-        floor_ratio=checker.between(message.floor, f"{at}.floor", 0.2, 0.001, 1.0),
+        open_factor=checker.between(message.over, f"{where}.over", 2.0, 1.0, 100.0),
+        floor_ratio=checker.between(message.floor, f"{where}.floor", 0.2, 0.001, 1.0),
     )
 
 
--- a/paddlequay/schema/tier.py
+++ b/paddlequay/schema/tier.py
@@ -20,7 +20,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TierSettings:
-    """The settings of one node; times are seconds."""
+    """The settings of one node.
+
+    Attributes:
+        name: The node's own name.
+        group: The group of nodes that it belongs to.
+        listen: Where it serves fills.
+        console: Where it serves operators; None for no console.
+        feed: Where it follows the topology.
+        folder: Where it saves its state; None to save nothing.
+        sockets: The limit on open descriptors.
+        cores: The processor cores that it may use.
+    """
 
     name: str
     group: str
@@ -130,10 +141,10 @@
     if not tier.HasField("cold"):
         return SlowStart()
     return SlowStart(
-        checker.positive(cold.start, "tier.cold.start", 0.1),
-        checker.positive(cold.warm_after_s, "tier.cold.warm_after_s", 20.0),
-        checker.positive(cold.multiple, "tier.cold.multiple", 2.0),
-        checker.positive(cold.window_s, "tier.cold.window_s", 2.0),
+        initial_share=checker.positive(cold.start, "tier.cold.start", 0.1),
+        duration=checker.positive(cold.warm_after_s, "tier.cold.warm_after_s", 20.0),
+        overload_multiple=checker.positive(cold.multiple, "tier.cold.multiple", 2.0),
+        overload_window=checker.positive(cold.window_s, "tier.cold.window_s", 2.0),
     )
 
 
