--- a/paddlequay/lab/cluster_model_fleet.py
+++ b/paddlequay/lab/cluster_model_fleet.py
@@ -5,7 +5,6 @@
 and an offset of its own, and runs on while its process is stalled. All random draws come from one seed.
 """
 
-import hashlib
 import random
 import time
 from collections import Counter
@@ -17,7 +16,7 @@
 from paddlequay.cluster.types import NEVER, Fleet, Peer
 from paddlequay.cluster.wire import VERSION, Codec, Header, RejectReason
 from paddlequay.lab.cluster_model_network import LinkModel, SimulatedNetwork
-from paddlequay.lab.cluster_model_router import EventQueue, SimulatedRouter
+from paddlequay.lab.cluster_model_router import EventQueue, History, SimulatedRouter
 
 START_UNIX_S = 1_700_000_000.0  # Unix time at true time 0
 MAX_UNIX_OFFSET_S = 0.2  # by which machines' calendars differ at the first start
@@ -26,9 +25,6 @@
 READ_S = 0.0002  # that a process takes for a datagram that waited
 WAKE_SPREAD_S = 0.001  # after a stall, until the process is called
 MAX_BUFFERED_DATAGRAMS = 256  # a kernel's 208 KiB at some 800 bytes each
-SLICE_S = 0.25  # a process on a shared core runs for a part of each slice
-SLICE_RUN_RATIO = 0.2
-SLICE_PHASE_S = 0.037  # by which the slices of two routers are apart
 ZONES = ("east", "west", "south")
 
 Observer = Callable[[SimulatedRouter, Sequence[ClusterEvent]], None]
@@ -69,8 +65,7 @@
         self.counts_messages = False
         self.rejected: Counter[str] = Counter()
         self.observers: list[Observer] = []
-        self.history = hashlib.blake2b(digest_size=16)
-        self.event_count = 0
+        self.history = History()
         self._foreign_codec = Codec("elsewhere", size)
         self._codec = Codec(settings.name, size)
         drift = settings.bounds.drift_ratio if max_clock_drift is None else max_clock_drift
@@ -104,9 +99,8 @@
         return self
 
     def log_event(self, *values: object) -> None:
-        """Adds to the history, whose digest tells two runs apart."""
-        self.event_count += 1
-        self.history.update(repr((round(self.now, 9), values)).encode())
+        """Adds an event to the history, at the present time."""
+        self.history.add(self.now, values)
 
     # --- processes ---
 
@@ -138,19 +132,6 @@
         self.log_event("stop", router.number, seconds)
         router.stalled_until = max(router.stalled_until, self.now + seconds)
 
-    def next_run_time(self, router: SimulatedRouter) -> float:
-        """Returns when a process runs next: now or later."""
-        when = max(self.now, router.stalled_until)
-        if router.shares_core:
-            phase_s = (when + router.number * SLICE_PHASE_S) % SLICE_S
-            if phase_s >= SLICE_S * SLICE_RUN_RATIO:
-                when += SLICE_S - phase_s
-        return when
-
-    def is_running(self, router: SimulatedRouter) -> bool:
-        """Returns whether a router's process runs at this instant."""
-        return router.node is not None and self.next_run_time(router) <= self.now
-
     # --- calls, as net/cluster/peer_transport.py makes them ---
 
     def _schedule_call(self, router: SimulatedRouter, when: float) -> None:
@@ -164,7 +145,7 @@
         if is_obsolete or router.node is None:
             return
         router.next_call_at = NEVER
-        ready_at = self.next_run_time(router)
+        ready_at = router.next_run_time(self.now)
         if ready_at > self.now:
             self._schedule_call(router, ready_at + self.rng.random() * WAKE_SPREAD_S)
             return
@@ -183,7 +164,7 @@
         """Gives a datagram to a router's process, or to its socket while the process does not run."""
         if router.node is None:
             self.network.lost["killed"] += 1
-        elif router.socket_buffer or self.next_run_time(router) > self.now:
+        elif router.socket_buffer or router.next_run_time(self.now) > self.now:
             self._buffer(router, data, sender)
         else:
             began_ns = time.process_time_ns()
@@ -196,7 +177,7 @@
             self.network.lost["full"] += 1
             return
         router.socket_buffer.append((data, sender))
-        self._schedule_call(router, max(self.next_run_time(router), self.now))
+        self._schedule_call(router, max(router.next_run_time(self.now), self.now))
 
     def _read(self, router: SimulatedRouter, node: Node, data: bytes, sender: Peer) -> Sequence[ClusterEvent]:
         received = node.wire.read(data, sender)
--- a/paddlequay/lab/cluster_model_router.py
+++ b/paddlequay/lab/cluster_model_router.py
@@ -1,5 +1,6 @@
-"""A simulated machine with one router's process, and the scheduled calls of a simulation in true time."""
+"""A simulated machine with one router's process, and a simulation's scheduled calls and history."""
 
+import hashlib
 import heapq
 from collections import deque
 from collections.abc import Callable
@@ -10,6 +11,9 @@
 from paddlequay.cluster.types import NEVER, Peer
 
 LONG_AGO_S = -1e9
+SLICE_S = 0.25  # a process on a shared core runs for a part of each slice
+SLICE_RUN_RATIO = 0.2
+SLICE_PHASE_S = 0.037  # by which the slices of two routers are apart
 
 
 class EventQueue:
@@ -32,6 +36,23 @@
         self.now = until
 
 
+class History:
+    """A digest over all events of a simulation, by which two runs are compared."""
+
+    def __init__(self) -> None:
+        self._hash = hashlib.blake2b(digest_size=16)
+        self.event_count = 0
+
+    def add(self, now: float, values: tuple[object, ...]) -> None:
+        """Adds an event at a true time."""
+        self.event_count += 1
+        self._hash.update(repr((round(now, 9), values)).encode())
+
+    def digest(self) -> str:
+        """Returns the digest in hexadecimal."""
+        return self._hash.hexdigest()
+
+
 @dataclass(slots=True, eq=False)
 class SimulatedRouter:
     """A machine with a clock of its own, and the process that runs on it. Times are true seconds."""
@@ -63,6 +84,19 @@
         """Returns the true time at which its clock shows a time."""
         return (local_time - self.clock_offset_s) / self.clock_rate
 
+    def next_run_time(self, now: float) -> float:
+        """Returns when its process runs next: now or later."""
+        when = max(now, self.stalled_until)
+        if self.shares_core:
+            phase_s = (when + self.number * SLICE_PHASE_S) % SLICE_S
+            if phase_s >= SLICE_S * SLICE_RUN_RATIO:
+                when += SLICE_S - phase_s
+        return when
+
+    def is_running(self, now: float) -> bool:
+        """Returns whether its process runs at this instant."""
+        return self.node is not None and self.next_run_time(now) <= now
+
     def excuse_death(self, until: float) -> None:
         """Allows others to declare it dead until a time, after a fault."""
         self.death_excused_until = max(self.death_excused_until, until)
--- a/paddlequay/lab/cluster_model_runs.py
+++ b/paddlequay/lab/cluster_model_runs.py
@@ -277,8 +277,8 @@
     simulation.run(seconds)
     workload = auditor.workload
     return DayResult(
-        simulation.history.hexdigest(),
-        simulation.event_count,
+        simulation.history.digest(),
+        simulation.history.event_count,
         dict(sorted(faults.counts.items())),
         workload.max_limit_ratio,
         auditor.double_holders,
--- a/paddlequay/lab/cluster_model_workload.py
+++ b/paddlequay/lab/cluster_model_workload.py
@@ -71,7 +71,7 @@
         if node is None or node.limits is None:
             self.counts["unreached"] += 1
             return
-        ready_at = simulation.next_run_time(router)
+        ready_at = router.next_run_time(simulation.now)
         if ready_at > simulation.now:
             wake_at = ready_at + self.rng.random() * WAKE_SPREAD_S
             simulation.schedule(wake_at, self.request_charge, router)
@@ -97,7 +97,7 @@
 
     def _end_charge(self, router: SimulatedRouter, node: Node, permit: Permit) -> None:
         is_same_process = router.node is node
-        if is_same_process and node.limits is not None and self.simulation.is_running(router):
+        if is_same_process and node.limits is not None and router.is_running(self.simulation.now):
             node.limits.release(permit, router.local_time(self.simulation.now))
 
     def admitted_per_s(self, begin: float, end: float) -> float:
@@ -116,7 +116,7 @@
         """Makes attempts at random parents, until the end of the simulation."""
         next_at = self.simulation.now + self.rng.expovariate(per_s)
         self.simulation.schedule(next_at, self.attempt_repeatedly, router, per_s)
-        if self.simulation.is_running(router):
+        if router.is_running(self.simulation.now):
             self._attempt(router, self.rng.choice(self.parents))
 
     def _attempt(self, router: SimulatedRouter, parent: Parent) -> None:
@@ -144,7 +144,7 @@
         is_same_process = router.process_count == process_count
         if node is None or node.verdicts is None or not is_same_process:
             return
-        if not self.simulation.is_running(router):
+        if not router.is_running(self.simulation.now):
             return
         local_now = router.local_time(self.simulation.now)
         actions = node.verdicts.record_attempt(parent.subject, 0, "parent", served, fault, local_now)
