--- a/paddlequay/lab/cluster.py
+++ b/paddlequay/lab/cluster.py
@@ -325,9 +325,9 @@
     results = Results("cluster")
     observations = audit.observe_lease(record.moments, LEASE)
     claim_guarantees(results, record, observations)
-    origin = record.rig.store
+    origin = record.rig.origin
     seconds = record.ended - record.began
-    used_ratio = len(origin.ran) / (LIMIT_PER_S * seconds)
+    used_ratio = len(origin.charged_at) / (LIMIT_PER_S * seconds)
     # Floors alone admit a quarter, and only where there is demand: without requests nothing is proven.
     results.claim("of the limit let through", used_ratio, ">=", FLOOR_RATIO)
     pairs = len(record.rig.places) * (len(record.rig.places) - 1)
@@ -361,8 +361,8 @@
         if record.script.is_excused(router, requested_at)
     ]
     wrong = audit.find_wrong_answers(requests, record.charges.answers, excused)
-    origin = record.rig.store
-    excess = audit.max_excess(origin.ran, LIMIT_PER_S, BURST, MAX_ARRIVAL_DELAY_S)
+    origin = record.rig.origin
+    excess = audit.max_excess(origin.charged_at, LIMIT_PER_S, BURST, MAX_ARRIVAL_DELAY_S)
     results.claim("strict limit over", excess, "==", 0)
     results.claim("two holders seen at once", audit.count_double_holders(observations), "==", 0)
     results.claim("terms that went back", audit.count_decreasing_terms(observations), "==", 0)
--- a/tests/cluster/test_cluster_driver.py
+++ b/tests/cluster/test_cluster_driver.py
@@ -61,7 +61,7 @@
             lambda: any(seen.term and seen.at > begun for seen in self.observations()),
             "a holder of the lease",
         )
-        ran = self.rig.store.ran
+        ran = self.rig.origin.charged_at
         await self.until(
             lambda: sum(at > time.time() - 1.0 for at in ran) > 0.6 * LIMIT_PER_S, "grants that are used"
         )
@@ -92,8 +92,8 @@
 
     asyncio.run(run())
     observations = cluster.observations()
-    origin = cluster.rig.store
-    assert audit.max_excess(origin.ran, LIMIT_PER_S, BURST, MAX_ARRIVAL_DELAY_S) == 0
+    origin = cluster.rig.origin
+    assert audit.max_excess(origin.charged_at, LIMIT_PER_S, BURST, MAX_ARRIVAL_DELAY_S) == 0
     assert audit.count_double_holders(observations) == 0
     assert audit.count_decreasing_terms(observations) == 0
     assert audit.find_repeated(origin.charges) == []
@@ -229,7 +229,7 @@
     async def run() -> None:
         rig = FleetRig(ZonePlan(routers=2, boxes=1, tiers=0, regional=0), tmp_path, CLUSTER_RULES)
         with pytest.raises(TimeoutError):
-            rig.until_longest = 1.5
+            rig.ready_timeout_s = 1.5
             try:
                 await rig.up()
             finally:
