--- a/paddlequay/simulator/adapter.py
+++ b/paddlequay/simulator/adapter.py
@@ -41,6 +41,8 @@
 if TYPE_CHECKING:
     from paddlequay.simulator.cluster import SimulatorCluster
 
+    MakeCluster = Callable[["Fields", Router, float], SimulatorCluster | None]
+
 T = TypeVar("T")
 CLUSTER = "cluster"  # the nonce of a cluster's alarms
 STATES = {"IN": MemberState.READY, "LAME": MemberState.DRAINING, "OUT": MemberState.REMOVED}
@@ -239,14 +241,12 @@
 
 
 class Host:
-    """All routers of one process; they share nothing but what goes by the wire, where `share` makes such."""
+    """All routers of one process. They share nothing but messages; `make_cluster` makes their clusters."""
 
-    def __init__(
-        self, share: "Callable[[Fields, Router, float], SimulatorCluster | None] | None" = None
-    ) -> None:
+    def __init__(self, make_cluster: "MakeCluster | None" = None) -> None:
         self.routers: dict[str, Router | None] = {}
-        self.share = share
-        self.shares: dict[str, SimulatorCluster] = {}
+        self.make_cluster = make_cluster
+        self.clusters: dict[str, SimulatorCluster] = {}
 
     def batch(self, lines: list[str]) -> list[str]:
         """The reply to one batch, its closing line left off."""
@@ -281,17 +281,17 @@
         if fields.name == "provision":
             made = Router(fields.need("settings", read_settings), fields.need("salt", int))
             self.routers[router] = made
-            shared = self.share(fields, made, now) if self.share is not None else None
-            if shared is None:
+            cluster = self.make_cluster(fields, made, now) if self.make_cluster is not None else None
+            if cluster is None:
                 return []
-            self.shares[router] = shared
-            return sent(router, shared, now)
+            self.clusters[router] = cluster
+            return write_posts(router, cluster, now)
         if fields.name == "kill":
             self.routers[router] = None
-            self.shares.pop(router, None)
+            self.clusters.pop(router, None)
             return []
-        if router in self.shares:
-            return self.shared(router, self.shares[router], fields, entries, now)
+        if router in self.clusters:
+            return self.deliver_to_cluster(router, self.clusters[router], fields, entries, now)
         event = read_event(fields, entries)
         if event is None:
             return []
@@ -300,17 +300,17 @@
         instance = self.routers[router]
         return [] if instance is None else [write_action(router, act) for act in instance.handle(event, now)]
 
-    def shared(
-        self, router: str, share: "SimulatorCluster", fields: Fields, entries: list[Member], now: float
+    def deliver_to_cluster(
+        self, router: str, cluster: "SimulatorCluster", fields: Fields, entries: list[Member], now: float
     ) -> list[str]:
-        """One event to a router that has a share in a cluster, and what the cluster makes of it."""
+        """Handles an event of a router in a cluster, and the reports that the cluster makes of it."""
         instance = self.routers[router]
         assert instance is not None
         events: list[Event] = []
         if fields.name == "note_from":
-            events += share.receive(fields.need("srcPeer", int), fields.need("content", str), now)
+            events += cluster.receive(fields.need("srcPeer", int), fields.need("content", str), now)
         elif fields.name == "alarm" and fields.need("nonce", str) == CLUSTER:
-            events += share.tick(now)
+            events += cluster.tick(now)
         else:
             event = read_event(fields, entries)
             if event is not None:
@@ -318,35 +318,35 @@
         reply: list[str] = []
         for event in events:
             actions = instance.handle(event, now)
-            share.record_actions(actions)
+            cluster.record_actions(actions)
             reply += [write_action(router, act) for act in actions]
             if isinstance(event, AttemptEnded):
-                events += share.handle_attempt_end(event, now)
+                events += cluster.handle_attempt_end(event, now)
             for act in actions:
                 if isinstance(act, Reject | Fail):
-                    share.forget_request(act.request)
+                    cluster.forget_request(act.request)
             if isinstance(event, ClientDisconnected):
-                share.forget_request(event.request)
-        return reply + sent(router, share, now)
+                cluster.forget_request(event.request)
+        return reply + write_posts(router, cluster, now)
 
 
-def sent(router: str, share: "SimulatorCluster", now: float) -> list[str]:
-    """What a cluster sends, and its next alarm."""
+def write_posts(router: str, cluster: "SimulatorCluster", now: float) -> list[str]:
+    """Returns the lines of a cluster's messages, and of its next alarm."""
     reply = [
-        f"post\trouter={router}\tpeer={post.peer}\tcontent={post.content}" for post in share.take_posts(now)
+        f"post\trouter={router}\tpeer={post.peer}\tcontent={post.content}" for post in cluster.take_posts(now)
     ]
-    wait = share.set_alarm(now)
+    wait = cluster.set_alarm(now)
     return reply if wait is None else [*reply, write_action(router, SetTimer(wait, CLUSTER))]
 
 
-def sharing(path: str) -> "Callable[[Fields, Router, float], SimulatorCluster | None]":
-    """Makes an instance's share in a cluster by a file of settings, where the platform's allow peers."""
+def cluster_factory(path: str) -> "MakeCluster":
+    """Returns a function that makes an instance's cluster, where the instance's settings allow peers."""
     from paddlequay.schema.cluster import read_cluster
     from paddlequay.simulator.cluster import SimulatorCluster
 
     settings = read_cluster(Path(path))
 
-    def share(fields: Fields, router: Router, now: float) -> SimulatorCluster | None:
+    def make_cluster(fields: Fields, router: Router, now: float) -> SimulatorCluster | None:
         told = json.loads(fields.need("settings", str))
         allowed = (told.get("limits") or {}).get("peers") is True
         me, size, salt = told.get("me"), told.get("groupSize"), fields.need("salt", int)
@@ -354,13 +354,13 @@
             return None
         return SimulatorCluster(settings, me, size, router, salt, now)
 
-    return share
+    return make_cluster
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
     """Answer batches until the input ends; 1 after malformed input."""
     path = os.environ.get("PADDLEQUAY_CLUSTER")
-    host = Host(sharing(path) if path else None)
+    host = Host(cluster_factory(path) if path else None)
     lines: list[str] = []
     for raw in source:
         line = raw.rstrip("\r\n")
--- a/tests/simulator/test_simulator_cluster.py
+++ b/tests/simulator/test_simulator_cluster.py
@@ -1,4 +1,4 @@
-"""The cluster on the simulator's wire: words that go round between instances, by posts and alarms."""
+"""The cluster in the simulator: verdicts of several instances, by their messages and alarms."""
 
 import json
 from pathlib import Path
@@ -25,13 +25,13 @@
 ]
 
 
-class World:
-    """Instances in one adapter; the clock and the posts between them are the simulator's."""
+class SimulatorRig:
+    """Instances in one adapter; the clock and the messages between them are the simulator's."""
 
     def __init__(self, folder: Path, peers: bool = True) -> None:
         file = folder / "cluster.txtpb"
         file.write_text('cluster { name: "here" verdicts: true }')
-        self.host = adapter.Host(adapter.sharing(str(file)))
+        self.host = adapter.Host(adapter.cluster_factory(str(file)))
         self.now, self.posts, self.tries = 1.0, 0, 0
         self.alarms: list[tuple[float, str, str]] = []
         self.sent: list[tuple[str, str, str]] = []  # instance, request, source
@@ -70,7 +70,7 @@
         self.now = end
 
     def ask(self, router: int, item: int) -> str:
-        """A request's source; what follows is up to the caller."""
+        """Sends a request and returns its source."""
         self.tries += 1
         self.batch(f"query\trouter={router}\trid=r{self.tries}\tgrade=photo\titem={item}\ttimeBudget=2")
         return self.sent[-1][2]
@@ -81,35 +81,35 @@
 
 
 def test_a_third_instance_probes_a_parent_at_once_that_two_instances_find_dead(tmp_path: Path) -> None:
-    world = World(tmp_path)
+    rig = SimulatorRig(tmp_path)
     items = []
     for item in range(40):
-        if world.ask(2, item) == "2:1":
+        if rig.ask(2, item) == "2:1":
             items.append(item)
-        world.ended(2, "served", 2)
-    world.pass_time(2.5)  # what has served lately is believed more than the fleet
+        rig.ended(2, "served", 2)
+    rig.pass_time(2.5)  # being served lately outweighs a verdict
     for _ in range(3):
         for router in (0, 1):
-            for item in range(12):  # the other parent serves them: it is not these that are cut off
-                dead = world.ask(router, item) == "2:1"
-                world.ended(router, "turned_away" if dead else "served", 7 if dead else 2)
-        world.pass_time(0.1)
-    assert world.posts > 0
-    # The third has had no failure itself: one request tries it out, the next ones go elsewhere.
-    first, *rest = [world.ask(2, item) for item in items[1:6]]
+            for item in range(12):  # the other parent serves them: these instances are not isolated
+                dead = rig.ask(router, item) == "2:1"
+                rig.ended(router, "turned_away" if dead else "served", 7 if dead else 2)
+        rig.pass_time(0.1)
+    assert rig.posts > 0
+    # The third has had no failure itself: one request probes the parent, the next ones go elsewhere.
+    first, *rest = [rig.ask(2, item) for item in items[1:6]]
     assert first == "2:1" and set(rest) == {"2:2"}
 
 
 def test_without_peers_no_message_is_sent_and_no_alarm_set(tmp_path: Path) -> None:
-    world = World(tmp_path, peers=False)
-    world.ask(0, 1)
-    assert world.posts == 0 and world.alarms == [] and world.host.shares == {}
+    rig = SimulatorRig(tmp_path, peers=False)
+    rig.ask(0, 1)
+    assert rig.posts == 0 and rig.alarms == [] and rig.host.clusters == {}
 
 
 def test_malformed_message_content_has_no_effect(tmp_path: Path) -> None:
-    world = World(tmp_path)
+    rig = SimulatorRig(tmp_path)
     for content in ("-", "AAAA", "!!!!", "A" * 4000):
-        world.batch(f"note_from\trouter=0\tsrcPeer=1\tcontent={content}")
-    assert sum(world.host.shares["0"].transport.rejected.values()) == 4
+        rig.batch(f"note_from\trouter=0\tsrcPeer=1\tcontent={content}")
+    assert sum(rig.host.clusters["0"].transport.rejected.values()) == 4
     with pytest.raises(adapter.WireError):
-        world.batch("note_from\trouter=0\tcontent=AAAA")
+        rig.batch("note_from\trouter=0\tcontent=AAAA")
