--- a/paddlequay/lab/cluster_model_fleet.py
+++ b/paddlequay/lab/cluster_model_fleet.py
@@ -93,10 +93,9 @@
         """Schedules a call at a true time."""
         self.events.schedule(when, call, *arguments)
 
-    def run(self, until: float) -> "FleetSimulation":
+    def run(self, until: float) -> None:
         """Runs the simulation until a true time."""
         self.events.run(until)
-        return self
 
     def log_event(self, *values: object) -> None:
         """Adds an event to the history, at the present time."""
--- a/tests/cluster/test_cluster_model.py
+++ b/tests/cluster/test_cluster_model.py
@@ -61,7 +61,8 @@
 def test_the_auditor_detects_two_holders(monkeypatch: pytest.MonkeyPatch) -> None:
     def stall_holder() -> Auditor:
         auditor = make_fleet(1, 5, demand_ratio=0.0, attempts_per_s=0.0)
-        simulation = auditor.simulation.run(6.0)
+        simulation = auditor.simulation
+        simulation.run(6.0)
         holder = next(iter(auditor.acquisitions.values()))[-1].router
         simulation.stall(simulation.routers[holder], 4.0)
         simulation.run(12.0)
