--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -35,6 +35,7 @@
 FINISHED = (
     "errors", "observability", "routing", "config", "placement",
     "policy", "requests", "lifecycle", "discovery", "store", "hierarchy", "schema", "cli", "cluster",
+    "simulator",
 )  # fmt: skip
 
 
