--- a/paddlequay/net/socket_state.py
+++ b/paddlequay/net/socket_state.py
@@ -1,4 +1,4 @@
-"""What has come on a connection and is not read yet, looked at without reading it."""
+"""Reads the state of a connected socket without consuming its bytes."""
 
 import select
 import socket
@@ -6,26 +6,36 @@
 END_EVENTS = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 
 
-def peek_unread(connection: socket.socket, most: int) -> bytes | None:
-    """The first `max_size` unread bytes; None once the other end has closed, or the connection broke.
+def peek_unread(connection: socket.socket, max_size: int) -> bytes | None:
+    """Returns the first `max_size` unread bytes; None once the peer has closed or the connection broke.
 
-    One system call where there are none. Bytes hide an end behind them: where there are some, a second call
-    checks for it. Where the system does not say, the end shows once they are read.
+    Costs one system call if nothing is unread. A close is hidden behind unread bytes: if there are some, a
+    second call checks for it. Where the system does not report it, the close shows once they are read.
     """
     try:
-        came = connection.recv(most, socket.MSG_PEEK)
+        unread = connection.recv(max_size, socket.MSG_PEEK)
     except BlockingIOError:
         return b""
     except OSError:
         return None
-    return came if came and not is_hung_up(connection) else None
+    return unread if unread and not is_hung_up(connection) else None
+
+
+def peek_byte(connection: socket.socket) -> bytes | None:
+    """Returns the next unread byte; empty bytes at the end of the stream, None if nothing is unread."""
+    try:
+        return connection.recv(1, socket.MSG_PEEK)
+    except BlockingIOError:
+        return None
+    except OSError:
+        return b""
 
 
 def is_hung_up(connection: socket.socket) -> bool:
-    """Whether the other end has closed, or the connection broke."""
-    look = select.poll()
+    """Returns whether the peer has closed or the connection broke."""
+    poll = select.poll()
     try:
-        look.register(connection, END_EVENTS)
-        return any(events & END_EVENTS for _, events in look.poll(0))
+        poll.register(connection, END_EVENTS)
+        return any(events & END_EVENTS for _, events in poll.poll(0))
     except OSError:
         return False
--- a/paddlequay/net/upstreams/cache_messages.py
+++ b/paddlequay/net/upstreams/cache_messages.py
@@ -1,4 +1,4 @@
-"""Requests to caches as fields of their protocol, and their answers as results."""
+"""Maps requests to the fields of the caches' protocol, and the caches' answers to results of attempts."""
 
 import math
 from collections.abc import Mapping
@@ -30,66 +30,68 @@
     "LOOP": ReplyDetail.FILL_LOOP,
     "OLD_TERM": ReplyDetail.STALE_TERM,
 }
-LOAD_NAMES = {"inflight": "active", "util": "cpu"}  # the words of the settings' list of load fields
+LOAD_NAMES = {"inflight": "active", "util": "cpu"}  # wire names to those of the settings
+MS_PER_S = 1000.0
+MAX_QUOTED_CHARS = 20  # of an invalid number, in an error
 
 
-def request_fields(order: UpstreamRequest) -> dict[str, str]:
-    """A request as fields of the caches' protocol; what has its default is left out."""
-    fields = {"queue": order.class_name, "path": order.object_name}
-    if order.part is not None:
-        fields["blk"] = str(order.part)
-    fields["budget"] = str(max(1, int(order.time_left * 1000)))
-    if order.source is not None:
-        fields["via"] = order.source
-    if order.retention:
-        fields["tier"] = str(order.retention)
-    if order.max_age is not None:
-        fields["fresh"] = str(max(1, int(order.max_age * 1000)))
-    options = {"join": order.coalesce, "held": order.only_if_cached, "renew": order.refresh}
+def request_fields(request: UpstreamRequest) -> dict[str, str]:
+    """Returns a request as fields of the caches' protocol; leaves out fields with their default."""
+    fields = {"queue": request.class_name, "path": request.object_name}
+    if request.part is not None:
+        fields["blk"] = str(request.part)
+    fields["budget"] = str(max(1, int(request.time_left * MS_PER_S)))
+    if request.source is not None:
+        fields["via"] = request.source
+    if request.retention:
+        fields["tier"] = str(request.retention)
+    if request.max_age is not None:
+        fields["fresh"] = str(max(1, int(request.max_age * MS_PER_S)))
+    options = {"join": request.coalesce, "held": request.only_if_cached, "renew": request.refresh}
     if any(options.values()):
-        fields["opts"] = "+".join(word for word, wanted in options.items() if wanted)
-    if order.known_tag is not None:
-        fields["known"] = order.known_tag
-    if order.idempotency_key is not None:
-        fields["uniq"] = order.idempotency_key
-    fields.update(order.extra_fields)
+        fields["opts"] = "+".join(name for name, is_set in options.items() if is_set)
+    if request.known_tag is not None:
+        fields["known"] = request.known_tag
+    if request.idempotency_key is not None:
+        fields["uniq"] = request.idempotency_key
+    fields.update(request.extra_fields)
     return fields
 
 
-def parse_figure(text: str) -> float:
-    """A finite number: one `nan` would stay in every mean that it enters."""
+def parse_number(text: str) -> float:
+    """Returns a finite number. Raises `ValueError`, as one `nan` would stay in every mean it enters."""
     value = float(text)
     if not math.isfinite(value):
-        raise ValueError(f"{text[:20]} is no figure")
+        raise ValueError(f"{text[:MAX_QUOTED_CHARS]} is no figure")
     return value
 
 
 def parse_load(text: str) -> LoadReport:
-    """Returns the load report of `name:figure` pairs; raises `ValueError`."""
+    """Returns the load report of `name:number` pairs. Raises `ValueError`."""
     pairs = (pair.partition(":") for pair in text.split(";"))
-    return load_report([(LOAD_NAMES.get(name, name), parse_figure(value)) for name, _, value in pairs])
+    return load_report([(LOAD_NAMES.get(name, name), parse_number(value)) for name, _, value in pairs])
 
 
 def parse_stamp(fields: Mapping[str, str]) -> CopyStamp | None:
-    """Which copy an answer carries, where it says so."""
+    """Returns which copy an answer carries; None if the answer does not say. Raises `ValueError`."""
     if "minted" not in fields:
         return None
     group = fields.get("lot")
     return CopyStamp(
-        fields.get("tag", ""), int(fields["minted"]) / 1000.0, None if group is None else int(group)
+        fields.get("tag", ""), int(fields["minted"]) / MS_PER_S, None if group is None else int(group)
     )
 
 
 def parse_result(answer: wire.CacheAnswer) -> AttemptResult:
-    """An answer as the result of its attempt; raises `CacheProtocolError`."""
+    """Returns the result that an answer gives its attempt. Raises `CacheProtocolError`."""
     try:
-        lag = answer.fields.get("lag")
+        source_wait_ms = answer.fields.get("lag")
         return AttemptResult(
             outcome=OUTCOMES[answer.status],
             body=answer.body,
             not_modified=answer.status == "VALID",
             detail=DETAILS.get(answer.fields.get("detail", "")),
-            source_wait=None if lag is None else parse_figure(lag) / 1000.0,
+            source_wait=None if source_wait_ms is None else parse_number(source_wait_ms) / MS_PER_S,
             load_report=parse_load(answer.fields["use"]) if answer.fields.get("use") else NO_LOAD_REPORT,
             stamp=parse_stamp(answer.fields),
             loop_hint=answer.fields.get("next", ""),
--- a/paddlequay/net/upstreams/connection_health.py
+++ b/paddlequay/net/upstreams/connection_health.py
@@ -1,13 +1,15 @@
-"""Whether a connection to a cache still answers, by what is in flight on it and what came when."""
+"""Judges whether a connection still answers, by its attempts in flight and the times of its reads."""
 
 import math
 
 from paddlequay.net.upstreams.connection import UpstreamConnection
 from paddlequay.requests.messages import UpstreamAttempt
 
+MAX_SPEEDUP_FACTOR = 2.0  # the rest of an answer may be received at this multiple of the rate so far
+
 
 def unanswered_since(connection: UpstreamConnection, received_at: float) -> list[UpstreamAttempt]:
-    """What is in flight and was written at or after a time, in monotonic seconds."""
+    """Returns the attempts in flight that were written at or after a time, in monotonic seconds."""
     return [
         attempt
         for attempt in connection.in_flight.values()
@@ -16,33 +18,43 @@
 
 
 def is_unresponsive(connection: UpstreamConnection, now: float) -> bool:
-    """Whether what is in flight shows it: several written since the last byte, and long ago.
+    """Returns whether too many attempts have waited too long since bytes were last received.
+
+    Closing the connection spares its attempts their timeouts, which would count against the sources of
+    their fills.
 
-    Left to their time-outs, they counted against the sources of their fills, whose limits were cut for it.
+    Args:
+        connection: The connection to judge.
+        now: The time in monotonic seconds.
     """
-    limits, last = connection.limits, connection.last_received_at
-    if now - last <= limits.silence_check_after:
+    limits = connection.limits
+    received_at = connection.last_received_at
+    if now - received_at <= limits.silence_check_after:
         return False
-    waiting = unanswered_since(connection, last)
-    enough = len(waiting) >= limits.connection_unanswered
-    return enough and connection.instance.is_unresponsive(waiting, now)
+    unanswered = unanswered_since(connection, received_at)
+    if len(unanswered) < limits.connection_unanswered:
+        return False
+    return connection.instance.is_unresponsive(unanswered, now)
 
 
 def is_stalled(connection: UpstreamConnection, now: float) -> bool:
-    """Whether the answer that is coming has stopped, or comes too slowly to be waited for.
+    """Returns whether the incomplete answer has stopped, or is received too slowly.
+
+    All answers behind it wait for its rest. The rest, at `MAX_SPEEDUP_FACTOR` times the rate so far, must
+    take no longer than its attempt may wait, and may always take `silence_check_after`.
 
-    All that is in flight behind it waits for its rest. At twice the rate so far, as an honest one may
-    begin slowly, that has to come while its own request may wait, or within `silence_check_after`
-    where nobody waits for it. Else a byte now and then holds a connection with thirty requests on it
-    until their time-outs.
+    Args:
+        connection: The connection to judge.
+        now: The time in monotonic seconds.
     """
-    limits, parser = connection.limits, connection.parser
-    elapsed = now - connection.answer_began_at
-    if not parser.has_begun or elapsed <= limits.cache_stall_timeout:
+    limits = connection.limits
+    parser = connection.parser
+    elapsed_s = now - connection.answer_began_at
+    if not parser.has_begun or elapsed_s <= limits.cache_stall_timeout:
         return False
     if now - connection.last_received_at > limits.cache_stall_timeout:
         return True
-    rest = elapsed / parser.progress - elapsed if parser.progress else math.inf
+    rest_s = elapsed_s / parser.progress - elapsed_s if parser.progress else math.inf
     attempt = connection.in_flight.get(parser.current_id or "")
-    left = 0.0 if attempt is None else attempt.expires_at - now
-    return rest > 2 * max(left, limits.silence_check_after)
+    time_left_s = 0.0 if attempt is None else attempt.expires_at - now
+    return rest_s > MAX_SPEEDUP_FACTOR * max(time_left_s, limits.silence_check_after)
--- a/paddlequay/net/upstreams/connection_reader.py
+++ b/paddlequay/net/upstreams/connection_reader.py
@@ -1,4 +1,4 @@
-"""The task of one connection to a cache, parent or the origin: it connects and reads until the end."""
+"""The task of one connection to a cache, a parent or the origin: connects, then reads until the end."""
 
 import asyncio
 import logging
@@ -11,63 +11,73 @@
 
 LOGGER = logging.getLogger(__name__)
 
-READS_PER_TURN = 4  # of what is there already, before other connections have their turn
+MAX_READS_PER_ITERATION = 4  # of bytes already received, before the event loop serves others
 
 
 class ConnectionReader:
     """Connects and reads for one connection, and finishes it at the end.
 
-    The connection does not refer to it: connections that refer to themselves are freed late.
+    The connection holds no reference to its reader: a reference cycle would delay the release of both.
     """
 
     def __init__(self, connection: UpstreamConnection) -> None:
         self.connection = connection
-        self.pool, self.limits = connection.pool, connection.limits
+        self.pool = connection.pool
+        self.limits = connection.limits
 
     async def run(self) -> None:
-        """Connect, then read until the end."""
+        """Connects, then reads until the end."""
         connection = self.connection
         try:
             await asyncio.wait_for(
                 connection.stream.connect(connection.instance.address), self.limits.connect_timeout
             )
         except (TimeoutError, StreamClosedError, OSError) as error:
-            to, why = connection.instance.name, type(error).__name__
             self.pool.counters.add("connect_failed")
-            log.event(LOGGER, logging.INFO, "connect_failed", to=to, why=why)
-            return connection.finish()
+            log.event(
+                LOGGER,
+                logging.INFO,
+                "connect_failed",
+                to=connection.instance.name,
+                why=type(error).__name__,
+            )
+            connection.finish()
+            return
         try:
             connection.stream.set_nodelay(True)
             self.pool.counters.add("connected")
             connection.is_up = True
-            connection.last_received_at = connection.last_used_at = self.pool.now()
+            now = self.pool.now()
+            connection.last_received_at = now
+            connection.last_used_at = now
             connection.write_waiting()
             await self.read()
         except StreamClosedError:
             pass
         except wire.CacheProtocolError as error:
-            at = connection.instance.name
             if self.pool.counters.add_once("bad_cache_lines"):
-                log.event(LOGGER, logging.WARNING, "bad_cache_line", at=at, why=str(error))
-        except Exception:  # this connection ends, and no other
+                name = connection.instance.name
+                log.event(LOGGER, logging.WARNING, "bad_cache_line", at=name, why=str(error))
+        except Exception:  # the edge of one connection: its error must not end another
             self.pool.counters.add("cache_errors")
             LOGGER.exception("cache_connection_failed")
         connection.finish()
 
     async def read(self) -> None:
-        """Read answers for as long as the connection is open."""
-        connection, reads = self.connection, 0
+        """Reads answers for as long as the connection is open. Raises what the stream or a handler raises."""
+        connection = self.connection
+        reads = 0
         while True:
-            # Not in a local name as well, see below.
+            # Held by the attribute alone, so that clearing it below releases the future.
             connection.pending_read = asyncio.ensure_future(
                 connection.stream.read_bytes(self.limits.read_size, partial=True)
             )
             try:
                 data = await connection.pending_read
             except BaseException:
-                connection.pending_read = None  # it keeps the error, which keeps the frames that lead here
+                connection.pending_read = None  # it refers to the error, and that to this frame
                 raise
             connection.handle_data(data)
             reads += 1
-            if len(data) == self.limits.read_size or reads % READS_PER_TURN == 0:
-                await asyncio.sleep(0)  # a read of what is there does not yield: others have a turn
+            if len(data) == self.limits.read_size or reads % MAX_READS_PER_ITERATION == 0:
+                await asyncio.sleep(0)  # reading bytes already received does not yield to the event loop
--- /dev/null
+++ b/paddlequay/net/upstreams/instance.py
@@ -0,0 +1,200 @@
+"""One instance of a cache, a parent or the origin, which assigns each attempt to one of its connections."""
+
+import errno
+import logging
+from typing import Protocol
+
+from paddlequay.config.values import Address
+from paddlequay.net.upstreams.connection import ConnectionOwner, UpstreamConnection
+from paddlequay.net.upstreams.connection_health import is_stalled, is_unresponsive, unanswered_since
+from paddlequay.observability import log
+from paddlequay.policy.failure_detector import RelativeLatency
+from paddlequay.protocol.endpoint_watch import Endpoint
+from paddlequay.requests.messages import AttemptResult, UpstreamAttempt
+from paddlequay.routing.interface import Outcome
+
+LOGGER = logging.getLogger(__name__)
+
+MAX_CONNECT_ATTEMPTS = 2  # the second one after an idle connection has released its descriptor
+
+
+class InstanceOwner(ConnectionOwner, Protocol):
+    """The pool of all instances."""
+
+    typical_latency: RelativeLatency
+
+    def spawn(self, connection: UpstreamConnection) -> None:
+        """Runs a connection until its end."""
+        ...
+
+    def has_capacity(self) -> bool:
+        """Returns whether one more connection may be opened, closing an idle one if needed."""
+        ...
+
+    def close_idle(self) -> bool:
+        """Closes the connection that was idle for longest; returns whether there was one."""
+        ...
+
+
+class UpstreamInstance:
+    """One run of a member, until it restarts or moves to another address. Times are monotonic seconds.
+
+    Attributes:
+        started: When the member started, in Unix seconds; None if unknown.
+        connections: The connections that may be assigned attempts.
+        removed: Whether the instance is no longer listed, so that nothing more is written to it.
+        restarted: Whether another instance of the same name has replaced it.
+        relative_latency: The mean latency of its recent answers.
+    """
+
+    def __init__(self, pool: InstanceOwner, listed: Endpoint) -> None:
+        self.pool = pool
+        self.name = listed.member.name
+        self.started = listed.member.started
+        self.address: Address = listed.address
+        self.connections: list[UpstreamConnection] = []
+        self.removed = False
+        self.restarted = False
+        self.relative_latency = RelativeLatency()
+
+    def is_replaced_by(self, listed: Endpoint) -> bool:
+        """Returns whether an endpoint of the same name has restarted since, or has another address."""
+        has_restarted = (listed.member.started or 0) > (self.started or 0)
+        return has_restarted or listed.address != self.address
+
+    def record_latency(self, attempt: UpstreamAttempt, latency: float) -> None:
+        """Records the latency of an answered attempt, in seconds."""
+        self.relative_latency.record(latency)
+        self.pool.typical_latency.record(latency)
+        self.pool.latencies.record(attempt.pending.request.class_name, latency)
+
+    def is_unresponsive(self, attempts: list[UpstreamAttempt], now: float) -> bool:
+        """Returns whether these unanswered attempts have waited too long to be explained by chance.
+
+        A member whose recent answers were slow is given more time.
+        """
+        ages = [(each.pending.request.class_name, now - (each.written_at or now)) for each in attempts]
+        max_age_s = max((age for _, age in ages), default=0.0)
+        if max_age_s <= self.pool.limits.silence_check_after:
+            return False
+        slowness = self.relative_latency.ratio_to(self.pool.typical_latency)
+        return self.pool.latencies.is_unresponsive(ages, slowness)
+
+    def start(self, attempt: UpstreamAttempt) -> None:
+        """Assigns an attempt to a connection; without one, the attempt ends as not sent."""
+        connection = None if self.removed else self.choose_connection(attempt)
+        if connection is None:
+            self.pool.counters.add("no_connection_left")
+            self.pool.exchange.attempts.end(attempt, AttemptResult(Outcome.NOT_SENT))
+            return
+        connection.waiting.append(attempt)
+        attempt.carrier = connection
+        connection.write_waiting()
+
+    def choose_connection(self, attempt: UpstreamAttempt) -> UpstreamConnection | None:
+        """Returns the connection for an attempt; None if there is none.
+
+        The order is: the most loaded connection with less than `requests_per_connection`, a new connection,
+        the least loaded of the others. One invalid answer ends all attempts in flight on its connection, so
+        that few share one; filling one before the next lets unneeded connections close as idle.
+        """
+        limits = self.pool.limits
+        lightly_loaded = None
+        spare = None
+        best_load = -1
+        spare_load = limits.cache_streams
+        for connection in self.connections:  # a single pass, as each attempt makes it
+            load = connection.load
+            if load < limits.requests_per_connection:
+                if load > best_load and connection.accepts(attempt):
+                    lightly_loaded = connection
+                    best_load = load
+            elif lightly_loaded is None and load < spare_load and connection.accepts(attempt):
+                spare = connection
+                spare_load = load
+        if lightly_loaded is not None:
+            return lightly_loaded
+        if attempt.never_resend and spare is None and len(self.connections) >= limits.cache_connections:
+            self.close_first_idle()
+        if len(self.connections) < limits.cache_connections and self.pool.has_capacity():
+            return self.connect() or spare
+        return spare
+
+    def close_first_idle(self) -> None:
+        """Closes the oldest idle connection, to open a fresh one for an attempt that must not be repeated."""
+        for connection in self.connections:
+            if connection.is_idle:
+                self.forget(connection)
+                connection.stream.close()
+                return
+
+    def connect(self) -> UpstreamConnection | None:
+        """Opens one more connection; returns None if the system provides no socket.
+
+        A missing socket is no fault of the member. The quotas leave descriptors for all connections, but
+        clients about to be closed, or a limit lowered in service, may have used them up.
+        """
+        for _ in range(MAX_CONNECT_ATTEMPTS):
+            try:
+                connection = UpstreamConnection(self.pool, self)
+            except OSError as error:
+                if self.pool.counters.add_once("no_socket"):
+                    log.event(LOGGER, logging.WARNING, "no_socket", to=self.name, why=str(error))
+                if error.errno not in (errno.EMFILE, errno.ENFILE) or not self.pool.close_idle():
+                    break
+            else:
+                self.connections.append(connection)
+                self.pool.spawn(connection)
+                return connection
+        return None
+
+    def forget(self, connection: UpstreamConnection) -> None:
+        """Assigns no more attempts to a connection; ignores one that was forgotten before."""
+        if connection in self.connections:
+            self.connections.remove(connection)
+
+    def close_unresponsive(self, now: float) -> None:
+        """Closes connections that no longer answer, or that lead to a replaced instance.
+
+        A connection with unread bytes is left for the next heartbeat, after they are read.
+        """
+        is_silent = self.is_silent(now)
+        for connection in self.connections[:]:
+            cause = self.cause_to_close(connection, is_silent, now)
+            if cause is not None and not connection.stream.closed() and not connection.has_unread:
+                self.pool.counters.add(cause)
+                connection.stream.close()
+
+    def is_silent(self, now: float) -> bool:
+        """Returns whether all connections together show that the instance does not answer."""
+        limits = self.pool.limits
+        read_at = max((connection.last_read_at for connection in self.connections), default=now)
+        if now - read_at <= limits.silence_check_after:
+            return False
+        unanswered = [
+            attempt for connection in self.connections for attempt in unanswered_since(connection, read_at)
+        ]
+        return len(unanswered) >= limits.instance_unanswered and self.is_unresponsive(unanswered, now)
+
+    def cause_to_close(self, connection: UpstreamConnection, is_silent: bool, now: float) -> str | None:
+        """Returns the counter of the cause for which a connection must be closed; None if it may stay."""
+        if is_stalled(connection, now):
+            return "stalled_answers"
+        if is_unresponsive(connection, now) or (is_silent and connection.in_flight):
+            return "unresponsive_connections"
+        if self.restarted and connection.in_flight:
+            return "restarted_connections"
+        return None
+
+    def sweep(self, now: float) -> None:
+        """Closes idle connections that are too old, unresponsive, or lead to a removed instance.
+
+        A connection that carried only attempts that must not be repeated is not reused once it is older
+        than `max_reuse_idle`, and would only fill the connection table of its peer.
+        """
+        limits = self.pool.limits
+        for connection in [each for each in self.connections if each.is_idle]:
+            timeout = limits.max_reuse_idle if connection.only_never_resend else limits.cache_idle_timeout
+            has_expired = now - connection.last_used_at > timeout
+            if self.removed or has_expired or connection.unresponsive:
+                connection.stream.close()
