--- a/paddlequay/net/endpoints/dns_source.py
+++ b/paddlequay/net/endpoints/dns_source.py
@@ -1,4 +1,4 @@
-"""DNS as a source of members: the services of the settings, what they subscribe to, and their reports."""
+"""DNS as a source of members: follows the services of the settings and reports their members."""
 
 import logging
 import random
@@ -21,10 +21,17 @@
 
 
 class DnsSource:
-    """The services of one router and the resolver that looks them up; without servers it does nothing."""
+    """Follows the services of one router with a resolver; does nothing without DNS servers.
+
+    Attributes:
+        subscribed: The record sets that the resolver keeps looked up.
+        has_changed: Whether a record set has changed since the last report.
+        reported_at: When the last report was made, in seconds of the clock `now`.
+    """
 
     def __init__(self, settings: DiscoverySettings, counters: Counters, now: Callable[[], float]) -> None:
-        self.counters, self.now = counters, now
+        self.counters = counters
+        self.now = now
         self.services = [ServiceWatch(service) for service in settings.services]
         self.subscribed: set[tuple[Name, RecordType]] = set()
         self.has_changed = False
@@ -35,27 +42,28 @@
             self.driver = ResolverDriver(resolver, counters, now, self.on_record_set)
 
     def start(self, background: TaskSupervisor) -> None:
-        """Begin to look up."""
+        """Starts the resolver and its first lookups."""
         if self.driver is not None:
             background.supervise("resolver", self.driver.run)
             self.update_subscriptions()
 
     def close(self) -> None:
-        """Close all sockets."""
+        """Closes all sockets."""
         if self.driver is not None:
             self.driver.close()
 
     def on_record_set(self, known: RecordSetKnown) -> None:
-        """A record set has changed."""
+        """Passes a changed record set to the services."""
         for service in self.services:
             if service.update(known):
                 self.has_changed = True
 
     def update_subscriptions(self) -> None:
-        """Subscribe to what the services need now, and no longer to what they do not."""
+        """Subscribes to the record sets that the services need now, and unsubscribes from all others."""
         if self.driver is None:
             return
-        resolver, now = self.driver.resolver, self.now()
+        resolver = self.driver.resolver
+        now = self.now()
         needed = (service.required_names() for service in self.services)
         required: set[tuple[Name, RecordType]] = set().union(*needed)
         for name, kind in self.subscribed - required:
@@ -69,7 +77,7 @@
         self.subscribed = required
 
     def is_fresh(self) -> bool:
-        """Whether all services are known by answers that still hold: else DNS says nothing new."""
+        """Returns whether valid answers describe all services; otherwise DNS is silent as a source."""
         now = self.now()
         for service in self.services:
             known = service.srv
@@ -78,14 +86,15 @@
         return True
 
     def is_report_due(self) -> bool:
-        """Whether something has changed, or the last report is `REPORT_INTERVAL_S` old.
+        """Returns whether something has changed, or the last report is `REPORT_INTERVAL_S` old.
 
-        Tiers fall back and return by time as well: looked at now and then where nothing came.
+        The interval is for SRV priorities, which may also change with time alone.
         """
         return self.has_changed or self.now() - self.reported_at > REPORT_INTERVAL_S
 
     def report(self) -> list[ReportedMember]:
-        """The members that the services give now."""
+        """Returns the members of all services now."""
         now = self.now()
-        self.has_changed, self.reported_at = False, now
+        self.has_changed = False
+        self.reported_at = now
         return [member for service in self.services for member in service.members(now)]
--- a/paddlequay/net/endpoints/endpoint_watch.py
+++ b/paddlequay/net/endpoints/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list: members and purges, put in force in their order."""
+"""Watches the endpoint list, and applies its lists of members and its purges in order."""
 
 import logging
 from collections.abc import Callable, Iterable, Mapping
@@ -7,7 +7,8 @@
 
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
-from paddlequay.net.endpoints.watch_client import EventParser, WatchClient
+from paddlequay.net.endpoints.watch_client import WatchClient
+from paddlequay.net.endpoints.watch_connection import EventParser
 from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
@@ -24,9 +25,16 @@
 
 LOGGER = logging.getLogger(__name__)
 
+MAX_QUOTED_CHARS = 40  # of an invalid value, in an error
+
 
 class EndpointWatch(WatchClient[EndpointList | PurgeEvent]):
-    """Keeps exchange and pool up to date with the endpoint list."""
+    """Keeps the exchange and the pool up to date with the endpoint list.
+
+    Attributes:
+        on_endpoint_list: Applies a list; the membership takes its place where there are other sources.
+        on_alive: Called at each heartbeat that finds all events applied.
+    """
 
     gapless = True
 
@@ -34,32 +42,33 @@
         self, address: Address, exchange: Exchange, pool: ConnectionPool, limits: Limits, counters: Counters
     ) -> None:
         super().__init__(address, limits, counters, "endpoint_watch")
-        self.exchange, self.pool = exchange, pool
+        self.exchange = exchange
+        self.pool = pool
         self.on_endpoint_list: Callable[[EndpointList], None] = self.apply_endpoint_list
         self.on_alive: Callable[[], None] = lambda: None
 
     def make_parser(self) -> EventParser[EndpointList | PurgeEvent | WatchHeartbeat | UnusableLine]:
-        """A parser for a new connection."""
+        """Returns a parser for a new connection."""
         return wire.WatchEventParser(self.limits.max_bulletin_line)
 
     def start_from(self, known: Mapping[str, Any]) -> None:
-        """Apply the events of the configuration. Raises `EndpointWatchError` where they cannot be used."""
+        """Applies the events of the configuration. Raises `EndpointWatchError` if they are invalid."""
         number = known.get("no", 0)
         if not wire.is_number(number):
-            raise wire.EndpointWatchError(f"no: expected a number, got {str(number)[:40]!r}")
+            raise wire.EndpointWatchError(f"no: expected a number, got {str(number)[:MAX_QUOTED_CHARS]!r}")
         for item in known["items"]:
-            news = wire.parse_event(item)
-            if not isinstance(news, WatchHeartbeat) and news.number > self.last_number:
-                self.apply_event(news)
-                self.last_number = news.number
+            event = wire.parse_event(item)
+            if not isinstance(event, WatchHeartbeat) and event.number > self.last_number:
+                self.apply_event(event)
+                self.last_number = event.number
         self.last_number = max(self.last_number, number)
 
     def heartbeat(self, number: int) -> None:
-        """No event is out beyond those applied: the source is alive."""
+        """Reports that the source is alive and all its events are applied."""
         self.on_alive()
 
     def apply_event(self, event: EndpointList | PurgeEvent) -> None:
-        """Put a list or a purge in force."""
+        """Applies a list or a purge."""
         if isinstance(event, PurgeEvent):
             self.exchange.record_purge(event.key, event.group, event.issued_at)
             self.counters.add("purges")
@@ -78,45 +87,47 @@
         self.counters.add("endpoint_lists")
 
     def apply_endpoint_list(self, item: EndpointList) -> None:
-        """The endpoint list alone names the members.
+        """Applies a list to the pool and the exchange, where no other source names members.
 
-        The pool first: a decision that follows may send to whom the list names.
+        The pool comes first, as a decision that follows may send to any listed member.
         """
         listed = (*item.endpoints, *self.as_draining(item.draining_ids))
         self.pool.update_endpoints(listed, item.full)
         self.exchange.update_members(tuple(entry.member for entry in listed), item.full)
 
     def skip_event(self, event: EndpointList | PurgeEvent) -> None:
-        """A list that failed as a unit: apply what can be, entry by entry."""
+        """Applies the valid entries of a list that failed as a whole."""
         if isinstance(event, EndpointList):
             listed = [*event.endpoints, *self.as_draining(event.draining_ids)]
-            if self.on_endpoint_list != self.apply_endpoint_list:  # who comes is for the membership to say
+            has_membership = self.on_endpoint_list != self.apply_endpoint_list
+            if has_membership:  # it alone adds members
                 listed = [entry for entry in listed if entry.member.state is not MemberState.READY]
             apply_one_by_one(self.pool, self.exchange, listed)
 
     def as_draining(self, names: Iterable[str]) -> Iterable[Endpoint]:
-        """Members as they are known, but out of service."""
+        """Returns known members as draining; ignores unknown names."""
         for name in names:
-            member, instance = self.exchange.members.get(name), self.pool.instances.get(name)
+            member = self.exchange.members.get(name)
+            instance = self.pool.instances.get(name)
             if member is not None and instance is not None:
                 yield Endpoint(replace(member, state=MemberState.DRAINING), instance.address)
 
 
 def apply_one_by_one(pool: ConnectionPool, exchange: Exchange, listed: Iterable[Endpoint]) -> set[str]:
-    """Put in force what can be, after a list failed as a unit; the names of those that failed again.
+    """Applies the entries of a list that failed as a whole; returns the names of those that failed again.
 
-    A drain or a removal binds what is decided and written even where the pool cannot follow it.
+    A drain or a removal applies to the decisions and the writes even if the pool cannot follow it.
     """
     failed = set()
     for entry in listed:
         try:
             pool.update_endpoints((entry,), False)
-        except Exception:
+        except Exception:  # the edge of one entry: its error must not keep the others from being applied
             failed.add(entry.member.name)
             if entry.member.state is MemberState.READY:
                 continue
         try:
             exchange.update_members((entry.member,), False)
-        except Exception:
+        except Exception:  # the edge of one entry, as above
             failed.add(entry.member.name)
     return failed
--- a/paddlequay/net/endpoints/members.py
+++ b/paddlequay/net/endpoints/members.py
@@ -1,4 +1,4 @@
-"""Discovery in the router: sources report to one membership, whose changes go to pool and exchange."""
+"""Connects the sources of members to the membership, and its changes to the pool and the exchange."""
 
 import asyncio
 import json
@@ -12,24 +12,37 @@
 from paddlequay.discovery.reports import MembershipChange, ReportedMember, TooManyMembersError
 from paddlequay.lifecycle.background import TaskSupervisor
 from paddlequay.net.endpoints.dns_source import DnsSource
-from paddlequay.net.endpoints.endpoint_watch import EndpointWatch, apply_one_by_one
+from paddlequay.net.endpoints.endpoint_watch import EndpointWatch
+from paddlequay.net.endpoints.member_changes import MemberChanges
 from paddlequay.net.endpoints.saved_members import SavedMembers
 from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.endpoint_watch import Endpoint, EndpointList
 from paddlequay.requests.exchange import Exchange
-from paddlequay.routing.interface import Member, MemberState
+from paddlequay.routing.interface import MemberState
 from paddlequay.schema.sources import DiscoverySettings
 
 LOGGER = logging.getLogger(__name__)
 
+# The sources, as the settings name them.
+LIST_SOURCE = "list"
+DNS_SOURCE = "dns"
+SAVED_SOURCE = "kept"
+
 TICK_INTERVAL_S = 0.25
 SAVE_INTERVAL_S = 5.0
 
 
 class MemberSources:
-    """All sources of members of one router."""
+    """All sources of members of one router: the endpoint list, DNS and the saved file.
+
+    Attributes:
+        membership: Decides which reported members are in service.
+        changes: Applies the changes of the membership.
+        needs_save: Whether the membership has changed since it was saved.
+        saved_at: When it was saved last, in seconds of the clock `now`.
+    """
 
     def __init__(
         self,
@@ -40,13 +53,16 @@
         counters: Counters,
         name: str,
     ) -> None:
-        self.exchange, self.pool, self.counters = exchange, pool, counters
-        self.endpoint_watch, self.name = endpoint_watch, name
+        self.exchange = exchange
+        self.pool = pool
+        self.counters = counters
+        self.endpoint_watch = endpoint_watch
+        self.name = name
         self.settings = settings
         self.membership = Membership(settings.rules, settings.limits)
         self.dns = DnsSource(settings, counters, self.now)
         self.saved = self.make_saved()
-        self.pending_changes: dict[str, MembershipChange] = {}  # by id; bounded by the members
+        self.changes = MemberChanges(pool, exchange, counters)
         self.needs_save = False
         self.saved_at = 0.0
         self.background = TaskSupervisor(counters)
@@ -55,153 +71,126 @@
         self.recover()
 
     def now(self) -> float:
-        """The decisions' clock: it never goes back, and stands on Unix time as start times do."""
+        """Returns the time of the decisions' clock: Unix seconds that never go back."""
         return self.exchange.scheduler.monotonic() + self.exchange.attempts.clock_offset
 
     def has_source(self, source: str) -> bool:
-        """Whether the settings name a source."""
+        """Returns whether the settings name a source."""
         return source in self.membership.sources
 
     def make_saved(self) -> SavedMembers | None:
-        """The file of members, where the settings name a folder."""
+        """Returns the file of members; None if the settings name no folder."""
         folder = self.settings.folder
         return None if folder is None else SavedMembers(folder, self.name, self.counters)
 
     def recover(self) -> None:
-        """Begin with the members of the last run, in case no source can be reached."""
+        """Starts with the members of the last run, in case no source can be reached."""
         data = self.saved.load() if self.saved is not None else None
         if self.saved is None or data is None:
             return
         try:
-            self.apply(self.membership.recover(data, "kept", self.now()))
+            self.apply(self.membership.recover(data, SAVED_SOURCE, self.now()))
         except ValueError as error:
-            return self.saved.report_unreadable(error)
+            self.saved.report_unreadable(error)
+            return
         count = len(self.membership.members)
         log.event(LOGGER, logging.INFO, "members_from_file", count=count)
 
     def start(self) -> None:
-        """Begin to look up and to keep time."""
+        """Starts the clock and the DNS lookups."""
         self.background.supervise("members", self.tick_periodically)
         self.dns.start(self.background)
 
     def stop(self) -> None:
-        """End all tasks and sockets."""
+        """Cancels all tasks and closes all sockets."""
         for task in self.background.tasks:
             task.cancel()
         self.dns.close()
 
-    # --- what sources say ---
+    # --- reports of the sources ---
 
     def report(self, source: str, members: Iterable[ReportedMember], full: bool) -> None:
-        """A report of a source; one of too many members still binds those that are known."""
+        """Applies a report of a source; of one with too many members, only the part about known members."""
         if not self.has_source(source):
             return
-        members, now = tuple(members), self.now()
+        members = tuple(members)
+        now = self.now()
         try:
             self.apply(self.membership.report(source, members, full, now))
         except TooManyMembersError as error:
             if self.counters.add_once("members_refused"):
                 log.event(LOGGER, logging.WARNING, "members_refused", why=str(error))
-            # What it says of those that are members holds all the same: drains and ends above all.
+            # Reports about known members still apply, above all drains and removals.
             reports = self.membership.sources[source].reports
-            named = [member for member in members if member.id in reports]
-            self.apply(self.membership.report(source, named, False, now))
+            known = [member for member in members if member.id in reports]
+            self.apply(self.membership.report(source, known, False, now))
 
     def on_endpoint_list(self, item: EndpointList) -> None:
-        """The endpoint list has changed."""
-        if not self.has_source("list"):
+        """Reports a changed endpoint list."""
+        if not self.has_source(LIST_SOURCE):
             return
-        reports = self.membership.sources["list"].reports
+        reports = self.membership.sources[LIST_SOURCE].reports
         drained = [
             replace(reports[id].member, state=MemberState.DRAINING)
             for id in item.draining_ids
             if id in reports
         ]
-        self.report("list", [*map(reported_member, item.endpoints), *drained], item.full)
+        self.report(LIST_SOURCE, [*map(reported_member, item.endpoints), *drained], item.full)
 
     def on_alive(self) -> None:
-        """The endpoint list has no news."""
-        if self.has_source("list"):
-            self.apply(self.membership.alive("list", self.now()))
+        """Reports that the endpoint list is alive and unchanged."""
+        if self.has_source(LIST_SOURCE):
+            self.apply(self.membership.alive(LIST_SOURCE, self.now()))
 
     async def tick_periodically(self) -> None:
-        """Tick for as long as the program runs."""
+        """Ticks every `TICK_INTERVAL_S` until cancelled."""
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             try:
                 self.tick()
-            except Exception:
+            except Exception:  # the edge of one tick: its error must not end the task
                 if self.counters.add_once("members_errors"):
                     LOGGER.exception("members_failed")
 
     def tick(self) -> None:
-        """What time alone changes, and a report of DNS where it is due."""
+        """Applies what changes with time alone, and the report of DNS if it is due."""
         now = self.now()
         if self.dns.driver is not None:
             self.tick_dns(now)
         self.apply(self.membership.tick(now))
-        if self.needs_save and now - self.saved_at > SAVE_INTERVAL_S and self.saved is not None:
-            self.needs_save, self.saved_at = False, now
+        is_save_due = self.needs_save and now - self.saved_at > SAVE_INTERVAL_S
+        if is_save_due and self.saved is not None:
+            self.needs_save = False
+            self.saved_at = now
             self.background.spawn("members_save", self.saved.save(self.membership.snapshot()))
 
     def tick_dns(self, now: float) -> None:
-        """What DNS says now. While it says nothing, its reports hold as the rules have it."""
+        """Reports the members of DNS; while DNS is silent, the rules bound how long its reports hold."""
         self.dns.update_subscriptions()
         if not self.dns.is_fresh():
             return
         if self.dns.is_report_due():
-            self.report("dns", self.dns.report(), True)
+            self.report(DNS_SOURCE, self.dns.report(), True)
         else:
-            self.apply(self.membership.alive("dns", now))
+            self.apply(self.membership.alive(DNS_SOURCE, now))
 
     def apply(self, changes: list[MembershipChange]) -> None:
-        """Changes to pool and exchange, the pool first: a decision may send to whom it names.
+        """Applies changes of the membership, and those that failed before."""
+        if self.changes.apply(changes):
+            self.needs_save = True
 
-        Those that could not be announced are announced again at each tick: the membership has them already.
-        """
-        for change in changes:
-            self.pending_changes.pop(change.member.id, None)
-            self.pending_changes[change.member.id] = change
-        if not self.pending_changes:
-            return
-        self.needs_save = True
-        changes, self.pending_changes = list(self.pending_changes.values()), {}
-        listed = tuple(map(endpoint_of, changes))
-        try:
-            self.pool.update_endpoints(listed, False)
-            self.exchange.update_members(tuple(entry.member for entry in listed), False)
-        except Exception:
-            if self.counters.add_once("members_errors"):
-                LOGGER.exception("members_failed")
-            failed = apply_one_by_one(self.pool, self.exchange, listed)
-            self.pending_changes = {
-                change.member.id: change for change in changes if change.member.id in failed
-            }
-            changes = [change for change in changes if change.member.id not in failed]
-        for change in changes:
-            self.counters.add(f"members.{change.rule}")
-            log.event(
-                LOGGER,
-                logging.INFO,
-                "member",
-                id=change.member.id,
-                at=f"{change.member.address[0]}:{change.member.address[1]}",
-                state=change.member.state.value,
-                rule=change.rule,
-                why=change.reason,
-            )
-
-    # --- changed while serving ---
+    # --- reload ---
 
     def reload(self, settings: DiscoverySettings) -> None:
-        """Other sources from now on.
+        """Replaces the sources.
 
-        What those that stay have reported holds; others' reports go as if never made. Members that both know
-        are not announced anew, so that nothing in use is closed.
+        Reports of sources that stay are kept, all others are forgotten. Members known before and after are
+        not announced again, so that their connections stay open.
         """
         membership, changes = with_sources(self.membership, settings.rules, settings.limits, self.now())
         dns_changed = (settings.servers, settings.services) != (self.settings.servers, self.settings.services)
-        self.settings, self.membership = settings, membership
+        self.settings = settings
+        self.membership = membership
         self.saved = self.make_saved()
         if dns_changed:
             self.stop()
@@ -212,16 +201,16 @@
     # --- for operators ---
 
     def page(self) -> str:
-        """`GET /-/members`: sources and members, as one line of JSON."""
+        """Returns the sources and members as one line of JSON, for `GET /-/members`."""
         return json.dumps(membership_page(self.membership, self.now()))
 
     def explain(self, id: str) -> str:
-        """`GET /-/members/ID`: which source said what, and which rule won."""
+        """Returns the reports about a member and the rule that decided, for `GET /-/members/ID`."""
         return "\n".join(explain(self.membership, id, self.now()))
 
 
 def reported_member(listed: Endpoint) -> ReportedMember:
-    """An endpoint as a source's report."""
+    """Returns an endpoint as the report of a source."""
     member = listed.member
     return ReportedMember(
         member.name,
@@ -233,20 +222,3 @@
         member.started,
         member.state or MemberState.READY,
     )
-
-
-def endpoint_of(change: MembershipChange) -> Endpoint:
-    """A change as an endpoint."""
-    member = change.member
-    return Endpoint(
-        Member(
-            member.id,
-            member.zone,
-            member.kind,
-            member.cell,
-            member.state,
-            member.weight,
-            member.started or 0.0,
-        ),
-        member.address,
-    )
--- a/paddlequay/net/endpoints/saved_members.py
+++ b/paddlequay/net/endpoints/saved_members.py
@@ -1,4 +1,4 @@
-"""The members of the last run, saved in the installation's folder."""
+"""The file of members, by which a router starts with the members of its last run."""
 
 import asyncio
 import json
@@ -13,17 +13,20 @@
 
 LOGGER = logging.getLogger(__name__)
 
-RECORD_KIND, RECORD_FORMAT = "members", 1
+RECORD_KIND = "members"
+RECORD_FORMAT = 1
+MAX_REASON_CHARS = 200  # of an error, in a log line
 
 
 class SavedMembers:
-    """One router's file of members; failures are counted and logged, and raise nothing."""
+    """One router's file of members. Failures are counted and logged, and never raised."""
 
     def __init__(self, folder: Path, router: str, counters: Counters) -> None:
-        self.path, self.counters = folder / f"members-{router}", counters
+        self.path = folder / f"members-{router}"
+        self.counters = counters
 
     def load(self) -> Any:
-        """What was saved; None where there is nothing that can be read."""
+        """Returns the saved snapshot; None if there is none or it cannot be read."""
         try:
             body = record_files.load(self.path, RECORD_KIND, RECORD_FORMAT)
             return None if body is None else json.loads(body)
@@ -32,12 +35,13 @@
             return None
 
     def report_unreadable(self, error: Exception) -> None:
-        """What was saved cannot be used."""
+        """Counts and logs a file that cannot be used."""
         self.counters.add("members_unreadable")
-        log.event(LOGGER, logging.WARNING, "members_unreadable", path=self.path, why=str(error)[:200])
+        why = str(error)[:MAX_REASON_CHARS]
+        log.event(LOGGER, logging.WARNING, "members_unreadable", path=self.path, why=why)
 
     async def save(self, snapshot: dict[str, Any]) -> None:
-        """Replace the file, off the loop: the flush of a disk may take long."""
+        """Replaces the file in a thread, as a disk may take long to flush."""
         body = json.dumps(snapshot, separators=(",", ":")).encode()
         try:
             await asyncio.to_thread(record_files.save, self.path, RECORD_KIND, RECORD_FORMAT, body)
--- a/paddlequay/net/endpoints/watch_client.py
+++ b/paddlequay/net/endpoints/watch_client.py
@@ -1,29 +1,25 @@
-"""Event streams that are followed for as long as the program runs, over connections that end or fall silent.
-
-The endpoint list comes with a heartbeat each second, and what it has to say counts as known 7 s after it is
-out, whether it came or not. A watch is one connection; it brings something when a complete heartbeat or event
-comes on it. One that brings nothing for `SUSPECT_AFTER_S` is suspected, not ended: a further one is begun
-beside it, and whichever brings something first is kept alone. So nothing is given up for being late, and
-steps do not add up: with an event out right after the last heartbeat, further watches begin 1.5, 3, 4.5 and 6
-s later. Two of them may come up late, be silent or hang, and the third still has 2.5 s to come up and bring
-it. One that is refused, breaks off or brings what cannot be is followed by the next after a pause.
+"""Follows an event stream for as long as the program runs, across connections that end or fall silent.
+
+The source sends a heartbeat each second, and expects an event to be known 7 s after its publication. A watch
+is one connection; it makes progress when a complete heartbeat or event is received. A watch without progress
+for `SUSPECT_AFTER_S` is suspected but kept: a further one starts beside it, and the first to make progress is
+kept alone. For an event published right after the last heartbeat, further watches start after 1.5, 3, 4.5 and
+6 s: two may be late, silent or hang, and the third has 2.5 s left to bring the event. A watch that is
+refused, ends or sends invalid data is followed by the next after a backoff.
 """
 
 import asyncio
 import contextlib
 import functools
-import logging
-import socket
-from collections.abc import Callable, Iterator
-from typing import Generic, Protocol, TypeVar
+from typing import Generic, TypeVar
 
-from tornado.iostream import IOStream, StreamClosedError
+from tornado.iostream import StreamClosedError
 
 from paddlequay.config.limits import Limits
 from paddlequay.config.values import Address
-from paddlequay.net.endpoints.loss_report import LossReport
 from paddlequay.net.endpoints.spare_socket import SpareSocket
-from paddlequay.observability import log
+from paddlequay.net.endpoints.stream_report import StreamReport
+from paddlequay.net.endpoints.watch_connection import EventParser, NumberedEvent, WatchConnection
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.endpoint_watch import (
     EndpointWatchError,
@@ -32,103 +28,84 @@
     resume_request,
 )
 
-LOGGER = logging.getLogger(__name__)
-
-SUSPECT_AFTER_S = 1.5  # a heartbeat's second, and half of one for the way and a late turn
-MAX_WATCHES = 3  # at once: one begun 1.5 s ago, or 3, may only be late
-RETRY_PAUSE_S = 0.2  # seconds before the next watch where the last one was refused or has ended
-MAX_RETRY_PAUSE_S = 1.0  # it doubles while the same event cannot be applied, up to this
-MAX_ATTEMPTS = 3  # at the same event, 1.4 s in all; then it is skipped
-MAX_TURN_S = 0.005  # seconds after which a read's further events wait for the loop's next turn
-
-
-class NumberedEvent(Protocol):
-    """An event with a number; numbers go up."""
-
-    @property
-    def number(self) -> int:
-        """Its place in the sequence of events."""
-        ...
-
+SUSPECT_AFTER_S = 1.5  # the interval of heartbeats, and half of it for delays
+MAX_WATCHES = 3  # at once, as the ones started 1.5 and 3 s ago may only be late
+RETRY_PAUSE_S = 0.2  # from a refused or ended watch to the next
+MAX_RETRY_PAUSE_S = 1.0  # the pause doubles up to this while the same event cannot be applied
+MAX_ATTEMPTS = 3  # at the same event, 1.4 s in all, before it is skipped
+MAX_TURN_S = 0.005  # for the events of one read, before the event loop serves others
 
 E = TypeVar("E", bound=NumberedEvent)
-N = TypeVar("N", covariant=True)
-
-
-class EventParser(Protocol[N]):
-    """Takes bytes as they come and gives the events of complete lines. Raises nothing."""
-
-    def feed(self, data: bytes) -> Iterator[N]:
-        """The events that are complete with these bytes."""
-        ...
-
-
-class WatchConnection(IOStream):
-    """One connection. Its descriptor goes back to its client in the very turn in which it closes.
-
-    Where all others are taken and clients wait for one, none is left a moment later.
-    """
-
-    def __init__(self, made: socket.socket, freed: Callable[[], None], now: float) -> None:
-        self.on_closed, self.read_at = freed, now
-        self.is_dropped = False  # neither its events nor its end count any more
-        super().__init__(made)
-
-    def close_fd(self) -> None:
-        """Close, and notify the client."""
-        super().close_fd()
-        self.on_closed()
 
 
 class WatchClient(Generic[E]):
-    """Connects, writes `after N`, applies what comes. `name` stands in log lines and counters."""
+    """Connects, requests the events after the last one, and applies them in order.
+
+    Args:
+        address: The address of the source.
+        limits: The bounds of connections.
+        counters: The counters of the program.
+        name: The name of the stream in log events and counters.
+
+    Attributes:
+        gapless: Whether numbers increase by one, so that a missing event is requested again.
+        last_number: The number of the last event that is applied or skipped.
+        failed_watches: The watches in a row that ended with an event that could not be applied.
+        watches: The open connections, the latest last.
+        spare_socket: For the next watch, if no file descriptor is left.
+        next_watch_at: When the next watch starts, by the event loop's clock.
+        is_current: Set once all events published at some time since the start are applied.
+    """
 
-    gapless = False  # whether numbers go up by one, so that a missing one is requested again
+    gapless = False
 
     def __init__(self, address: Address, limits: Limits, counters: Counters, name: str) -> None:
-        self.address, self.limits, self.counters, self.name = address, limits, counters, name
-        self.last_number = 0  # the last event that is in force, or skipped for good
-        self.loss = LossReport(name, counters)
-        self.failed_watches = 0  # in a row, for an event that could not be applied
-        self.watches: list[WatchConnection] = []  # open, the latest begun last
-        self.spare_socket = SpareSocket()  # for the next watch, where all descriptors are taken
-        self.next_watch_at = 0.0  # when the next watch begins, by the loop's clock
+        self.address = address
+        self.limits = limits
+        self.counters = counters
+        self.name = name
+        self.last_number = 0
+        self.report = StreamReport(name, counters)
+        self.failed_watches = 0
+        self.watches: list[WatchConnection] = []
+        self.spare_socket = SpareSocket()
+        self.next_watch_at = 0.0
         self.wake_up = asyncio.Event()
-        self.is_current = asyncio.Event()  # all events that were out at some time since the start have come
+        self.is_current = asyncio.Event()
 
-    # --- what a subclass says of its events ---
+    # --- defined by the kind of stream ---
 
     def make_parser(self) -> EventParser[E | WatchHeartbeat | UnusableLine]:
-        """A parser for a new connection."""
+        """Returns a parser for a new connection."""
         raise NotImplementedError
 
     def apply_event(self, event: E) -> None:
-        """Put an event in force. Called again for one that failed: applied twice, it comes to the same."""
+        """Applies an event. Must be idempotent, as it is called again for an event that failed."""
         raise NotImplementedError
 
     def skip_event(self, event: E) -> None:
-        """An event failed each time: apply what can be saved of it. Raises nothing."""
+        """Applies the valid part of an event that failed `MAX_ATTEMPTS` times. Raises nothing."""
 
     def heartbeat(self, number: int) -> None:
-        """No event is out beyond those applied."""
+        """Handles a heartbeat that finds all published events applied."""
 
     # --- connections ---
 
     def change_address(self, address: Address) -> None:
-        """Follow another address from now on. The numbers go on, so nothing is applied anew."""
+        """Follows another address. The numbers continue, so no event is applied again."""
         if address != self.address:
             self.address = address
-            self.restart(0.0)  # the old one brings nothing more
+            self.restart(0.0)
 
     def restart(self, pause: float) -> None:
-        """Drop all watches; the next one, after `pause` seconds, begins at the number that stands then."""
+        """Drops all watches and starts the next one after `pause` seconds, from the last number."""
         for watch in self.watches[:]:
             self.drop(watch)
         self.next_watch_at = asyncio.get_running_loop().time() + pause
         self.wake_up.set()
 
     async def follow(self) -> None:
-        """Keep a watch up for as long as the program runs."""
+        """Keeps at least one watch open until cancelled."""
         loop = asyncio.get_running_loop()
         self.spare_socket.reserve()
         try:
@@ -145,97 +122,100 @@
             for watch in self.watches[:]:
                 self.drop(watch)
             self.spare_socket.close()
-            self.next_watch_at = 0.0  # followed again, it begins at once
+            self.next_watch_at = 0.0  # if followed again, the next watch starts at once
 
     def start_watch(self) -> None:
-        """Begin one more watch; the one that read nothing for longest is dropped for it."""
+        """Starts one more watch.
+
+        If there are too many, or no spare socket, the one that was silent for longest is dropped.
+        """
         now = asyncio.get_running_loop().time()
         self.next_watch_at = now + SUSPECT_AFTER_S
         if self.watches:
-            self.loss.lost("silent", self.last_number)
+            self.report.lost("silent", self.last_number)
             if len(self.watches) >= MAX_WATCHES or self.spare_socket.socket is None:
                 self.drop(min(self.watches, key=lambda watch: watch.read_at))
         try:
-            made = self.spare_socket.take()
+            connecting = self.spare_socket.take()
         except OSError as error:
             self.next_watch_at = now + RETRY_PAUSE_S
-            return self.loss.lost(type(error).__name__, self.last_number)
-        watch = WatchConnection(made, self.spare_socket.reserve, now)
+            self.report.lost(type(error).__name__, self.last_number)
+            return
+        watch = WatchConnection(connecting, self.spare_socket.reserve, now)
         self.watches.append(watch)
         task = asyncio.ensure_future(self.listen(watch, self.address))
         task.add_done_callback(functools.partial(self.on_watch_ended, watch))
 
     def drop(self, watch: WatchConnection) -> None:
-        """End a watch; neither its events nor its end count any more."""
+        """Closes a watch, whose events and end are ignored from now on."""
         watch.is_dropped = True
         self.watches.remove(watch)
         watch.close()
 
     def on_watch_ended(self, watch: WatchConnection, task: asyncio.Task[None]) -> None:
-        """A watch is over. If no later one is under way, the next one begins after a pause."""
+        """Reports the end of a watch, and starts the next one after a pause if no later one is open."""
         watch.close()
         error = None if task.cancelled() else task.exception()
         if watch.is_dropped:
             return
-        latest = watch is self.watches[-1]
+        is_latest = watch is self.watches[-1]
         self.watches.remove(watch)
         pause = RETRY_PAUSE_S
         if isinstance(error, OSError | StreamClosedError):
-            self.loss.lost(type(error).__name__, self.last_number)
+            self.report.lost(type(error).__name__, self.last_number)
         elif error is not None:
             pause = min(MAX_RETRY_PAUSE_S, RETRY_PAUSE_S * 2**self.failed_watches)
             self.failed_watches = min(self.failed_watches + 1, 2 * MAX_ATTEMPTS)
-            if not isinstance(error, EndpointWatchError):
-                self.report_failure(error)
-            elif self.counters.add_once(f"bad_{self.name}_lines"):
-                log.event(LOGGER, logging.WARNING, f"bad_{self.name}_line", why=str(error)[:200])
-        if latest:
+            if isinstance(error, EndpointWatchError):
+                self.report.invalid(error)
+            else:
+                self.report.failed(error)
+        if is_latest:
             self.next_watch_at = asyncio.get_running_loop().time() + pause
             self.wake_up.set()
 
-    def report_failure(self, error: BaseException) -> None:
-        """An error that is no fault of the other end: count it, and log the first."""
-        if self.counters.add_once(f"{self.name}_errors"):
-            LOGGER.error(f"{self.name}_failed", exc_info=error)
-
     async def listen(self, watch: WatchConnection, address: Address) -> None:
-        """One watch, until it ends or is dropped."""
+        """Runs one watch until it ends or is dropped. Raises the error that ends it."""
         now = asyncio.get_running_loop().time
         await watch.connect(address)
         await watch.write(resume_request(self.last_number))
-        reader = self.make_parser()
+        parser = self.make_parser()
         while True:
             data = await watch.read_bytes(self.limits.read_size, partial=True)
-            turn = watch.read_at = now()
-            for event in reader.feed(data):
+            turn_began_at = now()
+            watch.read_at = turn_began_at
+            for event in parser.feed(data):
                 self.handle(event)
                 if watch.is_dropped:
                     return
-                if not isinstance(event, UnusableLine) or event.number is not None:
+                is_complete = not isinstance(event, UnusableLine) or event.number is not None
+                if is_complete:
                     self.keep_only(watch)
-                if now() - turn > MAX_TURN_S:
+                if now() - turn_began_at > MAX_TURN_S:
                     await asyncio.sleep(0)
-                    turn = now()
+                    turn_began_at = now()
                     if watch.is_dropped:
                         return
             await asyncio.sleep(0)
 
     def keep_only(self, watch: WatchConnection) -> None:
-        """A complete heartbeat or event came: this watch is kept, and it alone."""
+        """Keeps a watch that has made progress, and drops all others."""
         self.next_watch_at = asyncio.get_running_loop().time() + SUSPECT_AFTER_S
         for other in self.watches[:]:
             if other is not watch:
                 self.drop(other)
-        self.loss.restored(self.last_number)
+        self.report.restored(self.last_number)
 
     # --- events ---
 
     def handle(self, event: E | WatchHeartbeat | UnusableLine) -> None:
-        """Handle one line; what has been applied already is passed over.
+        """Handles one line; ignores an event that was applied before.
+
+        A missing, invalid or failed event is requested again `MAX_ATTEMPTS` times and then skipped, so that
+        the events behind it are not lost with it.
 
-        An event counts as received once it is in force. Raises `EndpointWatchError` where something is
-        missing, cannot be read or cannot be put in force, and is to be requested anew. That happens
-        `MAX_ATTEMPTS` times, then it is skipped, so that what stands behind it is not lost with it.
+        Raises:
+            EndpointWatchError: If the event must be requested again.
         """
         if isinstance(event, WatchHeartbeat):
             if event.number > self.last_number:
@@ -251,25 +231,32 @@
             self.handle_new(event, event.number)
 
     def handle_new(self, event: E | UnusableLine, number: int) -> None:
-        """An event that was not applied yet; raises `EndpointWatchError` to have it requested anew."""
+        """Handles an event not applied yet. Raises `EndpointWatchError` if it must be requested again."""
         if self.gapless and number > self.last_number + 1:
-            if self.failed_watches < MAX_ATTEMPTS:
-                raise EndpointWatchError(f"{number} came after {self.last_number}")
-            # So by each of the last connections: these numbers do not exist, nor perhaps others.
-            self.gapless = False
-            log.event(LOGGER, logging.WARNING, f"{self.name}_gap", last=self.last_number, next=number)
+            self.accept_gap(number)
         if isinstance(event, UnusableLine):
-            # It was read whole, and another connection would bring the same.
-            if self.counters.add_once(f"{self.name}_unusable"):
-                log.event(LOGGER, logging.WARNING, f"{self.name}_unusable", number=number, why=event.reason)
+            # It was received completely: another connection would bring the same.
+            self.report.unusable(number, event.reason)
         else:
-            try:
-                self.apply_event(event)
-            except Exception as error:
-                self.report_failure(error)
-                if self.failed_watches < MAX_ATTEMPTS:
-                    raise EndpointWatchError(f"{number} failed: {type(error).__name__}") from None
-                if self.counters.add_once(f"{self.name}_skipped"):
-                    log.event(LOGGER, logging.ERROR, f"{self.name}_skipped", number=number)
-                self.skip_event(event)
-        self.last_number, self.failed_watches = number, 0
+            self.apply_or_skip(event, number)
+        self.last_number = number
+        self.failed_watches = 0
+
+    def accept_gap(self, number: int) -> None:
+        """Accepts missing numbers if several watches lacked them; else raises `EndpointWatchError`."""
+        if self.failed_watches < MAX_ATTEMPTS:
+            raise EndpointWatchError(f"{number} came after {self.last_number}")
+        # The source has no such numbers, so that later gaps prove no loss either.
+        self.gapless = False
+        self.report.gap(self.last_number, number)
+
+    def apply_or_skip(self, event: E, number: int) -> None:
+        """Applies an event, or skips it if it failed too often. Raises `EndpointWatchError` before that."""
+        try:
+            self.apply_event(event)
+        except Exception as error:  # the edge of one event: the events behind it must still be applied
+            self.report.failed(error)
+            if self.failed_watches < MAX_ATTEMPTS:
+                raise EndpointWatchError(f"{number} failed: {type(error).__name__}") from None
+            self.report.skipped(number)
+            self.skip_event(event)
--- a/paddlequay/net/hierarchy/topology_feed.py
+++ b/paddlequay/net/hierarchy/topology_feed.py
@@ -7,7 +7,8 @@
 from paddlequay.config.values import Address
 from paddlequay.hierarchy.topology import Topology, TopologyLimits
 from paddlequay.hierarchy.topology_tracker import DeltaOutcome, DeltaResult, TopologyTracker
-from paddlequay.net.endpoints.watch_client import RETRY_PAUSE_S, EventParser, WatchClient
+from paddlequay.net.endpoints.watch_client import RETRY_PAUSE_S, WatchClient
+from paddlequay.net.endpoints.watch_connection import EventParser
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
 from paddlequay.protocol.endpoint_watch import EndpointList, PurgeEvent, UnusableLine, WatchHeartbeat
