--- a/paddlequay/discovery/record_cache.py
+++ b/paddlequay/discovery/record_cache.py
@@ -1,4 +1,4 @@
-"""Record sets that the resolver knows: how long each holds, and what is announced of it."""
+"""The record sets that the resolver knows: how long each is valid, and what is announced of it."""
 
 import random
 from collections import OrderedDict
@@ -7,49 +7,62 @@
 from paddlequay.discovery.dns_servers import JITTER, MAX_DOUBLINGS
 from paddlequay.discovery.resolver_types import CacheEntry, Key, RecordSetKnown, ResolverLimits
 
-REFRESH_FLOOR = 0.9  # of the least lifetime: no refresh comes sooner
+MIN_REFRESH_RATIO = 0.9  # of the minimum lifetime: no refresh comes sooner
 
 
 class RecordCache:
-    """Entries by name and type; idle ones are dropped past `max_cached`."""
+    """Holds entries by name and type; drops idle ones beyond `max_cached`, the longest untouched first.
+
+    Times are seconds of the resolver's clock.
+    """
 
     def __init__(self, rng: random.Random, limits: ResolverLimits) -> None:
-        self.rng, self.limits = rng, limits
+        self.rng = rng
+        self.limits = limits
         self.entries: OrderedDict[Key, CacheEntry] = OrderedDict()
 
     def get(self, key: Key) -> CacheEntry | None:
-        """The entry of a record set, if there is one."""
+        """Returns the entry of a record set; None if there is none."""
         return self.entries.get(key)
 
     def entry(self, key: Key) -> CacheEntry:
-        """The entry of a record set, a new one where there is none."""
+        """Returns the entry of a record set, a new one if there is none."""
         entry = self.entries.get(key)
         if entry is None:
-            entry = self.entries[key] = CacheEntry()
-            while len(self.entries) > self.limits.max_cached:
-                idle = next((k for k, e in self.entries.items() if e.is_idle), None)
-                if idle is None or idle == key:
-                    break
-                del self.entries[idle]
+            entry = CacheEntry()
+            self.entries[key] = entry
+            self.evict_idle(key)
         self.entries.move_to_end(key)
         return entry
 
+    def evict_idle(self, new_key: Key) -> None:
+        """Drops idle entries beyond the bound, except a new one."""
+        while len(self.entries) > self.limits.max_cached:
+            idle = next((key for key, entry in self.entries.items() if entry.is_idle), None)
+            if idle is None or idle == new_key:
+                return
+            del self.entries[idle]
+
     def store(self, key: Key, answer: DnsAnswer, now: float) -> CacheEntry:
-        """Keep an answer for its lifetime, and draw when it is refreshed."""
-        limits, entry = self.limits, self.entry(key)
+        """Stores an answer for its lifetime, and draws the time of its refresh."""
+        limits = self.limits
+        entry = self.entry(key)
         spread = limits.first_refresh if entry.answer is None or entry.failures else limits.refresh
-        entry.in_flight, entry.failures = False, 0
+        entry.in_flight = False
+        entry.failures = 0
         has_records = answer.kind is AnswerKind.RECORDS
         max_lifetime = limits.max_lifetime if has_records else limits.max_negative_lifetime
-        # The floor spares servers; a removed record leaves at its lifetime or the floor, whichever is later.
+        # The minimum spares the servers; a removed record may be used for that long.
         lifetime = min(max_lifetime, max(limits.min_lifetime, float(answer.ttl)))
-        entry.answer, entry.received_at, entry.expires_at = answer, now, now + lifetime
-        refresh = lifetime * self.rng.uniform(*spread)
-        entry.refresh_at = now + max(limits.min_lifetime * REFRESH_FLOOR, refresh)
+        entry.answer = answer
+        entry.received_at = now
+        entry.expires_at = now + lifetime
+        refresh_after = lifetime * self.rng.uniform(*spread)
+        entry.refresh_at = now + max(limits.min_lifetime * MIN_REFRESH_RATIO, refresh_after)
         return entry
 
     def postpone(self, entry: CacheEntry, now: float) -> None:
-        """A lookup has failed everywhere: the next one comes after a growing backoff."""
+        """Delays the next lookup by an exponential backoff, after all servers have failed."""
         limits = self.limits
         entry.in_flight = False
         entry.failures += 1
@@ -57,16 +70,17 @@
         entry.refresh_at = now + min(limits.max_failure_backoff, backoff) * self.rng.uniform(*JITTER)
 
     def announcement(self, key: Key, entry: CacheEntry, now: float, why: str) -> RecordSetKnown | None:
-        """What is known of an entry now, where that has changed since it was announced last."""
+        """Returns what is known of an entry; None if it was announced as stale before and has not changed."""
         known = self.known(key, entry, now, why)
-        last, entry.announced = entry.announced, known
+        last = entry.announced
+        entry.announced = known
         if last is None or not known.stale:
             return known
-        changed = (last.records, last.stale) != (known.records, known.stale)
-        return known if changed else None
+        has_changed = (last.records, last.stale) != (known.records, known.stale)
+        return known if has_changed else None
 
     def known(self, key: Key, entry: CacheEntry, now: float, why: str) -> RecordSetKnown:
-        """What is known of an entry: fresh, stale, or nothing."""
+        """Returns what is known of an entry: valid records, stale ones, or nothing."""
         answer = entry.answer
         if answer is None:
             return RecordSetKnown(*key, None, now, reason=why)
@@ -77,8 +91,8 @@
         return RecordSetKnown(*key, None, now, reason=why or "over")
 
     def may_serve_stale(self, entry: CacheEntry, now: float) -> bool:
-        """Whether records may be used past their lifetime: no server has said anything else meanwhile."""
+        """Returns whether records may be used past their lifetime, as no server has answered since."""
         answer = entry.answer
-        unanswered = entry.failures > 0 or entry.in_flight
-        records = answer is not None and answer.kind is AnswerKind.RECORDS
-        return records and unanswered and now < entry.expires_at + self.limits.stale
+        is_unanswered = entry.failures > 0 or entry.in_flight
+        has_records = answer is not None and answer.kind is AnswerKind.RECORDS
+        return has_records and is_unanswered and now < entry.expires_at + self.limits.stale
--- a/paddlequay/discovery/resolver_types.py
+++ b/paddlequay/discovery/resolver_types.py
@@ -1,4 +1,4 @@
-"""The resolver's limits and actions, and its records of servers, record sets and lookups."""
+"""The limits, the actions and the state records of the resolver."""
 
 import math
 from collections import Counter
@@ -15,34 +15,56 @@
 
 @dataclass(frozen=True, slots=True)
 class ResolverLimits:
-    """Bounds; times in seconds."""
+    """The bounds of a resolver. Times are seconds; a spread is a range of factors of a lifetime.
+
+    The first refresh is spread more widely, because all routers may have started or recovered at once.
+
+    Attributes:
+        max_names: Record sets subscribed at the same time.
+        max_cached: Record sets kept.
+        min_lifetime: No record set is looked up more often than this, whatever its lifetime.
+        max_lifetime: No record set is kept for longer.
+        max_negative_lifetime: No negative answer is kept for longer.
+        stale: How long records are used past their lifetime while no server answers.
+        udp_timeout: For the answer of one server over UDP.
+        max_attempts: Queries of one lookup, over all servers.
+        failure_backoff: From a lookup that failed everywhere to the next; doubles with each failure.
+        max_failure_backoff: The bound of that backoff.
+        refresh: When in its lifetime a record set is looked up again.
+        first_refresh: The same for its first answer, and the first after a failure.
+        min_server_backoff: How long a failing server is avoided; doubles with each failure.
+        max_server_backoff: The bound of that backoff.
+        max_lookups: Queries in flight.
+    """
 
-    max_names: int = 4096  # wanted at the same time
-    max_cached: int = 16_384  # sets that are kept
-    min_lifetime: float = 1.0  # no set is asked for more often than this, whatever its lifetime
-    max_lifetime: float = 3600.0  # nor kept for longer
+    max_names: int = 4096
+    max_cached: int = 16_384
+    min_lifetime: float = 1.0
+    max_lifetime: float = 3600.0
     max_negative_lifetime: float = 300.0
-    stale: float = 3600.0  # past its lifetime, while no server answers
-    udp_timeout: float = 0.8  # for one server's answer by UDP; three times that by TCP
-    max_attempts: int = 4  # for one question, over all servers
-    failure_backoff: float = (
-        5.0  # until a question that failed everywhere is asked again; twice as long each time,
-    )
+    stale: float = 3600.0
+    udp_timeout: float = 0.8
+    max_attempts: int = 4
+    failure_backoff: float = 5.0
     max_failure_backoff: float = 30.0
-    refresh: tuple[float, float] = (0.6, 0.95)  # of the lifetime: when in it a set is asked for again,
-    first_refresh: tuple[float, float] = (
-        0.15,
-        0.95,
-    )  # and where it is had for the first time, or after an outage:
-    # routers that start, or hear of a server again, in one moment must not go on in step
-    min_server_backoff: float = 1.0  # a failing server is passed over for this long; twice as long each time
+    refresh: tuple[float, float] = (0.6, 0.95)
+    first_refresh: tuple[float, float] = (0.15, 0.95)
+    min_server_backoff: float = 1.0
     max_server_backoff: float = 60.0
-    max_lookups: int = 256  # questions on their way
+    max_lookups: int = 256
 
 
 @dataclass(frozen=True, slots=True)
 class SendQuery:
-    """Send this to a server, by TCP or from a new UDP port; its answer or failure comes with this number."""
+    """Orders a query over TCP, or from a new UDP port; its answer or failure is reported under its number.
+
+    Attributes:
+        number: The number of the lookup.
+        server: The host and port of the server.
+        data: The bytes of the query.
+        tcp: Whether the query must use TCP.
+        timeout: For the answer, in seconds.
+    """
 
     number: int
     server: Server
@@ -53,10 +75,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordSetKnown:
-    """What is known of a name now. `until`: the second, by the clock of `tick`, at which it ends.
-
-    `records` are empty where the name or the type is not there; `stale` where no server could be queried and
-    the lifetime is over; `None` where nothing at all is known.
+    """What is known of a record set.
+
+    Attributes:
+        name: The canonical name.
+        type: The type of the records.
+        records: Empty if the name or the type does not exist; None if nothing is known.
+        until: When that ends, in seconds of the resolver's clock.
+        stale: Whether the lifetime is over and no server answers.
+        reason: Why there are no records, or why the lookup failed.
     """
 
     name: Name
@@ -72,7 +99,15 @@
 
 @dataclass(slots=True)
 class ServerHealth:
-    """How a server does: smoothed latency in seconds, and until when it is passed over."""
+    """The health of one server.
+
+    Attributes:
+        smoothed_latency: In seconds.
+        failures: Failures in a row.
+        backoff_until: Until when the server is avoided, in seconds of the resolver's clock.
+        edns: Whether it is queried with EDNS.
+        counts: The queries sent (`asked`) and the failures by reason.
+    """
 
     smoothed_latency: float = 0.05
     failures: int = 0
@@ -83,7 +118,18 @@
 
 @dataclass(slots=True, eq=False)
 class CacheEntry:
-    """What is known of one record set."""
+    """One record set in the cache. Times are seconds of the resolver's clock.
+
+    Attributes:
+        answer: The last answer; None before the first.
+        received_at: When it was received.
+        expires_at: When its lifetime ends.
+        refresh_at: When the next lookup is due.
+        references: The number of subscribers.
+        failures: Failed lookups in a row.
+        in_flight: Whether a lookup is under way.
+        announced: What was announced last.
+    """
 
     answer: DnsAnswer | None = None
     received_at: float = -math.inf
@@ -96,13 +142,24 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nobody subscribes to it and no lookup is under way."""
+        """Whether it has no subscriber and no lookup is under way."""
         return not self.references and not self.in_flight
 
 
 @dataclass(slots=True, eq=False)
 class Lookup:
-    """One query in flight."""
+    """One query in flight. Times are seconds of the resolver's clock.
+
+    Attributes:
+        key: The record set that is looked up.
+        question: What the answer must repeat.
+        tcp: Whether the query was sent over TCP.
+        sent_at: When the query was sent.
+        attempts: The queries sent for this lookup so far.
+        tried_servers: Their servers, in order.
+        edns: Whether the query was sent with EDNS.
+        times_out_at: When the server is given up.
+    """
 
     key: Key
     question: DnsQuestion
--- a/paddlequay/discovery/srv.py
+++ b/paddlequay/discovery/srv.py
@@ -1,9 +1,9 @@
-"""From SRV records to members (RFC 2782).
+"""Maps SRV records to members (RFC 2782).
 
-Priorities are fall-back tiers, weights are shares, `.` is "not offered". A service is a name such as
-`_cache._tcp.zone.example`. Its targets are looked up for their addresses, each with a lifetime of its own,
-and for a TXT record where that is set. What comes out is a list of members with ids that stay as they are
-when addresses change.
+A service is a name such as `_cache._tcp.zone.example`. Its priorities are fallback tiers, its weights are
+shares, and the target `.` means that the service is not offered. The addresses of its targets are looked up,
+each with a lifetime of its own, and their TXT records if the settings say so. The ids of the members stay the
+same when addresses change.
 """
 
 import re
@@ -24,16 +24,25 @@
 
 MAX_TARGETS = 2000  # of one service
 ADDRESS_KINDS = (dns.rdatatype.A, dns.rdatatype.AAAA)
-LIGHT = 0.01  # of the mean: a weight of 0 among others gets hardly anything (RFC 2782), and is not left out
+MIN_WEIGHT_RATIO = 0.01  # of the mean weight, for a weight of 0 among others (RFC 2782)
+MAX_ID_NAME_CHARS = 56  # of a target's name in its member id
+MAX_CELL_DIGITS = 6
+MAX_START_TIME_DIGITS = 11
 FIELD = re.compile(r"(zone|cell|kind|started)=([A-Za-z0-9_.-]{1,64})")
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """One service to follow, and how its boxes are described.
-
-    `naming`: a pattern over a target's name whose named groups give zone, cell and kind, such as
-    `(?P<zone>[a-z]+)-box-.*`. `txt`: whether the target's TXT record is looked up for these as well.
+    """One service, and where the attributes of its members come from.
+
+    Attributes:
+        name: The name of the SRV records.
+        kind: The kind of its members, unless their names or TXT records give it.
+        zone: The zone of its members, likewise.
+        naming: A pattern of targets' names whose named groups give zone, cell and kind, such as
+            `(?P<zone>[a-z]+)-box-.*`.
+        txt: Whether the TXT records of targets are looked up for these as well.
+        family: The addresses looked up: `v4`, `v6`, or `both` (IPv4 if there is one).
     """
 
     name: Name
@@ -41,12 +50,18 @@
     zone: str | None = None
     naming: re.Pattern[str] | None = None
     txt: bool = False
-    family: str = "v4"  # v4, v6, or both: the first that has an address
+    family: str = "v4"
 
 
 @dataclass(frozen=True, slots=True)
 class TierLimits:
-    """When to fall back to the next priority and when to return; shares of a tier's targets, seconds."""
+    """When to fall back to the next priority, and when to return.
+
+    Attributes:
+        fall_below: The share of resolved targets below which a tier is left.
+        return_above: The share of resolved targets at which a tier is used again.
+        return_after: For how many seconds that share must last.
+    """
 
     fall_below: float = 0.5
     return_above: float = 0.75
@@ -55,7 +70,7 @@
 
 @dataclass(slots=True)
 class Target:
-    """One SRV record's target, and where it is found."""
+    """The target of one SRV record, and its address if it is known."""
 
     srv: SRV
     address: Address | None = None
@@ -70,20 +85,30 @@
 
     @property
     def resolved_share(self) -> float:
-        """The share of its targets that have an address."""
+        """The share of its targets that have an address, from 0 to 1."""
         return sum(target.address is not None for target in self.targets) / max(1, len(self.targets))
 
 
 def member_id(name: Name, port: int) -> str:
-    """The id of a target among members."""
+    """Returns the id of a target among the members."""
     text = name.to_text(omit_final_dot=True).lower()
-    return f"{re.sub(r'[^a-z0-9-]', '_', text)[:56]}_{port}"
+    return f"{re.sub(r'[^a-z0-9-]', '_', text)[:MAX_ID_NAME_CHARS]}_{port}"
 
 
 class ServiceWatch:
-    """One service: which sets it wants looked up, and the boxes that these come to.
-
-    Bounds: `TARGETS_MOST` targets. The sets wanted change only when the SRV set does.
+    """Follows one service: tells which record sets it needs, and derives its members from them.
+
+    Memory is bounded by `MAX_TARGETS`. The needed record sets change only with the SRV records.
+
+    Attributes:
+        srv: What is known of the SRV records.
+        sets: What is known of the targets' record sets.
+        tiers: The targets by priority, the best first.
+        chosen_addresses: The address of each member, kept while it is among the answers.
+        active: The index of the tier in use.
+        recovered_since: Since when a better tier is resolved well enough, in seconds; None if none is.
+        cut: The number of targets beyond `MAX_TARGETS`, which are ignored.
+        not_offered: Whether the SRV records say that the service does not exist.
     """
 
     def __init__(self, service: Service, limits: TierLimits | None = None) -> None:
@@ -92,17 +117,15 @@
         self.srv: RecordSetKnown | None = None
         self.sets: dict[tuple[Name, RecordType], RecordSetKnown] = {}
         self.tiers: list[Tier] = []
-        self.chosen_addresses: dict[
-            str, Address
-        ] = {}  # the address that each id had, kept while it is among the answers
+        self.chosen_addresses: dict[str, Address] = {}
         self.active = 0
         self.recovered_since: float | None = None
-        self.cut = 0  # targets past the bound
+        self.cut = 0
         self.not_offered = False
 
     def required_names(self) -> set[tuple[Name, RecordType]]:
-        """The record sets that it needs now."""
-        wanted: set[tuple[Name, RecordType]] = {(self.service.name.canonicalize(), dns.rdatatype.SRV)}
+        """Returns the record sets that the service needs now."""
+        required: set[tuple[Name, RecordType]] = {(self.service.name.canonicalize(), dns.rdatatype.SRV)}
         kinds: list[RecordType] = []
         if self.service.family in ("v4", "both"):
             kinds.append(dns.rdatatype.A)
@@ -112,11 +135,11 @@
             kinds.append(dns.rdatatype.TXT)
         for tier in self.tiers:
             for target in tier.targets:
-                wanted.update((target.srv.target.canonicalize(), kind) for kind in kinds)
-        return wanted
+                required.update((target.srv.target.canonicalize(), kind) for kind in kinds)
+        return required
 
     def update(self, known: RecordSetKnown) -> bool:
-        """A record set has changed; whether it is one of the service's."""
+        """Handles a changed record set; returns whether the service uses it."""
         key = (known.name, known.type)
         if key == (self.service.name.canonicalize(), dns.rdatatype.SRV):
             if known.records is None and self.srv is not None and known.until <= self.srv.until:
@@ -130,9 +153,9 @@
         return True
 
     def build_tiers(self, known: RecordSetKnown) -> None:
-        """Targets by priority, from the SRV records."""
+        """Groups the targets of the SRV records by priority."""
         records = [record.data for record in known.records or () if isinstance(record.data, SRV)]
-        # One record with the target `.` says that the service is decidedly not there.
+        # A single record with the target `.` means that the service does not exist (RFC 2782).
         self.not_offered = len(records) == 1 and records[0].target == dns.name.root
         records = [srv for srv in records if srv.target != dns.name.root and srv.port]
         self.cut = max(0, len(records) - MAX_TARGETS)
@@ -150,7 +173,7 @@
         self.sets = {key: value for key, value in self.sets.items() if key[0] in names}
 
     def members(self, now: float) -> list[ReportedMember]:
-        """The members that the service gives now, by the tier in use."""
+        """Returns the members of the tier in use."""
         for tier in self.tiers:
             for target in tier.targets:
                 target.address = self.address(target.srv)
@@ -158,67 +181,78 @@
         if not self.tiers:
             return []
         tier = self.tiers[self.active]
-        total = sum(target.srv.weight for target in tier.targets)
-        mean = total / len(tier.targets)
+        total_weight = sum(target.srv.weight for target in tier.targets)
+        mean_weight = total_weight / len(tier.targets)
         members = []
         for target in tier.targets:
             if target.address is None:
                 continue
-            # Shares about 1: weights of one service must not outweigh those of another source.
-            weight = 1.0 if not total else max(LIGHT, target.srv.weight / mean)
+            # Relative to the mean: the weights of one service must not outweigh those of another source.
+            weight = max(MIN_WEIGHT_RATIO, target.srv.weight / mean_weight) if total_weight else 1.0
             members.append(self.member(target, target.address, weight))
         ids = {member.id for member in members}
         self.chosen_addresses = {id: at for id, at in self.chosen_addresses.items() if id in ids}
         return members
 
     def address(self, srv: SRV) -> Address | None:
-        """The address of a target: the one it had if that is still an answer, else the least."""
-        name, id = srv.target.canonicalize(), member_id(srv.target, srv.port)
-        found: list[str] = []
-        for kind in ADDRESS_KINDS:
-            known = self.sets.get((name, kind))
-            if known is not None and known.records:
-                found = sorted(r.data.address for r in known.records if isinstance(r.data, A | AAAA))
-                if found:
-                    break
-        if not found:
+        """Returns the address of a target: the previous one if it is still an answer, else the lowest."""
+        id = member_id(srv.target, srv.port)
+        hosts = self.resolved_hosts(srv.target.canonicalize())
+        if not hosts:
             self.chosen_addresses.pop(id, None)
             return None
-        before = self.chosen_addresses.get(id)
-        chosen = before if before is not None and before[0] in found else (found[0], srv.port)
+        previous = self.chosen_addresses.get(id)
+        is_still_resolved = previous is not None and previous[0] in hosts
+        chosen = previous if previous is not None and is_still_resolved else (hosts[0], srv.port)
         self.chosen_addresses[id] = chosen
         return chosen
 
+    def resolved_hosts(self, name: Name) -> list[str]:
+        """Returns the sorted addresses of a name: IPv4 if there are any, else IPv6."""
+        for kind in ADDRESS_KINDS:
+            known = self.sets.get((name, kind))
+            records = known.records if known is not None else None
+            hosts = sorted(each.data.address for each in records or () if isinstance(each.data, A | AAAA))
+            if hosts:
+                return hosts
+        return []
+
     def choose_tier(self, now: float) -> None:
-        """Choose the priority in use.
-
-        Down as soon as too few targets are found, up only once that has lasted.
-        """
-        limits = self.limits
-        better = next(
-            (
-                n
-                for n, tier in enumerate(self.tiers[: self.active])
-                if tier.resolved_share >= limits.return_above
-            ),
-            None,
-        )
+        """Chooses the tier in use: leaves one at once, and returns only after the recovery has lasted."""
+        better = self.recovered_tier()
         if better is None:
             self.recovered_since = None
         elif self.recovered_since is None:
             self.recovered_since = now
-        elif now - self.recovered_since >= limits.return_after:
-            self.active, self.recovered_since = better, None
-        while (
-            self.active + 1 < len(self.tiers) and self.tiers[self.active].resolved_share < limits.fall_below
-        ):
-            worse = [n for n in range(self.active + 1, len(self.tiers)) if self.tiers[n].resolved_share > 0]
-            if not worse or self.tiers[worse[0]].resolved_share < self.tiers[self.active].resolved_share:
-                break  # nothing better below: a few of the first are worth more than none of the next
-            self.active, self.recovered_since = worse[0], None
+        elif now - self.recovered_since >= self.limits.return_after:
+            self.active = better
+            self.recovered_since = None
+        while (worse := self.fallback_tier()) is not None:
+            self.active = worse
+            self.recovered_since = None
+
+    def recovered_tier(self) -> int | None:
+        """Returns the best tier above the one in use with enough resolved targets; None if there is none."""
+        for place, tier in enumerate(self.tiers[: self.active]):
+            if tier.resolved_share >= self.limits.return_above:
+                return place
+        return None
+
+    def fallback_tier(self) -> int | None:
+        """Returns the tier to fall back to; None if the one in use is better than the next resolved one."""
+        if self.active + 1 >= len(self.tiers):
+            return None
+        share = self.tiers[self.active].resolved_share
+        if share >= self.limits.fall_below:
+            return None
+        for place in range(self.active + 1, len(self.tiers)):
+            next_share = self.tiers[place].resolved_share
+            if next_share > 0:
+                return place if next_share >= share else None
+        return None
 
     def member(self, target: Target, address: Address, weight: float) -> ReportedMember:
-        """A target as a member, with what its name and TXT records say."""
+        """Returns a target as a member, with the attributes given by its name and TXT records."""
         attributes: dict[str, str] = {}
         text = target.srv.target.to_text(omit_final_dot=True).lower()
         if self.service.naming is not None:
@@ -228,21 +262,22 @@
         known = self.sets.get((target.srv.target.canonicalize(), dns.rdatatype.TXT))
         if known is not None:
             attributes.update(txt_fields(known))
-        cell, started = attributes.get("cell", ""), attributes.get("started", "")
+        cell = attributes.get("cell", "")
+        started = attributes.get("started", "")
         return ReportedMember(
             id=member_id(target.srv.target, target.srv.port),
             address=address,
             kind=attributes.get("kind", self.service.kind),
             zone=attributes.get("zone", self.service.zone),
-            cell=int(cell) if cell.isdigit() and len(cell) < 7 else None,
+            cell=int(cell) if cell.isdigit() and len(cell) <= MAX_CELL_DIGITS else None,
             weight=weight,
-            started=float(started) if started.isdigit() and len(started) < 12 else None,
+            started=float(started) if started.isdigit() and len(started) <= MAX_START_TIME_DIGITS else None,
             state=MemberState.READY,
         )
 
 
 def txt_fields(known: RecordSetKnown) -> Iterable[tuple[str, str]]:
-    """`name=value` words of TXT records that mean something here; all else in them is ignored."""
+    """Returns the known `name=value` words of TXT records, and ignores all others."""
     for record in known.records or ():
         if isinstance(record.data, TXT):
             for piece in record.data.strings:
