--- a/paddlequay/net/console.py
+++ b/paddlequay/net/console.py
@@ -1,11 +1,11 @@
-"""The operators' console: one HTTP call to a connection, answered within a second."""
+"""The operators' console: answers one HTTP call per connection, within a second."""
 
 import asyncio
 import logging
 import socket
 from collections import OrderedDict
 from collections.abc import Callable
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from tornado.iostream import IOStream, StreamClosedError
 
@@ -25,74 +25,101 @@
 
 LOGGER = logging.getLogger(__name__)
 
-ConsoleAnswer = tuple[int, str]
+BACKLOG = 64
+MAX_LINGER_READS = 16  # of what the caller still sends after the answer
+
+
+class ConsoleAnswer(NamedTuple):
+    """The answer to a call.
+
+    Attributes:
+        status: The HTTP status.
+        text: The line of the body.
+        allow: The allowed methods, if the call's method is not one of them.
+    """
+
+    status: int
+    text: str
+    allow: str = ""
 
 
 class ConsoleFront(Protocol):
-    """Who takes clients: `closed_reason` says why nobody should come, `open_summary` what is open yet."""
+    """The front that serves clients."""
 
     shutting_down: bool
     replaced: bool
 
     def closed_reason(self) -> str:
-        """Why this process takes no clients; empty while it does."""
+        """Returns why this process accepts no clients; empty while it does."""
         ...
 
     @property
     def open_summary(self) -> str:
-        """What is open yet."""
+        """The numbers of open connections and requests, as text."""
         ...
 
 
 class OverrideConfirmer(Protocol):
-    """The other process of the same router, where there is one."""
+    """The other processes of the same router, if there are any."""
 
-    async def confirm(self, name: str, mark: Override) -> bool:
-        """Whether it applies an override."""
+    async def confirm(self, name: str, override: Override) -> bool:
+        """Returns whether they all apply an override."""
         ...
 
 
 class Console:
-    """Answers operators' calls: reads what the owners of state say, and gives them overrides."""
+    """Answers operators' calls from the state of its owners, and passes overrides on to them.
+
+    Attributes:
+        pages: Functions by name, each of which returns one line of JSON.
+        queries: Functions by name, each of which explains the state of an id.
+        incomplete_calls: The connections without a complete call, the oldest first.
+        save_lock: Held while the overrides are saved.
+        open_calls: The number of open connections.
+    """
 
     def __init__(
         self,
-        operation: OperatorState,
+        operator_state: OperatorState,
         front: ConsoleFront,
-        twin: OverrideConfirmer,
+        other_process: OverrideConfirmer,
         limits: Limits,
         counters: Counters,
     ) -> None:
-        self.operator_state, self.front, self.other_process = operation, front, twin
-        self.limits, self.counters = limits, counters
-        self.pages: dict[str, Callable[[], str]] = {}  # by name: one line of JSON each
-        self.queries: dict[str, Callable[[str], str]] = {}  # by name, about an id
-        self.incomplete_calls: OrderedDict[IOStream, None] = OrderedDict()  # the oldest first
+        self.operator_state = operator_state
+        self.front = front
+        self.other_process = other_process
+        self.limits = limits
+        self.counters = counters
+        self.pages: dict[str, Callable[[], str]] = {}
+        self.queries: dict[str, Callable[[str], str]] = {}
+        self.incomplete_calls: OrderedDict[IOStream, None] = OrderedDict()
         self.save_lock = asyncio.Lock()
         self.open_calls = 0
         self.background = TaskSupervisor(counters)
 
     def listen(self, listener: socket.socket) -> None:
-        """Take calls on a bound socket from now on."""
-        listener.listen(64)
+        """Accepts calls on a bound socket."""
+        listener.listen(BACKLOG)
         Acceptor(listener, self.on_accept, lambda: self.limits.console_connections)
 
     def on_accept(self, connection: socket.socket) -> None:
-        """A connection was accepted; an incomplete call is dropped for it where there are too many."""
+        """Serves an accepted connection; closes the oldest incomplete call for it if there are too many."""
         stream = IOStream(connection, max_buffer_size=2 * self.limits.max_console_head)
         if self.open_calls >= self.limits.console_connections:
-            # Who holds a connection without a whole call makes room for who has just come.
             if not self.incomplete_calls:
                 self.counters.add("console_turned_away")
-                return stream.close()
+                stream.close()
+                return
             self.counters.add("console_half_calls")
-            self.incomplete_calls.popitem(last=False)[0].close()
+            oldest, _ = self.incomplete_calls.popitem(last=False)
+            oldest.close()
         self.open_calls += 1
         self.incomplete_calls[stream] = None
         self.background.spawn("console", self.serve(stream))
 
     async def serve(self, stream: IOStream) -> None:
-        """One connection until its end."""
+        """Serves one connection until its end."""
         try:
             async with asyncio.timeout(self.limits.console_timeout):
                 await self.call(stream)
@@ -100,7 +127,7 @@
             self.counters.add("console_half_calls")
         except (StreamClosedError, OSError):
             pass
-        except Exception:
+        except Exception:  # the edge of one connection: its error must not affect another
             self.counters.add("console_errors")
             LOGGER.exception("console_failed")
         finally:
@@ -109,32 +136,35 @@
             stream.close()
 
     async def call(self, stream: IOStream) -> None:
-        """Read one call and answer it."""
-        reader = wire.ConsoleCallParser(self.limits.max_console_head, self.limits.max_console_body)
-        call, allow = None, ""
+        """Reads one call and answers it."""
+        parser = wire.ConsoleCallParser(self.limits.max_console_head, self.limits.max_console_body)
+        call = None
         try:
             async with asyncio.timeout(self.limits.console_read_timeout):
                 while call is None:
-                    call = reader.feed(await stream.read_bytes(self.limits.max_console_head, partial=True))
+                    call = parser.feed(await stream.read_bytes(self.limits.max_console_head, partial=True))
             self.incomplete_calls.pop(stream, None)
-            status, why, allow = await self.answer(call)
+            answer = await self.answer(call)
         except TimeoutError:
             self.counters.add("console_half_calls")
-            status, why = 408, f"no whole call within {self.limits.console_read_timeout:g} s"
+            answer = ConsoleAnswer(408, f"no whole call within {self.limits.console_read_timeout:g} s")
         except wire.ConsoleProtocolError as error:
-            status, why = 400, str(error)
+            answer = ConsoleAnswer(400, str(error))
         self.incomplete_calls.pop(stream, None)
-        self.counters.add(f"console.{status}")
+        self.counters.add(f"console.{answer.status}")
         head_only = call is not None and call.method == "HEAD"
-        await stream.write(wire.format_answer(status, why, allow, head_only))
-        # What the caller still sends would make the close a reset, which can overtake the answer.
+        await stream.write(wire.format_answer(answer.status, answer.text, answer.allow, head_only))
+        await self.linger(stream)
+
+    async def linger(self, stream: IOStream) -> None:
+        """Reads what the caller still sends, as closing over unread bytes resets the connection."""
         stream.socket.shutdown(socket.SHUT_WR)
         async with asyncio.timeout(self.limits.console_linger):
-            for _ in range(16):
+            for _ in range(MAX_LINGER_READS):
                 await stream.read_bytes(self.limits.read_size, partial=True)
 
-    async def answer(self, call: wire.ConsoleCall) -> tuple[int, str, str]:
-        """The status, why, and the methods that are allowed where this one is not."""
+    async def answer(self, call: wire.ConsoleCall) -> ConsoleAnswer:
+        """Returns the answer to a call, and logs a call that changes something."""
         match call.path:
             case ("-", page) if page == "ready" or page in self.pages:
                 allow = "GET, HEAD"
@@ -143,58 +173,69 @@
             case ("-", "drain" | "resume") | ("-", "caches", _, "disable" | "enable"):
                 allow = "POST"
             case _:
-                return 404, "no such call", ""
+                return ConsoleAnswer(404, "no such call")
         if call.method not in allow.split(", "):
-            return 405, f"expected {allow}", allow
+            return ConsoleAnswer(405, f"expected {allow}", allow)
+        answer = await self.execute(call)
+        if call.method == "POST":
+            path = "/".join(call.path)
+            log.event(LOGGER, logging.INFO, "call", path=path, status=answer.status, why=answer.text)
+        return answer
+
+    async def execute(self, call: wire.ConsoleCall) -> ConsoleAnswer:
+        """Executes a call whose path and method are known to be valid."""
         match call.path:
             case ("-", "ready"):
-                status, why = self.readiness()
+                return self.readiness()
             case ("-", page) if page in self.pages:
-                status, why = 200, self.pages[page]()
+                return ConsoleAnswer(200, self.pages[page]())
             case ("-", page, id) if page in self.queries:
-                status, why = 200, self.queries[page](id)
-            case ("-", word):
-                status, why = await self.drain(word == "drain")
-            case ("-", "caches", cache, word):
-                status, why = await self.eject(cache, word == "disable")
-        if call.method == "POST":
-            log.event(LOGGER, logging.INFO, "call", path="/".join(call.path), status=status, why=why)
-        return status, why, ""
+                return ConsoleAnswer(200, self.queries[page](id))
+            case ("-", command):
+                return await self.drain(command == "drain")
+            case ("-", "caches", cache, command):
+                return await self.eject(cache, command == "disable")
+        raise AssertionError(call.path)
 
     async def save(self) -> None:
-        """Save off the loop: a disk may flush for longer than a heartbeat, which would look like overload."""
+        """Saves the overrides in a thread, as a slow disk would look like overload."""
         async with self.save_lock:
             await asyncio.to_thread(self.operator_state.write, self.operator_state.serialize_ejections())
 
     def readiness(self) -> ConsoleAnswer:
-        """Whether this process takes clients."""
+        """Returns whether this process accepts clients."""
         why = self.front.closed_reason()
-        return (503, why) if why else (200, "ready")
+        return ConsoleAnswer(503, why) if why else ConsoleAnswer(200, "ready")
 
     async def drain(self, on: bool) -> ConsoleAnswer:
-        """Drain the router, or have it resume."""
+        """Starts to drain the router (`on`), or resumes it."""
         if not on and self.front.shutting_down and not self.front.replaced:
-            return 409, "this process is ending"
-        mark = self.operator_state.set_override(DRAIN, on)
-        if not await self.other_process.confirm(DRAIN, mark):
-            return 503, "obeyed here, but the other process has not confirmed it; call again"
-        return 200, f"draining: {self.front.open_summary}" if on else "taking clients"
+            return ConsoleAnswer(409, "this process is ending")
+        override = self.operator_state.set_override(DRAIN, on)
+        if not await self.other_process.confirm(DRAIN, override):
+            return ConsoleAnswer(503, "obeyed here, but the other process has not confirmed it; call again")
+        return ConsoleAnswer(200, f"draining: {self.front.open_summary}" if on else "taking clients")
 
     async def eject(self, cache: str, on: bool) -> ConsoleAnswer:
-        """Eject a cache, or put it back: yes once the other process has applied it and once it is saved."""
+        """Ejects a cache (`on`), or admits it again.
+
+        The answer is positive once the other processes have applied it and it is saved.
+        """
         if not self.operator_state.is_known(cache):
-            return 404, "no cache of that id was ever listed"
+            return ConsoleAnswer(404, "no cache of that id was ever listed")
         try:
-            mark = self.operator_state.set_override(EJECTED_PREFIX + cache, on)
+            override = self.operator_state.set_override(EJECTED_PREFIX + cache, on)
         except TooManyOverridesError as error:
-            return 409, str(error)
-        confirmed = await self.other_process.confirm(EJECTED_PREFIX + cache, mark)
+            return ConsoleAnswer(409, str(error))
+        confirmed = await self.other_process.confirm(EJECTED_PREFIX + cache, override)
         try:
-            # Goes on where the call's time is over: the next write must not meet this one's file half done.
+            # Shielded from the timeout of the call: the next save must not meet a half-written file.
             await asyncio.shield(asyncio.ensure_future(self.save()))
         except OSError as error:
-            return 503, f"obeyed, but not saved for the next process: {error.strerror}; call again"
+            return ConsoleAnswer(
+                503, f"obeyed, but not saved for the next process: {error.strerror}; call again"
+            )
         if not confirmed:
-            return 503, "obeyed here, but the other process has not confirmed it; call again"
+            return ConsoleAnswer(503, "obeyed here, but the other process has not confirmed it; call again")
         ejected = ", ".join(self.operator_state.ejected_ids) or "none"
-        return 200, f"{'out' if on else 'back'}; left out now: {ejected}"
+        return ConsoleAnswer(200, f"{'out' if on else 'back'}; left out now: {ejected}")
--- a/paddlequay/net/hot_restart.py
+++ b/paddlequay/net/hot_restart.py
@@ -1,8 +1,8 @@
-"""Hot restart: the link to the other process of this router, while a successor takes over from a predecessor.
+"""Hot restart: the link between two processes of one router, while a successor replaces its predecessor.
 
-The predecessor listens on a socket file in its folder for temporary files; the successor finds it there.
-Operators' overrides go both ways, each confirmed once it is applied. The predecessor says what it still uses
-of the quotas.
+The predecessor listens on a socket file in its folder for temporary files; the successor connects to it.
+Operators' overrides are sent both ways, and confirmed once they are applied. The predecessor reports how much
+of the quotas it still uses.
 """
 
 import asyncio
@@ -25,33 +25,45 @@
 
 LOGGER = logging.getLogger(__name__)
 
-LINK_BACKLOG = 4  # a successor, and whoever else looks for this process
+LINK_BACKLOG = 4  # a successor, and other processes that look for this one
+SOCKET_FILE_MODE = 0o600
 SEARCH_INTERVAL_S = 0.02
 
 
 class ProcessLink:
-    """One connection to the predecessor or the successor."""
+    """The connection to the predecessor or the successor.
 
-    def __init__(self, twin: "HotRestart", stream: IOStream) -> None:
-        self.owner, self.stream = twin, stream
-        self.parser = wire.LinkParser(twin.limits.max_link_line)
-        self.state_received = asyncio.Event()  # the other's state has come, or the link has ended
-        self.successor_ready = self.has_state = False
+    Attributes:
+        owner: The links of this process.
+        state_received: Set once the other process has sent its state, or the link has ended.
+        successor_ready: Whether the other process is a successor that accepts clients.
+        has_state: Whether the other process has sent its state.
+        awaiting_confirmation: The overrides sent and not confirmed yet, by number.
+    """
+
+    def __init__(self, owner: "HotRestart", stream: IOStream) -> None:
+        self.owner = owner
+        self.stream = stream
+        self.parser = wire.LinkParser(owner.limits.max_link_line)
+        self.state_received = asyncio.Event()
+        self.successor_ready = False
+        self.has_state = False
         self.awaiting_confirmation: dict[int, asyncio.Future[bool]] = {}
 
     def send(self, message: wire.LinkMessage) -> None:
-        """Write a message; its failure shows in `run`, which reads the same stream."""
+        """Sends a message. A failure ends `run`, which reads the same stream."""
         if not self.stream.closed():
-            # Its failure shows in `run`, which reads the same stream.
             self.stream.write(wire.pack(message)).add_done_callback(lambda done: done.exception())
 
-    async def confirm(self, name: str, mark: Override) -> bool:
-        """Whether the other process applies an override; one that has ended sends nothing and so does."""
+    async def confirm(self, name: str, override: Override) -> bool:
+        """Sends an override; returns whether the other process has applied it or has ended."""
         if self.stream.closed():
             return True
-        number = self.owner.last_number = self.owner.last_number + 1
-        done = self.awaiting_confirmation[number] = asyncio.get_running_loop().create_future()
-        self.send(wire.OverrideMessage(number, name, mark))
+        self.owner.last_number += 1
+        number = self.owner.last_number
+        done: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self.awaiting_confirmation[number] = done
+        self.send(wire.OverrideMessage(number, name, override))
         try:
             return await asyncio.wait_for(done, self.owner.limits.confirm_timeout)
         except TimeoutError:
@@ -60,10 +72,11 @@
             del self.awaiting_confirmation[number]
 
     async def run(self) -> None:
-        """Read until the end."""
-        operation = self.owner.operator_state
+        """Sends the state of this process, then reads until the link ends."""
+        operator_state = self.owner.operator_state
         learned = self.owner.export_state() if self is self.owner.successor else {}
-        self.send(wire.StateMessage(operation.overrides, tuple(operation.known_ids), learned))
+        known_ids = tuple(operator_state.known_ids)
+        self.send(wire.StateMessage(operator_state.overrides, known_ids, learned))
         try:
             while True:
                 data = await self.stream.read_bytes(self.owner.limits.read_size, partial=True)
@@ -73,8 +86,7 @@
             pass
         except wire.LinkProtocolError as error:
             log.event(LOGGER, logging.WARNING, "bad_link_line", why=str(error))
-        except Exception:
-            # The link ends, and what follows its end is done: else it would count as open for good.
+        except Exception:  # the edge of one link: it must end in order, and not count as open for good
             self.owner.counters.add("hot_restart_errors")
             LOGGER.exception("hot_restart_failed")
         finally:
@@ -85,18 +97,18 @@
                     done.set_result(True)
 
     def handle(self, message: wire.LinkMessage) -> None:
-        """One message of the other process."""
-        operation = self.owner.operator_state
+        """Handles one message of the other process."""
+        operator_state = self.owner.operator_state
         match message:
             case wire.StateMessage():
                 self.has_state = True
-                operation.record_listed(message.known_ids)
-                operation.apply_all(message.overrides)
+                operator_state.record_listed(message.known_ids)
+                operator_state.apply_all(message.overrides)
                 if self is self.owner.predecessor:
                     self.owner.on_inherited_state(message.state)
                 self.state_received.set()
             case wire.OverrideMessage():
-                operation.apply(message.name, message.override)
+                operator_state.apply(message.name, message.override)
                 self.owner.counters.add("overrides_from_other_process")
                 self.owner.background.spawn("twin", self.relay(message))
             case wire.OverrideConfirmed():
@@ -109,27 +121,48 @@
             case QuotaInUse():
                 self.owner.quotas.use_rest_of(message)
 
-    async def relay(self, order: wire.OverrideMessage) -> None:
-        """Confirm an override once a third process, if there is one, applies it as well."""
-        if await self.owner.confirm(order.name, order.override, but=self):
-            self.send(wire.OverrideConfirmed(order.number))
+    async def relay(self, message: wire.OverrideMessage) -> None:
+        """Confirms an override once a third process, if there is one, has applied it as well."""
+        if await self.owner.confirm(message.name, message.override, but=self):
+            self.send(wire.OverrideConfirmed(message.number))
 
 
 class HotRestart:
-    """Finds the predecessor at the start, and is found by a successor later."""
+    """The links of one process: finds its predecessor at the start, and accepts its successor later.
+
+    Attributes:
+        path: The socket file.
+        last_number: The number of the last override sent.
+        quota_given: The quotas that this process keeps, as last sent to the successor.
+        closed: Whether this process ends.
+        search_done: Set once it is known whether there is a predecessor.
+        export_state: Returns the learned state for the successor.
+        on_inherited_state: Receives the learned state of the predecessor.
+        on_successor: Called once a successor has connected.
+        on_replaced: Called once the successor accepts clients.
+        on_successor_gone: Called once the successor has ended.
+    """
 
     def __init__(
-        self, path: Path, operation: OperatorState, shares: ProcessQuotas, limits: Limits, counters: Counters
+        self,
+        path: Path,
+        operator_state: OperatorState,
+        quotas: ProcessQuotas,
+        limits: Limits,
+        counters: Counters,
     ) -> None:
-        self.path, self.operator_state, self.quotas = path, operation, shares
-        self.limits, self.counters = limits, counters
+        self.path = path
+        self.operator_state = operator_state
+        self.quotas = quotas
+        self.limits = limits
+        self.counters = counters
         self.predecessor: ProcessLink | None = None
         self.successor: ProcessLink | None = None
         self.last_number = 0
         self.quota_given: QuotaInUse | None = None
         self.background = TaskSupervisor(counters)
         self.closed = False
-        self.search_done = asyncio.Event()  # whether there is an older process is known
+        self.search_done = asyncio.Event()
         self.export_state: Callable[[], dict[str, float]] = dict
         self.on_inherited_state: Callable[[dict[str, float]], None] = lambda learned: None
         self.on_successor: Callable[[], None] = lambda: None
@@ -140,11 +173,15 @@
 
     @property
     def replaced(self) -> bool:
-        """Whether a successor takes clients."""
+        """Whether a successor accepts clients."""
         return self.successor is not None and self.successor.successor_ready
 
     async def find_predecessor(self) -> bool:
-        """Look for a predecessor and learn what it knows; then be found in its place."""
+        """Looks for a predecessor and receives its state, then listens in its place.
+
+        Returns:
+            Whether there is a predecessor that has not ended.
+        """
         now = asyncio.get_running_loop().time
         until = now() + self.limits.link_connect_timeout
         while (link := await self.connect()) is not None:
@@ -156,14 +193,14 @@
                 log.event(LOGGER, logging.WARNING, "predecessor_unresponsive")
             if link.has_state or not link.stream.closed() or now() >= until:
                 break
-            # Ended without a word: it is going, or has a newer one beside it, soon to be found in its place.
+            # It ended before its first message: it exits, or a newer process is about to listen in its place.
             await asyncio.sleep(SEARCH_INTERVAL_S)
         self.search_done.set()
         self.listen()
         return self.predecessor is not None
 
     async def connect(self) -> ProcessLink | None:
-        """A link to whoever listens at the path; None where nobody does."""
+        """Returns a link to the process that listens at the path; None if there is none."""
         stream = IOStream(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
         try:
             await asyncio.wait_for(stream.connect(str(self.path)), self.limits.link_connect_timeout)
@@ -173,25 +210,28 @@
         return ProcessLink(self, stream)
 
     async def follow_predecessor(self, link: ProcessLink) -> None:
-        """Serve the link until the predecessor has ended."""
+        """Runs the link until the predecessor has ended."""
         await link.run()
         self.predecessor = None
         self.quotas.take_all()
         log.event(LOGGER, logging.INFO, "predecessor_ended")
 
     def listen(self) -> None:
-        """Be found at the path. Under a name of its own first: whoever connects there meets a listener."""
-        beside = self.path.with_name(f"{self.path.name}.{os.getpid()}")
+        """Listens at the path.
+
+        The socket listens under a temporary name first, so that whoever finds the path can connect.
+        """
+        temporary = self.path.with_name(f"{self.path.name}.{os.getpid()}")
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         listener.setblocking(False)
         try:
-            beside.unlink(missing_ok=True)
-            listener.bind(str(beside))
-            beside.chmod(0o600)
+            temporary.unlink(missing_ok=True)
+            listener.bind(str(temporary))
+            temporary.chmod(SOCKET_FILE_MODE)
             listener.listen(LINK_BACKLOG)
-            beside.replace(self.path)
+            temporary.replace(self.path)
         except OSError as error:
-            # Without it a newer process still starts, and takes over the bans from the file.
+            # A successor still starts, with the overrides from the file.
             listener.close()
             log.event(LOGGER, logging.WARNING, "link_not_listening", path=self.path, why=str(error))
             return
@@ -200,21 +240,23 @@
         self.acceptor = Acceptor(listener, self.accepted, lambda: LINK_BACKLOG)
 
     async def wait_until_alone(self) -> None:
-        """Wait until the predecessor has ended."""
+        """Waits until the predecessor has ended."""
         while self.predecessor is not None:
             await asyncio.sleep(SEARCH_INTERVAL_S)
 
     def stop(self) -> None:
-        """Be found no more."""
+        """Stops listening."""
         if self.acceptor is not None and self.listener is not None:
             self.acceptor.stop()
             self.listener.close()
-            self.acceptor = self.listener = None
+            self.acceptor = None
+            self.listener = None
 
     def accepted(self, connection: socket.socket) -> None:
-        """A successor has connected."""
+        """Links to a successor that has connected."""
         if self.successor is not None:
-            return connection.close()  # one at a time: that one is found in this one's place by now
+            connection.close()  # one successor at a time; the path leads to it by now
+            return
         self.successor = ProcessLink(self, IOStream(connection))
         self.counters.add("successors")
         log.event(LOGGER, logging.INFO, "successor_connected")
@@ -222,50 +264,51 @@
         self.background.spawn("twin", self.follow_successor(self.successor))
 
     async def follow_successor(self, link: ProcessLink) -> None:
-        """Serve the link until the successor has ended."""
+        """Runs the link until the successor has ended, then listens again."""
         await link.run()
-        self.successor = self.quota_given = None
+        self.successor = None
+        self.quota_given = None
         self.quotas.take_all()
         self.on_successor_gone()
         log.event(LOGGER, logging.INFO, "successor_ended")
-        if not self.closed:  # at its own end it must not take the place of the one that goes on
+        if not self.closed:  # an ending process must not listen in place of the one that remains
             self.listen()
 
     def successor_ready(self) -> None:
-        """The successor takes clients."""
+        """Reports that the successor accepts clients."""
         self.on_replaced()
         log.event(LOGGER, logging.INFO, "successor_ready")
 
-    def give_quota(self, held: QuotaInUse) -> None:
-        """As the predecessor: keep this much from now on, at most what was kept before, and say so."""
+    def give_quota(self, used: QuotaInUse) -> None:
+        """Limits this process to the quotas that it uses, never raising them, and tells the successor."""
         if self.successor is None:
             return
         if self.quota_given is not None:
-            held = QuotaInUse(
-                min(held.client_connections, self.quota_given.client_connections),
-                min(held.cache_connections, self.quota_given.cache_connections),
+            used = QuotaInUse(
+                min(used.client_connections, self.quota_given.client_connections),
+                min(used.cache_connections, self.quota_given.cache_connections),
             )
-        if held != self.quota_given:
-            self.quota_given = held
-            self.quotas.limit_to(held)
-            self.successor.send(held)
+        if used != self.quota_given:
+            self.quota_given = used
+            self.quotas.limit_to(used)
+            self.successor.send(used)
 
-    async def confirm(self, name: str, mark: Override, but: ProcessLink | None = None) -> bool:
-        """Whether every other process applies an override, once it is known whether there is one."""
+    async def confirm(self, name: str, override: Override, but: ProcessLink | None = None) -> bool:
+        """Sends an override to every other process except `but`; returns whether all have applied it."""
         try:
             await asyncio.wait_for(self.search_done.wait(), self.limits.confirm_timeout)
         except TimeoutError:
             return False
         links = [link for link in (self.predecessor, self.successor) if link is not None and link is not but]
-        return all(await asyncio.gather(*(link.confirm(name, mark) for link in links)))
+        return all(await asyncio.gather(*(link.confirm(name, override) for link in links)))
 
     def announce_ready(self) -> None:
-        """As the successor: clients are taken from now on."""
+        """Reports to the predecessor that this process accepts clients."""
         if self.predecessor is not None:
             self.predecessor.send(wire.SuccessorReady())
 
     def close(self) -> None:
-        """End the links, and be found no more."""
+        """Ends the links and stops listening."""
         self.closed = True
         self.stop()
         for link in (self.predecessor, self.successor):
--- a/paddlequay/net/listener.py
+++ b/paddlequay/net/listener.py
@@ -1,8 +1,8 @@
-"""The listening socket, and how it passes from one process to the next without a loss.
+"""The listening socket, and how it passes from one process to the next without a lost connection.
 
-Predecessor and successor both listen on the address (SO_REUSEPORT), and the kernel deals connections out
-among them. What it deals to a listener that then closes is reset, even if that one accepts until its queue is
-empty. So the successor has all new connections steered to itself from the moment it listens.
+Predecessor and successor both listen on the address (SO_REUSEPORT), and the kernel distributes connections
+between them. A connection assigned to a listener that then closes is reset, even if that listener accepts
+until its queue is empty. So the successor steers all new connections to itself as soon as it listens.
 """
 
 import ctypes
@@ -20,27 +20,30 @@
 LOGGER = logging.getLogger(__name__)
 
 BACKLOG = 1024
-FULL_PAUSE_S = 0.05  # as long as a heartbeat: short for who waits, and next to no work
-LOG_INTERVAL_S = 5.0  # faults at one listener are logged at most this often
-RETURN_INSTRUCTION = struct.Struct("HBBI")  # of a classic socket filter: code, two jumps, constant
-FILTER_PROGRAM = struct.Struct("HP")  # how many instructions, and where
+FULL_PAUSE_S = 0.05  # an interval of heartbeats: short for clients, and little work
+LOG_INTERVAL_S = 5.0  # between logged faults of one listener
+# A classic BPF program of one instruction, which returns the index of a listener (linux/filter.h).
+BPF_INSTRUCTION = struct.Struct("HBBI")  # code, two jump offsets, constant
+BPF_PROGRAM = struct.Struct("HP")  # the number of instructions, and their address
+BPF_RETURN_CONSTANT = 0x06  # BPF_RET | BPF_K
 SO_ATTACH_REUSEPORT_CBPF = getattr(socket, "SO_ATTACH_REUSEPORT_CBPF", 51)
-NEWEST = 1  # the place among two listeners of the one that came later
+NEWEST_LISTENER = 1  # the index of the later of two listeners
 
 
 def bind(address: Address) -> socket.socket:
-    """A socket that is bound to the address, beside another process that may be, and does not listen yet.
+    """Returns a socket bound to an address, which another process may share; it does not listen yet.
 
-    Raises OSError where the address cannot be had.
+    Raises:
+        OSError: If the address cannot be bound.
     """
     host, port = address
-    family, *_, where = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)[0]
+    family, *_, resolved = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM, flags=socket.AI_PASSIVE)[0]
     bound = socket.socket(family, socket.SOCK_STREAM)
     try:
         bound.setblocking(False)
         bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        bound.bind(where)
+        bound.bind(resolved)
     except OSError:
         bound.close()
         raise
@@ -48,12 +51,20 @@
 
 
 class Acceptor:
-    """Accepts the connections of one listener, from its making until `stop`.
+    """Accepts the connections of one listener from its creation until `stop`.
 
-    At most `capacity()` in one turn of the loop: all that wait at once would be descriptors beyond the limit,
-    and what the earliest of them sent would be read after the last has come. Where there is capacity for
-    none, or the system gives no descriptor, the listener is left alone for `FULL_PAUSE_S`: it stays readable,
-    and the loop would do nothing else. What waits keeps its place.
+    At most `capacity()` connections are accepted in one iteration of the event loop, to stay within the
+    limit on descriptors and to read their requests soon. Without capacity or descriptors, accepting pauses
+    for `FULL_PAUSE_S`, as a readable listener would keep the event loop busy; the backlog waits.
+
+    Args:
+        listener: The listening socket.
+        on_accept: Receives each accepted connection.
+        capacity: Returns how many connections may be accepted now.
+
+    Attributes:
+        resume_timer: Ends the pause; None while connections are accepted.
+        logged_at: When a fault was last logged, by the event loop's clock.
     """
 
     def __init__(
@@ -71,12 +82,12 @@
         self.start()
 
     def start(self) -> None:
-        """Wait for connections, for the first time or after a pause."""
+        """Starts to accept, for the first time or after a pause."""
         self.resume_timer = None
         self.loop.add_handler(self.listener, self.accept, IOLoop.READ)
 
     def stop(self) -> None:
-        """Accept no more; the listener itself stays open."""
+        """Stops accepting; the listener stays open."""
         if self.resume_timer is None:
             self.loop.remove_handler(self.listener)
         else:
@@ -84,33 +95,35 @@
             self.resume_timer = None
 
     def accept(self, listener: socket.socket, events: int) -> None:
-        """Connections wait: accept as many as there is capacity for."""
+        """Accepts waiting connections up to the capacity."""
         capacity = self.capacity()
         if capacity < 1:
-            return self.pause("no room")
+            self.pause("no room")
+            return
         for _ in range(capacity):
             try:
                 connection = self.listener.accept()[0]
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as error:
-                return self.pause(errno.errorcode.get(error.errno or 0, str(error)))
+                self.pause(errno.errorcode.get(error.errno or 0, str(error)))
+                return
             try:
                 self.on_accept(connection)
-            except Exception:  # one connection's fault harms no other
+            except Exception:  # the edge of one connection: its error must not affect another
                 connection.close()
                 if self.may_log():
                     LOGGER.exception("connection_not_taken")
 
     def pause(self, why: str) -> None:
-        """Leave the listener alone for a while."""
+        """Stops accepting for `FULL_PAUSE_S`."""
         self.loop.remove_handler(self.listener)
         self.resume_timer = self.loop.call_later(FULL_PAUSE_S, self.start)
         if self.may_log():
             log.event(LOGGER, logging.WARNING, "accept_paused", why=why)
 
     def may_log(self) -> bool:
-        """Whether a fault may be logged now; if so, the next one after `LOG_INTERVAL_S`."""
+        """Returns whether a fault may be logged now; if so, the next one only after `LOG_INTERVAL_S`."""
         if self.loop.time() - self.logged_at < LOG_INTERVAL_S:
             return False
         self.logged_at = self.loop.time()
@@ -120,7 +133,13 @@
 def accept_backlog(
     listener: socket.socket, on_accept: Callable[[socket.socket], None], free_descriptor: Callable[[], bool]
 ) -> bool:
-    """Accept all connections that wait now; False where some are left, as no descriptor could be freed."""
+    """Accepts all waiting connections; returns False if no descriptor can be freed for some.
+
+    Args:
+        listener: The listening socket.
+        on_accept: Receives each accepted connection.
+        free_descriptor: Closes something else; returns whether that was possible.
+    """
     while True:
         try:
             accepted = listener.accept()[0]
@@ -136,13 +155,13 @@
 
 
 def steer_to_newest(listener: socket.socket) -> None:
-    """Have the newer of two listeners take all new connections.
+    """Steers all new connections to the newer of two listeners on one address.
 
-    The filter belongs to both together. Where it names a place that is not taken, as once the older listener
-    has closed, the kernel deals out as without it.
+    The program applies to both listeners. Once the older one has closed, its index is invalid, and the
+    kernel distributes connections as without it.
     """
-    code = ctypes.create_string_buffer(RETURN_INSTRUCTION.pack(0x06, 0, 0, NEWEST))
-    program = FILTER_PROGRAM.pack(1, ctypes.addressof(code))
+    code = ctypes.create_string_buffer(BPF_INSTRUCTION.pack(BPF_RETURN_CONSTANT, 0, 0, NEWEST_LISTENER))
+    program = BPF_PROGRAM.pack(1, ctypes.addressof(code))
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
     except OSError as error:
--- a/paddlequay/net/scheduler.py
+++ b/paddlequay/net/scheduler.py
@@ -1,4 +1,4 @@
-"""The system's clocks and the event loop's timers, as the exchange uses them."""
+"""The clocks of the system and the timers of the event loop, for the exchange."""
 
 import asyncio
 import time
@@ -8,19 +8,19 @@
 
 
 class LoopScheduler:
-    """`monotonic` for durations, `unix` for the times of the rules."""
+    """Provides `monotonic` for durations, `unix` for points in time, and timers."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
 
     def monotonic(self) -> float:
-        """The loop's clock, in seconds."""
+        """Returns the event loop's time, in seconds."""
         return self.loop.time()
 
     def unix(self) -> float:
-        """Unix time, in seconds."""
+        """Returns the Unix time, in seconds."""
         return time.time()
 
     def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
-        """Call back after so many seconds."""
+        """Calls back after `delay` seconds; the returned timer can be cancelled."""
         return self.loop.call_later(delay, call)
