--- a/paddlequay/config/limits.py
+++ b/paddlequay/config/limits.py
@@ -1,4 +1,4 @@
-"""The limits of the program: every size, count and time, by the deployment, the settings or a default."""
+"""The limits of the program: every size, count and time, from the deployment, the settings or a default."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -31,22 +31,24 @@
     max_unsent: int = 48 * 1024 * 1024
     client_stall_timeout: float = 10.0
     client_silence_timeout: float = 2.5  # without a byte, before the first one or inside a message
-    recent_progress: float = 0.5  # who has gone on with a message this lately is not closed for who comes
-    client_idle_timeout: float = 6.0  # clients themselves close after 4 s, by the platform's page
+    recent_progress: float = 0.5  # a message received in part this recently keeps its connection open
+    client_idle_timeout: float = 6.0  # clients themselves close after 4 s, by the platform's documentation
     max_client_body: int = 48_000
-    max_consecutive_rejections: int = 32  # rejections or errors in a row, after which a connection is read
-    rejection_pause: float = 0.02  # only once in this time
-    max_time_to_live: float = 1.5  # of the class's deadline, which no client but a faulty one goes beyond
+    max_consecutive_rejections: int = (
+        32  # rejections or errors in a row, after which a client is read more slowly
+    )
+    rejection_pause: float = 0.02  # between the reads from such a client
+    max_time_to_live: float = 1.5  # of the class's deadline; only a faulty client asks for more
     max_part: int = 65_535
     max_group: int = 255
     max_open_requests: int = 20000
     max_body_bytes: int = 24 * 1024 * 1024
-    answer_margin: float = 0.025  # of the time to live, for the way from and to the client
-    busy_retry_after: float = 0.2  # where the router itself, not the decisions, rejects a request
-    accepts_per_turn: int = 16  # connections accepted in one turn of the loop
-    client_read_size: int = 4096  # some 25 requests: what waits behind them, purges above all, has its turn
+    answer_margin: float = 0.025  # of the time to live, for the transfer from and to the client
+    busy_retry_after: float = 0.2  # if the router itself, not the decisions, rejects a request
+    accepts_per_turn: int = 16  # connections accepted in one iteration of the event loop
+    client_read_size: int = 4096  # some 25 requests, so that other connections and purges are handled soon
     heartbeat_interval: float = 0.05  # how often the program looks at its own load
-    max_cpu_share: float = 0.96  # of the core: past it, load is shed, more at each heartbeat
+    max_cpu_share: float = 0.96  # of the core: above it, load is shed, more at each heartbeat
     cores: float = 1.0
     max_heartbeat_delay: float = 0.03  # a heartbeat this late means the same
     shed_step: float = 0.06
@@ -55,19 +57,19 @@
     connect_timeout: float = 0.4  # as the settings give
     cache_streams: int = 32  # as the settings give, up to `max_remembered_ids`
     cache_connections: int = 8  # to one instance
-    max_reuse_idle: float = 0.1  # idle for longer, a connection takes nothing that must not be executed twice
+    max_reuse_idle: float = 0.1  # idle for longer, a connection takes no non-idempotent request
     requests_per_connection: int = 4  # in flight on a connection before another is opened
     all_cache_connections: int = 650
-    cache_stall_timeout: float = 0.2  # without a byte inside an answer, which comes in one piece
+    cache_stall_timeout: float = 0.2  # without a byte inside an answer, which caches send at once
     connection_unanswered: int = 4  # requests written on a connection with nothing received on it,
     instance_unanswered: int = 6  # or on all to an instance with nothing received on any,
     silence_check_after: float = 0.5  # nothing for this long: policy/failure_detector.py decides
-    assumed_latency: float = 0.3  # what an answer is taken to need until answers come
+    assumed_latency: float = 0.3  # the assumed latency until answers are received
     cache_idle_timeout: float = 24.0  # the caches close at 30 s, or as the settings give
-    max_remembered_ids: int = 512  # remembered by a connection, so that none comes twice on it
+    max_remembered_ids: int = 512  # remembered by a connection, so that none is written twice on it
     max_cache_line: int = 4096
     max_object_size: int = 240_000
-    # With less time left nothing is written any more: caches get it in milliseconds.
+    # With less time left nothing is written, as the wire has whole milliseconds.
     min_time_left: float = 0.002
     max_attempts: int = 6
     # The endpoint watch.
@@ -82,16 +84,12 @@
     drain_reject_after: float = 2.6  # connections that are never quiet get nothing new done,
     drain_abandon_after: float = 3.0  # what is pending then is abandoned,
     drain_close_after: float = 3.3  # and what is not closed by then is closed
-    new_connection_age: float = (
-        0.5  # a connection as new as this, without a request yet, is about to bring one
-    )
-    # One process replaces another.
+    new_connection_age: float = 0.5  # a newer connection is expected to send its first request
+    # Hot restart.
     max_link_line: int = 1024 * 1024
     link_connect_timeout: float = 1.0
-    confirm_timeout: float = (
-        0.6  # the other process applies an override; the call is owed its answer within 1 s
-    )
-    warm_up_timeout: float = 2.5  # of a successor, which is to be ready within 6 s
+    confirm_timeout: float = 0.6  # for an override; a console call must be answered within 1 s
+    warm_up_timeout: float = 2.5  # of a successor, which must be ready within 6 s
     # The operators' console.
     console_connections: int = 16
     max_console_head: int = 8 * 1024
@@ -103,7 +101,7 @@
     reserved_descriptors: int = RESERVED_DESCRIPTORS
     read_size: int = 64 * 1024
     sweep_interval: float = 0.25
-    counters_interval: float = 5.0  # a replay's logs tell where requests went without an end by SIGTERM
+    counters_interval: float = 5.0  # logs must be complete for processes that do not end by SIGTERM
 
 
 class ShutdownTimes(TypedDict):
@@ -135,7 +133,7 @@
 
 def limits_from(data: Mapping[str, Any], settings: RoutingSettings) -> Limits:
     """Returns the limits by the deployment and the settings, else the defaults; raises `ConfigError`."""
-    # With fewer descriptors than this a third for clients and a connection each to a few caches do not fit.
+    # Fewer descriptors do not suffice for a third for clients and a connection to each of a few caches.
     sockets = int(positive(data, "limits.sockets", 1024, lowest=36))
     memory = positive(data, "limits.memory_mb", 192, lowest=1) * 1024 * 1024
     wire = {"settings": data["settings"]}
@@ -147,10 +145,10 @@
     defaults = Limits()
     return Limits(
         client_connections=clients,
-        # The rest is for what the program needs by itself, and for sockets about to be closed.
+        # The rest is for the program itself, and for sockets about to be closed.
         all_cache_connections=sockets - clients - own,
         reserved_descriptors=own,
-        # Accepted ones can be closed for others from the next turn on: more at once would be rejected.
+        # Accepted connections can be closed for others from the next iteration: more would be rejected.
         accepts_per_turn=max(1, min(defaults.accepts_per_turn, clients // 4)),
         console_connections=min(defaults.console_connections, own - NON_CONSOLE_DESCRIPTORS),
         cores=positive(data, "limits.cores", 1.0),
@@ -158,15 +156,15 @@
         max_client_unsent=int(memory / 8),
         max_body_bytes=int(memory / 8),
         max_open_requests=int(positive(wire, "settings.limits.maxOpen", 20000, lowest=1)),
-        # No request waits for a connection for longer.
+        # No request waits longer for a connection.
         connect_timeout=min(longest, positive(wire, "settings.limits.dialTimeout", 0.4)),
         cache_streams=min(
             defaults.max_remembered_ids, int(positive(wire, "settings.limits.streamsPerConn", 32, lowest=1))
         ),
-        # Closed here first, before the next sweep: what crosses the caches' own close is reset.
+        # This side closes first, one sweep early: requests that cross the caches' close are reset.
         cache_idle_timeout=max(keepalive / 4, min(0.8 * keepalive, keepalive - 2 * defaults.sweep_interval)),
         max_reuse_idle=min(defaults.max_reuse_idle, keepalive / 4),
-        # Of the order of the latency objectives: a deployment of larger objects takes longer for each answer.
+        # Scaled by the latency objectives, as larger objects take longer.
         silence_check_after=1.1 * mean_objective,
         assumed_latency=0.5 * mean_objective,
         max_attempts=int(positive(wire, "settings.limits.attemptsCap", 6, lowest=1)),
--- a/paddlequay/config/loader.py
+++ b/paddlequay/config/loader.py
@@ -1,4 +1,4 @@
-"""What the router is given at its start: the environment and the JSON file that it names."""
+"""Reads the configuration of a router: the environment and the JSON file that it names."""
 
 import json
 import tempfile
@@ -15,10 +15,19 @@
 from paddlequay.errors import ConfigError
 from paddlequay.routing.interface import RoutingSettings
 
+MAX_NAME_CHARS = 60  # of a router's name, in the names of its files
+
 
 @dataclass(frozen=True, slots=True)
 class Peering:
-    """How a router reaches the others of its tier: its number, where it listens, their addresses in order."""
+    """How a router reaches the others of its tier.
+
+    Attributes:
+        me: The index of this router among the peers.
+        listen: The address at which it receives.
+        peers: The addresses of all routers.
+        to_all: The address that reaches all of them; None if there is none.
+    """
 
     me: int
     listen: Address
@@ -28,7 +37,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One router's configuration."""
+    """The configuration of one router.
+
+    Attributes:
+        name: The name of the router.
+        listen: The address for clients.
+        bulletin: The address of the endpoint list.
+        seed: The seed of the decisions.
+        settings: The settings of the decisions.
+        known: The events of the endpoint list so far, unparsed.
+        limits: Sizes, counts and times of the program.
+        console: The address of the operators' console; None without one.
+        peering: How peers are reached; None if the platform names none or does not allow them.
+        folder: For files that outlive this process.
+    """
 
     name: str
     listen: Address
@@ -38,18 +60,23 @@
     known: Mapping[str, Any]
     limits: Limits = field(default_factory=Limits)
     console: Address | None = None
-    peering: Peering | None = None  # None: the platform names no peers, or does not allow them
-    folder: Path = Path(tempfile.gettempdir())  # for what outlives this process
+    peering: Peering | None = None
+    folder: Path = Path(tempfile.gettempdir())
 
     def file(self, suffix: str) -> Path:
-        """A file of this router's own, by its suffix."""
-        return self.folder / f"paddlequay-{quote(self.name, safe='')[:60]}.{suffix}"
+        """Returns the path of a file of this router by its suffix."""
+        return self.folder / f"paddlequay-{quote(self.name, safe='')[:MAX_NAME_CHARS]}.{suffix}"
 
 
 def read_peering(data: Mapping[str, Any]) -> Peering | None:
-    """The peers, where the platform names and the settings allow them. Raises `ConfigError`."""
+    """Returns the peers; None unless the platform names them and the settings allow them.
+
+    Raises:
+        ConfigError: If an address or the index of this router is invalid.
+    """
     allowed = section(data, "settings.limits").get("peers")
-    peers, me = data.get("peers"), data["settings"].get("me")
+    peers = data.get("peers")
+    me = data["settings"].get("me")
     if allowed is not True or peers is None:
         return None
     if not isinstance(peers, list):
@@ -66,7 +93,7 @@
 
 
 def read_seed(data: Mapping[str, Any]) -> int:
-    """The seed, in hex digits; 0 where there is none. Raises `ConfigError`."""
+    """Returns the seed, given in hex digits; 0 if there is none. Raises `ConfigError`."""
     digits = text(data, "seed", "0")
     try:
         return int(digits, 16)
@@ -75,21 +102,29 @@
 
 
 def read_known(data: Mapping[str, Any]) -> Mapping[str, Any]:
-    """The events so far, unparsed, and the number of the last one. Raises `ConfigError`."""
+    """Returns the events so far, unparsed, and the number of the last one. Raises `ConfigError`."""
     known = data.get("known")
     if known is None:
         return {"no": 0, "items": []}
     number = known.get("no", 0) if isinstance(known, dict) else None
-    if isinstance(number, bool) or not isinstance(number, int) or not isinstance(known.get("items"), list):
+    is_number = isinstance(number, int) and not isinstance(number, bool)
+    if not is_number or not isinstance(known.get("items"), list):
         raise ConfigError(f"known: expected an object with no and items, got {abbreviated(known)}")
     found: Mapping[str, Any] = known
     return found
 
 
 def read_config(environment: Mapping[str, str], peers: bool = False) -> Config:
-    """The configuration that `ROUTER_CONFIG` names; `ROUTER_NAME` and `ROUTER_LISTEN` come first where set.
+    """Returns the configuration of the file that `ROUTER_CONFIG` names.
+
+    `ROUTER_NAME`, `ROUTER_LISTEN` and `ROUTER_CONSOLE` take precedence over the file.
+
+    Args:
+        environment: The environment variables.
+        peers: Whether to read how the other routers are reached.
 
-    `peers`: whether to read how the other routers are reached. Raises `ConfigError`.
+    Raises:
+        ConfigError: If the file cannot be read, or a value is invalid.
     """
     path = environment.get("ROUTER_CONFIG")
     if not path:
--- a/paddlequay/config/settings.py
+++ b/paddlequay/config/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings object, alike on the simulator's wire and in the configuration file."""
+"""Parses the platform's settings, which are alike on the simulator's wire and in the configuration file."""
 
 from typing import Any, TypeVar
 
@@ -16,14 +16,14 @@
 class SettingsReader:
     """Reads typed values from nested JSON objects by dotted path; an absent one is None.
 
-    Raises `SettingsError` with the path where a value has another type.
+    Its methods raise `SettingsError` with the path if a value has another type.
     """
 
     def __init__(self, data: Any) -> None:
         self.data = data
 
     def get(self, path: str, kind: type[T]) -> T | None:
-        """The value at a path; a whole number does where a float is expected."""
+        """Returns the value at a path; an integer is valid where a float is expected."""
         value: Any = self.data
         for step in path.split("."):
             value = value.get(step) if isinstance(value, dict) else None
@@ -36,31 +36,31 @@
         return value
 
     def need(self, path: str, kind: type[T]) -> T:
-        """A value that must be there."""
+        """Returns the value at a path, which must exist."""
         value = self.get(path, kind)
         if value is None:
             raise SettingsError(f"settings: {path} is missing")
         return value
 
     def item(self, path: str, place: int, kind: type[T]) -> T | None:
-        """One item of the list at a path; None where that is shorter."""
+        """Returns an item of the list at a path; None if the list is shorter."""
         values = self.get(path, list)
         if not values or not 0 <= place < len(values):
             return None
         return SettingsReader({"item": values[place]}).get("item", kind)
 
     def kind_name(self, path: str) -> str | None:
-        """The kind of member whose place among `kinds` stands at a path."""
+        """Returns the kind of member whose index among `kinds` is the value at a path."""
         place = self.get(path, int)
         return None if place is None else self.item("kinds", place, str)
 
     def slow_start(self, *paths: str) -> SlowStart:
-        """A slow start from the paths of its fields, in their order."""
+        """Returns a slow start from the paths of its fields, in their order."""
         return SlowStart(*(self.get(path, float) for path in paths))
 
 
 def parse_settings(data: Any) -> RoutingSettings:
-    """The settings as the decisions get them; unknown keys are skipped. Raises `SettingsError`."""
+    """Returns the settings of the decisions; ignores unknown keys. Raises `SettingsError`."""
     if not isinstance(data, dict):
         raise SettingsError("settings: expected a JSON object")
     reader = SettingsReader(data)
@@ -102,7 +102,7 @@
 
 
 def parse_class(settings: SettingsReader, item: Any, place: int) -> RequestClass:
-    """One class of requests, from its own object and, by its place, from the lists of the settings."""
+    """Returns a class from its own object and, by its place, from the lists of the settings."""
     own = SettingsReader(item)
     return RequestClass(
         name=own.need("name", str),
@@ -120,7 +120,7 @@
 
 
 def parse_idempotency(name: str) -> Idempotency:
-    """What a retry does, by the settings' name for it; raises `SettingsError` for others."""
+    """Returns the idempotency of a name in the settings. Raises `SettingsError` for an unknown name."""
     if name not in IDEMPOTENCY_BY_NAME:
         expected = ", ".join(IDEMPOTENCY_BY_NAME)
         raise SettingsError(f"settings: idempotency: expected one of {expected}, got {name!r}")
@@ -128,7 +128,7 @@
 
 
 def check_settings(settings: RoutingSettings) -> None:
-    """Raise `SettingsError`, with the field's name, for settings that make no sense."""
+    """Raises `SettingsError`, with the name of the field, for contradictory settings."""
     if not settings.classes:
         raise SettingsError("settings: classes: expected at least one class")
     if min(settings.router_count or 0, settings.zone_router_count or 0) < 0:
--- a/paddlequay/config/validation.py
+++ b/paddlequay/config/validation.py
@@ -1,17 +1,17 @@
-"""Whether settings that were read can be used by the decisions and by the protocols."""
+"""Checks that parsed settings can be used by the decisions and the protocols."""
 
 import re
 from dataclasses import fields
 
 from paddlequay.config.settings import check_settings
-from paddlequay.config.values import MAX_FIGURE, abbreviated
+from paddlequay.config.values import MAX_NUMBER, abbreviated
 from paddlequay.errors import ConfigError
 from paddlequay.routing.interface import RequestClass, RoutingSettings, SlowStart
 
-# Words of a line to a cache are apart by spaces, and its fields by commas.
+# On the wire to a cache, words are separated by spaces and fields by commas.
 CLASS_NAME = re.compile(r"[^\s,]+")
 
-# Under which name an error speaks of a field, where that is another: operators' tools look for these.
+# The names of fields in errors, where they differ: operators' tools look for these.
 REPORTED_NAMES = {
     "latency_objective": "aim",
     "priority_weight": "worth",
@@ -31,12 +31,23 @@
 
 
 def check_usable(settings: RoutingSettings) -> RoutingSettings:
-    """The settings, where the decisions and the caches' protocol can use them; else raises `ConfigError`.
+    """Returns the settings if the decisions and the caches' protocol can use them.
 
-    Figures are finite, and 0 or more; classes have each a name of its own, which a line to a cache can carry.
+    Raises:
+        ConfigError: If a number is not finite or negative, or the name of a class is invalid or not unique.
     """
     check_settings(settings)
-    names = [kind.name for kind in settings.classes]
+    check_class_names([kind.name for kind in settings.classes])
+    check_numbers("", settings)
+    check_numbers("cold_edge.", settings.edge_slow_start)
+    check_numbers("cold_parent.", settings.parent_slow_start)
+    for kind in settings.classes:
+        check_numbers(f"{abbreviated(kind.name)}.", kind)
+    return settings
+
+
+def check_class_names(names: list[str]) -> None:
+    """Raises `ConfigError` unless each name is unique and can be a word of the caches' protocol."""
     for place, name in enumerate(names):
         if not CLASS_NAME.fullmatch(name):
             raise ConfigError(
@@ -44,14 +55,13 @@
             )
         if name in names[:place]:
             raise ConfigError(f"settings: classes: {abbreviated(name)} is named twice")
-    records: list[tuple[str, RoutingSettings | SlowStart | RequestClass]] = [("", settings)]
-    records += [("cold_edge.", settings.edge_slow_start), ("cold_parent.", settings.parent_slow_start)]
-    records += [(f"{abbreviated(kind.name)}.", kind) for kind in settings.classes]
-    for path, record in records:
-        for each in fields(record):
-            value = getattr(record, each.name)
-            if isinstance(value, int | float) and not 0 <= value <= MAX_FIGURE:
-                name = REPORTED_NAMES.get(each.name, each.name)
-                expected = f"expected a number from 0 to {MAX_FIGURE:g}, got {abbreviated(value)}"
-                raise ConfigError(f"settings: {path}{name}: {expected}")
-    return settings
+
+
+def check_numbers(path: str, record: RoutingSettings | SlowStart | RequestClass) -> None:
+    """Raises `ConfigError`, with the path and the name of the field, for a number out of bounds."""
+    for each in fields(record):
+        value = getattr(record, each.name)
+        if isinstance(value, int | float) and not 0 <= value <= MAX_NUMBER:
+            name = REPORTED_NAMES.get(each.name, each.name)
+            expected = f"expected a number from 0 to {MAX_NUMBER:g}, got {abbreviated(value)}"
+            raise ConfigError(f"settings: {path}{name}: {expected}")
--- a/paddlequay/config/values.py
+++ b/paddlequay/config/values.py
@@ -1,4 +1,4 @@
-"""Single values of a configuration, each read with its bounds; errors name the place and the value."""
+"""Reads single values of a configuration, each with its bounds; errors name the place and the value."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -7,58 +7,68 @@
 
 Address = tuple[str, int]
 
-MAX_FIGURE = 1e9  # of any figure: what is beyond is a mistake, and would end as an infinity in some mean
+MAX_NUMBER = 1e9  # any larger number is a mistake, and may become an infinity in a mean
+MAX_PORT = 65_535
+MAX_ERROR_CHARS = 300
+MAX_QUOTED_CHARS = 60  # of an invalid value, in an error
 
 
 def one_line(why: object) -> str:
-    """An error of another part, as one line of at most 300 characters."""
-    return " ".join(str(why).split())[:300]
+    """Returns an error as one line of at most `MAX_ERROR_CHARS` characters."""
+    return " ".join(str(why).split())[:MAX_ERROR_CHARS]
 
 
 def abbreviated(value: object) -> str:
-    """A value that cannot be used, in at most 60 characters."""
-    return repr(value)[:60]
+    """Returns an invalid value in at most `MAX_QUOTED_CHARS` characters."""
+    return repr(value)[:MAX_QUOTED_CHARS]
 
 
 def address(text: Any, name: str) -> Address:
-    """`host:port` as a pair; raises `ConfigError`."""
+    """Returns the host and the port of `host:port`. Raises `ConfigError`."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not (colon and host and port.isdecimal() and 0 <= int(port) < 65536):
+    if not (colon and host and port.isdecimal() and 0 <= int(port) <= MAX_PORT):
         raise ConfigError(f"{name}: expected host:port, got {abbreviated(text)}")
     return host, int(port)
 
 
 def section(data: Mapping[str, Any], path: str) -> Mapping[str, Any]:
-    """The object at a dotted path; empty where there is none. Raises `ConfigError` for another type."""
-    where: Any = data
+    """Returns the object at a dotted path; empty if there is none. Raises `ConfigError` for another type."""
+    value: Any = data
     for step in path.split("."):
-        where = where.get(step)
-        if where is None:
+        value = value.get(step)
+        if value is None:
             return {}
-        if not isinstance(where, dict):
-            raise ConfigError(f"{path}: expected an object, got {abbreviated(where)}")
-    found: Mapping[str, Any] = where
+        if not isinstance(value, dict):
+            raise ConfigError(f"{path}: expected an object, got {abbreviated(value)}")
+    found: Mapping[str, Any] = value
     return found
 
 
 def positive(data: Mapping[str, Any], path: str, default: float, lowest: float = 0.0) -> float:
-    """A figure above 0, at least `lowest` and at most `MAX_FIGURE`, at a dotted path; or the default.
+    """Returns the number at a dotted path, or the default if there is none.
 
-    Raises `ConfigError`.
+    Args:
+        data: The configuration.
+        path: The names of the objects and of the value, separated by dots.
+        default: Returned if there is no value.
+        lowest: The lowest valid number; if 0, the number must be above it.
+
+    Raises:
+        ConfigError: If the value is no number, or out of its bounds.
     """
     parent, _, name = path.rpartition(".")
     value = section(data, parent).get(name)
     if value is None:
         return default
-    number = not isinstance(value, bool) and isinstance(value, int | float)
-    if not (number and 0 < value <= MAX_FIGURE and value >= lowest):
+    is_number = not isinstance(value, bool) and isinstance(value, int | float)
+    if not (is_number and 0 < value <= MAX_NUMBER and value >= lowest):
         wanted = f"of {lowest:g} or more" if lowest else "above 0"
         raise ConfigError(f"{path}: expected a number {wanted}, got {abbreviated(value)}")
     return float(value)
 
 
 def text(data: Mapping[str, Any], name: str, default: str) -> str:
-    """A text that is not empty, or the default; raises `ConfigError`."""
+    """Returns a text that is not empty, or the default if there is none. Raises `ConfigError`."""
     value = data.get(name)
     if value is None:
         return default
--- a/paddlequay/observability/counters.py
+++ b/paddlequay/observability/counters.py
@@ -1,4 +1,4 @@
-"""What the router received, sent and answered, by name."""
+"""Counters of what the program received, sent and answered, by name."""
 
 import logging
 from collections import Counter
@@ -9,20 +9,20 @@
 
 
 class Counters:
-    """Counts by name; printed on SIGUSR1 and at the exit."""
+    """Counts by name, logged on SIGUSR1, periodically and at the exit."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
     def add(self, name: str, count: int = 1) -> None:
-        """Count something under a name."""
+        """Adds `count` to the counter of a name."""
         self.counts[name] += count
 
     def add_once(self, name: str) -> bool:
-        """Count, and say whether it was the first: what is logged once is counted always."""
+        """Adds 1 to the counter of a name; returns whether it was the first, which alone is logged."""
         self.counts[name] += 1
         return self.counts[name] == 1
 
     def print(self, why: str) -> None:
-        """Log all counters, with the reason for it."""
+        """Logs all counters, with the reason `why`."""
         log.event(LOGGER, logging.INFO, "counters", why=why, **dict(sorted(self.counts.items())))
--- a/paddlequay/observability/log.py
+++ b/paddlequay/observability/log.py
@@ -1,17 +1,17 @@
-"""Log lines as key=value pairs on standard error."""
+"""Writes log lines as key=value pairs to standard error."""
 
 import logging
 import sys
 import time
 
-VALUE_MOST = 4000  # characters of one value; a trace stands at its end
+MAX_VALUE_CHARS = 4000  # of one value, of which the two ends are kept
 
 
 class KeyValueFormatter(logging.Formatter):
-    """`ts=... level=... part=... event=...` and then the record's own fields."""
+    """Formats a record as `ts=... level=... part=... event=...`, followed by its fields."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """One record as a line."""
+        """Returns a record as one line."""
         second = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         pairs = {
             "ts": f"{second}.{int(record.msecs):03d}Z",
@@ -26,13 +26,13 @@
 
 
 def quoted(value: object) -> str:
-    """A value as one word, in quotes where it would not be one; of a long one, its two ends.
+    """Returns a value as one word, quoted if necessary, and shortened to `MAX_VALUE_CHARS`.
 
-    What strangers send may stand in it: no line ends early by it, and none is longer than that.
+    The value may contain what strangers have sent: it must neither end the line nor make it too long.
     """
     text = f"{value:.6g}" if isinstance(value, float) else str(value)
-    if len(text) > VALUE_MOST:
-        text = f"{text[: VALUE_MOST // 2]} ... {text[-VALUE_MOST // 2 :]}"
+    if len(text) > MAX_VALUE_CHARS:
+        text = f"{text[: MAX_VALUE_CHARS // 2]} ... {text[-MAX_VALUE_CHARS // 2 :]}"
     if text and text.isprintable() and not any(c in text for c in ' "=\\'):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"')
@@ -40,7 +40,7 @@
 
 
 def set_up(level: int = logging.INFO) -> None:
-    """One handler for the whole program."""
+    """Installs the one handler of the program, which writes to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     root = logging.getLogger()
@@ -49,5 +49,5 @@
 
 
 def event(logger: logging.Logger, level: int, name: str, **fields: object) -> None:
-    """Log `name` with its fields."""
+    """Logs the event `name` with its fields."""
     logger.log(level, name, extra={"fields": fields})
--- a/paddlequay/programs/handover.py
+++ b/paddlequay/programs/handover.py
@@ -1,4 +1,4 @@
-"""Hot restart as the program sees it: one process takes over from another, and hands over to the next."""
+"""The handover of a hot restart: this process replaces its predecessor, and is replaced by its successor."""
 
 import asyncio
 import contextlib
@@ -28,8 +28,10 @@
 class Handover:
     """Prepares this process beside a predecessor, and yields to a successor.
 
-    It owns no connection: it says to the clients' front, to the cluster of a fleet and to the link between
-    the two processes what each has to do.
+    It owns no connection, and directs the clients' front, the cluster and the link between the processes.
+
+    Attributes:
+        cluster: The driver of the cluster; None if the settings name no peers.
     """
 
     def __init__(
@@ -59,28 +61,28 @@
     # --- as the successor ---
 
     async def take_over(self, listener: socket.socket) -> None:
-        """Begin to serve: at once, or beside a predecessor once this process has what it needs."""
-        began = time.monotonic()
+        """Starts to serve: at once, or beside a predecessor once this process is warmed up."""
+        began_at = time.monotonic()
         beside_predecessor = await self.hot_restart.find_predecessor()
         if beside_predecessor:
             with contextlib.suppress(TimeoutError):
-                # Where the predecessor ends before, clients have nobody else.
+                # If the predecessor ends first, this process alone can serve clients.
                 async with asyncio.timeout(self.limits.warm_up_timeout):
                     await self.first_of(self.warm_up(), self.hot_restart.wait_until_alone())
         self.clients.listen(listener)
         if self.hot_restart.predecessor is not None:
             listeners.steer_to_newest(listener)
             self.hot_restart.announce_ready()
-        after = time.monotonic() - began
+        after = time.monotonic() - began_at
         log.event(LOGGER, logging.INFO, "serving", beside_predecessor=beside_predecessor, after=after)
 
     async def warm_up(self) -> None:
-        """Have a connection to each edge cache, and the endpoint list complete."""
+        """Opens a connection to each edge cache, and waits for the complete endpoint list."""
         await self.pool.warm_up(self.exchange.router.edge_names())
         await self.endpoint_watch.is_current.wait()
 
     async def first_of(self, *work: Coroutine[Any, Any, None]) -> None:
-        """Wait for the first that is done; the others are cancelled."""
+        """Waits for the first coroutine that is done, and cancels the others."""
         tasks = [self.background.spawn("take_over", each) for each in work]
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -92,24 +94,25 @@
     # --- as the predecessor ---
 
     def reserve_for_successor(self) -> None:
-        """Beside a successor that is not ready yet: leave it half of what is free."""
-        limits, sessions = self.limits, len(self.clients.sessions)
-        client_connections = (sessions + limits.client_connections + 1) // 2
+        """Leaves half of the free descriptors to a successor that is not ready yet."""
+        limits = self.limits
+        session_count = len(self.clients.sessions)
+        client_connections = (session_count + limits.client_connections + 1) // 2
         free_for_caches = limits.all_cache_connections - limits.reserved_descriptors
         cache_connections = max(MIN_CACHE_CONNECTIONS, free_for_caches // 2)
         self.hot_restart.give_quota(QuotaInUse(client_connections, cache_connections))
 
     def yield_to_successor(self) -> None:
-        """Beside a successor that takes clients: keep what there is, and have it become less."""
+        """Closes connections step by step beside a successor that accepts clients, and opens no new ones."""
         self.clients.handing_over = True
         if self.cluster is not None:
             self.cluster.yield_to_successor()
         self.hot_restart.give_quota(QuotaInUse(len(self.clients.sessions), len(self.pool.connections())))
 
     def update(self) -> None:
-        """Decide whether clients' connections are to close, at each heartbeat.
+        """Decides whether clients' connections must close; called at each heartbeat.
 
-        Also at once where a successor has died: connections made until the next heartbeat would be closed.
+        Also called once a successor has died: connections accepted before the next heartbeat must stay open.
         """
         self.clients.handing_over = self.clients.refusing_new or self.hot_restart.replaced
         self.clients.close_quiet_connections()
--- a/paddlequay/programs/router.py
+++ b/paddlequay/programs/router.py
@@ -1,4 +1,4 @@
-"""The real edge router: read the configuration, wire the parts, serve, and shut down in order."""
+"""The edge router program: reads the configuration, connects the parts, serves, and shuts down in order."""
 
 import asyncio
 import gc
@@ -31,7 +31,7 @@
 from paddlequay.policy import Router
 from paddlequay.programs.handover import Handover
 from paddlequay.programs.shutdown import shut_down
-from paddlequay.protocol import endpoint_watch as bulletin
+from paddlequay.protocol.endpoint_watch import EndpointWatchError
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.quotas import ProcessQuotas
 
@@ -43,24 +43,39 @@
 
 DISCOVERY_VARIABLE = "PADDLEQUAY_DISCOVERY"
 CLUSTER_VARIABLE = "PADDLEQUAY_CLUSTER"
-# Requests leave no cycles behind, and a full collection walks the decisions' table of objects: be rare.
+# Requests leave no reference cycles, and a full collection visits all objects of the decisions.
 COLLECTOR_THRESHOLDS = (20_000, 20, 50)
+EXIT_INVALID_CONFIG = 2
 
 
 class RouterProgram:
-    """All parts of one router, from their wiring to the end of the process."""
+    """All parts of one router, from their creation to the end of the process.
+
+    Raises:
+        ConfigError: If a setting is invalid or an address cannot be bound.
+
+    Attributes:
+        members: The further sources of members; None if no settings file names them.
+        cluster: What the routers share; None if no settings file names it or peers are not allowed.
+        listener: The bound socket for clients, which listens once this process takes over.
+        stop: Set by SIGTERM or SIGINT.
+    """
 
     def __init__(self, config: Config) -> None:
-        """Wire the parts and bind the addresses. Raises `ConfigError` where that cannot be done."""
-        self.config, self.limits = config, config.limits
+        self.config = config
+        self.limits = config.limits
         limits = config.limits
-        self.counters = counters = Counters()
+        counters = Counters()
+        self.counters = counters
         self.background = TaskSupervisor(counters)
-        self.operator_state = operator_state = self.load_operator_state()
-        self.quotas = quotas = ProcessQuotas(limits)
+        operator_state = self.load_operator_state()
+        self.operator_state = operator_state
+        quotas = ProcessQuotas(limits)
+        self.quotas = quotas
         router = Router(config.settings, config.seed)
         scheduler = LoopScheduler(asyncio.get_running_loop())
-        self.exchange = exchange = Exchange(router, operator_state, quotas, limits, scheduler, counters)
+        exchange = Exchange(router, operator_state, quotas, limits, scheduler, counters)
+        self.exchange = exchange
         self.pool = ConnectionPool(exchange, quotas, limits, counters)
         self.endpoint_watch = EndpointWatch(config.bulletin, exchange, self.pool, limits, counters)
         self.overload = OverloadGuard(limits, config.seed)
@@ -71,19 +86,24 @@
         )
         self.console = Console(operator_state, self.clients, self.hot_restart, limits, counters)
         self.members = self.make_members()
-        self.cluster = self.handover.cluster = self.make_cluster()
-        try:
-            self.endpoint_watch.start_from(config.known)
-        except bulletin.EndpointWatchError as error:
-            raise ConfigError(f"known: {error}") from None
+        self.cluster = self.make_cluster()
+        self.handover.cluster = self.cluster
+        self.apply_known_events()
         self.listener = self.bind("listen", config.listen)
         if config.console is not None:
             self.console.listen(self.bind("console", config.console))
         self.stop = asyncio.Event()
         self.handle_signals()
 
+    def apply_known_events(self) -> None:
+        """Applies the endpoint list of the configuration. Raises `ConfigError` if it is invalid."""
+        try:
+            self.endpoint_watch.start_from(self.config.known)
+        except EndpointWatchError as error:
+            raise ConfigError(f"known: {error}") from None
+
     def load_operator_state(self) -> OperatorState:
-        """What operators have ordered before; nothing where the file cannot be read."""
+        """Returns the saved state of the operators' overrides; logs a file that cannot be read."""
         state = OperatorState(self.config.file("json"))
         try:
             state.load()
@@ -92,7 +112,7 @@
         return state
 
     def make_members(self) -> "MemberSources | None":
-        """Further sources of members, where a settings file of the installation names them."""
+        """Returns the further sources of members, if a settings file of the installation names them."""
         path = os.environ.get(DISCOVERY_VARIABLE)
         if not path:
             return None
@@ -107,7 +127,7 @@
         return members
 
     def make_cluster(self) -> "ClusterDriver | None":
-        """What the routers share, where a settings file of the installation says so and peers are allowed."""
+        """Returns the cluster, if a settings file of the installation names it and peers are allowed."""
         path = os.environ.get(CLUSTER_VARIABLE)
         if not path:
             return None
@@ -131,14 +151,14 @@
 
     @staticmethod
     def bind(name: str, address: Address) -> socket.socket:
-        """A socket bound to the address of a setting; raises `ConfigError` with its name."""
+        """Returns a socket bound to the address of a setting. Raises `ConfigError` with its name."""
         try:
             return listeners.bind(address)
         except OSError as error:
             raise ConfigError(f"{name}: {address[0]}:{address[1]}: {error.strerror}") from None
 
     def handle_signals(self) -> None:
-        """Act on signals from now on, those that have come meanwhile too."""
+        """Handles signals, those received during the start too."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
@@ -147,10 +167,10 @@
         signals.release()
 
     def reload(self) -> None:
-        """Read the configuration anew, on SIGHUP.
+        """Reads the configuration again, on SIGHUP.
 
-        The address of the endpoint list, the sources of members and the placement rules are taken up while
-        serving; the rest holds from the next start. One that cannot be used leaves all as it was.
+        The address of the endpoint list, the sources of members and the placement rules change in service,
+        all else at the next start. An invalid configuration changes nothing.
         """
         try:
             config = read_config(os.environ)
@@ -162,14 +182,15 @@
                 self.cluster.placement.reload()
         except ConfigError as error:
             self.counters.add("reloads_refused")
-            return log.event(LOGGER, logging.WARNING, "reload_refused", why=str(error))
+            log.event(LOGGER, logging.WARNING, "reload_refused", why=str(error))
+            return
         self.counters.add("reloads")
         self.endpoint_watch.change_address(config.bulletin)
         host, port = config.bulletin
         log.event(LOGGER, logging.INFO, "reloaded", bulletin=f"{host}:{port}")
 
     async def sweep_periodically(self) -> None:
-        """Look for what has been idle for too long, and print the counters now and then."""
+        """Closes connections that were idle for too long, and logs the counters periodically."""
         printed_at = time.monotonic()
         while True:
             await asyncio.sleep(self.limits.sweep_interval)
@@ -180,19 +201,25 @@
                 self.counters.print("period")
 
     async def heartbeat(self) -> None:
-        """Look at the process's own load, at the handover and at unresponsive caches."""
+        """Checks the handover, the load of this process and unresponsive caches at each heartbeat."""
         while True:
             self.handover.update()
             if self.hot_restart.replaced:
                 self.handover.yield_to_successor()
-            # After a late heartbeat, what has come is not read yet: no cache is taken for unresponsive then.
-            if self.overload.sample(time.monotonic(), time.process_time()):
+            # After a late heartbeat, received answers are not read yet and caches look unresponsive.
+            is_on_time = self.overload.sample(time.monotonic(), time.process_time())
+            if is_on_time:
                 self.pool.close_unresponsive()
             await asyncio.sleep(self.limits.heartbeat_interval)
 
     async def run_until_stop(self, work: Coroutine[Any, Any, None]) -> bool:
-        """Whether `work` ended before the program is to stop, else it is cancelled; raises its error."""
-        task, stopped = asyncio.ensure_future(work), asyncio.ensure_future(self.stop.wait())
+        """Runs `work` until it ends or the program stops, which cancels it.
+
+        Returns:
+            Whether it ended by itself; an error of it is raised.
+        """
+        task = asyncio.ensure_future(work)
+        stopped = asyncio.ensure_future(self.stop.wait())
         try:
             await asyncio.wait((task, stopped), return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -206,7 +233,7 @@
         return True
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then shut down in order."""
+        """Serves until SIGTERM, then shuts down in order."""
         self.background.supervise("follow", self.endpoint_watch.follow)
         self.background.supervise("sweep", self.sweep_periodically)
         self.background.supervise("heartbeat", self.heartbeat)
@@ -220,12 +247,12 @@
             await self.stop.wait()
         if self.cluster is not None:
             self.cluster.release()
-        if self.clients.listener is not None:  # else nothing was taken, and a predecessor goes on alone
+        if self.clients.listener is not None:  # otherwise this process never served
             await shut_down(self.clients, self.hot_restart, self.limits)
         await self.close()
 
     async def close(self) -> None:
-        """End all tasks and links, after the clients' connections."""
+        """Ends all tasks and links, after the clients' connections."""
         await self.background.stop()
         if self.members is not None:
             self.members.stop()
@@ -237,12 +264,12 @@
 
 
 async def serve(config: Config) -> None:
-    """Run one router in the running loop."""
+    """Runs one router in the running event loop."""
     await RouterProgram(config).run()
 
 
 def run_router() -> int:
-    """Run the router until its end; the exit code, 2 for a configuration that cannot be used."""
+    """Runs the router until its end; returns the exit code, 2 for an invalid configuration."""
     log.set_up()
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
     try:
@@ -250,5 +277,5 @@
         asyncio.run(serve(config))
     except ConfigError as error:
         print(f"paddlequay: {error}", file=sys.stderr)
-        return 2
+        return EXIT_INVALID_CONFIG
     return 0
--- a/paddlequay/protocol/cache_server.py
+++ b/paddlequay/protocol/cache_server.py
@@ -1,13 +1,13 @@
-"""The caches' protocol from the server's side: requests in, answers out. Knows no socket."""
+"""The caches' protocol from the server's side: parses requests and formats answers."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 
-from paddlequay.protocol.caches import Buffer, CacheProtocolError, format_fields, parse_fields
+from paddlequay.protocol.caches import LINE_END, Buffer, CacheProtocolError, format_fields, parse_fields
 
 MAX_ID_CHARS = 64
 MAX_LENGTH_DIGITS = 9
-LINE_END = b"\r\n"
+MAX_QUOTED_LINE_BYTES = 60  # of an invalid line, in an error
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,6 +119,7 @@
         return line
 
     def _parse_line(self, line: bytes) -> RequestHead | CancelRequest | StatusQuery:
+        """Returns the message, or the head of the request, of a line. Raises `CacheProtocolError`."""
         try:
             words = line.decode("ascii").split()
         except UnicodeDecodeError:
@@ -134,8 +135,9 @@
                 return CancelRequest(id)
             case ["NOOP" | "INFO", tag] if len(tag) <= MAX_ID_CHARS:
                 return StatusQuery(tag)
-        raise CacheProtocolError(f"expected ASK, QUIT, NOOP or INFO, got {line[:60]!r}")
+        raise CacheProtocolError(f"expected ASK, QUIT, NOOP or INFO, got {line[:MAX_QUOTED_LINE_BYTES]!r}")
 
 
 def _is_length(text: str) -> bool:
+    """Returns whether a word may be the length of a body."""
     return text.isdigit() and len(text) <= MAX_LENGTH_DIGITS
--- a/paddlequay/protocol/caches.py
+++ b/paddlequay/protocol/caches.py
@@ -1,18 +1,23 @@
-"""The caches' protocol: `ASK` and `QUIT` lines out, answers in. Knows no socket."""
+"""The caches' protocol from the client's side: formats `ASK` and `QUIT` lines and parses answers."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 
 Buffer = bytes | bytearray | memoryview
 
+LINE_END = b"\r\n"
+HEAD_WORD_COUNT = 4  # id, status, fields, length of the body
+MAX_QUOTED_FIELD_CHARS = 60  # of an invalid field, in an error
+MAX_QUOTED_LINE_BYTES = 80
+
 
 class CacheProtocolError(ValueError):
-    """A line that is no answer: what follows on this connection cannot be told apart any more."""
+    """The bytes are no answer; nothing after them on this connection can be parsed."""
 
 
 @dataclass(frozen=True, slots=True)
 class CacheAnswer:
-    """One answer: its id, its status word, its fields and its bytes."""
+    """One answer: the id of its request, its status, its fields and its body."""
 
     id: str
     status: str
@@ -21,38 +26,51 @@
 
 
 def format_fields(fields: Mapping[str, str]) -> str:
-    """Fields as they stand in a line; `-` for none."""
+    """Returns fields in the form of a line; `-` for none."""
     return ",".join(f"{name}={value}" for name, value in fields.items()) or "-"
 
 
 def request_line(id: str, fields: Mapping[str, str], length: int) -> bytes:
-    """The line before the body; CR LF follows the body."""
+    """Returns the line before a body of `length` bytes, which CR LF must follow."""
     return f"ASK {id} {format_fields(fields)} {length}\r\n".encode()
 
 
 def cancel_line(id: str) -> bytes:
-    """The line that cancels a request."""
+    """Returns the line that cancels a request."""
     return f"QUIT {id}\r\n".encode()
 
 
 def parse_fields(text: str) -> dict[str, str]:
-    """Fields of a line; raises `CacheProtocolError`."""
+    """Returns the fields of a line. Raises `CacheProtocolError`."""
     if text == "-":
         return {}
     fields = {}
     for pair in text.split(","):
         name, equals, value = pair.partition("=")
         if not (name and equals):
-            raise CacheProtocolError(f"expected name=value, got {pair[:60]!r}")
+            raise CacheProtocolError(f"expected name=value, got {pair[:MAX_QUOTED_FIELD_CHARS]!r}")
         fields[name] = value
     return fields
 
 
 class CacheAnswerParser:
-    """Takes bytes as they come and gives complete answers; a body is copied once, to where it stays."""
-
-    def __init__(self, most_line: int, most_body: int) -> None:
-        self.max_line, self.max_body = most_line, most_body
+    """Parses answers from bytes as they are received; a body is copied once, into its final buffer.
+
+    Args:
+        max_line: The most bytes of a line.
+        max_body: The most bytes of a body.
+
+    Attributes:
+        line: The received part of an incomplete line.
+        head: The id, the status and the fields of the incomplete answer; None before its line is complete.
+        body: The buffer of its body.
+        filled: The received bytes of its body.
+        trailer_read: The received bytes of the CR LF after its body.
+    """
+
+    def __init__(self, max_line: int, max_body: int) -> None:
+        self.max_line = max_line
+        self.max_body = max_body
         self.line = bytearray()
         self.head: tuple[str, str, dict[str, str]] | None = None
         self.body = bytearray()
@@ -61,21 +79,23 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether an answer, or its line, has begun and is not complete."""
+        """Whether an answer has begun and is not complete."""
         return self.head is not None or bool(self.line)
 
     @property
     def progress(self) -> float:
-        """How much has come of the answer that has begun, 0 to 1; 0 while its length is unknown."""
-        return 0.0 if self.head is None else (self.filled + self.trailer_read) / (len(self.body) + 2)
+        """The received share of the incomplete answer, from 0 to 1; 0 while its length is unknown."""
+        return (
+            0.0 if self.head is None else (self.filled + self.trailer_read) / (len(self.body) + len(LINE_END))
+        )
 
     @property
     def current_id(self) -> str | None:
-        """The id of the answer that has begun, once its line is complete."""
+        """The id of the incomplete answer; None before its line is complete."""
         return None if self.head is None else self.head[0]
 
     def feed(self, data: bytes) -> Iterator[CacheAnswer]:
-        """The answers that are complete with these bytes; raises `CacheProtocolError`."""
+        """Returns the answers that are complete with these bytes. Raises `CacheProtocolError`."""
         view = memoryview(data)
         at = 0
         while at < len(view):
@@ -87,7 +107,7 @@
                 self.filled += count
                 at += count
             else:
-                if data[at] != b"\r\n"[self.trailer_read]:
+                if data[at] != LINE_END[self.trailer_read]:
                     raise CacheProtocolError("expected CR LF after a body")
                 self.trailer_read += 1
                 at += 1
@@ -95,7 +115,7 @@
                 yield self.finish_answer()
 
     def read_line(self, data: bytes, at: int) -> int:
-        """Read on in the first line of an answer; the place after what was read."""
+        """Reads a part of the line of an answer; returns the place in `data` after it."""
         end = data.find(b"\n", at)
         self.line += data[at : end + 1 if end >= 0 else len(data)]
         if len(self.line) > self.max_line:
@@ -106,19 +126,24 @@
             words = self.line.decode("ascii").split()
         except UnicodeDecodeError:
             raise CacheProtocolError("a line is not ASCII") from None
-        if not self.line.endswith(b"\r\n") or len(words) != 4 or not words[3].isdigit():
-            raise CacheProtocolError(f"expected ID WORD FIELDS LENGTH, got {bytes(self.line[:80])!r}")
+        is_head = self.line.endswith(LINE_END) and len(words) == HEAD_WORD_COUNT and words[3].isdigit()
+        if not is_head:
+            quoted = bytes(self.line[:MAX_QUOTED_LINE_BYTES])
+            raise CacheProtocolError(f"expected ID WORD FIELDS LENGTH, got {quoted!r}")
         length = int(words[3])
         if length > self.max_body:
             raise CacheProtocolError(f"a body of {length} bytes")
         self.head = (words[0], words[1], parse_fields(words[2]))
-        self.body, self.filled, self.trailer_read = bytearray(length), 0, 0
+        self.body = bytearray(length)
+        self.filled = 0
+        self.trailer_read = 0
         self.line.clear()
         return end + 1
 
     def finish_answer(self) -> CacheAnswer:
-        """The answer that is complete; the next may begin."""
+        """Returns the complete answer, and prepares for the next one."""
         assert self.head is not None
         answer = CacheAnswer(*self.head, self.body)
-        self.head, self.body = None, bytearray()
+        self.head = None
+        self.body = bytearray()
         return answer
--- a/paddlequay/protocol/clients.py
+++ b/paddlequay/protocol/clients.py
@@ -1,4 +1,4 @@
-"""The clients' protocol: MessagePack-RPC messages in, answers out. Knows no socket."""
+"""The clients' protocol: parses MessagePack-RPC messages and formats answers."""
 
 import contextlib
 from collections.abc import Iterator, Mapping
@@ -8,14 +8,19 @@
 from paddlequay.protocol import msgpack
 from paddlequay.protocol.msgpack import Buffer, IncompleteMessageError, MalformedMessageError
 
-REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
-REJECTED, FAILED = "TryLater", "Aborted"
-CANCEL = b"cancelRequest"  # in whatever takes a request back
+REQUEST = 0
+RESPONSE = 1
+NOTIFICATION = 2
+REJECTED = "TryLater"
+FAILED = "Aborted"
+CANCEL = b"cancelRequest"  # part of every message that cancels requests
+SERVED_HEAD = b"\x94\x01"  # an array of four values, the first of which is RESPONSE
+NO_ERROR_AND_PAIR = b"\xc0\x92"  # nil for the error, and an array of two values: body and fields
 
 
 @dataclass(slots=True)
 class ClientCall:
-    """A request as it stands on the wire; whether its fields can be used is for the front to say."""
+    """A request as received; its fields are not validated yet."""
 
     number: int
     method: str
@@ -25,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadinessQuery:
-    """Whether this router takes requests."""
+    """A client asks whether this router accepts requests."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallsCancelled:
-    """The client no longer waits for these."""
+    """The client has cancelled these requests."""
 
     numbers: tuple[int, ...]
 
@@ -41,14 +46,21 @@
 
 
 class ClientMessageParser:
-    """Takes bytes as they come and gives complete messages; raises `MalformedMessageError`."""
+    """Parses messages from bytes as they are received.
 
-    def __init__(self, most: int) -> None:
-        self.max_message = most
-        self.partial = b""  # of a message that is not whole yet
+    Args:
+        max_message: The most bytes of a message.
+
+    Attributes:
+        partial: The received part of an incomplete message.
+    """
+
+    def __init__(self, max_message: int) -> None:
+        self.max_message = max_message
+        self.partial = b""
 
     def feed(self, data: bytes) -> Iterator[ClientMessage]:
-        """The messages that are complete with these bytes."""
+        """Returns the messages that are complete with these bytes. Raises `MalformedMessageError`."""
         data = self.partial + data if self.partial else data
         self.partial = b""
         at = 0
@@ -60,7 +72,7 @@
             self.partial = data[at:]
 
     def completes(self, data: bytes) -> bool:
-        """Whether `data`, not fed yet, completes a message; what can be none does not."""
+        """Returns whether `data`, not fed yet, completes a message; malformed bytes do not."""
         try:
             msgpack.unpack(self.partial + data, 0, self.max_message)
         except (IncompleteMessageError, MalformedMessageError):
@@ -68,22 +80,23 @@
         return True
 
     def cancelled_in(self, data: bytes) -> set[int]:
-        """What `data`, not fed yet, cancels; what is no message ends it early."""
-        ahead, numbers = ClientMessageParser(self.max_message), set[int]()
+        """Returns the numbers of requests that `data`, not fed yet, cancels before any malformed bytes."""
+        parser = ClientMessageParser(self.max_message)
+        numbers: set[int] = set()
         with contextlib.suppress(MalformedMessageError):
-            for told in ahead.feed(self.partial + data):
-                if isinstance(told, CallsCancelled):
-                    numbers.update(told.numbers)
+            for message in parser.feed(self.partial + data):
+                if isinstance(message, CallsCancelled):
+                    numbers.update(message.numbers)
         return numbers
 
 
 def is_number(value: Any) -> bool:
-    """Whether a value may be a message number."""
+    """Returns whether a value may be the number of a message."""
     return isinstance(value, int) and not isinstance(value, bool) and value >= 0
 
 
 def parse_message(value: Any) -> ClientMessage:
-    """One unpacked value as a message; raises `MalformedMessageError`."""
+    """Returns an unpacked value as a message. Raises `MalformedMessageError`."""
     match value:
         case [0, number, "alive", [*_]] if is_number(number):
             return ReadinessQuery(number)
@@ -97,16 +110,16 @@
 
 
 def readiness_answer(number: int, ready: bool) -> bytes:
-    """The answer to a `ReadinessQuery`."""
+    """Returns the answer to a `ReadinessQuery`."""
     return msgpack.pack([RESPONSE, number, None, [ready, {}]])
 
 
 def error_answer(number: int, error: str, fields: Mapping[str, str]) -> bytes:
-    """An answer that says what went wrong."""
+    """Returns an answer with an error."""
     return msgpack.pack([RESPONSE, number, [error, dict(fields)], None])
 
 
 def served_answer(number: int, body: Buffer, fields: Mapping[str, str]) -> tuple[bytes, Buffer, bytes]:
-    """Head, body and tail of a served answer: the body is not copied."""
-    head = b"\x94\x01" + msgpack.pack(number) + b"\xc0\x92" + msgpack.bin_head(len(body))
+    """Returns the head, the body and the tail of a served answer; the body is not copied."""
+    head = SERVED_HEAD + msgpack.pack(number) + NO_ERROR_AND_PAIR + msgpack.bin_head(len(body))
     return head, body, msgpack.pack(dict(fields))
--- a/paddlequay/protocol/console.py
+++ b/paddlequay/protocol/console.py
@@ -1,53 +1,64 @@
-"""The console's protocol: HTTP/1.1, one call to a connection. Knows no socket."""
+"""The console's protocol: parses one HTTP/1.1 call per connection and formats its answer."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
 from urllib.parse import unquote, urlsplit
 
+HEAD_END = b"\r\n\r\n"
+MAX_LENGTH_DIGITS = 9
 METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "TRACE", "CONNECT")
 
 
 class ConsoleProtocolError(ValueError):
-    """Bytes that are no call."""
+    """The bytes are no call."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConsoleCall:
-    """One call: its method, and the parts of its path with escapes undone."""
+    """One call: its method, and the unescaped parts of its path."""
 
     method: str
     path: tuple[str, ...]
 
 
 class ConsoleCallParser:
-    """Takes bytes in pieces of any size and gives the call once it is complete; its body is not kept."""
+    """Parses one call from bytes as they are received, and drops its body.
 
-    def __init__(self, most_head: int, most_body: int) -> None:
-        self.max_head, self.max_body = most_head, most_body
+    Args:
+        max_head: The most bytes of the head.
+        max_body: The most bytes of the body.
+
+    Attributes:
+        head: The received part of the head.
+        call: The call; None before its head is complete.
+        body_left: The bytes of the body not received yet.
+    """
+
+    def __init__(self, max_head: int, max_body: int) -> None:
+        self.max_head = max_head
+        self.max_body = max_body
         self.head = bytearray()
         self.call: ConsoleCall | None = None
-        self.body_left = 0  # bytes of the body still to come
+        self.body_left = 0
 
     def feed(self, data: bytes) -> ConsoleCall | None:
-        """The call, once it is complete with these bytes; raises `ConsoleProtocolError`."""
+        """Returns the call once it is complete; None before that. Raises `ConsoleProtocolError`."""
         if self.call is None:
-            # Only what is new is looked through, and the three bytes before it: a head may come byte by byte.
-            start = max(0, len(self.head) - 3)
+            # Search the new bytes only, and those that may begin the end: a head may arrive byte by byte.
+            start = max(0, len(self.head) - len(HEAD_END) + 1)
             self.head += data
-            at, gap = self.head.find(b"\r\n\r\n", start), 4
-            if at < 0:
-                if len(self.head) > self.max_head:
-                    raise ConsoleProtocolError("the head is longer than allowed")
-                return None
-            if at > self.max_head:
+            end = self.head.find(HEAD_END, start)
+            if (end if end >= 0 else len(self.head)) > self.max_head:
                 raise ConsoleProtocolError("the head is longer than allowed")
-            data = bytes(self.head[at + gap :])
-            self.call, self.body_left = self.parse_head(bytes(self.head[:at]))
+            if end < 0:
+                return None
+            data = bytes(self.head[end + len(HEAD_END) :])
+            self.call, self.body_left = self.parse_head(bytes(self.head[:end]))
         self.body_left = max(0, self.body_left - len(data))
         return self.call if not self.body_left else None
 
     def parse_head(self, head: bytes) -> tuple[ConsoleCall, int]:
-        """The call and the length of its body."""
+        """Returns the call and the length of its body in bytes. Raises `ConsoleProtocolError`."""
         try:
             first, *lines = head.decode("ascii").lstrip("\r\n").split("\r\n")
         except UnicodeDecodeError:
@@ -55,6 +66,14 @@
         words = first.split(" ")
         if len(words) != 3 or words[0] not in METHODS or words[2] not in ("HTTP/1.1", "HTTP/1.0"):
             raise ConsoleProtocolError("expected METHOD PATH HTTP/1.1")
+        length = self.parse_length(lines)
+        if length > self.max_body:
+            raise ConsoleProtocolError("the body is longer than allowed")
+        return ConsoleCall(words[0], self.parse_path(words[1])), length
+
+    @staticmethod
+    def parse_length(lines: list[str]) -> int:
+        """Returns the length of the body by the headers, or 0. Raises `ConsoleProtocolError`."""
         length: int | None = None
         for line in lines:
             name, colon, value = line.partition(":")
@@ -64,17 +83,15 @@
                 raise ConsoleProtocolError("a body is told by Content-Length, not by Transfer-Encoding")
             if name.lower() == "content-length":
                 text = value.strip()
-                plain = text.isascii() and text.isdigit() and len(text) < 10
-                if not plain or length not in (None, int(text)):
+                is_length = text.isascii() and text.isdigit() and len(text) <= MAX_LENGTH_DIGITS
+                if not is_length or length not in (None, int(text)):
                     raise ConsoleProtocolError("Content-Length cannot be used")
                 length = int(text)
-        if (length or 0) > self.max_body:
-            raise ConsoleProtocolError("the body is longer than allowed")
-        return ConsoleCall(words[0], self.parse_path(words[1])), length or 0
+        return length or 0
 
     @staticmethod
     def parse_path(target: str) -> tuple[str, ...]:
-        """The parts of a path, unescaped."""
+        """Returns the unescaped parts of a path. Raises `ConsoleProtocolError`."""
         try:
             path = urlsplit(target).path
         except ValueError:
@@ -85,7 +102,14 @@
 
 
 def format_answer(status: int, why: str, allow: str = "", head_only: bool = False) -> bytes:
-    """A complete answer; its body is one line that says why."""
+    """Returns a complete answer.
+
+    Args:
+        status: The HTTP status.
+        why: The line of the body.
+        allow: The allowed methods, if they must be listed.
+        head_only: Whether to leave out the body.
+    """
     body = f"{why}\n".encode()
     lines = [
         f"HTTP/1.1 {status} {HTTPStatus(status).phrase}",
--- a/paddlequay/protocol/endpoint_watch.py
+++ b/paddlequay/protocol/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The protocol of the endpoint list: numbered lines of JSON in, `after N` out. Knows no socket."""
+"""The protocol of the endpoint list: parses numbered lines of JSON and formats `after N` requests."""
 
 import json
 import re
@@ -13,15 +13,23 @@
     "terminating": MemberState.DRAINING,
     "terminated": MemberState.REMOVED,
 }
-MAX_NUMBER = 1 << 53  # JSON's whole numbers; one past all that follow would have these taken as had
-ID = re.compile(r"[!-+\--~]{1,200}")  # it is written to caches as a field's value: no space, no comma
+MAX_NUMBER = 1 << 53  # of JSON's integers; after a larger number, all later events would count as applied
+MS_PER_S = 1000.0
+MAX_PORT = 65_535
+MAX_OCTET = 255
+MAX_QUOTED_CHARS = 40  # of an invalid value, in an error
+MAX_QUOTED_ENTRY_CHARS = 60
+MAX_QUOTED_EVENT_CHARS = 80
+MAX_REASON_CHARS = 200
+ID = re.compile(r"[!-+\--~]{1,200}")  # without space and comma, as it is a field's value on the wire
+HEX_64_BITS = re.compile(r"[0-9a-fA-F]{1,16}")
 ADDRESS = re.compile(r"((?:0|[1-9][0-9]{0,2})(?:\.(?:0|[1-9][0-9]{0,2})){3}):([0-9]{1,5})")
 
 T = TypeVar("T")
 
 
 class EndpointWatchError(ValueError):
-    """A line that is neither an event nor a heartbeat, or one that cannot follow what came before."""
+    """The line is neither an event nor a heartbeat, or cannot follow the ones before it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,10 +42,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """The endpoint list or changes to it, at most one entry of an id: its last.
-
-    `draining_ids`: ids that an unusable entry says not to be in service; `unusable_count`: how many entries
-    cannot be used, with the reason of the last.
+    """The endpoint list or changes to it, with at most one entry of an id: its last.
+
+    Attributes:
+        number: The number of the event.
+        full: Whether it is the complete list.
+        endpoints: The valid entries.
+        draining_ids: The ids of invalid entries that are not in service.
+        unusable_count: The number of invalid entries.
+        unusable_reason: Why the last of them is invalid.
     """
 
     number: int
@@ -60,14 +73,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchHeartbeat:
-    """The number of the last event there is."""
+    """A heartbeat with the number of the last event."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class UnusableLine:
-    """A line that cannot be used; `number` where it is an event with a number."""
+    """An invalid line; with its number if it is an event with one."""
 
     number: int | None
     reason: str
@@ -77,62 +90,77 @@
 
 
 def resume_request(number: int) -> bytes:
-    """Ask for the events after a number."""
+    """Returns the request for the events after a number."""
     return f"after {number}\n".encode()
 
 
 def is_number(value: Any) -> bool:
-    """Whether a value may be an event's number."""
+    """Returns whether a value may be the number of an event."""
     return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < MAX_NUMBER
 
 
 def number_of(item: Any) -> int | None:
-    """An event's number, if it has one that can be used."""
+    """Returns the number of an event; None without a valid one."""
     number = item.get("no") if isinstance(item, dict) else None
     return number if is_number(number) else None
 
 
-def parse_figure(value: Any, name: str) -> float:
-    """A number from 0 to under `MAX_NUMBER`; raises `EndpointWatchError` for others, NaN too."""
+def parse_number(value: Any, name: str) -> float:
+    """Returns a number from 0 to below `MAX_NUMBER`. Raises `EndpointWatchError` for others and NaN."""
     if type(value) not in (int, float) or not 0 <= value < MAX_NUMBER:
-        raise EndpointWatchError(f"{name}: expected a number, got {str(value)[:40]!r}")
+        raise EndpointWatchError(f"{name}: expected a number, got {str(value)[:MAX_QUOTED_CHARS]!r}")
     return float(value)
 
 
 def parse_id(item: Mapping[str, Any]) -> str:
-    """An entry's id; raises `EndpointWatchError`."""
+    """Returns the id of an entry. Raises `EndpointWatchError`."""
     name = item.get("instanceId")
     if not isinstance(name, str) or not ID.fullmatch(name):
-        raise EndpointWatchError(f"instanceId: cannot be used: {str(name)[:40]!r}")
+        raise EndpointWatchError(f"instanceId: cannot be used: {str(name)[:MAX_QUOTED_CHARS]!r}")
     return name
 
 
 def parse_address(at: Any) -> tuple[str, int]:
-    """An IPv4 address and a port. No host name: a look-up would hold up the program."""
+    """Returns an IPv4 address and a port. Raises `EndpointWatchError`.
+
+    Host names are invalid, as their lookup would block the event loop.
+    """
     match = ADDRESS.fullmatch(at) if isinstance(at, str) else None
     port = int(match[2]) if match else 0
-    if match is None or not 0 < port < 65536 or any(int(part) > 255 for part in match[1].split(".")):
-        raise EndpointWatchError(f"hostPort: expected an address and a port, got {str(at)[:60]!r}")
+    if (
+        match is None
+        or not 0 < port <= MAX_PORT
+        or any(int(each) > MAX_OCTET for each in match[1].split("."))
+    ):
+        raise EndpointWatchError(
+            f"hostPort: expected an address and a port, got {str(at)[:MAX_QUOTED_ENTRY_CHARS]!r}"
+        )
     return match[1], port
 
 
 def parse_endpoint(item: Any) -> Endpoint:
-    """One entry of the list; raises `EndpointWatchError`."""
+    """Returns one entry of the list. Raises `EndpointWatchError`."""
     if not isinstance(item, dict):
-        raise EndpointWatchError(f"an entry that is no object: {str(item)[:40]}")
-    name, word = parse_id(item), item.get("lifecycle")
-    state = STATES.get(word) if isinstance(word, str) else None
+        raise EndpointWatchError(f"an entry that is no object: {str(item)[:MAX_QUOTED_CHARS]}")
+    name = parse_id(item)
+    lifecycle = item.get("lifecycle")
+    state = STATES.get(lifecycle) if isinstance(lifecycle, str) else None
     if state is None:
-        raise EndpointWatchError(f"lifecycle: {str(word)[:40]!r} is not known")
+        raise EndpointWatchError(f"lifecycle: {str(lifecycle)[:MAX_QUOTED_CHARS]!r} is not known")
     if state is MemberState.REMOVED:
-        return Endpoint(Member(name=name, state=state), ("", 0))  # what has gone needs nothing else any more
-    zone, kind, cell = item.get("zone"), item.get("machineType"), item.get("cell")
-    # Looked at in one line each: a list of thousands is read in one turn of the loop.
+        return Endpoint(Member(name=name, state=state), ("", 0))  # the other fields are not needed
+    zone = item.get("zone")
+    kind = item.get("machineType")
+    cell = item.get("cell")
+    # No calls for these checks: thousands of entries are parsed in one iteration of the event loop.
     if not ((zone is None or type(zone) is str) and (kind is None or type(kind) is str)):
-        raise EndpointWatchError(f"zone, machineType: expected text, got {str((zone, kind))[:60]}")
+        raise EndpointWatchError(
+            f"zone, machineType: expected text, got {str((zone, kind))[:MAX_QUOTED_ENTRY_CHARS]}"
+        )
     if not (cell is None or type(cell) is int):
-        raise EndpointWatchError(f"cell: expected a whole number, got {str(cell)[:40]!r}")
-    started, weight = item.get("startedAtMs"), item.get("weight")
+        raise EndpointWatchError(f"cell: expected a whole number, got {str(cell)[:MAX_QUOTED_CHARS]!r}")
+    started = item.get("startedAtMs")
+    weight = item.get("weight")
     return Endpoint(
         Member(
             name,
@@ -140,30 +168,31 @@
             kind,
             cell,
             state,
-            None if weight is None else parse_figure(weight, "weight"),
-            parse_figure(started, "startedAtMs") / 1000.0 if started else 0.0,
+            None if weight is None else parse_number(weight, "weight"),
+            parse_number(started, "startedAtMs") / MS_PER_S if started else 0.0,
         ),
         parse_address(item.get("hostPort")),
     )
 
 
 def parse_endpoint_list(number: int, roster: Any) -> EndpointList:
-    """A list's event; raises `EndpointWatchError` where it is none.
+    """Returns the event of a list. Raises `EndpointWatchError` if it is no list.
 
-    An entry that cannot be used does not take the others with it; one that ends a member's service binds by
-    its id alone, and so does a state that is not known.
+    An invalid entry does not affect the others. If it has an id and is not in service, its member drains.
     """
     instances = roster.get("instances") if isinstance(roster, dict) else None
     if not isinstance(instances, list):
         raise EndpointWatchError("a list without instances")
     listed: dict[str, Endpoint] = {}
     drained: dict[str, None] = {}
-    unusable, why = 0, ""
+    unusable_count = 0
+    unusable_reason = ""
     for item in instances:
         try:
             entry = parse_endpoint(item)
         except EndpointWatchError as error:
-            unusable, why = unusable + 1, str(error)
+            unusable_count += 1
+            unusable_reason = str(error)
             name = item.get("instanceId") if isinstance(item, dict) else None
             if isinstance(name, str) and item.get("lifecycle") != "in_service":
                 listed.pop(name, None)
@@ -174,56 +203,60 @@
         listed.pop(name, None)
         listed[name] = entry
     full = bool(roster.get("reset")) or number == 1
-    return EndpointList(number, full, tuple(listed.values()), tuple(drained), unusable, why)
+    return EndpointList(number, full, tuple(listed.values()), tuple(drained), unusable_count, unusable_reason)
 
 
 def parse_purge(number: int, recall: Any) -> PurgeEvent:
-    """A purge's event; raises `EndpointWatchError`."""
+    """Returns the event of a purge. Raises `EndpointWatchError`."""
     if not isinstance(recall, dict):
         raise EndpointWatchError("neither a list nor a purge")
-    key, lot = recall.get("item"), recall.get("lot")
-    if (key is None) == (lot is None):
+    key = recall.get("item")
+    group = recall.get("lot")
+    if (key is None) == (group is None):
         raise EndpointWatchError("a purge names an object or a group")
-    issued = parse_figure(recall.get("issued"), "issued") / 1000.0
+    issued = parse_number(recall.get("issued"), "issued") / MS_PER_S
     if key is None:
-        if not is_number(lot):
-            raise EndpointWatchError(f"lot: expected a number, got {str(lot)[:40]!r}")
-        return PurgeEvent(number, issued, None, lot)
-    if not isinstance(key, str) or not re.fullmatch(r"[0-9a-fA-F]{1,16}", key):
-        raise EndpointWatchError(f"item: expected hex digits, got {str(key)[:40]!r}")
+        if not is_number(group):
+            raise EndpointWatchError(f"lot: expected a number, got {str(group)[:MAX_QUOTED_CHARS]!r}")
+        return PurgeEvent(number, issued, None, group)
+    if not isinstance(key, str) or not HEX_64_BITS.fullmatch(key):
+        raise EndpointWatchError(f"item: expected hex digits, got {str(key)[:MAX_QUOTED_CHARS]!r}")
     return PurgeEvent(number, issued, int(key, 16), None)
 
 
 def parse_event(item: Any) -> WatchEvent:
-    """One event, or a heartbeat: a number, plain or as an object with nothing else."""
+    """Returns an event or a heartbeat. Raises `EndpointWatchError`."""
     if is_number(item):
         return WatchHeartbeat(item)
     number = number_of(item)
     if number is None:
-        raise EndpointWatchError(f"neither an event nor a heartbeat: {str(item)[:80]}")
+        raise EndpointWatchError(f"neither an event nor a heartbeat: {str(item)[:MAX_QUOTED_EVENT_CHARS]}")
     if item.keys() == {"no"}:
-        # The bulletin writes its heartbeat as an object too; read as a broken event, it ended the
-        # connection every second.
-        return WatchHeartbeat(number)
+        return WatchHeartbeat(number)  # the other form of a heartbeat, beside the plain number
     if "roster" in item:
         return parse_endpoint_list(number, item["roster"])
     return parse_purge(number, item.get("recall"))
 
 
 class LineParser:
-    """Takes bytes as they come and gives what complete lines say; what cannot be read is `UnusableLine`.
+    """Parses lines from bytes as they are received; an invalid line becomes an `UnusableLine`.
+
+    Args:
+        max_line: The most bytes of a line; a longer one is skipped to its end.
 
-    `max_line` bounds a line's bytes. A longer one is skipped to its end: what stands behind it still comes.
+    Attributes:
+        buffer: The received part of an incomplete line.
+        skipping: Whether that line is too long.
     """
 
-    def __init__(self, most: int) -> None:
-        self.max_line = most
+    def __init__(self, max_line: int) -> None:
+        self.max_line = max_line
         self.buffer = bytearray()
         self.skipping = False
 
     def lines(self, data: bytes) -> Iterator[bytes | None]:
-        """Complete lines; None for one that is too long."""
-        # Only what is new is looked through: thousands of members come as one line in many pieces.
+        """Returns the lines that are complete with these bytes; None in place of one that is too long."""
+        # Search the new bytes only: thousands of members are one line, received in many parts.
         start = len(self.buffer)
         self.buffer += data
         end = self.buffer.find(b"\n", start)
@@ -240,8 +273,8 @@
             self.buffer.clear()
             self.skipping = True
 
-    def events(self, data: bytes, read: Callable[[Any], T]) -> Iterator[T | UnusableLine]:
-        """Complete lines, each parsed by `parse`."""
+    def events(self, data: bytes, parse: Callable[[Any], T]) -> Iterator[T | UnusableLine]:
+        """Returns what `parse` makes of each line that is complete with these bytes."""
         for line in self.lines(data):
             if line is None:
                 yield UnusableLine(None, "a line is longer than allowed")
@@ -249,15 +282,15 @@
             item: Any = None
             try:
                 item = json.loads(line)
-                news: T | UnusableLine = read(item)
-            except Exception as error:  # ValueError, RecursionError: whatever it is, it costs this line only
-                news = UnusableLine(number_of(item), f"{type(error).__name__} {error}"[:200])
-            yield news
+                event: T | UnusableLine = parse(item)
+            except Exception as error:  # the edge of one line: any error, RecursionError too, is its own
+                event = UnusableLine(number_of(item), f"{type(error).__name__} {error}"[:MAX_REASON_CHARS])
+            yield event
 
 
 class WatchEventParser(LineParser):
-    """Gives the events of complete lines."""
+    """Parses the events of the endpoint list."""
 
     def feed(self, data: bytes) -> Iterator[WatchEvent | UnusableLine]:
-        """The events that are complete with these bytes."""
+        """Returns the events that are complete with these bytes."""
         yield from self.events(data, parse_event)
--- a/paddlequay/protocol/hot_restart.py
+++ b/paddlequay/protocol/hot_restart.py
@@ -1,4 +1,4 @@
-"""The protocol between two processes of one router: lines of JSON. Knows no socket."""
+"""The protocol between two processes of one router: lines of JSON."""
 
 import json
 import math
@@ -9,14 +9,16 @@
 from paddlequay.lifecycle.operator_state import Override, read_overrides
 from paddlequay.requests.quotas import QuotaInUse
 
+MAX_QUOTED_LINE_BYTES = 80  # of an invalid line, in an error
+
 
 class LinkProtocolError(ValueError):
-    """A line that is no message."""
+    """The line is no message."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateMessage:
-    """What the sender knows and has learned: the first message, both ways."""
+    """The first message in both directions: overrides, known caches and learned state."""
 
     overrides: dict[str, Override]
     known_ids: tuple[str, ...]
@@ -25,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideMessage:
-    """One override; it is to be confirmed by its number once it is applied."""
+    """One override, to be confirmed by its number once it is applied."""
 
     number: int
     name: str
@@ -34,28 +36,32 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideConfirmed:
-    """The override of that number is applied."""
+    """The override with this number is applied."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorReady:
-    """The successor takes clients from now on."""
+    """The successor accepts clients."""
 
 
 LinkMessage = StateMessage | OverrideMessage | OverrideConfirmed | SuccessorReady | QuotaInUse
 
 
 def pack(message: LinkMessage) -> bytes:
-    """A message as a line. Other versions read its keys, which stay as they are."""
+    """Returns a message as a line. Other versions read its keys, which must not change."""
     match message:
         case StateMessage():
-            marks = {name: [mark.issued_ns, mark.active] for name, mark in message.overrides.items()}
-            data: dict[str, Any] = {"state": marks, "listed": message.known_ids, "knowledge": message.state}
+            overrides = {name: [each.issued_ns, each.active] for name, each in message.overrides.items()}
+            data: dict[str, Any] = {
+                "state": overrides,
+                "listed": message.known_ids,
+                "knowledge": message.state,
+            }
         case OverrideMessage():
-            mark = message.override
-            data = {"order": {message.name: [mark.issued_ns, mark.active]}, "number": message.number}
+            override = [message.override.issued_ns, message.override.active]
+            data = {"order": {message.name: override}, "number": message.number}
         case OverrideConfirmed():
             data = {"confirmed": message.number}
         case SuccessorReady():
@@ -66,17 +72,15 @@
 
 
 def unpack(line: bytes) -> LinkMessage:
-    """A line as a message; raises `LinkProtocolError`."""
+    """Returns the message of a line. Raises `LinkProtocolError`."""
     try:
         match json.loads(line):
-            case {"state": dict(marks), "listed": [*listed], "knowledge": dict(knowledge)}:
-                learned = {str(name): float(value) for name, value in knowledge.items()}
-                if not all(map(math.isfinite, learned.values())) or min(learned.values(), default=0) < 0:
-                    raise LinkProtocolError("knowledge that cannot be used")
-                return StateMessage(read_overrides(marks), tuple(map(str, listed)), learned)
+            case {"state": dict(overrides), "listed": [*listed], "knowledge": dict(knowledge)}:
+                learned = parse_learned(knowledge)
+                return StateMessage(read_overrides(overrides), tuple(map(str, listed)), learned)
             case {"order": dict(order), "number": int(number)} if len(order) == 1:
-                ((name, mark),) = read_overrides(order).items()
-                return OverrideMessage(number, name, mark)
+                ((name, override),) = read_overrides(order).items()
+                return OverrideMessage(number, name, override)
             case {"confirmed": int(number)}:
                 return OverrideConfirmed(number)
             case {"ready": True}:
@@ -85,18 +89,30 @@
                 return QuotaInUse(clients, caches)
     except (TypeError, ValueError) as error:
         raise LinkProtocolError(str(error)) from None
-    raise LinkProtocolError(f"no message: {line[:80]!r}")
+    raise LinkProtocolError(f"no message: {line[:MAX_QUOTED_LINE_BYTES]!r}")
+
+
+def parse_learned(values: dict[Any, Any]) -> dict[str, float]:
+    """Returns learned state: finite numbers by name, 0 or more. Raises `LinkProtocolError`."""
+    learned = {str(name): float(value) for name, value in values.items()}
+    if not all(map(math.isfinite, learned.values())) or min(learned.values(), default=0) < 0:
+        raise LinkProtocolError("knowledge that cannot be used")
+    return learned
 
 
 class LinkParser:
-    """Takes bytes as they come and gives complete messages."""
+    """Parses messages from bytes as they are received.
+
+    Args:
+        max_line: The most bytes of a line.
+    """
 
-    def __init__(self, most: int) -> None:
-        self.max_line = most
+    def __init__(self, max_line: int) -> None:
+        self.max_line = max_line
         self.partial = b""
 
     def feed(self, data: bytes) -> Iterator[LinkMessage]:
-        """The messages that are complete with these bytes; raises `LinkProtocolError`."""
+        """Returns the messages that are complete with these bytes. Raises `LinkProtocolError`."""
         *lines, self.partial = (self.partial + data).split(b"\n")
         if len(self.partial) > self.max_line:
             raise LinkProtocolError("a line is longer than allowed")
--- a/paddlequay/protocol/load_reports.py
+++ b/paddlequay/protocol/load_reports.py
@@ -1,4 +1,4 @@
-"""The names of the figures in a load report, as caches and settings spell them."""
+"""Maps the names of load reports on the wire and in the settings to fields."""
 
 from collections.abc import Iterable
 
@@ -12,6 +12,6 @@
 }
 
 
-def load_report(figures: Iterable[tuple[str, float]]) -> LoadReport:
-    """Returns the load report of named figures; ignores unknown names, the last of a name counts."""
-    return LoadReport(**{FIELDS[name]: value for name, value in figures if name in FIELDS})
+def load_report(values: Iterable[tuple[str, float]]) -> LoadReport:
+    """Returns the load report of named values; ignores unknown names, and uses the last value of a name."""
+    return LoadReport(**{FIELDS[name]: value for name, value in values if name in FIELDS})
--- a/paddlequay/protocol/msgpack.py
+++ b/paddlequay/protocol/msgpack.py
@@ -1,21 +1,21 @@
-"""MessagePack, as far as the clients' protocol needs it: no extension types, bounded depth and counts."""
+"""MessagePack for the clients' protocol: no extension types, bounded depth and counts."""
 
 import struct
 from typing import Any
 
 MAX_DEPTH = 6
 MAX_ITEMS = 256  # in one array or map
-MAX_VALUES = 600  # in one message: a frame is scanned anew each time that more of it has come
+MAX_VALUES = 600  # in one message, which is scanned again whenever more of it is received
 
 Buffer = bytes | bytearray | memoryview
 
 
 class MalformedMessageError(ValueError):
-    """Bytes that no further bytes can make a message."""
+    """The bytes cannot become a message by further bytes."""
 
 
 class IncompleteMessageError(Exception):
-    """The message goes on past the bytes at hand."""
+    """The message continues beyond the received bytes."""
 
 
 _FLOATS = {0xCA: struct.Struct(">f"), 0xCB: struct.Struct(">d")}
@@ -39,15 +39,24 @@
 
 
 class _Scan:
-    """One pass over a buffer."""
+    """One pass over a buffer.
+
+    Attributes:
+        at: The current place.
+        end: The end of the buffer.
+        last: The place beyond which a message is too long.
+        values: The values read so far.
+    """
 
     def __init__(self, data: Buffer, at: int, max_size: int) -> None:
-        self.data, self.at, self.end = data, at, len(data)
+        self.data = data
+        self.at = at
+        self.end = len(data)
         self.last = at + max_size
         self.values = 0
 
     def take(self, count: int) -> int:
-        """Move past `count` bytes and give their place."""
+        """Moves past `count` bytes and returns their place."""
         at = self.at
         if at + count > self.last:
             raise MalformedMessageError("the message is longer than allowed")
@@ -57,11 +66,11 @@
         return at
 
     def length(self, width: int) -> int:
-        """A length of `width` bytes."""
+        """Returns a length encoded in `width` bytes."""
         return int(_LENGTHS[width].unpack_from(self.data, self.take(width))[0])
 
     def text(self, count: int) -> str:
-        """A string of `count` bytes of UTF-8."""
+        """Returns a string of `count` bytes of UTF-8."""
         at = self.take(count)
         try:
             return str(self.data[at : at + count], "utf-8")
@@ -69,13 +78,13 @@
             raise MalformedMessageError("a string is not UTF-8") from None
 
     def items(self, count: int, depth: int) -> list[Any]:
-        """The values of an array, or those of a map, keys before values."""
+        """Returns the items of an array, or the keys and values of a map in turn."""
         if count > MAX_ITEMS:
             raise MalformedMessageError(f"{count} items in one message part")
         return [self.value(depth + 1) for _ in range(count)]
 
     def pairs(self, count: int, depth: int) -> dict[Any, Any]:
-        """The map of `count` keys."""
+        """Returns a map of `count` keys."""
         flat = self.items(2 * count, depth)
         try:
             return dict(zip(flat[::2], flat[1::2], strict=True))
@@ -83,7 +92,7 @@
             raise MalformedMessageError("a map's key is a map or a list") from None
 
     def value(self, depth: int) -> Any:
-        """The next value, with all that it contains; `depth` is its own."""
+        """Returns the next value, which is at a depth, with all that it contains."""
         if depth > MAX_DEPTH:
             raise MalformedMessageError("nested too deeply")
         self.values += 1
@@ -119,13 +128,30 @@
 
 
 def unpack(data: Buffer, at: int, max_size: int) -> tuple[Any, int]:
-    """The value that starts at `at`, of `max_size` bytes at most, and the place after it."""
+    """Returns the value that starts at `at`, and the place after it.
+
+    Args:
+        data: The received bytes.
+        at: The place of the value.
+        max_size: The most bytes of the value.
+
+    Raises:
+        IncompleteMessageError: If the value continues beyond `data`.
+        MalformedMessageError: If the bytes are no allowed value.
+    """
     scan = _Scan(data, at, max_size)
     value = scan.value(0)
     return value, scan.at
 
 
 def _head(count: int, small: tuple[int, int] | None, wide: tuple[tuple[int, int], ...]) -> bytes:
+    """Returns the shortest head of `count` bytes or items.
+
+    Args:
+        count: The number of bytes or items.
+        small: The type byte that holds the count, and the largest count it holds; None if there is none.
+        wide: The type bytes that a count follows, with its width in bytes.
+    """
     if small is not None and count <= small[1]:
         return bytes((small[0] | count,))
     for code, width in wide:
@@ -135,11 +161,12 @@
 
 
 def bin_head(count: int) -> bytes:
-    """What stands before `count` bytes; the bytes themselves can then be written uncopied."""
+    """Returns the head of `count` bytes, so that the bytes can be written without a copy."""
     return _head(count, None, ((0xC4, 1), (0xC5, 2), (0xC6, 4)))
 
 
 def _pack_int(value: int) -> bytes:
+    """Returns an integer in its shortest form. Raises ValueError beyond 64 bits."""
     if 0 <= value < 0x80:
         return bytes((value,))
     if -0x20 <= value < 0:
@@ -154,7 +181,7 @@
 
 
 def pack(value: Any) -> bytes:
-    """One value as bytes."""
+    """Returns a value as bytes. Raises ValueError or TypeError for a value without a form."""
     match value:
         case None:
             return b"\xc0"
--- a/tests/race_conditions/test_log_lines.py
+++ b/tests/race_conditions/test_log_lines.py
@@ -6,7 +6,7 @@
 import pytest
 from harness import platform
 
-from paddlequay.observability.log import VALUE_MOST, KeyValueFormatter, quoted
+from paddlequay.observability.log import MAX_VALUE_CHARS, KeyValueFormatter, quoted
 
 
 @pytest.mark.parametrize(
@@ -34,7 +34,7 @@
 
 def test_a_long_value_is_shortened_in_the_middle() -> None:
     word = quoted("first" + "x" * 10**6 + "last")
-    assert len(word) < VALUE_MOST + 20 and word.startswith('"first') and word.endswith('last"')
+    assert len(word) < MAX_VALUE_CHARS + 20 and word.startswith('"first') and word.endswith('last"')
 
 
 def test_a_traceback_is_one_line_shortened_at_its_start() -> None:
@@ -44,7 +44,7 @@
     except ValueError as error:
         record.exc_info = (type(error), error, error.__traceback__)
     line = KeyValueFormatter().format(record)
-    assert len(line) < VALUE_MOST + 200 and len(line.splitlines()) == 1 and "the cause" in line
+    assert len(line) < MAX_VALUE_CHARS + 200 and len(line.splitlines()) == 1 and "the cause" in line
 
 
 def test_a_long_malformed_event_is_logged_as_a_short_line() -> None:
@@ -52,7 +52,7 @@
         event = {"no": 2, "recall": {"item": "00", "issued": "x" * 10**6}}
         p.publish(event).sendall(json.dumps(event).encode())
         line = p.logged("event=endpoint_watch_")
-        assert len(line) < VALUE_MOST + 500
+        assert len(line) < MAX_VALUE_CHARS + 500
         client = p.client()
         number = client.ask()
         p.box.answer("HIT", "tag=0,minted=1764576000000", b"bytes")
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -34,7 +34,7 @@
 TAKEN_BACK = {"asks", "bounds", "shares", "records", "tables", "door", "twin", "beliefs", "ending"}
 FINISHED = (
     "errors", "observability", "routing", "config", "placement",
-    "policy", "requests", "lifecycle", "discovery", "store", "hierarchy", "schema", "cli",
+    "policy", "requests", "lifecycle", "discovery", "store", "hierarchy", "schema", "cli", "protocol", "programs",
 )  # fmt: skip
 
 
