--- a/paddlequay/config/limits.py
+++ b/paddlequay/config/limits.py
@@ -34,9 +34,7 @@
     recent_progress: float = 0.5  # a message received in part this recently keeps its connection open
     client_idle_timeout: float = 6.0  # clients themselves close after 4 s, by the platform's documentation
     max_client_body: int = 48_000
-    max_consecutive_rejections: int = (
-        32  # rejections or errors in a row, after which a client is read more slowly
-    )
+    max_consecutive_rejections: int = 32  # or errors, after which a client is read more slowly
     rejection_pause: float = 0.02  # between the reads from such a client
     max_time_to_live: float = 1.5  # of the class's deadline; only a faulty client asks for more
     max_part: int = 65_535
--- a/paddlequay/config/loader.py
+++ b/paddlequay/config/loader.py
@@ -114,6 +114,18 @@
     return found
 
 
+def read_json(path: str) -> dict[str, Any]:
+    """Returns the JSON object of a file, with its settings object. Raises `ConfigError`."""
+    try:
+        with open(path, encoding="utf-8") as file:
+            data = json.load(file)
+    except (OSError, ValueError, RecursionError) as error:
+        raise ConfigError(one_line(f"{path}: {error}")) from None
+    if not isinstance(data, dict) or not isinstance(data.get("settings"), dict):
+        raise ConfigError(f"{path}: expected a JSON object with settings")
+    return data
+
+
 def read_config(environment: Mapping[str, str], peers: bool = False) -> Config:
     """Returns the configuration of the file that `ROUTER_CONFIG` names.
 
@@ -129,13 +141,7 @@
     path = environment.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG is not set")
-    try:
-        with open(path, encoding="utf-8") as file:
-            data = json.load(file)
-    except (OSError, ValueError, RecursionError) as error:
-        raise ConfigError(one_line(f"{path}: {error}")) from None
-    if not isinstance(data, dict) or not isinstance(data.get("settings"), dict):
-        raise ConfigError(f"{path}: expected a JSON object with settings")
+    data = read_json(path)
     for each in ("limits", "settings.limits", "settings.rules", "settings.extra"):
         section(data, each)
     console = environment.get("ROUTER_CONSOLE") or data.get("console")
--- a/paddlequay/programs/router.py
+++ b/paddlequay/programs/router.py
@@ -68,7 +68,7 @@
         counters = Counters()
         self.counters = counters
         self.background = TaskSupervisor(counters)
-        operator_state = self.load_operator_state()
+        operator_state = load_operator_state(config.file("json"))
         self.operator_state = operator_state
         quotas = ProcessQuotas(limits)
         self.quotas = quotas
@@ -89,9 +89,9 @@
         self.cluster = self.make_cluster()
         self.handover.cluster = self.cluster
         self.apply_known_events()
-        self.listener = self.bind("listen", config.listen)
+        self.listener = bind_setting("listen", config.listen)
         if config.console is not None:
-            self.console.listen(self.bind("console", config.console))
+            self.console.listen(bind_setting("console", config.console))
         self.stop = asyncio.Event()
         self.handle_signals()
 
@@ -102,15 +102,6 @@
         except EndpointWatchError as error:
             raise ConfigError(f"known: {error}") from None
 
-    def load_operator_state(self) -> OperatorState:
-        """Returns the saved state of the operators' overrides; logs a file that cannot be read."""
-        state = OperatorState(self.config.file("json"))
-        try:
-            state.load()
-        except (OSError, ValueError) as error:
-            log.event(LOGGER, logging.WARNING, "overrides_unreadable", path=state.path, why=str(error))
-        return state
-
     def make_members(self) -> "MemberSources | None":
         """Returns the further sources of members, if a settings file of the installation names them."""
         path = os.environ.get(DISCOVERY_VARIABLE)
@@ -149,14 +140,6 @@
             self.console.queries["placement"] = cluster.placement.explain
         return cluster
 
-    @staticmethod
-    def bind(name: str, address: Address) -> socket.socket:
-        """Returns a socket bound to the address of a setting. Raises `ConfigError` with its name."""
-        try:
-            return listeners.bind(address)
-        except OSError as error:
-            raise ConfigError(f"{name}: {address[0]}:{address[1]}: {error.strerror}") from None
-
     def handle_signals(self) -> None:
         """Handles signals, those received during the start too."""
         loop = asyncio.get_running_loop()
@@ -263,6 +246,24 @@
         signals.ignore(asyncio.get_running_loop())
 
 
+def load_operator_state(path: Path) -> OperatorState:
+    """Returns the saved state of the operators' overrides; logs a file that cannot be read."""
+    state = OperatorState(path)
+    try:
+        state.load()
+    except (OSError, ValueError) as error:
+        log.event(LOGGER, logging.WARNING, "overrides_unreadable", path=state.path, why=str(error))
+    return state
+
+
+def bind_setting(name: str, address: Address) -> socket.socket:
+    """Returns a socket bound to the address of a setting. Raises `ConfigError` with its name."""
+    try:
+        return listeners.bind(address)
+    except OSError as error:
+        raise ConfigError(f"{name}: {address[0]}:{address[1]}: {error.strerror}") from None
+
+
 async def serve(config: Config) -> None:
     """Runs one router in the running event loop."""
     await RouterProgram(config).run()
--- a/paddlequay/protocol/caches.py
+++ b/paddlequay/protocol/caches.py
@@ -85,9 +85,9 @@
     @property
     def progress(self) -> float:
         """The received share of the incomplete answer, from 0 to 1; 0 while its length is unknown."""
-        return (
-            0.0 if self.head is None else (self.filled + self.trailer_read) / (len(self.body) + len(LINE_END))
-        )
+        if self.head is None:
+            return 0.0
+        return (self.filled + self.trailer_read) / (len(self.body) + len(LINE_END))
 
     @property
     def current_id(self) -> str | None:
