--- a/paddlequay/lab/cluster_model_runs.py
+++ b/paddlequay/lab/cluster_model_runs.py
@@ -189,8 +189,7 @@
     others_dead = {
         change.peer
         for change in deaths
-        if change.peer != VICTIM
-        and change.router != VICTIM
+        if VICTIM not in (change.peer, change.router)
         and auditor.simulation.routers[change.peer].zone != victim_zone
         and change.at > begin
     }
--- a/paddlequay/lab/dns.py
+++ b/paddlequay/lab/dns.py
@@ -48,9 +48,10 @@
                 self.transport, _protocol = await loop.create_datagram_endpoint(
                     lambda: _Datagrams(self), local_addr=self.address
                 )
-                return
             except OSError:
                 self.server.close()
+            else:
+                return
         raise OSError("no port that is free for UDP and TCP")
 
     def answers(self, data: bytes, tcp: bool) -> list[tuple[float, bytes]]:
--- a/paddlequay/lab/sources.py
+++ b/paddlequay/lab/sources.py
@@ -89,7 +89,7 @@
         for began, ended, name in self.drained:
             for box in self.cluster.edge_caches:
                 for at, via in box.requests:
-                    count += (box.name == name or via == name) and began + TOLD < at < ended
+                    count += (name in (box.name, via)) and began + TOLD < at < ended
         return count
 
     async def down(self) -> None:
--- a/paddlequay/simulator/adapter.py
+++ b/paddlequay/simulator/adapter.py
@@ -1,6 +1,7 @@
 """The simulator's wire on standard input and output; hosts many routers. It decides nothing."""
 
 import json
+import math
 import os
 import re
 import sys
@@ -119,9 +120,9 @@
 
 
 def number(text: str) -> float:
-    """A finite number."""
+    """Returns a finite number; raises ValueError for any other text."""
     value = float(text)
-    if value != value or value in (float("inf"), float("-inf")):
+    if not math.isfinite(value):
         raise ValueError
     return value
 
--- a/tests/race_conditions/rig_virtual_fleet.py
+++ b/tests/race_conditions/rig_virtual_fleet.py
@@ -308,9 +308,11 @@
         sibling = self.caches.get(fetch.source)
         if sibling is not None:
             if sibling.state or place not in sibling.held:
-                return self.ended(asked, number, Outcome.MISS, ReplyDetail.SOURCE_MISS)
+                self.ended(asked, number, Outcome.MISS, ReplyDetail.SOURCE_MISS)
+                return
         elif place not in self.parents_hold and fetch.only_if_cached:
-            return self.ended(asked, number, Outcome.MISS, ReplyDetail.SOURCE_MISS)
+            self.ended(asked, number, Outcome.MISS, ReplyDetail.SOURCE_MISS)
+            return
         cache.filling[place] = [lambda note, waited: self.send(cache, asked, number, note, waited)]
         began = self.clock.now
 
