--- a/paddlequay/programs/handover.py
+++ b/paddlequay/programs/handover.py
@@ -114,7 +114,7 @@
 
         Also called once a successor has died: connections accepted before the next heartbeat must stay open.
         """
-        self.clients.handing_over = self.clients.refusing_new or self.hot_restart.replaced
+        self.clients.handing_over = self.clients.served_late_connections or self.hot_restart.replaced
         self.clients.close_quiet_connections()
         if self.cluster is not None and not self.hot_restart.replaced:
             self.cluster.resume()
