--- a/paddlequay/hierarchy/source_fallback.py
+++ b/paddlequay/hierarchy/source_fallback.py
@@ -80,10 +80,10 @@
         limits = {f"limit {upstream.member.name}": INITIAL_CONCURRENCY_LIMIT for upstream in new}
         self.state.limits.inherit_state(new, limits)
 
-    def update_contention(self) -> None:
-        """Tells the limits how many nodes ask the same members: all of the group."""
+    def update_sharing_routers(self) -> None:
+        """Divides concurrency limits among all nodes of the group, which send to the same members."""
         group_size = len(self.node.source_selector.migration.weights)
-        self.state.limits.set_contention(1, 1, 1, requesters=max(1, group_size))
+        self.state.limits.set_sharing_routers(1, 1, 1, sender_count=max(1, group_size))
 
     def advance(self, request: RequestState) -> None:
         """Sends the next attempt of a fill, or fails it.
--- a/paddlequay/policy/concurrency_limits.py
+++ b/paddlequay/policy/concurrency_limits.py
@@ -1,8 +1,8 @@
 """Concurrency limits: whether a member may be sent another request, by the work in flight there.
 
 A limit counts work in mean requests, over all routers that send to the member. Each router compares its own
-work in flight with its quota, the limit divided by `contending_routers`. Limits grow slowly while answers are
-in time, and are cut when many are late.
+work in flight with its share, the limit divided by the number of routers that share it. Limits grow slowly
+while answers are in time, and are cut when many are late.
 """
 
 import math
@@ -18,18 +18,20 @@
 # The first report of an edge gives its capacity within a second; parents report to no router.
 INITIAL_LIMIT_REQUESTS = {CacheTier.EDGE: 10.0, CacheTier.PARENT: 30.0, CacheTier.ORIGIN: 30.0}
 MIN_REQUESTS_PER_TRANSFER = 1.5  # of the transfers that fit: objectives allow twice the sending time
-FILL_RATIO = 0.33  # of the work at edges, assumed for parents, and for edges without reply details
+FILL_RATIO = 0.33  # fills, as an assumed share of the requests at edges
 DISCOVERY_GROWTH_PER_S = 0.2  # of a parent's limit before its first cut: nothing else finds its capacity
 LIMIT_GROWTH_PER_S = 0.05
-MAX_GROWTH_S = 1.0  # for one answer
+MAX_GROWTH_S = 1.0  # the longest time for which one answer lets a limit grow
 LIMIT_CUT_FACTOR = 0.8
 LIMIT_CUT_INTERVAL_S = 0.5  # at most one cut for one overload
-SPARE_UTILIZATION_RATIO = 0.4  # a member that reports less than this and the next has spare capacity
+# A member has spare capacity below this utilization; an edge only while the load of its zone's link is below
+# SPARE_LINK_RATIO as well.
+SPARE_UTILIZATION_RATIO = 0.4
 SPARE_LINK_RATIO = 0.8
 SPARE_CAPACITY_FACTOR = 1.25  # of the work in flight at a report of spare capacity, which fits
-LATE_DECAY_S = 1.0  # by time and not by answers, so that a router with few answers notices as well
+LATE_DECAY_S = 1.0  # the time constant of `late_ratio`, the same for routers with many answers and with few
 MAX_LATE_RATIO = 0.15  # of answers: fewer are the tail of sizes and no overload
-QUOTA_TOLERANCE_FACTOR = 1.5  # of the quota's square root: few requests arrive unevenly
+SHARE_TOLERANCE_STDDEVS = 1.5  # above the share, in standard deviations of a Poisson count of that mean
 
 
 def limit_for_size(transfer_capacity: float) -> float:
@@ -40,47 +42,72 @@
 class ConcurrencyLimits:
     """Counts the work in flight at members and adjusts their limits.
 
-    The state of a member stands in its `Upstream`; `contending_routers` is how many routers' worth of
-    requests meet at each member of a tier.
+    The state of a member stands in its `Upstream`.
+
+    Attributes:
+        sharing_routers: The number of routers that share the limit of each member of a tier. An estimate need
+            not be a whole number, and is below 1 where one router loads several members fully.
     """
 
     def __init__(self, settings: RoutingSettings, zone_load: ZoneLoad, zone_link: LinkLoad) -> None:
         self.settings = settings
         self.zone_load = zone_load
         self.zone_link = zone_link
-        self.contending_routers: dict[CacheTier, float] = {}
+        self.sharing_routers: dict[CacheTier, float] = {}
+
+    def set_sharing_routers(
+        self, edges: int, parents: int, origins: int, sender_count: int | None = None
+    ) -> None:
+        """Sets how many routers share a limit, from the members and the routers that there are.
 
-    def set_contention(self, edges: int, parents: int, origins: int, requesters: int | None = None) -> None:
-        """Divides limits among the routers.
+        All routers of a zone share its edges. Parents and origins are shared by the senders if their number
+        is known. Otherwise all routers share a parent if weights give its capacity; if they do not, and for
+        origins, the number is estimated from fills.
 
         Args:
             edges: Ready edges of all zones.
             parents: Ready parents.
             origins: Ready origins.
-            requesters: How many programs send to parents and origins, if known; else estimated from fills.
+            sender_count: The number of routers or nodes that send to parents and origins, if known.
+        """
+        all_routers = self.settings.router_count if self.settings.weights_give_capacity else None
+        self.sharing_routers[CacheTier.EDGE] = self.settings.zone_router_count or 1
+        self.sharing_routers[CacheTier.PARENT] = (
+            sender_count or all_routers or self._estimate_sharing_routers(edges, parents)
+        )
+        self.sharing_routers[CacheTier.ORIGIN] = sender_count or self._estimate_sharing_routers(
+            edges, origins
+        )
+
+    def _estimate_sharing_routers(self, edges: int, sources: int) -> float:
+        """Returns the number of routers whose fills together are a full load for one parent or origin.
+
+        Each router is assumed to send an equal part of the requests that load all edges fully, and to spread
+        the fills among them evenly over the sources.
+
+        Args:
+            edges: Ready edges of all zones.
+            sources: Ready members of the tier that the fills are sent to.
         """
-        fills_per_router = FILL_RATIO * max(1, edges) / (self.settings.router_count or 1)
-        routers_by_size = self.settings.router_count if self.settings.weights_give_capacity else None
-        parent_contention = requesters or routers_by_size or max(1, parents) / fills_per_router
-        self.contending_routers[CacheTier.EDGE] = self.settings.zone_router_count or 1
-        self.contending_routers[CacheTier.PARENT] = parent_contention
-        self.contending_routers[CacheTier.ORIGIN] = requesters or max(1, origins) / fills_per_router
+        router_count = self.settings.router_count or 1
+        fill_load_per_router = FILL_RATIO * max(1, edges) / router_count  # in full loads of one member
+        return max(1, sources) / fill_load_per_router
 
     def is_busy(self, upstream: Upstream, request: RequestState, now: float) -> bool:
         """Whether the limit of a member leaves no capacity for a request.
 
-        Large requests reach the limit first. A quota below one request admits a share of them, by their
-        sampling draws.
+        Large requests reach the limit first. With nothing in flight, a request larger than `max_in_flight`
+        is admitted with the probability `max_in_flight / cost`, by its sampling draw.
 
         Args:
             upstream: The member.
             request: The request, with its cost in mean requests.
             now: Seconds of the router's clock.
         """
-        if not self.is_overloaded(upstream, now) and self.is_surely_idle(upstream, now):
+        if not self.is_overloaded(upstream, now) and self.has_known_capacity(upstream, now):
             return False
-        quota = upstream.concurrency_limit / self.contending_routers[upstream.tier]
-        max_in_flight = quota + QUOTA_TOLERANCE_FACTOR * math.sqrt(quota)
+        router_share = upstream.concurrency_limit / self.sharing_routers[upstream.tier]
+        max_in_flight = router_share + SHARE_TOLERANCE_STDDEVS * math.sqrt(router_share)
         if request.cost * request.sampling_draw > max_in_flight:
             return True
         return upstream.in_flight > 0 and upstream.in_flight + request.cost > max_in_flight
@@ -91,7 +118,7 @@
             return False
         return not self.zone_load.has_fresh_report(upstream.member.name, now)
 
-    def is_surely_idle(self, upstream: Upstream, now: float) -> bool:
+    def has_known_capacity(self, upstream: Upstream, now: float) -> bool:
         """Whether a member reported spare capacity lately, or this router has nothing in flight there."""
         return now - upstream.spare_capacity_at < MAX_REPORT_AGE_S or upstream.in_flight == 0
 
@@ -120,7 +147,7 @@
             upstream.spare_capacity_at = -math.inf
             return
         upstream.spare_capacity_at = now
-        in_flight = upstream.in_flight * self.contending_routers[upstream.tier]
+        in_flight = upstream.in_flight * self.sharing_routers[upstream.tier]
         grown = max(upstream.concurrency_limit, SPARE_CAPACITY_FACTOR * in_flight)
         upstream.concurrency_limit = min(MAX_LIMIT_REQUESTS, grown)
 
@@ -140,7 +167,7 @@
         elapsed = now - upstream.late_ratio_at
         upstream.late_ratio_at = now
         upstream.late_ratio += (late - upstream.late_ratio) * (1.0 - math.exp(-elapsed / LATE_DECAY_S))
-        in_flight = upstream.in_flight * self.contending_routers[upstream.tier]
+        in_flight = upstream.in_flight * self.sharing_routers[upstream.tier]
         if upstream.late_ratio <= MAX_LATE_RATIO:
             if in_flight > upstream.concurrency_limit / 2:
                 self._grow(upstream, elapsed)
--- a/paddlequay/policy/load_shedding.py
+++ b/paddlequay/policy/load_shedding.py
@@ -1,7 +1,7 @@
 """Load shedding at edges, by the load that the edges of a zone report.
 
 A router alone at an edge knows the edge's load from its own requests in flight. One router of a dozen does
-not: its quota of the edge's concurrency limit is below one request, so that a rule on its own requests
+not: its share of the edge's concurrency limit is below one request, so that a rule on its own requests
 rejects by chance, or moves an object to the next edge, which fills it a second time through the zone's
 link. The load report in every answer is the sum over all routers and the same for all of them, so decisions
 by that report alone add up to one decision.
--- a/paddlequay/policy/router.py
+++ b/paddlequay/policy/router.py
@@ -106,13 +106,13 @@
             return
         for upstream in self.state.members.update(event, self.now):
             self.actions += self.cancel_pending(upstream)
-        self.update_contention()
+        self.update_sharing_routers()
 
-    def update_contention(self) -> None:
+    def update_sharing_routers(self) -> None:
         """Divides concurrency limits among the routers again, after a change of the members."""
         members = self.state.members
         parent_count = len(members.homes[CacheTier.PARENT])
-        self.state.limits.set_contention(members.ready_edge_count, parent_count, len(members.origins))
+        self.state.limits.set_sharing_routers(members.ready_edge_count, parent_count, len(members.origins))
 
     def on_request(self, received: interface.Request) -> None:
         """Starts a request. Ignores an id that is already pending; fails a request of an unknown class."""
@@ -170,7 +170,7 @@
                 # An empty edge after a failure has restarted, which the endpoint list reports seconds later.
                 # Until then, the first edge of a zone to come back would get the requests of all routers.
                 self.state.members.presume_restart(upstream, self.now)
-                self.update_contention()
+                self.update_sharing_routers()
                 self.actions.append(interface.LogMessage(f"{upstream.member.name} is back empty"))
             self.state.zone_load.record(upstream.member.name, report, self.now)
         self.state.limits.record_report(upstream, report, self.now)
--- a/tests/policy/test_concurrency_limits.py
+++ b/tests/policy/test_concurrency_limits.py
@@ -10,7 +10,7 @@
 def test_an_idle_router_among_many_rejects_nothing_while_nothing_is_in_flight_or_late(
     zone_routers: int,
 ) -> None:
-    """A quota below one request must not reject by chance, as for 23.5% of requests with 200 routers."""
+    """A share below one request must not reject by chance, as for 23.5% of requests with 200 routers."""
     driver = Driver(router_count=200, zone_router_count=zone_routers)
     for key in range(1000):
         driver.now += 0.05
--- a/tests/policy/test_fill_admission.py
+++ b/tests/policy/test_fill_admission.py
@@ -30,7 +30,7 @@
 def test_fills_are_shed_while_those_in_flight_fill_the_link() -> None:
     """Fills into a full link make edges late, and limits cut for that shed hits as well."""
     driver = sized(link=2.0)
-    driver.router.state.limits.contending_routers[CacheTier.EDGE] = (
+    driver.router.state.limits.sharing_routers[CacheTier.EDGE] = (
         0.01  # edges have room: the link alone is in question
     )
     fills: list[Fetch] = []
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -99,7 +99,7 @@
 
 
 def test_an_edge_that_reports_capacity_is_not_full_by_this_routers_own_requests() -> None:
-    """A quota below one request must not reject what the edge has capacity for."""
+    """A share below one request must not reject what the edge has capacity for."""
     driver = contended_driver()
     report_load(driver, IDLE | {"cpu": 0.7})
     actions = [each for key in range(60) for each in driver.request(key)]
--- a/tests/policy/test_many_routers.py
+++ b/tests/policy/test_many_routers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from paddlequay.policy import Router
-from paddlequay.policy.concurrency_limits import INITIAL_LIMIT_REQUESTS, QUOTA_TOLERANCE_FACTOR
+from paddlequay.policy.concurrency_limits import INITIAL_LIMIT_REQUESTS, SHARE_TOLERANCE_STDDEVS
 from paddlequay.policy.hot_objects import MAX_OBJECT_AGE_S
 from paddlequay.policy.load_shedding import MAX_REPORT_AGE_S
 from paddlequay.policy.outlier_ejection import EJECTION_FAILURES, PROBE_DELAY_S
@@ -141,7 +141,7 @@
     for number in range(4000):
         in_flight += len(send(all_routers[number % routers], f"r{number}", number, 2.0))
     share = INITIAL_LIMIT_REQUESTS[CacheTier.EDGE] / routers
-    max_in_flight = routers * max(1.0, share + QUOTA_TOLERANCE_FACTOR * share**0.5)
+    max_in_flight = routers * max(1.0, share + SHARE_TOLERANCE_STDDEVS * share**0.5)
     assert routers <= in_flight <= max_in_flight + 1e-6
 
 
