--- a/paddlequay/policy/attempt_results.py
+++ b/paddlequay/policy/attempt_results.py
@@ -1,7 +1,5 @@
 """Attempt results: which member an outcome counts for or against, and what the request learns from it."""
 
-import math
-
 from paddlequay.policy.concurrency_limits import FILL_RATIO
 from paddlequay.policy.origin_shedding import is_origin_slow
 from paddlequay.policy.outlier_ejection import RECENT_SUCCESS_S
@@ -71,7 +69,7 @@
         if event.outcome is Outcome.TIMEOUT and at_fault.last_success_at > attempt.sent_at:
             # The member is slow and not unresponsive. Ejecting it would move its load to members as busy, and
             # its fills to a parent that lacks the objects. Limits and longer time-outs answer for slowness.
-            self.state.latency.adjust_ratio(request, math.inf)
+            self.state.latency.record_timeout(request)
             return []
         if self.is_request_at_fault(request, event, at_fault, now):
             return []
--- a/paddlequay/policy/attempt_timeouts.py
+++ b/paddlequay/policy/attempt_timeouts.py
@@ -6,9 +6,7 @@
 from paddlequay.routing.state import RequestState
 
 LATENCY_SLACK_FACTOR = 1.5  # over the learned latency: a general slowdown must not cancel work
-MIN_TIMEOUTS_COUNT = (
-    3.0  # that fit into the time left; else an answer that takes half of it is never received
-)
+MIN_TIMEOUTS_COUNT = 3.0  # an attempt gets all the time left if fewer time-outs than this fit in it
 TIMEOUT_GROWTH_FACTOR = 2.0  # of the time spent, as a repeated attempt takes at least as long
 RETRY_RESERVE_S = 0.2  # of the dedup window, for connecting and sending the retry
 
@@ -23,8 +21,8 @@
     def attempt_timeout(self, request: RequestState, now: float) -> float:
         """Returns the time-out in seconds of the attempt sent now, which is the last in `request.attempts`.
 
-        It is all the time that the request has left where no retry could follow or be answered, because work
-        that is cut short is lost. Else it exceeds the latency of nearly all answers.
+        All the time left to the deadline if no retry could follow or would be answered in time, because work
+        that is cut short is lost; else longer than nearly all answers take.
         """
         time_left = request.deadline - now
         timeout = self.usual_timeout(request, time_left)
--- a/paddlequay/policy/attempts.py
+++ b/paddlequay/policy/attempts.py
@@ -23,7 +23,7 @@
         source = route.source
         is_cached_read = target is source
         if not is_cached_read:
-            state.retries.spend_budget(request)
+            state.retries.charge_retry(request)
         holders = state.hot_objects.holders(request.object_state, state.members.upstreams, now)
         fills = not is_cached_read and target.member.name not in holders
         retry_bound = request.retry_bound  # by an earlier attempt
--- a/paddlequay/policy/origin_shedding.py
+++ b/paddlequay/policy/origin_shedding.py
@@ -15,7 +15,11 @@
 from paddlequay.policy.shedding_span import SheddingSpan
 
 WAIT_DECAY_S = 1.0  # of the mean wait: contention builds up within a second or two
-WAIT_SPAN = SheddingSpan(0.5, 1.5)  # of the objective: late with the sending time, or without it
+# In latency objectives. From the low end on, an answer is late once its sending time, about half an
+# objective, is added. Half of the misses are shed where the wait alone takes the objective.
+WAIT_SPAN = SheddingSpan(0.5, 1.5)
+# The time constant of the decay without new fills, as a wait is as short-lived as a load report.
+WAIT_EXPIRY_S = MAX_REPORT_AGE_S
 
 
 def is_origin_slow(zone_load: ZoneLoad, target: str, now: float) -> bool:
@@ -54,7 +58,7 @@
 
     def recent(self, now: float) -> float:
         """Returns the mean wait in seconds, decayed by the time since the last record."""
-        return self.mean * math.exp(-(now - self.updated_at) / MAX_REPORT_AGE_S)
+        return self.mean * math.exp(-(now - self.updated_at) / WAIT_EXPIRY_S)
 
     def sheds(self, objective: float, sampling_draw: float, now: float) -> bool:
         """Whether a request must do without the origin.
--- a/paddlequay/policy/retry_rules.py
+++ b/paddlequay/policy/retry_rules.py
@@ -40,8 +40,9 @@
     def retry_bound(self, request: RequestState, target: Upstream, now: float) -> RetryBound | None:
         """Returns the bound on retries after an attempt at `target`, which may be executed.
 
-        None for an idempotent request; no time is left for one that may not run twice. A request with an
-        idempotency key may be repeated within the dedup window of its class, in seconds from now.
+        None for an idempotent request, which may always be repeated. A bound that ended at -inf for a
+        non-idempotent one, which is never repeated. A request with an idempotency key may be repeated within
+        the dedup window of its class, in seconds from now.
         """
         request_class = request.request_class
         if request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -51,14 +52,22 @@
         until = now + (request_class.dedup_window or 0.0) - WINDOW_MARGIN_S
         return RetryBound(until, request_class.dedup_scope, target.member)
 
-    def charge_budget(self, request: RequestState) -> None:
-        """Adds to the budget for a first attempt; bars a retry from all sources if the budget is spent."""
+    def update_budget(self, request: RequestState) -> None:
+        """Credits the budget for a first attempt; checks whether it covers a retry."""
         if not request.attempts:
-            self.budget = min(MAX_RETRY_BUDGET_ATTEMPTS, self.budget + RETRY_BUDGET_RATIO)
-        elif self.budget < RETRY_COST_ATTEMPTS and not is_budget_exempt(request):
-            request.retry_budget_spent = True
+            self._credit_budget()
+        elif not self._covers_retry(request):
+            request.retry_budget_exhausted = True  # only cached copies may be read from here on
 
-    def spend_budget(self, request: RequestState) -> None:
-        """Takes a retry that asks a source from the budget, unless it is exempt."""
+    def _credit_budget(self) -> None:
+        """Adds the part of a retry that each first attempt earns."""
+        self.budget = min(MAX_RETRY_BUDGET_ATTEMPTS, self.budget + RETRY_BUDGET_RATIO)
+
+    def _covers_retry(self, request: RequestState) -> bool:
+        """Whether the budget has enough left for a retry of a request, or the retry is exempt."""
+        return self.budget >= RETRY_COST_ATTEMPTS or is_budget_exempt(request)
+
+    def charge_retry(self, request: RequestState) -> None:
+        """Takes the cost of a retry that asks a source from the budget, unless the retry is exempt."""
         if request.attempts and not is_budget_exempt(request):
             self.budget -= RETRY_COST_ATTEMPTS
--- a/paddlequay/policy/router.py
+++ b/paddlequay/policy/router.py
@@ -142,7 +142,7 @@
         if request.attempts and not self.state.retries.may_retry(request, self.now):
             self.give_up(request, RejectCause.RETRIES_EXHAUSTED)
             return
-        self.state.retries.charge_budget(request)
+        self.state.retries.update_budget(request)
         route = self.selector.next_route(request, self.now)
         if isinstance(route, RejectCause):
             self.give_up(request, route)
--- a/paddlequay/policy/slow_start.py
+++ b/paddlequay/policy/slow_start.py
@@ -1,9 +1,10 @@
 """Slow start: how much work a member that warms up may be sent, so that it adds up over all routers.
 
-A member that has just started does a part of its work, and fails when all routers together send it more
-than a multiple of that for some seconds. Its capacity is unknown. Warm members bear the load: a router's
-own load for each of them, scaled by the share of capacity of a member that warms up, adds up over all
-routers to what that member can do, in any unit of work.
+A member that has just started has a share of its full capacity, which grows with its age. It fails under a
+load above a multiple of its present capacity that lasts for some seconds. Its full capacity is unknown, but a
+warm member serves its load without failing. So the rate that a router allows is its own load for each warm
+member, times the share of capacity, times a safe part of that multiple. Summed over all routers, the first
+factor is the load of a warm member; no router needs to know the rates of the others.
 """
 
 import math
@@ -13,7 +14,9 @@
 from paddlequay.routing.state import TokenBucket
 
 LOAD_SAFETY_RATIO = 0.7  # of the overload multiple: the load of warm members may be near their capacity
-MIN_WARM_RATIO = 0.75  # of the members counts as warm at least: where none is, none has shown its capacity
+# The least share of the members that counts as warm: the load for each of them would else be overestimated
+# while most members warm up.
+MIN_WARM_RATIO = 0.75
 REPORTED_CAPACITY_RATIO = 0.6  # of the overload multiple: members differ in capacity
 MIN_REPORTED_LINKS = 0.2  # outgoing links in use over all members; capacity shows from here on
 BURST_RATIO = 0.25  # of the overload window
@@ -53,7 +56,7 @@
         return min(1.0, slow_start.initial_share + missing_share * age / slow_start.duration)
 
     def warm_equivalents(self, now: float) -> float:
-        """Returns how many warm members could bear the present load, at least 1."""
+        """Returns the sum of all shares of capacity, at least 1 and `MIN_WARM_RATIO` of the members."""
         if not self.warming_starts:
             return max(1.0, self.member_count)
         shares = [self.capacity_share(start, now) for start in self.warming_starts]
@@ -91,13 +94,14 @@
         if share >= 1.0:
             return None
         by_load = LOAD_SAFETY_RATIO * self.load_per_member
-        by_report = REPORTED_CAPACITY_RATIO * self.reported_capacity()
+        by_report = REPORTED_CAPACITY_RATIO * self.load_per_link()
         return share * (self.slow_start.overload_multiple or 1.0) * max(by_load, by_report)
 
-    def reported_capacity(self) -> float:
-        """Returns this router's part of one member's capacity, in work a second; 0 without reports.
+    def load_per_link(self) -> float:
+        """Returns the work a second that this router sends for each outgoing link in use; 0 without reports.
 
-        Work served over links in use does not fall with rejections, as the load does.
+        A member has one outgoing link, so this is the router's part of a full load for one member. It does
+        not fall while requests are rejected, as `load_per_member` does.
         """
         return self.total_load / self.reported_links if self.reported_links >= MIN_REPORTED_LINKS else 0.0
 
@@ -118,7 +122,7 @@
         """
         rate = self.allowed_rate(started, now)
         if rate is None:
-            bucket.updated_at = None
+            bucket.disable()
             return True
         elapsed = 0.0 if bucket.updated_at is None else now - bucket.updated_at
         burst = rate * (self.slow_start.overload_window or 1.0) * BURST_RATIO
--- a/paddlequay/routing/latency.py
+++ b/paddlequay/routing/latency.py
@@ -1,15 +1,17 @@
 """Estimates of the work of requests and of the latency of their answers, by class.
 
+The work of a request is the time in seconds that sending its answer at the full rate of one transfer takes.
 Several rules read them: attempt time-outs, concurrency limits, slow start and load shedding.
 """
 
+import math
 from collections.abc import Mapping
 
 from paddlequay.routing.interface import Request, RoutingSettings
 from paddlequay.routing.state import RequestState
 
-SLOW_RATIO = 0.02  # the share of answers that take longer than the learned latency
-QUANTILE_STEP_RATIO = 0.03  # of the learned latency, for each answer
+SLOW_RATIO = 0.02  # the share of answers above the estimated quantile, which is the 98th percentile
+QUANTILE_STEP_RATIO = 0.03  # the step of the quantile estimate for each answer, as a share of the estimate
 UNKNOWN_SIZE_FACTOR = 1.2  # large objects have a later objective, which is not known without their size
 MAX_COST_REQUESTS = 8.0  # in mean requests
 WORK_STEP_RATIO = 0.01  # of the difference, for each request: mean work moves over some hundred requests
@@ -38,7 +40,13 @@
 
 
 class LatencyEstimator:
-    """Estimates, for each class, the work in seconds and the latency as a multiple of the objective."""
+    """Estimates, for each class, the work in seconds and a high quantile of the latency.
+
+    Attributes:
+        latency_ratio: The estimated quantile of latency over objective, by class.
+        work: The mean work of a request in seconds, by class.
+        mean_work: The mean work over all classes.
+    """
 
     def __init__(self, settings: RoutingSettings) -> None:
         self.flow_kb_per_s = settings.flow_kb_per_s
@@ -66,17 +74,29 @@
         by_work = (request_class.objective_per_work or 0.0) * request.work
         return min(request_class.deadline, request_class.latency_objective + by_work)
 
-    def adjust_ratio(self, request: RequestState, ratio: float) -> None:
-        """Moves the learned latency of a class towards an answer's latency over its objective."""
-        name = request.request_class.name
-        learned = self.latency_ratio[name]
-        self.latency_ratio[name] = learned + QUANTILE_STEP_RATIO * learned * ((ratio > learned) - SLOW_RATIO)
+    def record_timeout(self, request: RequestState) -> None:
+        """Counts an attempt that timed out as slower than the estimated quantile."""
+        self._update_quantile(request.request_class.name, math.inf)
+
+    def _update_quantile(self, name: str, ratio: float) -> None:
+        """Moves the quantile estimate of a class by one step of stochastic approximation.
+
+        Each answer above the estimate raises it by `1 - SLOW_RATIO` steps, each other one lowers it by
+        `SLOW_RATIO` steps. The steps cancel out where the share of answers above it is `SLOW_RATIO`.
+
+        Args:
+            name: The class.
+            ratio: The latency of an answer over its objective; infinite for a time-out.
+        """
+        quantile = self.latency_ratio[name]
+        is_above = ratio > quantile
+        self.latency_ratio[name] = quantile + QUANTILE_STEP_RATIO * quantile * (is_above - SLOW_RATIO)
 
     def record_answer(self, request: RequestState, latency: float) -> bool:
         """Counts an answer after `latency` seconds; returns whether it was late."""
         name = request.request_class.name
         ratio = latency / self.objective(request)
-        self.adjust_ratio(request, ratio)
+        self._update_quantile(name, ratio)
         if request.received.size_kb:
             return ratio > 1.0
         # The lowest mean and not the present one: latency under overload says nothing about the size.
--- a/paddlequay/routing/state.py
+++ b/paddlequay/routing/state.py
@@ -28,6 +28,10 @@
     tokens: float = 0.0
     updated_at: float | None = None
 
+    def disable(self) -> None:
+        """Ends the limit on a member that has warmed up."""
+        self.updated_at = None
+
     def take(self, work: float) -> None:
         """Removes work that is sent to the member; negative work, which was not done, is put back."""
         if self.updated_at is not None:
@@ -116,7 +120,7 @@
     connection_lost: bool = False
     source_missed: bool = False  # no source has the object, or none can reach the origin
     # policy/retry_rules.py
-    retry_budget_spent: bool = False
+    retry_budget_exhausted: bool = False
     # policy/source_selection.py
     link_full: bool = False
     only_if_cached: bool = False
@@ -153,4 +157,4 @@
     @property
     def fill_blocked(self) -> bool:
         """Whether no source may be asked; the home may still serve what it has cached."""
-        return self.source_missed or self.retry_budget_spent or self.link_full
+        return self.source_missed or self.retry_budget_exhausted or self.link_full
