--- a/paddlequay/policy/attempt_results.py
+++ b/paddlequay/policy/attempt_results.py
@@ -34,7 +34,7 @@
         if event.outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             request.failed_members.append(attempt.target.member.name)
             return []
-        self.state.hot_objects.drop_holder(request.object_state, attempt.target.member.name)
+        self.state.hot_objects.drop_holder(request.part_state, attempt.target.member.name)
         if event.outcome is Outcome.MISS:
             return self.handle_miss(request, attempt, now)
         return self.handle_failed(request, attempt, event, now)
@@ -45,7 +45,7 @@
         request.failed_members.append(source.member.name)
         if source.tier is CacheTier.PARENT:
             request.source_missed = True
-        self.state.hot_objects.drop_holder(request.object_state, source.member.name)
+        self.state.hot_objects.drop_holder(request.part_state, source.member.name)
         return self.state.outliers.record_success(attempt.target, now)
 
     def handle_failed(
--- a/paddlequay/policy/attempts.py
+++ b/paddlequay/policy/attempts.py
@@ -24,14 +24,14 @@
         is_cached_read = target is source
         if not is_cached_read:
             state.retries.charge_retry(request)
-        holders = state.hot_objects.holders(request.object_state, state.members.upstreams, now)
+        holders = state.hot_objects.holders(request.part_state, state.members.upstreams, now)
         fills = not is_cached_read and target.member.name not in holders
         retry_bound = request.retry_bound  # by an earlier attempt
         attempt = AttemptState(target, source, now, fills, state.retries.retry_bound(request, target, now))
         self.register(request, attempt)
         without_origin = self.must_avoid_origin(request, attempt, now)
         if request.cacheable and target.tier is CacheTier.EDGE:
-            state.hot_objects.add_holder(request.object_state, target.member.name, now)
+            state.hot_objects.add_holder(request.part_state, target.member.name, now)
         from_sibling = not is_cached_read and source.tier is CacheTier.EDGE
         return Fetch(
             request=request.received.id,
--- a/paddlequay/policy/edge_selection.py
+++ b/paddlequay/policy/edge_selection.py
@@ -60,7 +60,7 @@
             for edge in members.ranked(CacheTier.EDGE, key, now)
             if request.in_dedup_scope(edge) and edge.member.name not in request.failed_members
         )
-        if not self.state.hot_objects.is_spread(request.object_state):
+        if not self.state.hot_objects.is_spread(request.part_state):
             return allowed
         preferred = sorted(islice(allowed, SPREAD_EDGES_COUNT), key=lambda edge: edge.in_flight)
         return chain(preferred, allowed)
--- a/paddlequay/policy/member_directory.py
+++ b/paddlequay/policy/member_directory.py
@@ -99,7 +99,7 @@
 
     def _set_homes(self, tier: CacheTier, upstreams: list[Upstream], now: float) -> None:
         """Makes the members of a tier the homes of objects, weighted by size if the settings give it."""
-        weighted = self.settings.weights_give_size
+        weighted = self.settings.weights_give_relative_capacity
         self.homes[tier].reset(
             (each.member.name, each, (each.member.weight or 1.0) if weighted else 1.0) for each in upstreams
         )
--- a/paddlequay/policy/router.py
+++ b/paddlequay/policy/router.py
@@ -131,7 +131,7 @@
             work=work,
             cost=self.state.latency.cost(work),
             sampling_draw=self.random.random(),
-            object_state=read.object_state,
+            part_state=read.part_state,
             is_hot=read.is_hot,
         )
         self.requests[received.id] = request
--- a/paddlequay/policy/source_selection.py
+++ b/paddlequay/policy/source_selection.py
@@ -28,7 +28,7 @@
             (`request.link_full`).
         """
         state = self.state
-        holders = state.hot_objects.holders(request.object_state, state.members.upstreams, now)
+        holders = state.hot_objects.holders(request.part_state, state.members.upstreams, now)
         fills = edge is None or edge.member.name not in holders
         if edge is not None and fills and state.settings.allows_sibling_fills:
             sibling = find_sibling(request, holders, state.members, now)
--- a/paddlequay/routing/settings.py
+++ b/paddlequay/routing/settings.py
@@ -6,6 +6,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
+# Values of `RoutingSettings.weights` and `RoutingSettings.sibling_fills`, as they stand in settings files.
+CAPACITY_WEIGHTS = ("nominal", "rough")
+ALLOWED_SIBLING_FILLS = ("any", "location")
+
 
 class Idempotency(Enum):
     """Whether a request may be repeated. The values are part of formats that programs exchange."""
@@ -62,10 +66,31 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingSettings:
-    """What the decisions know from the start.
+    """What the decisions know from the start. Times are in seconds.
 
-    Counts are routers of the whole platform and of this zone. Rates are in kilobytes a second, times in
-    seconds.
+    Attributes:
+        zone: The name of the router's zone.
+        classes: The classes of requests.
+        router_count: Routers of the whole platform.
+        zone_router_count: Routers of this zone.
+        parent_kind: The kind of the members that are parents, in the endpoint list.
+        origin_kind: The kind of the members that are origins.
+        sibling_fills: The edges that an edge may fill from: "location" for those of its zone, "any" for all.
+        bypass_allowed: Whether requests may be sent to parents and the origin without an edge.
+        coalesces_fills: Whether caches let a request join a fill of the same object in progress.
+        detailed_replies: Whether caches say in a reply why a request failed.
+        flow_kb_per_s: The full rate of one transfer, in kilobytes a second.
+        link_kb_per_s: The rate of the link into the router's zone, in kilobytes a second.
+        weights: What members' weights mean: capacity relative to each other for "nominal" and "rough".
+        parallel_attempts: Whether hedged requests are allowed; no rule sends any.
+        can_cancel: Whether a pending attempt can be cancelled.
+        max_attempts: The attempts that a request may have.
+        max_retry_after: The longest Retry-After; None for rejections without one.
+        must_subscribe: Whether the router subscribes to the endpoint list.
+        subscribe_within: The time after the start within which it has to subscribe; no rule reads it.
+        edge_slow_start: How edges warm up.
+        parent_slow_start: How parents warm up.
+        purge_completion: The time after which a purge has reached all caches.
     """
 
     zone: str
@@ -79,7 +104,7 @@
     coalesces_fills: bool | None = None
     detailed_replies: bool | None = None
     flow_kb_per_s: float | None = None
-    link_kb_per_s: float | None = None  # the link into the router's zone
+    link_kb_per_s: float | None = None
     weights: str | None = None
     parallel_attempts: bool | None = None
     can_cancel: bool | None = None
@@ -94,14 +119,14 @@
     @property
     def weights_give_capacity(self) -> bool:
         """Whether weights give the capacity of members' outgoing links, in transfers at `flow_kb_per_s`."""
-        return self.weights_give_size and bool(self.flow_kb_per_s)
+        return self.weights_give_relative_capacity and bool(self.flow_kb_per_s)
 
     @property
-    def weights_give_size(self) -> bool:
-        """Whether weights tell how large members are relative to each other."""
-        return self.weights in ("nominal", "rough")
+    def weights_give_relative_capacity(self) -> bool:
+        """Whether weights give the capacity of members relative to each other."""
+        return self.weights in CAPACITY_WEIGHTS
 
     @property
     def allows_sibling_fills(self) -> bool:
         """Whether an edge may fill from another edge of its zone."""
-        return self.sibling_fills in ("any", "location")
+        return self.sibling_fills in ALLOWED_SIBLING_FILLS
--- a/paddlequay/routing/state.py
+++ b/paddlequay/routing/state.py
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True)
-class ObjectState:
+class PartState:
     """How often one part of an object was read, and which caches hold it (`policy/hot_objects.py`)."""
 
     read_at: float
@@ -108,7 +108,7 @@
     work: float
     cost: float
     sampling_draw: float
-    object_state: ObjectState
+    part_state: PartState
     is_hot: bool
     streaming: bool = False
     # policy/attempts.py
--- a/tests/cluster/test_channel_prefetcher.py
+++ b/tests/cluster/test_channel_prefetcher.py
@@ -118,10 +118,10 @@
     assert (message.message.part, message.message.cache, message.message.term) == (4, digest("box"), 0x99)
     assert not rig.prefetcher.pending
     # The hint that comes of it reaches the decisions with the client's own request.
-    rig.exchange.router.state.hot_objects.objects.clear()
+    rig.exchange.router.state.hot_objects.parts.clear()
     rig.channels.hints.add(channel_id("here", NAME), 5, digest("aimag"), 0x99, 3.0, 10.0)
     rig.read(4, 5)
-    assert "aimag" in rig.exchange.router.state.hot_objects.objects[(7, 5)].holders
+    assert "aimag" in rig.exchange.router.state.hot_objects.parts[(7, 5)].holders
 
 
 def test_a_prefetch_is_not_written_after_the_lease_is_lost_and_no_member_is_blamed(
--- a/tests/cluster/test_placement_tables.py
+++ b/tests/cluster/test_placement_tables.py
@@ -161,7 +161,7 @@
         assert rig.all_homes_are("e3")
         request = ClientRequest("x", "video", 1.0, "7", 7, None, None)
         rig.placement.prepare_request(request)
-        seen = rig.exchange.router.state.hot_objects.objects[7, None]
+        seen = rig.exchange.router.state.hot_objects.parts[7, None]
         assert list(seen.holders) == ["e2"]
         assert rig.counters.counts["placement_former_named"] == 1
         explanation = json.loads(rig.placement.explain("class=video,key=7"))
--- a/tests/policy/test_many_routers.py
+++ b/tests/policy/test_many_routers.py
@@ -6,7 +6,7 @@
 
 from paddlequay.policy import Router
 from paddlequay.policy.concurrency_limits import INITIAL_LIMIT_REQUESTS, SHARE_TOLERANCE_STDDEVS
-from paddlequay.policy.hot_objects import MAX_OBJECT_AGE_S
+from paddlequay.policy.hot_objects import MAX_PART_AGE_S
 from paddlequay.policy.load_shedding import MAX_REPORT_AGE_S
 from paddlequay.policy.outlier_ejection import EJECTION_FAILURES, PROBE_DELAY_S
 from paddlequay.routing.interface import (
@@ -215,7 +215,7 @@
     (router,) = fleet(1, members())
     (fetch,) = send(router, "r1", 5, 2.0)
     end_attempt(router, fetch, Outcome.SERVED, 2.1, ReplyDetail.FILLED)
-    part = next(iter(router.state.hot_objects.objects.values()))
+    part = next(iter(router.state.hot_objects.parts.values()))
     assert router.state.hot_objects.holders(part, router.state.members.upstreams, 2.2) == [fetch.target]
     router.handle(
         MembersChanged((Member(fetch.target, "here", "cache", 0, MemberState.READY, None, 2.2),)), 2.2
@@ -253,4 +253,4 @@
     for number in range(400):
         for fetch in send(router, f"r{number}", number, 2.0 + number):
             end_attempt(router, fetch, Outcome.SERVED, 2.0 + number, ReplyDetail.HIT)
-    assert len(router.state.hot_objects.objects) <= MAX_OBJECT_AGE_S + 2
+    assert len(router.state.hot_objects.parts) <= MAX_PART_AGE_S + 2
--- a/tests/race_conditions/test_large_requests.py
+++ b/tests/race_conditions/test_large_requests.py
@@ -27,7 +27,7 @@
     Request,
     RequestClass,
 )
-from paddlequay.routing.state import AttemptState, CacheTier, ObjectState, RequestState, Upstream
+from paddlequay.routing.state import AttemptState, CacheTier, PartState, RequestState, Upstream
 
 FILM = RequestClass(
     "film",
@@ -145,7 +145,7 @@
     request = Request("q", kind.name, kind.deadline)
     work = latency.record_request(request)
     cost = latency.cost(work)
-    item = RequestState(request, kind, now + kind.deadline, work, cost, 0.5, ObjectState(now), False)
+    item = RequestState(request, kind, now + kind.deadline, work, cost, 0.5, PartState(now), False)
     server, came = Upstream(EVERYBODY[0], CacheTier.EDGE, now), []
     while True:
         attempts.register(item, AttemptState(server, server, now, False))
