--- a/paddlequay/placement/copy_selection.py
+++ b/paddlequay/placement/copy_selection.py
@@ -17,7 +17,16 @@
 import numpy as np
 import numpy.typing as npt
 
-from paddlequay.placement.homes import arrival, digest
+from paddlequay.placement.homes import (
+    DRAW_OFFSET,
+    FINAL_SHIFT_BITS,
+    GOLDEN_RATIO_64,
+    MIX_MULTIPLIER,
+    MIX_SHIFT_BITS,
+    SLOT_MULTIPLIER,
+    arrival,
+    digest,
+)
 from paddlequay.placement.rules import Rule
 from paddlequay.placement.table import Draw
 
@@ -34,12 +43,12 @@
 
 def draw_arrivals(seeds: npt.NDArray[np.uint64], weights: Floats, shards: Integers) -> Floats:
     """Returns `homes.arrival` by shard (row) and member (column), but for the logarithm's last bits."""
-    unit = seeds[None, :] ^ (shards.astype(np.uint64) * np.uint64(0xD6E8FEB86659FD93))[:, None]
-    unit *= np.uint64(0x9E3779B97F4A7C15)
-    unit += np.uint64(0x632BE59BD9B4E019)
-    unit ^= unit >> np.uint64(29)
-    unit *= np.uint64(0xBF58476D1CE4E5B9)
-    unit ^= unit >> np.uint64(32)
+    unit = seeds[None, :] ^ (shards.astype(np.uint64) * np.uint64(SLOT_MULTIPLIER))[:, None]
+    unit *= np.uint64(GOLDEN_RATIO_64)
+    unit += np.uint64(DRAW_OFFSET)
+    unit ^= unit >> np.uint64(MIX_SHIFT_BITS)
+    unit *= np.uint64(MIX_MULTIPLIER)
+    unit ^= unit >> np.uint64(FINAL_SHIFT_BITS)
     arrivals = unit.astype(np.float64)
     arrivals += 1.0
     arrivals /= 2.0**64
--- a/paddlequay/placement/homes.py
+++ b/paddlequay/placement/homes.py
@@ -22,7 +22,8 @@
 
 M = TypeVar("M")
 
-SLOT_COUNT = 1 << 16  # part of the fleet's agreement: another number moves every object
+SLOT_BITS = 16
+SLOT_COUNT = 1 << SLOT_BITS  # part of the fleet's agreement: another number moves every object
 CACHED_SLOT_SIZE = 8  # members cached for a slot
 MAX_UNCACHED_SIZE = 12  # up to so many members sorting is cheaper than caching
 MAX_CHANGES = 256  # changes kept for updating slots; an older slot is ranked anew
@@ -31,6 +32,17 @@
 
 MASK_64 = (1 << 64) - 1
 
+# Constants of the 64-bit hashes below, part of the fleet's agreement as well. The hashes multiply and
+# xor-shift as the finalizer of SplitMix64 does (Steele, Lea and Flood, "Fast splittable pseudorandom number
+# generators", 2014), with one round.
+GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # 2**64 divided by the golden ratio: the increment of SplitMix64
+MIX_MULTIPLIER = 0xBF58476D1CE4E5B9  # the first multiplier of SplitMix64
+MIX_SHIFT_BITS = 29
+FINAL_SHIFT_BITS = 32
+SLOT_MULTIPLIER = 0xD6E8FEB86659FD93  # odd, so that no two slots of a seed have the same input
+DRAW_OFFSET = 0x632BE59BD9B4E019  # keeps an input of 0 from being hashed to 0
+PART_MULTIPLIER = 0xA0761D6478BD642F  # odd, so that no two parts of an object have the same key
+
 Entry = tuple[float, str]  # a member's arrival and name
 
 
@@ -47,9 +59,9 @@
         slot: The slot, or the shard of a table.
         weight: The member's weight, above 0.
     """
-    unit = (seed ^ (slot * 0xD6E8FEB86659FD93)) * 0x9E3779B97F4A7C15 + 0x632BE59BD9B4E019 & MASK_64
-    unit = ((unit ^ (unit >> 29)) * 0xBF58476D1CE4E5B9) & MASK_64
-    unit ^= unit >> 32
+    unit = ((seed ^ (slot * SLOT_MULTIPLIER)) * GOLDEN_RATIO_64 + DRAW_OFFSET) & MASK_64
+    unit = ((unit ^ (unit >> MIX_SHIFT_BITS)) * MIX_MULTIPLIER) & MASK_64
+    unit ^= unit >> FINAL_SHIFT_BITS
     return -math.log((unit + 1) / 2.0**64) / weight
 
 
@@ -63,13 +75,16 @@
 
 def placement_key(key: int | None, part: int | None = None) -> int:
     """Returns the 64-bit key by which an object, or one part of it, is placed."""
-    return (key or 0) ^ (0 if part is None else (part + 1) * 0xA0761D6478BD642F & MASK_64)
+    if part is None:
+        return key or 0
+    return (key or 0) ^ (((part + 1) * PART_MULTIPLIER) & MASK_64)
 
 
 def slot_of(key: int) -> int:
     """Returns the slot of a 64-bit key, which need not be evenly distributed."""
-    mixed = (key * 0x9E3779B97F4A7C15) & MASK_64
-    return ((mixed ^ (mixed >> 29)) * 0xBF58476D1CE4E5B9 & MASK_64) >> 48
+    mixed = (key * GOLDEN_RATIO_64) & MASK_64
+    mixed = ((mixed ^ (mixed >> MIX_SHIFT_BITS)) * MIX_MULTIPLIER) & MASK_64
+    return mixed >> (64 - SLOT_BITS)
 
 
 def full_weight(_: object) -> float:
--- a/paddlequay/placement/table.py
+++ b/paddlequay/placement/table.py
@@ -15,7 +15,7 @@
 
 from xxhash import xxh3_128_hexdigest
 
-from paddlequay.placement.homes import digest, placement_key, slot_of
+from paddlequay.placement.homes import SLOT_COUNT, digest, placement_key, slot_of
 from paddlequay.placement.regions import ANY
 from paddlequay.placement.rules import Rule, RuleSet, ShardMapKey
 
@@ -156,7 +156,7 @@
             key = group
         elif shard_by == "tenant":
             key = None if tenant is None else digest(tenant)
-        shard = slot_of(key or 0) * rule.shards >> 16
+        shard = (slot_of(key or 0) * rule.shards) // SLOT_COUNT
         return FoundShard(rule.name, shard_map.cell, shard, shard_map.homes[shard])
 
     # --- for the console ---
