--- a/paddlequay/hierarchy/copy_cache.py
+++ b/paddlequay/hierarchy/copy_cache.py
@@ -26,13 +26,13 @@
 class CachedCopy:
     """One part of an object.
 
-    `minted_at` is the Unix second at which the origin gave it out; `group` is the purge group, None where
+    `generated_at` is the Unix second at which the origin gave it out; `group` is the purge group, None where
     it is not known; `retention` is 0 for what is evicted first and 3 for what is evicted last.
     """
 
     body: bytes | bytearray | memoryview
     tag: str
-    minted_at: float
+    generated_at: float
     group: int | None = None
     retention: int = 0
 
@@ -83,7 +83,7 @@
         """
         replaced = self.copies.get(key)
         if replaced is not None:
-            if replaced.minted_at > copy.minted_at:
+            if replaced.generated_at > copy.generated_at:
                 return False
             copy.retention = max(replaced.retention, copy.retention)
         if not self.can_fit(copy, replaced):
@@ -125,7 +125,7 @@
         _remove_from_index(self.by_object, key.object_name, key)
         _remove_from_index(self.by_group, copy.group, key)
 
-    def purge(self, object_name: str | None, group: int | None, issued_at: float) -> int:
+    def purge(self, object_name: str | None, group: int | None, purged_at: float) -> int:
         """Drops the copies of an object or of a group that are older than a purge.
 
         A copy of an unknown group counts as one of every group.
@@ -133,7 +133,7 @@
         Args:
             object_name: The object that is purged; None where a group is.
             group: The group that is purged, where `object_name` is None.
-            issued_at: When the purge was issued, in Unix seconds.
+            purged_at: When the purge was issued, in Unix seconds.
 
         Returns:
             How many copies were dropped.
@@ -142,7 +142,7 @@
             keys = set(self.by_object.get(object_name, ()))
         else:
             keys = self.by_group.get(group, set()) | self.by_group.get(None, set())
-        outdated = [key for key in keys if self.copies[key].minted_at < issued_at]
+        outdated = [key for key in keys if self.copies[key].generated_at < purged_at]
         for key in outdated:
             self.drop(key)
         return len(outdated)
--- a/paddlequay/hierarchy/fill_coordinator.py
+++ b/paddlequay/hierarchy/fill_coordinator.py
@@ -110,7 +110,7 @@
             purged_at = lease.latest_purge_before(waiter_index, copy.group)
             if request.is_closed:
                 continue
-            if copy.minted_at < max(request.min_minted_at, purged_at):
+            if copy.generated_at < max(request.min_generated_at, purged_at):
                 self._on_outdated(request, purged_at, now)
             else:
                 reason = reason_of_copy(result, waiter_index == 0)
@@ -161,7 +161,7 @@
             object_name=request.object_name,
             part=request.part,
             class_name=request.class_name,
-            min_minted_at=now,
+            min_generated_at=now,
             deadline=now,
             path=request.path,
             is_closed=True,
@@ -173,14 +173,14 @@
         path = (request.path or self._new_path(now)).extended_by(self.name)
         lease = self.leases.begin(request.key, path, now, request)
         purged_at = self.cache.purges.latest_of_object(request.object_name)
-        lease.min_minted_at = max(request.min_minted_at, purged_at)
+        lease.min_generated_at = max(request.min_generated_at, purged_at)
         lease.sources.extend(self.source_selector.sources(request, path, now))
         self.counters.add("fills")
         order = StartFill(
             number=lease.number,
             key=lease.key,
             class_name=request.class_name,
-            min_minted_at=lease.min_minted_at,
+            min_generated_at=lease.min_generated_at,
             topology_version=self.source_selector.migration.version,
             max_duration_s=self.limits.max_fill_s,
         )
@@ -193,7 +193,7 @@
 
     def _on_outdated(self, request: FillRequest, purged_at: float, now: float) -> None:
         """Restarts a request that came after a purge or needs a newer copy."""
-        request.min_minted_at = max(request.min_minted_at, purged_at)
+        request.min_generated_at = max(request.min_generated_at, purged_at)
         if has_restarts_left(request, self.limits.max_restarts):
             self._restart(request, now)
         else:
--- a/paddlequay/hierarchy/fill_leases.py
+++ b/paddlequay/hierarchy/fill_leases.py
@@ -61,12 +61,12 @@
 class NotedPurge:
     """A purge during a fill.
 
-    `group` is None for a purge of the object itself; `issued_at` is in Unix seconds; `waiter_count` is how
-    many waited for the fill when it came.
+    `group` is None for a purge of the object itself; `purged_at` is in Unix seconds; `waiter_count` is how
+    many waited for the fill when it came, so waiters of that index and above came after it.
     """
 
     group: int | None
-    issued_at: float
+    purged_at: float
     waiter_count: int
 
     def concerns(self, waiter_index: int, group: int | None) -> bool:
@@ -84,7 +84,7 @@
         number: The lease's own number.
         path: The nodes that the fill has passed.
         started_at: When it began, in Unix seconds.
-        min_minted_at: The Unix second at which the copy must have been minted, or later.
+        min_generated_at: The Unix second at which the copy must have been generated, or later.
         source_kind: What the fill waits for.
         source: The node that it asks now.
         youngest_waiter: The youngest path among the fills elsewhere that wait for this one.
@@ -98,7 +98,7 @@
     number: int
     path: FillPath
     started_at: float
-    min_minted_at: float = 0.0
+    min_generated_at: float = 0.0
     source_kind: SourceKind = SourceKind.CACHED_COPY
     source: str = ""
     youngest_waiter: FillPath | None = None
@@ -134,14 +134,14 @@
             return True
         return path.is_older_than(self.path)
 
-    def note_purge(self, group: int | None, issued_at: float) -> None:
-        """Notes a purge, of the object itself where `group` is None; `issued_at` is in Unix seconds."""
+    def note_purge(self, group: int | None, purged_at: float) -> None:
+        """Notes a purge, of the object itself where `group` is None; `purged_at` is in Unix seconds."""
         if len(self.purges) < MAX_NOTED_PURGES:
-            self.purges.append(NotedPurge(group, issued_at, len(self.waiters)))
+            self.purges.append(NotedPurge(group, purged_at, len(self.waiters)))
             return
         # Too many to keep apart: the last one counts as a purge of the object.
         last = self.purges.pop()
-        self.purges.append(NotedPurge(None, max(last.issued_at, issued_at), last.waiter_count))
+        self.purges.append(NotedPurge(None, max(last.purged_at, purged_at), last.waiter_count))
 
     def latest_purge_before(self, waiter_index: int, group: int | None) -> float:
         """Returns the latest purge before a waiter came, in Unix seconds.
@@ -150,7 +150,7 @@
             waiter_index: The waiter's place in `waiters`.
             group: The group of the copy; None where it is not known, and then purges of all groups count.
         """
-        concerned = (purge.issued_at for purge in self.purges if purge.concerns(waiter_index, group))
+        concerned = (purge.purged_at for purge in self.purges if purge.concerns(waiter_index, group))
         return max(concerned, default=-math.inf)
 
 
@@ -212,7 +212,7 @@
             del self.joinable[lease.key]
         return lease
 
-    def purge(self, object_name: str | None, group: int | None, issued_at: float) -> int:
+    def purge(self, object_name: str | None, group: int | None, purged_at: float) -> int:
         """Notes a purge at the fills that it may concern; returns how many.
 
         The group and age of the copy are known once it comes, so the fills go on. A second fill begun at once
@@ -221,7 +221,7 @@
         Args:
             object_name: The object that is purged; None where a group is.
             group: The group that is purged, where `object_name` is None.
-            issued_at: When the purge was issued, in Unix seconds.
+            purged_at: When the purge was issued, in Unix seconds.
         """
         concerned = [
             lease
@@ -229,7 +229,7 @@
             if object_name is None or lease.key.object_name == object_name
         ]
         for lease in concerned:
-            lease.note_purge(group if object_name is None else None, issued_at)
+            lease.note_purge(group if object_name is None else None, purged_at)
         return len(concerned)
 
     def in_flight(self) -> Iterator[FillLease[T]]:
--- a/paddlequay/hierarchy/fill_requests.py
+++ b/paddlequay/hierarchy/fill_requests.py
@@ -86,7 +86,7 @@
         object_name: The object.
         part: Its part, None where it has none.
         class_name: The request class.
-        min_minted_at: No copy minted before this Unix second will do.
+        min_generated_at: No copy generated before this Unix second will do.
         deadline: The Unix second at which the requester stops waiting.
         may_fill: False for a request of what is cached, or being filled, only.
         path: The nodes that the request has passed; None where an edge cache or a router sent it.
@@ -96,7 +96,7 @@
         retention: How long to keep the copy, 0 to 3.
         may_cache: Whether the copy may be cached here.
         refreshes_stale: Whether a stale copy that is served is to be refreshed.
-        stale_grace_s: By how much a copy may be older than `min_minted_at` while it is refreshed.
+        stale_grace_s: By how much a copy may be older than `min_generated_at` while it is refreshed.
         restarts: How often a further fill was begun for this request.
         is_closed: Whether it has been answered or cancelled.
         is_waiting: Whether it counts among the waiting requests.
@@ -106,7 +106,7 @@
     object_name: str
     part: int | None
     class_name: str
-    min_minted_at: float
+    min_generated_at: float
     deadline: float
     may_fill: bool = True
     path: FillPath | None = None
@@ -151,7 +151,7 @@
         number: The number of the fill's lease.
         key: The object and part.
         class_name: The request class.
-        min_minted_at: The Unix second at which the copy must have been minted, or later.
+        min_generated_at: The Unix second at which the copy must have been generated, or later.
         topology_version: The version to claim ownership by.
         max_duration_s: For how long the fill may run.
     """
@@ -159,7 +159,7 @@
     number: int
     key: PartKey
     class_name: str
-    min_minted_at: float
+    min_generated_at: float
     topology_version: int
     max_duration_s: float
 
--- a/paddlequay/hierarchy/node.py
+++ b/paddlequay/hierarchy/node.py
@@ -70,17 +70,17 @@
         """Acts on a topology from now on; `now` is in Unix seconds. Fills in flight go on."""
         self.source_selector.follow(topology, now)
 
-    def purge(self, object_name: str | None, group: int | None, issued_at: float, now: float) -> None:
+    def purge(self, object_name: str | None, group: int | None, purged_at: float, now: float) -> None:
         """Applies a purge to cached copies and to fills in flight.
 
         Args:
             object_name: The object that is purged; None where a group is.
             group: The group that is purged, where `object_name` is None.
-            issued_at: When the purge was issued, in Unix seconds.
+            purged_at: When the purge was issued, in Unix seconds.
             now: The time in Unix seconds.
         """
-        self.cache.purge(object_name, group, issued_at, now)
-        self.counters.add("purged_fills", self.leases.purge(object_name, group, issued_at))
+        self.cache.purge(object_name, group, purged_at, now)
+        self.counters.add("purged_fills", self.leases.purge(object_name, group, purged_at))
 
     def handle_request(self, request: FillRequest, now: float) -> list[Action]:
         """Handles a request; its one reply is among these actions or among later ones.
@@ -119,15 +119,15 @@
             return None
         return FillStep(source, lease.wait_for(source.kind, source.target))
 
-    def min_minted_at(self, number: int) -> float | None:
-        """Returns the Unix second from which on the copy for a fill must be minted.
+    def min_generated_at(self, number: int) -> float | None:
+        """Returns the Unix second from which on the copy for a fill must be generated.
 
         It is None where the fill is not known. Purges since the fill began count.
         """
         lease = self.leases.by_number.get(number)
         if lease is None:
             return None
-        return max(lease.min_minted_at, self.cache.purges.latest_of_object(lease.key.object_name))
+        return max(lease.min_generated_at, self.cache.purges.latest_of_object(lease.key.object_name))
 
     def on_unreachable(self, number: int, target: str) -> None:
         """Releases the claim of a source that a fill could not reach."""
--- a/paddlequay/hierarchy/node_cache.py
+++ b/paddlequay/hierarchy/node_cache.py
@@ -40,11 +40,11 @@
         copy = self.copies.get(request.key)
         if copy is None:
             return None
-        purged_at = self.purges.min_minted_at(request.object_name, copy.group)
-        if copy.minted_at >= max(request.min_minted_at, purged_at):
+        purged_at = self.purges.min_generated_at(request.object_name, copy.group)
+        if copy.generated_at >= max(request.min_generated_at, purged_at):
             return ServedCopy(copy, ReplyReason.CACHED)
         grace = request.stale_grace_s
-        if grace and copy.minted_at >= max(request.min_minted_at - grace, purged_at):
+        if grace and copy.generated_at >= max(request.min_generated_at - grace, purged_at):
             return ServedCopy(copy, ReplyReason.STALE)
         return None
 
@@ -53,7 +53,7 @@
 
         A copy is not stored where it was purged while the fill was in flight, or where no waiter allows it.
         """
-        if copy.minted_at < self.purges.min_minted_at(key.object_name, copy.group):
+        if copy.generated_at < self.purges.min_generated_at(key.object_name, copy.group):
             self.counters.add("fills_purged")
             return
         retentions = [request.retention for request in waiters if request.may_cache]
@@ -63,7 +63,7 @@
         if not self.copies.put(key, copy):
             self.counters.add("not_kept")
 
-    def purge(self, object_name: str | None, group: int | None, issued_at: float, now: float) -> None:
+    def purge(self, object_name: str | None, group: int | None, purged_at: float, now: float) -> None:
         """Drops older copies of an object, or of a group where `object_name` is None (Unix seconds)."""
-        self.purges.add(object_name, group, issued_at, now)
-        self.counters.add("purged_copies", self.copies.purge(object_name, group, issued_at))
+        self.purges.add(object_name, group, purged_at, now)
+        self.counters.add("purged_copies", self.copies.purge(object_name, group, purged_at))
--- a/paddlequay/hierarchy/purge_history.py
+++ b/paddlequay/hierarchy/purge_history.py
@@ -28,31 +28,31 @@
     def __init__(self, memory_s: float, max_purges: int = MAX_PURGES) -> None:
         self.memory_s = memory_s
         self.max_purges = max_purges
-        self.issued_at: OrderedDict[PurgeTarget, float] = OrderedDict()  # the purge heard of first, first
+        self.purged_at: OrderedDict[PurgeTarget, float] = OrderedDict()  # the purge heard of first, first
         self.latest_of_any_group = -math.inf  # it holds for copies whose group is not known
         self.latest_of_everything = -math.inf
 
-    def add(self, object_name: str | None, group: int | None, issued_at: float, now: float) -> None:
+    def add(self, object_name: str | None, group: int | None, purged_at: float, now: float) -> None:
         """Records a purge.
 
         Args:
             object_name: The object that is purged; None where a group is.
             group: The group that is purged, where `object_name` is None.
-            issued_at: When the purge was issued, in Unix seconds.
+            purged_at: When the purge was issued, in Unix seconds.
             now: The time in Unix seconds.
         """
         target = PurgeTarget(object_name, None if object_name is not None else group)
-        self.issued_at[target] = max(issued_at, self.issued_at.pop(target, -math.inf))
+        self.purged_at[target] = max(purged_at, self.purged_at.pop(target, -math.inf))
         if object_name is None:
-            self.latest_of_any_group = max(self.latest_of_any_group, issued_at)
+            self.latest_of_any_group = max(self.latest_of_any_group, purged_at)
         self._forget_oldest(now)
 
     def latest_of_object(self, object_name: str) -> float:
         """Returns the latest purge of an object itself, in Unix seconds; for a fill of an unknown group."""
         return max(self.latest_of_everything, self._latest(PurgeTarget(object_name, None)))
 
-    def min_minted_at(self, object_name: str, group: int | None) -> float:
-        """Returns the Unix second before which no copy of an object may have been minted.
+    def min_generated_at(self, object_name: str, group: int | None) -> float:
+        """Returns the Unix second before which no copy of an object may have been generated.
 
         Args:
             object_name: The object.
@@ -64,15 +64,15 @@
         return max(self._latest(PurgeTarget(None, group)), by_object)
 
     def _latest(self, target: PurgeTarget) -> float:
-        return self.issued_at.get(target, -math.inf)
+        return self.purged_at.get(target, -math.inf)
 
     def _forget_oldest(self, now: float) -> None:
         """Drops purges that are too old, and merges those past the bound into one of everything."""
-        while self.issued_at:
-            oldest = next(iter(self.issued_at.values()))
+        while self.purged_at:
+            oldest = next(iter(self.purged_at.values()))
             is_expired = now - oldest > self.memory_s
-            if not is_expired and len(self.issued_at) <= self.max_purges:
+            if not is_expired and len(self.purged_at) <= self.max_purges:
                 return
-            self.issued_at.popitem(last=False)
+            self.purged_at.popitem(last=False)
             if not is_expired:
                 self.latest_of_everything = max(self.latest_of_everything, oldest)
--- a/paddlequay/hierarchy/source_fallback.py
+++ b/paddlequay/hierarchy/source_fallback.py
@@ -157,7 +157,7 @@
 
     def _max_age(self, request: RequestState) -> float | None:
         """Returns how old the copy may be, in seconds; purges since the fill began count."""
-        min_minted_at = self.node.min_minted_at(request.received.fill or 0)
-        if min_minted_at is None or min_minted_at <= 0:
+        min_generated_at = self.node.min_generated_at(request.received.fill or 0)
+        if min_generated_at is None or min_generated_at <= 0:
             return None
-        return max(MIN_AGE_S, self.now - min_minted_at)
+        return max(MIN_AGE_S, self.now - min_generated_at)
--- a/paddlequay/lab/cache_servers.py
+++ b/paddlequay/lab/cache_servers.py
@@ -203,14 +203,14 @@
         part = request.fields.get("blk", "")
         self.in_flight += 1
         epoch = self.epochs[name]
-        minted_at = time.time()
-        self.fills.append(RecordedFill(minted_at, name, part, class_name, epoch))
+        generated_at = time.time()
+        self.fills.append(RecordedFill(generated_at, name, part, class_name, epoch))
         try:
             crowding = 1 + self.in_flight / ORIGIN_CROWD_COUNT
             await asyncio.sleep(self.delay_s * self.delay_factor * crowding)
         finally:
             self.in_flight -= 1
-        fields = {"tag": f"{epoch}", "minted": str(int(minted_at * 1000) + 1), "detail": "HIT"}
+        fields = {"tag": f"{epoch}", "minted": str(int(generated_at * 1000) + 1), "detail": "HIT"}
         fields["lot"] = str(int(name[-2:], 16))
         return CacheReply("HIT", fields, body_of(name, part, self.size(name)))
 
@@ -254,19 +254,19 @@
     def __post_init__(self) -> None:
         CacheServer.__init__(self)
 
-    def purge(self, name: str, issued_at: float) -> None:
+    def purge(self, name: str, purged_at: float) -> None:
         """Applies a purge of an object, issued at a time in Unix seconds."""
-        self.purges.add(name, None, issued_at, time.time())
-        self.copies.purge(name, None, issued_at)
+        self.purges.add(name, None, purged_at, time.time())
+        self.copies.purge(name, None, purged_at)
 
     async def answer(self, request: CacheRequest) -> CacheReply:
         """Returns a cached copy or that of a fill."""
         fields = request.fields
         self.requests.append((time.time(), fields.get("via", "")))
         key = PartKey(fields["path"], int(fields["blk"]) if fields.get("blk") else None)
-        min_minted_at = self._min_minted_at(fields, key)
+        min_generated_at = self._min_generated_at(fields, key)
         copy = self.copies.get(key)
-        if copy is not None and copy.minted_at >= min_minted_at:
+        if copy is not None and copy.generated_at >= min_generated_at:
             return self._reply_with(copy, "HIT")
         source = fields.get("via")
         if source is None:
@@ -274,17 +274,17 @@
         task = self.fills.get(key)
         is_coalesced = task is not None
         if task is None:
-            task = asyncio.ensure_future(self._fill(request, key, source, min_minted_at))
+            task = asyncio.ensure_future(self._fill(request, key, source, min_generated_at))
             self.fills[key] = task
             task.add_done_callback(lambda _: self.fills.pop(key, None))
         reply = await asyncio.shield(task)
         if reply.status != "HIT":
             return reply
-        if int(reply.fields["minted"]) / 1000.0 < min_minted_at:
+        if int(reply.fields["minted"]) / 1000.0 < min_generated_at:
             return CacheReply("NONE", {"detail": "UP_MISS"}, b"")
         return reply._replace(fields=reply.fields | {"detail": "COLLAPSED"}) if is_coalesced else reply
 
-    def _min_minted_at(self, fields: Mapping[str, str], key: PartKey) -> float:
+    def _min_generated_at(self, fields: Mapping[str, str], key: PartKey) -> float:
         """Returns the Unix second before which a copy is too old, by its freshness and by purges."""
         max_age_s = int(fields.get("fresh", 0)) / 1000.0
         max_age_s = max_age_s or self.freshness_s.get(fields.get("queue", ""), 0.0)
@@ -292,12 +292,12 @@
         return max(fresh_from, self.purges.latest_of_object(key.object_name))
 
     def _reply_with(self, copy: CachedCopy, detail: str) -> CacheReply:
-        fields = {"tag": copy.tag, "minted": str(round(copy.minted_at * 1000)), "detail": detail}
+        fields = {"tag": copy.tag, "minted": str(round(copy.generated_at * 1000)), "detail": detail}
         fields["use"] = f"inflight:{len(self.fills)};util:0.10;x0:0.50;x1:0.10"
         return CacheReply("HIT", fields, bytes(copy.body))
 
     async def _fill(
-        self, request: CacheRequest, key: PartKey, source: str, min_minted_at: float
+        self, request: CacheRequest, key: PartKey, source: str, min_generated_at: float
     ) -> CacheReply:
         started_at = time.time()
         address = self.address_of(source)
@@ -305,24 +305,24 @@
             return CacheReply("NONE", {"detail": "UP_DOWN"}, b"")
         self.fill_sources.append((started_at, source))
         client = self.clients.setdefault(address, CacheClient(address))
-        fields = self._fill_fields(request, source, started_at, min_minted_at)
+        fields = self._fill_fields(request, source, started_at, min_generated_at)
         try:
             answer = await client.request(f"{self.name}.{request.id}", fields, FILL_TIMEOUT_S)
         except (OSError, TimeoutError):
             return CacheReply("FAULT", {"detail": "UP_DOWN"}, b"")
         if answer.status != "HIT":
             return _failed_fill(answer.status)
-        minted_at = int(answer.fields["minted"]) / 1000.0
+        generated_at = int(answer.fields["minted"]) / 1000.0
         retention = int(request.fields.get("tier", 1))
-        copy = CachedCopy(bytes(answer.body), answer.fields["tag"], minted_at, retention=retention)
-        if minted_at >= self.purges.latest_of_object(key.object_name):
+        copy = CachedCopy(bytes(answer.body), answer.fields["tag"], generated_at, retention=retention)
+        if generated_at >= self.purges.latest_of_object(key.object_name):
             self.copies.put(key, copy)
         reply = self._reply_with(copy, "MISS_ORIGIN" if source == self.origin else "MISS")
         fill_ms = (time.time() - started_at) * 1000
         return reply._replace(fields=reply.fields | {"lag": f"{fill_ms:.1f}"})
 
     def _fill_fields(
-        self, request: CacheRequest, source: str, now: float, min_minted_at: float
+        self, request: CacheRequest, source: str, now: float, min_generated_at: float
     ) -> dict[str, str]:
         """Returns the fields of a fill: those of the request that a source needs, and what it may do."""
         fields = {
@@ -334,8 +334,8 @@
             fields["via"] = self.origin
         if "held" in request.fields.get("opts", ""):
             fields["opts"] = "held"
-        if min_minted_at:
-            fields["fresh"] = str(max(1, int((now - min_minted_at) * 1000)))
+        if min_generated_at:
+            fields["fresh"] = str(max(1, int((now - min_generated_at) * 1000)))
         return fields
 
 
--- a/paddlequay/lab/hierarchy_simulation.py
+++ b/paddlequay/lab/hierarchy_simulation.py
@@ -131,17 +131,17 @@
     def purge(self, object_name: str) -> float:
         """Issues a purge, which nodes learn of by `receive_purge`; returns its time."""
         self.now += PURGE_STEP_S
-        issued_at = self.now
-        self.origin.purge(object_name, issued_at)
+        purged_at = self.now
+        self.origin.purge(object_name, purged_at)
         self.now += PURGE_STEP_S
-        return issued_at
+        return purged_at
 
     def receive_purge(self, name: str, object_name: str) -> None:
         """Hands the latest purge of an object to a living node."""
         if name not in self.dead and object_name in self.origin.purged_at:
-            issued_at = self.origin.purged_at[object_name]
-            self.received_purges[name][object_name] = issued_at
-            self.nodes[name].purge(object_name, None, issued_at, self.now)
+            purged_at = self.origin.purged_at[object_name]
+            self.received_purges[name][object_name] = purged_at
+            self.nodes[name].purge(object_name, None, purged_at, self.now)
 
     def kill(self, name: str) -> None:
         """Stops a node: its requesters learn of it at once, and its cached copies are gone."""
@@ -161,8 +161,8 @@
         old = self.nodes[name]
         self.add(name, old.topology, started_at=self.now)
         self.nodes[name].source_selector.migration.epochs = old.source_selector.migration.epochs
-        for object_name, issued_at in self.received_purges[name].items():
-            self.nodes[name].purge(object_name, None, issued_at, self.now)
+        for object_name, purged_at in self.received_purges[name].items():
+            self.nodes[name].purge(object_name, None, purged_at, self.now)
 
     def send(self, description: str, deliver: Callable[[], None], delay: float = 0.0) -> None:
         """Adds a message to those that wait to be delivered."""
@@ -210,7 +210,7 @@
             case EdgeRequester(node=node, purged_at=purged_at):
                 self.unanswered -= 1
                 self.replies.append(reply)
-                if reply.copy is not None and reply.copy.minted_at < purged_at:
+                if reply.copy is not None and reply.copy.generated_at < purged_at:
                     self.stale_replies.append(f"{node} {reply.request.object_name}")
             case FillRequester(fill=fill, target=target):
                 has_copy = reply.status in (ReplyStatus.HIT, ReplyStatus.NOT_MODIFIED)
@@ -246,10 +246,10 @@
         node = self.simulation.nodes[fill.node]
         if is_unreachable:
             node.on_unreachable(order.number, target)
-        if copy is None or copy.minted_at < order.min_minted_at:
+        if copy is None or copy.generated_at < order.min_generated_at:
             self.ask_next(fill, next_hop)
             return
-        own_copy = CachedCopy(copy.body, copy.tag, copy.minted_at, copy.group, 1)
+        own_copy = CachedCopy(copy.body, copy.tag, copy.generated_at, copy.group, 1)
         result = FillResult(own_copy, from_origin=target == ORIGIN)
         self.simulation.execute(fill.node, node.on_fill_ended(order.number, result, self.simulation.now))
 
@@ -292,7 +292,7 @@
             object_name=order.key.object_name,
             part=order.key.part,
             class_name=order.class_name,
-            min_minted_at=order.min_minted_at,
+            min_generated_at=order.min_generated_at,
             deadline=self.simulation.now + UNBOUNDED,
             may_fill=not is_lookup,
             path=step.path,
@@ -324,7 +324,7 @@
             if name in self.simulation.dead or name == fill.node or listed is None or not listed.is_ready:
                 continue
             copy = node.cache.copies.peek(key)
-            is_cached = copy is not None and copy.minted_at >= purged_at
+            is_cached = copy is not None and copy.generated_at >= purged_at
             if is_cached or self.simulation.origin.is_sending(key, name):
                 holders.append(name)
         return tuple(holders)
--- a/paddlequay/lab/simulated_origin.py
+++ b/paddlequay/lab/simulated_origin.py
@@ -30,10 +30,10 @@
         # Copies on their way: the part, the node that they are sent to, the epoch.
         self.outstanding: Counter[tuple[PartKey, str, int]] = Counter()
 
-    def purge(self, object_name: str, issued_at: float) -> None:
+    def purge(self, object_name: str, purged_at: float) -> None:
         """Records a purge of an object."""
         self.epochs[object_name] += 1
-        self.purged_at[object_name] = issued_at
+        self.purged_at[object_name] = purged_at
 
     def give(self, key: PartKey, node: str, living_holders: tuple[str, ...]) -> None:
         """Records a fill whose copy is on its way to a node."""
--- a/paddlequay/lab/zone_cluster.py
+++ b/paddlequay/lab/zone_cluster.py
@@ -246,12 +246,12 @@
 
     async def purge(self, name: str) -> None:
         """Purges an object everywhere."""
-        issued_at = self.origin.purge(name)
-        recall = {"item": name, "issued": round(issued_at * 1000)}
+        purged_at = self.origin.purge(name)
+        recall = {"item": name, "issued": round(purged_at * 1000)}
         await self.endpoint_list.publish(recall=recall)
         await self.feed.publish(recall=recall)
         for edge_cache in self.edge_caches:
-            edge_cache.purge(name, issued_at)
+            edge_cache.purge(name, purged_at)
 
     def random_change(self) -> tuple[NodeSpec, ...]:
         """Returns a random change: a tier changes its weight, gets another one as a parent, or loses it."""
--- a/paddlequay/net/hierarchy/fill_driver.py
+++ b/paddlequay/net/hierarchy/fill_driver.py
@@ -108,7 +108,7 @@
         if stamp is None:
             self.counters.add("fills_without_stamp")
             return FillResult(failure=ReplyDetail.ORIGIN_FAILED)
-        copy = CachedCopy(answer.body, stamp.tag, stamp.issued_at, stamp.group)
+        copy = CachedCopy(answer.body, stamp.tag, stamp.generated_at, stamp.group)
         return FillResult(copy, from_origin=self._is_origin(answer.served_by))
 
     def _is_origin(self, name: str) -> bool:
--- a/paddlequay/protocol/fill_messages.py
+++ b/paddlequay/protocol/fill_messages.py
@@ -61,7 +61,7 @@
             object_name=name,
             part=_number(fields, "blk", self.max_part),
             class_name=request_class.name,
-            min_minted_at=now - max_age_s if max_age_s else 0.0,
+            min_generated_at=now - max_age_s if max_age_s else 0.0,
             deadline=now + budget_s,
             may_fill="via" in fields and "held" not in options,
             path=path,
@@ -135,7 +135,7 @@
     copy = reply.copy
     if copy is not None:
         fields["tag"] = copy.tag
-        fields["minted"] = str(round(copy.minted_at * 1000))
+        fields["minted"] = str(round(copy.generated_at * 1000))
         if copy.group is not None:
             fields["lot"] = str(copy.group)
         if reply.fill_s:
--- a/paddlequay/requests/messages.py
+++ b/paddlequay/requests/messages.py
@@ -24,10 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CopyStamp:
-    """The copy that an answer carries: its tag, when the origin issued it in Unix seconds, and its group."""
+    """The copy that an answer carries: its tag, when the origin generated it (Unix s), and its group."""
 
     tag: str
-    issued_at: float
+    generated_at: float
     group: int | None = None
 
 
--- a/tests/hierarchy/rig_node.py
+++ b/tests/hierarchy/rig_node.py
@@ -22,9 +22,9 @@
 
 
 def cached_copy(
-    size: int = 100, minted_at: float = 10.0, retention: int = 1, group: int | None = None
+    size: int = 100, generated_at: float = 10.0, retention: int = 1, group: int | None = None
 ) -> CachedCopy:
-    return CachedCopy(bytes(size), "t", minted_at, group, retention)
+    return CachedCopy(bytes(size), "t", generated_at, group, retention)
 
 
 def topology(version: int, *names: str, **weights: float) -> Topology:
@@ -56,9 +56,9 @@
 
 
 def fill_request(requester: str = "t", object_name: str = "x", **also: Any) -> FillRequest:
-    min_minted_at = also.pop("min_minted_at", 0.0)
+    min_generated_at = also.pop("min_generated_at", 0.0)
     deadline = also.pop("deadline", 200.0)
-    return FillRequest(requester, object_name, 0, "video", min_minted_at, deadline, **also)
+    return FillRequest(requester, object_name, 0, "video", min_generated_at, deadline, **also)
 
 
 def replies(actions: Iterable[Action]) -> list[tuple[object, ReplyStatus, ReplyReason | None]]:
--- a/tests/hierarchy/test_copy_cache.py
+++ b/tests/hierarchy/test_copy_cache.py
@@ -24,24 +24,24 @@
 def test_an_older_copy_never_replaces_a_newer_one_and_retention_is_inherited() -> None:
     cache = CopyCache(10_000)
     key = PartKey("a", 0)
-    assert cache.put(key, cached_copy(minted_at=10, retention=3))
-    assert not cache.put(key, cached_copy(minted_at=9))
-    assert cache.put(key, cached_copy(minted_at=11, retention=0))
+    assert cache.put(key, cached_copy(generated_at=10, retention=3))
+    assert not cache.put(key, cached_copy(generated_at=9))
+    assert cache.put(key, cached_copy(generated_at=11, retention=0))
     cached = cache.peek(key)
     assert cached is not None
-    assert cached.minted_at == 11 and cached.retention == 3 and len(cache) == 1
+    assert cached.generated_at == 11 and cached.retention == 3 and len(cache) == 1
 
 
 def test_a_purge_drops_older_copies_of_an_object_or_a_group_and_those_of_an_unknown_group() -> None:
     cache = CopyCache(100_000)
-    for name, part, minted_at, group in (
+    for name, part, generated_at, group in (
         ("a", 0, 5, 1),
         ("a", 1, 9, 1),
         ("b", 0, 5, 1),
         ("c", 0, 5, 2),
         ("d", 0, 5, None),
     ):
-        cache.put(PartKey(name, part), cached_copy(minted_at=minted_at, group=group))
+        cache.put(PartKey(name, part), cached_copy(generated_at=generated_at, group=group))
     assert cache.purge("a", None, 7.0) == 1
     assert cache.peek(PartKey("a", 1)) is not None
     assert cache.purge(None, 1, 7.0) == 2  # b, and d that may belong to any group
@@ -56,10 +56,10 @@
     purges = PurgeHistory(memory_s=6.0, max_purges=3)
     for number in range(5):
         purges.add(f"o{number}", None, 100.0 + number, 105.0)
-    assert len(purges.issued_at) == 3
+    assert len(purges.purged_at) == 3
     assert purges.latest_of_object("o0") == 101.0 and purges.latest_of_object("o4") == 104.0
     purges.add(None, 7, 106.0, 106.0)
-    assert purges.min_minted_at("o9", 7) == 106.0
-    assert purges.min_minted_at("o9", 8) < 106.0 == purges.min_minted_at("o9", None)
+    assert purges.min_generated_at("o9", 7) == 106.0
+    assert purges.min_generated_at("o9", 8) < 106.0 == purges.min_generated_at("o9", None)
     purges.add("x", None, 200.0, 200.0)
-    assert len(purges.issued_at) == 1
+    assert len(purges.purged_at) == 1
--- a/tests/hierarchy/test_node.py
+++ b/tests/hierarchy/test_node.py
@@ -19,7 +19,7 @@
     cancelled = fill_request("cancelled")
     node.handle_request(cancelled, 100.0)
     node.cancel(cancelled)
-    result = FillResult(cached_copy(minted_at=100.0), from_origin=True)
+    result = FillResult(cached_copy(generated_at=100.0), from_origin=True)
     first, *coalesced = replies(node.on_fill_ended(fill.number, result, 100.1))
     assert first == ("1", ReplyStatus.HIT, ReplyReason.FILLED_FROM_ORIGIN)
     assert len(coalesced) == 40
@@ -40,12 +40,12 @@
     fill = begin_fill(node, fill_request("before"))
     node.purge(None if group else "x", group, 100.5, 100.6)
     assert node.handle_request(fill_request("after"), 100.7) == []
-    result = FillResult(cached_copy(minted_at=100.2, group=4), from_origin=True)
+    result = FillResult(cached_copy(generated_at=100.2, group=4), from_origin=True)
     actions = node.on_fill_ended(fill.number, result, 100.8)
     assert replies(actions) == [("before", ReplyStatus.HIT, ReplyReason.FILLED_FROM_ORIGIN)]
     assert len(node.cache.copies) == 0
     (second,) = fills(actions)
-    result = FillResult(cached_copy(minted_at=100.9, group=4))
+    result = FillResult(cached_copy(generated_at=100.9, group=4))
     after = replies(node.on_fill_ended(second.number, result, 101.0))
     assert after == [("after", ReplyStatus.HIT, ReplyReason.FILLED)]
     assert len(node.cache.copies) == 1 and node.waiting_count == 0
@@ -56,7 +56,7 @@
     fill = begin_fill(node, fill_request("before"))
     node.purge("x", None, 99.9, 100.1)
     node.handle_request(fill_request("after"), 100.2)
-    result = FillResult(cached_copy(minted_at=100.0), from_origin=True)
+    result = FillResult(cached_copy(generated_at=100.0), from_origin=True)
     assert len(replies(node.on_fill_ended(fill.number, result, 100.3))) == 2
     assert node.counters.counts["fills"] == 1 and len(node.cache.copies) == 1
 
@@ -112,7 +112,7 @@
     assert replies(node.handle_request(fill_request("4", object_name="y"), 100.0)) == [("4", *rejected)]
     assert replies(node.expire(100.4)) == []
     assert replies(node.expire(100.6)) == [("1", ReplyStatus.TIMED_OUT, None)]
-    result = FillResult(cached_copy(minted_at=100.0))
+    result = FillResult(cached_copy(generated_at=100.0))
     assert len(replies(node.on_fill_ended(fill.number, result, 100.7))) == 1
     served = replies(node.handle_request(fill_request("5"), 100.8))
     assert served == [("5", ReplyStatus.HIT, ReplyReason.CACHED)]
@@ -127,17 +127,17 @@
 
 
 def stale_request() -> FillRequest:
-    """A request that a copy minted at 100 serves only within its grace."""
-    return fill_request(min_minted_at=105.0, stale_grace_s=10.0, refreshes_stale=True)
+    """A request that a copy generated at 100 serves only within its grace."""
+    return fill_request(min_generated_at=105.0, stale_grace_s=10.0, refreshes_stale=True)
 
 
 def test_a_stale_copy_is_served_within_its_grace_while_one_fill_refreshes_it() -> None:
     node = node_alone()
     fill = begin_fill(node, fill_request())
-    node.on_fill_ended(fill.number, FillResult(cached_copy(minted_at=100.0)), 100.1)
+    node.on_fill_ended(fill.number, FillResult(cached_copy(generated_at=100.0)), 100.1)
     actions = node.handle_request(stale_request(), 113.0)
     assert replies(actions) == [("t", ReplyStatus.HIT, ReplyReason.STALE)]
     assert len(fills(actions)) == 1
     assert len(fills(node.handle_request(stale_request(), 113.0))) == 0
-    too_old = fill_request(min_minted_at=111.0, stale_grace_s=10.0)
+    too_old = fill_request(min_generated_at=111.0, stale_grace_s=10.0)
     assert replies(node.handle_request(too_old, 120.0)) == []
