--- a/paddlequay/hierarchy/fill_coordinator.py
+++ b/paddlequay/hierarchy/fill_coordinator.py
@@ -70,7 +70,7 @@
             self.waiting.add(request)
             self.leases.join(request.key, request, request.path)
         elif decision is LeaseDecision.ABORT:
-            # It may be no ring: the requester can ask the node that the fill here waits for.
+            # It need not be a wait cycle: the requester can ask the node that the fill here waits for.
             self.counters.add("rings_refused")
             next_hop = self.leases.joinable[request.key].source
             self.reply(request, ReplyStatus.MISS, ReplyReason.LOOP, next_hop=next_hop)
--- a/paddlequay/hierarchy/fill_leases.py
+++ b/paddlequay/hierarchy/fill_leases.py
@@ -1,9 +1,15 @@
 """Leases of fills: one fill at a time for an object and part, and all other requests wait for it.
 
+A fill lease coalesces requests inside one node (single flight, request coalescing). It ends with its fill and
+has neither a term nor an expiry, unlike the leases of `paddlequay.cluster`, which routers agree on.
+
 A purge during a fill is noted at its lease: a request that came after it is not answered by a copy from
-before it, but by one more fill. A fill that waits for another node may be part of a ring of nodes that wait
-for each other. There only older fills may wait for younger ones (wait-die), so that no ring closes, whatever
-the nodes know of the topology.
+before it, but by one more fill.
+
+Fills that wait for other nodes could form a wait cycle, in which each node waits for the next (a deadlock).
+Only older fills may therefore wait for younger ones (wait-die), so that no wait cycle closes, whatever the
+nodes know of the topology. A path loop is something else: a path that visits a node twice (`fill_path.py`).
+A request that is rejected because of either gets `ReplyReason.LOOP`.
 """
 
 import math
@@ -34,7 +40,7 @@
 
     JOIN = "join"
     BEGIN = "begin"  # no fill in flight can answer it
-    ABORT = "abort"  # waiting could close a ring
+    ABORT = "abort"  # waiting could close a wait cycle
     REJECT = "reject"  # too many wait
 
 
@@ -90,7 +96,7 @@
         youngest_waiter: The youngest path among the fills elsewhere that wait for this one.
         waiters: The requests that wait, in the order in which they came.
         sources: The nodes that it may still ask.
-        detour_count: How many sources it has asked beside these.
+        extra_source_count: How many sources it has asked beside these; a repeated look-up counts as three.
         purges: The purges during the fill.
     """
 
@@ -99,19 +105,19 @@
     path: FillPath
     started_at: float
     min_generated_at: float = 0.0
-    source_kind: SourceKind = SourceKind.CACHED_COPY
+    source_kind: SourceKind = SourceKind.CACHED_COPY  # before the first source any fill may join
     source: str = ""
     youngest_waiter: FillPath | None = None
     waiters: list[T] = field(default_factory=list)
     sources: deque[FillSource] = field(default_factory=deque)
-    detour_count: int = 0
+    extra_source_count: int = 0
     purges: list[NotedPurge] = field(default_factory=list)
 
     def wait_for(self, kind: SourceKind, target: str) -> FillPath:
         """Records the source that the fill asks from now on; returns the path that goes with the request.
 
         Before it waits for a node the fill becomes younger than all that wait for it. They joined while that
-        was safe, and a ring through them must be detected by this fill's start.
+        was safe, and a wait cycle through them must be detected by this fill's start.
         """
         self.source_kind = kind
         self.source = target
@@ -121,7 +127,7 @@
         return self.path
 
     def may_be_awaited_by(self, path: FillPath | None, only_if_cached: bool) -> bool:
-        """Returns whether a request may wait for this fill without a risk of a ring.
+        """Returns whether a request may wait for this fill without a risk of a wait cycle.
 
         Args:
             path: The path of the fill that would wait; None where no fill waits for the requester.
--- a/paddlequay/hierarchy/node.py
+++ b/paddlequay/hierarchy/node.py
@@ -94,7 +94,7 @@
             self.counters.add("old_terms")
             self.coordinator.reply(request, ReplyStatus.MISS, ReplyReason.STALE_TOKEN)
         elif request.path is not None and self._closes_loop(request.path):
-            # The loop is detected where it closes: the node before asks its next source at once.
+            # A path loop is detected where it closes: the node before asks its next source at once.
             self.counters.add("loops_found")
             self.coordinator.reply(request, ReplyStatus.MISS, ReplyReason.LOOP)
         else:
@@ -111,7 +111,8 @@
 
         Args:
             number: The number of the fill's lease.
-            next_hop: The node that the last source waits for, where that source detected a possible ring.
+            next_hop: The node that the last source waits for, where that source detected a possible wait
+                cycle.
         """
         lease = self.leases.by_number.get(number)
         source = None if lease is None else self.source_selector.next_source(lease, next_hop)
--- a/paddlequay/hierarchy/source_selection.py
+++ b/paddlequay/hierarchy/source_selection.py
@@ -2,6 +2,14 @@
 
 The rules name the candidates and their order. Whether one of them may be used now (health, limits, slow
 start) is decided by `policy.Router` behind the exchange.
+
+A source rejects a fill where waiting could close a wait cycle, and names its next hop: the node that it waits
+for itself. The fill then proceeds as follows:
+
+1. It asks the next hop as an extra source, and that node's next hop in turn.
+2. A next hop whose fill waits for the origin lets it join.
+3. If a next hop is this node again, the wait cycle is real, and this fill goes on to its remaining sources,
+   the origin last. But a source that it only asked for a cached copy is asked for it once more before that.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -18,9 +26,9 @@
 from paddlequay.placement.homes import arrival, digest, object_key, placement_key, slot_of
 
 MAX_INTRODUCED_PEERS = 64
-MAX_DETOURS = 6  # sources that one fill asks beside those in its list
-OWN_HINT_DETOURS = MAX_DETOURS // 2  # what a repeated look-up at the same node is charged
-STAND_IN_COUNT = 3  # homes that are asked in turn before a node goes to the origin itself
+MAX_EXTRA_SOURCES = 6  # sources that one fill asks beside those in its list
+REPEATED_LOOKUP_COST = MAX_EXTRA_SOURCES // 2  # extra sources that a second look-up at a node counts as
+MAX_HOMES_ASKED = 3  # homes that are asked in turn before a node goes to the origin itself
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,7 +141,7 @@
     def may_ask(self, name: str, path: FillPath) -> bool:
         """Returns whether a fill may ask a node: a ready one, not ejected, and not in the fill's path.
 
-        A node in the path waits for this fill, so that asking it would close a loop.
+        A node in the path waits for this fill, so that asking it would close a path loop.
         """
         node = self.topology.nodes.get(name)
         is_ready = node.is_ready if node is not None else name in self.introduced_peers
@@ -150,12 +158,10 @@
         Args:
             lease: The fill's lease.
             next_hop: The node that the last source waits for, where that source rejected the fill because of
-                a possible ring; empty otherwise. Followed from node to node these hints lead to a fill that
-                waits for the origin, which may be joined, or back here: then the ring is real, and this fill
-                is the one that goes on to the origin.
+                a possible wait cycle; empty otherwise.
         """
         if next_hop:
-            source = self._follow_hint(lease, next_hop)
+            source = self._next_hop_source(lease, next_hop)
             if source is not None:
                 return source
         if not lease.sources:
@@ -169,8 +175,8 @@
         return self.migration.earlier_homes(hash_key, lambda name: self.may_ask(name, path), is_new, now)
 
     def _homes(self, hash_key: int, path: FillPath) -> Iterator[str]:
-        """Returns the homes before this node: where the first fails, all nodes ask the same stand-in."""
-        for name in self.migration.homes.first_home_names(hash_key, STAND_IN_COUNT):
+        """Returns the homes before this node: where the first fails, all nodes ask the same next one."""
+        for name in self.migration.homes.first_home_names(hash_key, MAX_HOMES_ASKED):
             if name == self.own_name:
                 return
             if self.may_ask(name, path):
@@ -180,28 +186,32 @@
         parents = self.topology.parent_caches(self.own_name)
         return [name for name in _in_home_order(parents, hash_key) if self.may_ask(name, path)]
 
-    def _follow_hint(self, lease: FillLease[FillRequest], next_hop: str) -> FillSource | None:
+    def _next_hop_source(self, lease: FillLease[FillRequest], next_hop: str) -> FillSource | None:
+        """Returns the source that a rejection's next hop leads to, None to go on with the list."""
         if next_hop != self.own_name:
-            return self._detour(lease, next_hop)
-        if lease.source_kind is not SourceKind.CACHED_COPY or lease.detour_count >= MAX_DETOURS:
+            return self._extra_source(lease, next_hop)
+        is_exhausted = lease.extra_source_count >= MAX_EXTRA_SOURCES
+        if lease.source_kind is not SourceKind.CACHED_COPY or is_exhausted:
             return None
-        # Two homes asked each other. By now the other one has gone on, and holds or fills the object.
-        lease.detour_count += OWN_HINT_DETOURS
+        # This node and the source looked the object up at each other. The source has gone on since, and has
+        # cached the object or fills it, so it is asked again.
+        lease.extra_source_count += REPEATED_LOOKUP_COST
         return FillSource(lease.source, only_if_cached=True)
 
     def _late_claimant(self, lease: FillLease[FillRequest]) -> FillSource | None:
-        """Returns the node that has claimed the object since the fill began, before the origin is asked."""
+        """Returns the claimant of the object, which may be new since the fill began, before the origin."""
         if not lease.sources[0].is_origin:
             return None
+        # Judged at the fill's start: a claim in force then, or made since, counts even if it has expired.
         claimant = self.claims.claimant(lease.key, lease.started_at)
-        return self._detour(lease, claimant) if claimant is not None else None
+        return self._extra_source(lease, claimant) if claimant is not None else None
 
-    def _detour(self, lease: FillLease[FillRequest], name: str) -> FillSource | None:
+    def _extra_source(self, lease: FillLease[FillRequest], name: str) -> FillSource | None:
         """Returns a source beside the list, within the bound; it may be one that was asked before."""
-        is_exhausted = lease.detour_count >= MAX_DETOURS
+        is_exhausted = lease.extra_source_count >= MAX_EXTRA_SOURCES
         if name == self.own_name or is_exhausted or not self.may_ask(name, lease.path):
             return None
-        lease.detour_count += 1
+        lease.extra_source_count += 1
         self.counters.add("detours")
         return FillSource(name)
 
