--- a/paddlequay/hierarchy/fill_leases.py
+++ b/paddlequay/hierarchy/fill_leases.py
@@ -1,9 +1,15 @@
 """Leases of fills: one fill at a time for an object and part, and all other requests wait for it.
 
+A fill lease coalesces requests inside one node (single flight, request coalescing). It ends with its fill and
+has neither a term nor an expiry, unlike the leases of `paddlequay.cluster`, which routers agree on.
+
 A purge during a fill is noted at its lease: a request that came after it is not answered by a copy from
-before it, but by one more fill. A fill that waits for another node may be part of a ring of nodes that wait
-for each other. There only older fills may wait for younger ones (wait-die), so that no ring closes, whatever
-the nodes know of the topology.
+before it, but by one more fill.
+
+Fills that wait for other nodes could form a wait cycle, in which each node waits for the next (a deadlock).
+Only older fills may therefore wait for younger ones (wait-die), so that no wait cycle closes, whatever the
+nodes know of the topology. A path loop is something else: a path that visits a node twice (`fill_path.py`).
+A request that is rejected because of either gets `ReplyReason.LOOP`.
 """
 
 import math
@@ -34,7 +40,7 @@
 
     JOIN = "join"
     BEGIN = "begin"  # no fill in flight can answer it
-    ABORT = "abort"  # waiting could close a ring
+    ABORT = "abort"  # waiting could close a wait cycle
     REJECT = "reject"  # too many wait
 
 
@@ -61,12 +67,12 @@
 class NotedPurge:
     """A purge during a fill.
 
-    `group` is None for a purge of the object itself; `issued_at` is in Unix seconds; `waiter_count` is how
-    many waited for the fill when it came.
+    `group` is None for a purge of the object itself; `purged_at` is in Unix seconds; `waiter_count` is how
+    many waited for the fill when it came, so waiters of that index and above came after it.
     """
 
     group: int | None
-    issued_at: float
+    purged_at: float
     waiter_count: int
 
     def concerns(self, waiter_index: int, group: int | None) -> bool:
@@ -84,13 +90,13 @@
         number: The lease's own number.
         path: The nodes that the fill has passed.
         started_at: When it began, in Unix seconds.
-        min_minted_at: The Unix second at which the copy must have been minted, or later.
+        min_generated_at: The Unix second at which the copy must have been generated, or later.
         source_kind: What the fill waits for.
         source: The node that it asks now.
         youngest_waiter: The youngest path among the fills elsewhere that wait for this one.
         waiters: The requests that wait, in the order in which they came.
         sources: The nodes that it may still ask.
-        detour_count: How many sources it has asked beside these.
+        extra_source_count: How many sources it has asked beside these; a repeated look-up counts as three.
         purges: The purges during the fill.
     """
 
@@ -98,20 +104,20 @@
     number: int
     path: FillPath
     started_at: float
-    min_minted_at: float = 0.0
-    source_kind: SourceKind = SourceKind.CACHED_COPY
+    min_generated_at: float = 0.0
+    source_kind: SourceKind = SourceKind.CACHED_COPY  # before the first source any fill may join
     source: str = ""
     youngest_waiter: FillPath | None = None
     waiters: list[T] = field(default_factory=list)
     sources: deque[FillSource] = field(default_factory=deque)
-    detour_count: int = 0
+    extra_source_count: int = 0
     purges: list[NotedPurge] = field(default_factory=list)
 
     def wait_for(self, kind: SourceKind, target: str) -> FillPath:
         """Records the source that the fill asks from now on; returns the path that goes with the request.
 
         Before it waits for a node the fill becomes younger than all that wait for it. They joined while that
-        was safe, and a ring through them must be detected by this fill's start.
+        was safe, and a wait cycle through them must be detected by this fill's start.
         """
         self.source_kind = kind
         self.source = target
@@ -121,7 +127,7 @@
         return self.path
 
     def may_be_awaited_by(self, path: FillPath | None, only_if_cached: bool) -> bool:
-        """Returns whether a request may wait for this fill without a risk of a ring.
+        """Returns whether a request may wait for this fill without a risk of a wait cycle.
 
         Args:
             path: The path of the fill that would wait; None where no fill waits for the requester.
@@ -134,14 +140,14 @@
             return True
         return path.is_older_than(self.path)
 
-    def note_purge(self, group: int | None, issued_at: float) -> None:
-        """Notes a purge, of the object itself where `group` is None; `issued_at` is in Unix seconds."""
+    def note_purge(self, group: int | None, purged_at: float) -> None:
+        """Notes a purge, of the object itself where `group` is None; `purged_at` is in Unix seconds."""
         if len(self.purges) < MAX_NOTED_PURGES:
-            self.purges.append(NotedPurge(group, issued_at, len(self.waiters)))
+            self.purges.append(NotedPurge(group, purged_at, len(self.waiters)))
             return
         # Too many to keep apart: the last one counts as a purge of the object.
         last = self.purges.pop()
-        self.purges.append(NotedPurge(None, max(last.issued_at, issued_at), last.waiter_count))
+        self.purges.append(NotedPurge(None, max(last.purged_at, purged_at), last.waiter_count))
 
     def latest_purge_before(self, waiter_index: int, group: int | None) -> float:
         """Returns the latest purge before a waiter came, in Unix seconds.
@@ -150,7 +156,7 @@
             waiter_index: The waiter's place in `waiters`.
             group: The group of the copy; None where it is not known, and then purges of all groups count.
         """
-        concerned = (purge.issued_at for purge in self.purges if purge.concerns(waiter_index, group))
+        concerned = (purge.purged_at for purge in self.purges if purge.concerns(waiter_index, group))
         return max(concerned, default=-math.inf)
 
 
@@ -212,7 +218,7 @@
             del self.joinable[lease.key]
         return lease
 
-    def purge(self, object_name: str | None, group: int | None, issued_at: float) -> int:
+    def purge(self, object_name: str | None, group: int | None, purged_at: float) -> int:
         """Notes a purge at the fills that it may concern; returns how many.
 
         The group and age of the copy are known once it comes, so the fills go on. A second fill begun at once
@@ -221,7 +227,7 @@
         Args:
             object_name: The object that is purged; None where a group is.
             group: The group that is purged, where `object_name` is None.
-            issued_at: When the purge was issued, in Unix seconds.
+            purged_at: When the purge was issued, in Unix seconds.
         """
         concerned = [
             lease
@@ -229,7 +235,7 @@
             if object_name is None or lease.key.object_name == object_name
         ]
         for lease in concerned:
-            lease.note_purge(group if object_name is None else None, issued_at)
+            lease.note_purge(group if object_name is None else None, purged_at)
         return len(concerned)
 
     def in_flight(self) -> Iterator[FillLease[T]]:
