--- a/paddlequay/lab/claims.py
+++ b/paddlequay/lab/claims.py
@@ -1,4 +1,4 @@
-"""Experiments: what one measures, what it claims, and how both are kept as tables and a chart."""
+"""The results of an experiment: figures, claims that must hold, and their files (JSON, CSV and a chart)."""
 
 import csv
 import json
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Something that must hold: `figure` against `bound`, by `<=`, `>=` or `==`."""
+    """An assertion on a figure: it must be `<=`, `>=` or `==` its bound."""
 
     name: str
     figure: float
@@ -19,47 +19,65 @@
 
     @property
     def kept(self) -> bool:
-        if self.relation == "<=":
-            return self.figure <= self.bound
-        return self.figure >= self.bound if self.relation == ">=" else self.figure == self.bound
+        """Returns whether the claim holds."""
+        match self.relation:
+            case "<=":
+                return self.figure <= self.bound
+            case ">=":
+                return self.figure >= self.bound
+            case _:
+                return self.figure == self.bound
 
     def data(self) -> dict[str, Any]:
+        """Returns the claim as values of JSON."""
         bound = f"{self.relation} {self.bound:g}"
         return {"name": self.name, "figure": self.figure, "bound": bound, "kept": self.kept}
 
 
 @dataclass(slots=True)
 class Results:
-    """What an experiment found. `rows` is one table; `figures` are printed and kept, but claim nothing."""
+    """The results of one experiment.
+
+    Attributes:
+        name: The name of the experiment.
+        claims: The assertions on its figures.
+        figures: Further figures, which are printed and saved.
+        rows: One table, saved as CSV.
+        x: The title of the chart's x axis.
+        y: The title of its y axis.
+        lines: The lines of the chart by name, as pairs of x and y.
+        logarithmic: Whether both axes are logarithmic.
+    """
 
     name: str
     claims: list[Claim] = field(default_factory=list)
     figures: dict[str, Any] = field(default_factory=dict)
     rows: list[Mapping[str, Any]] = field(default_factory=list)
-    # The chart: title of the y axis, and lines by name as pairs of x and y. `x` is the title of the x axis.
     x: str = ""
     y: str = ""
     lines: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
     logarithmic: bool = False
 
     def claim(self, name: str, figure: float, relation: str, bound: float) -> None:
+        """Adds a claim; the figure is rounded to six digits."""
         self.claims.append(Claim(name, round(float(figure), 6), relation, bound))
 
     @property
     def kept(self) -> bool:
+        """Returns whether there are claims and all of them hold."""
         return bool(self.claims) and all(claim.kept for claim in self.claims)
 
     def text(self) -> str:
-        """A table for the terminal."""
+        """Returns a table for the terminal."""
         lines = [f"{name:<48} {value}" for name, value in self.figures.items()]
         for claim in self.claims:
-            told = claim.data()
-            mark = "kept" if claim.kept else "NOT KEPT"
-            lines.append(f"{claim.name:<48} {claim.figure:<12g} {told['bound']:<10} {mark}")
+            bound = claim.data()["bound"]
+            verdict = "kept" if claim.kept else "NOT KEPT"
+            lines.append(f"{claim.name:<48} {claim.figure:<12g} {bound:<10} {verdict}")
         return "\n".join(lines)
 
     def write(self, folder: Path) -> None:
-        """JSON with the claims, CSV with the rows, PNG with the chart. Raises OSError."""
+        """Writes the claims as JSON, the rows as CSV and the chart as PNG; raises OSError."""
         folder.mkdir(parents=True, exist_ok=True)
         data = {
             "experiment": self.name,
@@ -75,6 +93,7 @@
         self.draw(folder / f"{self.name}.png")
 
     def draw(self, path: Path) -> None:
+        """Draws the chart into a PNG file."""
         import matplotlib
 
         matplotlib.use("Agg")
@@ -99,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """How an experiment is to run."""
+    """How to run an experiment: shortened or not, its seed, its folder, and how to report progress."""
 
     quick: bool
     seed: int
--- a/paddlequay/lab/dns.py
+++ b/paddlequay/lab/dns.py
@@ -15,8 +15,13 @@
 
 
 class DnsServer:
-    """One zone. `records` maps a name and type to lifetime and data; `fault`: how it misbehaves, a word
-    that `answers` knows."""
+    """A server for one zone.
+
+    Attributes:
+        records: Lifetime in seconds and data by name and type.
+        fault: The way in which it misbehaves, one of the words in `answers`; empty for none.
+        additional: Further records as text, for any zone.
+    """
 
     def __init__(self, zone: str = "plaza.example.") -> None:
         self.zone = zone
@@ -40,6 +45,7 @@
             self.records.pop(key, None)
 
     async def start(self) -> None:
+        """Listens on a free port, by UDP and TCP; raises OSError if there is none."""
         loop = asyncio.get_running_loop()
         for _ in range(20):
             self.server = await asyncio.start_server(self.connection, "127.0.0.1", 0)
@@ -110,6 +116,7 @@
         return false.to_wire()
 
     def fill(self, answer: dns.message.Message, question: dns.rrset.RRset, kind: str) -> None:
+        """Fills an answer with the records that the zone has for a question."""
         name = str(question.name).lower()
         answer.flags |= dns.flags.AA
         if self.fault == "loop":
@@ -162,6 +169,7 @@
             writer.close()
 
     def close(self) -> None:
+        """Closes both sockets."""
         if self.transport is not None:
             self.transport.close()
         if self.server is not None:
--- a/paddlequay/lab/load.py
+++ b/paddlequay/lab/load.py
@@ -52,6 +52,7 @@
 
     @property
     def served_share(self) -> float:
+        """Returns the served share of all requests, by priority weight."""
         return self.worth_served / self.worth_asked if self.worth_asked else 0.0
 
     def percentile(self, share: float) -> float:
