--- a/paddlequay/net/upstreams/pool.py
+++ b/paddlequay/net/upstreams/pool.py
@@ -13,7 +13,7 @@
 from paddlequay.net.upstreams.connection_reader import ConnectionReader
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
-from paddlequay.policy.failure_detector import LatencyDistribution, RelativeLatency
+from paddlequay.policy.failure_detector import LatencyDistribution, MeanLatency
 from paddlequay.protocol.endpoint_watch import Endpoint
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import AttemptResult, UpstreamAttempt
@@ -34,7 +34,7 @@
         self.connections: list[UpstreamConnection] = []
         self.removed = False
         self.restarted = False  # nothing more is written by this instance
-        self.relative_latency = RelativeLatency()
+        self.relative_latency = MeanLatency()
 
     def record_latency(self, attempt: UpstreamAttempt, time: float) -> None:
         """An attempt was answered after so many seconds."""
@@ -165,7 +165,7 @@
         self.instances: dict[str, UpstreamInstance] = {}
         self.removed_instances: list[UpstreamInstance] = []
         self.latencies = LatencyDistribution(limits.assumed_latency, exchange.router.classes)
-        self.typical_latency = RelativeLatency(max_samples=200.0)
+        self.typical_latency = MeanLatency(max_samples=200.0)
         self.tasks: set[asyncio.Task[None]] = set()
         exchange.attempts.upstreams = self
         exchange.operator_state.on_change.append(self.override_changed)
--- a/paddlequay/policy/attempt_results.py
+++ b/paddlequay/policy/attempt_results.py
@@ -51,7 +51,12 @@
     def handle_failed(
         self, request: RequestState, attempt: AttemptState, event: AttemptEnded, now: float
     ) -> list[Action]:
-        """Records a failure of the member at fault, unless it is explained by load or by the request."""
+        """Records a failure of the member at fault, unless something else explains it.
+
+        A failure does not count for ejection if, in this order: the request had too little time left, the
+        member only lacked capacity, it has answered since this attempt was sent and so is only slow, or the
+        request itself is at fault.
+        """
         at_fault = self.member_at_fault(attempt, event)
         request.connection_lost = event.outcome is Outcome.RESET
         request.failed_members.append(at_fault.member.name)
@@ -62,7 +67,7 @@
         if event.detail is ReplyDetail.ORIGIN_FAILED:
             request.source_missed = True  # other parents ask the same origin; a cached copy may still do
         if event.unresponsive:  # a lost connection, which says nothing about the source or about load
-            return self.state.outliers.record_failure(at_fault, True, now)
+            return self.state.outliers.record_failure(at_fault, connection_broke=True, now=now)
         self.record_load(attempt, event, at_fault, now)
         if self.is_only_full(event):
             return []
@@ -88,7 +93,10 @@
         return attempt.target
 
     def is_target_at_fault(self, event: AttemptEnded) -> bool:
-        """Whether a failure without a fault of the source must be the target's."""
+        """Whether a failure without a fault of the source must be the target's.
+
+        With detailed replies, a reply would have named a failure of the source; a time-out has no reply.
+        """
         if event.detail is ReplyDetail.FILL_LIMIT or event.unresponsive:
             return True
         if event.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
--- a/paddlequay/policy/edge_weights.py
+++ b/paddlequay/policy/edge_weights.py
@@ -1,14 +1,14 @@
 """Edge weights: how objects are divided among edges of unlike capacity, by their reported utilization.
 
 Capacities are unknown, and equal shares of the objects overload a small machine beside large idle ones. All
-routers integrate the same reports and arrive at about the same weights. Where their weights differ by a part,
-so does the home of that part of the objects only, as placement is weighted rendezvous hashing.
+routers integrate the same reports and arrive at about the same weights. Where the weights of two routers
+differ by 1%, so do the homes of only about 1% of the objects, as placement is weighted rendezvous hashing.
 """
 
 import math
 from collections.abc import Sequence
 
-WEIGHT_GAIN_PER_S = 0.5  # of bias, for an edge at full utilization beside idle ones
+WEIGHT_GAIN_PER_S = 0.5  # change of the bias for an edge at full utilization beside idle ones
 MAX_WEIGHT_BIAS = 0.8  # either way: machines differ in capacity by a factor of five at most
 MAX_STEP_S = 1.0
 
--- a/paddlequay/policy/failure_detector.py
+++ b/paddlequay/policy/failure_detector.py
@@ -76,7 +76,7 @@
         return suspicion > SUSPICION_THRESHOLD
 
 
-class RelativeLatency:
+class MeanLatency:
     """The mean latency of one member's recent answers, beginning at its first answer.
 
     Args:
@@ -93,6 +93,6 @@
         self.count = min(self.max_samples, self.count + 1.0)
         self.mean += (latency - self.mean) / self.count
 
-    def ratio_to(self, typical: "RelativeLatency") -> float:
+    def ratio_to(self, typical: "MeanLatency") -> float:
         """Returns this mean over another; 1 while either is unknown."""
         return self.mean / typical.mean if self.count and typical.mean > 0 else 1.0
--- a/paddlequay/policy/fill_admission.py
+++ b/paddlequay/policy/fill_admission.py
@@ -19,14 +19,16 @@
 from paddlequay.routing.latency import LatencyEstimator
 from paddlequay.routing.state import RequestState
 
-# Spans of transfers over those that fit. Objectives allow twice the sending time and a constant, so a fill
-# that takes three times its sending time is late by itself. A fill runs at least twice as fast as a
-# transfer to a client. What no cache stores is fetched again for its next reader, and gets only capacity
-# that fills leave.
+# Spans of transfers over those that fit. Fills: objectives allow twice the sending time and a constant, so a
+# fill that takes three times its sending time is late by itself. A fill runs at least twice as fast as a
+# transfer to a client.
 REPORTED_FILL_SPAN = SheddingSpan(2.0, 6.0)
-REPORTED_BYPASS_SPAN = SheddingSpan(0.5, 1.0)
 ESTIMATED_FILL_SPAN = SheddingSpan(1.0, 3.0)
+# Answers that no cache stores are fetched again for the next reader, and get only capacity that fills leave.
+REPORTED_BYPASS_SPAN = SheddingSpan(0.5, 1.0)
 ESTIMATED_BYPASS_SPAN = SheddingSpan(1.0, 1.5)
+# The square root of the cost, so that the class with most bytes does not bear all of the shedding.
+ESTIMATED_COST_EXPONENT = 0.5
 
 
 def relative_cost(
@@ -98,13 +100,11 @@
 
         Args:
             sampling_draw: The request's own number in [0, 1).
-            cost: The request's `relative_cost`, in (0, 1]. Its square root counts, so that the class with
-            most
-                bytes does not bear all of the shedding.
+            cost: The request's `relative_cost`, in (0, 1], weighed by `ESTIMATED_COST_EXPONENT`.
             cached: Whether a cache stores the copy.
         """
         span = ESTIMATED_FILL_SPAN if cached else ESTIMATED_BYPASS_SPAN
-        return not span.sheds(self.utilization() * cost**0.5, sampling_draw)
+        return not span.sheds(self.utilization() * cost**ESTIMATED_COST_EXPONENT, sampling_draw)
 
     def has_spare_capacity(self, sampling_draw: float) -> bool:
         """Whether the link is known to have capacity for a request that bypasses busy edges."""
@@ -136,7 +136,7 @@
         return self.zone_link.admits_fill(request.sampling_draw, cost, cached)
 
     def cost(self, request: RequestState) -> float:
-        """Returns the relative cost of a request in (0, 1]; 1 where no estimate of the link's load exists."""
+        """Returns the relative cost of a request in (0, 1]; 1, the highest, without a load estimate."""
         sheds_load = self.zone_load.is_contended or self.zone_link.transfer_capacity
         if not (request.cacheable and sheds_load):
             return 1.0
--- a/paddlequay/policy/outlier_ejection.py
+++ b/paddlequay/policy/outlier_ejection.py
@@ -46,7 +46,10 @@
         return [LogMessage(f"{upstream.member.name} answers again")] if was_ejected else []
 
     def record_hint(self, upstream: Upstream, now: float) -> None:
-        """Probes a member that other routers see failing, unless it has served here recently."""
+        """Ejects a member that other routers see failing, with a probe due at once.
+
+        Ignores the report if the member is ejected already or has served here recently.
+        """
         if upstream.ejected or now - upstream.last_success_at <= RECENT_SUCCESS_S:
             return
         upstream.ejected = True
--- a/paddlequay/policy/retention.py
+++ b/paddlequay/policy/retention.py
@@ -2,6 +2,7 @@
 
 from paddlequay.routing.state import RequestState
 
+# The cache protocol has the ranks 0 to 3, of which the router does not use 2.
 UNCACHED_RANK = 0  # the answer passes through
 LOW_RANK = 1
 HOT_RANK = 3
--- a/tests/policy/test_failure_detector.py
+++ b/tests/policy/test_failure_detector.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from paddlequay.policy.failure_detector import MAX_SAMPLES, LatencyDistribution, RelativeLatency
+from paddlequay.policy.failure_detector import MAX_SAMPLES, LatencyDistribution, MeanLatency
 
 
 def test_many_small_unanswered_requests_are_suspicious_and_few_large_ones_are_not() -> None:
@@ -29,7 +29,7 @@
 
 def test_a_latency_ratio_starts_at_its_first_sample() -> None:
     """A mean that starts at zero takes a member for fast until dozens of answers have come."""
-    member, usual = RelativeLatency(), RelativeLatency()
+    member, usual = MeanLatency(), MeanLatency()
     assert member.ratio_to(usual) == 1.0
     member.record(2.0)
     for _ in range(500):
