--- a/paddlequay/net/upstreams/instance.py
+++ b/paddlequay/net/upstreams/instance.py
@@ -8,7 +8,7 @@
 from paddlequay.net.upstreams.connection import ConnectionOwner, UpstreamConnection
 from paddlequay.net.upstreams.connection_health import is_stalled, is_unresponsive, unanswered_since
 from paddlequay.observability import log
-from paddlequay.policy.failure_detector import RelativeLatency
+from paddlequay.policy.failure_detector import MeanLatency
 from paddlequay.protocol.endpoint_watch import Endpoint
 from paddlequay.requests.messages import AttemptResult, UpstreamAttempt
 from paddlequay.routing.interface import Outcome
@@ -21,7 +21,7 @@
 class InstanceOwner(ConnectionOwner, Protocol):
     """The pool of all instances."""
 
-    typical_latency: RelativeLatency
+    typical_latency: MeanLatency
 
     def spawn(self, connection: UpstreamConnection) -> None:
         """Runs a connection until its end."""
@@ -55,7 +55,7 @@
         self.connections: list[UpstreamConnection] = []
         self.removed = False
         self.restarted = False
-        self.relative_latency = RelativeLatency()
+        self.relative_latency = MeanLatency()
 
     def is_replaced_by(self, listed: Endpoint) -> bool:
         """Returns whether an endpoint of the same name has restarted since, or has another address."""
--- a/paddlequay/net/upstreams/pool.py
+++ b/paddlequay/net/upstreams/pool.py
@@ -9,7 +9,7 @@
 from paddlequay.net.upstreams.connection_reader import ConnectionReader
 from paddlequay.net.upstreams.instance import UpstreamInstance
 from paddlequay.observability.counters import Counters
-from paddlequay.policy.failure_detector import LatencyDistribution, RelativeLatency
+from paddlequay.policy.failure_detector import LatencyDistribution, MeanLatency
 from paddlequay.protocol.endpoint_watch import Endpoint
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import AttemptResult, UpstreamAttempt
@@ -39,7 +39,7 @@
         self.instances: dict[str, UpstreamInstance] = {}
         self.removed_instances: list[UpstreamInstance] = []
         self.latencies = LatencyDistribution(limits.assumed_latency, exchange.router.classes)
-        self.typical_latency = RelativeLatency(max_samples=TYPICAL_LATENCY_SAMPLES)
+        self.typical_latency = MeanLatency(max_samples=TYPICAL_LATENCY_SAMPLES)
         self.tasks: set[asyncio.Task[None]] = set()
         exchange.attempts.upstreams = self
         exchange.operator_state.on_change.append(self.override_changed)
