--- a/paddlequay/hierarchy/fill_path.py
+++ b/paddlequay/hierarchy/fill_path.py
@@ -6,7 +6,7 @@
 began: of two fills that would wait for each other only the older one may wait (wait-die, Rosenkrantz et al.,
 1978).
 
-On the wire a path is one word without spaces, commas or equals signs: KEY:STARTED_US:NODE~NODE:MAC
+On the wire a path is one word without spaces, commas or equals signs, `WIRE_FORMAT`.
 """
 
 import hashlib
@@ -25,6 +25,7 @@
 MAX_STARTED_DIGITS = 19
 MIN_SECRET_BYTES = 16
 UNSIGNED = "-"
+WIRE_FORMAT = "KEY:STARTED_US:NODE~NODE:MAC"
 KEY_ID = re.compile(r"[A-Za-z0-9_-]{1,16}")
 TEXT_PARTS_COUNT = 4
 
@@ -114,7 +115,7 @@
         """
         key = self.signing_key(now)
         if key is None and self.keys:
-            raise FillPathError("all keys are over")
+            raise FillPathError("all keys have expired")
         hops = "~".join(path.hops)
         if key is None:
             return f"{UNSIGNED}:{path.started_us}:{hops}:{UNSIGNED}"
@@ -122,7 +123,7 @@
         return f"{signed}:{_signature(key, signed, context)}"
 
     def decode(self, text: str, context: str, now: float) -> FillPath:
-        """Returns the path that a word holds, where its signature holds for this request.
+        """Returns the path that a word holds, if its signature is valid for this request.
 
         Args:
             text: The word.
@@ -130,13 +131,13 @@
             now: The time in Unix seconds.
 
         Raises:
-            FillPathError: The word cannot be read, or its signature does not hold.
+            FillPathError: The word cannot be read, or its signature is not valid.
         """
         if len(text) > MAX_TEXT_CHARS:
             raise FillPathError(f"{len(text)} characters, more than {MAX_TEXT_CHARS}")
         parts = text.split(":")
         if len(parts) != TEXT_PARTS_COUNT:
-            raise FillPathError("expected KEY:STAMP:HOPS:MAC", value=text)
+            raise FillPathError(f"expected {WIRE_FORMAT}", value=text)
         key_id, started, hops, mac = parts
         path = FillPath(_decode_start(started), _decode_hops(hops))
         self._check_signature(key_id, f"{key_id}:{started}:{hops}", mac, context, now)
@@ -152,7 +153,7 @@
         if key is None or now >= key.valid_until:
             raise FillPathError("unknown or expired", f"key {key_id[:20]!r}")
         if not hmac.compare_digest(_signature(key, signed, context), mac):
-            raise FillPathError("the signature does not hold")
+            raise FillPathError("the signature is not valid")
 
 
 def _signing_order(key: SigningKey) -> tuple[float, str]:
@@ -173,7 +174,7 @@
     if not all(map(NODE_NAME.fullmatch, names)):
         raise FillPathError("expected names", "hops", text)
     if len(set(names)) < len(names):
-        raise FillPathError("a node stands there twice", "hops")
+        raise FillPathError("a node is listed twice", "hops")
     return names
 
 
--- a/paddlequay/hierarchy/fill_requests.py
+++ b/paddlequay/hierarchy/fill_requests.py
@@ -47,7 +47,7 @@
         max_waiters: Requests that wait for one fill.
         max_waiting: Requests that wait in all.
         purge_memory_s: For how long a purge is remembered.
-        new_node_s: For how long after this node's start the next nodes on the hash may hold its objects.
+        new_node_s: For how long after this node's start the next homes of its objects may still hold them.
         max_fill_s: For how long a fill may run; it outlives the request that began it.
         max_restarts: How often a request begins a further fill because the result was too old for it.
     """
--- a/paddlequay/hierarchy/migration.py
+++ b/paddlequay/hierarchy/migration.py
@@ -2,9 +2,9 @@
 
 A change is not carried out at once but object by object. The new home asks the earlier homes for their cached
 copy, caches it, and asks the parents and the origin last. Earlier homes are those of the last few topologies,
-each for `earlier_home_s` after it was left, and the next nodes on the hash while a node is new itself, as
-those served in its place. An earlier home learns from the look-up that the object has moved (the ownership
-claim) and fills by way of the new home from then on, whichever topology it knows.
+each for `earlier_home_s` after it was left, and the next homes in the object's order while a node is new
+itself, as those served in its place. An earlier home learns from the look-up that the object has moved (the
+ownership claim) and fills by way of the new home from then on, whichever topology it knows.
 
 The plan is a pure function of the topologies and their times, which are saved: a node that restarts goes on
 with the same plan, and a second change only adds an earlier home.
@@ -18,10 +18,10 @@
 from paddlequay.hierarchy.topology import Topology
 from paddlequay.placement.homes import Homes
 
-MAX_EPOCHS = 8
+MAX_EARLIER_GROUPS = 8
 MAX_LOOKUPS = 2  # earlier homes that one fill asks
 MAX_NEW_NODE_LOOKUPS = 4  # the same at a new node: others served in its place
-NEW_NODE_EXTRA_COUNT = 2  # this node itself and one that may not be asked
+NEW_NODE_EXTRA_COUNT = 2  # more homes to choose from: this node itself, and one that may not be asked
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Epoch:
+class EarlierGroup:
     """A group as it was before a change: its version, when it was left (Unix seconds), weights and homes."""
 
     version: int
@@ -84,13 +84,13 @@
 class MigrationPlan:
     """The current and earlier homes of a group's objects, as one of its members knows them.
 
-    Earlier groups are kept for `earlier_home_s`, and at most `MAX_EPOCHS` of them.
+    Earlier groups are kept for `earlier_home_s`, and at most `MAX_EARLIER_GROUPS` of them.
     """
 
     def __init__(self, own_name: str, limits: MigrationLimits) -> None:
         self.own_name = own_name
         self.limits = limits
-        self.epochs: deque[Epoch] = deque(maxlen=MAX_EPOCHS)  # the latest first
+        self.earlier_groups: deque[EarlierGroup] = deque(maxlen=MAX_EARLIER_GROUPS)  # the latest first
         self.version = 0
         self.weights: dict[str, float] = {}  # of the group's ready members
         self.homes: Homes[str] = Homes()
@@ -108,7 +108,9 @@
         has_changed = weights != self.weights
         if has_changed:
             if self.version:
-                self.epochs.appendleft(Epoch(self.version, now, self.weights, _homes_of(self.weights)))
+                self.earlier_groups.appendleft(
+                    EarlierGroup(self.version, now, self.weights, _homes_of(self.weights))
+                )
             _reset_homes(self.homes, weights)
             self.weights = weights
         self.version = topology.version
@@ -121,13 +123,13 @@
         """Returns the nodes that may hold an object from before, the likeliest first, within the rate.
 
         Args:
-            hash_key: The object's place on the hash.
+            hash_key: The key by which the object's homes are found.
             may_ask: Whether a node may be asked at all.
-            is_new: Whether this node is so new that the next ones on the hash served in its place.
+            is_new: Whether this node is so new that the next homes of the object served in its place.
             now: The time in Unix seconds.
         """
         self.forget_expired(now)
-        homes = [epoch.homes.first_home(hash_key) for epoch in self.epochs]
+        homes = [earlier_group.homes.first_home(hash_key) for earlier_group in self.earlier_groups]
         max_lookups = MAX_LOOKUPS
         if is_new:
             max_lookups = MAX_NEW_NODE_LOOKUPS
@@ -135,18 +137,24 @@
         candidates = dict.fromkeys(
             home for home in homes if home is not None and home != self.own_name and may_ask(home)
         )
-        return [name for name in candidates if self.rate.admits(name, now)][:max_lookups]
+        # The rate charges every candidate, also those past `max_lookups`, which are not asked.
+        admitted = [name for name in candidates if self.rate.admits(name, now)]
+        return admitted[:max_lookups]
 
     def forget_expired(self, now: float) -> None:
         """Drops the earlier groups that were left too long ago; `now` is in Unix seconds."""
-        while self.epochs and now - self.epochs[-1].left_at > self.limits.earlier_home_s:
-            self.epochs.pop()
+        while self.earlier_groups and now - self.earlier_groups[-1].left_at > self.limits.earlier_home_s:
+            self.earlier_groups.pop()
 
     def export_state(self) -> list[dict[str, Any]]:
         """Returns the earlier groups as they are saved beside the topology."""
         return [
-            {"version": epoch.version, "left": epoch.left_at, "members": epoch.weights}
-            for epoch in self.epochs
+            {
+                "version": earlier_group.version,
+                "left": earlier_group.left_at,
+                "members": earlier_group.weights,
+            }
+            for earlier_group in self.earlier_groups
         ]
 
     def restore_state(self, state: Iterable[Any], now: float) -> None:
@@ -155,16 +163,16 @@
         Raises:
             ValueError: One of them cannot be read; then none are adopted.
         """
-        epochs = [_decode_epoch(item, now) for item in state]
-        self.epochs = deque(epochs[:MAX_EPOCHS], maxlen=MAX_EPOCHS)
+        earlier_groups = [_decode_earlier_group(item, now) for item in state]
+        self.earlier_groups = deque(earlier_groups[:MAX_EARLIER_GROUPS], maxlen=MAX_EARLIER_GROUPS)
         self.forget_expired(now)
 
 
-def _decode_epoch(item: Any, now: float) -> Epoch:
+def _decode_earlier_group(item: Any, now: float) -> EarlierGroup:
     match item:
         case {"version": int(version), "left": int() | float() as left, "members": dict(members)}:
             weights = {str(name): float(weight) for name, weight in members.items()}
-            return Epoch(version, min(float(left), now), weights, _homes_of(weights))
+            return EarlierGroup(version, min(float(left), now), weights, _homes_of(weights))
     raise ValueError(f"an epoch that cannot be read: {str(item)[:60]}")
 
 
--- a/paddlequay/hierarchy/source_fallback.py
+++ b/paddlequay/hierarchy/source_fallback.py
@@ -77,12 +77,14 @@
         known = set(upstreams)
         super().on_members(event)
         new = [upstream for name, upstream in upstreams.items() if name not in known]
+        # In the form in which a process hands its limits over in a hot restart.
         limits = {f"limit {upstream.member.name}": INITIAL_CONCURRENCY_LIMIT for upstream in new}
         self.state.limits.inherit_state(new, limits)
 
     def update_contention(self) -> None:
         """Tells the limits how many nodes ask the same members: all of the group."""
         group_size = len(self.node.source_selector.migration.weights)
+        # The numbers of edges, parents and origins do not matter where `requesters` is given.
         self.state.limits.set_contention(1, 1, 1, requesters=max(1, group_size))
 
     def advance(self, request: RequestState) -> None:
--- a/paddlequay/hierarchy/source_selection.py
+++ b/paddlequay/hierarchy/source_selection.py
@@ -46,7 +46,7 @@
         own_name: The name of this node.
         group: Its group, known also while no topology names the node.
         started_at: When the node started, in Unix seconds.
-        new_node_s: For how many seconds after that the next nodes on the hash may hold its objects.
+        new_node_s: For how many seconds after that the next homes of its objects may still hold them.
         limits: Bounds of migration.
         counters: The node's counters.
     """
--- a/paddlequay/hierarchy/waiting_requests.py
+++ b/paddlequay/hierarchy/waiting_requests.py
@@ -2,15 +2,20 @@
 
 import heapq
 from collections.abc import Iterator
+from typing import NamedTuple
 
 from paddlequay.hierarchy.fill_requests import FillRequest
 
 # Entries of closed requests stay in the heap until there are this many more than twice those that wait.
 MAX_CLOSED_ENTRIES = 1000
 
-Deadline = tuple[
-    float, int, FillRequest
-]  # the Unix second, a number that tells equal ones apart, the request
+
+class Deadline(NamedTuple):
+    """When a request times out, in Unix seconds; `number` orders requests with equal deadlines."""
+
+    expires_at: float
+    number: int
+    request: FillRequest
 
 
 class WaitingRequests:
@@ -26,7 +31,7 @@
         request.is_waiting = True
         self.count += 1
         self.last_number += 1
-        heapq.heappush(self.deadlines, (request.deadline, self.last_number, request))
+        heapq.heappush(self.deadlines, Deadline(request.deadline, self.last_number, request))
         if len(self.deadlines) > 2 * self.count + MAX_CLOSED_ENTRIES:
             self._drop_closed()
 
@@ -38,11 +43,14 @@
 
     def pop_expired(self, now: float) -> Iterator[FillRequest]:
         """Removes and returns the open requests whose deadline has passed; `now` is in Unix seconds."""
-        while self.deadlines and (self.deadlines[0][0] <= now or self.deadlines[0][2].is_closed):
-            request = heapq.heappop(self.deadlines)[2]
-            if not request.is_closed:
-                yield request
+        while self.deadlines:
+            earliest = self.deadlines[0]
+            if earliest.expires_at > now and not earliest.request.is_closed:
+                return
+            heapq.heappop(self.deadlines)
+            if not earliest.request.is_closed:
+                yield earliest.request
 
     def _drop_closed(self) -> None:
-        self.deadlines = [deadline for deadline in self.deadlines if not deadline[2].is_closed]
+        self.deadlines = [deadline for deadline in self.deadlines if not deadline.request.is_closed]
         heapq.heapify(self.deadlines)
--- a/paddlequay/lab/hierarchy_simulation.py
+++ b/paddlequay/lab/hierarchy_simulation.py
@@ -160,7 +160,8 @@
         self.dead.discard(name)
         old = self.nodes[name]
         self.add(name, old.topology, started_at=self.now)
-        self.nodes[name].source_selector.migration.epochs = old.source_selector.migration.epochs
+        migration = self.nodes[name].source_selector.migration
+        migration.earlier_groups = old.source_selector.migration.earlier_groups
         for object_name, purged_at in self.received_purges[name].items():
             self.nodes[name].purge(object_name, None, purged_at, self.now)
 
--- a/paddlequay/placement/checks.py
+++ b/paddlequay/placement/checks.py
@@ -120,7 +120,7 @@
 
 
 def check_shard_maps(rules: RuleSet, work: WorkBudget) -> None:
-    """Raises if there are too many shard maps or shards, or if no list can hold a shard map's copies."""
+    """Raises `ConfigError` for too many shard maps or shards, or copies that no list can hold."""
     shards = 0
     for number, (rule, cell) in enumerate(rules.shard_maps(), 1):
         if number > MAX_SHARD_MAPS:
@@ -136,7 +136,7 @@
 
 
 def check_classes(rules: RuleSet, known: set[str]) -> None:
-    """Raises for a class that the settings lack."""
+    """Raises `ConfigError` for a class that the settings lack."""
     shown = ", ".join(sorted(known)[:MAX_SHOWN_CLASSES])
     for name in rules.classes or ():
         if name.text not in known:
@@ -151,7 +151,7 @@
 
 
 def check_reachable(rules: RuleSet, work: WorkBudget) -> None:
-    """Raises if a rule holds for no request, or if two of one precedence match the same."""
+    """Raises `ConfigError` if a rule holds for no request, or if two of one precedence match the same."""
     for index, rule in enumerate(rules.rules):
         rest: list[Conjunction] = [rule.requests]
         for earlier in rules.rules[:index]:
@@ -169,7 +169,7 @@
 
 
 def check_precedence(rules: RuleSet, rule: Rule, earlier: Rule, work: WorkBudget) -> None:
-    """Raises if two rules of one precedence match the same requests."""
+    """Raises `ConfigError` if two rules of one precedence match the same requests."""
     if earlier.precedence != rule.precedence:
         return
     if intersect_conjunctions(rule.requests, earlier.requests, work) is None:
@@ -180,7 +180,7 @@
 
 
 def check_load_shares(rules: RuleSet) -> None:
-    """Raises if the tenants' shares of all load are over 100 % in all."""
+    """Raises `ConfigError` if the tenants' shares of all load are over 100 % in all."""
     total = 0.0
     for tenant in rules.tenants.values():
         total += tenant.load_share or 0.0
@@ -190,7 +190,7 @@
 
 
 def check_shard_map(rules: RuleSet, rule: Rule, cell: Cell | None, work: WorkBudget) -> None:
-    """Raises if no list could hold the copies of a rule, in a cell or without one."""
+    """Raises `ConfigError` if no list could hold the copies of a rule, in a cell or without one."""
     source = rules.source
     where = describe_cell(cell)
     region = rule.members if cell is None else intersect_regions(rule.members, cell.members, work)
@@ -209,7 +209,7 @@
 def check_spread(
     rules: RuleSet, rule: Rule, spread: Spread, region: Region, where: str, work: WorkBudget
 ) -> None:
-    """Raises if copies are to be over more zones or kinds than copies, or than a region can have."""
+    """Raises `ConfigError` for a spread over more zones or kinds than copies, or than a region can have."""
     if rule.min_domains > rule.copies:
         message = f"expected copies over at most {rule.copies} {spread}(s), got {rule.min_domains}"
         raise rules.source.error(rule.position("over"), message)
@@ -220,7 +220,7 @@
 
 
 def check_pins(rules: RuleSet, rule: Rule, work: WorkBudget) -> None:
-    """Raises for a pin to a member that its rule excludes.
+    """Raises `ConfigError` for a pin to a member that its rule excludes.
 
     A cell goes before a pin: its tenants have the shard in the cell, all others where it is pinned.
     """
@@ -287,7 +287,7 @@
 
 
 def check_eligible(rules: RuleSet, rule: Rule, cell: Cell | None, eligible: list[Member]) -> None:
-    """Raises if the members that a rule may use are too few, or of too few zones or kinds."""
+    """Raises `ConfigError` if the members that a rule may use are too few, or of too few zones or kinds."""
     where = describe_cell(cell)
     if len(eligible) < rule.copies:
         message = f"expected at most {len(eligible)} copies, as many as the list has members{where}"
@@ -301,7 +301,7 @@
 
 
 def check_cell_weight(rules: RuleSet, cell: Cell, listed: list[Member], total: float) -> None:
-    """Raises if a cell's share of all weight is below its tenants' share of all load."""
+    """Raises `ConfigError` if a cell's share of all weight is below its tenants' share of all load."""
     tenants = [tenant for tenant in rules.tenants.values() if tenant.cell == cell.name]
     needed = sum(tenant.load_share or 0.0 for tenant in tenants)
     weight = sum(member_weight(each) for each in listed if contains(cell.members, member_attributes(each)))
--- a/paddlequay/placement/copy_selection.py
+++ b/paddlequay/placement/copy_selection.py
@@ -36,6 +36,7 @@
 # The error of numpy's draw, relative and absolute: about ten times what is rounded.
 DRAW_ERROR_RATIO = 1e-14
 DRAW_ERROR_FLOOR = 4e-15
+UPPER_BOUND_MARGIN = 3  # errors between the bounds: two between lower and upper, one for rounding
 
 Floats = npt.NDArray[np.float64]
 Integers = npt.NDArray[np.int64]
@@ -67,7 +68,9 @@
 
 def upper_bounds(lower: Floats, weights: Floats) -> Floats:
     """Returns a bound above each exact arrival, from its lower bound."""
-    return lower * (1 + 3 * DRAW_ERROR_RATIO) + 3 * DRAW_ERROR_FLOOR / weights
+    return (
+        lower * (1 + UPPER_BOUND_MARGIN * DRAW_ERROR_RATIO) + UPPER_BOUND_MARGIN * DRAW_ERROR_FLOOR / weights
+    )
 
 
 class Selection(NamedTuple):
--- a/paddlequay/programs/tier_page.py
+++ b/paddlequay/programs/tier_page.py
@@ -27,8 +27,8 @@
         "home_shares": _home_shares(selector.migration),
         "left_out": sorted(selector.ejected),
         "moves": [
-            {"from_version": epoch.version, "since_s": round(now - epoch.left_at, 3)}
-            for epoch in selector.migration.epochs
+            {"from_version": earlier_group.version, "since_s": round(now - earlier_group.left_at, 3)}
+            for earlier_group in selector.migration.earlier_groups
         ],
         "claims": len(selector.claims),
         "fills_under_way": len(node.leases),
--- a/tests/hierarchy/test_fill_path.py
+++ b/tests/hierarchy/test_fill_path.py
@@ -57,7 +57,7 @@
     for context, now in (("y", 50), ("x", 201)):
         with pytest.raises(FillPathError):
             Keyring([OLD, NEW]).decode(text, context, now)
-    with pytest.raises(FillPathError, match="all keys are over"):
+    with pytest.raises(FillPathError, match="all keys have expired"):
         Keyring([OLD]).encode(PATH, "x", 201)
     with pytest.raises(FillPathError, match="no key is known here"):
         Keyring().decode(text, "x", 50)
--- a/tests/hierarchy/test_migration.py
+++ b/tests/hierarchy/test_migration.py
@@ -4,7 +4,7 @@
 from rig_node import topology
 
 from paddlequay.hierarchy.copy_cache import PartKey
-from paddlequay.hierarchy.migration import MAX_EPOCHS, LookupRate, MigrationLimits, MigrationPlan
+from paddlequay.hierarchy.migration import MAX_EARLIER_GROUPS, LookupRate, MigrationLimits, MigrationPlan
 from paddlequay.hierarchy.ownership_claims import MAX_CLAIMS, OwnershipClaims
 
 HASH_KEY = 5
@@ -32,7 +32,7 @@
     assert plan.earlier_homes(HASH_KEY, anybody, False, 62.0) == []
     for version in range(4, 40):
         plan.follow(topology(version, "a", "c", a=float(version)), "aimag", 70.0)
-    assert len(plan.epochs) == MAX_EPOCHS
+    assert len(plan.earlier_groups) == MAX_EARLIER_GROUPS
     with pytest.raises(ValueError, match="cannot be read"):
         plan.restore_state([{"version": "x"}], 0.0)
 
