--- a/paddlequay/cluster/fleet_limits.py
+++ b/paddlequay/cluster/fleet_limits.py
@@ -1,8 +1,8 @@
 """Limits that hold over all routers: each router has a floor, and a grant beside it by its demand.
 
 docs/cluster/limits.md compares the designs and proves that a limit is kept. A grant is valid for
-`ClusterBounds.grant_s` from when its request was sent, less the clock drift. Admission waits for nothing: it
-decides by what this router has.
+`ClusterBounds.grant_validity_s` from when its request was sent, less the clock drift. Admission waits for
+nothing: it decides by what this router has.
 """
 
 from collections.abc import Iterable
@@ -64,8 +64,8 @@
         held_term: Returns the term of a lease that this router holds at a moment, or None.
         incarnation: Of this process.
         now: Seconds of this process's clock.
-        slot_grant_extension_s: How much longer than `bounds.grant_s` grants of slots are valid, the same at
-            all routers: the longest request that may start on a granted slot.
+        slot_grant_extension_s: How much longer than `bounds.grant_validity_s` grants of slots are valid, the
+            same at all routers: the longest request that may start on a granted slot.
         max_request_s: The longest time-out of a request: floor slots stay blocked for as long.
         is_first_process: Whether there was no process before, so that no floor slot has to be blocked.
         fast_ratio: The most by which this clock runs faster than true time, a part of every rate that it
@@ -105,9 +105,9 @@
         self.timing = BucketTiming(
             started_at=now,
             min_clock_rate=self.min_clock_rate(),
-            retention_s=bounds.epoch_s,
+            retention_s=bounds.epoch_validity_s,  # as long as a placement epoch
             floor_blocked_s=0.0 if is_first_process else _longest_by_slow_clock(max_request_s, bounds),
-            window_s=bounds.grant_s / 3,
+            window_s=bounds.grant_validity_s / 3,
         )
         self.registry = LimitRegistry(rules, fleet.size, bounds, slot_grant_extension_s)
         self.granter = self.granter_kind(bounds, fleet.size, held_term)
@@ -147,7 +147,7 @@
                 name = limit_of(fleet_limit.lease, value)
                 limit = self.local_limits.use(name, fleet_limit, now, pinned=limits)
                 if limit is None:
-                    return Rejection(fleet_limit.rule.name, self.bounds.grant_s)
+                    return Rejection(fleet_limit.rule.name, self.bounds.grant_validity_s)
                 limits[name] = limit
         for limit in limits.values():
             limit.advance(now)
@@ -184,7 +184,7 @@
         """Returns the seconds until there is a token, or until another answer of the holder may be here."""
         token_wait_s = limit.bucket.retry_after(now)
         if token_wait_s is None:
-            return self.bounds.grant_s / 3
+            return self.bounds.grant_validity_s / 3
         return min(token_wait_s, MAX_TOKEN_WAIT_S)
 
     def _make_bucket(self, limit: FleetLimit, now: float) -> Bucket:
--- a/paddlequay/cluster/granter.py
+++ b/paddlequay/cluster/granter.py
@@ -39,9 +39,9 @@
             NameDigest, tuple[int, float]
         ] = {}  # by lease: the term, and when it was first observed
 
-    def outstanding_for(self, grant_s: float) -> float:
-        """Returns for how long the holder counts a grant as outstanding that another counts as `grant_s`."""
-        return grant_s * (1 + 2 * self.bounds.drift_ratio)
+    def outstanding_for(self, grant_validity_s: float) -> float:
+        """Returns for how long the holder counts a grant of this validity as outstanding."""
+        return grant_validity_s * (1 + 2 * self.bounds.drift_ratio)
 
     def record_term(self, lease: NameDigest, term: int, now: float) -> None:
         """Starts a term: its grants are all known here, those of earlier terms are not."""
@@ -54,7 +54,7 @@
 
     def wait_after_acquisition(self, limit: FleetLimit) -> float:
         """Returns for how long a new holder issues nothing."""
-        return self.outstanding_for(limit.grant_s)
+        return self.outstanding_for(limit.grant_validity_s)
 
     def handle_request(
         self, limit: FleetLimit, sender: Peer, incarnation: int, request: QuotaRequest, now: float
@@ -89,7 +89,7 @@
             term,
             quota.amount_milli,
             quota.burst_milli,
-            int(limit.grant_s * 1000),
+            int(limit.grant_validity_s * 1000),
         )
 
     def issue(self, ledger: Ledger, limit: FleetLimit, sender: Peer, incarnation: int, now: float) -> Quota:
@@ -98,7 +98,7 @@
         free = limit.division.pool.minus(self.granted_to_others(ledger, sender, incarnation, now))
         quota = _usable(share.min_with(free), limit.division)
         outstanding = ledger.outstanding.setdefault((sender, incarnation), OutstandingGrants())
-        outstanding.add(quota, now + self.outstanding_for(limit.grant_s))
+        outstanding.add(quota, now + self.outstanding_for(limit.grant_validity_s))
         return quota
 
     def granted_to_others(self, ledger: Ledger, sender: Peer, incarnation: int, now: float) -> Quota:
@@ -130,7 +130,7 @@
         # A router that requests has use for burst, even where its rate is within the floor.
         demand = max(demand, division.unit_milli)
         ledger.requesters[sender] = Requester(
-            incarnation, request.request_number, demand, now + limit.grant_s
+            incarnation, request.request_number, demand, now + limit.grant_validity_s
         )
         return True
 
@@ -146,7 +146,7 @@
         amounts = max_min_shares(division.pool.amount_milli, demands, division.unit_milli)
         bursts = even_bursts(division.pool.burst_milli, amounts)
         ledger.shares = {peer: Quota(amount, bursts.get(peer, 0)) for peer, amount in amounts.items()}
-        ledger.shares_until = now + limit.grant_s * DIVISION_REUSE_RATIO
+        ledger.shares_until = now + limit.grant_validity_s * DIVISION_REUSE_RATIO
         return ledger.shares
 
 
@@ -164,6 +164,6 @@
     served = max(1, division.pool.burst_milli // division.burst_shortfall_milli)
     peers = sorted(demands)
     if served < len(peers):
-        first = int(now / (TURN_GRANTS * limit.grant_s)) * served % len(peers)
+        first = int(now / (TURN_GRANTS * limit.grant_validity_s)) * served % len(peers)
         peers = (peers[first:] + peers[:first])[:served]
     return {peer: demands[peer] for peer in peers}
--- a/paddlequay/cluster/limit_registry.py
+++ b/paddlequay/cluster/limit_registry.py
@@ -36,13 +36,13 @@
         rule: What the settings say.
         lease: The lease whose holder grants quotas of it.
         division: How it is divided over the fleet.
-        grant_s: How long a grant is valid, in seconds.
+        grant_validity_s: How long a grant is valid, in seconds.
     """
 
     rule: LimitRule
     lease: NameDigest
     division: LimitDivision
-    grant_s: float
+    grant_validity_s: float
 
     def applies_to(self, value: str) -> bool:
         """Returns whether a value of the rule's scope falls under this limit."""
@@ -75,7 +75,9 @@
         for rule in rules:
             lease = lease_of(rule)
             extension_s = slot_grant_extension_s if rule.max_in_flight is not None else 0.0
-            limit = FleetLimit(rule, lease, divide_limit(rule, fleet_size), bounds.grant_s + extension_s)
+            limit = FleetLimit(
+                rule, lease, divide_limit(rule, fleet_size), bounds.grant_validity_s + extension_s
+            )
             rule_bits = lease >> VALUE_BITS
             if rule_bits in self._by_rule_bits:
                 raise ValueError(
--- a/paddlequay/cluster/liveness.py
+++ b/paddlequay/cluster/liveness.py
@@ -48,7 +48,7 @@
         self, fleet: Fleet, settings: ClusterSettings, incarnation: int, rng: Random, now: float
     ) -> None:
         period_s = 1.0 / settings.pings_per_s
-        suspicion_s = settings.bounds.suspect_s * max(1.0, math.log10(fleet.size))
+        suspicion_s = settings.bounds.suspicion_timeout_s * max(1.0, math.log10(fleet.size))
         transmissions = 4 * math.ceil(math.log10(fleet.size + 1))  # as memberlist bounds them
         self._me = fleet.me
         self._members = MembershipTable([peer for peer in range(fleet.size) if peer != fleet.me], rng)
--- a/paddlequay/cluster/placement_epochs.py
+++ b/paddlequay/cluster/placement_epochs.py
@@ -5,9 +5,9 @@
 each router takes it up as soon as it has that table itself. docs/cluster/tables.md has the argument and the
 bounds.
 
-A router counts on its epoch for `ClusterBounds.epoch_s` of its own clock from when it last heard that the
-epoch is in use, and is asked at the moment of use. After that it places objects as without rules, which all
-routers can.
+A router counts on its epoch for `ClusterBounds.epoch_validity_s` of its own clock from when it last heard
+that the epoch is in use, and is asked at the moment of use. After that it places objects as without rules,
+which all routers can.
 """
 
 from collections.abc import Callable
@@ -75,7 +75,7 @@
         self.fleet = fleet
         self.reacquire = reacquire
         self.proposer = self.proposer_kind(fleet, bounds, held_term)
-        self.follower = self.follower_kind(bounds.epoch_s)
+        self.follower = self.follower_kind(bounds.epoch_validity_s)
         self.holder: Peer | None = None
         self.highest_term = 0  # heard of from a holder
         self.highest_epoch = 0  # heard of
--- a/paddlequay/cluster/quota_client.py
+++ b/paddlequay/cluster/quota_client.py
@@ -60,7 +60,7 @@
         """Counts a rejected request as demand, and requests a quota soon."""
         limit.bucket.demand.add(now)
         limit.rejected_since_request = True
-        soonest = limit.last_request_at + self.bounds.grant_s / MAX_REQUESTS_PER_GRANT
+        soonest = limit.last_request_at + self.bounds.grant_validity_s / MAX_REQUESTS_PER_GRANT
         self.schedule.request_by(name, limit, max(now, soonest))
 
     def record_admission(self, name: NameDigest, limit: LocalLimit, now: float) -> None:
@@ -92,7 +92,7 @@
         if limit.next_request_at != NEVER and grant.request_number == max(limit.sent_requests):
             self.schedule.postpone(grant.limit, limit, self._renewal_at(limit))
         self.observe_holder(limit.fleet_limit.lease, sender, grant.term)
-        validity_s = min(grant.valid_ms / 1000, limit.fleet_limit.grant_s)
+        validity_s = min(grant.valid_ms / 1000, limit.fleet_limit.grant_validity_s)
         valid_until = valid_from + validity_s * (1 - self.bounds.drift_ratio)
         if valid_until > now:
             quota = Quota(grant.amount_milli, grant.burst_milli)
@@ -145,8 +145,8 @@
         number = next(self._numbers)
         limit.sent_requests[number] = now
         limit.last_request_at = now
-        grant_s = limit.fleet_limit.grant_s
-        outdated = [old for old, sent_at in limit.sent_requests.items() if sent_at + grant_s < now]
+        grant_validity_s = limit.fleet_limit.grant_validity_s
+        outdated = [old for old, sent_at in limit.sent_requests.items() if sent_at + grant_validity_s < now]
         for old in outdated:
             del limit.sent_requests[old]
         while len(limit.sent_requests) > MAX_SENT_REQUESTS:
@@ -155,8 +155,8 @@
 
     def _schedule_retry(self, name: NameDigest, limit: LocalLimit, now: float) -> None:
         """Schedules the next request; without answers each wait is as long as all before it."""
-        wait = max(self.bounds.grant_s * RETRY_RATIO, now - limit.unanswered_since)
-        self.schedule.request_by(name, limit, now + min(wait, self.bounds.grant_s))
+        wait = max(self.bounds.grant_validity_s * RETRY_RATIO, now - limit.unanswered_since)
+        self.schedule.request_by(name, limit, now + min(wait, self.bounds.grant_validity_s))
 
     def _request_from_self(self, limit: LocalLimit, request: QuotaRequest, now: float) -> None:
         """Requests a quota from this router as the holder."""
@@ -168,7 +168,7 @@
     def _send_request(self, limit: LocalLimit, request: QuotaRequest, now: float) -> list[Action]:
         """Sends a request to the known holder; to all that may hold the lease where nobody has answered."""
         holder = self._other_holder(limit.fleet_limit.lease)
-        patience_s = self.bounds.grant_s
+        patience_s = self.bounds.grant_validity_s
         asked_all_lately = now < limit.last_broadcast_at + patience_s
         answer_may_come = now < limit.unanswered_since + patience_s
         if holder is not None and (answer_may_come or asked_all_lately):
@@ -180,7 +180,7 @@
         return [SendMessage(peer, request, Urgency.CHANGE) for peer in voters or (None,)]
 
     def _renewal_at(self, limit: LocalLimit) -> float:
-        return limit.last_request_at + self.bounds.grant_s * RENEWAL_RATIO
+        return limit.last_request_at + self.bounds.grant_validity_s * RENEWAL_RATIO
 
     def _other_holder(self, lease: NameDigest) -> Peer | None:
         known = self._holders.get(lease)
--- a/paddlequay/cluster/table_proposer.py
+++ b/paddlequay/cluster/table_proposer.py
@@ -97,7 +97,7 @@
     def __init__(self, fleet: Fleet, bounds: ClusterBounds, held_term: HeldTerm) -> None:
         self.fleet = fleet
         self.held_term = held_term
-        self.declaration_interval_s = bounds.epoch_s / DECLARATIONS_PER_VALIDITY
+        self.declaration_interval_s = bounds.epoch_validity_s / DECLARATIONS_PER_VALIDITY
         self.own = NO_TABLE
         self.term = 0
         self.number = 0
--- a/paddlequay/cluster/types.py
+++ b/paddlequay/cluster/types.py
@@ -45,11 +45,11 @@
 
     drift_ratio: float = 0.05  # the most by which one elapsed clock runs faster than another
     lease_s: float = 1.5  # the longest lease; a restarted acceptor abstains for as long
-    grant_s: float = 0.6  # the longest that a quota lives without an answer of the lease holder
-    suspect_s: float = 1.0  # from suspicion to death, so that the suspect can refute
+    grant_validity_s: float = 0.6  # the longest validity of a granted quota; a client renews it earlier
+    suspicion_timeout_s: float = 1.0  # a suspected peer that has not refuted by then is dead
     evidence_s: float = 2.0  # older evidence is ignored
     overlap_s: float = 0.5  # of a planned handoff of a channel
-    epoch_s: float = 30.0  # for how long an isolated router keeps its placement table
+    epoch_validity_s: float = 30.0  # for how long a router uses its placement epoch unconfirmed
 
 
 @dataclass(frozen=True, slots=True)
--- a/paddlequay/lab/limit_guards.py
+++ b/paddlequay/lab/limit_guards.py
@@ -75,8 +75,8 @@
     """The holder counts a grant's validity by its own clock, without the drift."""
 
     class granter_kind(Granter):  # noqa: N801
-        def outstanding_for(self, grant_s: float) -> float:
-            return grant_s
+        def outstanding_for(self, grant_validity_s: float) -> float:
+            return grant_validity_s
 
 
 class FormerTermRemembered(FleetLimits):
--- a/paddlequay/schema/cluster.py
+++ b/paddlequay/schema/cluster.py
@@ -76,13 +76,13 @@
     bounds = ClusterBounds(
         drift_ratio=between("drift", default.drift_ratio, 0.001, 0.25),
         lease_s=between("lease_s", default.lease_s, 0.3, 60.0),
-        grant_s=between("grant_s", default.grant_s, 0.1, 60.0),
-        suspect_s=between("suspect_s", default.suspect_s, 0.1, 60.0),
+        grant_validity_s=between("grant_s", default.grant_validity_s, 0.1, 60.0),
+        suspicion_timeout_s=between("suspect_s", default.suspicion_timeout_s, 0.1, 60.0),
         evidence_s=between("evidence_s", default.evidence_s, 0.5, 60.0),
         overlap_s=between("overlap_s", default.overlap_s, 0.05, 10.0),
-        epoch_s=between("epoch_s", default.epoch_s, 1.0, 86_400.0),
+        epoch_validity_s=between("epoch_s", default.epoch_validity_s, 1.0, 86_400.0),
     )
-    if bounds.grant_s > bounds.lease_s:
+    if bounds.grant_validity_s > bounds.lease_s:
         raise checker.error("cluster.bounds.grant_s", f"expected at most the lease, {bounds.lease_s:g}")
     return bounds
 
--- a/tests/cluster/test_cluster_model.py
+++ b/tests/cluster/test_cluster_model.py
@@ -50,7 +50,7 @@
     def wait_after_acquisition(self, limit: FleetLimit) -> float:
         return 0.0
 
-    def outstanding_for(self, grant_s: float) -> float:
+    def outstanding_for(self, grant_validity_s: float) -> float:
         return 0.0
 
 
--- a/tests/cluster/test_placement_epochs.py
+++ b/tests/cluster/test_placement_epochs.py
@@ -20,7 +20,7 @@
 )
 from paddlequay.lab.table_world import BOUNDS, TableFaultError, TableInUse, TableWorld, digest_of
 
-VALIDITY_S = BOUNDS.epoch_s / 0.95  # of an epoch, by the slowest clock
+VALIDITY_S = BOUNDS.epoch_validity_s / 0.95  # of an epoch, by the slowest clock
 AGREEMENT_S = 15.0  # until reachable routers with the same list agree
 
 
--- a/tests/cluster/test_quota_exchange.py
+++ b/tests/cluster/test_quota_exchange.py
@@ -211,7 +211,7 @@
     )
     limits = alone(*rules, holds=None, max_local_limits=1)
     keys = ((LimitScope.CLASS, "c"), (LimitScope.TENANT, "t"))
-    assert limits.admit_all(keys, 50.0, 1.0) == Rejection("tenant", ClusterBounds().grant_s)
+    assert limits.admit_all(keys, 50.0, 1.0) == Rejection("tenant", ClusterBounds().grant_validity_s)
     assert len(limits.local_limits) == 1
 
 
