--- a/paddlequay/cluster/channels.py
+++ b/paddlequay/cluster/channels.py
@@ -46,7 +46,7 @@
 
 
 class Channels:
-    """The part of the cluster that owns live channels; `rng` is seeded anew for each run."""
+    """The component of the cluster that owns live channels; `rng` is seeded anew for each run."""
 
     HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = CHANNEL_MESSAGES
 
--- a/paddlequay/cluster/evidence_store.py
+++ b/paddlequay/cluster/evidence_store.py
@@ -34,7 +34,7 @@
     report_at: float = NEVER  # when the next report is due
     witnesses_since: float | None = None  # since when there are enough witnesses, whatever their weight
     majority_since: float | None = None  # since when they have the majority
-    published: Fault | None = None  # the verdict as other parts know it
+    published: Fault | None = None  # the verdict as other components know it
     published_until: float = 0.0
 
 
--- a/paddlequay/cluster/fleet_limits.py
+++ b/paddlequay/cluster/fleet_limits.py
@@ -53,7 +53,7 @@
 
 
 class FleetLimits:
-    """This router's side of all limits, and the holder's where it has the lease: a `Part` of the cluster.
+    """This router's side of all limits, and the holder's where it has the lease; implements `Component`.
 
     Starts with empty buckets. After `admit`, `due()` may be earlier than before.
 
@@ -192,7 +192,7 @@
             return self.slot_bucket_kind(limit.division, self.timing, now)
         return self.rate_bucket_kind(limit.division, self.timing, now)
 
-    # --- as a part of the cluster ---
+    # --- as a component of the cluster ---
 
     def handle_message(
         self, sender: Peer, incarnation: int, message: PeerMessage, now: float
--- a/paddlequay/cluster/leases.py
+++ b/paddlequay/cluster/leases.py
@@ -31,7 +31,7 @@
 
 
 class Leases:
-    """The part of the cluster that acquires, renews and releases leases, and votes on them where configured.
+    """Acquires, renews and releases leases, and votes on them where configured; a `Component`.
 
     `rng` is seeded anew for each run of a process: it draws the nonce of the run and the waits.
     """
@@ -52,7 +52,7 @@
         self.proposer = Proposer(fleet, bounds, rng, self.elections_kind)
         self.acceptor = self.acceptor_kind(bounds, now) if fleet.me in fleet.acceptors else None
 
-    # --- for the parts that need leases ---
+    # --- for the components that need leases ---
 
     def request(self, lease: NameDigest, now: float) -> list[Action]:
         """Bids for a lease until it is released, and renews it while held; logs a refusal past `MAX_BIDS`."""
@@ -85,7 +85,7 @@
         """Takes the ballot counter from the head of a datagram, before its messages are handled."""
         self.proposer.observe_counter(counter)
 
-    # --- as a part of the cluster ---
+    # --- as a component of the cluster ---
 
     def handle_message(
         self, sender: Peer, incarnation: int, message: PeerMessage, now: float
--- a/paddlequay/cluster/liveness.py
+++ b/paddlequay/cluster/liveness.py
@@ -36,7 +36,7 @@
 
 
 class Liveness:
-    """Tells which peers are alive and whether this router is isolated; implements `Part`.
+    """Tells which peers are alive and whether this router is isolated; implements `Component`.
 
     `handle_datagram` is to be called for each datagram before its messages go to `handle_message`. The header
     of each datagram that is sent carries the current `incarnation`.
@@ -127,7 +127,7 @@
         return []
 
     def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
-        """Ignores the events of other parts."""
+        """Ignores the events of other components."""
         return []
 
     def tick(self, now: float) -> list[Action]:
--- a/paddlequay/cluster/members.py
+++ b/paddlequay/cluster/members.py
@@ -55,7 +55,7 @@
         return self._rng.sample(candidates, min(max_count, len(candidates)))
 
     def change_state(self, peer: Peer, state: PeerState) -> PeerChanged:
-        """Sets a peer's state, ends the timers of a suspicion, and returns the event for other parts."""
+        """Sets a peer's state, ends the timers of a suspicion, and returns the event for other components."""
         record = self._records[peer]
         record.state = state
         record.dead_at = NEVER
--- a/paddlequay/cluster/node.py
+++ b/paddlequay/cluster/node.py
@@ -1,7 +1,8 @@
-"""All parts of one router's cluster as one: messages in, datagrams out, events of one part to all the others.
+"""Joins the components of one router's cluster: messages in, datagrams out, events of one to all others.
 
-Pure like its parts: `net/cluster/peers.py` brings datagrams and time. Each call returns the events that the
-router itself has to know; what it asks at the moment of use it asks the parts (`limits`, `verdicts`).
+Pure like its components: `net/cluster/peers.py` brings datagrams and time. Each call returns the events that
+the router itself has to know; what it asks at the moment of use it asks the components (`limits`,
+`verdicts`).
 """
 
 import random
@@ -16,11 +17,11 @@
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import (
     Action,
+    Component,
     Fleet,
     LocalEvent,
     LogEvent,
     NameDigest,
-    Part,
     Peer,
     SendMessage,
     earliest,
@@ -31,11 +32,11 @@
 
 ClusterEvent = LocalEvent | LogEvent
 
-MAX_FOLLOWING_ACTIONS = 10_000  # that follow from one event: past it parts answer each other without end
+MAX_FOLLOWING_ACTIONS = 10_000  # that follow from one event; more means that components loop
 
 
 class EndlessEventsError(PaddlequayError, RuntimeError):
-    """Parts that send each other events without end, which is a fault of theirs."""
+    """Components that send each other events without end, which is a fault of theirs."""
 
     def __init__(self, action: Action) -> None:
         super().__init__(f"{MAX_FOLLOWING_ACTIONS} actions after one event, the last {action}")
@@ -43,7 +44,7 @@
 
 
 class Node:
-    """One router's cluster. Parts that the settings leave out are None. No message of a peer makes it raise.
+    """One router's cluster. Components that the settings leave out are None. A peer's message never raises.
 
     Args:
         settings: the installation's settings of the cluster.
@@ -87,12 +88,12 @@
                 max_request_s=max_request_s,
                 is_first_process=is_first_process,
             )
-        self.parts: list[Part] = []
-        self._part_by_message: dict[type[PeerMessage], Part] = {}
+        self.components: list[Component] = []
+        self._component_by_message: dict[type[PeerMessage], Component] = {}
         self.initial_actions: list[Action] = []  # taken at the first tick
-        for part in (self.liveness, self.verdicts, self.leases, self.limits):
-            if part is not None:
-                self.add_part(part, part.HANDLED_MESSAGES)
+        for component in (self.liveness, self.verdicts, self.leases, self.limits):
+            if component is not None:
+                self.add_component(component, component.HANDLED_MESSAGES)
         self._request_limit_leases(now)
 
     def _request_limit_leases(self, now: float) -> None:
@@ -102,10 +103,10 @@
         for lease in self.limits.leases:
             self.initial_actions += self.leases.request(lease, now)
 
-    def add_part(self, part: Part, handled_messages: Sequence[type[PeerMessage]]) -> None:
-        """Adds a part, which handles messages of these types."""
-        self.parts.append(part)
-        self._part_by_message.update(dict.fromkeys(handled_messages, part))
+    def add_component(self, component: Component, handled_messages: Sequence[type[PeerMessage]]) -> None:
+        """Adds a component, which handles messages of these types."""
+        self.components.append(component)
+        self._component_by_message.update(dict.fromkeys(handled_messages, component))
 
     def holds(self, lease: NameDigest, now: float) -> int | None:
         """Returns the term under which this router holds a lease now; None where it does not."""
@@ -116,23 +117,25 @@
     def handle_datagram(
         self, sender: Peer, header: Header, messages: Sequence[PeerMessage], now: float
     ) -> list[ClusterEvent]:
-        """Handles an accepted datagram and returns what the parts have found."""
+        """Handles an accepted datagram and returns what the components have found."""
         if self.leases is not None:
             self.leases.observe_counter(header.clock)
         events = self.execute(self.liveness.handle_datagram(sender, header.incarnation, now), now)
         for message in messages:
-            part = self._part_by_message.get(type(message))
-            if part is not None:
-                events += self.execute(part.handle_message(sender, header.incarnation, message, now), now)
+            component = self._component_by_message.get(type(message))
+            if component is not None:
+                events += self.execute(
+                    component.handle_message(sender, header.incarnation, message, now), now
+                )
         return events
 
     def tick(self, now: float) -> list[ClusterEvent]:
-        """Handles the passing of time and returns what the parts have found."""
+        """Handles the passing of time and returns what the components have found."""
         events = self.execute(self.initial_actions, now)
         self.initial_actions = []
-        for part in self.parts:
-            if part.due() <= now:
-                events += self.execute(part.tick(now), now)
+        for component in self.components:
+            if component.due() <= now:
+                events += self.execute(component.tick(now), now)
         return events
 
     def release_leases(self, now: float) -> list[ClusterEvent]:
@@ -145,18 +148,18 @@
 
     def due(self) -> float:
         """Returns when `tick` next has work."""
-        return earliest(self.parts) if not self.initial_actions else float("-inf")
+        return earliest(self.components) if not self.initial_actions else float("-inf")
 
     # --- actions ---
 
     def execute(self, actions: Sequence[Action], now: float) -> list[ClusterEvent]:
-        """Queues messages and gives events to all parts, until no action follows; returns the events.
+        """Queues messages and gives events to all components, until no action follows; returns the events.
 
         Raises:
-            EndlessEventsError: the parts answer each other without end.
+            EndlessEventsError: the components answer each other without end.
         """
         events: list[ClusterEvent] = []
-        pending = list(actions)
+        pending = list(actions)  # grows while it is iterated: events cause further actions
         for position, action in enumerate(pending):
             if position >= MAX_FOLLOWING_ACTIONS:
                 raise EndlessEventsError(action)
@@ -165,8 +168,8 @@
                 continue
             events.append(action)
             if not isinstance(action, LogEvent):
-                for part in self.parts:
-                    pending += part.handle_event(action, now)
+                for component in self.components:
+                    pending += component.handle_event(action, now)
         self._update_header()
         return events
 
--- a/paddlequay/cluster/outbox.py
+++ b/paddlequay/cluster/outbox.py
@@ -2,7 +2,7 @@
 
 The limit is a token bucket of `bytes_per_s` and `burst_bytes`. A datagram to all costs its length for each
 receiver. In any t seconds a router sends at most `burst_bytes + bytes_per_s * t`, and a fleet of n routers n
-times that, however many messages its parts send: messages wait, are replaced or dropped, and are counted.
+times that, however many messages components send: messages wait, are replaced or dropped, and are counted.
 
 `reserve_bytes`, one full datagram to all, is a part of the burst that only lease messages use. So a lease
 message goes at once unless lease messages have used the reserve themselves; then it waits no longer than the
@@ -24,7 +24,7 @@
 MAX_STALL_S = 0.25  # of sending that is not lost when the process is not run for so long
 # Part of the age of evidence: an age is fixed when it is packed, and verdicts allow 0.5 s for its way.
 CHANGE_AGE_DIVISOR = 8
-ROUTINE_MAX_AGE_S = 1.0  # parts repeat routine messages about once a second, and state them better then
+ROUTINE_MAX_AGE_S = 1.0  # components repeat routine messages about once a second, and state them better then
 ROUNDING_TOKENS = 1e-3  # so that rounding does not wake the driver for a token too few
 
 
--- a/paddlequay/cluster/placement_epochs.py
+++ b/paddlequay/cluster/placement_epochs.py
@@ -58,7 +58,7 @@
 
 
 class PlacementEpochs:
-    """The part of the cluster that says which epoch is in use here: a `Part`.
+    """The `Component` that says which epoch is in use here.
 
     `held_term` returns the term of `TABLES_LEASE`; `reacquire` gives that lease back and bids for it anew, as
     the order of terms is lost where all acceptors forget at once. `TableChanged.previous` is None where no
@@ -107,7 +107,7 @@
         """Returns the digests of the few tables that may still be used; all others need not be kept."""
         return self.follower.needed_tables(now)
 
-    # --- as a part of the cluster ---
+    # --- as a component of the cluster ---
 
     def handle_message(
         self, sender: Peer, incarnation: int, message: PeerMessage, now: float
--- a/paddlequay/cluster/settings.py
+++ b/paddlequay/cluster/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the cluster, as its parts take them; `schema/cluster.py` reads the file."""
+"""The settings of the cluster, as its components take them; `schema/cluster.py` reads the file."""
 
 from dataclasses import dataclass, field
 from enum import Enum
--- a/paddlequay/cluster/types.py
+++ b/paddlequay/cluster/types.py
@@ -1,6 +1,7 @@
-"""Types that the parts of the cluster share: names, settings, actions, events and the interface of a part.
+"""Types that the cluster's components share: names, settings, actions, events and the component interface.
 
-A part is a pure state machine: it receives messages, events of other parts and the time, and returns actions.
+A component is a pure state machine: it receives messages, events of other components and the time, and
+returns actions.
 `now` is the process's monotonic clock in seconds, which also runs while the process is stopped; clocks of
 different processes are never compared. Where safety rests on elapsed time, each side allows for the clock
 drift `ClusterBounds.drift_ratio`: what a router holds ends early by it, what it waits for ends late by it.
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Sends a message to one peer, or to all others (`to` None). A part never sends to its own router."""
+    """Sends a message to one peer, or to all others (`to` None). Components never send to their own router."""
 
     to: Peer | None
     message: PeerMessage
@@ -182,8 +183,8 @@
 Action = SendMessage | LogEvent | LocalEvent
 
 
-class Part(Protocol):
-    """One part of the cluster. Each call returns the actions to take now, in order."""
+class Component(Protocol):
+    """One component of the cluster. Each call returns the actions to take now, in order."""
 
     def handle_message(
         self, sender: Peer, incarnation: int, message: PeerMessage, now: float
@@ -192,7 +193,7 @@
         ...
 
     def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
-        """Handles an event of another part."""
+        """Handles an event of another component."""
         ...
 
     def tick(self, now: float) -> list[Action]:
@@ -204,6 +205,6 @@
         ...
 
 
-def earliest(parts: Iterable[Part]) -> float:
-    """Returns when the first of several parts is due."""
-    return min((part.due() for part in parts), default=NEVER)
+def earliest(components: Iterable[Component]) -> float:
+    """Returns when the first of several components is due."""
+    return min((component.due() for component in components), default=NEVER)
--- a/paddlequay/cluster/verdicts.py
+++ b/paddlequay/cluster/verdicts.py
@@ -62,7 +62,7 @@
 
 
 class Verdicts:
-    """Turns evidence into verdicts; implements `Part`. `record_attempt` takes this router's own attempts."""
+    """Turns evidence into verdicts; a `Component`. `record_attempt` takes this router's own attempts."""
 
     HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (Evidence,)
 
--- a/paddlequay/net/cluster/driver.py
+++ b/paddlequay/net/cluster/driver.py
@@ -1,6 +1,6 @@
-"""Has a router join and leave the cluster, and passes the events of the cluster's parts on.
+"""Has a router join and leave the cluster, and passes the events of the cluster's components on.
 
-The cluster's parts decide; the driver only carries. It exists only where the settings name a cluster.
+The cluster's components decide; the driver only carries. It exists only where the settings name a cluster.
 """
 
 import asyncio
@@ -142,7 +142,7 @@
 
         now = self.clock()
         channels = Channels(self.fleet, self.settings.bounds, rule, node.leases, session.random(), now)
-        node.add_part(channels, Channels.HANDLED_MESSAGES)
+        node.add_component(channels, Channels.HANDLED_MESSAGES)
 
         def execute(actions: Sequence[Action]) -> None:
             self.execute(node, actions)
--- a/paddlequay/net/cluster/event_log.py
+++ b/paddlequay/net/cluster/event_log.py
@@ -1,4 +1,4 @@
-"""Counts and logs the events of the cluster's parts, under names of their own.
+"""Counts and logs the events of the cluster's components, under names of their own.
 
 The names of counters, log lines and their fields stand here, whatever the types and attributes are named.
 """
--- a/paddlequay/net/cluster/placement_tables.py
+++ b/paddlequay/net/cluster/placement_tables.py
@@ -83,7 +83,7 @@
         self.tables = PlacementEpochs(
             node.fleet, node.settings.bounds, node.holds, partial(reacquire_lease, node)
         )
-        node.add_part(self.tables, PlacementEpochs.HANDLED_MESSAGES)
+        node.add_component(self.tables, PlacementEpochs.HANDLED_MESSAGES)
         now = self.clock()
         if node.leases is not None and node.fleet.me in node.fleet.acceptors:
             node.initial_actions += node.leases.request(TABLES_LEASE, now)
--- a/paddlequay/net/cluster/session.py
+++ b/paddlequay/net/cluster/session.py
@@ -53,7 +53,7 @@
         return random.Random(self._seed ^ self.node.liveness.incarnation)
 
     def execute(self, actions: Sequence[Action]) -> None:
-        """Executes actions of the cluster's parts; what is to be sent waits for the next flush."""
+        """Executes actions of the cluster's components; what is to be sent waits for the next flush."""
         self._handle_events(self.node.execute(actions, self._clock()))
 
     def release_leases(self) -> None:
