--- a/paddlequay/cluster/bid_schedule.py
+++ b/paddlequay/cluster/bid_schedule.py
@@ -1,4 +1,4 @@
-"""When the bids of a router act: an alarm for each bid, and a paced queue before elections."""
+"""When the bids of a router act: a timer for each bid, and a rate-limited queue of elections."""
 
 import heapq
 import random
@@ -18,7 +18,7 @@
     def __init__(self, bids: Mapping[NameDigest, Bid], rng: random.Random) -> None:
         self.bids = bids
         self.rng = rng
-        self._alarms: list[tuple[float, NameDigest]] = []
+        self._timers: list[tuple[float, NameDigest]] = []
         self._queue: list[NameDigest] = []
         self._tokens = MAX_ELECTIONS_AT_ONCE
         self._refilled_at = 0.0
@@ -26,33 +26,33 @@
     def wake(self, bid: Bid, at: float) -> None:
         """Sets when a bid acts next, in place of what was set before."""
         bid.next_action_at = at
-        heapq.heappush(self._alarms, (at, bid.lease))
+        heapq.heappush(self._timers, (at, bid.lease))
 
     def enqueue(self, bid: Bid) -> None:
-        """Has a bid wait until the pace admits its election."""
+        """Has a bid wait until the rate limit admits its election."""
         bid.phase = Phase.QUEUED
         self._queue.append(bid.lease)
         if len(self._queue) > 2 * MAX_BIDS:  # most of it is of bids that were given up
             self._queue = [each.lease for each in self.bids.values() if each.phase is Phase.QUEUED]
 
     def due(self) -> float:
-        """Returns when the first alarm rings or the next election may start, whichever comes first."""
-        alarm = self._alarms[0][0] if self._alarms else NEVER
+        """Returns when the first timer fires or the next election may start, whichever comes first."""
+        timer_at = self._timers[0][0] if self._timers else NEVER
         if not self._queue:
-            return alarm
-        return min(alarm, self._refilled_at + max(0.0, 1 - self._tokens) / ELECTIONS_PER_S)
+            return timer_at
+        return min(timer_at, self._refilled_at + max(0.0, 1 - self._tokens) / ELECTIONS_PER_S)
 
     def due_bids(self, now: float) -> Iterator[Bid]:
         """Yields the bids whose time has come, also those that are woken meanwhile."""
-        while self._alarms and self._alarms[0][0] <= now:
-            at, lease = heapq.heappop(self._alarms)
+        while self._timers and self._timers[0][0] <= now:
+            at, lease = heapq.heappop(self._timers)
             bid = self.bids.get(lease)
             if bid is not None and bid.next_action_at == at:
                 bid.next_action_at = NEVER
                 yield bid
 
     def admitted_elections(self, now: float) -> Iterator[Bid]:
-        """Yields the queued bids that the pace admits now.
+        """Yields the queued bids that the rate limit admits now.
 
         In random order, so that routers that lost the same holder seldom bid for the same lease at once.
         """
--- a/paddlequay/cluster/bids.py
+++ b/paddlequay/cluster/bids.py
@@ -10,7 +10,7 @@
     """Where a bid stands."""
 
     WAITING = "waiting"  # for its next election
-    QUEUED = "queued"  # for the pace of elections
+    QUEUED = "queued"  # for the rate limit of elections
     PREPARING = "preparing"
     PROPOSING = "proposing"
     HOLDING = "holding"
@@ -39,7 +39,7 @@
         rounds: The rounds whose answers still count, by number.
         held_until: The lease is held before that.
         renew_at: When the next round is due.
-        hurries_until: Until then the bid does not wait for the pace: the lease was left to this router.
+        priority_until: Until then the bid skips the rate limit, as this router is the successor.
     """
 
     lease: NameDigest
@@ -55,7 +55,7 @@
     rounds: dict[int, Round] = field(default_factory=dict)
     held_until: float = 0.0
     renew_at: float = 0.0
-    hurries_until: float = 0.0
+    priority_until: float = 0.0
 
     @property
     def is_in_election(self) -> bool:
--- a/paddlequay/cluster/elections.py
+++ b/paddlequay/cluster/elections.py
@@ -136,10 +136,10 @@
         return [LeaseAcquired(bid.lease, bid.ballot, bid.held_until)]
 
     def advance(self, bid: Bid, now: float) -> list[Action]:
-        """Does what is due for a bid whose alarm has rung."""
+        """Does what is due for a bid whose timer has fired."""
         if self.has_lapsed(bid, now):
             return self.lose_lease(bid, now)
-        if bid.phase is Phase.WAITING and now < bid.hurries_until:
+        if bid.phase is Phase.WAITING and now < bid.priority_until:
             return self.start(bid, now)
         if bid.phase is Phase.WAITING:
             self.schedule.enqueue(bid)
@@ -154,7 +154,7 @@
         """Gives a lapsed lease up, and bids for it again after a backoff."""
         lost = LeaseLost(bid.lease, bid.ballot)
         released = self.release(bid, self.fleet.me)
-        self._wait(bid, now, self.timing.draw_jitter())
+        self._wait(bid, now, self.timing.draw_jittered_backoff())
         return [lost, *released]
 
     def release(self, bid: Bid, successor: Peer) -> list[Action]:
@@ -198,8 +198,8 @@
         """Ends an election, and bids again when a majority may vote, or after a backoff."""
         actions = self.release(bid, self.fleet.me) if bid.phase is Phase.PROPOSING else []
         majority_after = self._majority_after(bid)
-        if now < bid.hurries_until:
-            wait = self.timing.draw_hurried_backoff()
+        if now < bid.priority_until:
+            wait = self.timing.draw_priority_backoff()
         elif majority_after > 0:
             bid.lost_elections = 0
             wait = majority_after + self.timing.draw_unlock_spread()
--- a/paddlequay/cluster/proposer.py
+++ b/paddlequay/cluster/proposer.py
@@ -133,14 +133,14 @@
         return [HolderObserved(message.lease, message.holder, message.holder_ballot)]
 
     def _handle_release(self, message: Release, now: float) -> list[Action]:
-        """Starts an election at once, whatever the pace, where this router bids and is the successor."""
+        """Starts an election at once, outside the rate limit, where this router bids and is the successor."""
         bid = self.bids.get(message.lease)
         if message.successor != self.fleet.me or bid is None:
             return []
         if bid.phase not in (Phase.WAITING, Phase.QUEUED):
             return []
         self.observe_counter(counter_of(message.ballot))
-        bid.hurries_until = now + self.elections.timing.hurry()
+        bid.priority_until = now + self.elections.timing.priority_window()
         return self.elections.start(bid, now)
 
     # --- time ---
@@ -150,7 +150,7 @@
         return self.schedule.due()
 
     def tick(self, now: float) -> list[Action]:
-        """Acts for the bids whose time has come, and starts the elections that the pace admits."""
+        """Acts for the bids whose time has come, and starts the elections that the rate limit admits."""
         actions: list[Action] = []
         for bid in self.schedule.due_bids(now):
             actions += self.elections.advance(bid, now)
--- a/paddlequay/cluster/types.py
+++ b/paddlequay/cluster/types.py
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Sends a message to one peer, or to all others (`to` None). Components never send to their own router."""
+    """Sends a message to one peer, or to all others (`to` None), never to the component itself."""
 
     to: Peer | None
     message: PeerMessage
