--- a/paddlequay/cluster/owner_search.py
+++ b/paddlequay/cluster/owner_search.py
@@ -19,13 +19,26 @@
 FOLLOW_INTERVAL_S = 1.0
 OWNER_TIMEOUT_S = 1.2  # well under a lease, and over two lost heartbeats
 MAX_BID_DELAY_S = 0.4
-BIDDERS_COUNT = 64.0  # up to so many routers few bids are first
-DENIAL_MEMORY_S = 1.0  # meanwhile acceptors' reports that name the denying peer are stale
-BID_PATIENCE_S = 0.25  # one acceptor's report may stem from an election that fails
+BIDDERS_COUNT = 64.0  # expected bidders at most: the more, the rarer are short delays
+DENIAL_MEMORY_S = 1.0  # time during which acceptors' reports that name the denying peer are ignored
+BID_PATIENCE_S = 0.25  # age until which a bid ignores reported holders, who may yet lose their election
 BIDS_PER_S = 10.0
 MAX_BURST_BIDS = 4.0
 
 
+def reversed_exponential(draw: float, count: float) -> float:
+    """Maps a uniform draw to a delay between 0 and 1 whose density grows exponentially towards 1.
+
+    The delay is 1 less an exponential variable of mean 1 / ln(count), and 0 where that is negative: with a
+    probability of 1 / count. So about one of `count` routers has no delay.
+
+    Args:
+        draw: A uniform draw, at least 0 and below 1.
+        count: The number of routers that draw, above 1.
+    """
+    return max(0.0, 1 + math.log(1 - draw) / math.log(count))
+
+
 class OwnerSearch:
     """Searches the owners of the bundles that are read here. Owns the bid budget; `rng` is seeded per run."""
 
@@ -112,7 +125,7 @@
         Uniform delays of many routers lie closer together than an election takes, and all elections would
         fail (compare suppressed feedback: Nonnenmacher and Biersack, 1999).
         """
-        return MAX_BID_DELAY_S * max(0.0, 1 + math.log(1 - self.rng.random()) / math.log(BIDDERS_COUNT))
+        return MAX_BID_DELAY_S * reversed_exponential(self.rng.random(), BIDDERS_COUNT)
 
     def should_withdraw_bid(self, bundle: Bundle, now: float) -> bool:
         """Returns whether a pending bid has found another holder, or nothing here needs it any more."""
--- a/paddlequay/cluster/quota_client.py
+++ b/paddlequay/cluster/quota_client.py
@@ -1,5 +1,6 @@
 """A router's side of quotas: requests them from the holders of limits, and uses the grants that come."""
 
+from collections.abc import Sequence
 from dataclasses import dataclass
 from itertools import count
 
@@ -19,11 +20,12 @@
 )
 
 MAX_SENT_REQUESTS = 16  # of a limit whose answers are still accepted
-NUMBER_BITS = 20  # of a request's number below the incarnation: two processes never use the same number
-NUMBER_MODULUS = 2**63
+NUMBER_BITS = 20  # low bits of a request's number, which count; the incarnation is above them
+NUMBER_MODULUS = 2**63  # the numbers that a message's field holds
+EVERY_PEER = (None,)  # as receivers: `SendMessage.to` is None for a message to all
 MAX_REQUESTS_PER_GRANT = 12  # within a grant's validity, of a limit that rejects
 
-# As parts of a grant's validity.
+# As ratios of a grant's validity.
 RENEWAL_RATIO = 2 / 3  # until a grant is renewed: two attempts are left before its end
 RETRY_RATIO = 1 / 7  # until a request without an answer is sent again, later each time
 
@@ -36,6 +38,12 @@
     holder: Peer
 
 
+def first_request_number(incarnation: int) -> int:
+    """Returns the number of a process's first request; the numbers of two processes differ."""
+    counted_from = (incarnation << NUMBER_BITS) % NUMBER_MODULUS
+    return counted_from + 1
+
+
 class QuotaClient:
     """Requests quotas for the local limits of a router. `incarnation` is that of its process."""
 
@@ -49,7 +57,7 @@
         self.granter = granter
         self.schedule = RequestSchedule(limits)
         self._holders: dict[NameDigest, KnownHolder] = {}
-        self._numbers = count((incarnation << NUMBER_BITS) % NUMBER_MODULUS + 1)
+        self._numbers = count(first_request_number(incarnation))
 
     def observe_holder(self, lease: NameDigest, holder: Peer, term: int) -> None:
         """Remembers the holder of a lease, unless one of a later term is known."""
@@ -64,7 +72,7 @@
         self.schedule.request_by(name, limit, max(now, soonest))
 
     def record_admission(self, name: NameDigest, limit: LocalLimit, now: float) -> None:
-        """Has the quota renewed in time."""
+        """Schedules the renewal of the quota before its grant ends."""
         self.schedule.request_by(name, limit, max(now, self._renewal_at(limit)))
 
     def due(self) -> float:
@@ -154,7 +162,7 @@
         return number
 
     def _schedule_retry(self, name: NameDigest, limit: LocalLimit, now: float) -> None:
-        """Schedules the next request; without answers each wait is as long as all before it."""
+        """Schedules the next request; without answers the wait doubles, up to a grant's validity."""
         wait = max(self.bounds.grant_validity_s * RETRY_RATIO, now - limit.unanswered_since)
         self.schedule.request_by(name, limit, now + min(wait, self.bounds.grant_validity_s))
 
@@ -166,18 +174,23 @@
             self.handle_grant(me, grant, now)
 
     def _send_request(self, limit: LocalLimit, request: QuotaRequest, now: float) -> list[Action]:
-        """Sends a request to the known holder; to all that may hold the lease where nobody has answered."""
+        """Sends a request to the known holder, or to all acceptors where it is unknown or does not answer.
+
+        A broadcast is sent once a grant's validity at most. Within that time after one, a request goes to the
+        known holder alone, and is not sent at all where none is known. Without another acceptor it goes to all peers.
+        """
         holder = self._other_holder(limit.fleet_limit.lease)
-        patience_s = self.bounds.grant_validity_s
-        asked_all_lately = now < limit.last_broadcast_at + patience_s
-        answer_may_come = now < limit.unanswered_since + patience_s
-        if holder is not None and (answer_may_come or asked_all_lately):
+        answer_timeout_s = self.bounds.grant_validity_s
+        was_broadcast_lately = now < limit.last_broadcast_at + answer_timeout_s
+        may_be_answered = now < limit.unanswered_since + answer_timeout_s
+        if holder is not None and (may_be_answered or was_broadcast_lately):
             return [SendMessage(holder, request, Urgency.CHANGE)]
-        if asked_all_lately:
+        if was_broadcast_lately:
             return []
         limit.last_broadcast_at = now
-        voters = [peer for peer in self.fleet.acceptors if peer != self.fleet.me]
-        return [SendMessage(peer, request, Urgency.CHANGE) for peer in voters or (None,)]
+        other_acceptors = [peer for peer in self.fleet.acceptors if peer != self.fleet.me]
+        receivers: Sequence[Peer | None] = other_acceptors or EVERY_PEER
+        return [SendMessage(peer, request, Urgency.CHANGE) for peer in receivers]
 
     def _renewal_at(self, limit: LocalLimit) -> float:
         return limit.last_request_at + self.bounds.grant_validity_s * RENEWAL_RATIO
