--- a/paddlequay/cluster/node.py
+++ b/paddlequay/cluster/node.py
@@ -119,7 +119,7 @@
     ) -> list[ClusterEvent]:
         """Handles an accepted datagram and returns what the components have found."""
         if self.leases is not None:
-            self.leases.observe_counter(header.clock)
+            self.leases.observe_counter(header.ballot_counter)
         events = self.execute(self.liveness.handle_datagram(sender, header.incarnation, now), now)
         for message in messages:
             component = self._component_by_message.get(type(message))
@@ -174,7 +174,7 @@
         return events
 
     def _update_header(self) -> None:
-        """Makes the next datagrams carry the present incarnation and clock."""
+        """Makes the next datagrams carry the present incarnation and ballot counter."""
         self.wire.incarnation = self.liveness.incarnation
         if self.leases is not None:
-            self.wire.clock = max(self.wire.clock, self.leases.highest_counter)
+            self.wire.ballot_counter = max(self.wire.ballot_counter, self.leases.highest_counter)
--- a/paddlequay/cluster/quota_client.py
+++ b/paddlequay/cluster/quota_client.py
@@ -177,7 +177,8 @@
         """Sends a request to the known holder, or to all acceptors where it is unknown or does not answer.
 
         A broadcast is sent once a grant's validity at most. Within that time after one, a request goes to the
-        known holder alone, and is not sent at all where none is known. Without another acceptor it goes to all peers.
+        known holder alone, and is not sent at all where none is known. Without another acceptor it
+        goes to all peers.
         """
         holder = self._other_holder(limit.fleet_limit.lease)
         answer_timeout_s = self.bounds.grant_validity_s
--- a/paddlequay/cluster/wire.py
+++ b/paddlequay/cluster/wire.py
@@ -1,6 +1,7 @@
 """Datagrams between routers: messages packed with a header, and the checks on what is received.
 
-A datagram is 8 bytes of tag and one msgpack array: version, sender, incarnation, sequence, clock, messages.
+A datagram is 8 bytes of tag and one msgpack array: version, sender, incarnation, sequence, ballot counter,
+messages.
 Each message is an array of its `KIND` and its fields. The tag is blake2s over the array, keyed by the
 installation's name, so that datagrams of another installation and altered ones are rejected. The name is no
 secret: the tag guards against mistakes. The network vouches for the sender's address, and the address for the
@@ -38,11 +39,11 @@
 
 # Ballots count elections, not renewals. At 100 a second a router that was isolated for over a year is still
 # below this; a counter with a broken high bit is above it.
-MAX_CLOCK_JUMP = 1 << 32
-# What a router that has received nothing yet accepts as the fleet's clock. Should the first clock be wrong,
-# others reject this router's datagrams, and their own counters keep their room (2^63 by 4096 routers is
-# 2^51).
-MAX_FIRST_CLOCK = 1 << 48
+MAX_COUNTER_JUMP = 1 << 32
+# What a router that has received nothing yet accepts as the fleet's ballot counter. Should it be wrong,
+# others reject this router's datagrams, and their own counters still have room to grow (2^63 by 4096 routers
+# is 2^51).
+MAX_FIRST_COUNTER = 1 << 48
 
 UNPACK_LIMITS: dict[str, Any] = {
     "use_list": False,
@@ -67,7 +68,7 @@
     OWN = "own"  # sent by this router to all
     STALE = "stale"  # of an incarnation that has ended, or from before the window
     REPEATED = "repeated"
-    CLOCK = "clock"  # the sender's clock is too far ahead
+    CLOCK = "clock"  # the sender's ballot counter is too far ahead
 
 
 class RejectedDatagramError(ProtocolError):
@@ -86,7 +87,7 @@
     sender: Peer
     incarnation: int
     sequence: int
-    clock: int  # the highest counter of a lease's ballot that the sender has seen
+    ballot_counter: int  # the highest counter of a lease's ballot that the sender has seen
 
 
 @dataclass(frozen=True, slots=True)
@@ -147,7 +148,7 @@
 
     def pack_header(self, header: Header) -> bytes:
         """Packs the items of a header, without the array's own header."""
-        items = (header.version, header.sender, header.incarnation, header.sequence, header.clock)
+        items = (header.version, header.sender, header.incarnation, header.sequence, header.ballot_counter)
         return b"".join(self._packer.pack(item) for item in items)
 
     def pack(self, header: Header, packed_messages: Sequence[bytes]) -> bytes:
@@ -228,7 +229,7 @@
 class Wire:
     """One router's end: numbers the datagrams that it sends, and tracks those received of each peer.
 
-    The owners of `incarnation` and `clock` may raise them; a received clock raises `clock` too.
+    The owners of `incarnation` and `ballot_counter` may raise them; a received ballot counter raises it too.
     """
 
     def __init__(self, codec: Codec, fleet: Fleet, incarnation: int) -> None:
@@ -236,12 +237,14 @@
         self.fleet = fleet
         self.incarnation = incarnation
         self.sequence = 0
-        self.clock = 0
+        self.ballot_counter = 0
         self.windows: dict[Peer, ReplayWindow] = {}  # of peers that were received; at most the fleet's size
 
     def next_header(self) -> Header:
         """Returns the header of the next datagram."""
-        return Header(self.codec.writes, self.fleet.me, self.incarnation, self.sequence + 1, self.clock)
+        return Header(
+            self.codec.writes, self.fleet.me, self.incarnation, self.sequence + 1, self.ballot_counter
+        )
 
     def available_bytes(self) -> int:
         """Returns the bytes for messages in the next datagram, as if the array were long."""
@@ -274,7 +277,7 @@
             self.windows[header.sender] = ReplayWindow(header.incarnation, header.sequence)
         else:
             window.record(header.incarnation, header.sequence)
-        self.clock = max(self.clock, header.clock)
+        self.ballot_counter = max(self.ballot_counter, header.ballot_counter)
         return received
 
     def _find_reject_reason(self, header: Header, source: Peer | None) -> RejectReason | None:
@@ -288,7 +291,7 @@
             return RejectReason.STALE
         if window is not None and window.is_repeated(header.incarnation, header.sequence):
             return RejectReason.REPEATED
-        max_clock = self.clock + MAX_CLOCK_JUMP if self.windows else MAX_FIRST_CLOCK
-        if header.clock > max_clock:
+        max_ballot_counter = self.ballot_counter + MAX_COUNTER_JUMP if self.windows else MAX_FIRST_COUNTER
+        if header.ballot_counter > max_ballot_counter:
             return RejectReason.CLOCK
         return None
--- a/paddlequay/lab/table_world.py
+++ b/paddlequay/lab/table_world.py
@@ -111,7 +111,7 @@
             else:
                 self._check(action)
                 actions += self.leases.handle_event(action, now) + self.tables.handle_event(action, now)
-        self.wire.clock = max(self.wire.clock, self.leases.highest_counter)
+        self.wire.ballot_counter = max(self.wire.ballot_counter, self.leases.highest_counter)
         for packet in self.outbox.take(now):
             receivers = range(self.world.size) if packet.to is None else (packet.to,)
             for to in receivers:
@@ -142,7 +142,7 @@
         actions: list[Action] = []
         if not isinstance(received, ReceivedDatagram):
             return actions
-        self.leases.observe_counter(received.header.clock)
+        self.leases.observe_counter(received.header.ballot_counter)
         for message in received.messages:
             part = self.leases if isinstance(message, self.leases.HANDLED_MESSAGES) else self.tables
             if isinstance(message, part.HANDLED_MESSAGES):
--- a/tests/cluster/test_wire.py
+++ b/tests/cluster/test_wire.py
@@ -247,17 +247,22 @@
     assert not b.windows
 
 
-def test_a_received_clock_raises_the_own_one_and_a_jump_is_rejected() -> None:
+def test_a_received_ballot_counter_raises_the_own_one_and_a_jump_is_rejected() -> None:
     a, b = ends()
     c = Wire(CODEC, Fleet(2, SIZE), 1)
-    a.clock = 9 * w.MAX_CLOCK_JUMP  # a router that starts late takes the fleet's clock, however far it is
+    # A router that starts late takes the fleet's counter, however far it is.
+    a.ballot_counter = 9 * w.MAX_COUNTER_JUMP
     assert isinstance(b.read(a.write([]), 0), ReceivedDatagram)
-    assert b.clock == a.clock
-    c.clock = b.clock + w.MAX_CLOCK_JUMP + 1
+    assert b.ballot_counter == a.ballot_counter
+    c.ballot_counter = b.ballot_counter + w.MAX_COUNTER_JUMP + 1
     refused = c.write([])
-    assert (b.read(refused, 2), b.clock, list(b.windows)) == (RejectReason.CLOCK, a.clock, [0])
-    c.clock -= 1
+    assert (b.read(refused, 2), b.ballot_counter, list(b.windows)) == (
+        RejectReason.CLOCK,
+        a.ballot_counter,
+        [0],
+    )
+    c.ballot_counter -= 1
     assert isinstance(b.read(c.write([]), 2), ReceivedDatagram)
-    assert b.clock == c.clock
-    a.clock = w.MAX_FIRST_CLOCK + 1
+    assert b.ballot_counter == c.ballot_counter
+    a.ballot_counter = w.MAX_FIRST_COUNTER + 1
     assert Wire(CODEC, Fleet(1, SIZE), 1).read(a.write([]), 0) is RejectReason.CLOCK
