--- a/paddlequay/lab/cluster_model_runs.py
+++ b/paddlequay/lab/cluster_model_runs.py
@@ -189,8 +189,7 @@
     others_dead = {
         change.peer
         for change in deaths
-        if change.peer != VICTIM
-        and change.router != VICTIM
+        if VICTIM not in (change.peer, change.router)
         and auditor.simulation.routers[change.peer].zone != victim_zone
         and change.at > begin
     }
@@ -277,8 +276,8 @@
     simulation.run(seconds)
     workload = auditor.workload
     return DayResult(
-        simulation.history.hexdigest(),
-        simulation.event_count,
+        simulation.history.digest(),
+        simulation.history.event_count,
         dict(sorted(faults.counts.items())),
         workload.max_limit_ratio,
         auditor.double_holders,
--- a/paddlequay/policy/attempt_results.py
+++ b/paddlequay/policy/attempt_results.py
@@ -1,7 +1,5 @@
 """Attempt results: which member an outcome counts for or against, and what the request learns from it."""
 
-import math
-
 from paddlequay.policy.concurrency_limits import FILL_RATIO
 from paddlequay.policy.origin_shedding import is_origin_slow
 from paddlequay.policy.outlier_ejection import RECENT_SUCCESS_S
@@ -36,7 +34,7 @@
         if event.outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             request.failed_members.append(attempt.target.member.name)
             return []
-        self.state.hot_objects.drop_holder(request.object_state, attempt.target.member.name)
+        self.state.hot_objects.drop_holder(request.part_state, attempt.target.member.name)
         if event.outcome is Outcome.MISS:
             return self.handle_miss(request, attempt, now)
         return self.handle_failed(request, attempt, event, now)
@@ -47,7 +45,7 @@
         request.failed_members.append(source.member.name)
         if source.tier is CacheTier.PARENT:
             request.source_missed = True
-        self.state.hot_objects.drop_holder(request.object_state, source.member.name)
+        self.state.hot_objects.drop_holder(request.part_state, source.member.name)
         return self.state.outliers.record_success(attempt.target, now)
 
     def handle_failed(
@@ -71,7 +69,7 @@
         if event.outcome is Outcome.TIMEOUT and at_fault.last_success_at > attempt.sent_at:
             # The member is slow and not unresponsive. Ejecting it would move its load to members as busy, and
             # its fills to a parent that lacks the objects. Limits and longer time-outs answer for slowness.
-            self.state.latency.adjust_ratio(request, math.inf)
+            self.state.latency.record_timeout(request)
             return []
         if self.is_request_at_fault(request, event, at_fault, now):
             return []
