--- a/paddlequay/cluster/placement_epochs.py
+++ b/paddlequay/cluster/placement_epochs.py
@@ -5,9 +5,9 @@
 each router takes it up as soon as it has that table itself. docs/cluster/tables.md has the argument and the
 bounds.
 
-A router counts on its epoch for `ClusterBounds.epoch_s` of its own clock from when it last heard that the
-epoch is in use, and is asked at the moment of use. After that it places objects as without rules, which all
-routers can.
+A router counts on its epoch for `ClusterBounds.epoch_validity_s` of its own clock from when it last heard
+that the epoch is in use, and is asked at the moment of use. After that it places objects as without rules,
+which all routers can.
 """
 
 from collections.abc import Callable
@@ -58,7 +58,7 @@
 
 
 class PlacementEpochs:
-    """The part of the cluster that says which epoch is in use here: a `Part`.
+    """The `Component` that says which epoch is in use here.
 
     `held_term` returns the term of `TABLES_LEASE`; `reacquire` gives that lease back and bids for it anew, as
     the order of terms is lost where all acceptors forget at once. `TableChanged.previous` is None where no
@@ -75,7 +75,7 @@
         self.fleet = fleet
         self.reacquire = reacquire
         self.proposer = self.proposer_kind(fleet, bounds, held_term)
-        self.follower = self.follower_kind(bounds.epoch_s)
+        self.follower = self.follower_kind(bounds.epoch_validity_s)
         self.holder: Peer | None = None
         self.highest_term = 0  # heard of from a holder
         self.highest_epoch = 0  # heard of
@@ -107,7 +107,7 @@
         """Returns the digests of the few tables that may still be used; all others need not be kept."""
         return self.follower.needed_tables(now)
 
-    # --- as a part of the cluster ---
+    # --- as a component of the cluster ---
 
     def handle_message(
         self, sender: Peer, incarnation: int, message: PeerMessage, now: float
