--- a/tests/hierarchy/test_topology_feed.py
+++ b/tests/hierarchy/test_topology_feed.py
@@ -82,7 +82,8 @@
             node("a", ready.address("a"), "store"), node("gone", ready.address("gone"), "store")
         )
     ready.wait_for_version(4)
-    until(lambda: b'"version":4' in (ready.folder / "shape-a").read_bytes(), "the topology is saved")
+    saved = ready.folder / "shape-a"
+    until(lambda: saved.exists() and b'"version":4' in saved.read_bytes(), "the topology is saved")
     ready.processes["a"].kill()
     ready.processes["a"].wait()
     ready.feed.stop()
