--- a/paddlequay/cluster/acceptor.py
+++ b/paddlequay/cluster/acceptor.py
@@ -1,8 +1,8 @@
-"""The acceptor of leases: for each lease a timed lock in memory, and the ballots that may ask for it.
+"""The acceptor's side of leases: a timed lock and a promised ballot for each lease, in memory.
 
-PaxosLease (Trencseni, Gazso and Reinhardt, 2012) with two stricter rules. A running lock is never overwritten
-by another owner, whatever its ballot; the acceptor names the holder and promises nothing, so requests never
-disturb renewals. An acquisition is accepted only under a promise that this process gave lately.
+The protocol is PaxosLease (Trencseni, Gazso and Reinhardt, 2012) with two stricter rules. A running lock is
+never given to another owner, however high its ballot: the acceptor names the holder and promises nothing, so
+that requests never disturb renewals. An acquisition is accepted only under a recent promise of this process.
 docs/cluster/leases.md has the proof.
 """
 
@@ -14,31 +14,31 @@
 from paddlequay.cluster.messages import Accept, PeerMessage, Prepare, Promise, Propose, Reject, Release
 from paddlequay.cluster.types import NEVER, ClusterBounds, NameDigest, Peer
 
-MAX_VOTES = 8192  # about 2 MB; requests for more leases are told to come later
+MAX_VOTES = 8192  # about 2 MB; requests for further leases are answered with a retry time
 
 # As multiples of the longest lease.
-VOTE_RETENTION_RATIO = 2.0  # after the last use, so that ballots stay in order
-PROMISE_RATIO = 0.5  # a proposer gives up after two phases of a fifth each
-SUCCESSOR_RATIO = 0.2  # for which a released lock is reserved for the successor
+VOTE_RETENTION_RATIO = 2.0  # retention of a vote after its last use, so that ballots stay in order
+PROMISE_RATIO = 0.5  # how long a promise binds; a proposer gives up after two phases of 0.2 each
+SUCCESSOR_RATIO = 0.2  # how long a released lock is reserved for the successor
 
 
 def round_up_ms(seconds: float) -> int:
-    """Returns whole milliseconds, never less than `seconds`."""
+    """Returns a duration in whole milliseconds, rounded up."""
     return math.ceil(seconds * 1000)
 
 
 @dataclass(slots=True)
 class Vote:
-    """What an acceptor remembers of one lease. Times are seconds of its own clock.
+    """An acceptor's state of one lease. Times are seconds of its own clock.
 
     Attributes:
         promised: The highest ballot that was promised or accepted.
-        promise_until: Until then the promise keeps lower ballots off and admits its own acquisition.
-        lock_ballot: The ballot that the lock was last given to.
-        locked_until: The end of the lock, later than the end that its holder counts.
-        min_ballot: Lower ballots are over: a higher one had the lock, or they were released.
-        successor: The router that a released lock is reserved for, until `successor_until`.
-        forget_at: When the vote may be dropped.
+        promise_until: Until then lower ballots are rejected, and the promised one may acquire the lease.
+        lock_ballot: The ballot that last obtained the lock.
+        locked_until: The end of the lock, later than the end by the holder's own count.
+        min_ballot: Lower ballots are rejected: it is that of the last lock, or above the last released one.
+        successor: The router for which a released lock is reserved until `successor_until`.
+        forget_at: When the vote may be deleted.
     """
 
     promised: int = 0
@@ -51,12 +51,13 @@
     forget_at: float = 0.0
 
 
-class Acceptor:
+class LeaseAcceptor:
     """Votes on many leases. The answer to a message goes back to its sender.
 
     Attributes:
-        votes_from: The acceptor does not vote before: by then every lock of its former process has ended.
-        promise_floor: What leases without a vote count as promised; None while the acceptor does not vote.
+        votes_from: When the acceptor starts to vote; by then all locks of its former process have ended.
+        promise_floor: The ballot that counts as promised for a lease without a vote; None until the acceptor
+            votes.
     """
 
     def __init__(self, bounds: ClusterBounds, now: float) -> None:
@@ -67,20 +68,20 @@
         self._expiry: list[tuple[float, NameDigest]] = []
 
     def due(self) -> float:
-        """Returns when the acceptor starts to vote, or when the first vote may be dropped."""
+        """Returns when the acceptor starts to vote or, once it does, when the first vote may be deleted."""
         if self.promise_floor is None:
             return self.votes_from
         return self._expiry[0][0] if self._expiry else NEVER
 
     def tick(self, highest_counter: int, now: float) -> None:
-        """Starts to vote when the restart delay is over, and drops votes that are no longer needed.
+        """Starts to vote once the restart delay has passed, and deletes votes whose retention has ended.
 
         Args:
-            highest_counter: The highest ballot counter that this router has heard of.
+            highest_counter: The highest ballot counter that this router has observed.
             now: Seconds of this process's clock.
         """
         if self.promise_floor is None and self.seconds_until_voting(now) <= 0:
-            # Terms given by the former process are at most as high as what others have told by now.
+            # By now other routers have reported a counter as high as any term of the former process.
             self.promise_floor = self.floor_after_restart(highest_counter)
         while self._expiry and self._expiry[0][0] <= now:
             expires_at, lease = heapq.heappop(self._expiry)
@@ -92,17 +93,17 @@
             del self.votes[lease]
 
     def seconds_until_voting(self, now: float) -> float:
-        """Returns the seconds for which this acceptor does not vote; 0 or less once it does."""
+        """Returns the seconds until this acceptor votes; 0 or less once it does."""
         return self.votes_from - now
 
     def floor_after_restart(self, highest_counter: int) -> int:
-        """Returns the ballot up to which a restarted acceptor promises nothing."""
+        """Returns the highest ballot that a restarted acceptor does not promise."""
         return highest_of_counter(highest_counter)
 
     def handle_message(
         self, sender: Peer, message: PeerMessage, highest_counter: int, now: float
     ) -> PeerMessage | None:
-        """Answers a proposer's message; ignores one whose ballot is not its sender's."""
+        """Answers a proposer's message; ignores a message whose ballot another router made."""
         self.tick(highest_counter, now)
         match message:
             case Prepare(ballot=ballot) if ballot == 0 or router_of(ballot) == sender:
@@ -114,7 +115,7 @@
         return None
 
     def _prepare(self, sender: Peer, message: Prepare, now: float) -> PeerMessage:
-        """Promises a ballot, or names the holder. Ballot 0 is never high enough for a promise."""
+        """Promises or rejects a ballot, or names the holder. Ballot 0 is a query and is never promised."""
         if self.promise_floor is None:
             return _retry_after(message, self.seconds_until_voting(now))
         vote = self.votes.get(message.lease)
@@ -140,7 +141,7 @@
     def _propose(self, message: Propose, now: float) -> PeerMessage | None:
         """Locks the lease for the sender, or rejects its ballot.
 
-        Ignores a duration longer than the restart delay covers: its sender has other settings.
+        Ignores a proposal for longer than the restart delay covers: its sender has other settings.
         """
         duration_s = message.duration_ms / 1000
         if not 0 < duration_s <= self.bounds.lease_s:
@@ -167,13 +168,14 @@
         return Accept(message.lease, message.ballot, message.round_number)
 
     def is_locked_by_other(self, vote: Vote, ballot: int, now: float) -> bool:
-        """Returns whether a lock of another owner than the ballot's runs now."""
+        """Returns whether the lock is running and belongs to another run than the one that made `ballot`."""
         return now < vote.locked_until and run_of(vote.lock_ballot) != run_of(ballot)
 
     def may_accept(self, vote: Vote, message: Propose, now: float) -> bool:
-        """Returns whether the ballot of a proposal is not too old.
+        """Returns whether the ballot of a proposal is recent enough.
 
-        An acquisition needs its own promise to bind; a renewal needs that no higher promise binds.
+        An acquisition requires that the promise of its own ballot still binds; a renewal requires that no
+        promise of a higher ballot does.
         """
         promise_binds = now < vote.promise_until
         if message.round_number == 0:
@@ -181,11 +183,11 @@
         return message.ballot >= vote.min_ballot and (message.ballot >= vote.promised or not promise_binds)
 
     def lock_end(self, duration_s: float, now: float) -> float:
-        """Returns when a lock given now ends: later than its holder counts, by the clock drift."""
+        """Returns when a lock given now ends: by the clock drift later than its holder counts."""
         return now + duration_s * (1 + self.bounds.drift_ratio)
 
     def _release(self, sender: Peer, message: Release, now: float) -> None:
-        """Opens the lock, and keeps messages under its ballot that are still on their way from closing it."""
+        """Unlocks the lease, and keeps delayed messages under the released ballot from locking it again."""
         vote = self.votes.get(message.lease)
         if vote is None:
             return
--- a/paddlequay/cluster/ballots.py
+++ b/paddlequay/cluster/ballots.py
@@ -1,7 +1,8 @@
-"""Ballots of leases: a counter, the router that made the ballot, and a nonce of the run of that router.
+"""Ballots of leases: a counter, the number of the router that made the ballot, and a nonce of its process.
 
 A ballot has 63 bits, `counter << 32 | router << 16 | nonce`, and is the term of the holder that acquires a
-lease with it. No two runs make the same ballot.
+lease with it. A run is one process of a router, identified by number and nonce; no two runs make the same
+ballot.
 """
 
 import random
@@ -16,14 +17,14 @@
 
 
 def counter_of(ballot: int) -> int:
-    """Returns the counter of a ballot, which orders ballots of all routers."""
+    """Returns the counter of a ballot, by which the ballots of all routers are ordered."""
     return ballot >> RUN_BITS
 
 
 def run_of(ballot: int) -> int:
     """Returns the run that made a ballot.
 
-    A restarted router is another owner of its leases, since its former process may still run.
+    A restarted router counts as another owner, since its former process may still be running.
     """
     return ballot & RUN_MASK
 
@@ -34,12 +35,12 @@
 
 
 def highest_of_counter(counter: int) -> int:
-    """Returns the highest ballot that any run can make with a counter."""
+    """Returns the highest ballot that any run can make with this counter."""
     return counter << RUN_BITS | RUN_MASK
 
 
 class BallotCounter:
-    """Makes the ballots of one run, each above all ballots that this router has heard of."""
+    """Makes the ballots of one run, each higher than all ballots that this router has observed."""
 
     def __init__(self, me: Peer, rng: random.Random) -> None:
         self.highest = 0
@@ -51,7 +52,7 @@
             self.highest = counter
 
     def next_ballot(self) -> int | None:
-        """Returns a new ballot, or None where the counter has no more bits."""
+        """Returns a new ballot, or None once the counter is exhausted."""
         if self.highest + 1 >= MAX_COUNTER:
             return None
         self.highest += 1
--- a/paddlequay/cluster/bids.py
+++ b/paddlequay/cluster/bids.py
@@ -7,10 +7,10 @@
 
 
 class Phase(Enum):
-    """Where a bid stands."""
+    """The state of a bid."""
 
-    WAITING = "waiting"  # for its next election
-    QUEUED = "queued"  # for the rate limit of elections
+    WAITING = "waiting"  # until its next election
+    QUEUED = "queued"  # until the rate limit admits its election
     PREPARING = "preparing"
     PROPOSING = "proposing"
     HOLDING = "holding"
@@ -26,20 +26,21 @@
 
 @dataclass(slots=True)
 class Bid:
-    """A lease that this router wants or holds. Times are seconds of its own clock.
+    """A lease that this router bids for or holds. Times are seconds of its own clock.
 
     Attributes:
-        next_action_at: When there is something to do next.
-        ballot_spent: Whether the ballot cannot win any more.
-        lost_elections: Elections lost in a row.
-        election_ends_at: When the election is given up.
+        next_action_at: When the bid has to act next.
+        ballot_spent: Whether the ballot can no longer win an election.
+        lost_elections: The number of elections lost in a row.
+        election_ends_at: When the current phase of the election times out.
         promised_by: The acceptors that have promised the ballot.
-        refused_by: The acceptors that refused, and for how many seconds; 0 where they may be asked at will.
-        round_number: The last round of the proposal.
-        rounds: The rounds whose answers still count, by number.
-        held_until: The lease is held before that.
+        refused_by: The acceptors that refused, and for how many seconds; 0 where they may be asked again at
+            any time.
+        round_number: The number of the latest round of the proposal.
+        rounds: The rounds whose acceptances still count, by number.
+        held_until: When the lease ends by this router's count.
         renew_at: When the next round is due.
-        priority_until: Until then the bid skips the rate limit, as this router is the successor.
+        priority_until: Until then the bid bypasses the rate limit, since this router is the successor.
     """
 
     lease: NameDigest
@@ -59,18 +60,18 @@
 
     @property
     def is_in_election(self) -> bool:
-        """Whether acceptors are being asked for the lease."""
+        """Whether an election for the lease is in progress."""
         return self.phase in (Phase.PREPARING, Phase.PROPOSING)
 
     def begin_election(self, ends_at: float) -> None:
-        """Forgets the answers of former elections."""
+        """Starts the prepare phase, and discards the answers of earlier elections."""
         self.phase = Phase.PREPARING
         self.promised_by.clear()
         self.refused_by.clear()
         self.election_ends_at = ends_at
 
     def begin_proposal(self, now: float, ends_at: float) -> None:
-        """Starts the first round of a proposal, which spends the ballot."""
+        """Starts the first round of a proposal. The ballot cannot be used for a further election."""
         self.phase = Phase.PROPOSING
         self.ballot_spent = True
         self.refused_by.clear()
@@ -79,12 +80,12 @@
         self.election_ends_at = ends_at
 
     def begin_round(self, now: float, max_rounds: int) -> None:
-        """Starts another round, and forgets the one whose answers are too old to count."""
+        """Starts the next round, and discards the round whose acceptances no longer count."""
         self.round_number += 1
         self.rounds[self.round_number] = Round(now)
         self.rounds.pop(self.round_number - max_rounds, None)
 
     def begin_waiting(self) -> None:
-        """Ends an election or a lease."""
+        """Returns to `WAITING` when an election or a lease has ended."""
         self.phase = Phase.WAITING
         self.rounds = {}
--- a/paddlequay/cluster/elections.py
+++ b/paddlequay/cluster/elections.py
@@ -1,6 +1,6 @@
-"""How a bid for a lease asks the acceptors, proposes, holds and renews.
+"""Elections for leases: prepares and proposes bids at the acceptors, and renews the acquired leases.
 
-What a bid believes rests on one count: from before a proposal was first sent, less the clock drift.
+A bidder counts its lease from before the proposal was first sent, and subtracts the clock drift.
 docs/cluster/leases.md has the proof.
 """
 
@@ -26,11 +26,11 @@
     Urgency,
 )
 
-MAX_COUNTED_ROUNDS = 3  # rounds of a bid whose answers still count
+MAX_COUNTED_ROUNDS = 3  # latest rounds of a bid whose acceptances still count
 
 
 class Elections:
-    """Takes single bids through their phases. The returned actions may send to this router itself."""
+    """Takes bids through their phases. The returned actions may send messages to this router itself."""
 
     def __init__(
         self,
@@ -46,28 +46,24 @@
         self.schedule = schedule
         self.hints = hints
 
-    # --- questions ---
-
     def is_held(self, bid: Bid, now: float) -> bool:
         """Returns whether the bid holds its lease at this moment."""
         return bid.phase is Phase.HOLDING and now < bid.held_until
 
     def has_lapsed(self, bid: Bid, now: float) -> bool:
-        """Returns whether a held lease has run out: it stays lost, whatever answer comes later."""
+        """Returns whether a held lease has expired: later acceptances cannot restore it."""
         return bid.phase is Phase.HOLDING and now >= bid.held_until
 
     def required_acceptances(self) -> int:
-        """Returns how many acceptors have to accept a round."""
+        """Returns the number of acceptors that have to accept a round."""
         return self.fleet.majority
 
     def lease_end(self, sent_at: float, now: float) -> float:
-        """Returns when a lease ends whose round was first sent at `sent_at`; `now` is no measure of it."""
+        """Returns when a lease ends whose round was first sent at `sent_at`, whatever the time `now`."""
         return sent_at + self.timing.held_duration()
 
-    # --- phases ---
-
     def start(self, bid: Bid, now: float) -> list[Action]:
-        """Starts an election, under the former ballot where no higher one was observed."""
+        """Starts an election, with a new ballot where the former one can no longer win."""
         if bid.ballot_spent:
             ballot = self.ballots.next_ballot()
             if ballot is None:
@@ -81,7 +77,7 @@
         return self._send(self.fleet.acceptors, Prepare(bid.lease, bid.ballot))
 
     def record_promise(self, acceptor: Peer, bid: Bid, now: float) -> list[Action]:
-        """Counts a promise; proposes to all that have promised once a majority has."""
+        """Records a promise; once a majority has promised, proposes to all that have."""
         bid.refused_by.pop(acceptor, None)
         bid.promised_by.add(acceptor)
         if bid.phase is Phase.PROPOSING:
@@ -93,19 +89,19 @@
     def record_refusal(
         self, acceptor: Peer, bid: Bid, higher_ballot: int, retry_after_s: float, now: float
     ) -> list[Action]:
-        """Counts a refusal; gives the election up where no majority is left.
+        """Records a refusal; ends the election where a majority can no longer be reached.
 
         Args:
             acceptor: The acceptor that refused.
-            bid: The bid that it refused.
-            higher_ballot: What the acceptor has promised or locked, 0 where it does not vote now.
-            retry_after_s: For how long the acceptor refuses, 0 where it may be asked at will.
+            bid: The bid that was refused.
+            higher_ballot: The ballot that the acceptor has promised or locked; 0 where it does not vote yet.
+            retry_after_s: For how long the acceptor refuses; 0 where it may be asked again at any time.
             now: Seconds of this process's clock.
         """
         if not bid.is_in_election:
             return []
         bid.promised_by.discard(acceptor)
-        # An equal ballot is the acceptor's floor, or was released.
+        # An equal ballot is refused where it is the acceptor's promise floor, or was released.
         bid.ballot_spent |= higher_ballot >= bid.ballot
         bid.refused_by[acceptor] = retry_after_s
         if bid.phase is Phase.PREPARING:
@@ -115,7 +111,7 @@
         return self._lose_election(bid, now) if possible < self.fleet.majority else []
 
     def record_acceptance(self, acceptor: Peer, bid: Bid, message: Accept, now: float) -> list[Action]:
-        """Counts an acceptance of a round; the lease is held, or held longer, once a majority accepts."""
+        """Records an acceptance of a round; acquires or extends the lease once a majority has accepted."""
         round_ = bid.rounds.get(message.round_number)
         if round_ is None or bid.phase not in (Phase.PROPOSING, Phase.HOLDING):
             return []
@@ -136,7 +132,7 @@
         return [LeaseAcquired(bid.lease, bid.ballot, bid.held_until)]
 
     def advance(self, bid: Bid, now: float) -> list[Action]:
-        """Does what is due for a bid whose timer has fired."""
+        """Takes the next step of a bid whose timer has fired."""
         if self.has_lapsed(bid, now):
             return self.lose_lease(bid, now)
         if bid.phase is Phase.WAITING and now < bid.priority_until:
@@ -151,14 +147,14 @@
         return self._resend(bid, now)
 
     def lose_lease(self, bid: Bid, now: float) -> list[Action]:
-        """Gives a lapsed lease up, and bids for it again after a backoff."""
+        """Gives up an expired lease, and bids for it again after a backoff."""
         lost = LeaseLost(bid.lease, bid.ballot)
         released = self.release(bid, self.fleet.me)
         self._wait(bid, now, self.timing.draw_jittered_backoff())
         return [lost, *released]
 
     def release(self, bid: Bid, successor: Peer) -> list[Action]:
-        """Opens the locks of a ballot; tells the successor as well, unless it is this router."""
+        """Releases the bid's locks at the acceptors; also notifies a successor that is another router."""
         bid.ballot_spent = True
         receivers = self.fleet.acceptors
         if successor != self.fleet.me and successor not in receivers:
@@ -171,7 +167,7 @@
         return self._send(sorted(bid.promised_by), self._proposal(bid))
 
     def _renew(self, bid: Bid, now: float) -> list[Action]:
-        """Starts a round when it is due, and resends the last one until a majority has accepted it."""
+        """Starts a round if one is due; sends the latest round until a majority has accepted it."""
         if now >= bid.renew_at:
             bid.begin_round(now, MAX_COUNTED_ROUNDS)
             bid.renew_at = now + self.timing.renewal_interval()
@@ -185,7 +181,7 @@
         return actions
 
     def _resend(self, bid: Bid, now: float) -> list[Action]:
-        """Sends the acceptors that have not answered the same again."""
+        """Repeats the current message to each acceptor that has not answered it."""
         answered = bid.promised_by | bid.refused_by.keys()
         actions = self._send(self._acceptors_except(answered), Prepare(bid.lease, bid.ballot))
         if bid.phase is Phase.PROPOSING:
@@ -195,7 +191,7 @@
         return actions
 
     def _lose_election(self, bid: Bid, now: float) -> list[Action]:
-        """Ends an election, and bids again when a majority may vote, or after a backoff."""
+        """Ends an election; bids again once a majority may vote, or after a backoff."""
         actions = self.release(bid, self.fleet.me) if bid.phase is Phase.PROPOSING else []
         majority_after = self._majority_after(bid)
         if now < bid.priority_until:
@@ -210,7 +206,7 @@
         return actions
 
     def _majority_after(self, bid: Bid) -> float:
-        """Returns the seconds until a majority may vote, 0 where too few acceptors have answered."""
+        """Returns the seconds until a majority may vote; 0 if too few acceptors have answered to tell."""
         waits = sorted([*bid.refused_by.values(), *(0.0 for _ in bid.promised_by)])
         majority = self.fleet.majority
         return waits[majority - 1] if len(waits) >= majority else 0.0
--- a/paddlequay/cluster/fleet_limits.py
+++ b/paddlequay/cluster/fleet_limits.py
@@ -77,11 +77,11 @@
     """
 
     HANDLED_MESSAGES: tuple[type[PeerMessage], ...] = (QuotaRequest, QuotaGrant)
-    rate_bucket_kind: type[RateBucket] = RateBucket
-    slot_bucket_kind: type[SlotBucket] = SlotBucket
-    granter_kind: type[Granter] = Granter
-    client_kind: type[QuotaClient] = QuotaClient
-    local_limits_kind: type[LocalLimits] = LocalLimits
+    rate_bucket_class: type[RateBucket] = RateBucket
+    slot_bucket_class: type[SlotBucket] = SlotBucket
+    granter_class: type[Granter] = Granter
+    client_class: type[QuotaClient] = QuotaClient
+    local_limits_class: type[LocalLimits] = LocalLimits
 
     def __init__(
         self,
@@ -110,9 +110,9 @@
             window_s=bounds.grant_validity_s / 3,
         )
         self.registry = LimitRegistry(rules, fleet.size, bounds, slot_grant_extension_s)
-        self.granter = self.granter_kind(bounds, fleet.size, held_term)
-        self.local_limits = self.local_limits_kind(max_local_limits, self._make_bucket)
-        self.client = self.client_kind(fleet, bounds, incarnation, self.local_limits, self.granter)
+        self.granter = self.granter_class(bounds, fleet.size, held_term)
+        self.local_limits = self.local_limits_class(max_local_limits, self._make_bucket)
+        self.client = self.client_class(fleet, bounds, incarnation, self.local_limits, self.granter)
         self._permit_numbers = count(1)
 
     def min_clock_rate(self) -> float:
@@ -189,8 +189,8 @@
 
     def _make_bucket(self, limit: FleetLimit, now: float) -> Bucket:
         if limit.rule.max_in_flight is not None:
-            return self.slot_bucket_kind(limit.division, self.timing, now)
-        return self.rate_bucket_kind(limit.division, self.timing, now)
+            return self.slot_bucket_class(limit.division, self.timing, now)
+        return self.rate_bucket_class(limit.division, self.timing, now)
 
     # --- as a component of the cluster ---
 
--- a/paddlequay/cluster/holder_hints.py
+++ b/paddlequay/cluster/holder_hints.py
@@ -1,4 +1,4 @@
-"""Which routers were last observed to hold leases: hints for whom to ask, never a proof."""
+"""The routers last observed to hold leases: hints where to send requests, never a proof."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderHint:
-    """A holder, the ballot of its lock, and until when the lock runs by this router's clock."""
+    """A holder, the ballot of its lock, and the end of that lock by this router's clock."""
 
     holder: Peer
     ballot: int
@@ -18,7 +18,7 @@
 
 
 class HolderHints:
-    """Remembers one hint for each lease, the oldest dropped first."""
+    """Keeps one hint for each lease; past `MAX_HINTS`, drops the oldest."""
 
     def __init__(self) -> None:
         self._hints: dict[NameDigest, HolderHint] = {}
@@ -27,15 +27,15 @@
         return len(self._hints)
 
     def holder(self, lease: NameDigest, now: float) -> Peer | None:
-        """Returns the router that was observed to hold a lease, None where its lock has ended."""
+        """Returns the router last observed to hold a lease; None without a hint or after the lock's end."""
         hint = self._hints.get(lease)
         return hint.holder if hint is not None and now < hint.valid_until else None
 
     def record(self, message: Promise, valid_until: float, now: float) -> bool:
-        """Remembers the holder that an acceptor names; of two whose locks run, the one of the higher ballot.
+        """Records the holder that an acceptor named; of two with running locks, keeps the higher ballot.
 
         Returns:
-            Whether this is news: no hint, or another ballot, was known.
+            Whether the lease had no hint before, or one with another ballot.
         """
         known = self._hints.pop(message.lease, None)
         if known is not None and known.ballot > message.holder_ballot and now < known.valid_until:
@@ -47,5 +47,5 @@
         return known is None or known.ballot != message.holder_ballot
 
     def forget(self, lease: NameDigest) -> None:
-        """Drops the hint of a lease."""
+        """Deletes the hint of a lease."""
         self._hints.pop(lease, None)
--- a/paddlequay/cluster/lease_timing.py
+++ b/paddlequay/cluster/lease_timing.py
@@ -1,15 +1,15 @@
-"""The times of a bidder for leases, all in proportion to the longest lease."""
+"""The durations by which a router bids for leases, all in proportion to the longest lease."""
 
 import random
 
 from paddlequay.cluster.types import ClusterBounds
 
 # As multiples of the longest lease.
-ELECTION_PHASE_RATIO = 0.2  # for answers of a majority, before an election is given up
-RESEND_RATIO = 1 / 15  # for an answer, before a message is sent again
-BACKOFF_RATIO = 1 / 30  # after a lost election, doubled from one to the next
-UNLOCK_SPREAD_RATIO = 0.2  # over which bidders that wait for the same lock's end are spread
-PRIORITY_RATIO = 0.4  # for how long a successor's bid has priority
+ELECTION_PHASE_RATIO = 0.2  # how long a phase waits for the answers of a majority
+RESEND_RATIO = 1 / 15  # how long to wait for an answer before a message is repeated
+BACKOFF_RATIO = 1 / 30  # mean wait after a lost election; doubles with each further loss
+UNLOCK_SPREAD_RATIO = 0.2  # span over which bidders waiting for the same lock are spread
+PRIORITY_RATIO = 0.4  # how long a successor's bid bypasses the rate limit
 
 MAX_BACKOFF_DOUBLINGS = 4
 JITTER_FACTORS = (0.5, 1.5)
@@ -24,35 +24,35 @@
         self.duration_ms = int(bounds.lease_s * 1000)
 
     def held_duration(self) -> float:
-        """Returns for how long a holder counts on its lease: less than acceptors lock it, by the drift."""
+        """Returns how long a holder relies on its lease: by the clock drift less than acceptors lock it."""
         return self.duration_ms / 1000 * (1 - self.bounds.drift_ratio)
 
     def renewal_interval(self) -> float:
-        """Returns the time from one round of a held lease to the next, so that two may be lost."""
+        """Returns the time between rounds of a held lease, such that two rounds may be lost."""
         return self.held_duration() / 3
 
     def election_phase(self) -> float:
-        """Returns how long a phase of an election waits for a majority."""
+        """Returns how long a phase of an election waits for the answers of a majority."""
         return self.bounds.lease_s * ELECTION_PHASE_RATIO
 
     def resend_interval(self) -> float:
-        """Returns how long an acceptor may take to answer before it is sent the same again."""
+        """Returns how long to wait for an acceptor's answer before the message is repeated."""
         return self.bounds.lease_s * RESEND_RATIO
 
     def priority_window(self) -> float:
-        """Returns for how long a successor starts elections without waiting for the rate limit."""
+        """Returns for how long a successor may start elections without waiting for the rate limit."""
         return self.bounds.lease_s * PRIORITY_RATIO
 
     def bounded_wait(self, milliseconds: int) -> float:
-        """Returns the seconds that an acceptor told; none can truly tell more than two leases."""
+        """Returns the wait that an acceptor asked for, in seconds, at most two leases: none needs more."""
         return min(milliseconds / 1000, 2 * self.bounds.lease_s)
 
     def draw_jittered_backoff(self) -> float:
-        """Draws a wait around the base of the backoff, spread by `JITTER_FACTORS`."""
+        """Draws a wait: the base backoff times a random factor within `JITTER_FACTORS`."""
         return self.bounds.lease_s * BACKOFF_RATIO * self.rng.uniform(*JITTER_FACTORS)
 
     def draw_backoff(self, lost_elections: int) -> float:
-        """Draws the wait after this many elections lost in a row, at least 1."""
+        """Draws the wait after `lost_elections` (1 or more) elections lost in a row."""
         return self.draw_jittered_backoff() * 2.0 ** (lost_elections - 1)
 
     def draw_priority_backoff(self) -> float:
@@ -60,5 +60,5 @@
         return self.draw_jittered_backoff() / 2
 
     def draw_unlock_spread(self) -> float:
-        """Draws how long a bidder waits after the end of the lock that it waits for."""
+        """Draws how long a bidder still waits after the end of the lock that blocked it."""
         return self.rng.uniform(0, UNLOCK_SPREAD_RATIO * self.bounds.lease_s)
--- a/paddlequay/cluster/leases.py
+++ b/paddlequay/cluster/leases.py
@@ -1,18 +1,18 @@
-"""Leases without disk and without a common clock: at most one holder each, under terms that grow.
+"""Leases without disk and without a common clock: each has at most one holder, and its terms increase.
 
 A majority of a fixed set of acceptors grants a lease for a bounded time (PaxosLease). Each router may bid;
-some routers are acceptors as well. docs/cluster/leases.md proves why there is one holder and states the
-bounds.
+some routers are acceptors as well. docs/cluster/leases.md proves that there is at most one holder and states
+the time bounds.
 
 A holder counts its lease from before it sent the proposal, shortened by the clock drift; an acceptor locks
-the lease from receipt, lengthened by the drift. So `Leases.holds` has to be asked at each use, with a `now`
-that was read then: a process that was stopped finds that its lease has ended.
+the lease from receipt, lengthened by the drift. So a caller has to call `Leases.holds` at each use, with a
+`now` that it reads at that moment: a process that was stopped then finds that its lease has ended.
 """
 
 import random
 from typing import ClassVar
 
-from paddlequay.cluster.acceptor import Acceptor
+from paddlequay.cluster.acceptor import LeaseAcceptor
 from paddlequay.cluster.ballots import counter_of
 from paddlequay.cluster.elections import Elections
 from paddlequay.cluster.messages import Accept, PeerMessage, Prepare, Promise, Propose, Reject, Release
@@ -31,9 +31,9 @@
 
 
 class Leases:
-    """Acquires, renews and releases leases, and votes on them where configured; a `Component`.
+    """Acquires, renews and releases leases, and votes on them where configured; implements `Component`.
 
-    `rng` is seeded anew for each run of a process: it draws the nonce of the run and the waits.
+    `rng` draws the nonce of the process and the random waits; each process has to seed it anew.
     """
 
     HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (
@@ -44,49 +44,45 @@
         Reject,
         Release,
     )
-    acceptor_kind: ClassVar[type[Acceptor]] = Acceptor
-    elections_kind: ClassVar[type[Elections]] = Elections
+    acceptor_class: ClassVar[type[LeaseAcceptor]] = LeaseAcceptor
+    elections_class: ClassVar[type[Elections]] = Elections
 
     def __init__(self, fleet: Fleet, bounds: ClusterBounds, rng: random.Random, now: float) -> None:
         self.fleet = fleet
-        self.proposer = Proposer(fleet, bounds, rng, self.elections_kind)
-        self.acceptor = self.acceptor_kind(bounds, now) if fleet.me in fleet.acceptors else None
-
-    # --- for the components that need leases ---
+        self.proposer = Proposer(fleet, bounds, rng, self.elections_class)
+        self.acceptor = self.acceptor_class(bounds, now) if fleet.me in fleet.acceptors else None
 
     def request(self, lease: NameDigest, now: float) -> list[Action]:
-        """Bids for a lease until it is released, and renews it while held; logs a refusal past `MAX_BIDS`."""
+        """Bids for a lease and renews it, until it is released; past `MAX_BIDS` bids, logs a refusal."""
         return self._deliver_local(self.proposer.request(lease, now), now)
 
     def release(self, lease: NameDigest, now: float, successor: Peer | None = None) -> list[Action]:
-        """Gives a lease up, held or not; a successor that bids for it acquires it without waiting."""
+        """Ends the bid for a lease, held or not; a successor that bids for it acquires it without waiting."""
         return self._deliver_local(self.proposer.release(lease, now, successor), now)
 
     def holds(self, lease: NameDigest, now: float) -> int | None:
-        """Returns the term under which this router holds a lease now, or None: to be asked at each use."""
+        """Returns the term under which this router holds a lease now, or None; to be called at each use."""
         return self.proposer.holds(lease, now)
 
     def holder(self, lease: NameDigest, now: float) -> Peer | None:
-        """Returns the last router observed to hold a lease: a hint for whom to ask, never a proof."""
+        """Returns the router last observed to hold a lease: a hint where to send requests, never a proof."""
         return self.proposer.holder(lease, now)
 
     def query_holder(self, lease: NameDigest, now: float) -> list[Action]:
-        """Asks all acceptors for the holder of a lease, without a bid; `HolderObserved` gives the answer."""
+        """Asks all acceptors for the holder of a lease, without a bid; a `HolderObserved` event follows."""
         query = Prepare(lease, 0)
         queries: list[Action] = [SendMessage(each, query, Urgency.CHANGE) for each in self.fleet.acceptors]
         return self._deliver_local(queries, now)
 
     @property
     def highest_counter(self) -> int:
-        """The highest ballot counter that this router has heard of, for the heads of datagrams."""
+        """The highest ballot counter that this router has observed, for the headers of datagrams."""
         return self.proposer.highest_counter
 
     def observe_counter(self, counter: int) -> None:
-        """Takes the ballot counter from the head of a datagram, before its messages are handled."""
+        """Records the ballot counter in a datagram's header; called before its messages are handled."""
         self.proposer.observe_counter(counter)
 
-    # --- as a component of the cluster ---
-
     def handle_message(
         self, sender: Peer, incarnation: int, message: PeerMessage, now: float
     ) -> list[Action]:
@@ -94,11 +90,11 @@
         return self._deliver_local(self._dispatch(sender, message, now), now)
 
     def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
-        """Ignores all events: liveness is a guess, and leases go by their own clocks alone."""
+        """Ignores all events: leases depend on elapsed time alone, not on the guesses of liveness."""
         return []
 
     def tick(self, now: float) -> list[Action]:
-        """Does what is due in both roles."""
+        """Does what is due as an acceptor and as a proposer."""
         if self.acceptor is not None:
             self.acceptor.tick(self.highest_counter, now)
         return self._deliver_local(self.proposer.tick(now), now)
@@ -121,7 +117,7 @@
         return actions
 
     def _deliver_local(self, actions: list[Action], now: float) -> list[Action]:
-        """Handles what this router sends to itself, in order; ends, as each election ends or waits."""
+        """Handles the messages to this router itself, in order; terminates as each election ends or waits."""
         remaining = actions[::-1]
         outward: list[Action] = []
         while remaining:
--- a/paddlequay/cluster/proposer.py
+++ b/paddlequay/cluster/proposer.py
@@ -1,4 +1,4 @@
-"""All bids of a router for leases: which are open, whose answers count, and when they act."""
+"""The bids of a router for leases: opens and releases them, and passes answers and timers on to them."""
 
 import random
 
@@ -21,22 +21,20 @@
 
 
 class Proposer:
-    """Bids for leases. Returned actions may send to this router itself: `Leases` handles them."""
+    """Bids for leases. Returned actions may send messages to this router itself; `Leases` delivers those."""
 
     def __init__(
         self,
         fleet: Fleet,
         bounds: ClusterBounds,
         rng: random.Random,
-        elections_kind: type[Elections] = Elections,
+        elections_class: type[Elections] = Elections,
     ) -> None:
         self.fleet = fleet
         self.bids: dict[NameDigest, Bid] = {}
         self.hints = HolderHints()
         self.schedule = BidSchedule(self.bids, rng)
-        self.elections = elections_kind(fleet, bounds, rng, self.schedule, self.hints)
-
-    # --- what the router asks for ---
+        self.elections = elections_class(fleet, bounds, rng, self.schedule, self.hints)
 
     def request(self, lease: NameDigest, now: float) -> list[Action]:
         """Bids for a lease until it is released; refuses more than `MAX_BIDS` bids."""
@@ -50,7 +48,7 @@
         return []
 
     def release(self, lease: NameDigest, now: float, successor: Peer | None) -> list[Action]:
-        """Ends a bid, and gives the lease back where it is held or proposed."""
+        """Ends a bid, and releases its locks where the lease is held or proposed."""
         bid = self.bids.pop(lease, None)
         if bid is None:
             return []
@@ -67,24 +65,22 @@
         return bid.ballot if bid is not None and self.elections.is_held(bid, now) else None
 
     def holder(self, lease: NameDigest, now: float) -> Peer | None:
-        """Returns the router that is known to hold a lease, or was last observed to."""
+        """Returns this router if it holds the lease, otherwise the router last observed to."""
         if self.holds(lease, now) is not None:
             return self.fleet.me
         return self.hints.holder(lease, now)
 
     @property
     def highest_counter(self) -> int:
-        """The highest ballot counter that this router has heard of."""
+        """The highest ballot counter that this router has observed."""
         return self.elections.ballots.highest
 
     def observe_counter(self, counter: int) -> None:
         """Raises the ballot counter to one that another router uses."""
         self.elections.ballots.observe(counter)
 
-    # --- answers of acceptors ---
-
     def handle_message(self, sender: Peer, message: PeerMessage, now: float) -> list[Action]:
-        """Handles an answer of an acceptor, or a release to this router as the successor."""
+        """Handles an answer of an acceptor, or a release that names this router as the successor."""
         if isinstance(message, Release):
             return self._handle_release(message, now)
         if sender not in self.fleet.acceptors or not isinstance(message, Promise | Accept | Reject):
@@ -114,7 +110,7 @@
                 return self.elections.record_refusal(acceptor, bid, message.promised, wait, now)
 
     def _observe(self, message: Promise | Accept | Reject, now: float) -> list[Action]:
-        """Learns the holder and the ballot counter that an answer tells of."""
+        """Records the holder and the ballot counter that an answer contains."""
         match message:
             case Promise(holder_ballot=ballot) if ballot != 0:
                 actions = self._observe_holder(message, now)
@@ -133,7 +129,7 @@
         return [HolderObserved(message.lease, message.holder, message.holder_ballot)]
 
     def _handle_release(self, message: Release, now: float) -> list[Action]:
-        """Starts an election at once, outside the rate limit, where this router bids and is the successor."""
+        """Starts an election at once, without the rate limit, if this router bids and is the successor."""
         bid = self.bids.get(message.lease)
         if message.successor != self.fleet.me or bid is None:
             return []
@@ -143,14 +139,12 @@
         bid.priority_until = now + self.elections.timing.priority_window()
         return self.elections.start(bid, now)
 
-    # --- time ---
-
     def due(self) -> float:
         """Returns when `tick` next has something to do."""
         return self.schedule.due()
 
     def tick(self, now: float) -> list[Action]:
-        """Acts for the bids whose time has come, and starts the elections that the rate limit admits."""
+        """Advances the bids whose timers have fired, and starts the elections that the rate limit admits."""
         actions: list[Action] = []
         for bid in self.schedule.due_bids(now):
             actions += self.elections.advance(bid, now)
--- a/paddlequay/lab/lease_guards.py
+++ b/paddlequay/lab/lease_guards.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from paddlequay.cluster.acceptor import Acceptor, Vote
+from paddlequay.cluster.acceptor import LeaseAcceptor, Vote
 from paddlequay.cluster.bids import Bid
 from paddlequay.cluster.elections import Elections
 from paddlequay.cluster.leases import Leases
@@ -22,7 +22,7 @@
 class WithoutRestartDelay(Leases):
     """A restarted acceptor votes at once."""
 
-    class acceptor_kind(Acceptor):  # noqa: N801
+    class acceptor_class(LeaseAcceptor):  # noqa: N801
         def seconds_until_voting(self, now: float) -> float:
             return 0.0
 
@@ -30,7 +30,7 @@
 class WithoutAcceptorDrift(Leases):
     """An acceptor locks a lease for no longer than the holder counts true time."""
 
-    class acceptor_kind(Acceptor):  # noqa: N801
+    class acceptor_class(LeaseAcceptor):  # noqa: N801
         def lock_end(self, duration_s: float, now: float) -> float:
             return now + duration_s
 
@@ -38,7 +38,7 @@
 class WithoutHolderDrift(Leases):
     """A holder counts its lease by a clock that it takes for true."""
 
-    class elections_kind(Elections):  # noqa: N801
+    class elections_class(Elections):  # noqa: N801
         def lease_end(self, sent_at: float, now: float) -> float:
             return sent_at + self.timing.duration_ms / 1000
 
@@ -46,7 +46,7 @@
 class CountingFromAnswer(Leases):
     """A holder counts its lease from the answers of a majority."""
 
-    class elections_kind(Elections):  # noqa: N801
+    class elections_class(Elections):  # noqa: N801
         def lease_end(self, sent_at: float, now: float) -> float:
             return super().lease_end(now, now)
 
@@ -54,7 +54,7 @@
 class WithoutMajority(Leases):
     """One acceptance is enough."""
 
-    class elections_kind(Elections):  # noqa: N801
+    class elections_class(Elections):  # noqa: N801
         def required_acceptances(self) -> int:
             return 1
 
@@ -62,7 +62,7 @@
 class WithoutBallotCheck(Leases):
     """An acceptor accepts any ballot."""
 
-    class acceptor_kind(Acceptor):  # noqa: N801
+    class acceptor_class(LeaseAcceptor):  # noqa: N801
         def may_accept(self, vote: Vote, message: Propose, now: float) -> bool:
             return True
 
@@ -70,7 +70,7 @@
 class OverwritingLocks(Leases):
     """An acceptor gives a running lock to another owner."""
 
-    class acceptor_kind(Acceptor):  # noqa: N801
+    class acceptor_class(LeaseAcceptor):  # noqa: N801
         def is_locked_by_other(self, vote: Vote, ballot: int, now: float) -> bool:
             return False
 
@@ -78,7 +78,7 @@
 class WithoutFloor(Leases):
     """A restarted acceptor promises any ballot."""
 
-    class acceptor_kind(Acceptor):  # noqa: N801
+    class acceptor_class(LeaseAcceptor):  # noqa: N801
         def floor_after_restart(self, highest_counter: int) -> int:
             return 0
 
@@ -86,7 +86,7 @@
 class WithoutEnd(Leases):
     """A holder believes in its lease until it looks at the time."""
 
-    class elections_kind(Elections):  # noqa: N801
+    class elections_class(Elections):  # noqa: N801
         def is_held(self, bid: Bid, now: float) -> bool:
             return bid.held_until > 0 and bid.phase.value == "holding"
 
--- a/paddlequay/lab/limit_guards.py
+++ b/paddlequay/lab/limit_guards.py
@@ -17,7 +17,7 @@
 class ValidFromReceipt(FleetLimits):
     """A grant is valid from its receipt."""
 
-    class client_kind(QuotaClient):  # noqa: N801
+    class client_class(QuotaClient):  # noqa: N801
         def valid_from(self, limit: LocalLimit, grant: QuotaGrant, now: float) -> float | None:
             return None if super().valid_from(limit, grant, now) is None else now
 
@@ -25,7 +25,7 @@
 class AnyRequestAnswered(FleetLimits):
     """A grant counts as the answer to the last request, whichever it answers."""
 
-    class client_kind(QuotaClient):  # noqa: N801
+    class client_class(QuotaClient):  # noqa: N801
         def valid_from(self, limit: LocalLimit, grant: QuotaGrant, now: float) -> float | None:
             return limit.last_request_at if limit.sent_requests else None
 
@@ -40,7 +40,7 @@
 class LowerShareAtOnce(FleetLimits):
     """A lower share counts as soon as it is granted."""
 
-    class granter_kind(Granter):  # noqa: N801
+    class granter_class(Granter):  # noqa: N801
         def issue(
             self, ledger: Ledger, limit: FleetLimit, sender: Peer, incarnation: int, now: float
         ) -> Quota:
@@ -53,7 +53,7 @@
 class FormerProcessForgotten(FleetLimits):
     """The grants of a router's former process are forgotten when the next one requests."""
 
-    class granter_kind(Granter):  # noqa: N801
+    class granter_class(Granter):  # noqa: N801
         def granted_to_others(self, ledger: Ledger, sender: Peer, incarnation: int, now: float) -> Quota:
             ledger.outstanding = {
                 process: outstanding
@@ -66,7 +66,7 @@
 class WithoutWait(FleetLimits):
     """A new holder grants at once."""
 
-    class granter_kind(Granter):  # noqa: N801
+    class granter_class(Granter):  # noqa: N801
         def wait_after_acquisition(self, limit: FleetLimit) -> float:
             return 0.0
 
@@ -74,7 +74,7 @@
 class WithoutDriftOfGrants(FleetLimits):
     """The holder counts a grant's validity by its own clock, without the drift."""
 
-    class granter_kind(Granter):  # noqa: N801
+    class granter_class(Granter):  # noqa: N801
         def outstanding_for(self, grant_validity_s: float) -> float:
             return grant_validity_s
 
@@ -82,7 +82,7 @@
 class FormerTermRemembered(FleetLimits):
     """A router that has held the lease once goes on granting under its term."""
 
-    class granter_kind(Granter):  # noqa: N801
+    class granter_class(Granter):  # noqa: N801
         def granting_term(self, lease: NameDigest, now: float) -> int | None:
             held = super().granting_term(lease, now)
             return held if held is not None else self.terms.get(lease, (None, 0.0))[0]
@@ -91,7 +91,7 @@
 class FullAtStart(FleetLimits):
     """The buckets of a new process are full."""
 
-    class rate_bucket_kind(RateBucket):  # noqa: N801
+    class rate_bucket_class(RateBucket):  # noqa: N801
         def initial_tokens(self, now: float) -> float:
             return self.division.floor.burst_milli
 
@@ -99,7 +99,7 @@
 class RaisedWithTokens(FleetLimits):
     """A raised quota brings its burst, and an expired one leaves its tokens."""
 
-    class rate_bucket_kind(RateBucket):  # noqa: N801
+    class rate_bucket_class(RateBucket):  # noqa: N801
         def change_grant(self, grant: ActiveGrant) -> None:
             self.tokens += max(0, grant.quota.burst_milli - self.grant.quota.burst_milli)
             super().change_grant(grant)
@@ -108,7 +108,7 @@
 class WithoutClipping(FleetLimits):
     """An expired quota leaves its tokens."""
 
-    class rate_bucket_kind(RateBucket):  # noqa: N801
+    class rate_bucket_class(RateBucket):  # noqa: N801
         def fill(self, now: float) -> None:
             if now > self.filled_at:
                 gained = self.rate_milli * (now - self.filled_at) * self.timing.min_clock_rate
@@ -122,7 +122,7 @@
 class ExpiryFoundLate(FleetLimits):
     """The end of a grant is found when its router requests again, not at use."""
 
-    class rate_bucket_kind(RateBucket):  # noqa: N801
+    class rate_bucket_class(RateBucket):  # noqa: N801
         def advance(self, now: float, isolated: bool) -> None:
             if self.grant.valid_until <= now < self.grant.valid_until + 10:
                 self.fill(now)
@@ -133,7 +133,7 @@
 class EndingAfterGrant(FleetLimits):
     """Requests that end after the grant may start on it."""
 
-    class slot_bucket_kind(SlotBucket):  # noqa: N801
+    class slot_bucket_class(SlotBucket):  # noqa: N801
         def free_slot(self, now: float, duration_s: float) -> SlotKind | None:
             if self.grant.quota is NO_QUOTA:
                 return super().free_slot(now, duration_s)
@@ -143,7 +143,7 @@
 class FloorsNeverBlocked(FleetLimits):
     """Floor slots of a new process are open at once."""
 
-    class slot_bucket_kind(SlotBucket):  # noqa: N801
+    class slot_bucket_class(SlotBucket):  # noqa: N801
         def is_floor_open(self, now: float) -> bool:
             return True
 
@@ -151,7 +151,7 @@
 class WholeGrantRetained(FleetLimits):
     """A router that is isolated in the open mode retains all it had."""
 
-    class rate_bucket_kind(RateBucket):  # noqa: N801
+    class rate_bucket_class(RateBucket):  # noqa: N801
         def __init__(self, division: LimitDivision, timing: BucketTiming, now: float) -> None:
             isolated = division.limit if division.isolated != NO_QUOTA else NO_QUOTA
             super().__init__(replace(division, isolated=isolated), timing, now)
--- a/tests/cluster/test_cluster_model.py
+++ b/tests/cluster/test_cluster_model.py
@@ -41,7 +41,7 @@
 
 
 class EndlessLeases(Leases):
-    elections_kind = Endless
+    elections_class = Endless
 
 
 class NoWait(granter.Granter):
@@ -55,7 +55,7 @@
 
 
 class Careless(fleet_limits.FleetLimits):
-    granter_kind = NoWait
+    granter_class = NoWait
 
 
 def test_the_auditor_detects_two_holders(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/cluster/test_quota_exchange.py
+++ b/tests/cluster/test_quota_exchange.py
@@ -56,7 +56,7 @@
 class DropsUsedLimits(FleetLimits):
     """Drops limits that are in use."""
 
-    class local_limits_kind(LocalLimits):  # noqa: N801
+    class local_limits_class(LocalLimits):  # noqa: N801
         def may_drop(self, limit: LocalLimit, now: float) -> bool:
             return True
 
