--- a/paddlequay/cluster/placement_epochs.py
+++ b/paddlequay/cluster/placement_epochs.py
@@ -1,13 +1,13 @@
-"""Which placement table is in use: all routers follow one epoch, or know in bounded time that they do not.
+"""Decides which placement table is in use: routers follow one epoch, or stop following any in bounded time.
 
-Each router compiles the same rules with its own endpoint list into a table, and tells the holder of the lease
-`TABLES_LEASE` its digest. The holder declares the table that a majority of all routers has under an epoch;
-each router takes it up as soon as it has that table itself. docs/cluster/tables.md has the argument and the
-bounds.
+Each router compiles the rules with its own endpoint list into a table, and sends the table's digest to the
+holder of the lease `TABLES_LEASE`. Once a majority of all routers has a table, the holder declares it under
+an epoch. Each router follows a declared epoch as soon as it has compiled that table itself.
+docs/cluster/tables.md has the argument and the bounds.
 
-A router counts on its epoch for `ClusterBounds.epoch_validity_s` of its own clock from when it last heard
-that the epoch is in use, and is asked at the moment of use. After that it places objects as without rules,
-which all routers can.
+An epoch expires at a router `ClusterBounds.epoch_validity_s`, by the router's own clock, after the last
+message that confirmed it. Expiry is checked whenever the table is used. Without a valid epoch a router places
+objects as if it had no rules, which every router can do.
 """
 
 from collections.abc import Callable
@@ -46,73 +46,70 @@
     Urgency,
 )
 
-MIN_ACKNOWLEDGE_INTERVAL_S = 0.1  # between two messages to the holder that it did not ask for
-MIN_REACQUIRE_INTERVAL_S = 5.0  # between two times that a lease with too low a term is acquired anew
+MIN_ACKNOWLEDGE_INTERVAL_S = 0.1  # between two unrequested acknowledgements to the holder
+MIN_REACQUIRE_INTERVAL_S = 5.0  # between two attempts to reacquire the lease under a higher term
 
 Reacquire = Callable[[float], list[Action]]
 
 
 def never_reacquire(now: float) -> list[Action]:
-    """Keeps a lease with too low a term."""
+    """Keeps the lease even if its term is too low."""
     return []
 
 
 class PlacementEpochs:
-    """The `Component` that says which epoch is in use here.
+    """The cluster `Component` that determines which epoch this router uses.
 
-    `held_term` returns the term of `TABLES_LEASE`; `reacquire` gives that lease back and bids for it anew, as
-    the order of terms is lost where all acceptors forget at once. `TableChanged.previous` is None where no
-    table was in use before, or the same.
+    `held_term` returns the term under which this router holds `TABLES_LEASE`. `reacquire` releases that lease
+    and bids for it again. It is needed when all acceptors have lost their state at once, since a new term can
+    then be lower than that of an epoch in use. `TableChanged.previous` is None if no table was in use before,
+    or the same one.
     """
 
     HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (TableAnnouncement, TableAcknowledgement)
-    proposer_kind: ClassVar[type[TableProposer]] = TableProposer
-    follower_kind: ClassVar[type[TableFollower]] = TableFollower
+    proposer_class: ClassVar[type[TableProposer]] = TableProposer
+    follower_class: ClassVar[type[TableFollower]] = TableFollower
 
     def __init__(
         self, fleet: Fleet, bounds: ClusterBounds, held_term: HeldTerm, reacquire: Reacquire = never_reacquire
     ) -> None:
         self.fleet = fleet
         self.reacquire = reacquire
-        self.proposer = self.proposer_kind(fleet, bounds, held_term)
-        self.follower = self.follower_kind(bounds.epoch_validity_s)
+        self.proposer = self.proposer_class(fleet, bounds, held_term)
+        self.follower = self.follower_class(bounds.epoch_validity_s)
         self.holder: Peer | None = None
-        self.highest_term = 0  # heard of from a holder
-        self.highest_epoch = 0  # heard of
+        self.highest_term = 0  # of any holder known so far
+        self.highest_epoch = 0  # of all epochs proposed or declared so far
         self._acknowledge_at = NEVER
         self._acknowledged_at = -NEVER
         self._reacquired_at = -NEVER
 
-    # --- for the router ---
-
     def rules_changed(self, rules: int, now: float) -> list[Action]:
-        """Withdraws this router's table until other rules are compiled; the epoch in use stays so."""
-        if rules == self.follower.own.rules:
+        """Withdraws this router's table until changed rules are compiled; the epoch in use stays valid."""
+        if rules == self.follower.own_content.rules:
             return []
-        return self._set_own(TableContent(0, rules), now)
+        return self._set_own_content(TableContent(0, rules), now)
 
-    def compiled(self, rules: int, table: int, now: float) -> list[Action]:
-        """Takes the digests of what this router has compiled; `table` 0: it cannot."""
-        return self._set_own(TableContent(table, rules), now)
+    def table_compiled(self, rules: int, table: int, now: float) -> list[Action]:
+        """Records the digests of the rules and of the compiled table; `table` is 0 if there is none."""
+        return self._set_own_content(TableContent(table, rules), now)
 
     def epoch_in_use(self, now: float) -> int | None:
-        """Returns the epoch to follow at this moment; None to place objects as without rules."""
+        """Returns the epoch that is valid now; None if objects are to be placed as if there were no rules."""
         return self.follower.epoch_in_use(now)
 
     def table_in_use(self, now: float) -> int | None:
-        """Returns the digest of the table in use at this moment, or None."""
+        """Returns the digest of the table in use now, or None."""
         return self.follower.table_in_use(now)
 
     def needed_tables(self, now: float) -> set[int]:
-        """Returns the digests of the few tables that may still be used; all others need not be kept."""
+        """Returns the digests of the tables that may still be used; others can be dropped."""
         return self.follower.needed_tables(now)
 
-    # --- as a component of the cluster ---
-
     def handle_message(
         self, sender: Peer, incarnation: int, message: PeerMessage, now: float
     ) -> list[Action]:
-        """Handles a holder's announcement, or as the holder what a router has compiled."""
+        """Handles a holder's announcement or, as the holder, an acknowledgement from a router."""
         match message:
             case TableAnnouncement(epoch_number=number, term=term) if term and 0 < number <= MAX_NUMBER:
                 return self._handle_announcement(sender, message, now)
@@ -121,16 +118,16 @@
         return []
 
     def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
-        """Follows the lease of the tables and the reachability of routers."""
+        """Handles changes of `TABLES_LEASE` and of the reachability of routers."""
         match event:
             case LeaseAcquired(lease, term) if lease == TABLES_LEASE:
                 active = self.follower.active if self.follower.is_valid(now) else None
-                self.proposer.begin(term, active, now)
+                self.proposer.begin_term(term, active, now)
                 self.holder = self.fleet.me
                 self.highest_term = max(self.highest_term, term)
                 return self._run_proposer(now)
             case LeaseLost(lease, term) if lease == TABLES_LEASE and term == self.proposer.term:
-                self.proposer.end()
+                self.proposer.end_term()
             case HolderObserved(lease, holder, term) if lease == TABLES_LEASE and term >= self.highest_term:
                 if holder != self.holder:
                     self.holder = holder
@@ -143,7 +140,7 @@
         return []
 
     def tick(self, now: float) -> list[Action]:
-        """Does what is due as the holder and as a follower."""
+        """Runs the work that is due, as the holder and as a follower."""
         actions = self._run_proposer(now)
         if self._acknowledge_at <= now:
             self._acknowledge_at = NEVER
@@ -156,12 +153,10 @@
         """Returns when `tick` next has something to do."""
         return min(self.proposer.due(), self._acknowledge_at, self.follower.due())
 
-    # --- messages ---
-
     def _handle_announcement(self, sender: Peer, message: TableAnnouncement, now: float) -> list[Action]:
-        """Takes a declaration up, and answers what this router has.
+        """Handles a proposal or declaration, and answers with this router's table and epochs.
 
-        Also a router that is no longer the holder is answered: it may not know of the later term.
+        A previous holder is answered as well: it learns of the later term from the answer.
         """
         epoch = epoch_of(message.term, message.epoch_number)
         if message.term >= self.highest_term and router_of(message.term) == sender:
@@ -183,19 +178,20 @@
             return []
         may_reacquire = now - self._reacquired_at >= MIN_REACQUIRE_INTERVAL_S
         if message.term > self.proposer.term and may_reacquire:
-            # Epochs of this term would be ignored there; the next term is above that one.
+            # The sender ignores epochs of this lower term. A lease acquired now gets a term above the
+            # sender's.
             self._reacquired_at = now
             return [LogEvent("table_term_low"), *self.reacquire(now)]
         actions = self.proposer.handle_acknowledgement(sender, incarnation, message, now)
         return actions + self._run_proposer(now)
 
     def _acknowledgement(self) -> TableAcknowledgement:
-        """Returns this router's table and the highest epoch heard of, which ends earlier ones."""
+        """Returns this router's table and the highest epoch that it knows, which supersedes earlier ones."""
         active = self.follower.active
         return TableAcknowledgement(
             number_of(self.highest_epoch),
             term_of(self.highest_epoch),
-            self.follower.own.table,
+            self.follower.own_content.table,
             0 if active is None else short_epoch(active.epoch),
         )
 
@@ -203,18 +199,16 @@
         soonest = max(now, self._acknowledged_at + MIN_ACKNOWLEDGE_INTERVAL_S)
         self._acknowledge_at = min(self._acknowledge_at, soonest)
 
-    # --- changes ---
-
-    def _set_own(self, own: TableContent, now: float) -> list[Action]:
-        if own == self.follower.own:
+    def _set_own_content(self, own_content: TableContent, now: float) -> list[Action]:
+        if own_content == self.follower.own_content:
             return []
         self._acknowledge_soon(now)
-        self.proposer.set_own(own, now)
-        actions = self.follower.set_own(own, now)
+        self.proposer.set_own_content(own_content, now)
+        actions = self.follower.set_own_content(own_content, now)
         return actions + self._run_proposer(now)
 
     def _run_proposer(self, now: float) -> list[Action]:
-        """Does what is due as the holder; its declarations count for itself as for others."""
+        """Runs the holder's work that is due, and applies its declaration to this router's own follower."""
         step = self.proposer.tick(now)
         declared = self.proposer.declared
         if declared is None or (step.declared is None and not self.proposer.is_holder(now)):
--- a/paddlequay/cluster/table_answers.py
+++ b/paddlequay/cluster/table_answers.py
@@ -1,4 +1,4 @@
-"""What the routers of a fleet have compiled, as far as the holder of the tables' lease was told."""
+"""The tables that the routers of a fleet have compiled, as reported to the holder of the tables' lease."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -7,12 +7,12 @@
 from paddlequay.cluster.table_epochs import TableContent, epoch_of
 from paddlequay.cluster.types import NEVER, Fleet, LogEvent, Peer
 
-LOG_INTERVAL_S = 5.0  # between two lines on tables that differ
+LOG_INTERVAL_S = 5.0  # between two `tables_differ` log events
 
 
 @dataclass(frozen=True, slots=True)
 class TableAnswer:
-    """The highest epoch that a router had heard of, and the digest of what it had compiled then."""
+    """A router's last acknowledgement: the highest epoch it knew, and the digest of its compiled table."""
 
     incarnation: int
     epoch: int
@@ -20,7 +20,7 @@
 
 
 class TableAnswers:
-    """One answer for each router, and the epoch that each router uses, shortened."""
+    """The last answer of each router, and the epoch that each router uses, as returned by `short_epoch`."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -29,25 +29,25 @@
 
     @property
     def majority(self) -> int:
-        """How many of all routers have to have a table before it is declared."""
+        """The number of routers that must have a table before it is declared."""
         return self.fleet.size // 2 + 1
 
     def clear(self) -> None:
-        """Forgets all answers."""
+        """Drops all answers."""
         self.by_peer.clear()
         self.used_epochs.clear()
 
     def forget(self, peer: Peer) -> None:
-        """Forgets the answer of a router that has restarted, or was unreachable."""
+        """Drops the answer of a router that has restarted or was unreachable."""
         self.by_peer.pop(peer, None)
         self.used_epochs.pop(peer, None)
 
-    def record_own(self, table: int) -> None:
+    def record_own_table(self, table: int) -> None:
         """Records what this router itself has compiled."""
         self.by_peer[self.fleet.me] = TableAnswer(0, 0, table)
 
     def is_outdated(self, sender: Peer, incarnation: int, message: TableAcknowledgement) -> bool:
-        """Returns whether a later answer of a router is known."""
+        """Returns whether a later answer of the same router has already been recorded."""
         known = self.by_peer.get(sender)
         if known is None:
             return False
@@ -55,27 +55,27 @@
         return (incarnation, epoch) < (known.incarnation, known.epoch)
 
     def record(self, sender: Peer, incarnation: int, message: TableAcknowledgement) -> bool:
-        """Records an answer; returns whether the router's table is another than before."""
+        """Records an answer; returns whether the router's table differs from its previous one."""
         former = self.by_peer.get(sender)
         epoch = epoch_of(message.term, message.epoch_number)
         self.by_peer[sender] = TableAnswer(incarnation, epoch, message.table_digest)
         self.used_epochs[sender] = message.active_epoch
         return former is None or former.table != message.table_digest
 
-    def content_to_propose(self, own: TableContent) -> TableContent:
-        """Returns the table that a majority has, else this router's own.
+    def content_to_propose(self, own_content: TableContent) -> TableContent:
+        """Returns the table that a majority has, or this router's own if there is none.
 
-        So a holder whose endpoint list is late, or whose rules are others, does not stop the fleet.
+        A holder with an outdated endpoint list or with different rules therefore does not block the fleet.
         """
         counts = Counter(answer.table for answer in self.by_peer.values() if answer.table)
         if counts:
             table, count = counts.most_common(1)[0]
-            if count >= self.majority and table != own.table:
+            if count >= self.majority and table != own_content.table:
                 return TableContent(table)
-        return own
+        return own_content
 
     def has_majority(self, epoch: int, table: int) -> bool:
-        """Returns whether a majority has answered, asked about this epoch, that it has this table."""
+        """Returns whether a majority has acknowledged this epoch and has this table."""
         agreeing = sum(
             peer == self.fleet.me or answer.epoch == epoch
             for peer, answer in self.by_peer.items()
@@ -83,15 +83,15 @@
         )
         return table != 0 and agreeing >= self.majority
 
-    def not_agreeing(self, epoch: int, table: int) -> list[Peer]:
-        """Returns the other routers that have not answered about an epoch, or with another table."""
+    def peers_not_agreeing(self, epoch: int, table: int) -> list[Peer]:
+        """Returns the other routers that have not acknowledged an epoch, or that have another table."""
         agreeing = {
             peer for peer, answer in self.by_peer.items() if (answer.epoch, answer.table) == (epoch, table)
         }
         return [peer for peer in self._others() if peer not in agreeing]
 
-    def not_using(self, short: int) -> list[Peer]:
-        """Returns the other routers that have not confirmed to use an epoch."""
+    def peers_not_using(self, short: int) -> list[Peer]:
+        """Returns the other routers that have not confirmed that they use the epoch with this short form."""
         return [peer for peer in self._others() if self.used_epochs.get(peer) != short]
 
     def table_counts(self) -> Counter[int]:
@@ -103,7 +103,7 @@
 
 
 class DisagreementLog:
-    """Logs for how long routers have had different tables, where that lasts longer than lists differ."""
+    """Logs that routers have different tables if that lasts longer than endpoint lists usually differ."""
 
     def __init__(self, answers: TableAnswers) -> None:
         self.answers = answers
@@ -111,11 +111,11 @@
         self._logged_at = -NEVER
 
     def reset(self) -> None:
-        """Starts anew with a term."""
+        """Starts measuring again, for a new term."""
         self._since = NEVER
 
     def check(self, now: float) -> list[LogEvent]:
-        """Returns a log event where one is due."""
+        """Returns a log event if the tables differ and an event is due."""
         counts = self.answers.table_counts()
         if len(counts) < 2:
             self._since = NEVER
--- a/paddlequay/cluster/table_epochs.py
+++ b/paddlequay/cluster/table_epochs.py
@@ -1,8 +1,8 @@
-"""Epochs of placement tables: how they are numbered, what they name, and how they are announced.
+"""Epochs of placement tables: how they are numbered, what they refer to, and how they are announced.
 
-An epoch is the term of a holder with a number that starts anew under each term. No two runs share a term, so
-no two holders ever make the same epoch, and a later holder's epochs are higher, as its term is. One epoch
-names one table for good; a rollback is a new epoch with the earlier table.
+An epoch combines the term of a holder with a number that restarts under each term. No two runs share a term,
+so no two holders ever create the same epoch, and a later holder's epochs are higher because its term is
+higher. An epoch refers to one table and never to another; a rollback is a new epoch with the earlier table.
 """
 
 from dataclasses import dataclass
@@ -19,12 +19,12 @@
 
 
 def epoch_of(term: int, number: int) -> int:
-    """Returns an epoch of 95 bits, to be compared as a number; messages carry both parts."""
+    """Returns an epoch as a number of 95 bits that can be compared; messages carry both parts."""
     return term << NUMBER_BITS | number
 
 
 def term_of(epoch: int) -> int:
-    """Returns the term under which an epoch was made."""
+    """Returns the term under which an epoch was created."""
     return epoch >> NUMBER_BITS
 
 
@@ -34,17 +34,17 @@
 
 
 def short_epoch(epoch: int) -> int:
-    """Returns an epoch in 63 bits for messages and logs, in order but for terms of the same counter."""
+    """Returns an epoch in 63 bits, for messages and logs; the order is kept unless terms share a counter."""
     return counter_of(term_of(epoch)) << NUMBER_BITS | number_of(epoch)
 
 
 @dataclass(frozen=True, slots=True)
 class TableContent:
-    """What a router has compiled, or what an epoch names.
+    """The digests of a compiled table and its rules: of a router's own, or of an epoch's.
 
     Attributes:
         table: The digest of the compiled table, 0 for none.
-        rules: The digest of the text of the rules, 0 where it is not told.
+        rules: The digest of the text of the rules, 0 if unknown.
     """
 
     table: int
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeclaredEpoch:
-    """An epoch that a majority has agreed on, and its table."""
+    """An epoch whose table a majority of routers has, with the digests of that table and its rules."""
 
     epoch: int
     content: TableContent
--- a/paddlequay/cluster/table_proposer.py
+++ b/paddlequay/cluster/table_proposer.py
@@ -1,6 +1,6 @@
-"""The holder's side of placement tables: proposes a table under an epoch, and declares what a majority has.
+"""The holder's side of placement tables: proposes a table, and declares it once a majority has it.
 
-What is proposed is the table that a majority was last heard to have, or else the holder's own.
+The proposed table is the one that a majority last reported, or the holder's own if there is no such table.
 """
 
 from collections.abc import Sequence
@@ -30,32 +30,32 @@
     Urgency,
 )
 
-PROPOSAL_INTERVAL_S = 0.25  # a list that changes often makes 4 epochs a second
-MIN_RESEND_S = 0.2  # for an answer, doubled from one attempt to the next
+PROPOSAL_INTERVAL_S = 0.25  # at most 4 epochs a second, however often the endpoint list changes
+MIN_RESEND_S = 0.2  # first wait for an answer; doubled with each attempt, up to `MAX_RESEND_S`
 MAX_RESEND_S = 3.2
-DECLARATIONS_PER_VALIDITY = 6  # while a router keeps to its table without one
+DECLARATIONS_PER_VALIDITY = 6  # while an epoch is valid; each of them restarts its validity
 
 
 @dataclass(slots=True)
 class ResendTimer:
-    """When a message goes out again to the routers that have not answered; `NEVER`: to none."""
+    """When a message is sent again to the routers that have not answered; `NEVER` if to none."""
 
-    at: float = NEVER
+    due_at: float = NEVER
     interval_s: float = MIN_RESEND_S
 
     def start(self, now: float) -> None:
         """Starts with the shortest interval."""
-        self.at = now + MIN_RESEND_S
+        self.due_at = now + MIN_RESEND_S
         self.interval_s = MIN_RESEND_S
 
     def back_off(self, now: float) -> None:
         """Doubles the interval."""
         self.interval_s = min(MAX_RESEND_S, 2 * self.interval_s)
-        self.at = now + self.interval_s
+        self.due_at = now + self.interval_s
 
     def stop(self) -> None:
-        """Sends no more."""
-        self.at = NEVER
+        """Stops resending."""
+        self.due_at = NEVER
         self.interval_s = MIN_RESEND_S
 
 
@@ -65,9 +65,10 @@
 
     Attributes:
         epoch: The epoch.
-        content: What it names.
-        started_at: When the first of the proposals in a row that were not declared was made.
-        resend: When it goes again to the routers that have not agreed.
+        content: The digests of its table and rules.
+        started_at: The time of the first proposal since the last declaration: a proposal that replaces an
+            undeclared one keeps its time.
+        resend: When it is sent again to the routers that have not agreed.
     """
 
     epoch: int
@@ -82,25 +83,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposerStep:
-    """What the proposer does now, and the epoch that it has just declared."""
+    """The actions of one tick, and the epoch that it has declared, if any."""
 
     actions: list[Action]
     declared: DeclaredEpoch | None = None
 
 
 class TableProposer:
-    """Proposes and declares epochs while this router holds the lease of the tables.
+    """Proposes and declares epochs while this router holds `TABLES_LEASE`.
 
-    `own` is what this router itself has compiled. `term` is 0 while it is not the holder.
+    `own_content` is what this router itself has compiled. `term` is 0 while it is not the holder.
     """
 
     def __init__(self, fleet: Fleet, bounds: ClusterBounds, held_term: HeldTerm) -> None:
         self.fleet = fleet
         self.held_term = held_term
         self.declaration_interval_s = bounds.epoch_validity_s / DECLARATIONS_PER_VALIDITY
-        self.own = NO_TABLE
+        self.own_content = NO_TABLE
         self.term = 0
-        self.number = 0
+        self.last_number = 0
         self.proposal: TableProposal | None = None
         self.declared: DeclaredEpoch | None = None
         self.answers = TableAnswers(fleet)
@@ -110,20 +111,18 @@
         self._declare_at = NEVER
         self._propose_at = NEVER
 
-    # --- the lease ---
-
-    def begin(self, term: int, active: DeclaredEpoch | None, now: float) -> None:
-        """Starts a term. The epoch in use here is repeated until one of this term is agreed on."""
-        self.end()
+    def begin_term(self, term: int, active: DeclaredEpoch | None, now: float) -> None:
+        """Starts a term. The epoch in use here is declared again until one of this term has a majority."""
+        self.end_term()
         self.term = term
         self.declared = active
-        self.number = 0
+        self.last_number = 0
         self._proposed_at = -NEVER
-        self.answers.record_own(self.own.table)
+        self.answers.record_own_table(self.own_content.table)
         self._declare_at = now
         self._propose_at = now
 
-    def end(self) -> None:
+    def end_term(self) -> None:
         """Ends the term."""
         self.term = 0
         self.proposal = None
@@ -135,21 +134,19 @@
         self._propose_at = NEVER
 
     def is_holder(self, now: float) -> bool:
-        """Returns whether this router holds the lease under its term: to be asked at each use."""
+        """Returns whether this router holds the lease under its term now; must be called before each use."""
         return self.term != 0 and self.held_term(TABLES_LEASE, now) == self.term
 
-    # --- what routers have ---
-
-    def set_own(self, own: TableContent, now: float) -> None:
+    def set_own_content(self, own_content: TableContent, now: float) -> None:
         """Records what this router has compiled."""
-        self.own = own
-        self.answers.record_own(own.table)
+        self.own_content = own_content
+        self.answers.record_own_table(own_content.table)
         self._propose_soon(now)
 
     def handle_acknowledgement(
         self, sender: Peer, incarnation: int, message: TableAcknowledgement, now: float
     ) -> list[Action]:
-        """Records what a router has; declares the epoch again to a router that is behind."""
+        """Records a router's answer; sends the declaration again to a router that is behind."""
         if self.answers.is_outdated(sender, incarnation, message):
             return []
         if self.answers.record(sender, incarnation, message):
@@ -159,7 +156,7 @@
             return []
         is_ahead = message.active_epoch > short_epoch(declared.epoch)
         if is_ahead and term_of(declared.epoch) != self.term:
-            # The former holder has declared a later epoch, which has not come here.
+            # The previous holder has declared a later epoch that has not reached this router.
             self.declared = None
             self.declaration_resend.stop()
         elif not is_ahead and epoch_of(message.term, message.epoch_number) < declared.epoch:
@@ -167,35 +164,33 @@
         return []
 
     def peer_alive(self, peer: Peer, now: float) -> list[Action]:
-        """Announces what is under way to a router that has restarted, or is reachable again."""
+        """Sends the current declaration and proposal to a router that has restarted or is reachable again."""
         self.answers.forget(peer)
         actions: list[Action] = []
         if self.declared is not None:
             actions.append(SendMessage(peer, self.declared.announcement(), Urgency.CHANGE))
-            if self.declaration_resend.at == NEVER:
+            if self.declaration_resend.due_at == NEVER:
                 self.declaration_resend.start(now)
         if self.proposal is not None:
             actions.append(SendMessage(peer, self.proposal.announcement(), Urgency.CHANGE))
         return actions
 
-    # --- time ---
-
     def due(self) -> float:
         """Returns when `tick` next has something to do."""
         if not self.term:
             return NEVER
-        resend_at = self.proposal.resend.at if self.proposal is not None else NEVER
+        resend_at = self.proposal.resend.due_at if self.proposal is not None else NEVER
         declare_at = NEVER
         if self.declared is not None:
-            declare_at = min(self.declaration_resend.at, self._declare_at)
+            declare_at = min(self.declaration_resend.due_at, self._declare_at)
         return min(self._propose_at, resend_at, declare_at)
 
     def tick(self, now: float) -> ProposerStep:
-        """Declares, proposes and repeats what is due."""
+        """Sends the declarations and proposals that are due, first or again."""
         if not self.term:
             return ProposerStep([])
         if not self.is_holder(now):
-            self.end()
+            self.end_term()
             return ProposerStep([])
         actions: list[Action] = []
         newly_declared = None
@@ -204,35 +199,37 @@
             newly_declared = self.declared
         if self._propose_at <= now:
             actions += self.propose(now)
-        if self.proposal is not None and self.proposal.resend.at <= now:
+        if self.proposal is not None and self.proposal.resend.due_at <= now:
             actions += self._resend_proposal(self.proposal, now)
         actions += self._repeat_declaration(now)
         return ProposerStep(actions, newly_declared)
 
     def is_agreed(self, proposal: TableProposal) -> bool:
-        """Returns whether a majority has the table of a proposal."""
+        """Returns whether a majority has acknowledged a proposal and has its table."""
         return self.answers.has_majority(proposal.epoch, proposal.content.table)
 
     def propose(self, now: float) -> list[Action]:
-        """Proposes a new epoch, unless its table is declared under this term or proposed."""
+        """Proposes a new epoch, unless its table is already declared under this term or already proposed."""
         self._propose_at = NEVER
-        content = self.answers.content_to_propose(self.own)
+        content = self.answers.content_to_propose(self.own_content)
         declared = self.declared
-        own_term = declared is not None and term_of(declared.epoch) == self.term
-        if declared is not None and own_term and content.table in (0, declared.content.table):
+        is_own_term = declared is not None and term_of(declared.epoch) == self.term
+        if declared is not None and is_own_term and content.table in (0, declared.content.table):
             self.proposal = None
             return []
         if self.proposal is not None and self.proposal.content.table == content.table:
             return []
         started_at = self.proposal.started_at if self.proposal is not None else now
-        self.number += 1
-        self.proposal = TableProposal(epoch_of(self.term, self.number), content, started_at, ResendTimer())
+        self.last_number += 1
+        self.proposal = TableProposal(
+            epoch_of(self.term, self.last_number), content, started_at, ResendTimer()
+        )
         self.proposal.resend.start(now)
         self._proposed_at = now
         return [SendMessage(None, self.proposal.announcement(), Urgency.CHANGE)]
 
     def _propose_soon(self, now: float) -> None:
-        """Looks for something to propose as soon as the interval between proposals allows."""
+        """Schedules `propose` for the earliest time that the interval between proposals allows."""
         if self.term:
             self._propose_at = min(self._propose_at, max(now, self._proposed_at + PROPOSAL_INTERVAL_S))
 
@@ -249,22 +246,22 @@
         ]
 
     def _resend_proposal(self, proposal: TableProposal, now: float) -> list[Action]:
-        """Proposes again to the routers that have not agreed."""
+        """Sends a proposal again to the routers that have not agreed."""
         proposal.resend.back_off(now)
-        asked = self.answers.not_agreeing(proposal.epoch, proposal.content.table)
-        return [*_send(asked, proposal.announcement()), *self._disagreement.check(now)]
+        disagreeing = self.answers.peers_not_agreeing(proposal.epoch, proposal.content.table)
+        return [*_send(disagreeing, proposal.announcement()), *self._disagreement.check(now)]
 
     def _repeat_declaration(self, now: float) -> list[Action]:
-        """Declares again: at intervals to all, in between to the routers that have not confirmed it."""
+        """Sends the declaration again: periodically to all, in between to those that have not confirmed."""
         if self.declared is None:
             return []
         message = self.declared.announcement()
         if self._declare_at <= now:
             self._declare_at = now + self.declaration_interval_s
             return [SendMessage(None, message, Urgency.ROUTINE), *self._disagreement.check(now)]
-        if self.declaration_resend.at > now:
+        if self.declaration_resend.due_at > now:
             return []
-        unconfirmed = self.answers.not_using(short_epoch(self.declared.epoch))
+        unconfirmed = self.answers.peers_not_using(short_epoch(self.declared.epoch))
         self.declaration_resend.back_off(now)
         if not unconfirmed:
             self.declaration_resend.stop()
--- a/paddlequay/lab/table_world.py
+++ b/paddlequay/lab/table_world.py
@@ -237,7 +237,7 @@
     def _compile(self, me: Peer) -> None:
         own = self.own[me]
         tables = self.processes[me].tables
-        self.processes[me].run(lambda now: tables.compiled(own.rules, own.digest, now))
+        self.processes[me].run(lambda now: tables.table_compiled(own.rules, own.digest, now))
 
     # --- links ---
 
--- a/paddlequay/net/cluster/placement_tables.py
+++ b/paddlequay/net/cluster/placement_tables.py
@@ -87,7 +87,7 @@
         now = self.clock()
         if node.leases is not None and node.fleet.me in node.fleet.acceptors:
             node.initial_actions += node.leases.request(TABLES_LEASE, now)
-        node.initial_actions += self.tables.compiled(*self.compilation.digests(), now)
+        node.initial_actions += self.tables.table_compiled(*self.compilation.digests(), now)
 
     def leave_cluster(self) -> None:
         """Leaves the cluster: homes are plain."""
@@ -142,7 +142,7 @@
         if self.tables is None:
             return
         now = self.clock()
-        self._apply(self.tables.compiled(*self.compilation.digests(), now))
+        self._apply(self.tables.table_compiled(*self.compilation.digests(), now))
         needed = self.tables.needed_tables(now)
         self.known_tables = {
             key: known for key, known in self.known_tables.items() if key in needed or known is table
--- a/tests/cluster/test_placement_epochs.py
+++ b/tests/cluster/test_placement_epochs.py
@@ -1,4 +1,7 @@
-"""Placement tables under losses, partitions, stops and late lists: the epochs in use. True seconds."""
+"""The epochs of placement tables in use under message loss, partitions, stopped processes and late lists.
+
+Times of the simulated fleet are true seconds, whatever the routers' clocks show.
+"""
 
 from collections.abc import Callable
 
@@ -20,18 +23,18 @@
 )
 from paddlequay.lab.table_world import BOUNDS, TableFaultError, TableInUse, TableWorld, digest_of
 
-VALIDITY_S = BOUNDS.epoch_validity_s / 0.95  # of an epoch, by the slowest clock
-AGREEMENT_S = 15.0  # until reachable routers with the same list agree
+VALIDITY_S = BOUNDS.epoch_validity_s / 0.95  # true time for which an epoch is valid by the slowest clock
+AGREEMENT_S = 15.0  # within which reachable routers with the same endpoint list agree
 
 
-def settled(size: int, seed: int, kind: type[PlacementEpochs] = PlacementEpochs) -> TableWorld:
+def agreed_world(size: int, seed: int, kind: type[PlacementEpochs] = PlacementEpochs) -> TableWorld:
     world = TableWorld(size, seed, kind)
     assert world.run(AGREEMENT_S, world.agree) is not None
     return world
 
 
-def troubled(seed: int, kind: type[PlacementEpochs] = PlacementEpochs, seconds: float = 60.0) -> TableWorld:
-    """A world of five routers after a minute of random faults, one each second or so."""
+def run_faults(seed: int, kind: type[PlacementEpochs] = PlacementEpochs, seconds: float = 60.0) -> TableWorld:
+    """Returns five routers after `seconds` random faults, one about each second, with all faults ended."""
     world = TableWorld(5, seed, kind, delay_s=(0.001, 0.3))
     rng = world.rng
     endpoints = rules = 1
@@ -64,7 +67,7 @@
     return world
 
 
-def healed(world: TableWorld) -> float | None:
+def seconds_until_agreement(world: TableWorld) -> float | None:
     digest = world.own[0].digest
     return world.run(AGREEMENT_S, lambda: world.agree(digest=digest))
 
@@ -72,39 +75,38 @@
 def test_epochs_never_decrease_or_name_two_tables_and_all_routers_agree_after_a_heal() -> None:
     elapsed = []
     for seed in range(25):
-        world = troubled(seed)
-        elapsed.append(healed(world))
+        world = run_faults(seed)
+        elapsed.append(seconds_until_agreement(world))
         assert len(world.digests) >= 3
     assert None not in elapsed
 
 
-# --- each guard taken out ---
-
+class ActivatesLowerEpochs(PlacementEpochs):
+    """Activates any epoch other than the one in use, even a lower one."""
 
-class GoesBack(PlacementEpochs):
-    class follower_kind(TableFollower):  # noqa: N801
+    class follower_class(TableFollower):  # noqa: N801
         def is_later(self, epoch: int) -> bool:
             return self.active is None or epoch != self.active.epoch
 
 
-class TakesAny(PlacementEpochs):
-    """Takes an epoch up with the table that it has."""
+class ActivatesOwnTable(PlacementEpochs):
+    """Activates an epoch with its own table, whichever table the epoch names."""
 
-    class follower_kind(TableFollower):  # noqa: N801
+    class follower_class(TableFollower):  # noqa: N801
         def has_table_of(self, declared: DeclaredEpoch) -> bool:
-            return self.own.table != 0
+            return self.own_content.table != 0
 
-        def take_up(self, declared: DeclaredEpoch, now: float) -> list[Action]:
-            return super().take_up(DeclaredEpoch(declared.epoch, self.own), now)
+        def activate(self, declared: DeclaredEpoch, now: float) -> list[Action]:
+            return super().activate(DeclaredEpoch(declared.epoch, self.own_content), now)
 
 
-class WithoutTerm(PlacementEpochs):
-    """Numbers its epochs from those that it has heard of."""
+class CreatesEpochsUnderOneTerm(PlacementEpochs):
+    """Creates epochs under a constant term, numbered on from the epoch in use."""
 
-    class proposer_kind(TableProposer):  # noqa: N801
-        def begin(self, term: int, active: DeclaredEpoch | None, now: float) -> None:
-            super().begin(term, active, now)
-            self.number = 0 if active is None else active.epoch & 0xFFFFFFFF
+    class proposer_class(TableProposer):  # noqa: N801
+        def begin_term(self, term: int, active: DeclaredEpoch | None, now: float) -> None:
+            super().begin_term(term, active, now)
+            self.last_number = 0 if active is None else active.epoch & 0xFFFFFFFF
 
         def propose(self, now: float) -> list[Action]:
             term, self.term = self.term, 1
@@ -114,28 +116,25 @@
                 self.term = term
 
 
-@pytest.mark.parametrize("kind", [GoesBack, TakesAny, WithoutTerm])
-def test_the_world_finds_the_fault_of_a_guard_taken_out(kind: type[PlacementEpochs]) -> None:
+@pytest.mark.parametrize("kind", [ActivatesLowerEpochs, ActivatesOwnTable, CreatesEpochsUnderOneTerm])
+def test_simulation_detects_the_fault_when_a_guard_is_removed(kind: type[PlacementEpochs]) -> None:
     def search() -> None:
         for seed in range(25):
-            troubled(seed, kind)
+            run_faults(seed, kind)
 
     with pytest.raises(TableFaultError):
         search()
 
 
-# --- named cases ---
-
-
-def test_the_epoch_of_the_later_of_two_holders_stays_in_use() -> None:
-    world = settled(5, 1)
+def test_epoch_of_the_later_holder_stays_in_use_after_the_earlier_holder_resumes() -> None:
+    world = agreed_world(5, 1)
     first = world.holder()
     assert first is not None
     rest = [peer for peer in range(5) if peer != first]
     world.change([first], 1, 2)
     world.change(rest, 1, 3)
     world.run(0.3)
-    world.processes[first].stopped = True  # with its proposal out
+    world.processes[first].stopped = True  # after it has sent its proposal
     assert world.run(AGREEMENT_S, lambda: world.agree(rest, digest_of(1, 3))) is not None
     later = world.processes[rest[0]].in_use().epoch
     world.change([first], 1, 3)
@@ -145,7 +144,7 @@
 
 
 def test_a_router_two_epochs_behind_skips_to_the_current_one_at_once() -> None:
-    world = settled(5, 2)
+    world = agreed_world(5, 2)
     world.part([4], range(4))
     for endpoints in (2, 3):
         world.change(range(4), 1, endpoints)
@@ -156,32 +155,32 @@
     before = len(world.processes[4].changes)
     world.heal()
     elapsed = world.run(AGREEMENT_S, world.agree)
-    assert elapsed is not None and elapsed <= 1.2  # a second of it until the end of the cut is known
+    assert elapsed is not None and elapsed <= 1.2  # liveness detects the end of the partition after a second
     assert len(world.processes[4].changes) == before + 1
 
 
 def test_isolated_routers_keep_their_epoch_for_its_validity_and_then_use_none() -> None:
-    world = settled(9, 3)
-    old, lost = world.processes[8].in_use(), [6, 7, 8]
-    world.part(lost, range(6))
+    world = agreed_world(9, 3)
+    old, isolated = world.processes[8].in_use(), [6, 7, 8]
+    world.part(isolated, range(6))
     world.change(range(6), 2, 1, within_s=3.0)
     assert world.run(AGREEMENT_S, lambda: world.agree(range(6), digest_of(2, 1))) is not None
     world.run(10.0)
-    assert {world.processes[peer].in_use() for peer in lost} == {old}
+    assert {world.processes[peer].in_use() for peer in isolated} == {old}
     world.run(VALIDITY_S)
-    assert {world.processes[peer].in_use() for peer in lost} == {TableInUse(None, None)}
+    assert {world.processes[peer].in_use() for peer in isolated} == {TableInUse(None, None)}
     assert all(
-        "table_given_up" in [event.event for event in world.processes[peer].log_events] for peer in lost
+        "table_given_up" in [event.event for event in world.processes[peer].log_events] for peer in isolated
     )
-    assert world.agree(range(6), digest_of(2, 1))  # the others hear the declaration again and again
+    assert world.agree(range(6), digest_of(2, 1))  # the others receive repeated declarations
     world.heal()
-    world.change(lost, 2, 1)
+    world.change(isolated, 2, 1)
     assert world.run(AGREEMENT_S, world.agree) is not None
     assert world.processes[8].changes[-1].previous is None  # no table was in use there
 
 
 def test_a_stopped_router_finds_its_epoch_expired_before_any_message() -> None:
-    world = settled(3, 4)
+    world = agreed_world(3, 4)
     process = world.processes[2]
     process.stopped = True
     world.run(VALIDITY_S + 5.0)
@@ -189,7 +188,7 @@
 
 
 def test_a_rollback_is_a_new_epoch_with_the_earlier_table() -> None:
-    world = settled(5, 5)
+    world = agreed_world(5, 5)
     first = world.processes[0].in_use()
     for rules in (2, 1):
         world.change(range(5), rules, 1, within_s=0.5)
@@ -201,18 +200,18 @@
         and last.epoch is not None
         and last.epoch > first.epoch
     )
-    moved = world.processes[0].changes[-1]
-    assert moved.previous == digest_of(2, 1) and moved.previous_until > world.processes[0].clock
+    last_change = world.processes[0].changes[-1]
+    assert last_change.previous == digest_of(2, 1) and last_change.previous_until > world.processes[0].clock
 
 
 @pytest.mark.parametrize("late", [(0, 1, 2), (3, 4, 5)])
-def test_a_list_late_at_half_the_routers_leaves_all_at_the_former_epoch(
+def test_outdated_list_at_half_the_routers_keeps_all_on_the_previous_epoch(
     late: tuple[int, ...],
 ) -> None:
-    world = settled(6, 6)
+    world = agreed_world(6, 6)
     old = world.processes[0].in_use()
     world.change([peer for peer in range(6) if peer not in late], 1, 2)
-    world.run(VALIDITY_S + 5.0)  # longer than an epoch is used without a declaration
+    world.run(VALIDITY_S + 5.0)  # longer than an epoch stays valid without a declaration
     assert {process.in_use() for process in world.processes} == {old}
     world.change(late, 1, 2)
     elapsed = world.run(AGREEMENT_S, lambda: world.agree(digest=digest_of(1, 2)))
@@ -221,20 +220,20 @@
 
 
 def test_a_holder_killed_before_its_declaration_delays_the_epoch_by_one_lease() -> None:
-    world = settled(5, 7)
+    world = agreed_world(5, 7)
     holder = world.holder()
     assert holder is not None
     process, rest = world.processes[holder], [peer for peer in range(5) if peer != holder]
     world.change(range(5), 1, 2)
     proposer = process.tables.proposer
 
-    def agreed() -> bool:
-        # From now on none of its messages arrive; it receives the answers of a majority.
+    def has_majority() -> bool:
+        # Once answers arrive, the holder's messages are blocked; it still receives a majority's answers.
         if proposer.proposal is not None:
             world.blocked_links |= {(holder, peer) for peer in rest if proposer.answers.by_peer}
         return proposer.declared is not None and proposer.declared.content.table == digest_of(1, 2)
 
-    assert world.run(3.0, agreed, check_s=0.002) is not None
+    assert world.run(3.0, has_majority, check_s=0.002) is not None
     assert not any(world.processes[peer].in_use().digest == digest_of(1, 2) for peer in rest)
     process.dead = True
     elapsed = world.run(AGREEMENT_S, lambda: world.agree(rest, digest_of(1, 2)))
@@ -242,7 +241,7 @@
 
 
 def test_a_holder_with_other_rules_declares_the_table_of_the_majority() -> None:
-    world = settled(5, 8)
+    world = agreed_world(5, 8)
     holder = world.holder()
     assert holder is not None
     rest = [peer for peer in range(5) if peer != holder]
@@ -254,29 +253,26 @@
     assert {"table_lacking", "table_given_up"} <= {
         event.event for event in world.processes[holder].log_events
     }
-    assert world.agree(rest, digest_of(2, 1)) and len(world.digests) <= 4  # no to and fro
-
-
-# --- one router ---
+    assert world.agree(rest, digest_of(2, 1)) and len(world.digests) <= 4  # no switching back and forth
 
 
-def one(me: int = 0, holds: Callable[[int, float], int | None] = lambda *_: None) -> PlacementEpochs:
+def make_epochs(me: int = 0, holds: Callable[[int, float], int | None] = lambda *_: None) -> PlacementEpochs:
     tables = PlacementEpochs(Fleet(me, 5, (0, 1, 2)), ClusterBounds(), holds)
-    tables.compiled(1, 10, 0.0)
+    tables.table_compiled(1, 10, 0.0)
     return tables
 
 
-def term_of(counter: int, peer: int) -> int:
+def make_term(counter: int, peer: int) -> int:
     return counter << 32 | peer << 16 | 1
 
 
 def test_a_holder_whose_lease_expired_while_stopped_declares_nothing() -> None:
-    term, held = term_of(3, 0), [True]
-    tables = one(0, lambda *_: term if held[0] else None)
+    term, is_held = make_term(3, 0), [True]
+    tables = make_epochs(0, lambda *_: term if is_held[0] else None)
     assert any(
         isinstance(a, SendMessage) for a in tables.handle_event(LeaseAcquired(TABLES_LEASE, term, 9.0), 0.0)
     )
-    held[0] = False
+    is_held[0] = False
     answers = [
         tables.handle_message(peer, 1, TableAcknowledgement(1, term, 10, 0), 5.0) for peer in (1, 2, 3, 4)
     ]
@@ -284,11 +280,11 @@
 
 
 def test_only_answers_about_the_proposed_epoch_count_for_its_majority() -> None:
-    term = term_of(3, 0)
-    tables = one(0, lambda *_: term)
+    term = make_term(3, 0)
+    tables = make_epochs(0, lambda *_: term)
     tables.handle_event(LeaseAcquired(TABLES_LEASE, term, 9.0), 0.0)
     for peer in (1, 2, 3, 4):
-        tables.handle_message(peer, 1, TableAcknowledgement(7, term_of(2, 1), 10, 0), 0.1)
+        tables.handle_message(peer, 1, TableAcknowledgement(7, make_term(2, 1), 10, 0), 0.1)
     assert tables.epoch_in_use(0.2) is None
     tables.handle_message(1, 1, TableAcknowledgement(1, term, 10, 0), 0.2)
     assert tables.epoch_in_use(0.2) is None
@@ -297,36 +293,36 @@
 
 
 def test_an_outdated_answer_does_not_replace_a_later_one() -> None:
-    term = term_of(3, 0)
+    term = make_term(3, 0)
     proposer = TableProposer(Fleet(0, 5, (0, 1, 2)), ClusterBounds(), lambda *_: term)
-    proposer.begin(term, None, 0.0)
+    proposer.begin_term(term, None, 0.0)
     proposer.handle_acknowledgement(1, 1, TableAcknowledgement(2, term, 10, 0), 0.0)
     proposer.handle_acknowledgement(1, 1, TableAcknowledgement(1, term, 9, 0), 0.0)
     proposal = TableProposal(epoch_of(term, 2), TableContent(10), 0.0, ResendTimer())
     assert proposer.answers.by_peer[1].table == 10 and not proposer.is_agreed(proposal)
 
 
-def test_a_lease_whose_term_is_below_the_epochs_in_use_is_acquired_anew() -> None:
-    term, retaken = term_of(3, 0), list[float]()
+def test_lease_with_a_term_below_that_of_a_known_epoch_is_reacquired() -> None:
+    term, calls = make_term(3, 0), list[float]()
     fleet = Fleet(0, 5, (0,))
-    tables = PlacementEpochs(fleet, ClusterBounds(), lambda *_: term, lambda now: retaken.append(now) or [])  # type: ignore[func-returns-value]
+    tables = PlacementEpochs(fleet, ClusterBounds(), lambda *_: term, lambda now: calls.append(now) or [])  # type: ignore[func-returns-value]
     tables.handle_event(LeaseAcquired(TABLES_LEASE, term, 9.0), 0.0)
     for at in (1.0, 2.0):
-        tables.handle_message(3, 1, TableAcknowledgement(1, term_of(8, 2), 10, 0), at)
-    assert retaken == [1.0]
+        tables.handle_message(3, 1, TableAcknowledgement(1, make_term(8, 2), 10, 0), at)
+    assert calls == [1.0]
 
 
-def test_a_declaration_may_name_one_of_the_last_own_tables_of_a_bounded_number() -> None:
-    tables, term = one(3), term_of(3, 1)
+def test_declaration_activates_any_of_the_last_few_compiled_tables() -> None:
+    tables, term = make_epochs(3), make_term(3, 1)
     for table in range(11, 11 + MAX_OWN_TABLES):
-        tables.compiled(1, table, 1.0)
+        tables.table_compiled(1, table, 1.0)
     assert tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 1.0)[0] == SendMessage(
         1, TableAcknowledgement(1, term, 14, 0), Urgency.CHANGE
     )
     actions = tables.handle_message(1, 1, TableAnnouncement(2, term, 11, 1, 1), 1.0)
     assert actions[0] == TableChanged(epoch_of(term, 2), 11, None, 1.0)
     for table in range(20, 40):
-        tables.compiled(1, table, 2.0)
+        tables.table_compiled(1, table, 2.0)
     assert (
         tables.table_in_use(2.0) == 11
         and 11 in tables.needed_tables(2.0)
@@ -335,7 +331,7 @@
 
 
 def test_a_router_with_uncompiled_rules_answers_that_it_has_no_table() -> None:
-    tables, term = one(3), term_of(3, 1)
+    tables, term = make_epochs(3), make_term(3, 1)
     tables.rules_changed(2, 1.0)
     assert tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 0), 1.0) == [
         SendMessage(1, TableAcknowledgement(1, term, 0, 0), Urgency.CHANGE)
@@ -343,74 +339,74 @@
 
 
 def test_epoch_numbers_out_of_range_are_ignored() -> None:
-    tables = one(3)
-    assert tables.handle_message(1, 1, TableAnnouncement(1 << 32, term_of(3, 1), 10, 1, 1), 1.0) == []
+    tables = make_epochs(3)
+    assert tables.handle_message(1, 1, TableAnnouncement(1 << 32, make_term(3, 1), 10, 1, 1), 1.0) == []
 
 
-def test_a_declared_table_is_taken_up_once_it_is_compiled() -> None:
-    tables, term = one(3), term_of(3, 1)
+def test_declared_table_is_used_once_it_is_compiled() -> None:
+    tables, term = make_epochs(3), make_term(3, 1)
     tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 1.0)
     tables.handle_message(1, 1, TableAnnouncement(2, term, 11, 1, 1), 2.0)
     assert tables.table_in_use(2.0) == 10
-    assert TableChanged(epoch_of(term, 2), 11, 10, 63.0) in tables.compiled(1, 11, 3.0)
+    assert TableChanged(epoch_of(term, 2), 11, 10, 63.0) in tables.table_compiled(1, 11, 3.0)
 
 
 def test_a_late_declaration_of_a_superseded_epoch_does_not_extend_it() -> None:
-    tables, term = one(3), term_of(3, 1)
+    tables, term = make_epochs(3), make_term(3, 1)
     tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 1.0)
     tables.handle_message(1, 1, TableAnnouncement(2, term, 11, 1, 1), 2.0)
     tables.handle_message(1, 1, TableAnnouncement(1, term, 10, 1, 1), 20.0)
     assert tables.epoch_in_use(30.9) == epoch_of(term, 1) and tables.epoch_in_use(31.0) is None
 
 
-def holder() -> TableProposer:
-    """The holder under a second term, which uses the epoch that the former holder declared."""
-    proposer = TableProposer(Fleet(0, 5, (0, 1, 2)), ClusterBounds(), lambda *_: term_of(4, 0))
-    proposer.set_own(TableContent(10), 0.0)
-    proposer.begin(term_of(4, 0), DeclaredEpoch(epoch_of(term_of(3, 1), 1), TableContent(10)), 0.0)
+def proposer_of_new_holder() -> TableProposer:
+    """Returns the proposer of a new holder that still uses the epoch of the previous holder."""
+    proposer = TableProposer(Fleet(0, 5, (0, 1, 2)), ClusterBounds(), lambda *_: make_term(4, 0))
+    proposer.set_own_content(TableContent(10), 0.0)
+    proposer.begin_term(make_term(4, 0), DeclaredEpoch(epoch_of(make_term(3, 1), 1), TableContent(10)), 0.0)
     return proposer
 
 
-def test_a_new_holder_repeats_the_former_epoch_until_it_hears_of_a_later_one() -> None:
-    proposer = holder()
-    former = TableAnnouncement(1, term_of(3, 1), 10, 0, 1)
-    assert SendMessage(None, former) in proposer.tick(0.0).actions
-    assert SendMessage(2, former, Urgency.CHANGE) in proposer.peer_alive(2, 0.1)
+def test_new_holder_repeats_the_previous_epoch_until_it_learns_of_a_later_one() -> None:
+    proposer = proposer_of_new_holder()
+    previous = TableAnnouncement(1, make_term(3, 1), 10, 0, 1)
+    assert SendMessage(None, previous) in proposer.tick(0.0).actions
+    assert SendMessage(2, previous, Urgency.CHANGE) in proposer.peer_alive(2, 0.1)
     proposer.handle_acknowledgement(
-        2, 1, TableAcknowledgement(1, term_of(4, 0), 11, short_epoch(epoch_of(term_of(3, 1), 2))), 0.1
+        2, 1, TableAcknowledgement(1, make_term(4, 0), 11, short_epoch(epoch_of(make_term(3, 1), 2))), 0.1
     )
     assert proposer.declared is None
 
 
 def test_a_proposal_is_resent_to_routers_that_have_not_agreed() -> None:
-    proposer = holder()
+    proposer = proposer_of_new_holder()
     proposer.tick(0.0)
-    proposer.handle_acknowledgement(1, 1, TableAcknowledgement(1, term_of(4, 0), 10, 0), 0.1)
-    proposer.handle_acknowledgement(2, 1, TableAcknowledgement(1, term_of(4, 0), 11, 0), 0.1)
-    announcement = TableAnnouncement(1, term_of(4, 0), 10, 0, 0)
-    again = [
+    proposer.handle_acknowledgement(1, 1, TableAcknowledgement(1, make_term(4, 0), 10, 0), 0.1)
+    proposer.handle_acknowledgement(2, 1, TableAcknowledgement(1, make_term(4, 0), 11, 0), 0.1)
+    announcement = TableAnnouncement(1, make_term(4, 0), 10, 0, 0)
+    resent = [
         action
         for action in proposer.tick(0.2).actions
         if isinstance(action, SendMessage) and action.message == announcement
     ]
-    assert [action.to for action in again] == [2, 3, 4]
+    assert [action.to for action in resent] == [2, 3, 4]
     assert proposer.tick(0.3).actions == [] and proposer.due() < 0.7
 
 
 def test_a_declaration_is_resent_to_unconfirmed_routers_and_at_once_to_those_behind() -> None:
-    proposer = holder()
+    proposer = proposer_of_new_holder()
     proposer.tick(0.0)
     for peer in (1, 2):
-        proposer.handle_acknowledgement(peer, 1, TableAcknowledgement(1, term_of(4, 0), 10, 0), 0.1)
-    announcement = TableAnnouncement(1, term_of(4, 0), 10, 0, 1)
+        proposer.handle_acknowledgement(peer, 1, TableAcknowledgement(1, make_term(4, 0), 10, 0), 0.1)
+    announcement = TableAnnouncement(1, make_term(4, 0), 10, 0, 1)
     assert SendMessage(None, announcement, Urgency.CHANGE) in proposer.tick(0.1).actions
     proposer.handle_acknowledgement(
-        2, 1, TableAcknowledgement(1, term_of(4, 0), 10, short_epoch(epoch_of(term_of(4, 0), 1))), 0.2
+        2, 1, TableAcknowledgement(1, make_term(4, 0), 10, short_epoch(epoch_of(make_term(4, 0), 1))), 0.2
     )
     assert proposer.tick(0.31).actions == [
         SendMessage(peer, announcement, Urgency.CHANGE) for peer in (1, 3, 4)
     ]
-    former = epoch_of(term_of(3, 1), 1)
+    previous = epoch_of(make_term(3, 1), 1)
     assert proposer.handle_acknowledgement(
-        3, 1, TableAcknowledgement(1, term_of(3, 1), 10, short_epoch(former)), 0.4
+        3, 1, TableAcknowledgement(1, make_term(3, 1), 10, short_epoch(previous)), 0.4
     ) == [SendMessage(3, announcement, Urgency.CHANGE)]
