--- a/paddlequay/cluster/bundle_owner.py
+++ b/paddlequay/cluster/bundle_owner.py
@@ -1,4 +1,4 @@
-"""The owner's side of a bundle of live channels: followers, reports to them, gain and loss of the bundle."""
+"""The owner's side of a bundle of live channels: acquiring and losing it, and reporting to its followers."""
 
 from paddlequay.cluster.bundles import Bundle
 from paddlequay.cluster.handoff import Handoff, not_owner_message
@@ -14,19 +14,17 @@
     Urgency,
 )
 
-HEARTBEAT_INTERVAL_S = 0.5  # of an owner that has filled nothing meanwhile
+HEARTBEAT_INTERVAL_S = 0.5  # after the last report, if no part has been filled since
 
 
 class BundleOwner:
-    """Owns bundles: reports filled parts to followers, and sends them heartbeats between reports."""
+    """An owner's duties: reports filled parts to followers, and sends them heartbeats between reports."""
 
     def __init__(self, handoff: Handoff) -> None:
         self.handoff = handoff
 
-    # --- gain and loss ---
-
     def acquire(self, bundle: Bundle, term: int, now: float) -> list[Action]:
-        """Owns a bundle whose lease was acquired under a term."""
+        """Makes this router the owner of a bundle whose lease it has acquired under a term."""
         bundle.accept_term(term, now)
         bundle.term = term
         bundle.acquired_at = now
@@ -39,7 +37,7 @@
         return [ChannelOwnership(channel, term) for channel in sorted(bundle.live_channels)]
 
     def lose(self, bundle: Bundle, term: int, now: float) -> list[Action]:
-        """No longer owns a bundle whose lease under a term was lost."""
+        """Ends this router's ownership of a bundle, if the lost lease had the term of that ownership."""
         if bundle.term == term:
             bundle.term = 0
             bundle.offer = None
@@ -47,10 +45,8 @@
             bundle.owner_last_seen = now
         return [ChannelOwnership(channel, 0) for channel in sorted(bundle.live_channels)]
 
-    # --- followers ---
-
     def handle_follow(self, sender: Peer, bundle: Bundle, message: HandoffReply, now: float) -> list[Action]:
-        """Adds a follower, or tells it that this router does not own the bundle."""
+        """Records a follower, or tells it that this router does not own the bundle."""
         if not message.accepted:
             return []
         if bundle.term:
@@ -66,35 +62,33 @@
     def report_fill(
         self, bundle: Bundle, prefetch: Prefetch, cache: NameDigest, valid_s: float, now: float
     ) -> list[Action]:
-        """Reports a filled part to the followers; the first one after a takeover also completes that."""
+        """Reports a filled part to the followers; the first report after a takeover also completes it."""
         bundle.rate.add(now)
         bundle.last_report_at = now
         valid_ms = int(valid_s * 1000)
         report = ChannelPartReport(prefetch.channel, prefetch.term, prefetch.part, cache, valid_ms)
-        # Routine: where bytes are short, a hint yields to messages that decide something.
-        out: list[Action] = [
+        # Sent with low urgency: when bandwidth is short, messages that decide something go before hints.
+        actions: list[Action] = [
             SendMessage(peer, report, Urgency.ROUTINE) for peer in bundle.current_followers(now)
         ]
         takeover = bundle.completed_takeover
         if takeover is not None and prefetch.term == bundle.term:
             bundle.completed_takeover = None
             complete = HandoffComplete(bundle.lease, prefetch.term, takeover.term)
-            out.append(SendMessage(takeover.previous_owner, complete, Urgency.LEASE))
-        return out
-
-    # --- time ---
+            actions.append(SendMessage(takeover.previous_owner, complete, Urgency.LEASE))
+        return actions
 
-    def tend(self, bundle: Bundle, now: float) -> list[Action]:
-        """Sends heartbeats, continues an offer, and gives up a bundle that is not read here."""
+    def update_bundle(self, bundle: Bundle, now: float) -> list[Action]:
+        """Sends heartbeats and repeats an offer; gives the bundle up if it is not read here or superseded."""
         if not bundle.live_channels or bundle.is_superseded(bundle.term, now):
             return self.handoff.give_up(bundle, now)
-        out = self.send_heartbeat(bundle, now)
+        actions = self.send_heartbeat(bundle, now)
         if bundle.offer is not None:
-            out += self.handoff.tend_offer(bundle, bundle.offer, now)
-        return out
+            actions += self.handoff.update_offer(bundle, bundle.offer, now)
+        return actions
 
     def send_heartbeat(self, bundle: Bundle, now: float) -> list[Action]:
-        """Tells the followers that the owner is there, if the last report is old enough."""
+        """Sends a heartbeat to the followers if the last report is `HEARTBEAT_INTERVAL_S` old."""
         if now - bundle.last_report_at < HEARTBEAT_INTERVAL_S:
             return []
         bundle.last_report_at = now
--- a/paddlequay/cluster/bundles.py
+++ b/paddlequay/cluster/bundles.py
@@ -1,11 +1,12 @@
-"""The bundles of live channels: a router's state of each, and the term under which it may fill now.
-
-Channels share leases: each belongs to one bundle of its zone, and the owner of a bundle holds the bundle's
-lease. An owner that has handed its lease on may fill under its old, lower term for `bounds.overlap_s` seconds
-from before the release, measured by its own clock less the drift, and only until it receives a higher term.
-The successor can take the lease only after the release, so two owners overlap for less than that whatever
-their clocks do. A lease held for less than two overlaps is handed on without one, so that three never
-overlap. A lease that is lost in any other way ends at once: `LeaseTerms.holds` is asked at each use.
+"""The bundles of live channels: a router's state of each, and the term under which it may fill parts now.
+
+Channels share leases: each channel belongs to one bundle of its zone, and the owner of a bundle holds the
+bundle's lease. After a handoff the previous owner may still fill under its old, lower term for
+`bounds.overlap_s` seconds, counted from just before it released the lease and shortened by the clock drift,
+and only until it receives a higher term. The successor can acquire the lease only after the release, so two
+owners overlap for less than that, whatever their clocks do. A lease held for less than twice that time is
+handed off without an overlap, so that three owners never overlap. A lease that is lost in any other way ends
+the ownership at once, because `LeaseTerms.holds` is called before each use.
 """
 
 from dataclasses import dataclass, field
@@ -14,28 +15,28 @@
 from paddlequay.cluster.prefetch import DecayingRate, bundle_lease
 from paddlequay.cluster.types import Action, ClusterBounds, NameDigest, Peer
 
-FOLLOWER_TIMEOUT_S = 3.5  # three follow messages: two may be lost
-TERM_MEMORY_S = 30.0  # an older higher term binds no more: acceptors can lose their memory as well
-LONG_AGO = -1e9  # seconds; earlier than any clock reading
+FOLLOWER_TIMEOUT_S = 3.5  # time for three follow messages, of which two may be lost
+TERM_RETENTION_S = 30.0  # then a higher term is ignored: acceptors that lost their state issue lower ones
+LONG_AGO_S = -1e9  # seconds; earlier than any clock reading
 
 
 class LeaseTerms(Protocol):
-    """The calls of `cluster.leases.Leases` that channels use."""
+    """The methods of `cluster.leases.Leases` that channels use."""
 
     def request(self, lease: NameDigest, now: float) -> list[Action]:
         """Bids for a lease until it is held or released."""
         ...
 
     def release(self, lease: NameDigest, now: float, successor: Peer | None = None) -> list[Action]:
-        """Gives a lease or a bid back, for a successor to take if one is named."""
+        """Releases a lease or withdraws a bid; a named successor may then acquire the lease."""
         ...
 
     def holds(self, lease: NameDigest, now: float) -> int | None:
-        """Returns the term under which this router holds a lease at this moment, None if it does not."""
+        """Returns the term under which this router holds a lease now, None if it does not."""
         ...
 
     def holder(self, lease: NameDigest, now: float) -> Peer | None:
-        """Returns the holder that acceptors reported last, a hint."""
+        """Returns the holder that acceptors last reported, which may be outdated."""
         ...
 
     def query_holder(self, lease: NameDigest, now: float) -> list[Action]:
@@ -54,17 +55,17 @@
 
 @dataclass(slots=True)
 class Takeover:
-    """The receiver's side of an offer."""
+    """A takeover in progress, as the receiver of the offer tracks it."""
 
     previous_owner: Peer
     term: int  # of the previous owner
     started_at: float
-    ready: bool = False  # the bid waits at the acceptors for the release
+    ready: bool = False  # the bid is queued at the acceptors until the previous owner releases the lease
 
 
 @dataclass(slots=True)
 class Overlap:
-    """The time after a handoff in which the previous owner may still fill under its old term."""
+    """The previous owner's permission to fill under its old term for a short time after a handoff."""
 
     term: int
     valid_until: float
@@ -72,36 +73,36 @@
 
 @dataclass(slots=True)
 class Bundle:
-    """A router's state of one bundle. Times are by the router's clock; peers are bounded by the fleet."""
+    """A router's state of one bundle. Times are by the router's clock; the fleet's size bounds the peers."""
 
     lease: NameDigest
     live_channels: set[NameDigest] = field(default_factory=set)  # read at this router
-    highest_term: int = 0  # of any owner that was heard of
+    highest_term: int = 0  # of any owner known so far
     highest_term_at: float = 0.0
-    # while another router owns it, or none
+    # used while another router, or none, owns the bundle
     owner: Peer | None = None
     owner_last_seen: float = 0.0
-    follow_sent_at: float = LONG_AGO
-    bid_at: float | None = None  # the planned time of a bid
+    follow_sent_at: float = LONG_AGO_S
+    bid_at: float | None = None  # when a bid is planned
     bid_pending: bool = False
     bid_started_at: float = 0.0
-    denied_by: Peer | None = None  # the peer that last denied to be the owner
+    denied_by: Peer | None = None  # the peer that last denied being the owner
     denied_at: float = 0.0
-    # while this router owns it
+    # used while this router owns the bundle
     term: int = 0  # 0: not the owner
     acquired_at: float = 0.0
     last_report_at: float = 0.0
-    rate: DecayingRate = field(default_factory=DecayingRate)  # parts prefetched a second
-    followers: dict[Peer, float] = field(default_factory=dict)  # time of the last follow message, by peer
-    declined: dict[Peer, float] = field(default_factory=dict)  # time of the declined offer, by peer
+    rate: DecayingRate = field(default_factory=DecayingRate)  # parts prefetched per second
+    followers: dict[Peer, float] = field(default_factory=dict)  # time of the last follow message by peer
+    declined: dict[Peer, float] = field(default_factory=dict)  # time of the declined offer by peer
     offer: PendingOffer | None = None
     overlap: Overlap | None = None
-    # while this router takes it over, and until its first part is filled
+    # used during a takeover by this router, and until it has filled its first part
     takeover: Takeover | None = None
     completed_takeover: Takeover | None = None
 
     def accept_term(self, term: int, now: float) -> bool:
-        """Notes a term that was heard of. Returns False if it is superseded, and then changes nothing."""
+        """Records a received term and returns True; returns False, without a change, if it is superseded."""
         if self.is_superseded(term, now):
             return False
         self.highest_term = term
@@ -109,11 +110,11 @@
         return True
 
     def is_superseded(self, term: int, now: float) -> bool:
-        """Returns whether a later owner than the one of this term was heard of lately."""
-        return self.highest_term > term and now - self.highest_term_at <= TERM_MEMORY_S
+        """Returns whether a higher term than this was received within the last `TERM_RETENTION_S`."""
+        return self.highest_term > term and now - self.highest_term_at <= TERM_RETENTION_S
 
     def current_followers(self, now: float) -> list[Peer]:
-        """Returns the peers that followed within `FOLLOWER_TIMEOUT_S`, in order, and forgets the others."""
+        """Returns the peers that followed within `FOLLOWER_TIMEOUT_S`, sorted, and removes the others."""
         expired = [peer for peer, at in self.followers.items() if now - at > FOLLOWER_TIMEOUT_S]
         for peer in expired:
             del self.followers[peer]
@@ -121,7 +122,7 @@
 
 
 class Bundles:
-    """All bundles of a zone, and the decision whether this router may fill at this moment."""
+    """All bundles of a zone, and the decision whether this router may fill parts of one now."""
 
     def __init__(self, zone: str, count: int, bounds: ClusterBounds, leases: LeaseTerms) -> None:
         self.bounds = bounds
@@ -134,9 +135,9 @@
         return self.all[channel % len(self.all)]
 
     def active_term(self, bundle: Bundle, now: float) -> int | None:
-        """Returns the term under which this router may fill at this moment, None if it may not.
+        """Returns the term under which this router may fill parts now, None if it may not.
 
-        That is the term of its lease, or its old term during an overlap, unless a higher one was heard of.
+        That is the term of its lease, or its old term during an overlap, unless a higher term was received.
         """
         term = self.leases.holds(bundle.lease, now)
         if term is not None:
@@ -151,7 +152,7 @@
         return [bundle for bundle in self.all if bundle.term]
 
     def release(self, bundle: Bundle, now: float, successor: Peer | None) -> list[Action]:
-        """Gives a bundle's lease back; to a successor with an overlap, if `may_overlap` permits one."""
+        """Releases a bundle's lease. A successor starts with an overlap if `may_overlap` permits one."""
         if successor is not None and self.may_overlap(bundle, now):
             bundle.overlap = Overlap(bundle.term, self.overlap_end(now))
         bundle.term = 0
@@ -163,10 +164,10 @@
         return self.leases.release(bundle.lease, now, successor)
 
     def may_overlap(self, bundle: Bundle, now: float) -> bool:
-        """Returns whether the lease is held and the owner before this router has certainly stopped."""
+        """Returns whether this router holds the lease and any earlier overlap has certainly ended."""
         holds_lease = self.leases.holds(bundle.lease, now) == bundle.term
         return holds_lease and now - bundle.acquired_at >= 2 * self.bounds.overlap_s
 
     def overlap_end(self, now: float) -> float:
-        """Returns when an overlap that starts now ends: shortened, since this clock may be the slowest."""
+        """Returns the end of an overlap that starts now, shortened because this clock may be the slowest."""
         return now + self.bounds.overlap_s * (1 - self.bounds.drift_ratio)
--- a/paddlequay/cluster/cache_hints.py
+++ b/paddlequay/cluster/cache_hints.py
@@ -1,4 +1,4 @@
-"""Remembers which cache holds which part of a live channel, as the channels' owners report it."""
+"""Stores which cache holds which part of a live channel, as reported by the channels' owners."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from paddlequay.cluster.types import NameDigest
 
 MAX_PARTS_PER_CHANNEL = 16
-MAX_VALIDITY_S = 10.0  # whatever an owner reports
+MAX_VALIDITY_S = 10.0  # even if an owner reports more
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,9 +19,10 @@
 
 
 class CacheHints:
-    """Hints by channel and part, at most `max_channels` times `MAX_PARTS_PER_CHANNEL`.
+    """Hints by channel and part, at most `max_channels` times `MAX_PARTS_PER_CHANNEL` of them.
 
-    A part stays in its cache when the owner changes; of two reports on one part the higher term wins.
+    Hints remain valid when the owner changes, since the part is still in its cache. Of two valid reports on
+    one part the one under the higher term is kept.
     """
 
     def __init__(self, max_channels: int) -> None:
@@ -48,7 +49,7 @@
         return hint.cache if hint is not None and now < hint.valid_until else None
 
     def drop_expired(self, now: float) -> None:
-        """Forgets channels without a valid hint, in the order of their last reports."""
+        """Removes the least recently reported channels, until one has a valid hint."""
         while self.channels:
             channel, hints = next(iter(self.channels.items()))
             if any(now < hint.valid_until for hint in hints.values()):
--- a/paddlequay/cluster/channels.py
+++ b/paddlequay/cluster/channels.py
@@ -1,9 +1,11 @@
-"""The live channels of a zone: one router owns each and alone prefetches its next part.
+"""The live channels of a zone: each is owned by one router, which alone prefetches its next parts.
 
-The owner reports to the routers that read the channel which cache holds a part. No request waits for an
-owner: without one, or without its reports, every router routes requests as it does for any object.
-`prefetch.py` detects channels, `cache_hints.py` keeps the owners' reports, `bundles.py` decides what may be
-filled at this moment, `owner_search.py` finds owners and bids, and `handoff.py` hands bundles on.
+The owner reports which cache holds a part to the routers that read the channel. No request waits for an
+owner: without an owner, or without its reports, a router routes requests as for any other object.
+
+`prefetch.py` detects channels, `cache_hints.py` stores the owners' reports, `bundles.py` decides which parts
+this router may fill now, `owner_search.py` finds owners and bids for leases, `bundle_owner.py` reports to
+followers, and `handoff.py` hands bundles off.
 """
 
 import random
@@ -46,7 +48,7 @@
 
 
 class Channels:
-    """The component of the cluster that owns live channels; `rng` is seeded anew for each run."""
+    """The cluster component for live channels. `rng` is seeded per run."""
 
     HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = CHANNEL_MESSAGES
 
@@ -64,12 +66,10 @@
         self.detector = ChannelDetector(fleet.zone, rule)
         self.hints = CacheHints(rule.max_channels)
         self.handoff = Handoff(rule, self.bundles, leases)
-        self.owner = BundleOwner(self.handoff)
+        self.bundle_owner = BundleOwner(self.handoff)
         self.owner_search = OwnerSearch(self.bundles, leases, self.handoff, rng, now)
         self.tick_at = NEVER
-        self.pending_events: list[Action] = []  # found in calls that return no actions
-
-    # --- calls of the driver ---
+        self.pending_events: list[Action] = []  # from `record_read`; returned by the next tick
 
     def record_read(self, object_name: str, class_name: str, part: int, now: float) -> list[Prefetch]:
         """Counts a client's read of a part, and returns the parts to prefetch now.
@@ -92,9 +92,9 @@
         return [] if term is None else self.detector.due_prefetches(channel, term, now)
 
     def writable_term(self, prefetch: Prefetch, now: float) -> int | None:
-        """Returns the term to write a prefetch under; None if it must not be written.
+        """Returns the term under which to write a prefetch, None if it must not be written.
 
-        The driver asks this right before the write, since the lease may have ended meanwhile.
+        The driver calls this immediately before the write, since the lease may have ended in the meantime.
         """
         term = self.bundles.active_term(self.bundles.bundle_of(prefetch.channel), now)
         return term if term == prefetch.term else None
@@ -113,32 +113,30 @@
             return []
         valid_s = self.rule.idle_timeout_s
         self.hints.add(prefetch.channel, prefetch.part, cache, prefetch.term, valid_s, now)
-        return self.owner.report_fill(bundle, prefetch, cache, valid_s, now)
+        return self.bundle_owner.report_fill(bundle, prefetch, cache, valid_s, now)
 
     def prefetch_failed(self, prefetch: Prefetch, now: float) -> None:
-        """Notes that a prefetch was not written or brought nothing; a later read tries it again."""
+        """Records that a prefetch was not written or has failed; a later read may start it again."""
         self.detector.record_result(prefetch, False, now)
 
     def find_cache(self, channel: NameDigest, part: int, now: float) -> NameDigest | None:
-        """Returns the digest of the cache that holds a part, as an owner reported it; a hint."""
+        """Returns the digest of the cache that holds a part according to an owner's hint, or None."""
         return self.hints.find(channel, part, now)
 
     def drain(self, now: float) -> list[Action]:
-        """Hands all bundles on, and takes none over from now on."""
+        """Starts to hand all bundles off, and declines further ones from now on."""
         self.handoff.draining = True
         self._schedule_tick(now)
         return self.handoff.start_handoffs(now)
 
     def is_drained(self, now: float) -> bool:
-        """Returns whether this router may fill no bundle any more, not even under an old term."""
+        """Returns whether this router may no longer fill any bundle, not even under an old term."""
         return all(self.bundles.active_term(bundle, now) is None for bundle in self.bundles.all)
 
-    # --- calls of the node ---
-
     def handle_message(
         self, sender: Peer, incarnation: int, message: PeerMessage, now: float
     ) -> list[Action]:
-        """Handles a message of one of the `HANDLED_MESSAGES`; a bundle of another zone is ignored."""
+        """Handles one of the `HANDLED_MESSAGES`; messages about bundles of other zones are ignored."""
         if isinstance(message, ChannelPartReport):
             self._handle_report(sender, message, now)
         elif isinstance(message, OwnerLoad):
@@ -154,9 +152,9 @@
         match event:
             case LeaseAcquired(lease=lease) if lease in self.bundles.by_lease:
                 self._schedule_tick(now)
-                return self.owner.acquire(self.bundles.by_lease[lease], event.term, now)
+                return self.bundle_owner.acquire(self.bundles.by_lease[lease], event.term, now)
             case LeaseLost(lease=lease) if lease in self.bundles.by_lease:
-                return self.owner.lose(self.bundles.by_lease[lease], event.term, now)
+                return self.bundle_owner.lose(self.bundles.by_lease[lease], event.term, now)
             case HolderObserved(lease=lease) if lease in self.bundles.by_lease:
                 self.bundles.by_lease[lease].accept_term(event.term, now)
             case PeerChanged():
@@ -164,33 +162,31 @@
         return []
 
     def tick(self, now: float) -> list[Action]:
-        """Tends all bundles, starts due bids and moves bundles for load."""
+        """Updates all bundles, starts the bids that are due, and starts handoffs."""
         if now < self.tick_at:
             return []
-        out = self.pending_events
+        actions = self.pending_events
         self.pending_events = []
         for channel in self.detector.pop_ended(now):
             self.bundles.bundle_of(channel.id).live_channels.discard(channel.id)
         self.hints.drop_expired(now)
         for bundle in self.bundles.all:
-            out += self._tend(bundle, now)
-        out += self.owner_search.start_due_bids(now)
-        out += self.handoff.start_handoffs(now)
+            actions += self._update_bundle(bundle, now)
+        actions += self.owner_search.start_due_bids(now)
+        actions += self.handoff.start_handoffs(now)
         self.tick_at = NEVER if self._is_idle() else now + TICK_INTERVAL_S
-        return out
+        return actions
 
     def due(self) -> float:
         """Returns when `tick` next has something to do."""
         return self.tick_at
 
-    # --- messages ---
-
     def _handle_report(self, sender: Peer, report: ChannelPartReport, now: float) -> None:
         bundle = self.bundles.bundle_of(report.channel)
         if not bundle.accept_term(report.term, now):
             return
         valid_s = report.valid_ms / 1000
-        if valid_s > 0:  # else it is a heartbeat
+        if valid_s > 0:  # a heartbeat otherwise
             self.hints.add(report.channel, report.part, report.cache, report.term, valid_s, now)
         self.owner_search.observe_owner(bundle, sender, now)
 
@@ -201,10 +197,10 @@
             case HandoffOffer():
                 return self.handoff.handle_offer(sender, bundle, message, now)
             case HandoffReply(term=term) if term == FOLLOW_TERM:
-                return self.owner.handle_follow(sender, bundle, message, now)
+                return self.bundle_owner.handle_follow(sender, bundle, message, now)
             case HandoffReply():
                 if not message.accepted and bundle.owner == sender:
-                    return self.owner_search.owner_denied(bundle, sender, now)
+                    return self.owner_search.handle_denial(bundle, sender, now)
                 return self.handoff.handle_reply(sender, bundle, message, now)
             case HandoffComplete():
                 if not bundle.accept_term(message.term, now):
@@ -218,17 +214,15 @@
         elif event.state is not PeerState.UNKNOWN:
             self.handoff.unreachable.add(event.peer)
 
-    # --- time ---
-
-    def _tend(self, bundle: Bundle, now: float) -> list[Action]:
-        out: list[Action] = []
+    def _update_bundle(self, bundle: Bundle, now: float) -> list[Action]:
+        actions: list[Action] = []
         if bundle.overlap is not None and self.bundles.active_term(bundle, now) is None:
-            out += self.handoff.end_overlap(bundle, now)
+            actions += self.handoff.end_overlap(bundle, now)
         if bundle.takeover is not None:
-            out += self.handoff.tend_takeover(bundle, bundle.takeover, now)
+            actions += self.handoff.update_takeover(bundle, bundle.takeover, now)
         if bundle.term:
-            return out + self.owner.tend(bundle, now)
-        return out + self.owner_search.tend(bundle, now)
+            return actions + self.bundle_owner.update_bundle(bundle, now)
+        return actions + self.owner_search.update_bundle(bundle, now)
 
     def _is_idle(self) -> bool:
         """Returns whether nothing is read, remembered, owned or bid for, and no event is pending."""
--- a/paddlequay/cluster/handoff.py
+++ b/paddlequay/cluster/handoff.py
@@ -1,11 +1,11 @@
-"""Hands bundles of live channels on: to which router, when, and how the receiver takes one over.
+"""Hands bundles of live channels off to other routers: decides when and to which, and takes bundles over.
 
 An owner sends a `HandoffOffer`. The receiver bids for the lease, and answers with a `HandoffReply` once its
-bid waits for the owner's release. The owner releases the lease to it, and the new owner sends a
-`HandoffComplete` with its first filled part. `bundles.py` says how long both may fill.
+bid is queued behind the owner's lease. The owner then releases the lease to the receiver, and the new owner
+sends a `HandoffComplete` with its first filled part. `bundles.py` limits how long both may fill.
 
-A router offers, and takes over, at most `MAX_CONCURRENT_HANDOFFS` bundles at a time; it moves at most one
-bundle per `REBALANCE_INTERVAL_S` for load, and none that it has owned for less than `MIN_OWNERSHIP_S`.
+A router offers, and takes over, at most `MAX_CONCURRENT_HANDOFFS` bundles at a time. To balance load it moves
+at most one bundle per `REBALANCE_INTERVAL_S`, and none that it has owned for less than `MIN_OWNERSHIP_S`.
 """
 
 from dataclasses import dataclass
@@ -23,39 +23,39 @@
 from paddlequay.cluster.types import NEVER, Action, LogEvent, Peer, SendMessage, Urgency
 
 MAX_CONCURRENT_HANDOFFS = 4
-BID_SETTLE_S = 0.1  # until the bid for an offered bundle has its answers and waits
-OFFER_TIMEOUT_S = 3.0  # an answer may take two delays of a second and an election
+BID_SETTLE_S = 0.1  # time for the acceptors to answer the bid for an offered bundle and queue it
+OFFER_TIMEOUT_S = 3.0  # an answer may take two message delays of a second each and an election
 OFFER_RESEND_S = 0.3
-TAKEOVER_TIMEOUT_S = 5.0  # a bundle not released by then is not going to be
-DECLINE_MEMORY_S = 5.0  # before a router that declined a bundle is offered it again
+TAKEOVER_TIMEOUT_S = 5.0  # a bundle that the owner has not released by then will not be released
+DECLINE_RETENTION_S = 5.0  # until a bundle is offered again to a router that declined it
 REBALANCE_INTERVAL_S = 5.0
 MIN_OWNERSHIP_S = 10.0
 
-FOLLOW_TERM = 0  # of a reply that answers no offer
+FOLLOW_TERM = 0  # the term of a `HandoffReply` that is a follow message and answers no offer
 ACCEPTED = 1
 DECLINED = 0
 
 
 def follow_message(bundle: Bundle) -> HandoffReply:
-    """Returns the message by which a router follows the owner of a bundle."""
+    """Returns the message that a router sends to follow the owner of a bundle."""
     return HandoffReply(bundle.lease, FOLLOW_TERM, ACCEPTED)
 
 
 def not_owner_message(bundle: Bundle, term: int) -> HandoffReply:
-    """Returns the message that tells followers that this router does not, or no longer, own a bundle."""
+    """Returns the message to followers that this router does not, or no longer, own a bundle."""
     return HandoffReply(bundle.lease, term, DECLINED)
 
 
 @dataclass(frozen=True, slots=True)
 class PeerLoad:
-    """The parts that a peer prefetches a second, as it reported at `received_at`."""
+    """The parts per second that a peer prefetches, as reported in a message received at `received_at`."""
 
     rate_per_s: float
     received_at: float
 
 
 class Handoff:
-    """Both sides of handoffs, with the loads of peers by which receivers are chosen."""
+    """Both sides of handoffs, and the peers' loads, by which receivers are chosen."""
 
     def __init__(self, rule: ChannelRule, bundles: Bundles, leases: LeaseTerms) -> None:
         self.rule = rule
@@ -66,22 +66,20 @@
         self.draining = False
         self.rebalanced_at = -NEVER
 
-    # --- load ---
-
     def load_message(self, now: float) -> OwnerLoad:
         """Returns the report of this router's load."""
         return OwnerLoad(int(self.own_load(now) * 1000), len(self.bundles.owned()))
 
     def record_load(self, peer: Peer, report: OwnerLoad, now: float) -> None:
-        """Notes a peer's report of its load."""
+        """Records a peer's report of its load."""
         self.peer_loads[peer] = PeerLoad(report.rate_milli / 1000, now)
 
     def own_load(self, now: float) -> float:
-        """Returns the parts that this router prefetches a second."""
+        """Returns the parts per second that this router prefetches."""
         return sum(bundle.rate.per_second(now) for bundle in self.bundles.owned())
 
     def expected_load(self, peer: Peer, now: float) -> float:
-        """Returns the parts a second that a peer reported, plus those of the bundles offered to it."""
+        """Returns the parts per second that a peer reported, plus those of the bundles offered to it."""
         reported = self.peer_loads[peer].rate_per_s if peer in self.peer_loads else 0.0
         offered = (
             bundle.rate.per_second(now)
@@ -90,18 +88,16 @@
         )
         return reported + sum(offered)
 
-    # --- the owner ---
-
     def give_up(self, bundle: Bundle, now: float) -> list[Action]:
         """Releases a bundle without a successor, and tells its followers to search for an owner."""
         message = not_owner_message(bundle, bundle.term)
-        out = self.bundles.release(bundle, now, None)
-        out += [SendMessage(peer, message, Urgency.CHANGE) for peer in bundle.current_followers(now)]
+        actions = self.bundles.release(bundle, now, None)
+        actions += [SendMessage(peer, message, Urgency.CHANGE) for peer in bundle.current_followers(now)]
         bundle.followers.clear()
-        return out
+        return actions
 
     def start_handoffs(self, now: float) -> list[Action]:
-        """Offers bundles: all of them while draining, else one at a time while far above the mean load."""
+        """Offers all bundles while draining; otherwise one at a time while the load is far above the mean."""
         owned = self.bundles.owned()
         offered_count = sum(bundle.offer is not None for bundle in owned)
         if self.draining:
@@ -112,50 +108,50 @@
         return []
 
     def drain_bundles(self, owned: list[Bundle], capacity: int, now: float) -> list[Action]:
-        """Offers up to `capacity` bundles, and gives up those that nobody can take."""
-        out: list[Action] = []
+        """Offers up to `capacity` bundles, and gives up those without a possible successor."""
+        actions: list[Action] = []
         for bundle in [each for each in owned if each.offer is None]:
             successor = self.choose_successor(bundle, now)
             if successor is None:
-                out += self.give_up(bundle, now)
+                actions += self.give_up(bundle, now)
             elif capacity > 0:
                 capacity -= 1
-                out += self.offer_bundle(bundle, successor, now)
-        return out
+                actions += self.offer_bundle(bundle, successor, now)
+        return actions
 
     def rebalance(self, owned: list[Bundle], now: float) -> list[Action]:
-        """Offers the largest bundle whose receiver stays no more loaded than this router.
+        """Offers the bundle with the highest rate that leaves its receiver no more loaded than this router.
 
-        Nothing moves unless this router's load is above `rule.rebalance_ratio` times the mean of all that
-        reported theirs. The mean includes routers that own nothing; else a router that owns everything would
-        be the mean itself.
+        Offers nothing unless this router's load is above `rule.rebalance_ratio` times the mean load of this
+        router and the peers that reported theirs. The mean includes routers that own nothing; otherwise the
+        load of a router that owns everything would equal the mean.
         """
-        own = self.own_load(now)
-        if not self.is_overloaded(own, now):
+        own_rate = self.own_load(now)
+        if not self.is_overloaded(own_rate, now):
             return []
         for bundle in sorted(owned, key=lambda each: -each.rate.per_second(now)):
             successor = self.choose_successor(bundle, now)
             rate = bundle.rate.per_second(now)
             if successor is None or now - bundle.acquired_at < MIN_OWNERSHIP_S:
                 continue
-            if rate > 0 and self.expected_load(successor, now) + rate <= own - rate:
+            if rate > 0 and self.expected_load(successor, now) + rate <= own_rate - rate:
                 self.rebalanced_at = now
                 return self.offer_bundle(bundle, successor, now)
         return []
 
-    def is_overloaded(self, own: float, now: float) -> bool:
-        """Returns whether a load, in parts a second, is far above the mean of the peers heard lately."""
+    def is_overloaded(self, own_rate: float, now: float) -> bool:
+        """Returns whether a load, in parts per second, is far above the mean of recently reported loads."""
         others = [
             load.rate_per_s
             for load in self.peer_loads.values()
             if now - load.received_at <= FOLLOWER_TIMEOUT_S
         ]
-        mean = (own + sum(others)) / (1 + len(others))
-        return bool(others) and own > self.rule.rebalance_ratio * mean
+        mean = (own_rate + sum(others)) / (1 + len(others))
+        return bool(others) and own_rate > self.rule.rebalance_ratio * mean
 
     def choose_successor(self, bundle: Bundle, now: float) -> Peer | None:
-        """Returns the least loaded follower that is reachable and has not declined the bundle lately."""
-        bundle.declined = {peer: at for peer, at in bundle.declined.items() if now - at < DECLINE_MEMORY_S}
+        """Returns the least loaded follower that is reachable and has not recently declined the bundle."""
+        bundle.declined = {peer: at for peer, at in bundle.declined.items() if now - at < DECLINE_RETENTION_S}
         excluded = self.unreachable | bundle.declined.keys()
         candidates = [peer for peer in bundle.current_followers(now) if peer not in excluded]
         return min(candidates, key=lambda peer: (self.expected_load(peer, now), peer), default=None)
@@ -169,8 +165,8 @@
         """Returns the offer of a bundle, with its load."""
         return HandoffOffer(bundle.lease, bundle.term, int(bundle.rate.per_second(now) * 1000))
 
-    def tend_offer(self, bundle: Bundle, offer: PendingOffer, now: float) -> list[Action]:
-        """Repeats an unanswered offer, or ends it when it is too old or its receiver is unreachable."""
+    def update_offer(self, bundle: Bundle, offer: PendingOffer, now: float) -> list[Action]:
+        """Repeats an unanswered offer, or withdraws it if it is too old or its receiver is unreachable."""
         if now - offer.started_at > OFFER_TIMEOUT_S or offer.receiver in self.unreachable:
             bundle.declined[offer.receiver] = now
             bundle.offer = None
@@ -181,7 +177,7 @@
         return [SendMessage(offer.receiver, self.offer_message(bundle, now), Urgency.LEASE)]
 
     def handle_reply(self, sender: Peer, bundle: Bundle, reply: HandoffReply, now: float) -> list[Action]:
-        """Handles the answer to an offer: releases the bundle, or looks for another receiver."""
+        """Handles the answer to an offer: releases the bundle, or offers bundles to other receivers."""
         offer = bundle.offer
         is_current_term = bool(bundle.term) and bundle.term == reply.term
         if not is_current_term or offer is None or offer.receiver != sender:
@@ -190,8 +186,8 @@
             bundle.declined[sender] = now
             bundle.offer = None
             return self.start_handoffs(now)
-        out = self.bundles.release(bundle, now, sender)
-        return [*out, LogEvent("channels-handed-on", (("bundle", bundle.lease), ("to", sender)))]
+        actions = self.bundles.release(bundle, now, sender)
+        return [*actions, LogEvent("channels-handed-on", (("bundle", bundle.lease), ("to", sender)))]
 
     def end_overlap(self, bundle: Bundle, now: float) -> list[Action]:
         """Ends the overlap after a handoff, and tells the followers to search for the new owner."""
@@ -203,8 +199,6 @@
         bundle.followers.clear()
         return [SendMessage(peer, message, Urgency.CHANGE) for peer in followers]
 
-    # --- the receiver ---
-
     def handle_offer(self, sender: Peer, bundle: Bundle, offer: HandoffOffer, now: float) -> list[Action]:
         """Handles an offer: bids for the bundle, or declines it."""
         if not bundle.accept_term(offer.term, now):
@@ -222,14 +216,14 @@
     def may_take_over(self, bundle: Bundle) -> bool:
         """Returns whether this router can take a bundle over.
 
-        It must read the bundle itself, else it does not know which part comes next.
+        It must itself receive reads of the bundle's channels to know which part is next.
         """
         takeover_count = sum(each.takeover is not None for each in self.bundles.all)
         has_capacity = takeover_count < MAX_CONCURRENT_HANDOFFS
         return has_capacity and not self.draining and bool(bundle.live_channels) and not bundle.term
 
-    def tend_takeover(self, bundle: Bundle, takeover: Takeover, now: float) -> list[Action]:
-        """Accepts an offer once the bid waits for the sender's release; ends a takeover that is too old."""
+    def update_takeover(self, bundle: Bundle, takeover: Takeover, now: float) -> list[Action]:
+        """Accepts an offer once the bid is queued behind the owner's lease; ends a stale takeover."""
         if now - takeover.started_at > TAKEOVER_TIMEOUT_S:
             bundle.takeover = None
             return []
--- a/paddlequay/cluster/prefetch.py
+++ b/paddlequay/cluster/prefetch.py
@@ -1,11 +1,11 @@
 """Detects live channels from reads, and decides which parts their owner prefetches.
 
-A channel is an object whose parts are produced one after another and read by several clients. It is live
-once reads have advanced its highest part `MIN_ADVANCES` times, by at most `MAX_ADVANCE_PARTS` each, each
-advance within `ChannelRule.idle_timeout_s` of the one before. The routers of a zone share a channel's
-readers, so each of them sees advances over one part or a few; a client that seeks in a recording jumps
-farther. A read of a far part changes nothing while the channel advances, so that a single client cannot end
-it.
+A channel is an object whose parts are produced one after another and read by several clients. It is live once
+reads have advanced its highest part `MIN_ADVANCES` times, by at most `MAX_ADVANCE_PARTS` each time and within
+`ChannelRule.idle_timeout_s` of the previous advance. A channel's readers are spread over the routers of a
+zone, so each router sees advances by one or a few parts, whereas a client that seeks in a recording jumps
+farther. While a channel advances, a read of a distant part is ignored, so that a single client cannot end the
+channel.
 """
 
 import math
@@ -20,44 +20,44 @@
 MIN_ADVANCES = 2
 MAX_ADVANCE_PARTS = 4
 RETRY_DELAY_S = 0.5  # after a failed prefetch: the part may not exist yet
-RATE_DECAY_S = 5.0  # an event this old counts 1/e
+RATE_TIME_CONSTANT_S = 5.0  # an event of this age has a weight of 1/e
 
 
 def channel_id(zone: str, object_name: str) -> NameDigest:
-    """Returns the id of an object's channel in a zone; each zone has an owner of its own for it."""
+    """Returns the id of an object's channel in a zone; each zone has its own channel, with its own owner."""
     return digest(f"channel/{zone}/{object_name}")
 
 
 def bundle_lease(zone: str, number: int) -> NameDigest:
-    """Returns the lease of one of a zone's bundles of channels."""
+    """Returns the digest that identifies the lease of one of a zone's bundles of channels."""
     return digest(f"channels/{zone}/{number}")
 
 
 @dataclass(frozen=True, slots=True)
 class Prefetch:
-    """Orders the driver to fill one part; `Channels.writable_term` is asked right before it is written."""
+    """An order to prefetch one part. The driver calls `Channels.writable_term` right before the write."""
 
     channel: NameDigest
     object_name: str
-    class_name: str  # of the requests that made the channel
+    class_name: str  # of the first read of the channel
     part: int
     term: int
 
 
 @dataclass(slots=True)
 class DecayingRate:
-    """A rate of events a second, averaged with exponential decay."""
+    """A rate of events per second, averaged with exponential decay."""
 
     value: float = 0.0
     updated_at: float = 0.0
 
     def per_second(self, now: float) -> float:
-        """Returns the rate at `now`, in events a second."""
-        return self.value * math.exp(min(0.0, self.updated_at - now) / RATE_DECAY_S)
+        """Returns the rate at `now`, in events per second."""
+        return self.value * math.exp(min(0.0, self.updated_at - now) / RATE_TIME_CONSTANT_S)
 
     def add(self, now: float) -> None:
         """Counts one event."""
-        self.value = self.per_second(now) + 1 / RATE_DECAY_S
+        self.value = self.per_second(now) + 1 / RATE_TIME_CONSTANT_S
         self.updated_at = max(self.updated_at, now)
 
 
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class Channel:
-    """The reads of one object, and the prefetches of its parts. Times are by the router's clock."""
+    """The state of one object's reads and prefetches. Times are by the router's clock."""
 
     id: NameDigest
     object_name: str
@@ -84,17 +84,17 @@
 
     @property
     def is_live(self) -> bool:
-        """Whether reads have advanced often enough."""
+        """Whether reads have advanced the channel at least `MIN_ADVANCES` times."""
         return self.advances >= MIN_ADVANCES
 
     def needs_prefetch(self, part: int, term: int, now: float) -> bool:
-        """Returns whether the owner under `term` is to fill a part: not yet tried under it, or due again."""
+        """Returns whether the owner must prefetch a part: not tried under this term yet, or due again."""
         attempt = self.attempts.get(part)
         return attempt is None or attempt.term != term or now >= attempt.retry_at
 
 
 class ChannelDetector:
-    """The channels read at this router, `rule.max_channels` at most, least recently read first."""
+    """The channels read at this router, at most `rule.max_channels`, least recently read first."""
 
     def __init__(self, zone: str, rule: ChannelRule) -> None:
         self.zone = zone
@@ -102,7 +102,7 @@
         self.channels: OrderedDict[NameDigest, Channel] = OrderedDict()
 
     def record_read(self, object_name: str, class_name: str, part: int, now: float) -> Channel:
-        """Counts a read. A channel beyond the bound stays until `pop_ended` removes it."""
+        """Records a read and returns its channel. `pop_ended` removes channels beyond the maximum."""
         number = channel_id(self.zone, object_name)
         channel = self.channels.get(number)
         if channel is None:
@@ -121,7 +121,7 @@
         return channel
 
     def pop_ended(self, now: float) -> Iterator[Channel]:
-        """Removes and yields channels that are idle for `rule.idle_timeout_s` or exceed the bound."""
+        """Removes and yields channels idle for `rule.idle_timeout_s` and those beyond `rule.max_channels`."""
         while self.channels:
             oldest = next(iter(self.channels.values()))
             is_fresh = now - oldest.last_read_at <= self.rule.idle_timeout_s
@@ -130,9 +130,9 @@
             yield self.channels.pop(oldest.id)
 
     def due_prefetches(self, channel: Channel, term: int, now: float) -> list[Prefetch]:
-        """Returns the parts that an owner under `term` is to fill now.
+        """Returns the prefetches that an owner under `term` must start now.
 
-        Each part is ordered once per term. It is ordered again after a failure, or after
+        Each part is prefetched once per term. It is prefetched again after a failure, or after
         `rule.idle_timeout_s` seconds if the driver never reports a result.
         """
         highest = channel.highest_part
@@ -145,7 +145,7 @@
         return due
 
     def record_result(self, prefetch: Prefetch, succeeded: bool, now: float) -> None:
-        """Notes how a prefetch ended; a failed one is due again after `RETRY_DELAY_S`."""
+        """Records how a prefetch ended; a failed one is due again after `RETRY_DELAY_S`."""
         channel = self.channels.get(prefetch.channel)
         if channel is None:
             return
--- a/paddlequay/net/cluster/channel_prefetcher.py
+++ b/paddlequay/net/cluster/channel_prefetcher.py
@@ -1,7 +1,7 @@
-"""Joins the live channels with the exchange: counts clients' reads, and sends prefetches as requests.
+"""Connects the live channels to the exchange: records clients' reads, and sends prefetches as requests.
 
-It sends requests that no client has sent, so it exists only where the cluster's settings name channels. Its
-`admit`, `before_write` and `request_ended` are those of the exchange's interceptor.
+Prefetches are requests that no client has sent, so a prefetcher is created only if the cluster's settings
+name channels. The exchange's interceptor calls `admit`, `before_write` and `request_ended`.
 """
 
 from collections.abc import Callable, Sequence
@@ -22,12 +22,12 @@
 )
 from paddlequay.routing.interface import CopyReported, ReplyDetail
 
-MAX_PENDING_PREFETCHES = 256  # beyond it the next read of a channel tries again
-MEMBER_SCAN_INTERVAL_S = 1.0  # between two scans of all members for an unknown digest
+MAX_PENDING_PREFETCHES = 256  # a prefetch beyond it is tried again at a later read of its channel
+MEMBER_SCAN_INTERVAL_S = 1.0  # between two scans of all members, which an unknown digest causes
 
 
 class ChannelPrefetcher:
-    """Sends the prefetches of one router, and passes owners' hints to the routing decisions."""
+    """Sends one router's prefetches, and passes owners' hints to its routing decisions."""
 
     def __init__(
         self,
@@ -38,12 +38,12 @@
         apply_actions: Callable[[Sequence[Action]], None],
         clock: Callable[[], float],
     ) -> None:
-        """Makes a prefetcher.
+        """Initialises a prefetcher.
 
         Args:
             channels: The decisions on channels.
             zone: The router's zone.
-            exchange: Executes the prefetches as it does clients' requests.
+            exchange: Executes prefetches in the same way as clients' requests.
             counters: Counts hints and prefetches.
             apply_actions: Executes the actions that the channels return.
             clock: The cluster's clock, in seconds.
@@ -56,13 +56,11 @@
         self.clock = clock
         self.pending: dict[str, Prefetch] = {}  # by request id
         self.names_by_digest: dict[NameDigest, str] = {}  # of the listed members
-        self.last_number = 0
+        self.last_request_number = 0
         self.scanned_at = -MEMBER_SCAN_INTERVAL_S
 
-    # --- as an interceptor ---
-
     def admit(self, item: PendingRequest) -> None:
-        """Counts a client's read; passes the hint on its part to the decisions, and starts due prefetches."""
+        """Records a client's read, passes on a hint about its part, and schedules the due prefetches."""
         request = item.request
         if not self.is_channel_read(request) or request.part is None:
             return
@@ -70,32 +68,30 @@
         self.pass_hint(request, request.part, now)
         due = self.channels.record_read(request.object_name, request.class_name, request.part, now)
         for prefetch in due:
-            # Not inside the client's own request, which goes first.
+            # Deferred, so that the client's own request is sent first.
             self.exchange.scheduler.call_later(0.0, partial(self.send_prefetch, prefetch, request))
 
     def before_write(self, attempt: UpstreamAttempt) -> ReplyDetail | None:
-        """Withdraws a prefetch whose channel this router does not own any more; returns the reason then."""
+        """Withdraws a prefetch if this router no longer owns its channel, and then returns the reason."""
         item = attempt.pending
         prefetch = self.pending.get(item.request.id)
         if prefetch is None or self.channels.writable_term(prefetch, self.clock()) is not None:
             return None
         self.counters.add("channels.too_late")
         self.channels.prefetch_failed(prefetch, self.clock())
-        self.exchange.withdraw(item)  # no member is at fault, and no other is to be tried
+        self.exchange.withdraw(item)  # without blaming a member or trying another one
         return ReplyDetail.STALE_TERM
 
     def request_ended(self, item: PendingRequest) -> None:
-        """Forgets a prefetch that has ended."""
+        """Removes a prefetch that has ended."""
         self.pending.pop(item.request.id, None)
 
-    # --- reads ---
-
     def is_channel_read(self, request: ClientRequest) -> bool:
-        """Returns whether a request is a client's, of a class that makes channels."""
+        """Returns whether a request is from a client and of a class whose objects may be channels."""
         return request.id not in self.pending and request.class_name in self.channels.rule.classes
 
     def pass_hint(self, request: ClientRequest, part: int, now: float) -> None:
-        """Tells the routing decisions which member holds the part of a request, if a hint is known."""
+        """Reports to the routing decisions which member holds the part of a request, if a hint names one."""
         cache = self.channels.find_cache(channel_id(self.zone, request.object_name), part, now)
         member = None if cache is None else self.member_name(cache)
         if member is not None:
@@ -103,7 +99,7 @@
             self.exchange.deliver(CopyReported(request.key, part, member))
 
     def member_name(self, cache: NameDigest) -> str | None:
-        """Returns the listed member of a digest, None if no listed member has it."""
+        """Returns the name of the member with a digest, None if no listed member has it."""
         name = self.names_by_digest.get(cache)
         if name is None and self.clock() - self.scanned_at >= MEMBER_SCAN_INTERVAL_S:
             self.scanned_at = self.clock()
@@ -111,10 +107,8 @@
             name = self.names_by_digest.get(cache)
         return name if name in self.exchange.members else None
 
-    # --- prefetches ---
-
     def send_prefetch(self, prefetch: Prefetch, read: ClientRequest) -> None:
-        """Submits a prefetch as a request like the read that led to it; only the cache keeps the answer."""
+        """Submits a prefetch as a request like the read that caused it; only the cache stores the answer."""
         now = self.clock()
         has_capacity = len(self.pending) < MAX_PENDING_PREFETCHES
         if not has_capacity or self.channels.writable_term(prefetch, now) is None:
@@ -127,11 +121,11 @@
             self.pending.pop(request.id, None)
 
     def prefetch_request(self, prefetch: Prefetch, read: ClientRequest) -> ClientRequest:
-        """Returns the request of a prefetch, which carries the channel and the owner's term."""
-        self.last_number += 1
+        """Returns the request for a prefetch, which carries the channel and the owner's term."""
+        self.last_request_number += 1
         channel_fields = {"chan": f"{prefetch.channel:x}", "term": f"{prefetch.term:x}"}
         return ClientRequest(
-            id=f"ahead.{self.last_number:x}",
+            id=f"ahead.{self.last_request_number:x}",
             class_name=prefetch.class_name,
             time_to_live=self.exchange.router.classes[prefetch.class_name].deadline,
             object_name=prefetch.object_name,
@@ -142,7 +136,7 @@
         )
 
     def prefetch_ended(self, prefetch: Prefetch, answer: FinalAnswer) -> None:
-        """Reports a filled part to the channel's followers, or notes the failure."""
+        """Reports a filled part to the channel's followers, or records the failure."""
         now = self.clock()
         if answer.status is not AnswerStatus.SERVED or not answer.served_by:
             self.counters.add("channels.ahead_failed")
--- a/paddlequay/net/cluster/placement_console.py
+++ b/paddlequay/net/cluster/placement_console.py
@@ -1,4 +1,4 @@
-"""What the console shows of placement: the table in use, and where an object is placed and why."""
+"""The console's pages on placement: the table in use, and where an object is placed and why."""
 
 import json
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class QueryError(PaddlequayError, ValueError):
-    """A query of the console that is not of the expected form; `expected` describes that."""
+    """A console query that does not have the expected form; `expected` describes that form."""
 
     def __init__(self, expected: object) -> None:
         super().__init__(str(expected))
@@ -28,17 +28,17 @@
 
 def placement_page(
     compilation: TableCompilation,
-    tables: PlacementEpochs | None,
+    epochs: PlacementEpochs | None,
     migration: Migration | None,
     pending_table: Table | None,
     now: float,
 ) -> dict[str, object]:
-    """Returns what is in use and what is compiled at a router, as JSON values."""
-    epoch = tables.epoch_in_use(now) if tables is not None else None
+    """Returns the epoch and table in use and the table compiled at a router, as JSON values."""
+    epoch = epochs.epoch_in_use(now) if epochs is not None else None
     compiled = compilation.table
     return {
         "epoch": None if epoch is None else short_epoch(epoch),
-        "table": None if epoch is None or tables is None else f"{tables.table_in_use(now) or 0:016x}",
+        "table": None if epoch is None or epochs is None else f"{epochs.table_in_use(now) or 0:016x}",
         "follows": None if epoch is None or migration is None else migration.table.digest[:DIGEST_CHARS],
         "compiled": None if compiled is None else compiled.digest,
         "members": None if compiled is None else len(compiled.names),
@@ -48,16 +48,16 @@
     }
 
 
-def explain_placement(text: str, find_placement: FindPlacement, migration: Migration | None) -> str:
+def explain_placement(query: str, find_placement: FindPlacement, migration: Migration | None) -> str:
     """Returns as JSON where an object is placed, and why.
 
     Args:
-        text: The query, as `key=ab12,part=3,class=video,group=7,tenant=acme`; any field may be missing.
-        find_placement: Gives the placement of a request now.
-        migration: The table in use.
+        query: The query, as `key=ab12,part=3,class=video,group=7,tenant=acme`; any field may be missing.
+        find_placement: Returns the current placement of a request.
+        migration: Holds the table in use, None if there is none.
     """
     try:
-        request = parse_query(text)
+        request = parse_query(query)
     except QueryError as error:
         return json.dumps({"expected": error.expected})
     found = find_placement(home_key(request))
@@ -81,9 +81,9 @@
     )
 
 
-def parse_query(text: str) -> Request:
-    """Returns the request that a query describes; raises `QueryError`."""
-    pairs = [each.partition("=")[::2] for each in text.split(",")]
+def parse_query(query: str) -> Request:
+    """Returns the request that a query describes; raises `QueryError` if it is malformed."""
+    pairs = [each.partition("=")[::2] for each in query.split(",")]
     fields = {name.strip(): value.strip() for name, value in pairs if value}
     if len(fields) < len(pairs) or not set(fields) <= set(QUERY_FIELDS):
         raise QueryError([f"{name}=..." for name in QUERY_FIELDS])
--- a/paddlequay/net/cluster/table_compilation.py
+++ b/paddlequay/net/cluster/table_compilation.py
@@ -1,6 +1,6 @@
-"""Keeps a router's placement table compiled for its rules file and its endpoint list.
+"""Compiles a router's placement table whenever its rules file or its endpoint list has changed.
 
-`compiler.MAX_DRAWS` bounds a compilation to some seconds. It runs in a thread, one at a time.
+`compiler.MAX_DRAWS` limits a compilation to a few seconds. Compilations run in a thread, one at a time.
 """
 
 import asyncio
@@ -22,22 +22,22 @@
 
 LOGGER = logging.getLogger(__name__)
 
-DIGEST_CHARS = 16  # of a table's digest that routers compare: 64 bits
-NO_TABLE = 0  # in place of a table's digest
+DIGEST_CHARS = 16  # hexadecimal digits of a table's digest that routers compare: 64 bits
+NO_TABLE = 0  # instead of a digest, if there is no table
 
 
 def table_digest(table: Table) -> int:
-    """Returns the 64 bits of a table's digest that routers compare; never `NO_TABLE`."""
+    """Returns the 64 bits of a table's digest that routers compare, never `NO_TABLE`."""
     return int(table.digest[:DIGEST_CHARS], 16) or 1
 
 
 def rules_digest(rules: RuleSet) -> int:
-    """Returns the 64 bits by which routers compare rules; never 0."""
+    """Returns the 64-bit digest by which routers compare rules, never 0."""
     return digest(rules.canonical().decode()) or 1
 
 
 class TableCompilation:
-    """The rules in use, rules that wait to be compiled, and the table compiled last."""
+    """The rules in use, changed rules that are not compiled yet, and the table compiled last."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         Args:
             path: The rules file.
             settings: The settings whose classes the rules may name.
-            exchange: Has the endpoint list.
+            exchange: Provides the endpoint list.
             counters: Counts compilations and refused rules.
             clock: The cluster's clock, in seconds.
         """
@@ -62,9 +62,9 @@
         self.counters = counters
         self.clock = clock
         self.rules = self.read_file()
-        self.next_rules: RuleSet | None = None  # of a changed file, not compiled yet
+        self.next_rules: RuleSet | None = None  # read from a changed file, not compiled yet
         self.table: Table | None = None
-        self.listed: tuple[Member, ...] | None = None  # the list of `table`; None: nothing is compiled yet
+        self.compiled_members: tuple[Member, ...] | None = None  # of `table`; None to compile again
         self.lock = asyncio.Lock()
 
     def read_file(self) -> RuleSet:
@@ -72,10 +72,10 @@
         return read_rules_file(self.path, [request_class.name for request_class in self.settings.classes])
 
     def reload(self) -> RuleSet | None:
-        """Reads the file again, and returns its rules if they have changed.
+        """Reads the file again; returns its rules if they have changed, None otherwise.
 
         Raises:
-            ConfigError: The file cannot be used; the rules before stay in use.
+            ConfigError: The file cannot be used; the previous rules stay in use.
         """
         rules = self.read_file()
         if rules == (self.next_rules or self.rules):
@@ -90,15 +90,15 @@
         return rules_digest(self.rules), NO_TABLE if self.table is None else table_digest(self.table)
 
     async def update(self) -> bool:
-        """Compiles a table if the rules or the list have changed; returns whether a new result stands."""
+        """Compiles a table if the rules or members have changed; returns whether there is a new result."""
         async with self.lock:
-            listed = self.placeable_members()
-            if self.next_rules is None and listed == self.listed:
+            placeable = self.placeable_members()
+            if self.next_rules is None and placeable == self.compiled_members:
                 return False
-            return await self._compile(listed)
+            return await self._compile(placeable)
 
     def placeable_members(self) -> tuple[Member, ...]:
-        """Returns the ready edges of all zones, with what rules see alone: other changes need no table."""
+        """Returns the ready edges of all zones, with only those fields whose change requires a new table."""
         has_weights = self.settings.weights in ("nominal", "rough")
         source_kinds = {self.settings.parent_kind, self.settings.origin_kind} - {None}
         members = [
@@ -108,44 +108,47 @@
         ]
         return tuple(sorted(members, key=lambda member: member.name))
 
-    async def _compile(self, listed: tuple[Member, ...]) -> bool:
-        """Compiles the newest rules for a list; returns False if new rules are refused.
+    async def _compile(self, placeable: tuple[Member, ...]) -> bool:
+        """Compiles the newest rules for the members; returns False if new rules are refused.
 
-        New rules must fit the list as it is. A list that shrinks later gives the copies that are possible.
+        New rules are refused if the present members cannot hold all copies. If members are removed later, the
+        table has as many copies as are possible.
         """
         new_rules = self.next_rules
         rules = new_rules or self.rules
-        self.listed = listed
+        self.compiled_members = placeable
         started_at = self.clock()
         table = None
         try:
-            if listed:
+            if placeable:
                 strict = new_rules is not None
-                table = await asyncio.to_thread(compile_with_digest, rules, listed, strict, self.table)
+                table = await asyncio.to_thread(compile_with_digest, rules, placeable, strict, self.table)
         except ConfigError as error:
             self.counters.add("placement_refused")
             log.event(LOGGER, logging.WARNING, "placement_refused", why=str(error))
             if new_rules is not None:
-                self._drop_next(new_rules)
-                self.listed = None  # the rules before are compiled for whatever list there is then
+                self._clear_next_rules(new_rules)
+                self.compiled_members = None  # compile the previous rules at the next update
                 return False
         if new_rules is not None:
             self.rules = new_rules
-            self._drop_next(new_rules)
+            self._clear_next_rules(new_rules)
         self.table = table
         self.counters.add("placement_compiled")
         took = round(self.clock() - started_at, 3)
-        log.event(LOGGER, logging.INFO, "placement_compiled", members=len(listed), took=took)
+        log.event(LOGGER, logging.INFO, "placement_compiled", members=len(placeable), took=took)
         return True
 
-    def _drop_next(self, compiled: RuleSet) -> None:
-        """Forgets the waiting rules, unless newer ones were read during the compilation."""
+    def _clear_next_rules(self, compiled: RuleSet) -> None:
+        """Clears `next_rules`, unless newer rules were read during the compilation."""
         if self.next_rules is compiled:
             self.next_rules = None
 
 
-def compile_with_digest(rules: RuleSet, listed: tuple[Member, ...], strict: bool, old: Table | None) -> Table:
-    """Returns a table whose digest is computed, too: both take their time, and run in a thread."""
-    table = compile_rules(rules, listed, strict=strict, old=old)
+def compile_with_digest(
+    rules: RuleSet, placeable: tuple[Member, ...], strict: bool, old: Table | None
+) -> Table:
+    """Returns a table with its digest already computed; both take long, so this runs in a thread."""
+    table = compile_rules(rules, placeable, strict=strict, old=old)
     _ = table.digest
     return table
--- a/tests/cluster/test_placement_epochs.py
+++ b/tests/cluster/test_placement_epochs.py
@@ -369,9 +369,9 @@
 
 def test_new_holder_repeats_the_previous_epoch_until_it_learns_of_a_later_one() -> None:
     proposer = proposer_of_new_holder()
-    previous = TableAnnouncement(1, make_term(3, 1), 10, 0, 1)
-    assert SendMessage(None, previous) in proposer.tick(0.0).actions
-    assert SendMessage(2, previous, Urgency.CHANGE) in proposer.peer_alive(2, 0.1)
+    previous_announcement = TableAnnouncement(1, make_term(3, 1), 10, 0, 1)
+    assert SendMessage(None, previous_announcement) in proposer.tick(0.0).actions
+    assert SendMessage(2, previous_announcement, Urgency.CHANGE) in proposer.peer_alive(2, 0.1)
     proposer.handle_acknowledgement(
         2, 1, TableAcknowledgement(1, make_term(4, 0), 11, short_epoch(epoch_of(make_term(3, 1), 2))), 0.1
     )
@@ -406,7 +406,7 @@
     assert proposer.tick(0.31).actions == [
         SendMessage(peer, announcement, Urgency.CHANGE) for peer in (1, 3, 4)
     ]
-    previous = epoch_of(make_term(3, 1), 1)
+    previous_epoch = epoch_of(make_term(3, 1), 1)
     assert proposer.handle_acknowledgement(
-        3, 1, TableAcknowledgement(1, make_term(3, 1), 10, short_epoch(previous)), 0.4
+        3, 1, TableAcknowledgement(1, make_term(3, 1), 10, short_epoch(previous_epoch)), 0.4
     ) == [SendMessage(3, announcement, Urgency.CHANGE)]
--- a/tests/cluster/test_placement_tables.py
+++ b/tests/cluster/test_placement_tables.py
@@ -189,7 +189,7 @@
         await rig.update()
         await rig.update()
         assert rig.counters.counts["placement_refused"] == 1 and rig.all_homes_are("e2")
-        assert rig.placement.tables is not None and rig.placement.tables.follower.own_content.table != 0
+        assert rig.placement.epochs is not None and rig.placement.epochs.follower.own_content.table != 0
 
     run_script(tmp_path, script)
 
