--- a/paddlequay/cluster/message_formats.py
+++ b/paddlequay/cluster/message_formats.py
@@ -1,4 +1,4 @@
-"""What the fields of each message may hold on the wire, derived from the annotations of its dataclass."""
+"""The wire format of each message type's fields, derived from the annotations of its dataclass."""
 
 from dataclasses import MISSING, dataclass, fields
 from typing import Any, get_args, get_type_hints
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldFormat:
-    """A field: whole numbers in a range, or a text or bytes up to a length in bytes."""
+    """The values of a field: integers in a range, or text or bytes with at most `maximum` bytes."""
 
     type: type
     minimum: int
     maximum: int
 
     def accepts(self, value: object) -> bool:
-        """Returns whether a field may hold a value; a bool is no number."""
+        """Returns whether a value is valid for this field; a bool is not accepted as an integer."""
         if type(value) is not self.type:
             return False
         if isinstance(value, int):
@@ -26,16 +26,16 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageFormat:
-    """A kind of message."""
+    """The wire format of one message type."""
 
     message_type: type[PeerMessage]
-    names: tuple[str, ...]
+    field_names: tuple[str, ...]
     fields: tuple[FieldFormat, ...]
-    required_count: int  # fields without a default, which come first
+    required_count: int  # number of fields without a default, which come first
 
 
 def field_format(annotation: Any, fleet_size: int) -> FieldFormat | None:
-    """Returns what a field with this annotation may hold; None for an annotation without a format."""
+    """Returns the format of a field with this annotation; None if the annotation has no wire format."""
     if annotation in (str, bytes):
         return FieldFormat(annotation, 0, MAX_TEXT_BYTES)
     if annotation is int:
@@ -49,15 +49,17 @@
 
 
 def message_format(message_type: type[PeerMessage], fleet_size: int) -> MessageFormat:
-    """Returns the format of a message type; raises `TypeError` for a field without a format."""
+    """Returns the format of a message type. Raises `TypeError` for a field without a wire format."""
     hints = get_type_hints(message_type, include_extras=True)
-    declared = fields(message_type)  # type: ignore[arg-type]
-    names = tuple(field.name for field in declared)
+    declared_fields = fields(message_type)  # type: ignore[arg-type]
+    field_names = tuple(field.name for field in declared_fields)
     formats = []
-    for name in names:
-        found = field_format(hints[name], fleet_size)
-        if found is None:
-            raise TypeError(f"{message_type.__name__}.{name}: {hints[name]} has no format on the wire")
-        formats.append(found)
-    required_count = sum(field.default is MISSING for field in declared)
-    return MessageFormat(message_type, names, tuple(formats), required_count)
+    for name in field_names:
+        format_ = field_format(hints[name], fleet_size)
+        if format_ is None:
+            raise TypeError(
+                f"{message_type.__name__}.{name}: the annotation {hints[name]} has no wire format"
+            )
+        formats.append(format_)
+    required_count = sum(field.default is MISSING for field in declared_fields)
+    return MessageFormat(message_type, field_names, tuple(formats), required_count)
--- a/paddlequay/cluster/messages.py
+++ b/paddlequay/cluster/messages.py
@@ -1,9 +1,10 @@
 """The messages that routers send each other; `wire.py` packs them into datagrams.
 
-Fields are whole numbers from 0 to 2^63 - 1 (digests: 2^64 - 1), short texts and bytes. Times are durations in
-milliseconds, never points in time. Safety never rests on a message without its sender's number and
-incarnation, which the datagram's header carries. Kinds and the order of fields never change their meaning: a
-new field goes to the end with a default, a changed message gets a new kind.
+Fields are integers from 0 to 2^63 - 1 (digests: to 2^64 - 1), short texts or bytes. Times are durations in
+milliseconds; only the start time of a member is a point in time. Where safety depends on who sent a message,
+its receiver uses the sender's number and incarnation from the datagram's header. The meaning of a kind and
+the order of its fields never change: a new field is appended with a default, a changed message gets a new
+kind.
 """
 
 from dataclasses import dataclass
@@ -16,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IntRange:
-    """The whole numbers that a field may hold, both ends included."""
+    """The range of an integer field; both ends are included."""
 
     minimum: int
     maximum: int
@@ -24,40 +25,37 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerRange:
-    """A field holds the number of a router, from 0 to below the size of the fleet."""
+    """The range of a field that holds a router's number: from 0 to the size of the fleet minus 1."""
 
 
-# What a field may hold, by its annotation; a plain int holds 0 to `MAX_FIELD_VALUE`. The annotations are part
-# of the wire format, the names of the fields are not.
+# Annotations that state the range of a field; a plain int ranges from 0 to `MAX_FIELD_VALUE`. The annotations
+# are part of the wire format, the names of the fields are not.
 Digest = Annotated[int, IntRange(0, MAX_DIGEST)]
 PeerNumber = Annotated[int, PeerRange()]
 PeerStateNumber = Annotated[int, IntRange(1, 3)]  # 1 alive, 2 suspect, 3 dead
-FaultNumber = Annotated[int, IntRange(0, 4)]  # 0: none; else a `Fault`
+FaultNumber = Annotated[int, IntRange(0, 4)]  # 0 no fault, otherwise a `Fault`
 Flag = Annotated[int, IntRange(0, 1)]
 
 
 class PeerMessage:
-    """A message to another router. `KIND` is its number on the wire."""
+    """Base of all messages to another router. `KIND` identifies the message type on the wire."""
 
     KIND: ClassVar[int]
     __slots__ = ()
 
 
-# --- liveness ---
-
-
 @dataclass(frozen=True, slots=True)
 class Ping(PeerMessage):
     """Asks the receiver for an `Ack` with the same number."""
 
     KIND: ClassVar[int] = 1
     number: int
-    known_incarnation: int  # the receiver's, as far as the sender knows; 0 unknown
+    known_incarnation: int  # highest incarnation of the receiver that the sender knows; 0 unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Ack(PeerMessage):
-    """States that `peer` is alive in an incarnation: the sender, or the peer of a `PingRequest`."""
+    """Acknowledges a ping: `peer`, which is the sender or the peer of a `PingRequest`, is alive."""
 
     KIND: ClassVar[int] = 2
     number: int
@@ -76,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipUpdate(PeerMessage):
-    """What is believed about a peer in an incarnation, as first reported by `reporter`."""
+    """Gossip: the state of a peer in an incarnation, as first reported by `reporter`."""
 
     KIND: ClassVar[int] = 4
     peer: PeerNumber
@@ -85,12 +83,12 @@
     reporter: PeerNumber
 
 
-# --- leases (PaxosLease): a ballot that acquires a lease is the holder's term ---
+# Leases (PaxosLease). The ballot with which a router acquires a lease is its term.
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare(PeerMessage):
-    """Asks an acceptor to promise a ballot; ballot 0 only asks for the holder."""
+    """Asks an acceptor to promise a ballot; with ballot 0 only asks who holds the lease."""
 
     KIND: ClassVar[int] = 10
     lease: Digest
@@ -102,9 +100,9 @@
     """Promises to accept no lower ballot, or names the current holder.
 
     Attributes:
-        holder_ballot: The ballot of the lock that runs, 0 where none does.
-        holder: The router that has that lock.
-        remaining_ms: For how long the lock runs at most.
+        holder_ballot: The ballot of the acceptor's current lock on the lease; 0 if there is none.
+        holder: The router for which the lease is locked.
+        remaining_ms: The time until that lock expires, at most.
     """
 
     KIND: ClassVar[int] = 11
@@ -120,7 +118,7 @@
     """Asks an acceptor to lock the lease for the sender, for `duration_ms` from receipt.
 
     Attributes:
-        round_number: 0 for an acquisition; counts the renewals under one ballot.
+        round_number: 0 for the acquisition, then the number of the renewal under this ballot.
     """
 
     KIND: ClassVar[int] = 12
@@ -132,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept(PeerMessage):
-    """Confirms that the acceptor has locked the lease for a round of a proposal."""
+    """Confirms that the acceptor has locked the lease for the proposal of this ballot and round."""
 
     KIND: ClassVar[int] = 13
     lease: Digest
@@ -146,7 +144,7 @@
 
     Attributes:
         promised: The highest ballot that the acceptor has promised.
-        retry_after_ms: Above 0, for how long the acceptor does not vote on this lease for the sender.
+        retry_after_ms: If above 0, for how long the acceptor will not vote on this lease for the receiver.
     """
 
     KIND: ClassVar[int] = 14
@@ -158,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release(PeerMessage):
-    """Gives a lease back before its end, to `successor` unless that is the sender itself."""
+    """Releases a lease before it expires, in favour of `successor` unless that is the sender itself."""
 
     KIND: ClassVar[int] = 15
     lease: Digest
@@ -166,17 +164,14 @@
     successor: PeerNumber
 
 
-# --- limits ---
-
-
 @dataclass(frozen=True, slots=True)
 class QuotaRequest(PeerMessage):
-    """Tells the holder of a limit how much of it the sender would use.
+    """Asks the holder of a limit's lease for a quota, by stating how much of the limit the sender would use.
 
     Attributes:
-        request_number: The grant names it, and is valid from when this request was sent.
+        request_number: Repeated in the grant, whose validity starts when this request was sent.
         amount_milli: Thousandths of a request per second, or of a request in flight.
-        term: The highest term of a holder that the sender has observed, 0 for none.
+        term: The highest term of any holder that the sender has observed; 0 for none.
     """
 
     KIND: ClassVar[int] = 20
@@ -188,10 +183,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaGrant(PeerMessage):
-    """Grants a quota beside the floor, for `valid_ms` from when the request was sent.
+    """Grants a quota in addition to the floor, valid for `valid_ms` from when the request was sent.
 
     Attributes:
-        request_number: The `QuotaRequest` that it answers.
+        request_number: The number of the `QuotaRequest` that this answers.
         term: The term of the holder.
         amount_milli: Thousandths of a request per second, or of a request in flight.
         burst_milli: Thousandths of a request.
@@ -206,28 +201,22 @@
     valid_ms: int
 
 
-# --- verdicts ---
-
-
 @dataclass(frozen=True, slots=True)
 class Evidence(PeerMessage):
-    """What the sender itself has observed of a subject in the last `age_ms`."""
+    """The sender's own observation of a subject, made `age_ms` ago."""
 
     KIND: ClassVar[int] = 30
     subject: Digest
-    subject_start_ms: int  # Unix time of the subject's start, by the endpoint list; 0 unknown
-    fault: FaultNumber  # 0: the subject serves
-    attempt_count: int  # attempts that this rests on
+    subject_start_ms: int  # Unix time of the subject's start in the endpoint list; 0 unknown
+    fault: FaultNumber  # 0: the subject serves the sender
+    attempt_count: int  # attempts in a row that had this result
     age_ms: int
-    other_member_count: int  # members of the same kind that served the sender in that time
-
-
-# --- channels ---
+    other_member_count: int  # other members of the same kind that served the sender recently
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelPartReport(PeerMessage):
-    """Reports, from a channel's owner, the cache that holds a part. With `valid_ms` 0 it is a heartbeat."""
+    """Sent by a channel's owner to tell which cache holds a part; with `valid_ms` 0 only a heartbeat."""
 
     KIND: ClassVar[int] = 40
     channel: Digest
@@ -239,17 +228,17 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoffOffer(PeerMessage):
-    """Offers a bundle of channels to another router, which may bid for it and take it over."""
+    """Offers a bundle of channels to another router, which may then bid for its lease and take it over."""
 
     KIND: ClassVar[int] = 41
     bundle: Digest
     term: int
-    load_milli: int  # parts prefetched a second, in thousandths
+    load_milli: int  # parts prefetched per second, in thousandths
 
 
 @dataclass(frozen=True, slots=True)
 class HandoffReply(PeerMessage):
-    """Says whether the sender follows a bundle, or is ready to own it.
+    """Tells whether the sender follows a bundle, accepts an offer of it, or does not own it.
 
     With `term` 0 and `accepted` 1 the sender follows the bundle; with the term of an offer it accepts or
     declines that offer; with `accepted` 0 and no offer pending it says that it does not own the bundle.
@@ -263,7 +252,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoffComplete(PeerMessage):
-    """Says that the new owner has filled its first part under `term`; the previous owner stops."""
+    """Tells the previous owner that the new one has filled its first part under `term`, so that it stops."""
 
     KIND: ClassVar[int] = 43
     bundle: Digest
@@ -273,25 +262,22 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerLoad(PeerMessage):
-    """Reports the load of a router as an owner, by which a receiver of a bundle is chosen."""
+    """Reports a router's load as an owner of bundles, by which others choose whom to offer a bundle."""
 
     KIND: ClassVar[int] = 44
-    rate_milli: int  # parts prefetched a second, in thousandths
+    rate_milli: int  # parts prefetched per second, in thousandths
     bundle_count: int
 
 
-# --- tables ---
-
-
 @dataclass(frozen=True, slots=True)
 class TableAnnouncement(PeerMessage):
     """Proposes a placement table under an epoch or, with `is_declaration` 1, declares it active.
 
     Attributes:
-        epoch_number: Counts the epochs of one term.
-        term: The term of the holder that makes the epoch.
-        table_digest: Names the compiled table.
-        rules_digest: Names the text of the placement rules, 0 where it is not told.
+        epoch_number: The number of the epoch within the term.
+        term: The term of the lease holder that creates the epoch.
+        table_digest: Digest of the compiled table.
+        rules_digest: Digest of the text of the placement rules; 0 if not stated.
     """
 
     KIND: ClassVar[int] = 50
@@ -304,12 +290,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TableAcknowledgement(PeerMessage):
-    """Tells the holder which table the sender has compiled, in answer to an epoch.
+    """Answers an announcement: tells the lease holder which table the sender has compiled.
 
     Attributes:
-        epoch_number: With `term`, the highest epoch that the sender has heard of.
-        table_digest: Names the sender's own table, which may differ; 0 where it has none.
-        active_epoch: The epoch that the sender uses, shortened to 63 bits; 0 for none.
+        epoch_number: Number within `term` of the highest epoch that the sender knows.
+        table_digest: Digest of the sender's own table, which may differ; 0 if it has none.
+        active_epoch: The epoch that the sender uses, truncated to 63 bits; 0 for none.
     """
 
     KIND: ClassVar[int] = 51
--- a/paddlequay/cluster/node.py
+++ b/paddlequay/cluster/node.py
@@ -1,8 +1,8 @@
-"""Joins the components of one router's cluster: messages in, datagrams out, events of one to all others.
+"""Connects the components of one router: dispatches messages and events to them, queues what they send.
 
-Pure like its components: `net/cluster/peers.py` brings datagrams and time. Each call returns the events that
-the router itself has to know; what it asks at the moment of use it asks the components (`limits`,
-`verdicts`).
+The node does no I/O, like its components: `net/cluster/session.py` passes datagrams and the time to it. Each
+call returns the events that the router has to handle. For current state the router queries the components
+(`limits`, `verdicts`) directly.
 """
 
 import random
@@ -32,28 +32,33 @@
 
 ClusterEvent = LocalEvent | LogEvent
 
-MAX_FOLLOWING_ACTIONS = 10_000  # that follow from one event; more means that components loop
+# Actions that may follow from one call; more mean that components trigger each other in a loop.
+MAX_FOLLOWING_ACTIONS = 10_000
 
 
 class EndlessEventsError(PaddlequayError, RuntimeError):
-    """Components that send each other events without end, which is a fault of theirs."""
+    """Components trigger each other's events without end, which is a programming error."""
 
     def __init__(self, action: Action) -> None:
-        super().__init__(f"{MAX_FOLLOWING_ACTIONS} actions after one event, the last {action}")
+        super().__init__(
+            f"more than {MAX_FOLLOWING_ACTIONS} actions followed from one call; the last was {action}"
+        )
         self.action = action
 
 
-class Node:
-    """One router's cluster. Components that the settings leave out are None. A peer's message never raises.
+class ClusterNode:
+    """One router's node of the cluster. Components that the settings do not enable are None.
+
+    No message of a peer makes a call raise an error.
 
     Args:
         settings: the installation's settings of the cluster.
         fleet: the routers.
-        start_unix_s: Unix time of the process's start in seconds, from which the incarnation is made.
-        seed: of the random draws, with the incarnation.
+        start_unix_s: Unix time of the process's start in seconds, from which the incarnation is derived.
+        seed: seeds the random generator, together with the incarnation.
         now: the process's monotonic clock in seconds.
-        max_request_s: the longest time that a request takes, which limits on concurrent requests allow for.
-        is_first_process: whether no earlier process of this router can have granted quotas in use.
+        max_request_s: the longest duration of a request, by which grants of concurrent requests are extended.
+        is_first_process: whether no quota granted by an earlier process of this router can still be in use.
     """
 
     def __init__(
@@ -67,7 +72,7 @@
         is_first_process: bool = False,
     ) -> None:
         incarnation = first_incarnation(int(start_unix_s * 1000))
-        rng = random.Random(seed << 64 | incarnation)  # no two processes draw the same numbers
+        rng = random.Random(seed << 64 | incarnation)  # no two processes draw the same sequence
         self.settings = settings
         self.fleet = fleet
         self.wire = Wire(Codec(settings.name, fleet.size), fleet, incarnation)
@@ -90,7 +95,7 @@
             )
         self.components: list[Component] = []
         self._component_by_message: dict[type[PeerMessage], Component] = {}
-        self.initial_actions: list[Action] = []  # taken at the first tick
+        self.initial_actions: list[Action] = []  # executed at the first tick
         for component in (self.liveness, self.verdicts, self.leases, self.limits):
             if component is not None:
                 self.add_component(component, component.HANDLED_MESSAGES)
@@ -104,20 +109,18 @@
             self.initial_actions += self.leases.request(lease, now)
 
     def add_component(self, component: Component, handled_messages: Sequence[type[PeerMessage]]) -> None:
-        """Adds a component, which handles messages of these types."""
+        """Adds a component, which receives the messages of these types."""
         self.components.append(component)
         self._component_by_message.update(dict.fromkeys(handled_messages, component))
 
     def holds(self, lease: NameDigest, now: float) -> int | None:
-        """Returns the term under which this router holds a lease now; None where it does not."""
+        """Returns the term under which this router holds a lease now; None if it does not."""
         return None if self.leases is None else self.leases.holds(lease, now)
 
-    # --- inputs ---
-
     def handle_datagram(
         self, sender: Peer, header: Header, messages: Sequence[PeerMessage], now: float
     ) -> list[ClusterEvent]:
-        """Handles an accepted datagram and returns what the components have found."""
+        """Handles an accepted datagram and returns the events that follow."""
         if self.leases is not None:
             self.leases.observe_counter(header.ballot_counter)
         events = self.execute(self.liveness.handle_datagram(sender, header.incarnation, now), now)
@@ -130,7 +133,7 @@
         return events
 
     def tick(self, now: float) -> list[ClusterEvent]:
-        """Handles the passing of time and returns what the components have found."""
+        """Calls the components that are due and returns the events that follow."""
         events = self.execute(self.initial_actions, now)
         self.initial_actions = []
         for component in self.components:
@@ -139,7 +142,7 @@
         return events
 
     def release_leases(self, now: float) -> list[ClusterEvent]:
-        """Gives the leases of limits back, so that nobody has to wait for their end, and stops bidding."""
+        """Releases the leases of limits, so that no router waits for them to expire, and stops bidding."""
         events: list[ClusterEvent] = []
         if self.leases is not None and self.limits is not None:
             for lease in self.limits.leases:
@@ -150,16 +153,17 @@
         """Returns when `tick` next has work."""
         return earliest(self.components) if not self.initial_actions else float("-inf")
 
-    # --- actions ---
-
     def execute(self, actions: Sequence[Action], now: float) -> list[ClusterEvent]:
-        """Queues messages and gives events to all components, until no action follows; returns the events.
+        """Queues messages and passes events to all components until no further action follows.
+
+        Returns:
+            All events, in order.
 
         Raises:
-            EndlessEventsError: the components answer each other without end.
+            EndlessEventsError: the components trigger each other's events without end.
         """
         events: list[ClusterEvent] = []
-        pending = list(actions)  # grows while it is iterated: events cause further actions
+        pending = list(actions)  # grows during the iteration, since events cause further actions
         for position, action in enumerate(pending):
             if position >= MAX_FOLLOWING_ACTIONS:
                 raise EndlessEventsError(action)
@@ -174,7 +178,7 @@
         return events
 
     def _update_header(self) -> None:
-        """Makes the next datagrams carry the present incarnation and ballot counter."""
+        """Sets the incarnation and ballot counter that the next datagrams carry."""
         self.wire.incarnation = self.liveness.incarnation
         if self.leases is not None:
             self.wire.ballot_counter = max(self.wire.ballot_counter, self.leases.highest_counter)
--- a/paddlequay/cluster/types.py
+++ b/paddlequay/cluster/types.py
@@ -2,9 +2,11 @@
 
 A component is a pure state machine: it receives messages, events of other components and the time, and
 returns actions.
-`now` is the process's monotonic clock in seconds, which also runs while the process is stopped; clocks of
-different processes are never compared. Where safety rests on elapsed time, each side allows for the clock
-drift `ClusterBounds.drift_ratio`: what a router holds ends early by it, what it waits for ends late by it.
+
+`now` is the process's monotonic clock in seconds, which also advances while the process is stopped. Clocks of
+different processes are never compared. Where safety depends on elapsed time, each side allows for the clock
+drift `ClusterBounds.drift_ratio`: a router ends what it holds itself (a lease or a quota) earlier by this
+ratio, and waits longer by this ratio for what others hold to end.
 """
 
 import math
@@ -15,26 +17,27 @@
 
 from paddlequay.cluster.messages import PeerMessage
 
-Peer = int  # a router's number: its index in `peers`, `me` in the settings
+Peer = int  # a router's number: its index in the setting `peers`; its own number is the setting `me`
 NameDigest = int  # 64-bit digest (placement.homes.digest) of a lease's, limit's, subject's or channel's name
-HeldTerm = Callable[[NameDigest, float], int | None]  # term of a lease held by this router at a moment
+# Returns the term under which this router holds a lease at the given time; None if it does not hold it.
+HeldTerm = Callable[[NameDigest, float], int | None]
 
 MAX_PEERS = 4096
 NEVER = math.inf
 
 
 class Urgency(IntEnum):
-    """The order in which messages leave while the byte rate is limited; old ones are dropped."""
+    """The order in which the outbox sends messages while the byte limit delays them; old ones are dropped."""
 
-    LEASE = 0  # leases, and answers that others wait for
-    CHANGE = 1  # state that has changed
-    ROUTINE = 2  # state that is repeated anyway
+    LEASE = 0  # lease messages, and replies that a peer waits for
+    CHANGE = 1  # reports of changed state
+    ROUTINE = 2  # state that is sent again periodically
 
 
 class PeerState(Enum):
     """What this router believes about a peer."""
 
-    UNKNOWN = "unknown"  # not heard of since this process started
+    UNKNOWN = "unknown"  # nothing received about the peer since this process started
     ALIVE = "alive"
     SUSPECT = "suspect"
     DEAD = "dead"
@@ -42,20 +45,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterBounds:
-    """Time limits that every router of the fleet has to share."""
+    """Time limits, which must be the same in all routers of the fleet."""
 
-    drift_ratio: float = 0.05  # the most by which one elapsed clock runs faster than another
-    lease_s: float = 1.5  # the longest lease; a restarted acceptor abstains for as long
-    grant_validity_s: float = 0.6  # the longest validity of a granted quota; a client renews it earlier
-    suspicion_timeout_s: float = 1.0  # a suspected peer that has not refuted by then is dead
-    evidence_s: float = 2.0  # older evidence is ignored
-    overlap_s: float = 0.5  # of a planned handoff of a channel
-    epoch_validity_s: float = 30.0  # for how long a router uses its placement epoch unconfirmed
+    drift_ratio: float = 0.05  # how much faster one monotonic clock may run than another, at most
+    lease_s: float = 1.5  # the longest lease; a restarted acceptor does not vote for as long
+    grant_validity_s: float = 0.6  # the longest validity of a quota grant; routers renew it earlier
+    suspicion_timeout_s: float = 1.0  # a suspect that has not refuted by then is declared dead
+    evidence_s: float = 2.0  # evidence older than this is ignored
+    overlap_s: float = 0.5  # how long a channel's previous owner may still fill after a planned handoff
+    epoch_validity_s: float = 30.0  # how long a router uses its placement epoch without confirmation
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The routers: their numbers 0 to `size` - 1, this router's own, the acceptors of leases, its zone."""
+    """The routers of the fleet, numbered 0 to `size` - 1; `me` is this router, `acceptors` vote on leases."""
 
     me: Peer
     size: int
@@ -64,16 +67,13 @@
 
     @property
     def majority(self) -> int:
-        """Returns how many acceptors make a quorum."""
+        """Returns the number of acceptors that form a quorum."""
         return len(self.acceptors) // 2 + 1
 
 
-# --- actions and events ---
-
-
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Sends a message to one peer, or to all others (`to` None), never to the component itself."""
+    """Sends a message to one peer or, if `to` is None, to all other routers."""
 
     to: Peer | None
     message: PeerMessage
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerChanged:
-    """Liveness: a peer's state has changed, or the peer has restarted."""
+    """From liveness: a peer's state has changed, or the peer has restarted."""
 
     peer: Peer
     incarnation: int
@@ -91,17 +91,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SelfChanged:
-    """Liveness: whether this router is isolated has changed. It is connected while both are true."""
+    """From liveness: this router's own connectivity has changed. It is isolated unless both are true."""
 
-    receives: bool  # datagrams of others arrive here
-    reaches: bool  # others confirm that this router's datagrams arrive there
+    receives: bool  # datagrams of peers arrive at this router
+    reaches: bool  # peers acknowledge pings of this router
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """Leases: this router holds a lease from now until `until` at most, by its own clock, under a term.
+    """From leases: this router has acquired a lease that ends at `until` by its own clock, unless renewed.
 
-    Sent once a term; renewals move the end without an event. `Leases.holds` decides at the moment of use.
+    Emitted once per term; a renewal extends the lease without an event. Before relying on the lease, ask
+    `Leases.holds`.
     """
 
     lease: NameDigest
@@ -111,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """Leases: this router no longer holds a lease: it was released, has expired or was rejected."""
+    """From leases: this router no longer holds a lease, which was released, has expired or was rejected."""
 
     lease: NameDigest
     term: int
@@ -119,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderObserved:
-    """Leases: another router appears to hold a lease. A hint where to send requests, never a proof."""
+    """From leases: another router appears to hold a lease. A hint where to send requests, not a proof."""
 
     lease: NameDigest
     holder: Peer
@@ -128,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VerdictChanged:
-    """Verdicts: the fleet's verdict on a subject, valid until `until` at most; None withdraws it."""
+    """From verdicts: the fleet's verdict on a subject, valid until `until`; `fault` None withdraws it."""
 
     subject: NameDigest
     fault: "Fault | None"
@@ -137,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelOwnership:
-    """Channels: this router owns a channel from now on, or (`term` 0) no longer does."""
+    """From channels: this router now owns a channel under `term` or, if `term` is 0, no longer owns it."""
 
     channel: NameDigest
     term: int
@@ -145,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TableChanged:
-    """Tables: the epoch in use, and until when the previous table's homes are asked first."""
+    """From tables: the epoch now in use, and until when the previous table's homes are asked first."""
 
     epoch: int
     digest: int
@@ -155,18 +156,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """A line for the operators' log; the driver limits the rate."""
+    """A line for the operators' log; `EventLog` limits the rate of lines."""
 
     event: str
     fields: tuple[tuple[str, object], ...] = ()
 
 
 class Fault(IntEnum):
-    """What may be wrong with a source or a cache."""
+    """A fault that routers may observe in a source or a cache."""
 
-    FAILING = 1  # answers with failures
+    FAILING = 1  # its answers fail
     SILENT = 2  # does not answer
-    COLD = 3  # restarted, before the endpoint list reports it
+    COLD = 3  # restarted, though the endpoint list does not show it yet
     FULL = 4  # its link is saturated
 
 
@@ -184,12 +185,12 @@
 
 
 class Component(Protocol):
-    """One component of the cluster. Each call returns the actions to take now, in order."""
+    """One component of the cluster. Each call returns the actions to execute now, in order."""
 
     def handle_message(
         self, sender: Peer, incarnation: int, message: PeerMessage, now: float
     ) -> list[Action]:
-        """Handles a message of one of the `HANDLED_MESSAGES`. Raises nothing, whatever the message holds."""
+        """Handles a message of one of its `HANDLED_MESSAGES`. Raises no error, even for invalid content."""
         ...
 
     def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
@@ -197,14 +198,14 @@
         ...
 
     def tick(self, now: float) -> list[Action]:
-        """Handles the passing of time. Called at `due`, possibly earlier and, after a stall, much later."""
+        """Handles timers. Called when `due` is reached, possibly earlier or, after a stall, much later."""
         ...
 
     def due(self) -> float:
-        """Returns when `tick` next has work; `NEVER` while nothing is waited for."""
+        """Returns when `tick` next has work; `NEVER` while no timer is set."""
         ...
 
 
 def earliest(components: Iterable[Component]) -> float:
-    """Returns when the first of several components is due."""
+    """Returns the earliest time at which one of the components is due."""
     return min((component.due() for component in components), default=NEVER)
--- a/paddlequay/cluster/wire.py
+++ b/paddlequay/cluster/wire.py
@@ -1,17 +1,18 @@
 """Datagrams between routers: messages packed with a header, and the checks on what is received.
 
-A datagram is 8 bytes of tag and one msgpack array: version, sender, incarnation, sequence, ballot counter,
-messages.
-Each message is an array of its `KIND` and its fields. The tag is blake2s over the array, keyed by the
-installation's name, so that datagrams of another installation and altered ones are rejected. The name is no
-secret: the tag guards against mistakes. The network vouches for the sender's address, and the address for the
-sender's number.
-
-Versions. Tag and version keep their places for good. A release reads the version that it writes and the one
-before it and, where it prepares for the next one, that one too. All others are rejected. A release that reads
-a new version and still writes the previous one is deployed everywhere before one that writes the new. A new
-message or a new field at a message's end needs no new version: unknown kinds are skipped and counted, unknown
-fields ignored, missing ones take their defaults.
+A datagram is an 8-byte tag followed by one msgpack array: version, sender, incarnation, sequence, ballot
+counter, messages. Each message is an array of its `KIND` and its fields.
+
+The tag is a blake2s hash of the array, keyed by the installation's name, so that altered datagrams and those
+of another installation are rejected. The name is not secret: the tag protects against mistakes, not attacks.
+The sender's number is verified by the address that a datagram comes from, which the network has to keep
+authentic.
+
+The tag and the version stay in the same place in all versions. A release reads the version that it writes,
+the previous one and, if it prepares an upgrade, the next one; all others are rejected. To introduce a
+version, a release that reads it but still writes the previous one is deployed everywhere first. A new
+message, or a new field at a message's end, needs no new version: unknown kinds are skipped and counted,
+unknown fields are ignored, and missing fields take their defaults.
 """
 
 import hashlib
@@ -28,27 +29,28 @@
 from paddlequay.cluster.types import Fleet, Peer
 from paddlequay.errors import ProtocolError
 
-VERSION = 1  # written; the one before it is read too and, where a release prepares it, the one after
-MAX_DATAGRAM_BYTES = 256  # the platform's limit
-TAG_SIZE = 8
-MAX_MESSAGES = 32  # in a datagram; at two bytes at least for each this bounds the work of reading one
-HEADER_ITEMS = 5
-ARRAY_HEADER_SIZE = 3  # of a long msgpack array
-MAX_HEADER_BYTES = TAG_SIZE + ARRAY_HEADER_SIZE + HEADER_ITEMS * 9
-MAX_MESSAGE_BYTES = MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES  # such a message fits whatever the header
-
-# Ballots count elections, not renewals. At 100 a second a router that was isolated for over a year is still
-# below this; a counter with a broken high bit is above it.
-MAX_COUNTER_JUMP = 1 << 32
-# What a router that has received nothing yet accepts as the fleet's ballot counter. Should it be wrong,
-# others reject this router's datagrams, and their own counters still have room to grow (2^63 by 4096 routers
-# is 2^51).
-MAX_FIRST_COUNTER = 1 << 48
+VERSION = 1  # the version that this release writes
+MAX_DATAGRAM_BYTES = 256  # limit of the platform
+TAG_BYTES = 8
+# Messages in a datagram. A message takes at least two bytes; the limit bounds the work of reading a datagram.
+MAX_MESSAGES = 32
+HEADER_ITEM_COUNT = 5
+ARRAY_HEADER_BYTES = 3  # the header of a msgpack array of more than 15 items
+MAX_HEADER_BYTES = TAG_BYTES + ARRAY_HEADER_BYTES + HEADER_ITEM_COUNT * 9
+MAX_MESSAGE_BYTES = MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES  # a message of this length fits beside any header
+
+# A ballot counter counts elections, not renewals. At 100 elections a second, a router that was isolated for
+# over a year is still within this jump, while a counter with a flipped high bit exceeds it.
+MAX_BALLOT_COUNTER_JUMP = 1 << 32
+# The highest ballot counter that a router accepts in the first datagram that it receives. If that counter is
+# wrong, the other routers reject this router's datagrams, and their own counters can still grow (2^63 divided
+# among 4096 routers is 2^51).
+MAX_INITIAL_BALLOT_COUNTER = 1 << 48
 
 UNPACK_LIMITS: dict[str, Any] = {
     "use_list": False,
     "raw": False,
-    "max_array_len": HEADER_ITEMS + MAX_MESSAGES,
+    "max_array_len": HEADER_ITEM_COUNT + MAX_MESSAGES,
     "max_map_len": 0,
     "max_str_len": MAX_TEXT_BYTES,
     "max_bin_len": MAX_TEXT_BYTES,
@@ -59,20 +61,20 @@
 class RejectReason(Enum):
     """Why a datagram was rejected as a whole. The values are names of counters."""
 
-    OVERSIZED = "oversized"  # over 256 bytes
+    OVERSIZED = "oversized"  # longer than `MAX_DATAGRAM_BYTES`
     FOREIGN = "foreign"  # of another installation, or altered
-    MALFORMED = "malformed"  # the tag fits, but the content does not
-    NEWER = "newer"  # a version above those that this release reads
-    OLDER = "older"  # a version below them
-    SENDER = "sender"  # from no peer's address, or from another's than that of the number it states
-    OWN = "own"  # sent by this router to all
-    STALE = "stale"  # of an incarnation that has ended, or from before the window
-    REPEATED = "repeated"
+    MALFORMED = "malformed"  # the tag is correct, but the content is invalid
+    NEWER = "newer"  # its version is above those that this release reads
+    OLDER = "older"  # its version is below those that this release reads
+    SENDER = "sender"  # the address is not that of the peer whose number the header states
+    OWN = "own"  # sent by this router itself to all
+    STALE = "stale"  # of an earlier incarnation, or too old for the replay window
+    REPEATED = "repeated"  # received before
     CLOCK = "clock"  # the sender's ballot counter is too far ahead
 
 
 class RejectedDatagramError(ProtocolError):
-    """A datagram that is rejected; `Wire.read` handles it."""
+    """A received datagram is rejected. `Wire.read` catches the error and returns the reason."""
 
     def __init__(self, reason: RejectReason) -> None:
         super().__init__(reason.value)
@@ -81,28 +83,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Header:
-    """The header of a datagram. `sequence` counts the datagrams of an incarnation, to any receiver."""
+    """The header of a datagram. `sequence` counts the datagrams of an incarnation to all receivers."""
 
     version: int
     sender: Peer
     incarnation: int
     sequence: int
-    ballot_counter: int  # the highest counter of a lease's ballot that the sender has seen
+    ballot_counter: int  # the highest ballot counter of any lease that the sender knows
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedDatagram:
-    """A datagram that was accepted."""
+    """The content of an accepted datagram."""
 
     header: Header
     messages: tuple[PeerMessage, ...]
-    skipped_count: int  # messages of unknown kinds
+    skipped_count: int  # number of messages of unknown kinds
 
 
 class Codec:
-    """Packs and reads messages and headers; the same for all routers of an installation, and without state.
+    """Packs and reads datagrams, without state; the same for all routers of an installation.
 
-    `writes` is the version written, `reads` the highest one read.
+    `writes` is the version written, `reads` the highest version read.
     """
 
     def __init__(
@@ -114,68 +116,70 @@
         reads: int = VERSION,
     ) -> None:
         if not writes <= reads <= writes + 1:
-            raise ValueError(f"writes version {writes}, but reads up to {reads}")
+            raise ValueError(
+                f"codec writes version {writes} but reads up to {reads}; expected {writes} or one above"
+            )
         self.writes = writes
         self.reads = reads
         self.formats = {number: message_format(kind, fleet_size) for number, kind in message_types.items()}
         self._packer = msgpack.Packer()
-        # The key has 32 bytes at most, the name any length.
+        # A blake2s key has at most 32 bytes, so a name of any length is hashed first.
         key = hashlib.blake2s(installation.encode()).digest()
-        self._keyed_hash = hashlib.blake2s(key=key, digest_size=TAG_SIZE)
+        self._keyed_hash = hashlib.blake2s(key=key, digest_size=TAG_BYTES)
 
     def tag(self, body: bytes) -> bytes:
-        """Returns the tag of a datagram's array."""
+        """Returns the tag of a datagram's packed array."""
         keyed = self._keyed_hash.copy()
         keyed.update(body)
         return keyed.digest()
 
-    # --- packing ---
-
     def pack_message(self, message: PeerMessage) -> bytes:
-        """Packs a message. Raises `ValueError` for one that receivers would reject or that is too long."""
+        """Packs a message. Raises `ValueError` if it is too long or receivers would reject it."""
         format_ = self.formats.get(message.KIND)
         if format_ is None or type(message) is not format_.message_type:
-            raise ValueError(f"{type(message).__name__} is no message of this version")
-        stated = (getattr(message, name) for name in format_.names)
-        values = [int(value) if isinstance(value, IntEnum) else value for value in stated]
-        for name, value, field in zip(format_.names, values, format_.fields, strict=True):
+            raise ValueError(f"{type(message).__name__} is not a message type of this codec")
+        raw_values = (getattr(message, name) for name in format_.field_names)
+        values = [int(value) if isinstance(value, IntEnum) else value for value in raw_values]
+        for name, value, field in zip(format_.field_names, values, format_.fields, strict=True):
             if not field.accepts(value):
-                raise ValueError(f"{type(message).__name__}.{name}: {value!r}")
+                raise ValueError(f"{type(message).__name__}.{name}: value {value!r} is out of range")
         packed: bytes = self._packer.pack((message.KIND, *values))
         if len(packed) > MAX_MESSAGE_BYTES:
-            raise ValueError(f"{type(message).__name__}: {len(packed)} bytes")
+            raise ValueError(
+                f"{type(message).__name__}: {len(packed)} bytes, expected at most {MAX_MESSAGE_BYTES}"
+            )
         return packed
 
     def pack_header(self, header: Header) -> bytes:
-        """Packs the items of a header, without the array's own header."""
+        """Packs the items of a header, without the msgpack header of the array."""
         items = (header.version, header.sender, header.incarnation, header.sequence, header.ballot_counter)
         return b"".join(self._packer.pack(item) for item in items)
 
     def pack(self, header: Header, packed_messages: Sequence[bytes]) -> bytes:
-        """Packs a datagram. Raises `ValueError` where the messages do not fit in one."""
-        array_header: bytes = self._packer.pack_array_header(HEADER_ITEMS + len(packed_messages))
+        """Packs a datagram. Raises `ValueError` if the messages do not fit into one."""
+        array_header: bytes = self._packer.pack_array_header(HEADER_ITEM_COUNT + len(packed_messages))
         body = array_header + self.pack_header(header) + b"".join(packed_messages)
-        too_long = len(body) > MAX_DATAGRAM_BYTES - TAG_SIZE
+        too_long = len(body) > MAX_DATAGRAM_BYTES - TAG_BYTES
         if too_long or len(packed_messages) > MAX_MESSAGES:
-            raise ValueError(f"{len(packed_messages)} messages in {len(body) + TAG_SIZE} bytes")
+            raise ValueError(
+                f"{len(packed_messages)} messages in {len(body) + TAG_BYTES} bytes exceed one datagram"
+            )
         return self.tag(body) + body
 
-    # --- reading ---
-
     def read(self, data: bytes) -> ReceivedDatagram:
-        """Reads a datagram, the cheap checks first. Raises `RejectedDatagramError`."""
+        """Reads a datagram. Cheap checks come first. Raises `RejectedDatagramError`."""
         if len(data) > MAX_DATAGRAM_BYTES:
             raise RejectedDatagramError(RejectReason.OVERSIZED)
-        body = data[TAG_SIZE:]
-        if data[:TAG_SIZE] != self.tag(body):
+        body = data[TAG_BYTES:]
+        if data[:TAG_BYTES] != self.tag(body):
             raise RejectedDatagramError(RejectReason.FOREIGN)
         items = self._unpack(body)
         self._check_version(items[0])
-        if len(items) < HEADER_ITEMS or not all(map(_is_header_item, items[:HEADER_ITEMS])):
+        if len(items) < HEADER_ITEM_COUNT or not all(map(_is_header_item, items[:HEADER_ITEM_COUNT])):
             raise RejectedDatagramError(RejectReason.MALFORMED)
-        read = [self._read_message(item) for item in items[HEADER_ITEMS:]]
+        read = [self._read_message(item) for item in items[HEADER_ITEM_COUNT:]]
         known = tuple(message for message in read if message is not None)
-        return ReceivedDatagram(Header(*items[:HEADER_ITEMS]), known, len(read) - len(known))
+        return ReceivedDatagram(Header(*items[:HEADER_ITEM_COUNT]), known, len(read) - len(known))
 
     def _unpack(self, body: bytes) -> tuple[Any, ...]:
         try:
@@ -195,7 +199,7 @@
             raise RejectedDatagramError(RejectReason.OLDER)
 
     def _reason_unpackable(self, body: bytes) -> RejectReason:
-        """Returns why an array cannot be unpacked: a newer version need not keep to this one's limits."""
+        """Returns why an array cannot be unpacked: a newer version may have other limits than this one."""
         unpacker = msgpack.Unpacker(max_buffer_size=MAX_DATAGRAM_BYTES, **UNPACK_LIMITS)
         unpacker.feed(body)
         try:
@@ -207,7 +211,7 @@
         return RejectReason.NEWER if is_newer else RejectReason.MALFORMED
 
     def _read_message(self, item: object) -> PeerMessage | None:
-        """Reads a message; None for a kind that this release does not know."""
+        """Returns the message; None for a kind that this release does not know."""
         if type(item) is not tuple or not item or type(item[0]) is not int or item[0] < 0:
             raise RejectedDatagramError(RejectReason.MALFORMED)
         format_ = self.formats.get(item[0])
@@ -227,9 +231,10 @@
 
 
 class Wire:
-    """One router's end: numbers the datagrams that it sends, and tracks those received of each peer.
+    """One router's datagrams: numbers those that it sends, and checks those that it receives for repetition.
 
-    The owners of `incarnation` and `ballot_counter` may raise them; a received ballot counter raises it too.
+    The node raises `incarnation` and `ballot_counter`; a higher ballot counter that is received raises it
+    too.
     """
 
     def __init__(self, codec: Codec, fleet: Fleet, incarnation: int) -> None:
@@ -238,7 +243,7 @@
         self.incarnation = incarnation
         self.sequence = 0
         self.ballot_counter = 0
-        self.windows: dict[Peer, ReplayWindow] = {}  # of peers that were received; at most the fleet's size
+        self.windows: dict[Peer, ReplayWindow] = {}  # by sender, at most one per router of the fleet
 
     def next_header(self) -> Header:
         """Returns the header of the next datagram."""
@@ -247,22 +252,22 @@
         )
 
     def available_bytes(self) -> int:
-        """Returns the bytes for messages in the next datagram, as if the array were long."""
+        """Returns the bytes left for messages in the next datagram, assuming a long array header."""
         header = self.codec.pack_header(self.next_header())
-        return MAX_DATAGRAM_BYTES - TAG_SIZE - ARRAY_HEADER_SIZE - len(header)
+        return MAX_DATAGRAM_BYTES - TAG_BYTES - ARRAY_HEADER_BYTES - len(header)
 
     def write(self, packed_messages: Sequence[bytes]) -> bytes:
-        """Returns the next datagram. Raises `ValueError` where the messages exceed `available_bytes`."""
+        """Returns the next datagram. Raises `ValueError` if the messages exceed `available_bytes`."""
         data = self.codec.pack(self.next_header(), packed_messages)
         self.sequence += 1
         return data
 
     def read(self, data: bytes, source: Peer | None) -> ReceivedDatagram | RejectReason:
-        """Reads a datagram. Raises nothing.
+        """Reads a datagram; returns the reason if it is rejected. Raises no error.
 
         Args:
             data: the datagram.
-            source: the peer whose address it came from; None for any other address.
+            source: the peer from whose address it came; None for an unknown address.
         """
         try:
             received = self.codec.read(data)
@@ -281,7 +286,7 @@
         return received
 
     def _find_reject_reason(self, header: Header, source: Peer | None) -> RejectReason | None:
-        """Returns why a readable datagram is rejected; None for one to accept."""
+        """Returns why a datagram with this header is rejected; None if it is accepted."""
         if source is None or header.sender != source or source >= self.fleet.size:
             return RejectReason.SENDER
         if source == self.fleet.me:
@@ -291,7 +296,9 @@
             return RejectReason.STALE
         if window is not None and window.is_repeated(header.incarnation, header.sequence):
             return RejectReason.REPEATED
-        max_ballot_counter = self.ballot_counter + MAX_COUNTER_JUMP if self.windows else MAX_FIRST_COUNTER
+        max_ballot_counter = (
+            self.ballot_counter + MAX_BALLOT_COUNTER_JUMP if self.windows else MAX_INITIAL_BALLOT_COUNTER
+        )
         if header.ballot_counter > max_ballot_counter:
             return RejectReason.CLOCK
         return None
--- a/paddlequay/lab/cluster_model_fleet.py
+++ b/paddlequay/lab/cluster_model_fleet.py
@@ -1,8 +1,9 @@
 """A fleet of real cluster nodes on one simulated clock: machines, processes and what happens to them.
 
-Each router is a `cluster.node.Node` with its wire and outbox, driven as `net/cluster/peer_transport.py` does
-it: one datagram at a time, one timer. Datagrams are bytes. Each machine's clock has a rate (within the drift)
-and an offset of its own, and runs on while its process is stalled. All random draws come from one seed.
+Each router is a `cluster.node.ClusterNode` with its wire and outbox, driven as
+`net/cluster/peer_transport.py` does it: one datagram at a time, one timer. Datagrams are bytes. Each
+machine's clock has a rate (within the drift) and an offset of its own, and runs on while its process is
+stalled. All random draws come from one seed.
 """
 
 import random
@@ -10,7 +11,7 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from paddlequay.cluster.node import ClusterEvent, Node
+from paddlequay.cluster.node import ClusterEvent, ClusterNode
 from paddlequay.cluster.outbox import Datagram
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import NEVER, Fleet, Peer
@@ -52,7 +53,7 @@
         links: LinkModel | None = None,
         max_request_s: float = 0.5,
         configure: Callable[[SimulatedRouter], None] = lambda router: None,
-        node_class: type[Node] = Node,
+        node_class: type[ClusterNode] = ClusterNode,
         max_clock_drift: float | None = None,
     ) -> None:
         self.rng = random.Random(seed)
@@ -178,7 +179,9 @@
         router.socket_buffer.append((data, sender))
         self._schedule_call(router, max(router.next_run_time(self.now), self.now))
 
-    def _read(self, router: SimulatedRouter, node: Node, data: bytes, sender: Peer) -> Sequence[ClusterEvent]:
+    def _read(
+        self, router: SimulatedRouter, node: ClusterNode, data: bytes, sender: Peer
+    ) -> Sequence[ClusterEvent]:
         received = node.wire.read(data, sender)
         if isinstance(received, RejectReason):
             self.rejected[received.value] += 1
--- a/paddlequay/lab/cluster_model_router.py
+++ b/paddlequay/lab/cluster_model_router.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from paddlequay.cluster.node import Node
+from paddlequay.cluster.node import ClusterNode
 from paddlequay.cluster.types import NEVER, Peer
 
 LONG_AGO_S = -1e9
@@ -61,7 +61,7 @@
     zone: str
     clock_rate: float  # seconds of its clock in a true second
     clock_offset_s: float
-    node: Node | None = None  # None: killed
+    node: ClusterNode | None = None  # None: killed
     process_count: int = 0
     stalled_until: float = 0.0
     shares_core: bool = False  # runs for a part of each scheduling slice only
--- a/paddlequay/lab/cluster_model_runs.py
+++ b/paddlequay/lab/cluster_model_runs.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from paddlequay.cluster.node import Node
+from paddlequay.cluster.node import ClusterNode
 from paddlequay.cluster.settings import ClusterSettings, LimitRule, LimitScope
 from paddlequay.cluster.types import PeerState
 from paddlequay.lab.cluster_model_auditor import Auditor
@@ -64,7 +64,7 @@
     rate_per_s: float = LIMIT_PER_S,
     attempts_per_s: float = 40.0,
     configure: Callable[[SimulatedRouter], None] = lambda router: None,
-    node_class: type[Node] = Node,
+    node_class: type[ClusterNode] = ClusterNode,
     max_clock_drift: float | None = None,
     burst: float = 5.0,
     slot_ratio: float = 0.5,
@@ -255,7 +255,7 @@
     seed: int,
     size: int = 12,
     seconds: float = DAY_S,
-    node_class: type[Node] = Node,
+    node_class: type[ClusterNode] = ClusterNode,
     demand_ratio: float = 1.5,
 ) -> DayResult:
     """Runs a short day: faults of every kind until `QUIET_S` before its end, drawn from the seed."""
--- a/paddlequay/lab/cluster_model_workload.py
+++ b/paddlequay/lab/cluster_model_workload.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from paddlequay.cluster.fleet_limits import Permit
-from paddlequay.cluster.node import Node
+from paddlequay.cluster.node import ClusterNode
 from paddlequay.cluster.settings import LimitRule, LimitScope
 from paddlequay.cluster.types import Fault, NameDigest, Peer
 from paddlequay.lab.cluster_model_fleet import FleetSimulation
@@ -85,7 +85,7 @@
         simulation.flush(router, ())
 
     def _begin_charge(
-        self, router: SimulatedRouter, node: Node, permit: Permit, true_duration_s: float
+        self, router: SimulatedRouter, node: ClusterNode, permit: Permit, true_duration_s: float
     ) -> None:
         simulation = self.simulation
         end = simulation.now + true_duration_s
@@ -95,7 +95,7 @@
         simulation.log_event(router.number, "admitted")
         simulation.schedule(end, self._end_charge, router, node, permit)
 
-    def _end_charge(self, router: SimulatedRouter, node: Node, permit: Permit) -> None:
+    def _end_charge(self, router: SimulatedRouter, node: ClusterNode, permit: Permit) -> None:
         is_same_process = router.node is node
         if is_same_process and node.limits is not None and router.is_running(self.simulation.now):
             node.limits.release(permit, router.local_time(self.simulation.now))
--- a/paddlequay/net/cluster/driver.py
+++ b/paddlequay/net/cluster/driver.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from paddlequay.cluster.node import ClusterEvent, Node
+from paddlequay.cluster.node import ClusterEvent, ClusterNode
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import MAX_PEERS, Action, Fleet, TableChanged, VerdictChanged
 from paddlequay.config.loader import Config, Peering
@@ -83,7 +83,7 @@
             )
 
     @property
-    def node(self) -> Node | None:
+    def node(self) -> ClusterNode | None:
         """Returns the cluster's node; None while another process of this router is in the cluster."""
         return self.session.node if self.session is not None else None
 
@@ -192,7 +192,7 @@
 
     # --- actions and events ---
 
-    def execute(self, node: Node, actions: Sequence[Action]) -> None:
+    def execute(self, node: ClusterNode, actions: Sequence[Action]) -> None:
         """Executes actions at once, unless they are of an earlier session."""
         if self.session is not None and node is self.session.node:
             self.session.execute(actions)
--- a/paddlequay/net/cluster/placement_tables.py
+++ b/paddlequay/net/cluster/placement_tables.py
@@ -10,7 +10,7 @@
 from functools import partial
 from pathlib import Path
 
-from paddlequay.cluster.node import Node
+from paddlequay.cluster.node import ClusterNode
 from paddlequay.cluster.placement_epochs import PlacementEpochs
 from paddlequay.cluster.table_epochs import TABLES_LEASE
 from paddlequay.cluster.types import Action, TableChanged
@@ -30,7 +30,7 @@
 
 UPDATE_INTERVAL_S = 0.25  # between two looks at the endpoint list, and at a table that waits for migrations
 
-ApplyActions = Callable[[Node, Sequence[Action]], None]
+ApplyActions = Callable[[ClusterNode, Sequence[Action]], None]
 
 
 class PlacementTables:
@@ -63,7 +63,7 @@
         self.apply_actions = apply_actions
         self.clock = clock
         self.compilation = TableCompilation(path, settings, exchange, counters, clock)
-        self.node: Node | None = None
+        self.node: ClusterNode | None = None
         self.tables: PlacementEpochs | None = None
         self.known_tables: dict[int, Table] = {}  # by digest
         self.migration: Migration | None = None
@@ -75,7 +75,7 @@
 
     # --- the router's membership of the cluster ---
 
-    def join(self, node: Node) -> None:
+    def join(self, node: ClusterNode) -> None:
         """Joins the cluster under a new incarnation, without an epoch until the fleet's report arrives."""
         self.node = node
         self.migration = None
@@ -225,7 +225,7 @@
         return explain_placement(text, self.find_placement, self.migration)
 
 
-def reacquire_lease(node: Node, now: float) -> list[Action]:
+def reacquire_lease(node: ClusterNode, now: float) -> list[Action]:
     """Releases the tables' lease and bids for it again, to have it under a later term."""
     leases = node.leases
     return [] if leases is None else leases.release(TABLES_LEASE, now) + leases.request(TABLES_LEASE, now)
--- a/paddlequay/net/cluster/session.py
+++ b/paddlequay/net/cluster/session.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from paddlequay.cluster.messages import PeerMessage
-from paddlequay.cluster.node import ClusterEvent, Node
+from paddlequay.cluster.node import ClusterEvent, ClusterNode
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import Action, Fleet, Peer
 from paddlequay.cluster.wire import Header
@@ -36,7 +36,7 @@
         self._clock = clock
         self._handle_events = handle_events
         self._seed = seed
-        self.node = Node(settings, fleet, time.time(), seed, clock(), max_request_s)
+        self.node = ClusterNode(settings, fleet, time.time(), seed, clock(), max_request_s)
         self.transport = PeerTransport(
             peering.listen,
             peering.peers,
--- a/paddlequay/net/cluster/status_page.py
+++ b/paddlequay/net/cluster/status_page.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from paddlequay.cluster.bundles import Bundles
-    from paddlequay.cluster.node import Node
+    from paddlequay.cluster.node import ClusterNode
     from paddlequay.net.cluster.driver import ClusterDriver
 
 MAX_SUBJECTS_SHOWN = 200
@@ -42,7 +42,7 @@
     return json.dumps(shown)
 
 
-def show_leases(node: "Node", now: float) -> dict[str, Any]:
+def show_leases(node: "ClusterNode", now: float) -> dict[str, Any]:
     """Returns, for each limit, the lease's holder as far as known, and the term if this router holds it."""
     if node.leases is None or node.limits is None:
         return {}
@@ -55,7 +55,7 @@
     }
 
 
-def show_limits(driver: "ClusterDriver", node: "Node") -> dict[str, Any]:
+def show_limits(driver: "ClusterDriver", node: "ClusterNode") -> dict[str, Any]:
     """Returns, for each limit, the number of values that are limited now, and of rejections here."""
     local_limits = node.limits.local_limits if node.limits is not None else ()
     value_counts = Counter(limit.fleet_limit.rule.name for limit in local_limits)
@@ -75,7 +75,7 @@
     }
 
 
-def show_verdicts(driver: "ClusterDriver", node: "Node", now: float) -> dict[str, Any]:
+def show_verdicts(driver: "ClusterDriver", node: "ClusterNode", now: float) -> dict[str, Any]:
     """Returns the fleet's verdicts that count for this router now."""
     if node.verdicts is None:
         return {}
--- a/paddlequay/simulator/cluster.py
+++ b/paddlequay/simulator/cluster.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from paddlequay.cluster.evidence import evidence_of_attempt, record_evidence
-from paddlequay.cluster.node import ClusterEvent, Node
+from paddlequay.cluster.node import ClusterEvent, ClusterNode
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import NEVER, Fleet, NameDigest, VerdictChanged
 from paddlequay.placement.homes import digest
@@ -28,7 +28,7 @@
         verdicts_only = replace(settings, acceptors=(), limits=(), channels=None, placement_rules=None)
         self.router = router
         # The simulator's clock stands for Unix time: an instance that restarts does so later.
-        self.node = Node(verdicts_only, Fleet(me, size), 1.0 + now, salt, now)
+        self.node = ClusterNode(verdicts_only, Fleet(me, size), 1.0 + now, salt, now)
         self.transport = SimulatorTransport(self.node.wire, self.node.outbox)
         self._in_flight: dict[tuple[str, int], Fetch] = {}  # by request and number of the attempt
         self._attempt_counts: dict[str, int] = {}  # by request
--- a/tests/cluster/test_cluster_model.py
+++ b/tests/cluster/test_cluster_model.py
@@ -8,7 +8,7 @@
 from paddlequay.cluster.bids import Bid
 from paddlequay.cluster.leases import Leases
 from paddlequay.cluster.limit_registry import FleetLimit
-from paddlequay.cluster.node import Node
+from paddlequay.cluster.node import ClusterNode
 from paddlequay.cluster.types import PeerState
 from paddlequay.lab.cluster_model import measure_demand_shift, measure_detection, measure_steady_state
 from paddlequay.lab.cluster_model_auditor import Auditor
@@ -130,5 +130,5 @@
     simulation.run(5.0)
     assert simulation.rejected["foreign"] > 1000 and not auditor.wrong_deaths
     for router in simulation.routers:
-        assert isinstance(router.node, Node)
+        assert isinstance(router.node, ClusterNode)
         assert all(router.node.liveness.state_of(peer) is PeerState.ALIVE for peer in range(5))
--- a/tests/cluster/test_outbox.py
+++ b/tests/cluster/test_outbox.py
@@ -242,7 +242,7 @@
 def test_a_routine_message_is_replaced_by_a_newer_one_on_the_same_subject(
     message_type: type[PeerMessage],
 ) -> None:
-    fields = CODEC.formats[message_type.KIND].names
+    fields = CODEC.formats[message_type.KIND].field_names
     message = message_type(*range(1, 1 + len(fields)))
     subjects = [getattr(message, field) for field in SUBJECT_FIELDS if field in fields]
     assert subject_of(message) == (subjects[0] if subjects else None)
--- a/tests/cluster/test_placement_tables.py
+++ b/tests/cluster/test_placement_tables.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from paddlequay.cluster.node import Node
+from paddlequay.cluster.node import ClusterNode
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import Action, Fleet, TableChanged
 from paddlequay.config.limits import Limits
@@ -78,13 +78,13 @@
         self.exchange.update_members(EDGES + SOURCES, True)
         self.node = self.join()
 
-    def join(self) -> Node:
+    def join(self) -> ClusterNode:
         settings = ClusterSettings("test", (0,), verdicts=False)
-        node = Node(settings, Fleet(0, 1, (0,)), self.clock.unix(), 1, self.clock.now)
+        node = ClusterNode(settings, Fleet(0, 1, (0,)), self.clock.unix(), 1, self.clock.now)
         self.placement.join(node)
         return node
 
-    def apply_actions(self, node: Node, actions: Sequence[Action]) -> None:
+    def apply_actions(self, node: ClusterNode, actions: Sequence[Action]) -> None:
         self.handle_events(node.execute(actions, self.clock.now))
 
     def handle_events(self, events: Sequence[object]) -> None:
--- a/tests/cluster/test_wire.py
+++ b/tests/cluster/test_wire.py
@@ -92,7 +92,7 @@
 ) -> None:
     packed = [CODEC.pack_message(message) for message in messages]
     length = (
-        w.TAG_SIZE + (1 if len(messages) < 11 else 3) + len(CODEC.pack_header(head)) + sum(map(len, packed))
+        w.TAG_BYTES + (1 if len(messages) < 11 else 3) + len(CODEC.pack_header(head)) + sum(map(len, packed))
     )
     if length > w.MAX_DATAGRAM_BYTES:
         with pytest.raises(ValueError):
@@ -124,7 +124,7 @@
     if isinstance(told, ReceivedDatagram):  # valid by chance: then it holds just these items
         assert (
             told.skipped_count + len(told.messages)
-            == len(msgpack.unpackb(signed(items)[8:])) - w.HEADER_ITEMS
+            == len(msgpack.unpackb(signed(items)[8:])) - w.HEADER_ITEM_COUNT
         )
 
 
@@ -251,10 +251,10 @@
     a, b = ends()
     c = Wire(CODEC, Fleet(2, SIZE), 1)
     # A router that starts late takes the fleet's counter, however far it is.
-    a.ballot_counter = 9 * w.MAX_COUNTER_JUMP
+    a.ballot_counter = 9 * w.MAX_BALLOT_COUNTER_JUMP
     assert isinstance(b.read(a.write([]), 0), ReceivedDatagram)
     assert b.ballot_counter == a.ballot_counter
-    c.ballot_counter = b.ballot_counter + w.MAX_COUNTER_JUMP + 1
+    c.ballot_counter = b.ballot_counter + w.MAX_BALLOT_COUNTER_JUMP + 1
     refused = c.write([])
     assert (b.read(refused, 2), b.ballot_counter, list(b.windows)) == (
         RejectReason.CLOCK,
@@ -264,5 +264,5 @@
     c.ballot_counter -= 1
     assert isinstance(b.read(c.write([]), 2), ReceivedDatagram)
     assert b.ballot_counter == c.ballot_counter
-    a.ballot_counter = w.MAX_FIRST_COUNTER + 1
+    a.ballot_counter = w.MAX_INITIAL_BALLOT_COUNTER + 1
     assert Wire(CODEC, Fleet(1, SIZE), 1).read(a.write([]), 0) is RejectReason.CLOCK
