--- a/paddlequay/lifecycle/operator_state.py
+++ b/paddlequay/lifecycle/operator_state.py
@@ -15,7 +15,7 @@
 
 DRAIN = "drain"
 EJECTED_PREFIX = "out:"  # followed by the cache's id
-MAX_LISTED_IDS = 10_000
+MAX_KNOWN_IDS = 10_000
 MAX_OVERRIDES = 1_000
 
 
@@ -79,7 +79,7 @@
         for cache in caches:
             self.known_ids[cache] = None
             self.known_ids.move_to_end(cache)
-        while len(self.known_ids) > MAX_LISTED_IDS:
+        while len(self.known_ids) > MAX_KNOWN_IDS:
             self.known_ids.popitem(last=False)
 
     def is_known(self, cache: str) -> bool:
--- a/paddlequay/lifecycle/signals.py
+++ b/paddlequay/lifecycle/signals.py
@@ -9,27 +9,27 @@
 import asyncio
 import signal
 
-HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
-pending: set[int] = set()
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
+pending_signals: set[int] = set()
 
 
 def block() -> None:
     """Holds signals back until `release`."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
-    for each in HANDLED:
-        signal.signal(each, lambda number, _: pending.add(number))
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
+    for each in HANDLED_SIGNALS:
+        signal.signal(each, lambda number, _: pending_signals.add(number))
 
 
 def release() -> None:
     """Delivers the signals held back; the event loop must have its handlers by now."""
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED)
-    while pending:
-        signal.raise_signal(pending.pop())
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
+    while pending_signals:
+        signal.raise_signal(pending_signals.pop())
 
 
 def ignore(loop: asyncio.AbstractEventLoop) -> None:
     """Ignores all signals from now on, since closing the event loop restores their default actions."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
-    for each in HANDLED:
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
+    for each in HANDLED_SIGNALS:
         loop.remove_signal_handler(each)
         signal.signal(each, signal.SIG_IGN)
--- a/paddlequay/net/clients/client_front.py
+++ b/paddlequay/net/clients/client_front.py
@@ -163,14 +163,14 @@
         self.listener = listener
         self.acceptor = Acceptor(listener, self.on_accept, self.accept_capacity)
 
-    def stop_accepting(self, last: bool) -> bool:
+    def stop_accepting(self, force: bool) -> bool:
         """Accepts all connections in the listener's queue, then closes the listener.
 
         A connection left in the queue would be reset. If no descriptor is free, connections at rest are
         closed.
 
         Args:
-            last: Whether to close the listener even if connections still wait.
+            force: Whether to close the listener even if connections still wait in its queue.
 
         Returns:
             Whether the listener is closed. A connection just accepted is read first and may be at rest
@@ -181,7 +181,7 @@
         if self.acceptor is not None:
             self.acceptor.stop()
             self.acceptor = None
-        if not accept_backlog(self.listener, self.on_accept, self.close_one_idle) and not last:
+        if not accept_backlog(self.listener, self.on_accept, self.close_one_idle) and not force:
             return False
         self.listener.close()
         self.listener = None
--- a/paddlequay/net/clients/client_input.py
+++ b/paddlequay/net/clients/client_input.py
@@ -11,7 +11,7 @@
 from paddlequay.protocol import clients as wire
 
 # No attempt may start 0.1 s after its client disconnected or cancelled; both times stay well below that.
-MAX_READ_AHEAD_S = 0.03  # calls wait for this long while more can be read, as a cancel may follow
+MAX_BACKLOG_S = 0.03  # calls wait for this long while more can be read, as a cancel may follow
 RECHECK_AFTER_S = 0.01  # before a client seen to be connected is checked again
 
 
@@ -65,9 +65,9 @@
             self.backlog_since = now
         return reading
 
-    def has_read_ahead(self) -> bool:
+    def is_backlogged(self) -> bool:
         """Returns whether there was always more to read for longer than `MAX_READ_AHEAD_S`."""
-        return self.backlog_since is not None and self.now() - self.backlog_since > MAX_READ_AHEAD_S
+        return self.backlog_since is not None and self.now() - self.backlog_since > MAX_BACKLOG_S
 
     def note_partial_message(self, now: float) -> None:
         """Notes after a read whether it left an incomplete message."""
--- a/paddlequay/net/clients/client_messages.py
+++ b/paddlequay/net/clients/client_messages.py
@@ -21,28 +21,28 @@
 
 
 def field_text(
-    fields: Mapping[Any, Any], name: str, pattern: re.Pattern[str], needed: bool = True
+    fields: Mapping[Any, Any], name: str, pattern: re.Pattern[str], required: bool = True
 ) -> str | None:
     """Returns a field's text; raises `FieldError` if it does not match, or is needed and missing."""
     value = fields.get(name)
-    if value is None and not needed:
+    if value is None and not required:
         return None
     if not isinstance(value, str) or not pattern.fullmatch(value):
         raise FieldError(f"field {name} cannot be used")
     return value
 
 
-def field_number(fields: Mapping[Any, Any], name: str, highest: int, needed: bool = False) -> int | None:
+def field_number(fields: Mapping[Any, Any], name: str, maximum: int, required: bool = False) -> int | None:
     """Returns a field's number, from 0 to `highest`; raises `FieldError`."""
-    text = field_text(fields, name, DECIMAL_NUMBER, needed)
+    text = field_text(fields, name, DECIMAL_NUMBER, required)
     if text is None:
         return None
-    if int(text) > highest:
+    if int(text) > maximum:
         raise FieldError(f"field {name} is out of range")
     return int(text)
 
 
-def parse_request(call: wire.ClientCall, kind: RequestClass, limits: Limits) -> ClientRequest:
+def parse_request(call: wire.ClientCall, request_class: RequestClass, limits: Limits) -> ClientRequest:
     """Returns the request of a call; raises `FieldError`.
 
     A request that a cache could not parse must not be forwarded: the cache would close the connection,
@@ -54,7 +54,9 @@
     if len(call.body) > limits.max_client_body:
         raise FieldError("the body is longer than allowed")
     name = field_text(fields, "row", HEX_ID) or ""
-    ttl = field_number(fields, "ttl", int(1000 * limits.max_time_to_live * kind.deadline), needed=True)
+    ttl = field_number(
+        fields, "ttl", int(1000 * limits.max_time_to_live * request_class.deadline), required=True
+    )
     if not ttl:
         raise FieldError("field ttl leaves no time")
     return ClientRequest(
@@ -72,16 +74,16 @@
     )
 
 
-def format_answer(number: int, reply: FinalAnswer) -> tuple[Buffer, ...]:
+def format_answer(number: int, answer: FinalAnswer) -> tuple[Buffer, ...]:
     """Returns the pieces of the final answer to a call."""
-    match reply.status:
+    match answer.status:
         case AnswerStatus.SERVED:
-            return wire.served_answer(number, reply.body, {})
+            return wire.served_answer(number, answer.body, {})
         case AnswerStatus.NOT_MODIFIED:
             return wire.served_answer(number, b"", {"current": "1"})
         case AnswerStatus.REJECTED:
-            wait = reply.retry_after
-            fields = {} if wait is None else {"pushback": str(max(1, round(wait * 1000)))}
+            retry_after_s = answer.retry_after
+            fields = {} if retry_after_s is None else {"pushback": str(max(1, round(retry_after_s * 1000)))}
             return (wire.error_answer(number, wire.REJECTED, fields),)
         case AnswerStatus.FAILED:
             return (wire.error_answer(number, wire.FAILED, {}),)
--- a/paddlequay/net/clients/idle_sessions.py
+++ b/paddlequay/net/clients/idle_sessions.py
@@ -40,7 +40,7 @@
     """One queue of idle connections to try: the unused time that is required, and how one is closed."""
 
     queue: OrderedDict[IdleSession, None]
-    min_age_s: float
+    min_idle_s: float
     close: Callable[[IdleSession], bool]
 
 
@@ -97,7 +97,7 @@
         for step in steps:
             # A connection with an unread request does not close, so a few candidates are tried.
             for session in list(islice(step.queue, MAX_CANDIDATES)):
-                if now - session.last_used_at < step.min_age_s:
+                if now - session.last_used_at < step.min_idle_s:
                     break
                 if step.close(session):
                     del step.queue[session]
--- a/paddlequay/net/clients/open_requests.py
+++ b/paddlequay/net/clients/open_requests.py
@@ -26,13 +26,13 @@
         self,
         number: int,
         request: ClientRequest,
-        answer: Callable[[FinalAnswer], None],
+        send_answer: Callable[[FinalAnswer], None],
         is_disconnected: Callable[[], bool],
     ) -> None:
         """Submits a request to the exchange."""
         # The answer may be sent before `submit` returns: the number is removed then and stays so.
         self.by_number[number] = None
-        pending = self.exchange.submit(request, answer, is_disconnected)
+        pending = self.exchange.submit(request, send_answer, is_disconnected)
         if number in self.by_number:
             self.by_number[number] = pending
 
--- a/paddlequay/net/clients/session.py
+++ b/paddlequay/net/clients/session.py
@@ -11,7 +11,7 @@
 from paddlequay.net.clients.client_messages import FieldError, format_answer, parse_request
 from paddlequay.net.clients.idle_sessions import IdleSession
 from paddlequay.net.clients.open_requests import OpenRequests
-from paddlequay.net.clients.session_front import SessionFront
+from paddlequay.net.clients.session_front import ClientSessionFront
 from paddlequay.net.clients.waiting_calls import WaitingCalls
 from paddlequay.protocol import clients as wire
 from paddlequay.protocol.msgpack import MalformedMessageError
@@ -40,7 +40,7 @@
         "waiting_calls", "writer",
     )  # fmt: skip
 
-    def __init__(self, front: SessionFront, stream: IOStream) -> None:
+    def __init__(self, front: ClientSessionFront, stream: IOStream) -> None:
         self.front = front
         self.stream = stream
         self.input = ClientInput(stream, front.limits, front.now)
@@ -71,11 +71,11 @@
         if self.idle_queue is not None:
             self.idle_queue.pop(self, None)
             self.idle_queue = None
-        busy = self.has_open_requests or self.writer.unsent_bytes
-        if self.stream.closed() or (not self.ended and busy):
+        is_busy = self.has_open_requests or self.writer.unsent_bytes
+        if self.stream.closed() or (not self.ended and is_busy):
             return
-        states = self.front.idle_sessions
-        self.idle_queue = states.queue_for(self.ended, self.input.partial_reads, self.has_sent_message)
+        queues = self.front.idle_sessions
+        self.idle_queue = queues.queue_for(self.ended, self.input.partial_reads, self.has_sent_message)
         self.idle_queue[self] = None
 
     def cancel(self, number: int) -> None:
@@ -94,17 +94,17 @@
         if number in self.open_requests or number in self.waiting_calls:
             raise MalformedMessageError("a message id that is open already")
         counters.add("requests")
-        kind = self.front.exchange.router.classes.get(call.method)
-        if kind is None:
+        request_class = self.front.exchange.router.classes.get(call.method)
+        if request_class is None:
             counters.add("unknown_class")
             self.send_error(number, "unknown class")
             return
-        if kind.idempotency is Idempotency.IDEMPOTENT and self.front.overload.should_shed():
+        if request_class.idempotency is Idempotency.IDEMPOTENT and self.front.overload.should_shed():
             counters.add("rejected.busy")
             self.answer(number, self.front.overload_answer)
             return
         try:
-            request = parse_request(call, kind, self.front.limits)
+            request = parse_request(call, request_class, self.front.limits)
         except FieldError as error:
             counters.add("bad_fields")
             self.send_error(number, str(error))
@@ -173,10 +173,10 @@
         self.front.counters.add(f"rejected.{cause}")
         self.answer(number, self.front.draining_answer)
 
-    def send_error(self, number: int, why: str) -> None:
+    def send_error(self, number: int, reason: str) -> None:
         """Answers a call that cannot be used with an error."""
         self.consecutive_rejections += 1
-        self.send(wire.error_answer(number, wire.FAILED, {"why": why}))
+        self.send(wire.error_answer(number, wire.FAILED, {"why": reason}))
 
     def answer(self, number: int, answer: FinalAnswer) -> None:
         """Sends the final answer of a call."""
@@ -206,8 +206,8 @@
 
     def at_rest(self) -> bool:
         """Returns whether nothing is owed, unsent or unread, as of this iteration of the event loop."""
-        busy = self.has_open_requests or self.writer.unsent_bytes or self.ended
-        return not busy and self.input.has_nothing_unread()
+        is_busy = self.has_open_requests or self.writer.unsent_bytes or self.ended
+        return not is_busy and self.input.has_nothing_unread()
 
     def close_at_rest(self) -> bool:
         """Closes the connection if it is at rest, and returns whether it was; drops an incomplete message."""
--- a/paddlequay/net/clients/session_front.py
+++ b/paddlequay/net/clients/session_front.py
@@ -5,12 +5,12 @@
 from paddlequay.lifecycle.overload import OverloadGuard
 from paddlequay.net.clients.answer_writer import WriterFront
 from paddlequay.net.clients.idle_sessions import IdleSessions
-from paddlequay.net.clients.waiting_calls import QueueFront
+from paddlequay.net.clients.waiting_calls import WaitingCallsFront
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import FinalAnswer
 
 
-class SessionFront(WriterFront, QueueFront, Protocol):
+class ClientSessionFront(WriterFront, WaitingCallsFront, Protocol):
     """The state that all client connections share."""
 
     exchange: Exchange
--- a/paddlequay/net/clients/session_reader.py
+++ b/paddlequay/net/clients/session_reader.py
@@ -13,7 +13,7 @@
 LOGGER = logging.getLogger(__name__)
 
 MESSAGES_PER_PAUSE = 16  # read per `rejection_pause` from a client that gets only rejections
-READS_PER_TURN = 4  # that do not wait, before the event loop serves other connections
+MAX_READS_PER_ITERATION = 4  # that do not wait, before the event loop serves other connections
 
 
 class SessionReader:
@@ -59,7 +59,7 @@
                 await asyncio.sleep(limits.rejection_pause)
             elif self.input.backlog_since is not None:
                 # A read that does not wait does not yield, so one client could occupy the event loop.
-                if len(data) >= limits.client_read_size or reads % READS_PER_TURN == 0:
+                if len(data) >= limits.client_read_size or reads % MAX_READS_PER_ITERATION == 0:
                     await asyncio.sleep(0)
 
     async def read(self) -> bytes:
@@ -71,7 +71,7 @@
                 # Idle only now: bytes received with the connect are read first.
                 session.update_idle_queue()
             session.submit_waiting()
-        elif self.input.has_read_ahead():
+        elif self.input.is_backlogged():
             self.handle_backlog()
         try:
             return await reading
--- a/paddlequay/net/clients/session_timeouts.py
+++ b/paddlequay/net/clients/session_timeouts.py
@@ -15,8 +15,8 @@
     silent_since = session.input.partial_since
     if silent_since is None and not session.has_sent_message:
         silent_since = session.connected_at
-    stalled_for = now - session.writer.last_written_at
-    if session.writer.unsent_bytes and stalled_for > limits.client_stall_timeout:
+    stalled_s = now - session.writer.last_written_at
+    if session.writer.unsent_bytes and stalled_s > limits.client_stall_timeout:
         counters.add("slow_readers")
         session.stream.close()
     elif silent_since is not None and now - silent_since > limits.client_silence_timeout:
--- a/paddlequay/net/clients/waiting_calls.py
+++ b/paddlequay/net/clients/waiting_calls.py
@@ -7,7 +7,7 @@
 from paddlequay.requests.messages import ClientRequest
 
 
-class QueueFront(Protocol):
+class WaitingCallsFront(Protocol):
     """The state that all connections share: the bytes of waiting bodies."""
 
     queued_bytes: int
@@ -26,7 +26,7 @@
 
     __slots__ = ("by_number", "front")
 
-    def __init__(self, front: QueueFront) -> None:
+    def __init__(self, front: WaitingCallsFront) -> None:
         self.front = front
         self.by_number: dict[int, WaitingCall] = {}
 
--- a/paddlequay/net/upstreams/cache_messages.py
+++ b/paddlequay/net/upstreams/cache_messages.py
@@ -8,7 +8,7 @@
 from paddlequay.requests.messages import AttemptResult, CopyStamp, UpstreamRequest
 from paddlequay.routing.interface import NO_LOAD_REPORT, LoadReport, Outcome, ReplyDetail
 
-OUTCOMES = {
+OUTCOME_BY_STATUS = {
     "HIT": Outcome.SERVED,
     "VALID": Outcome.SERVED,
     "NONE": Outcome.MISS,
@@ -16,7 +16,7 @@
     "FAULT": Outcome.ERROR,
     "LATE": Outcome.NOT_SENT,
 }
-DETAILS = {
+DETAIL_BY_FIELD = {
     "HIT": ReplyDetail.HIT,
     "MISS": ReplyDetail.FILLED,
     "MISS_ORIGIN": ReplyDetail.FILLED_FROM_ORIGIN,
@@ -30,7 +30,7 @@
     "LOOP": ReplyDetail.FILL_LOOP,
     "OLD_TERM": ReplyDetail.STALE_TERM,
 }
-LOAD_NAMES = {"inflight": "active", "util": "cpu"}  # wire names to those of the settings
+LOAD_NAME_BY_WIRE_NAME = {"inflight": "active", "util": "cpu"}  # wire names to those of the settings
 MS_PER_S = 1000.0
 MAX_QUOTED_CHARS = 20  # of an invalid number, in an error
 
@@ -69,7 +69,9 @@
 def parse_load(text: str) -> LoadReport:
     """Returns the load report of `name:number` pairs. Raises `ValueError`."""
     pairs = (pair.partition(":") for pair in text.split(";"))
-    return load_report([(LOAD_NAMES.get(name, name), parse_number(value)) for name, _, value in pairs])
+    return load_report(
+        [(LOAD_NAME_BY_WIRE_NAME.get(name, name), parse_number(value)) for name, _, value in pairs]
+    )
 
 
 def parse_stamp(fields: Mapping[str, str]) -> CopyStamp | None:
@@ -87,10 +89,10 @@
     try:
         source_wait_ms = answer.fields.get("lag")
         return AttemptResult(
-            outcome=OUTCOMES[answer.status],
+            outcome=OUTCOME_BY_STATUS[answer.status],
             body=answer.body,
             not_modified=answer.status == "VALID",
-            detail=DETAILS.get(answer.fields.get("detail", "")),
+            detail=DETAIL_BY_FIELD.get(answer.fields.get("detail", "")),
             source_wait=None if source_wait_ms is None else parse_number(source_wait_ms) / MS_PER_S,
             load_report=parse_load(answer.fields["use"]) if answer.fields.get("use") else NO_LOAD_REPORT,
             stamp=parse_stamp(answer.fields),
--- a/paddlequay/net/upstreams/connection.py
+++ b/paddlequay/net/upstreams/connection.py
@@ -177,8 +177,8 @@
                 for attempt in self.take_waiting():
                     self.pool.exchange.attempts.end(attempt, AttemptResult(Outcome.NOT_SENT))
                 return
-            must_be_open = self.waiting[0].never_resend or not self.in_flight
-            if must_be_open and peek_byte(self.stream.socket) == b"":
+            must_check_peer = self.waiting[0].never_resend or not self.in_flight
+            if must_check_peer and peek_byte(self.stream.socket) == b"":
                 self.close_after_peer()
                 return
             attempt = self.waiting.popleft()
@@ -261,8 +261,8 @@
         """Records an abandoned attempt that has timed out: the connection is unresponsive, or only slow."""
         now = self.pool.now()
         class_name = attempt.pending.request.class_name
-        kind = self.pool.exchange.router.classes.get(class_name)
-        if now < attempt.expires_at or not had_enough_time(attempt, kind):
+        request_class = self.pool.exchange.router.classes.get(class_name)
+        if now < attempt.expires_at or not had_enough_time(attempt, request_class):
             return
         if is_silent:
             self.unresponsive = True
@@ -271,9 +271,9 @@
             self.pool.latencies.record(class_name, now - attempt.written_at)
 
 
-def had_enough_time(attempt: UpstreamAttempt, kind: RequestClass | None) -> bool:
+def had_enough_time(attempt: UpstreamAttempt, request_class: RequestClass | None) -> bool:
     """Returns whether an attempt was given at least the latency objective of its class."""
-    return kind is None or attempt.expires_at - attempt.started_at >= kind.latency_objective
+    return request_class is None or attempt.expires_at - attempt.started_at >= request_class.latency_objective
 
 
 def check_not_modified(attempt: UpstreamAttempt, answer: wire.CacheAnswer) -> None:
--- a/paddlequay/net/upstreams/connection_health.py
+++ b/paddlequay/net/upstreams/connection_health.py
@@ -54,7 +54,7 @@
         return False
     if now - connection.last_received_at > limits.cache_stall_timeout:
         return True
-    rest_s = elapsed_s / parser.progress - elapsed_s if parser.progress else math.inf
+    remaining_s = elapsed_s / parser.progress - elapsed_s if parser.progress else math.inf
     attempt = connection.in_flight.get(parser.current_id or "")
     time_left_s = 0.0 if attempt is None else attempt.expires_at - now
-    return rest_s > MAX_SPEEDUP_FACTOR * max(time_left_s, limits.silence_check_after)
+    return remaining_s > MAX_SPEEDUP_FACTOR * max(time_left_s, limits.silence_check_after)
--- a/paddlequay/net/upstreams/instance.py
+++ b/paddlequay/net/upstreams/instance.py
@@ -47,20 +47,20 @@
         relative_latency: The mean latency of its recent answers.
     """
 
-    def __init__(self, pool: InstanceOwner, listed: Endpoint) -> None:
+    def __init__(self, pool: InstanceOwner, endpoint: Endpoint) -> None:
         self.pool = pool
-        self.name = listed.member.name
-        self.started = listed.member.started
-        self.address: Address = listed.address
+        self.name = endpoint.member.name
+        self.started = endpoint.member.started
+        self.address: Address = endpoint.address
         self.connections: list[UpstreamConnection] = []
         self.removed = False
         self.restarted = False
         self.relative_latency = MeanLatency()
 
-    def is_replaced_by(self, listed: Endpoint) -> bool:
+    def is_replaced_by(self, endpoint: Endpoint) -> bool:
         """Returns whether an endpoint of the same name has restarted since, or has another address."""
-        has_restarted = (listed.member.started or 0) > (self.started or 0)
-        return has_restarted or listed.address != self.address
+        has_restarted = (endpoint.member.started or 0) > (self.started or 0)
+        return has_restarted or endpoint.address != self.address
 
     def record_latency(self, attempt: UpstreamAttempt, latency: float) -> None:
         """Records the latency of an answered attempt, in seconds."""
@@ -100,25 +100,25 @@
         """
         limits = self.pool.limits
         lightly_loaded = None
-        spare = None
+        fallback = None
         best_load = -1
-        spare_load = limits.cache_streams
+        fallback_load = limits.cache_streams
         for connection in self.connections:  # a single pass, as each attempt makes it
             load = connection.load
             if load < limits.requests_per_connection:
                 if load > best_load and connection.accepts(attempt):
                     lightly_loaded = connection
                     best_load = load
-            elif lightly_loaded is None and load < spare_load and connection.accepts(attempt):
-                spare = connection
-                spare_load = load
+            elif lightly_loaded is None and load < fallback_load and connection.accepts(attempt):
+                fallback = connection
+                fallback_load = load
         if lightly_loaded is not None:
             return lightly_loaded
-        if attempt.never_resend and spare is None and len(self.connections) >= limits.cache_connections:
+        if attempt.never_resend and fallback is None and len(self.connections) >= limits.cache_connections:
             self.close_first_idle()
         if len(self.connections) < limits.cache_connections and self.pool.has_capacity():
-            return self.connect() or spare
-        return spare
+            return self.connect() or fallback
+        return fallback
 
     def close_first_idle(self) -> None:
         """Closes the oldest idle connection, to open a fresh one for an attempt that must not be repeated."""
--- a/paddlequay/net/upstreams/pool.py
+++ b/paddlequay/net/upstreams/pool.py
@@ -54,36 +54,36 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def update_endpoints(self, listed: Iterable[Endpoint], full: bool) -> None:
+    def update_endpoints(self, endpoints: Iterable[Endpoint], full: bool) -> None:
         """Applies a complete endpoint list (`full`) or changes to it.
 
         Instances are told apart by name and start time: a cache may have the address of a removed one.
         """
-        listed = tuple(listed)
+        endpoints = tuple(endpoints)
         if full:
-            for name in self.instances.keys() - {entry.member.name for entry in listed}:
+            for name in self.instances.keys() - {endpoint.member.name for endpoint in endpoints}:
                 self.remove(name)
-        for entry in listed:
-            name = entry.member.name
+        for endpoint in endpoints:
+            name = endpoint.member.name
             known = self.instances.get(name)
-            if entry.member.state is MemberState.REMOVED:
+            if endpoint.member.state is MemberState.REMOVED:
                 self.remove(name)
             elif known is None:
-                self.instances[name] = UpstreamInstance(self, entry)
-            elif known.is_replaced_by(entry):
-                self.remove(name, at_once=True)
-                self.instances[name] = UpstreamInstance(self, entry)
+                self.instances[name] = UpstreamInstance(self, endpoint)
+            elif known.is_replaced_by(endpoint):
+                self.remove(name, replaced=True)
+                self.instances[name] = UpstreamInstance(self, endpoint)
 
-    def remove(self, name: str, at_once: bool = False) -> None:
+    def remove(self, name: str, replaced: bool = False) -> None:
         """Removes an instance; a replaced one (`at_once`) can no longer answer on its connections."""
         instance = self.instances.pop(name, None)
         if instance is None:
             return
         instance.removed = True
-        instance.restarted = at_once
+        instance.restarted = replaced
         self.removed_instances.append(instance)
         for connection in instance.connections[:]:
-            if connection.is_idle or (at_once and not connection.has_unread):
+            if connection.is_idle or (replaced and not connection.has_unread):
                 connection.stream.close()
 
     def override_changed(self, name: str) -> None:
--- a/paddlequay/programs/shutdown.py
+++ b/paddlequay/programs/shutdown.py
@@ -56,7 +56,7 @@
     while not hot_restart.replaced and now() - began < limits.accept_after_term:
         await asyncio.sleep(POLL_INTERVAL_S)
     front.replaced = hot_restart.replaced
-    while not front.stop_accepting(last=now() - began >= limits.serve_after_term):
+    while not front.stop_accepting(force=now() - began >= limits.serve_after_term):
         await asyncio.sleep(POLL_INTERVAL_S)
     while not hot_restart.replaced and now() - began < limits.serve_after_term:
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/paddlequay/requests/__init__.py
+++ b/paddlequay/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Client requests in service: the exchange, its messages, the checks at each write, the process quotas."""
+"""Pending client requests: the exchange, its messages, the checks before each write, the process quotas."""
--- a/paddlequay/requests/attempts.py
+++ b/paddlequay/requests/attempts.py
@@ -1,4 +1,4 @@
-"""Runs attempts at upstreams: their start, the check at the write, their time-out and their single end."""
+"""Runs attempts at upstreams: starts them, checks them before the write, times them out, ends each once."""
 
 import logging
 from collections.abc import Mapping
@@ -31,11 +31,11 @@
 
 LOGGER = logging.getLogger(__name__)
 
-READ_FIRST_S = 0.002  # an attempt with unread bytes may end this much later: two turns of the event loop
+UNREAD_GRACE_S = 0.002  # postpones a time-out while bytes are unread: two iterations of the event loop
 
 
 class AttemptOwner(Protocol):
-    """The owner of the requests that attempts belong to."""
+    """Owns the pending requests to which the attempts belong."""
 
     pending: dict[str, PendingRequest]
 
@@ -44,22 +44,22 @@
         ...
 
     def answer(self, pending: PendingRequest, answer: FinalAnswer) -> None:
-        """Sends a request's one final answer."""
+        """Sends the one final answer to a request."""
         ...
 
     def deliver(self, event: Event) -> None:
-        """Delivers an event to the decisions."""
+        """Delivers an event to the routing policy."""
         ...
 
 
 class AttemptRunner:
-    """Runs the attempts that the decisions choose; each attempt ends exactly once.
+    """Runs the attempts that the routing policy chooses; each attempt ends exactly once.
 
     Attributes:
-        upstreams: Carries the attempts; None until the connection pool exists.
-        interceptor: May reject a write by the limits of the fleet; None without a cluster.
-        clock_offset: Seconds from the monotonic clock to the clock of the decisions, which shows Unix
-            time at the start of the process and never goes back.
+        upstreams: Sends the attempts to their targets; None until the connection pool exists.
+        interceptor: Enforces the limits of the fleet on requests and writes; None without a cluster.
+        clock_offset: Seconds to add to the monotonic clock to get the clock of the routing policy, which
+            equals Unix time at the start of the process and never goes back.
     """
 
     def __init__(
@@ -82,11 +82,11 @@
         self.clock_offset = scheduler.unix() - scheduler.monotonic()
 
     def admit_by_fleet_limits(self, pending: PendingRequest, time_left: float) -> float | None:
-        """Admits a request by the limits of the fleet; returns the Retry-After (s) if it is rejected."""
+        """Returns None if the limits of the fleet admit a request, else the Retry-After in seconds."""
         return None if self.interceptor is None else self.interceptor.admit(pending, time_left)
 
     def start(self, fetch: Fetch) -> None:
-        """Starts an attempt; one that must not or cannot be sent ends at once as not sent."""
+        """Starts an attempt; ends it at once as not sent if it must not or cannot be sent."""
         pending = self.owner.pending.get(fetch.request)
         if pending is None or self.owner.drop_if_disconnected(pending):
             return
@@ -103,16 +103,16 @@
         attempt.timer = self.scheduler.call_later(expires - now, lambda: self.expire(attempt))
         try:
             self.upstreams.start(attempt)
-        except Exception:  # error boundary of one attempt, such as no free descriptor for its connection
+        except Exception:  # error boundary of one attempt; for example, no descriptor is free
             self.log_failure("start", attempt)
             self.abandon(attempt)
 
     def prepare_write(self, attempt: UpstreamAttempt) -> UpstreamRequest | None:
-        """Returns what to write for an attempt; None if it must not be written any more.
+        """Returns the request to write for an attempt; None if the attempt must no longer be written.
 
-        Called at the moment of writing, which may be long after the decision. Drains and restarts of
-        target and source, the dedup window and scope of a retry, purges and the time left are checked
-        again.
+        The connection calls this immediately before the write, which may be long after the routing policy
+        chose the attempt. So the following are checked again: whether target and source are draining or
+        have restarted, the dedup window and scope of a retry, purges, and the time left.
         """
         if attempt.ended or self.owner.drop_if_disconnected(attempt.pending):
             return None
@@ -122,7 +122,7 @@
             self.counters.add("not_sent")
             self.end(attempt, AttemptResult(Outcome.NOT_SENT))
             return None
-        # The interceptor comes last, because the permit it grants is for a write at this moment.
+        # The interceptor is asked last: the permit that it grants is valid for an immediate write only.
         detail = self.interceptor.before_write(attempt, left) if self.interceptor is not None else None
         if detail is not None:
             self.counters.add("not_sent.fleet_limit")
@@ -131,7 +131,7 @@
         return self.upstream_request(attempt, left)
 
     def upstream_request(self, attempt: UpstreamAttempt, time_left: float) -> UpstreamRequest:
-        """Returns the request of an attempt to its target, with `time_left` seconds for the answer."""
+        """Returns the request to send to an attempt's target, which has `time_left` seconds to answer."""
         request = attempt.pending.request
         fetch = attempt.fetch
         return UpstreamRequest(
@@ -153,12 +153,12 @@
         )
 
     def mark_written(self, attempt: UpstreamAttempt) -> None:
-        """Records that an attempt was written completely: the target may execute it from now on."""
+        """Records that an attempt was written completely, so that the target may execute it from now on."""
         attempt.written_at = self.scheduler.monotonic()
         self.counters.add("sent")
 
     def end(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
-        """Ends an attempt; the first one that is `SERVED` gives the request's final answer."""
+        """Ends an attempt; the first `SERVED` result of a request becomes its final answer."""
         if attempt.ended:
             return
         now = self.scheduler.monotonic()
@@ -189,16 +189,18 @@
             )
         )
 
-    def expire(self, attempt: UpstreamAttempt, has_read: bool = False) -> None:
-        """Ends an attempt at its time-out, once all bytes received on its connection have been read.
+    def expire(self, attempt: UpstreamAttempt, was_postponed: bool = False) -> None:
+        """Ends an attempt at its time-out.
 
-        An attempt that was never written counts as not sent; any other may have been executed.
+        If received bytes are unread, its answer may be among them, so the end is postponed once by
+        `UNREAD_GRACE_S` to let them be read (`was_postponed`). An attempt that was never written ends as
+        not sent; a written one ends as timed out, because the target may have executed it.
         """
         if attempt.ended:
             return
-        if not has_read and attempt.carrier is not None and attempt.carrier.has_unread:
+        if not was_postponed and attempt.carrier is not None and attempt.carrier.has_unread:
             attempt.timer = self.scheduler.call_later(
-                READ_FIRST_S, lambda: self.expire(attempt, has_read=True)
+                UNREAD_GRACE_S, lambda: self.expire(attempt, was_postponed=True)
             )
             return
         outcome = Outcome.NOT_SENT if attempt.written_at is None else Outcome.TIMEOUT
@@ -206,7 +208,7 @@
         self.end(attempt, AttemptResult(outcome, unresponsive=unresponsive))
 
     def cancel(self, action: Cancel) -> None:
-        """Abandons an attempt that the decisions cancel, unless it has ended."""
+        """Abandons an attempt that the routing policy cancels, unless it has ended."""
         pending = self.owner.pending.get(action.request)
         if pending is None or action.attempt >= len(pending.attempts):
             return
@@ -214,38 +216,38 @@
             self.abandon(pending.attempts[action.attempt])
 
     def abandon(self, attempt: UpstreamAttempt) -> None:
-        """Ends an attempt that this router gives up: as cancelled if it was written, else as not sent."""
+        """Ends an attempt that this router abandons: as cancelled if it was written, else as not sent."""
         outcome = Outcome.NOT_SENT if attempt.written_at is None else Outcome.CANCELLED
         self.release_carrier(attempt)
         self.end(attempt, AttemptResult(outcome))
 
     def release(self, pending: PendingRequest) -> None:
-        """Ends the attempts in flight of a request that has ended, without an event to the decisions."""
+        """Ends the remaining attempts of a request that has ended, without an event to the routing policy."""
         for attempt in pending.attempts:
             if not attempt.ended:
                 attempt.ended = True
                 if attempt.timer is not None:
                     attempt.timer.cancel()
                 self.release_carrier(attempt)
-        # Attempts refer to their request: break the reference cycle, so that both are freed at once.
+        # Attempts and their request refer to each other; without this cycle, both are freed at once.
         pending.attempts.clear()
 
     def release_carrier(self, attempt: UpstreamAttempt) -> bool:
-        """Makes an attempt's carrier drop it; returns whether that was unresponsive since the write."""
+        """Makes the carrier drop an attempt; returns whether the carrier received nothing since the write."""
         try:
             return attempt.carrier is not None and attempt.carrier.abandon(attempt)
-        except Exception:  # error boundary of one carrier: its error must not keep the attempt from ending
+        except Exception:  # error boundary of one carrier: its error must not prevent the end of the attempt
             self.log_failure("abandon", attempt)
             return False
 
-    def log_failure(self, what: str, on: object) -> None:
-        """Counts an error that concerns one request alone, and logs the first of its kind."""
-        if self.counters.add_once(f"{what}_errors"):
-            LOGGER.exception(f"{what}_failed", extra={"fields": {"on": type(on).__name__}})
+    def log_failure(self, operation: str, subject: object) -> None:
+        """Counts an error that affects a single request, and logs the first error of each operation."""
+        if self.counters.add_once(f"{operation}_errors"):
+            LOGGER.exception(f"{operation}_failed", extra={"fields": {"on": type(subject).__name__}})
 
 
 def served_answer(attempt: UpstreamAttempt, result: AttemptResult) -> FinalAnswer:
-    """Returns the final answer of a request that an attempt has served."""
+    """Returns the final answer to a request from the result of the attempt that served it."""
     status = AnswerStatus.NOT_MODIFIED if result.not_modified else AnswerStatus.SERVED
     return FinalAnswer(
         status, result.body, stamp=result.stamp, detail=result.detail, served_by=attempt.fetch.target
--- a/paddlequay/requests/event_queue.py
+++ b/paddlequay/requests/event_queue.py
@@ -1,4 +1,4 @@
-"""Delivers the events of the exchange to the decisions one after another."""
+"""Delivers the events of the exchange to the routing policy one at a time."""
 
 from collections import deque
 from collections.abc import Callable
@@ -6,8 +6,8 @@
 from paddlequay.routing.interface import Event
 
 
-class EventQueue:
-    """Calls `handle` for each event; events raised while one is handled wait for its end."""
+class RoutingEventQueue:
+    """Calls `handle` for each event; an event raised meanwhile waits until that call has ended."""
 
     def __init__(self, handle: Callable[[Event], None]) -> None:
         self.handle = handle
@@ -15,11 +15,11 @@
         self.is_delivering = False
 
     def append(self, event: Event) -> None:
-        """Queues an event behind the one that is being handled."""
+        """Queues an event, to be handled after the current one."""
         self.waiting.append(event)
 
     def deliver(self, event: Event) -> None:
-        """Handles an event at once, unless another one is being handled."""
+        """Handles an event at once, or after the current one if one is being handled."""
         self.waiting.append(event)
         if self.is_delivering:
             return
--- a/paddlequay/requests/exchange.py
+++ b/paddlequay/requests/exchange.py
@@ -1,7 +1,8 @@
-"""Connects a front, the decisions and the upstreams, and executes the actions of the decisions.
+"""Connects a front, the routing policy and the upstreams, and executes the actions that the policy returns.
 
-The exchange owns every pending request from its submission to its one final answer; `attempts.py` runs the
-attempts. It depends on no protocol and no socket.
+The routing policy is `paddlequay.policy.Router`, which turns events into actions. The exchange owns every
+pending request from its submission to its one final answer; `attempts.py` runs the attempts. The exchange
+depends on no protocol and no socket.
 """
 
 import logging
@@ -13,7 +14,7 @@
 from paddlequay.observability.counters import Counters
 from paddlequay.policy import Router
 from paddlequay.requests.attempts import AttemptRunner
-from paddlequay.requests.event_queue import EventQueue
+from paddlequay.requests.event_queue import RoutingEventQueue
 from paddlequay.requests.intake import RequestIntake
 from paddlequay.requests.messages import (
     AnswerStatus,
@@ -46,11 +47,11 @@
 
 LOGGER = logging.getLogger(__name__)
 
-DEADLINE_SLACK_S = 0.004  # after a request's deadline, so that an attempt times out first
+DEADLINE_SLACK_S = 0.004  # added to a request's deadline, so that its attempts time out before it fails
 
 
 class Exchange:
-    """Owns the pending requests, delivers events to the decisions and executes their actions."""
+    """Owns the pending requests, delivers events to the routing policy and executes its actions."""
 
     def __init__(
         self,
@@ -73,9 +74,7 @@
         self.members = self.write_checks.members
         self.attempts = AttemptRunner(self, router.classes, self.write_checks, limits, scheduler, counters)
         self.last_serial = 0
-        self.events = EventQueue(self.handle)
-
-    # --- from the front ---
+        self.events = RoutingEventQueue(self.handle)
 
     def submit(
         self,
@@ -83,20 +82,20 @@
         send_answer: Callable[[FinalAnswer], None],
         client_disconnected: Callable[[], bool] | None = None,
     ) -> PendingRequest | None:
-        """Submits a request; `send_answer` is called exactly once, unless `withdraw` is called before.
+        """Submits a request; calls `send_answer` exactly once, unless the request is withdrawn before.
 
         Args:
             request: The request of a client.
             send_answer: Sends the final answer to the client.
-            client_disconnected: Returns whether the client has disconnected. Called before each attempt is
-                forwarded; it must not call the exchange.
+            client_disconnected: Returns whether the client has disconnected; called before an attempt is
+                started and before it is written. It must not call the exchange.
 
         Returns:
             The pending request; None if it was answered at once.
         """
         now = self.scheduler.monotonic()
         self.counters.add(f"received.{request.class_name}")
-        answer = self.intake.answer_at_once(request)
+        answer = self.intake.immediate_answer(request)
         if answer is not None:
             send_answer(answer)
             return None
@@ -116,7 +115,7 @@
         return pending
 
     def schedule_deadline(self, pending: PendingRequest, time_left: float) -> None:
-        """Guarantees a final answer at the deadline, whatever the decisions do."""
+        """Guarantees a final answer at the deadline, whatever the routing policy does."""
         delay = max(0.0, time_left) + DEADLINE_SLACK_S
         pending.deadline_timer = self.scheduler.call_later(delay, lambda: self.fail_overdue(pending))
 
@@ -142,53 +141,49 @@
             self.deliver(ClientDisconnected(pending.serial))
 
     def abandon_all(self) -> None:
-        """Answers all pending requests now, as the router is being drained."""
+        """Ends all pending requests with an answer, because a drain or shutdown no longer waits for them."""
         for serial in list(self.pending):
             self.counters.add("abandoned")
             self.deliver(AbandonRequest(serial))
 
     def inherit_state(self, state: dict[str, float]) -> None:
-        """Hands the state that a predecessor process exported to the decisions."""
+        """Passes the state that a predecessor process has exported to the routing policy."""
         self.deliver(StateInherited(state))
 
-    # --- from discovery and operators ---
-
     def update_members(self, members: tuple[Member, ...], full: bool) -> None:
-        """Applies the endpoint list, or changes to it, to the decisions and to everything not written yet."""
+        """Applies the endpoint list (`full`) or its changes to the policy and to attempts not written yet."""
         self.write_checks.update_members(members, full)
         self.deliver(MembersChanged(tuple(map(self.write_checks.with_overrides, members)), full))
 
     def override_changed(self, name: str) -> None:
-        """Applies an ejection by operators, or its end, to the decisions; ignores other overrides."""
+        """Tells the routing policy of a member that operators eject or readmit; ignores other overrides."""
         if not name.startswith(EJECTED_PREFIX):
             return
         member = self.members.get(name.removeprefix(EJECTED_PREFIX))
         if member is not None:
             self.deliver(MembersChanged((self.write_checks.with_overrides(member),)))
 
-    def record_purge(self, key: int | None, group: int | None, issued: float) -> None:
-        """Records the purge of an object or a group, issued at a time in Unix seconds."""
-        age = self.write_checks.record_purge(key, group, issued)
+    def record_purge(self, key: int | None, group: int | None, issued_at: float) -> None:
+        """Records the purge of an object, or of a group if `key` is None; `issued_at` is in Unix seconds."""
+        age = self.write_checks.record_purge(key, group, issued_at)
         self.deliver(Purged(age, group, key))
 
-    # --- events in, actions out ---
-
     def deliver(self, event: Event) -> None:
-        """Delivers an event to the decisions and executes their actions; queues events raised meanwhile."""
+        """Delivers an event to the routing policy and executes its actions; queues events raised by them."""
         self.events.deliver(event)
 
     def handle(self, event: Event) -> None:
-        """Handles one event; an error fails only the request that the event concerns."""
+        """Handles one event; an error fails only the request to which the event belongs."""
         try:
             actions = self.router.handle(event, self.scheduler.monotonic() + self.attempts.clock_offset)
-        except Exception:  # error boundary of one event: whatever the decisions raise, other requests go on
+        except Exception:  # error boundary of one event: other requests are not affected
             self.attempts.log_failure("decision", event)
             self.abort_request(event.id if isinstance(event, Request) else getattr(event, "request", ""))
             return
         for action in actions:
             try:
                 self.execute(action)
-            except Exception:  # error boundary of one action: the others may concern other requests
+            except Exception:  # error boundary of one action: the others may belong to other requests
                 self.attempts.log_failure("action", action)
                 self.abort_request(getattr(action, "request", ""))
 
@@ -200,7 +195,7 @@
             self.events.append(ClientDisconnected(pending.serial))
 
     def execute(self, action: Action) -> None:
-        """Executes one action of the decisions."""
+        """Executes one action of the routing policy."""
         match action:
             case Fetch():
                 self.attempts.start(action)
@@ -216,12 +211,12 @@
                 token = action.token
                 self.scheduler.call_later(action.delay, lambda: self.deliver(TimerFired(token)))
             case Subscribe():
-                pass  # the endpoint list is followed all the time
+                pass  # this program always follows the endpoint list
             case LogMessage():
                 log.event(LOGGER, logging.INFO, "decision", text=action.text)
 
     def reject(self, action: Reject) -> None:
-        """Rejects a request for the decisions; counts separately those for which no attempt was made."""
+        """Executes a rejection; requests without any attempt are counted separately."""
         pending = self.pending.get(action.request)
         if pending is None:
             return
@@ -233,16 +228,16 @@
         self.answer(pending, answer)
 
     def answer(self, pending: PendingRequest, answer: FinalAnswer) -> None:
-        """Sends a request's one final answer."""
+        """Sends the one final answer to a request."""
         self.release(pending)
         self.counters.add(f"answered.{answer.status.value}")
         try:
             pending.send_answer(answer)
-        except Exception:  # error boundary of one client: the decisions still learn the end
+        except Exception:  # error boundary of one client: the routing policy is still told of the end
             self.attempts.log_failure("reply", answer)
 
     def release(self, pending: PendingRequest) -> None:
-        """Removes a request that has ended, with its timer and its attempts in flight."""
+        """Removes a request that has ended, cancels its deadline timer and ends its remaining attempts."""
         self.intake.remove(pending)
         if pending.deadline_timer is not None:
             pending.deadline_timer.cancel()
@@ -252,7 +247,7 @@
 
 
 def request_event(serial: str, request: ClientRequest, time_left: float) -> Request:
-    """Returns the event by which the decisions learn of a client's request."""
+    """Returns the event that tells the routing policy of a client's request."""
     return Request(
         serial,
         request.class_name,
--- a/paddlequay/requests/intake.py
+++ b/paddlequay/requests/intake.py
@@ -7,7 +7,7 @@
 
 
 class RequestIntake:
-    """Owns the pending requests by serial, their client ids, and the total size of their bodies in bytes."""
+    """Owns the pending requests by serial, the ids that clients gave them, and the bytes of their bodies."""
 
     def __init__(self, limits: Limits, quotas: ProcessQuotas, counters: Counters) -> None:
         self.limits = limits
@@ -17,23 +17,23 @@
         self.open_ids: set[str] = set()
         self.body_bytes = 0
 
-    def answer_at_once(self, request: ClientRequest) -> FinalAnswer | None:
-        """Returns the final answer of a request that is not admitted; None if it is admitted.
+    def immediate_answer(self, request: ClientRequest) -> FinalAnswer | None:
+        """Returns the final answer to a request that is not admitted; None if it is admitted.
 
-        A request is rejected if too many requests or bytes of bodies are pending, and fails if its id
-        is pending.
+        The answer is a rejection if too many requests or too many bytes of bodies are pending, and a
+        failure if a request with the same id is pending.
         """
         if not self.has_capacity(request):
             self.counters.add("rejected.too_many_open")
             return FinalAnswer(AnswerStatus.REJECTED, retry_after=self.limits.busy_retry_after)
         if request.id in self.open_ids:
-            # The answer to one request must not serve, and its end must not end, another under the same id.
+            # With one id for two requests, the answer or end of one would be taken for that of the other.
             self.counters.add("rejected.id_open")
             return FinalAnswer(AnswerStatus.FAILED)
         return None
 
     def has_capacity(self, request: ClientRequest) -> bool:
-        """Returns whether one more request fits the limits on pending requests and on bytes of bodies."""
+        """Returns whether one more request stays within the limits on pending requests and body bytes."""
         max_body_bytes = self.limits.max_body_bytes * self.quotas.memory_share
         if self.body_bytes + len(request.body) > max_body_bytes:
             return False
--- a/paddlequay/requests/messages.py
+++ b/paddlequay/requests/messages.py
@@ -14,17 +14,17 @@
 
 
 class AnswerStatus(Enum):
-    """The status of a final answer."""
+    """The status of a final answer to a client."""
 
     SERVED = "served"
-    NOT_MODIFIED = "not_modified"  # the client's own copy is current
+    NOT_MODIFIED = "not_modified"  # the copy that the client holds is current
     REJECTED = "rejected"
     FAILED = "failed"
 
 
 @dataclass(frozen=True, slots=True)
 class CopyStamp:
-    """The copy that an answer carries: its tag, when the origin generated it (Unix s), and its group."""
+    """Identifies the copy in an answer: its tag, when the origin generated it (Unix seconds), its group."""
 
     tag: str
     generated_at: float
@@ -35,7 +35,8 @@
 class ClientRequest:
     """A client's request, independent of its protocol.
 
-    `time_to_live` is in seconds. `object_name` is the object's name as it is forwarded, `key` its number.
+    `time_to_live` is in seconds. `object_name` is the object's name as forwarded to caches, `key` the same as
+    a number.
     """
 
     id: str
@@ -48,10 +49,10 @@
     body: Buffer = b""
     known_tag: str | None = None
     retry: bool = False
-    idempotency_key: str | None = None  # by which caches drop duplicates; forwarded unchanged
+    idempotency_key: str | None = None  # lets caches drop duplicates; forwarded unchanged
     tenant: str | None = None  # None if the front does not identify tenants
-    fill: int | None = None  # the number of the fill, for requests of a node in the hierarchy
-    extra_fields: Callable[[str], Mapping[str, str]] | None = None  # further fields of a fill, by target
+    fill: int | None = None  # the number of the fill, if a node of the hierarchy requests it
+    extra_fields: Callable[[str], Mapping[str, str]] | None = None  # further fields of a fill, for a target
 
 
 @dataclass(slots=True)
@@ -61,16 +62,16 @@
     status: AnswerStatus
     body: Buffer = b""
     retry_after: float | None = None
-    stamp: "CopyStamp | None" = None  # of the copy that was served
-    detail: ReplyDetail | None = None  # of the last attempt, if none was served
-    served_by: str = ""  # the name of the member that served it
+    stamp: "CopyStamp | None" = None  # identifies the copy that was served
+    detail: ReplyDetail | None = None  # from the attempt that ended last
+    served_by: str = ""  # the name of the member that served the request
 
 
 @dataclass(slots=True)
 class UpstreamRequest:
-    """The request of an attempt to its target, as of the moment of writing.
+    """The request that an attempt sends to its target, as determined immediately before the write.
 
-    `time_left` and `max_age` are in seconds; `retention` is the rank at which the target stores the copy.
+    `time_left` and `max_age` are in seconds; `retention` is the rank with which the target stores the copy.
     """
 
     id: str
@@ -92,7 +93,7 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended, with the contents of its answer; `source_wait` is in seconds."""
+    """How an attempt ended, with the contents of its answer if there was one; `source_wait` is in seconds."""
 
     outcome: Outcome
     body: Buffer = b""
@@ -112,12 +113,12 @@
     """A timer that can be cancelled."""
 
     def cancel(self) -> None:
-        """Cancels the timer; no error if it has fired."""
+        """Cancels the timer; does nothing if it has fired."""
         ...
 
 
 class Scheduler(Protocol):
-    """Clocks and timers in seconds: `monotonic` for durations, `unix` for times of purges and of starts."""
+    """Clocks and timers in seconds: `monotonic` for durations, `unix` for times of purges and restarts."""
 
     def monotonic(self) -> float:
         """Returns the time of a clock that never goes back."""
@@ -127,37 +128,37 @@
         """Returns the Unix time."""
         ...
 
-    def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
-        """Calls back after `delay` seconds."""
+    def call_later(self, delay: float, callback: Callable[[], None]) -> Timer:
+        """Calls `callback` after `delay` seconds."""
         ...
 
 
 class AttemptCarrier(Protocol):
-    """Carries an attempt to its target, as a connection does."""
+    """Carries attempts to a target; implemented by a connection."""
 
     @property
     def has_unread(self) -> bool:
-        """Returns whether bytes were received that have not been read yet."""
+        """Returns whether received bytes have not been handled yet."""
         ...
 
     def abandon(self, attempt: "UpstreamAttempt") -> bool:
-        """Drops an attempt; returns whether nothing was received on the carrier since the write."""
+        """Drops an attempt; returns whether the carrier has received nothing since it was written."""
         ...
 
 
 class UpstreamPool(Protocol):
-    """Carries attempts to caches, and sets the carrier of each attempt."""
+    """Sends attempts to caches, and sets the carrier of each attempt."""
 
     def start(self, attempt: "UpstreamAttempt") -> None:
-        """Writes an attempt as soon as a connection accepts it; may raise."""
+        """Writes an attempt as soon as a connection can take it; may raise any error."""
         ...
 
 
 class RequestInterceptor(Protocol):
-    """Observes each request and attempt, and may reject it by the limits of the fleet. No call blocks."""
+    """Observes requests and attempts, and may reject them under the limits of the fleet. No method blocks."""
 
     def admit(self, pending: "PendingRequest", time_left: float) -> float | None:
-        """Returns None to admit a request with `time_left` seconds left, else a Retry-After (s)."""
+        """Returns None to admit a request with `time_left` seconds left, else the Retry-After in seconds."""
         ...
 
     def before_write(self, attempt: "UpstreamAttempt", time_left: float) -> ReplyDetail | None:
@@ -165,17 +166,17 @@
         ...
 
     def attempt_ended(self, attempt: "UpstreamAttempt", result: "AttemptResult") -> None:
-        """Notes the end of an attempt, whether it was written or not."""
+        """Records the end of an attempt, whether it was written or not."""
         ...
 
     def request_ended(self, pending: "PendingRequest") -> None:
-        """Notes the end of an admitted request, by its final answer or by its client's disconnect."""
+        """Records the end of an admitted request, by its final answer or because its client disconnected."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamAttempt:
-    """One attempt, which waits to be written, is in flight or has ended. Times are monotonic seconds."""
+    """One attempt, which is waiting to be written, in flight or ended. Times are monotonic seconds."""
 
     pending: "PendingRequest"
     number: int
@@ -186,25 +187,25 @@
     carrier: AttemptCarrier | None = None
     written_at: float | None = None
     ended: bool = False
-    never_resend: bool = False  # if it may have been executed, as its class is not idempotent
-    chosen_members: tuple[Member | None, ...] = ()  # target and source as listed when chosen
+    never_resend: bool = False  # its class is not idempotent: once written, it must not be sent again
+    chosen_members: tuple[Member | None, ...] = ()  # target and source, as listed when they were chosen
 
     @property
     def id(self) -> str:
-        """Returns the id of its request, as the client gave it."""
+        """Returns the id that the client gave to the request."""
         return self.pending.request.id
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request without its final answer yet. Times are monotonic seconds."""
+    """A request that has no final answer yet. Times are monotonic seconds."""
 
     serial: str
     request: ClientRequest
     send_answer: Callable[[FinalAnswer], None]
     received_at: float
     deadline: float
-    client_disconnected: Callable[[], bool] | None = None  # checks the socket, even if nothing was read
+    client_disconnected: Callable[[], bool] | None = None  # also detects a close that is unread
     deadline_timer: Timer | None = None
     attempts: list[UpstreamAttempt] = field(default_factory=list)
     last_detail: ReplyDetail | None = None
--- a/tests/race_conditions/test_client_closing.py
+++ b/tests/race_conditions/test_client_closing.py
@@ -84,7 +84,7 @@
         await until(lambda: len(rig.side.started) == 3, "the late one's request is sent on")
         rig.serve(rig.side.started[2])
         assert (await answers(late, 1))[0][2] is None
-        assert rig.front.stop_accepting(last=True)
+        assert rig.front.stop_accepting(force=True)
 
     play(tmp_path, scene, client_connections=2)
 
--- a/tests/race_conditions/test_timeout_races.py
+++ b/tests/race_conditions/test_timeout_races.py
@@ -5,7 +5,7 @@
 import pytest
 from rig_retries import FEE, PAGE, Rig
 
-from paddlequay.requests.attempts import READ_FIRST_S
+from paddlequay.requests.attempts import UNREAD_GRACE_S
 from paddlequay.requests.messages import AnswerStatus, AttemptResult, UpstreamAttempt
 from paddlequay.routing.interface import Outcome, RequestClass
 
@@ -34,5 +34,5 @@
 def test_unread_bytes_for_other_requests_postpone_a_timeout_once(tmp_path: Path, kind: RequestClass) -> None:
     rig = Rig(tmp_path, (kind,))
     attempt = at_its_time(rig, kind)
-    rig.clock.move(1.5 * READ_FIRST_S)  # there is something unread all the while
+    rig.clock.move(1.5 * UNREAD_GRACE_S)  # there is something unread all the while
     assert attempt.ended and rig.counters.counts["ended.timeout"] == 1
