--- a/paddlequay/net/clients/answer_writer.py
+++ b/paddlequay/net/clients/answer_writer.py
@@ -1,4 +1,4 @@
-"""Writes answers to a client without waiting, and bounds the bytes that slow readers leave unsent."""
+"""Writes answers to a client without waiting, and limits the bytes that slow readers leave unsent."""
 
 import contextlib
 import socket
@@ -11,7 +11,7 @@
 from paddlequay.observability.counters import Counters
 from paddlequay.requests.messages import Buffer
 
-MAX_JOINED_BYTES = 16 * 1024  # smaller answers are copied into one write: a packet costs more than a copy
+MAX_JOINED_BYTES = 16 * 1024  # up to this size, an answer is copied into one write: cheaper than more packets
 
 
 class WriterFront(Protocol):
@@ -37,11 +37,12 @@
 
 
 class AnswerWriter:
-    """Writes to one connection.
+    """Writes answers to one connection.
 
     Attributes:
         unsent_bytes: Bytes of answers that the kernel has not accepted yet.
-        last_taken_at: When the kernel last accepted an answer completely, in monotonic seconds.
+        last_written_at: When the kernel last accepted an answer completely, or when the first of the unsent
+            answers was written, in monotonic seconds.
     """
 
     __slots__ = ("front", "last_written_at", "stream", "unsent_bytes")
@@ -53,12 +54,15 @@
         self.last_written_at = front.now()
 
     def write(self, pieces: tuple[Buffer, ...], on_written: Callable[[], None]) -> None:
-        """Writes an answer without waiting; closes the slowest connection if too much is unsent.
+        """Writes an answer without waiting for the client to read it.
+
+        Closes this connection if too many of its bytes are unsent, or the one with the most unsent bytes if
+        too many bytes of all connections are.
 
         Args:
             pieces: The answer.
-            on_written: Called once the kernel has accepted the whole answer. It is not stored, because a
-                connection in a reference cycle is freed late.
+            on_written: Called once the kernel has accepted the whole answer. The writer does not store it:
+                it refers to the session, and a connection in a reference cycle is freed late.
         """
         size = sum(map(len, pieces))
         if not self.unsent_bytes:
@@ -96,14 +100,14 @@
         return slowest
 
     def note_written(self, size: int, on_written: Callable[[], None]) -> None:
-        """Notes that the kernel has accepted an answer of `size` bytes."""
+        """Records that the kernel has accepted an answer of `size` bytes."""
         self.unsent_bytes -= size
         self.front.unsent_bytes -= size
         self.last_written_at = self.front.now()
         on_written()
 
     def shut_down(self) -> None:
-        """Closes the sending side, once all answers are sent."""
+        """Closes the sending side of the connection if all answers are sent."""
         if not self.unsent_bytes and not self.stream.closed():
             with contextlib.suppress(OSError):
                 self.stream.socket.shutdown(socket.SHUT_WR)
--- a/paddlequay/net/clients/client_front.py
+++ b/paddlequay/net/clients/client_front.py
@@ -1,4 +1,4 @@
-"""The front for clients: accepts connections, closes idle ones for others, and drains all of them."""
+"""The front for clients: accepts connections, closes idle ones to accept others, and drains them all."""
 
 import asyncio
 import socket
@@ -34,16 +34,17 @@
     """Owns the listener of clients and their connections.
 
     Attributes:
-        unsent_bytes: Bytes of answers that clients have not read yet, over all connections.
-        queued_bytes: Bytes of bodies of calls that are read but not submitted, over all connections.
+        unsent_bytes: Bytes of answers that the kernel has not accepted yet, over all connections.
+        queued_bytes: Bytes of the bodies of calls that are read but not submitted, over all connections.
         shutting_down: Whether SIGTERM was received.
-        replaced: Whether a successor accepts clients.
-        refusing_new: Whether the late connections after SIGTERM have been served.
-        handing_over: Whether a successor accepts what is new, or the shutdown nears its end.
+        replaced: Whether a successor process accepts the clients.
+        served_late_connections: Whether the connections that still arrived after SIGTERM have been served.
+        handing_over: Whether connections are to close because a successor process accepts new ones, or
+            because the shutdown has served the late connections.
         near_end: Whether the process exits in less than a second.
         drained_at: When operators started a drain, in monotonic seconds.
         closing_when_quiet: Whether each connection closes as soon as it is at rest.
-        rejecting_new: Whether new calls are rejected, so that every connection comes to rest.
+        rejects_new_calls: Whether new calls are rejected, so that every connection comes to rest.
     """
 
     def __init__(
@@ -96,11 +97,14 @@
 
     @property
     def max_queued(self) -> float:
-        """Returns the limit on `queued_bytes`; the exchange limits the bodies of pending requests itself."""
+        """Returns the limit on `queued_bytes`; the exchange itself limits the bodies of pending requests."""
         return self.limits.max_body_bytes * self.quotas.memory_share / 2
 
     def accepts_requests(self) -> bool:
-        """Returns the readiness that clients see; two processes of a hot restart count as one router."""
+        """Returns whether clients are told that the router is ready.
+
+        The two processes of a hot restart count as one router, which is ready if its successor is.
+        """
         return not self.operator_state.draining and (not self.shutting_down or self.replaced)
 
     def override_changed(self, name: str) -> None:
@@ -117,10 +121,11 @@
         return f"{len(self.sessions)} connections, {len(self.exchange.pending)} requests open"
 
     def close_quiet_connections(self) -> None:
-        """Continues a drain or shutdown at each heartbeat: closes connections at rest.
+        """Continues a drain or shutdown: closes connections at rest; called at each heartbeat.
 
-        Late connections are served first; then connections close as they come to rest. The new calls of
-        the others are rejected, and finally pending requests are abandoned with an answer.
+        New connections are served for a while; then each connection closes once it is at rest. Later, new
+        calls on the remaining connections are rejected, and finally their pending requests are ended with an
+        answer.
         """
         self.closing_when_quiet = self.handing_over
         self.rejects_new_calls = self.near_end
@@ -135,7 +140,7 @@
             self.shut_down_sessions("closed_by_drain")
 
     def continue_drain(self, elapsed: float) -> None:
-        """Takes the steps of a drain that are due `elapsed` seconds after its start."""
+        """Performs the steps of a drain that are due `elapsed` seconds after its start."""
         limits = self.limits
         self.closing_when_quiet = self.closing_when_quiet or elapsed >= limits.drain_accept_time
         self.rejects_new_calls = self.rejects_new_calls or elapsed >= limits.drain_reject_after
@@ -143,14 +148,14 @@
             self.exchange.abandon_all()
 
     def shut_down_sessions(self, cause: str) -> None:
-        """Ends all remaining connections with their answers; counts them under `cause`."""
+        """Ends all remaining connections after sending their answers, and counts them under `cause`."""
         for session in list(self.sessions):
             if not session.ended and not session.stream.closed():
                 self.counters.add(cause)
                 session.end()
 
     def closed_reason(self) -> str:
-        """Returns why this process accepts no clients; an empty text while it does."""
+        """Returns why this process accepts no clients; an empty string if it accepts them."""
         if self.shutting_down:
             return "this process is ending"
         if self.operator_state.draining:
@@ -166,15 +171,15 @@
     def stop_accepting(self, force: bool) -> bool:
         """Accepts all connections in the listener's queue, then closes the listener.
 
-        A connection left in the queue would be reset. If no descriptor is free, connections at rest are
-        closed.
+        The close of the listener would reset the connections left in its queue. If no descriptor is free
+        for one of them, a connection at rest is closed.
 
         Args:
             force: Whether to close the listener even if connections still wait in its queue.
 
         Returns:
-            Whether the listener is closed. A connection just accepted is read first and may be at rest
-            in the next iteration of the event loop.
+            Whether the listener is closed. If not, call again in a later iteration of the event loop:
+            connections accepted just now have been read by then, and those at rest may be closed.
         """
         if self.listener is None:
             return True
@@ -188,14 +193,14 @@
         return True
 
     def accept_capacity(self) -> int:
-        """Returns how many connections may be accepted now; closes an idle one if the quota is used up."""
+        """Returns how many connections may be accepted now; closes an idle one if the quota is exhausted."""
         free = self.quotas.client_connections - len(self.sessions)
         if free > 0:
             return min(self.limits.accepts_per_turn, free)
         return int(self.close_one_idle())
 
     def on_accept(self, connection: socket.socket) -> None:
-        """Serves an accepted connection, or closes it if there is no capacity."""
+        """Serves an accepted connection; closes it if the quota is exhausted and no other one is idle."""
         if len(self.sessions) >= self.quotas.client_connections and not self.close_one_idle():
             self.counters.add("rejected_connections")
             connection.close()
--- a/paddlequay/net/clients/client_input.py
+++ b/paddlequay/net/clients/client_input.py
@@ -1,4 +1,4 @@
-"""The reading side of one client connection: reads, parses and peeks at what the client has sent."""
+"""The receiving side of one client connection: reads and parses messages, and peeks at unread bytes."""
 
 import asyncio
 import math
@@ -10,9 +10,10 @@
 from paddlequay.net.socket_state import peek_unread
 from paddlequay.protocol import clients as wire
 
-# No attempt may start 0.1 s after its client disconnected or cancelled; both times stay well below that.
-MAX_BACKLOG_S = 0.03  # calls wait for this long while more can be read, as a cancel may follow
-RECHECK_AFTER_S = 0.01  # before a client seen to be connected is checked again
+# An attempt must not start more than 0.1 s after its client has disconnected or cancelled; both times are
+# well below that.
+MAX_BACKLOG_S = 0.03  # while more bytes can be read, calls wait up to this long, because a cancel may follow
+RECHECK_AFTER_S = 0.01  # a client found to be connected is not checked again for this long
 
 
 class ClientInput:
@@ -20,11 +21,11 @@
 
     Attributes:
         partial_since: When the last byte of an incomplete message was received; None without one.
-        partial_reads: The number of reads that brought parts of that message.
-        pending_read: The read under way, or one whose bytes are not handled yet.
-        backlog_since: Since when there was always more to read; None while there is not.
-        backlog_messages: The messages read since then.
-        checked_at: When the client was last seen connected, with nothing unread.
+        partial_reads: The number of reads that have returned parts of that message.
+        pending_read: The read in progress, or a completed one whose bytes are not handled yet.
+        backlog_since: Since when no read has had to wait for bytes; None if the last one had to.
+        backlog_messages: The number of messages read since `backlog_since`.
+        checked_at: When the client was last found to be connected, with no byte unread.
     """
 
     __slots__ = (
@@ -45,10 +46,10 @@
         self.checked_at = -math.inf
 
     def start_read(self) -> asyncio.Future[bytes]:
-        """Starts the next read; it is done at once if bytes have been received.
+        """Starts the next read, which is done at once if bytes have been received already.
 
-        The rest of a long message is read in large chunks; small calls in small ones, so that other
-        connections are served in between.
+        The rest of a long message is read in large chunks. Small calls are read in small chunks, so that
+        other connections are served in between.
         """
         limits = self.limits
         is_long_message = len(self.parser.partial) >= limits.client_read_size
@@ -66,18 +67,19 @@
         return reading
 
     def is_backlogged(self) -> bool:
-        """Returns whether there was always more to read for longer than `MAX_READ_AHEAD_S`."""
+        """Returns whether no read has had to wait for bytes for longer than `MAX_BACKLOG_S`."""
         return self.backlog_since is not None and self.now() - self.backlog_since > MAX_BACKLOG_S
 
     def note_partial_message(self, now: float) -> None:
-        """Notes after a read whether it left an incomplete message."""
+        """Records, after a read, whether it ended with an incomplete message."""
         self.partial_since = now if self.parser.partial else None
         self.partial_reads = self.partial_reads + 1 if self.parser.partial else 0
 
     def is_disconnected(self, number: int) -> bool:
-        """Returns whether the client has closed the connection or cancelled a request, even if unread.
+        """Returns whether the client has closed the connection or cancelled a request.
 
-        Costs one system call if nothing is unread, and none within `RECHECK_AFTER_S` of the last one.
+        A close or cancel counts even if it is still unread. The check costs one system call if nothing is
+        unread, and none within `RECHECK_AFTER_S` after such a check.
         """
         if self.stream.closed():
             return True
@@ -94,7 +96,7 @@
         return wire.CANCEL in unread and number in self.parser.cancelled_in(unread)
 
     def unread_bytes(self) -> bytes | None:
-        """Returns the first unhandled bytes; None if the client has closed the connection."""
+        """Returns the first unhandled bytes received; None if the client has closed the connection."""
         unread = peek_unread(self.stream.socket, 2 * self.limits.client_read_size)
         reading = self.pending_read
         if unread is None or reading is None or not reading.done():
@@ -106,6 +108,6 @@
         return self.parser.completes(self.unread_bytes() or b"")
 
     def has_nothing_unread(self) -> bool:
-        """Returns whether nothing is unread, as of this iteration of the event loop."""
-        # A read that is under way has received nothing, and the stream buffers nothing.
+        """Returns whether all bytes received until this iteration of the event loop are handled."""
+        # While a read is in progress, it has received nothing and the stream's buffer is empty.
         return self.stream.reading() and not peek_unread(self.stream.socket, 1)
--- a/paddlequay/net/clients/client_messages.py
+++ b/paddlequay/net/clients/client_messages.py
@@ -11,7 +11,7 @@
 
 HEX_ID = re.compile(r"[0-9a-f]{16}")
 DECIMAL_NUMBER = re.compile(r"[0-9]{1,9}")
-# What fits into a list of fields for a cache: printable, no comma, no equals sign.
+# Characters that a cache's list of fields can carry: printable, without comma and equals sign.
 IDEMPOTENCY_KEY = re.compile(r"[!-+\--<>-~]{1,128}")
 FLAG = re.compile(r"[01]")
 
@@ -23,7 +23,7 @@
 def field_text(
     fields: Mapping[Any, Any], name: str, pattern: re.Pattern[str], required: bool = True
 ) -> str | None:
-    """Returns a field's text; raises `FieldError` if it does not match, or is needed and missing."""
+    """Returns a field's text; raises `FieldError` if it does not match, or is required and missing."""
     value = fields.get(name)
     if value is None and not required:
         return None
@@ -33,7 +33,7 @@
 
 
 def field_number(fields: Mapping[Any, Any], name: str, maximum: int, required: bool = False) -> int | None:
-    """Returns a field's number, from 0 to `highest`; raises `FieldError`."""
+    """Returns a field's number, from 0 to `maximum`; raises `FieldError`."""
     text = field_text(fields, name, DECIMAL_NUMBER, required)
     if text is None:
         return None
@@ -43,10 +43,10 @@
 
 
 def parse_request(call: wire.ClientCall, request_class: RequestClass, limits: Limits) -> ClientRequest:
-    """Returns the request of a call; raises `FieldError`.
+    """Returns the request of a call; raises `FieldError` if a field or the body is invalid.
 
-    A request that a cache could not parse must not be forwarded: the cache would close the connection,
-    which other requests share.
+    A request that a cache cannot parse must not be forwarded: the cache would close the connection, which
+    other requests share.
     """
     fields = call.fields
     if not all(isinstance(name, str) and isinstance(value, str) for name, value in fields.items()):
@@ -75,7 +75,7 @@
 
 
 def format_answer(number: int, answer: FinalAnswer) -> tuple[Buffer, ...]:
-    """Returns the pieces of the final answer to a call."""
+    """Returns the final answer to a call as pieces of bytes."""
     match answer.status:
         case AnswerStatus.SERVED:
             return wire.served_answer(number, answer.body, {})
--- a/paddlequay/net/clients/idle_sessions.py
+++ b/paddlequay/net/clients/idle_sessions.py
@@ -1,4 +1,4 @@
-"""Chooses which idle client connection is closed when a new one needs its place."""
+"""Chooses which idle client connection to close when a new one needs its descriptor."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 from itertools import islice
 from typing import Protocol
 
-MAX_CANDIDATES = 8  # of each state: the search must not walk through thousands of connections
+MAX_CANDIDATES = 8  # tried in each state, because there may be thousands of connections
 
 
 class IdleSession(Protocol):
@@ -23,13 +23,13 @@
         ...
 
     def close_at_rest(self) -> bool:
-        """Closes the connection if nothing is owed, unsent or unread; returns whether it did."""
+        """Closes the connection if it is at rest; returns whether it did."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class ClosedSession:
-    """A connection that was closed for another, and whether it had sent a complete message."""
+    """A connection closed to accept another, and whether its client had sent a complete message."""
 
     session: IdleSession
     had_message: bool
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClosingStep:
-    """One queue of idle connections to try: the unused time that is required, and how one is closed."""
+    """A queue of idle connections to try, how long one must have been unused, and how to close it."""
 
     queue: OrderedDict[IdleSession, None]
     min_idle_s: float
@@ -48,11 +48,11 @@
     """Idle connections by state, the least recently used one first; each is in one state at most.
 
     Attributes:
-        lingering: Ended by this side, and still reading.
-        silent: Without a byte received.
-        message_begun: With an incomplete message, received in one read.
-        message_progressing: With an incomplete message, received in several reads.
-        idle: After a complete message.
+        lingering: Ended by this side, which still reads.
+        silent: No byte was ever received.
+        message_begun: An incomplete message was received, in one read.
+        message_progressing: An incomplete message was received, in several reads.
+        idle: The last message was complete.
     """
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
 
         Args:
             has_ended: Whether this side has ended the connection.
-            partial_reads: The number of reads that brought parts of an incomplete message.
+            partial_reads: The number of reads that have returned parts of an incomplete message.
             has_sent_message: Whether the client has sent a complete message.
         """
         if has_ended:
@@ -81,10 +81,10 @@
     def close_one(self, now: float, recent_progress: float) -> ClosedSession | None:
         """Closes one idle connection, and returns it; None if there is none.
 
-        Connections without a byte come first, then those that stopped inside a message, so that
+        Silent connections are closed first, then those that have stopped inside a message, so that
         connections without requests cannot displace clients with requests. The least recently used idle
-        one follows; its client repeats a request that crosses the close. A connection whose message
-        made progress within `recent_progress` seconds comes last.
+        connection follows; its client repeats a request that it sends while the connection closes. A
+        connection that has received more of its message within `recent_progress` seconds comes last.
         """
         steps = (
             ClosingStep(self.silent, 0.0, lambda session: session.close_without_message()),
@@ -95,7 +95,7 @@
             ClosingStep(self.message_progressing, 0.0, lambda session: session.close_at_rest()),
         )
         for step in steps:
-            # A connection with an unread request does not close, so a few candidates are tried.
+            # A connection with an unread request refuses to close, so several candidates are tried.
             for session in list(islice(step.queue, MAX_CANDIDATES)):
                 if now - session.last_used_at < step.min_idle_s:
                     break
--- a/paddlequay/net/clients/open_requests.py
+++ b/paddlequay/net/clients/open_requests.py
@@ -30,18 +30,18 @@
         is_disconnected: Callable[[], bool],
     ) -> None:
         """Submits a request to the exchange."""
-        # The answer may be sent before `submit` returns: the number is removed then and stays so.
+        # An answer sent before `submit` returns removes the number, which must not be added again.
         self.by_number[number] = None
         pending = self.exchange.submit(request, send_answer, is_disconnected)
         if number in self.by_number:
             self.by_number[number] = pending
 
     def remove(self, number: int) -> None:
-        """Removes an answered request; an unknown number is no error."""
+        """Removes an answered request; ignores an unknown number."""
         self.by_number.pop(number, None)
 
     def cancel(self, number: int) -> None:
-        """Withdraws a request that the client cancels; an unknown number is no error."""
+        """Withdraws a request that the client cancels; ignores an unknown number."""
         pending = self.by_number.pop(number, None)
         if pending is not None:
             self.exchange.withdraw(pending)
@@ -54,7 +54,7 @@
         self.by_number.clear()
 
     def abandon_all(self) -> None:
-        """Abandons all requests, which sends their final answers now."""
+        """Abandons all requests, so that their final answers are sent now."""
         for pending in list(self.by_number.values()):
             if pending is not None:
                 self.exchange.counters.add("abandoned")
--- a/paddlequay/net/clients/session.py
+++ b/paddlequay/net/clients/session.py
@@ -1,4 +1,4 @@
-"""Owns one client connection: its requests, the one answer to each of them, and its close."""
+"""Owns one client connection: its requests, the single answer to each, and the close of the connection."""
 
 import asyncio
 from collections import OrderedDict
@@ -19,8 +19,8 @@
 from paddlequay.routing.interface import Idempotency
 
 MIN_TIME_TO_LIVE_S = 0.001
-BACKPRESSURE_RATIO = 0.5  # of `max_client_unsent`: above it, calls of this client wait
-LINGER_S = 0.3  # a connection that this side ends still reads for this long
+BACKPRESSURE_RATIO = 0.5  # calls of a client wait while more than this part of `max_client_unsent` is unsent
+LINGER_S = 0.3  # after this side has ended a connection, it reads on for at most this long
 
 
 class ClientSession:
@@ -28,10 +28,11 @@
 
     Attributes:
         has_sent_message: Whether the client has sent a complete message.
-        idle_queue: The queue of idle sessions in the same state; None while an answer is owed.
-        consecutive_rejections: Rejections and errors since the last other answer.
+        idle_queue: The queue of `IdleSessions` that contains this session; None while an answer is
+            pending or unsent.
+        consecutive_rejections: The number of rejections and errors since the last served answer.
         is_backpressured: Whether calls wait because the client does not read its answers.
-        ended: Whether nothing more is written, and messages are no longer handled.
+        ended: Whether this side has ended the connection: nothing more is written and no message handled.
     """
 
     __slots__ = (
@@ -58,16 +59,16 @@
 
     @property
     def is_only_rejected(self) -> bool:
-        """Returns whether the last answers, `max_consecutive_rejections` at least, were not served."""
+        """Returns whether the last `max_consecutive_rejections` or more answers were rejections or errors."""
         return self.consecutive_rejections >= self.front.limits.max_consecutive_rejections
 
     @property
     def has_open_requests(self) -> bool:
-        """Returns whether an answer is owed on this connection."""
+        """Returns whether a request or call of this connection has no answer yet."""
         return bool(self.open_requests or self.waiting_calls)
 
     def update_idle_queue(self) -> None:
-        """Moves the session to the end of the idle queue of its state, or out of all while it is in use."""
+        """Moves the session to the end of the idle queue for its state; removes it if it is in use."""
         if self.idle_queue is not None:
             self.idle_queue.pop(self, None)
             self.idle_queue = None
@@ -84,15 +85,15 @@
         self.open_requests.cancel(number)
 
     def queue_call(self, call: wire.ClientCall) -> None:
-        """Checks a call and queues it until the socket is read empty; answers one that cannot be used.
+        """Checks a call and queues it until all received bytes are read; answers an invalid call at once.
 
         Raises:
-            MalformedMessageError: The number of the call is that of an open one.
+            MalformedMessageError: Another call or request of this connection has the same number.
         """
         number = call.number
         counters = self.front.counters
         if number in self.open_requests or number in self.waiting_calls:
-            raise MalformedMessageError("a message id that is open already")
+            raise MalformedMessageError(f"message id {number} is already in use by an open request")
         counters.add("requests")
         request_class = self.front.exchange.router.classes.get(call.method)
         if request_class is None:
@@ -116,9 +117,9 @@
         self.waiting_calls.add(number, request, self.last_used_at)
 
     def rejection_cause(self, request: ClientRequest) -> str | None:
-        """Returns the counter's name of the limit that rejects a call; None to queue it.
+        """Returns the counter suffix of the cause for which a call must be rejected; None to queue it.
 
-        Submits the waiting calls first if their bodies leave no capacity for another one.
+        If the bodies of waiting calls leave no capacity for this one, submits the waiting calls first.
         """
         front = self.front
         if front.rejects_new_calls:
@@ -135,8 +136,9 @@
     def submit_waiting(self) -> None:
         """Submits the waiting calls to the exchange, unless the client does not read its answers.
 
-        No further answers are produced for a slow reader, since all of them would be lost if its connection
-        closed. Its calls are rejected when their deadline nears or the connection is to close.
+        No further answers are produced for a slow reader, because all of them would be lost if its
+        connection closed. Its calls are rejected when their deadline is near or the connection is about to
+        close.
         """
         now = self.front.now()
         for number in list(self.waiting_calls):
@@ -145,7 +147,7 @@
             self.submit_or_reject(number, now)
 
     def submit_or_reject(self, number: int, now: float) -> None:
-        """Submits one waiting call, rejects it, or leaves it waiting for the client to read its answers."""
+        """Submits or rejects a waiting call, or lets it wait until the client has read more answers."""
         front = self.front
         self.is_backpressured = self.writer.unsent_bytes > BACKPRESSURE_RATIO * front.limits.max_client_unsent
         call = self.waiting_calls[number]
@@ -162,7 +164,7 @@
             self.reject_waiting(number, "not_taken")
 
     def abandon_all(self) -> None:
-        """Sends the final answer to every open request now."""
+        """Rejects the waiting calls and abandons the open requests, so that all answers are sent now."""
         for number in list(self.waiting_calls):
             self.reject_waiting(number, "given_up")
         self.open_requests.abandon_all()
@@ -174,12 +176,12 @@
         self.answer(number, self.front.draining_answer)
 
     def send_error(self, number: int, reason: str) -> None:
-        """Answers a call that cannot be used with an error."""
+        """Answers an invalid call with an error."""
         self.consecutive_rejections += 1
         self.send(wire.error_answer(number, wire.FAILED, {"why": reason}))
 
     def answer(self, number: int, answer: FinalAnswer) -> None:
-        """Sends the final answer of a call."""
+        """Sends the final answer to a call."""
         self.open_requests.remove(number)
         served = answer.status in (AnswerStatus.SERVED, AnswerStatus.NOT_MODIFIED)
         self.consecutive_rejections = 0 if served else self.consecutive_rejections + 1
@@ -191,7 +193,7 @@
         self.writer.write(pieces, self.on_written)
 
     def on_written(self) -> None:
-        """Continues after the kernel has accepted an answer completely: submits calls, or closes if idle."""
+        """Submits waiting calls or closes the connection; called once the kernel has accepted an answer."""
         if self.ended:
             self.writer.shut_down()
             return
@@ -205,7 +207,10 @@
             self.close_if_quiet()
 
     def at_rest(self) -> bool:
-        """Returns whether nothing is owed, unsent or unread, as of this iteration of the event loop."""
+        """Returns whether no answer is pending or unsent and no received byte is unread.
+
+        Checks the socket as well, so that a request counts that arrives in this iteration of the event loop.
+        """
         is_busy = self.has_open_requests or self.writer.unsent_bytes or self.ended
         return not is_busy and self.input.has_nothing_unread()
 
@@ -219,7 +224,8 @@
     def close_without_message(self) -> bool:
         """Closes the connection if it is at rest or never had a complete message; returns whether it closed.
 
-        Otherwise connections that send a byte each could displace clients with requests.
+        If a partial message protected a connection, clients that send one byte could displace clients with
+        requests.
         """
         if self.has_sent_message or self.stream.closed() or self.input.completes_message():
             return self.close_at_rest()
@@ -227,14 +233,14 @@
         return True
 
     def close_lingering(self) -> bool:
-        """Closes a connection that lingers before its time."""
+        """Closes a lingering connection before `LINGER_S` is over."""
         self.stream.close()
         return True
 
     def close_if_quiet(self) -> bool:
         """Closes the connection if it is at rest and not new; returns whether it closed.
 
-        A new connection is about to bring its first request.
+        The first request on a new connection is probably on its way.
         """
         age = self.front.now() - self.connected_at
         is_new = not self.has_sent_message and age < self.front.limits.new_connection_age
@@ -246,8 +252,9 @@
     def end(self) -> None:
         """Ends the connection after a protocol error or at the end of the process.
 
-        Open requests are answered and nothing more is written. The connection closes when the client closes
-        it, or after `LINGER_S`: a close over unread bytes would reset it and lose the last answers.
+        Open requests are answered, then nothing more is written. The connection closes when the client closes
+        it, or after `LINGER_S`. If this side closed it at once while bytes are unread, the kernel would reset
+        it and the last answers would be lost.
         """
         if self.ended or self.stream.closed():
             return
--- a/paddlequay/net/clients/session_front.py
+++ b/paddlequay/net/clients/session_front.py
@@ -1,4 +1,4 @@
-"""The interface of the front that client connections use."""
+"""The interface of the front, as client connections use it."""
 
 from typing import Protocol
 
@@ -27,5 +27,5 @@
         ...
 
     def accepts_requests(self) -> bool:
-        """Returns the readiness that clients see."""
+        """Returns whether clients are told that the router is ready."""
         ...
--- a/paddlequay/net/clients/session_reader.py
+++ b/paddlequay/net/clients/session_reader.py
@@ -12,17 +12,17 @@
 
 LOGGER = logging.getLogger(__name__)
 
-MESSAGES_PER_PAUSE = 16  # read per `rejection_pause` from a client that gets only rejections
-MAX_READS_PER_ITERATION = 4  # that do not wait, before the event loop serves other connections
+MESSAGES_PER_PAUSE = 16  # read between pauses from a client that gets only rejections
+MAX_READS_PER_ITERATION = 4  # reads without waiting, before the event loop serves other connections
 
 
 class SessionReader:
     """Reads for one session, and closes it at the end of the connection.
 
-    Everything received is read before its requests are submitted, so that a cancel or the client's
-    close takes effect for the requests before it. A half-close counts as a close, as they cannot be
-    told apart. The session does not refer to its reader, because a connection in a reference cycle is
-    freed late.
+    The reader submits requests only once it has read all received bytes. So a cancel or a close that the
+    client has sent after a request prevents attempts for that request. A half-close counts as a close,
+    because the two cannot be told apart. The session does not refer to its reader, because a connection in a
+    reference cycle is freed late.
     """
 
     def __init__(self, session: ClientSession) -> None:
@@ -45,7 +45,7 @@
             self.session.close()
 
     async def read_messages(self) -> None:
-        """Reads while the connection is open, and yields to other connections."""
+        """Reads while the connection is open; yields to other connections in between."""
         limits = self.limits
         reads = 0
         while True:
@@ -58,17 +58,17 @@
                 self.messages_since_pause = 0
                 await asyncio.sleep(limits.rejection_pause)
             elif self.input.backlog_since is not None:
-                # A read that does not wait does not yield, so one client could occupy the event loop.
+                # A read that need not wait does not yield, so one client could occupy the event loop.
                 if len(data) >= limits.client_read_size or reads % MAX_READS_PER_ITERATION == 0:
                     await asyncio.sleep(0)
 
     async def read(self) -> bytes:
-        """Returns the next bytes; submits the waiting calls if none have been received yet."""
+        """Returns the next bytes; submits the waiting calls once all received bytes are read."""
         session = self.session
         reading = self.input.start_read()
         if not reading.done():
             if not session.has_sent_message and not self.input.partial_reads:
-                # Idle only now: bytes received with the connect are read first.
+                # Only now does the connection count as idle: bytes sent with its connect are read first.
                 session.update_idle_queue()
             session.submit_waiting()
         elif self.input.is_backlogged():
@@ -77,19 +77,19 @@
             return await reading
         finally:
             self.input.pending_read = None
-            del reading  # its error refers to this frame: break the reference cycle
+            del reading  # breaks a reference cycle: the error of the read refers to this frame
 
     def handle_backlog(self) -> None:
-        """Submits calls that have waited for long enough, though more is still to be read."""
+        """Submits the waiting calls although more bytes can be read, because they have waited long enough."""
         session = self.session
-        # A flood may hide cancels, so the calls of a flooding client are abandoned.
+        # A flood of messages may hide cancels, so all calls and requests of the flooding client are ended.
         if session.is_only_rejected and self.input.backlog_messages > 2 * self.limits.client_streams:
             session.abandon_all()
         else:
             session.submit_waiting()
 
     def handle(self, data: bytes) -> None:
-        """Handles the messages that are complete with these bytes."""
+        """Handles the messages that these bytes complete."""
         session = self.session
         session.last_used_at = self.front.now()
         try:
--- a/paddlequay/net/clients/session_timeouts.py
+++ b/paddlequay/net/clients/session_timeouts.py
@@ -1,10 +1,14 @@
-"""Closes client connections that exceed the time-out for reading answers, for a message or for a request."""
+"""Closes client connections that exceed the stall, silence or idle time-out."""
 
 from paddlequay.net.clients.session import ClientSession
 
 
 def close_if_timed_out(session: ClientSession, now: float) -> None:
-    """Closes a connection that has exceeded its stall, silence or idle time-out.
+    """Closes a connection whose client has exceeded a time-out.
+
+    The stall time-out limits how long an answer may stay unsent because the client does not read, the silence
+    time-out the wait for the first message or for the rest of a message, the idle time-out the time between
+    messages.
 
     Args:
         session: The connection, with the limits of its front.
@@ -22,6 +26,6 @@
     elif silent_since is not None and now - silent_since > limits.client_silence_timeout:
         if session.at_rest():
             counters.add("silent_clients")
-            session.end()  # lingers, as the rest of its message may still arrive
+            session.end()  # lets it linger: the rest of its message may still arrive
     elif now - session.last_used_at > limits.client_idle_timeout and session.close_at_rest():
         counters.add("closed_idle_clients")
--- a/paddlequay/net/clients/waiting_calls.py
+++ b/paddlequay/net/clients/waiting_calls.py
@@ -1,4 +1,4 @@
-"""The calls of a client connection that are read but not submitted to the exchange yet."""
+"""The calls of a client connection that have been read but not yet submitted to the exchange."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -8,14 +8,14 @@
 
 
 class WaitingCallsFront(Protocol):
-    """The state that all connections share: the bytes of waiting bodies."""
+    """The state that all connections share: the total bytes of the bodies of waiting calls."""
 
     queued_bytes: int
 
 
 @dataclass(slots=True)
 class WaitingCall:
-    """A request, and when it was read in monotonic seconds."""
+    """A request, and when it was read, in monotonic seconds."""
 
     request: ClientRequest
     read_at: float
@@ -48,7 +48,7 @@
         self.front.queued_bytes += len(request.body)
 
     def remove(self, number: int) -> None:
-        """Removes a call; an unknown number is no error."""
+        """Removes a call; ignores an unknown number."""
         call = self.by_number.pop(number, None)
         if call is not None:
             self.front.queued_bytes -= len(call.request.body)
