--- a/paddlequay/net/upstreams/__init__.py
+++ b/paddlequay/net/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers of connections to edge caches, parents and the origin."""
+"""Drivers of the connections to edge caches, parents and the origin."""
--- a/paddlequay/net/upstreams/cache_messages.py
+++ b/paddlequay/net/upstreams/cache_messages.py
@@ -1,4 +1,4 @@
-"""Maps requests to the fields of the caches' protocol, and the caches' answers to results of attempts."""
+"""Maps requests to fields of the caches' protocol, and answers of caches to results of attempts."""
 
 import math
 from collections.abc import Mapping
@@ -30,13 +30,13 @@
     "LOOP": ReplyDetail.FILL_LOOP,
     "OLD_TERM": ReplyDetail.STALE_TERM,
 }
-LOAD_NAME_BY_WIRE_NAME = {"inflight": "active", "util": "cpu"}  # wire names to those of the settings
+LOAD_NAME_BY_WIRE_NAME = {"inflight": "active", "util": "cpu"}  # from wire names to names in the settings
 MS_PER_S = 1000.0
-MAX_QUOTED_CHARS = 20  # of an invalid number, in an error
+MAX_QUOTED_CHARS = 20  # of an invalid number that an error message quotes
 
 
 def request_fields(request: UpstreamRequest) -> dict[str, str]:
-    """Returns a request as fields of the caches' protocol; leaves out fields with their default."""
+    """Returns a request as fields of the caches' protocol, without fields that have their default value."""
     fields = {"queue": request.class_name, "path": request.object_name}
     if request.part is not None:
         fields["blk"] = str(request.part)
@@ -59,15 +59,15 @@
 
 
 def parse_number(text: str) -> float:
-    """Returns a finite number. Raises `ValueError`, as one `nan` would stay in every mean it enters."""
+    """Returns a finite number. Raises `ValueError`: a `nan` would stay in every mean that includes it."""
     value = float(text)
     if not math.isfinite(value):
-        raise ValueError(f"{text[:MAX_QUOTED_CHARS]} is no figure")
+        raise ValueError(f"{text[:MAX_QUOTED_CHARS]} is not a finite number")
     return value
 
 
 def parse_load(text: str) -> LoadReport:
-    """Returns the load report of `name:number` pairs. Raises `ValueError`."""
+    """Returns the load report that `name:number` pairs give, separated by `;`. Raises `ValueError`."""
     pairs = (pair.partition(":") for pair in text.split(";"))
     return load_report(
         [(LOAD_NAME_BY_WIRE_NAME.get(name, name), parse_number(value)) for name, _, value in pairs]
@@ -75,7 +75,7 @@
 
 
 def parse_stamp(fields: Mapping[str, str]) -> CopyStamp | None:
-    """Returns which copy an answer carries; None if the answer does not say. Raises `ValueError`."""
+    """Returns the stamp of the copy in an answer; None if the answer has none. Raises `ValueError`."""
     if "minted" not in fields:
         return None
     group = fields.get("lot")
@@ -85,7 +85,7 @@
 
 
 def parse_result(answer: wire.CacheAnswer) -> AttemptResult:
-    """Returns the result that an answer gives its attempt. Raises `CacheProtocolError`."""
+    """Returns the result of an attempt from its answer. Raises `CacheProtocolError` for an invalid answer."""
     try:
         source_wait_ms = answer.fields.get("lag")
         return AttemptResult(
--- a/paddlequay/net/upstreams/connection.py
+++ b/paddlequay/net/upstreams/connection.py
@@ -1,6 +1,6 @@
 """One connection to a cache, a parent or the origin.
 
-The connection holds the attempts that wait to be written and those in flight, until each has one result.
+The connection owns the attempts that wait to be written and those in flight, until each has its result.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """The pool, with the state that all connections share."""
+    """The connection pool, with the state that all connections share."""
 
     exchange: Exchange
     limits: Limits
@@ -37,14 +37,14 @@
 
 
 class ConnectedInstance(Protocol):
-    """The instance of a member that a connection leads to."""
+    """The instance of a member to which a connection leads."""
 
     name: str
     address: Address
     removed: bool
 
     def forget(self, connection: "UpstreamConnection") -> None:
-        """Assigns no more attempts to a connection."""
+        """Removes a connection, so that no more attempts are assigned to it."""
         ...
 
     def start(self, attempt: UpstreamAttempt) -> None:
@@ -69,18 +69,19 @@
         OSError: If the system provides no socket.
 
     Attributes:
-        waiting: The attempts that are not written yet, in order.
-        in_flight: The attempts that are written and not answered, by id.
-        written_ids: The latest `max_remembered_ids` ids that were written.
+        waiting: The attempts that are not written yet, in the order of writing.
+        in_flight: The attempts that are written but not answered, by id.
+        written_ids: The ids of the latest `max_remembered_ids` attempts that were written.
         is_up: Whether the connection is established.
-        unresponsive: Whether it takes no attempt until bytes are received.
-        only_never_resend: Whether all attempts written so far must not be executed twice.
+        unresponsive: Whether an attempt timed out with nothing received since its write; no attempt is
+            assigned then until bytes are received.
+        only_never_resend: Whether all attempts written so far belong to classes that are not idempotent.
         last_received_at: When bytes were last received, or the connection was established.
         last_used_at: When an attempt was last written or answered, or the connection was established.
         last_read_at: When bytes were last received; minus infinity before the first ones.
-        unexpected_answers: The number of answers in a row that belong to no attempt in flight.
-        answer_began_at: When the first byte of the incomplete answer was received.
-        pending_read: The read under way, or one whose bytes are not handled yet.
+        unexpected_answers: The number of consecutive answers that belong to no attempt in flight.
+        answer_began_at: When the first byte of the current, incomplete answer was received.
+        pending_read: The read in progress, or a completed one whose bytes are not handled yet.
     """
 
     def __init__(self, pool: ConnectionOwner, instance: ConnectedInstance) -> None:
@@ -105,13 +106,14 @@
         self.pending_read: asyncio.Future[bytes] | None = None
 
     def accepts(self, attempt: UpstreamAttempt) -> bool:
-        """Returns whether the connection answers and has capacity for an attempt.
+        """Returns whether an attempt may be assigned to this connection.
 
-        An id is never written twice on one connection: a late or duplicate answer to the first attempt
-        could not be told from the answer to the second.
+        The connection must be open and responsive and have capacity. An id is never written twice on one
+        connection: a late or duplicate answer to the first attempt would be taken for the answer to the
+        second.
         """
         if attempt.never_resend and self.is_up and self.idle_time() > self.limits.max_reuse_idle:
-            return False  # the peer may be closing it, and a reset would leave the outcome unknown
+            return False  # the peer may be closing it; after a reset, the outcome would be unknown
         if self.load >= self.limits.cache_streams or self.unresponsive or self.stream.closed():
             return False
         return attempt.id not in self.written_ids and all(other.id != attempt.id for other in self.waiting)
@@ -122,7 +124,7 @@
 
     @property
     def load(self) -> int:
-        """The number of attempts that wait or are in flight."""
+        """The number of attempts that are waiting or in flight."""
         return len(self.in_flight) + len(self.waiting)
 
     @property
@@ -132,7 +134,7 @@
 
     @property
     def has_unread(self) -> bool:
-        """Whether received bytes are not handled yet, as after a late iteration of the event loop."""
+        """Whether received bytes are not handled yet, for example because the event loop was delayed."""
         if self.stream.closed() or self.pending_read is None:
             return False
         return self.pending_read.done() or bool(peek_byte(self.stream.socket))
@@ -150,7 +152,10 @@
             self.handle_answer(answer)
 
     def finish(self) -> None:
-        """Closes the connection and ends its attempts: those in flight may have been executed."""
+        """Closes the connection and ends its attempts.
+
+        Those in flight end as reset, because they may have been executed. Those that wait were not sent.
+        """
         self.stream.close()
         self.instance.forget(self)
         in_flight = list(self.in_flight.values())
@@ -158,7 +163,7 @@
         waiting = self.take_waiting()
         for attempt in in_flight:
             self.pool.exchange.attempts.end(attempt, AttemptResult(Outcome.RESET))
-        # The end of a removed instance is no failure of a later instance of the same name.
+        # The end of a removed instance must not count against a later instance of the same name.
         unwritten = Outcome.NOT_SENT if self.instance.removed else Outcome.CONNECT_FAILED
         for attempt in waiting:
             self.pool.exchange.attempts.end(attempt, AttemptResult(unwritten))
@@ -170,7 +175,7 @@
         return waiting
 
     def write_waiting(self) -> None:
-        """Writes waiting attempts while the socket accepts bytes; each is checked just before its write."""
+        """Writes waiting attempts while the socket accepts bytes; checks each just before its write."""
         while self.is_up and self.waiting and not self.stream.closed() and not self.stream.writing():
             if self.instance.removed:
                 # The name may be listed again for another instance, and the checks would pass.
@@ -189,7 +194,7 @@
             try:
                 self.send(b"".join((line, request.body, b"\r\n")))
             except StreamClosedError:
-                self.waiting.appendleft(attempt)  # not written: `finish` ends it as such
+                self.waiting.appendleft(attempt)  # it was not written, so `finish` must end it as not written
                 return
             self.in_flight[attempt.id] = attempt
             self.only_never_resend = attempt.never_resend and (self.only_never_resend or not self.written_ids)
@@ -200,10 +205,10 @@
             self.pool.exchange.attempts.mark_written(attempt)
 
     def close_after_peer(self) -> None:
-        """Closes the connection after its peer; other connections carry the waiting attempts.
+        """Closes the connection because its peer has closed it, and reassigns the waiting attempts.
 
-        Only a connection that was used passes its attempts on: a peer that closes each new connection would
-        be retried without end.
+        The attempts of a connection that was never used are not reassigned but end in `finish`. Otherwise
+        they would be retried without end at a peer that closes each new connection.
         """
         self.pool.counters.add("closed_by_cache")
         self.stream.close()
@@ -213,19 +218,20 @@
                 self.instance.start(attempt)
 
     def send(self, data: bytes) -> None:
-        """Writes to the open stream, and the waiting attempts once the socket has accepted all bytes."""
+        """Writes to the open stream; once the socket has accepted all bytes, writes the waiting attempts."""
         done = self.stream.write(data)
         if self.stream.writing():
             done.add_done_callback(lambda _: self.write_waiting())
 
     def handle_answer(self, answer: wire.CacheAnswer) -> None:
-        """Ends the attempt of a complete answer. Raises `CacheProtocolError` for an invalid one."""
+        """Ends the attempt of a complete answer. Raises `CacheProtocolError` if the answer is invalid."""
         attempt = self.in_flight.get(answer.id)
         self.last_used_at = self.pool.now()
         if attempt is None:
             self.count_unexpected_answer()
             return
-        # Parse first: an invalid answer ends the connection with all attempts in flight, this one included.
+        # Parse before removing the attempt: an invalid answer ends the connection with all attempts in
+        # flight, and this one must be among them.
         result = parse_result(answer)
         if result.not_modified:
             check_not_modified(attempt, answer)
@@ -237,11 +243,13 @@
         self.pool.exchange.attempts.end(attempt, result)
 
     def count_unexpected_answer(self) -> None:
-        """Ignores an answer to no attempt in flight. Raises `CacheProtocolError` after too many in a row."""
+        """Counts and ignores an unexpected answer. Raises `CacheProtocolError` after too many in a row."""
         self.pool.counters.add("unexpected_answers")
         self.unexpected_answers += 1
         if self.unexpected_answers > self.limits.max_remembered_ids:
-            raise wire.CacheProtocolError("answers without end that nobody asked for")
+            raise wire.CacheProtocolError(
+                f"{self.unexpected_answers} answers in a row belong to no request in flight"
+            )
 
     def abandon(self, attempt: UpstreamAttempt) -> bool:
         """Drops an attempt; returns whether nothing was received since it was written."""
@@ -249,8 +257,8 @@
         if self.in_flight.get(attempt.id) is attempt:
             del self.in_flight[attempt.id]
             self.record_timeout(attempt, is_silent)
-            # Cancel even if the settings let the decisions cancel nothing: the cache would go on with it
-            # beside the next attempt.
+            # Cancel even if the settings do not allow the routing policy to cancel: otherwise the cache would
+            # execute this attempt in parallel with the next one.
             if not self.stream.closed():
                 self.send(wire.cancel_line(attempt.id))
         elif attempt in self.waiting:
@@ -258,7 +266,11 @@
         return is_silent
 
     def record_timeout(self, attempt: UpstreamAttempt, is_silent: bool) -> None:
-        """Records an abandoned attempt that has timed out: the connection is unresponsive, or only slow."""
+        """Records that an abandoned attempt has timed out, if it had enough time.
+
+        If nothing was received since its write, the connection counts as unresponsive; otherwise it is only
+        slow, and the time since the write is recorded as a latency.
+        """
         now = self.pool.now()
         class_name = attempt.pending.request.class_name
         request_class = self.pool.exchange.router.classes.get(class_name)
@@ -267,12 +279,12 @@
         if is_silent:
             self.unresponsive = True
         elif attempt.written_at is not None:
-            # Without the abandoned attempts, all latencies would look short under overload.
+            # Under overload, latencies would look too short if abandoned attempts were not recorded.
             self.pool.latencies.record(class_name, now - attempt.written_at)
 
 
 def had_enough_time(attempt: UpstreamAttempt, request_class: RequestClass | None) -> bool:
-    """Returns whether an attempt was given at least the latency objective of its class."""
+    """Returns whether an attempt's time-out was at least the latency objective of its class."""
     return request_class is None or attempt.expires_at - attempt.started_at >= request_class.latency_objective
 
 
@@ -280,4 +292,4 @@
     """Raises `CacheProtocolError` if a VALID answer does not name the copy that the request named."""
     known_tag = attempt.pending.request.known_tag
     if known_tag is None or answer.fields.get("tag") != known_tag:
-        raise wire.CacheProtocolError("VALID that does not name the copy that was asked about")
+        raise wire.CacheProtocolError(f"VALID answer does not carry the tag of the request: {known_tag}")
--- a/paddlequay/net/upstreams/connection_health.py
+++ b/paddlequay/net/upstreams/connection_health.py
@@ -1,11 +1,13 @@
-"""Judges whether a connection still answers, by its attempts in flight and the times of its reads."""
+"""Decides whether a connection still answers, from its attempts in flight and the times of its reads."""
 
 import math
 
 from paddlequay.net.upstreams.connection import UpstreamConnection
 from paddlequay.requests.messages import UpstreamAttempt
 
-MAX_SPEEDUP_FACTOR = 2.0  # the rest of an answer may be received at this multiple of the rate so far
+MAX_SPEEDUP_FACTOR = (
+    2.0  # the rest of an answer is assumed to arrive at up to this multiple of the rate so far
+)
 
 
 def unanswered_since(connection: UpstreamConnection, received_at: float) -> list[UpstreamAttempt]:
@@ -20,11 +22,11 @@
 def is_unresponsive(connection: UpstreamConnection, now: float) -> bool:
     """Returns whether too many attempts have waited too long since bytes were last received.
 
-    Closing the connection spares its attempts their timeouts, which would count against the sources of
-    their fills.
+    If the connection is closed, its attempts do not have to time out; their time-outs would count against the
+    sources of their fills.
 
     Args:
-        connection: The connection to judge.
+        connection: The connection to check.
         now: The time in monotonic seconds.
     """
     limits = connection.limits
@@ -38,13 +40,14 @@
 
 
 def is_stalled(connection: UpstreamConnection, now: float) -> bool:
-    """Returns whether the incomplete answer has stopped, or is received too slowly.
+    """Returns whether the current, incomplete answer has stopped or arrives too slowly.
 
-    All answers behind it wait for its rest. The rest, at `MAX_SPEEDUP_FACTOR` times the rate so far, must
-    take no longer than its attempt may wait, and may always take `silence_check_after`.
+    All later answers on the connection wait for the rest of this one. At `MAX_SPEEDUP_FACTOR` times the rate
+    so far, the rest must arrive within the time that its attempt has left, or within `silence_check_after`
+    if that is longer.
 
     Args:
-        connection: The connection to judge.
+        connection: The connection to check.
         now: The time in monotonic seconds.
     """
     limits = connection.limits
--- a/paddlequay/net/upstreams/connection_reader.py
+++ b/paddlequay/net/upstreams/connection_reader.py
@@ -11,13 +11,13 @@
 
 LOGGER = logging.getLogger(__name__)
 
-MAX_READS_PER_ITERATION = 4  # of bytes already received, before the event loop serves others
+MAX_READS_PER_ITERATION = 4  # reads of bytes already received, before the event loop serves others
 
 
 class ConnectionReader:
-    """Connects and reads for one connection, and finishes it at the end.
+    """Connects and reads for one connection, and finishes it when it ends.
 
-    The connection holds no reference to its reader: a reference cycle would delay the release of both.
+    The connection does not refer to its reader, because a reference cycle would delay the release of both.
     """
 
     def __init__(self, connection: UpstreamConnection) -> None:
@@ -26,7 +26,7 @@
         self.limits = connection.limits
 
     async def run(self) -> None:
-        """Connects, then reads until the end."""
+        """Connects, then reads until the connection closes or an answer is invalid."""
         connection = self.connection
         try:
             await asyncio.wait_for(
@@ -58,24 +58,26 @@
             if self.pool.counters.add_once("bad_cache_lines"):
                 name = connection.instance.name
                 log.event(LOGGER, logging.WARNING, "bad_cache_line", at=name, why=str(error))
-        except Exception:  # the edge of one connection: its error must not end another
+        except Exception:  # error boundary of one connection: its error must not end another
             self.pool.counters.add("cache_errors")
             LOGGER.exception("cache_connection_failed")
         connection.finish()
 
     async def read(self) -> None:
-        """Reads answers for as long as the connection is open. Raises what the stream or a handler raises."""
+        """Reads answers while the connection is open. Raises what the stream or `handle_data` raises."""
         connection = self.connection
         reads = 0
         while True:
-            # Held by the attribute alone, so that clearing it below releases the future.
+            # Only the attribute refers to the future, so that clearing it below releases the future.
             connection.pending_read = asyncio.ensure_future(
                 connection.stream.read_bytes(self.limits.read_size, partial=True)
             )
             try:
                 data = await connection.pending_read
             except BaseException:
-                connection.pending_read = None  # it refers to the error, and that to this frame
+                connection.pending_read = (
+                    None  # breaks a cycle: it refers to the error, the error to this frame
+                )
                 raise
             connection.handle_data(data)
             reads += 1
--- a/paddlequay/net/upstreams/instance.py
+++ b/paddlequay/net/upstreams/instance.py
@@ -15,7 +15,7 @@
 
 LOGGER = logging.getLogger(__name__)
 
-MAX_CONNECT_ATTEMPTS = 2  # the second one after an idle connection has released its descriptor
+MAX_CONNECT_ATTEMPTS = 2  # the second attempt follows after an idle connection has released its descriptor
 
 
 class InstanceOwner(ConnectionOwner, Protocol):
@@ -24,7 +24,7 @@
     typical_latency: MeanLatency
 
     def spawn(self, connection: UpstreamConnection) -> None:
-        """Runs a connection until its end."""
+        """Starts the task that runs a connection until its end."""
         ...
 
     def has_capacity(self) -> bool:
@@ -32,7 +32,7 @@
         ...
 
     def close_idle(self) -> bool:
-        """Closes the connection that was idle for longest; returns whether there was one."""
+        """Closes the connection that has been idle for longest; returns whether there was one."""
         ...
 
 
@@ -41,8 +41,8 @@
 
     Attributes:
         started: When the member started, in Unix seconds; None if unknown.
-        connections: The connections that may be assigned attempts.
-        removed: Whether the instance is no longer listed, so that nothing more is written to it.
+        connections: The connections to which attempts may be assigned.
+        removed: Whether the instance is no longer listed, so that no more attempts are written to it.
         restarted: Whether another instance of the same name has replaced it.
         relative_latency: The mean latency of its recent answers.
     """
@@ -58,7 +58,7 @@
         self.relative_latency = MeanLatency()
 
     def is_replaced_by(self, endpoint: Endpoint) -> bool:
-        """Returns whether an endpoint of the same name has restarted since, or has another address."""
+        """Returns whether a listed endpoint of this name has a later start time or another address."""
         has_restarted = (endpoint.member.started or 0) > (self.started or 0)
         return has_restarted or endpoint.address != self.address
 
@@ -71,7 +71,7 @@
     def is_unresponsive(self, attempts: list[UpstreamAttempt], now: float) -> bool:
         """Returns whether these unanswered attempts have waited too long to be explained by chance.
 
-        A member whose recent answers were slow is given more time.
+        A member whose recent answers were slow is allowed more time.
         """
         ages = [(each.pending.request.class_name, now - (each.written_at or now)) for each in attempts]
         max_age_s = max((age for _, age in ages), default=0.0)
@@ -81,7 +81,7 @@
         return self.pool.latencies.is_unresponsive(ages, slowness)
 
     def start(self, attempt: UpstreamAttempt) -> None:
-        """Assigns an attempt to a connection; without one, the attempt ends as not sent."""
+        """Assigns an attempt to a connection; ends it as not sent if there is no connection for it."""
         connection = None if self.removed else self.choose_connection(attempt)
         if connection is None:
             self.pool.counters.add("no_connection_left")
@@ -94,16 +94,17 @@
     def choose_connection(self, attempt: UpstreamAttempt) -> UpstreamConnection | None:
         """Returns the connection for an attempt; None if there is none.
 
-        The order is: the most loaded connection with less than `requests_per_connection`, a new connection,
-        the least loaded of the others. One invalid answer ends all attempts in flight on its connection, so
-        that few share one; filling one before the next lets unneeded connections close as idle.
+        Chooses the most loaded connection with fewer than `requests_per_connection` attempts, else a new
+        connection, else the least loaded of the others. Few attempts share a connection, because one invalid
+        answer ends all that are in flight on it. Connections are filled one after the other, so that those
+        not needed become idle and close.
         """
         limits = self.pool.limits
         lightly_loaded = None
         fallback = None
         best_load = -1
         fallback_load = limits.cache_streams
-        for connection in self.connections:  # a single pass, as each attempt makes it
+        for connection in self.connections:  # a single pass, because this runs for each attempt
             load = connection.load
             if load < limits.requests_per_connection:
                 if load > best_load and connection.accepts(attempt):
@@ -121,7 +122,7 @@
         return fallback
 
     def close_first_idle(self) -> None:
-        """Closes the oldest idle connection, to open a fresh one for an attempt that must not be repeated."""
+        """Closes the oldest idle connection, so that an attempt that must not be repeated gets a new one."""
         for connection in self.connections:
             if connection.is_idle:
                 self.forget(connection)
@@ -131,8 +132,9 @@
     def connect(self) -> UpstreamConnection | None:
         """Opens one more connection; returns None if the system provides no socket.
 
-        A missing socket is no fault of the member. The quotas leave descriptors for all connections, but
-        clients about to be closed, or a limit lowered in service, may have used them up.
+        The lack of a socket is not counted against the member. The quotas leave descriptors for all
+        connections, but client connections that are about to close, or a limit that was lowered while the
+        process runs, may have exhausted them.
         """
         for _ in range(MAX_CONNECT_ATTEMPTS):
             try:
@@ -149,14 +151,14 @@
         return None
 
     def forget(self, connection: UpstreamConnection) -> None:
-        """Assigns no more attempts to a connection; ignores one that was forgotten before."""
+        """Removes a connection, so that no more attempts are assigned to it; ignores one already removed."""
         if connection in self.connections:
             self.connections.remove(connection)
 
     def close_unresponsive(self, now: float) -> None:
         """Closes connections that no longer answer, or that lead to a replaced instance.
 
-        A connection with unread bytes is left for the next heartbeat, after they are read.
+        A connection with unread bytes is left until the next heartbeat, so that they are read first.
         """
         is_silent = self.is_silent(now)
         for connection in self.connections[:]:
@@ -166,7 +168,10 @@
                 connection.stream.close()
 
     def is_silent(self, now: float) -> bool:
-        """Returns whether all connections together show that the instance does not answer."""
+        """Returns whether the instance has answered on none of its connections for too long.
+
+        At least `instance_unanswered` attempts must have been written since it last answered on any of them.
+        """
         limits = self.pool.limits
         read_at = max((connection.last_read_at for connection in self.connections), default=now)
         if now - read_at <= limits.silence_check_after:
@@ -177,7 +182,7 @@
         return len(unanswered) >= limits.instance_unanswered and self.is_unresponsive(unanswered, now)
 
     def cause_to_close(self, connection: UpstreamConnection, is_silent: bool, now: float) -> str | None:
-        """Returns the counter of the cause for which a connection must be closed; None if it may stay."""
+        """Returns the name of the counter for the cause to close a connection; None if it may stay open."""
         if is_stalled(connection, now):
             return "stalled_answers"
         if is_unresponsive(connection, now) or (is_silent and connection.in_flight):
@@ -187,10 +192,10 @@
         return None
 
     def sweep(self, now: float) -> None:
-        """Closes idle connections that are too old, unresponsive, or lead to a removed instance.
+        """Closes idle connections that are unused for too long, unresponsive or to a removed instance.
 
-        A connection that carried only attempts that must not be repeated is not reused once it is older
-        than `max_reuse_idle`, and would only fill the connection table of its peer.
+        A connection whose attempts must all not be repeated is closed after `max_reuse_idle`: such attempts
+        do not reuse it any more, and it would only occupy its peer's connection table.
         """
         limits = self.pool.limits
         for connection in [each for each in self.connections if each.is_idle]:
--- a/paddlequay/net/upstreams/pool.py
+++ b/paddlequay/net/upstreams/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to all caches, parents and the origin, by instance."""
+"""The pool of connections to all caches, parents and the origin, grouped by instance."""
 
 import asyncio
 from collections.abc import Iterable
@@ -16,17 +16,17 @@
 from paddlequay.requests.quotas import ProcessQuotas
 from paddlequay.routing.interface import MemberState, Outcome
 
-TYPICAL_LATENCY_SAMPLES = 200.0  # the weight of the mean over all members, in answers
+TYPICAL_LATENCY_SAMPLES = 200.0  # weight of the mean latency of all members, in answers
 WARM_UP_POLL_S = 0.01
 
 
 class ConnectionPool:
-    """Carries attempts for the exchange, over the connections of all instances.
+    """Sends the attempts of the exchange over the connections to all instances.
 
     Attributes:
         instances: The instances of the listed members, by name.
         removed_instances: The instances no longer listed that still have connections.
-        latencies: How long recent answers have taken, by class.
+        latencies: The distribution of the latencies of recent answers, by class.
         typical_latency: The mean latency of recent answers of all instances.
         tasks: The tasks of the connections.
     """
@@ -49,7 +49,7 @@
         return self.exchange.scheduler.monotonic()
 
     def spawn(self, connection: UpstreamConnection) -> None:
-        """Runs a connection until its end."""
+        """Starts the task that runs a connection until its end."""
         task = asyncio.ensure_future(ConnectionReader(connection).run())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -57,7 +57,8 @@
     def update_endpoints(self, endpoints: Iterable[Endpoint], full: bool) -> None:
         """Applies a complete endpoint list (`full`) or changes to it.
 
-        Instances are told apart by name and start time: a cache may have the address of a removed one.
+        Instances are told apart by name and start time, because a cache may have the address of a removed
+        one.
         """
         endpoints = tuple(endpoints)
         if full:
@@ -75,7 +76,10 @@
                 self.instances[name] = UpstreamInstance(self, endpoint)
 
     def remove(self, name: str, replaced: bool = False) -> None:
-        """Removes an instance; a replaced one (`at_once`) can no longer answer on its connections."""
+        """Removes an instance and closes its idle connections; if it was `replaced`, also those in use.
+
+        A replaced instance has ended and can no longer answer; only bytes received before are still read.
+        """
         instance = self.instances.pop(name, None)
         if instance is None:
             return
@@ -87,7 +91,7 @@
                 connection.stream.close()
 
     def override_changed(self, name: str) -> None:
-        """Closes the unused connections of a cache that operators have ejected or admitted again."""
+        """Closes the idle and unresponsive connections of a cache that operators eject or readmit."""
         if not name.startswith(EJECTED_PREFIX):
             return
         instance = self.instances.get(name.removeprefix(EJECTED_PREFIX))
@@ -106,7 +110,7 @@
         return [connection for instance in self.all_instances() for connection in instance.connections]
 
     async def warm_up(self, names: Iterable[str]) -> None:
-        """Opens a connection to each of these members, and waits until each is established or has failed."""
+        """Opens a connection to each of these members; waits until each is established or has failed."""
         opened = []
         for instance in [self.instances[name] for name in names if name in self.instances]:
             if not instance.connections and self.has_capacity() and (connection := instance.connect()):
@@ -115,7 +119,7 @@
             await asyncio.sleep(WARM_UP_POLL_S)
 
     def close_excess_idle(self) -> None:
-        """Closes idle connections beyond the quota, the longest idle first."""
+        """Closes idle connections while the quota is exceeded, the longest idle first."""
         connections = self.connections()
         idle = [connection for connection in connections if connection.is_idle]
         idle.sort(key=lambda connection: connection.last_used_at)
@@ -128,7 +132,7 @@
         return len(self.connections()) < self.quotas.cache_connections or self.close_idle()
 
     def close_idle(self) -> bool:
-        """Closes the connection that was idle for longest; returns whether there was one."""
+        """Closes the connection that has been idle for longest; returns whether there was one."""
         idle = [each for each in self.connections() if each.is_idle and not each.stream.closed()]
         if not idle:
             return False
