--- a/paddlequay/lifecycle/__init__.py
+++ b/paddlequay/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The life of the process: signals, supervised tasks, overload protection and the overrides of operators."""
+"""The lifecycle of the process: signals, supervised tasks, overload protection and operators' overrides."""
--- a/paddlequay/lifecycle/operator_state.py
+++ b/paddlequay/lifecycle/operator_state.py
@@ -1,6 +1,6 @@
-"""Owns the overrides of operators: the caches that are ejected, and whether the router is being drained.
+"""Owns the overrides of operators: which caches are ejected, and whether the router is being drained.
 
-An override carries the time at which it was issued. Of two overrides of the same thing the later one holds,
+Each override has the time at which it was issued. Of two overrides with the same name the later one applies,
 whether it comes from this process, from the saved file, or from the other process during a hot restart.
 """
 
@@ -14,44 +14,46 @@
 from typing import Any
 
 DRAIN = "drain"
-EJECTED_PREFIX = "out:"  # followed by the cache's id
+EJECTED_PREFIX = "out:"  # of an override's name; the cache's id follows
 MAX_KNOWN_IDS = 10_000
 MAX_OVERRIDES = 1_000
 
 
 class TooManyOverridesError(ValueError):
-    """More than `MAX_OVERRIDES` overrides are active."""
+    """An override cannot be stored, because `MAX_OVERRIDES` others are active."""
 
 
 @dataclass(frozen=True, slots=True)
 class Override:
-    """One override: when it was issued, in Unix nanoseconds, and whether it is active."""
+    """An override: when it was issued, in Unix nanoseconds, and whether it is active."""
 
     issued_ns: int
     active: bool
 
 
 def read_overrides(data: Any) -> dict[str, Override]:
-    """Parses overrides from the form of the saved file and of the hot restart link; raises ValueError."""
+    """Parses overrides as the saved file and the hot restart link hold them; raises ValueError."""
     if not isinstance(data, dict) or len(data) > MAX_OVERRIDES:
-        raise ValueError("expected an object of orders")
+        raise ValueError(f"expected an object of at most {MAX_OVERRIDES} overrides")
     overrides = {}
     for name, pair in data.items():
         match pair:
             case [int(issued_ns), bool(active)] if name == DRAIN or name.startswith(EJECTED_PREFIX):
                 overrides[name] = Override(issued_ns, active)
             case _:
-                raise ValueError(f"an order that cannot be read: {name[:60]!r}")
+                raise ValueError(f"override {name[:60]!r}: unknown name, or not a pair of time and flag")
     return overrides
 
 
 class OperatorState:
-    """The overrides of operators, and the listeners that are notified when one changes."""
+    """The overrides of operators, and the callbacks that are notified when one changes."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.overrides: dict[str, Override] = {}
-        self.ejected: set[str] = set()  # ids of ejected caches: consulted before each write
+        self.ejected: set[str] = (
+            set()
+        )  # ids of ejected caches; a set, because it is consulted before each write
         self.known_ids: OrderedDict[str, None] = OrderedDict()  # the latest ids that the endpoint list named
         self.on_change: list[Callable[[str], None]] = []
 
@@ -75,7 +77,7 @@
         return sorted(self.ejected)
 
     def record_listed(self, caches: Iterable[str]) -> None:
-        """Remembers ids that the endpoint list names, also after they are removed from it."""
+        """Records ids that the endpoint list names; they stay known after they are removed from the list."""
         for cache in caches:
             self.known_ids[cache] = None
             self.known_ids.move_to_end(cache)
@@ -83,13 +85,14 @@
             self.known_ids.popitem(last=False)
 
     def is_known(self, cache: str) -> bool:
-        """Returns whether a cache is among the latest `MAX_LISTED_IDS` listed ones, or has an override."""
+        """Returns whether a cache is among the last `MAX_KNOWN_IDS` that were listed, or has an override."""
         return cache in self.known_ids or EJECTED_PREFIX + cache in self.overrides
 
     def set_override(self, name: str, active: bool) -> Override:
         """Issues an override in this process.
 
-        A repeated override is issued anew, later than the previous one by the clock or by a nanosecond.
+        A repeated override gets a new time: the current one, or if the clock is behind, one nanosecond after
+        the time of the previous override.
 
         Raises:
             TooManyOverridesError: `MAX_OVERRIDES` overrides are active already.
@@ -113,7 +116,7 @@
             raise TooManyOverridesError(f"{MAX_OVERRIDES} orders are kept, all of them in force")
 
     def apply(self, name: str, override: Override) -> None:
-        """Applies an override from any source, unless a later one of that name is known."""
+        """Applies an override from any source, unless it is no later than the known one of that name."""
         previous = self.overrides.get(name)
         if previous is not None and previous.issued_ns >= override.issued_ns:
             return
@@ -126,7 +129,7 @@
                 notify(name)
 
     def update_ejected(self, cache: str, ejected: bool) -> None:
-        """Adds a cache to the set of ejected ones, or removes it."""
+        """Adds a cache to the ejected ones, or removes it from them."""
         if ejected:
             self.ejected.add(cache)
         else:
@@ -138,11 +141,11 @@
             self.apply(name, override)
 
     def to_json(self) -> dict[str, list[Any]]:
-        """Returns all overrides in the form of the saved file and of the hot restart link."""
+        """Returns all overrides as the saved file and the hot restart link hold them."""
         return {name: [each.issued_ns, each.active] for name, each in self.overrides.items()}
 
     def serialize_ejections(self) -> str:
-        """Returns the text that `write` saves: all ejections, but no drain, which ends with the process."""
+        """Returns the text that `write` saves: all ejections but no drain, which ends with the process."""
         return json.dumps({name: pair for name, pair in self.to_json().items() if name != DRAIN})
 
     def write(self, text: str) -> None:
