--- a/tests/policy/test_concurrency_limits.py
+++ b/tests/policy/test_concurrency_limits.py
@@ -10,7 +10,7 @@
 def test_an_idle_router_among_many_rejects_nothing_while_nothing_is_in_flight_or_late(
     zone_routers: int,
 ) -> None:
-    """A share below one request must not reject by chance, as for 23.5% of requests with 200 routers."""
+    """With 200 routers, each had a share below one request and rejected 23.5% of requests by chance."""
     driver = Driver(router_count=200, zone_router_count=zone_routers)
     for key in range(1000):
         driver.now += 0.05
@@ -21,8 +21,8 @@
             driver.serve(fetch, ReplyDetail.HIT)
 
 
-def test_a_quota_under_one_request_still_sheds_while_answers_are_late() -> None:
-    """In an overload, each of many routers must send a share of its requests only."""
+def test_a_router_whose_share_is_below_one_request_sheds_load_while_answers_are_late() -> None:
+    """In an overload, each of many routers must send only a part of its requests."""
     driver = Driver(members=(EDGES[0], ORIGIN), router_count=200, zone_router_count=67, bypass_allowed=False)
     fetch = driver.fetch()
     driver.now += 0.6
@@ -56,7 +56,7 @@
 def test_a_late_fill_counts_against_the_source_only_if_it_waited_for_it(
     source_wait: float | None, at_fault: str
 ) -> None:
-    """An edge that serves its whole zone is late by itself; the parents' limits must not be cut for it."""
+    """An edge that serves its whole zone answers late; the limits of parents must not be cut for that."""
     driver = Driver()
     upstreams = driver.router.state.members.upstreams
     first = driver.fetch()
--- a/tests/policy/test_configured_sizes.py
+++ b/tests/policy/test_configured_sizes.py
@@ -24,8 +24,11 @@
 SIZED = (*SIZED_EDGES, *SIZED_PARENTS, ORIGIN)
 
 
-def sized(link: float | None = None, **changes: object) -> Driver:
-    """A router alone at its edges, without reply details and load reports; `link` in transfers."""
+def sized_driver(link: float | None = None, **changes: object) -> Driver:
+    """Returns a driver of the only router of its zone, with `link` as the link's capacity in transfers.
+
+    Its caches send no reply details and no load reports.
+    """
     values: dict[str, object] = {
         "router_count": 2,
         "zone_router_count": 1,
@@ -37,7 +40,7 @@
 
 
 def serve_late(driver: Driver, times: int) -> None:
-    """Serves so many requests far past their latency objective, without reply details."""
+    """Serves `times` requests far past their latency objective, without reply details."""
     for key in range(times):
         fetch = driver.fetch(key)
         driver.now += 0.6
@@ -49,7 +52,7 @@
 def test_limits_start_from_the_uplink_size_only_where_weights_give_it(
     weights: str | None, known: bool
 ) -> None:
-    upstreams = sized(weights=weights).router.state.members.upstreams
+    upstreams = sized_driver(weights=weights).router.state.members.upstreams
     for tier, name in (
         (CacheTier.EDGE, "edge-0"),
         (CacheTier.PARENT, "parent-0"),
@@ -64,14 +67,14 @@
 
 def test_late_answers_cut_no_limit_below_the_uplink_capacity() -> None:
     """Limits of parents of 16 and 22 transfers, cut to 2, caused 506 of 729 rejections of one day."""
-    driver = sized()
+    driver = sized_driver()
     serve_late(driver, 60)
     limits = [driver.router.state.members.upstreams[each.name].concurrency_limit for each in SIZED_EDGES]
     assert min(limits) == MIN_REQUESTS_PER_TRANSFER * TRANSFER_CAPACITY
 
 
 def test_a_parents_limit_does_not_grow_past_its_configured_size_without_feedback() -> None:
-    driver = sized()
+    driver = sized_driver()
     limits = driver.router.state.limits
     upstreams = driver.router.state.members.upstreams
     for upstream in (upstreams["parent-0"], upstreams[ORIGIN.name]):
@@ -85,7 +88,7 @@
 
 
 def test_late_answers_without_a_reply_detail_do_not_count_against_parents() -> None:
-    driver = sized()
+    driver = sized_driver()
     serve_late(driver, 60)
     for parent in SIZED_PARENTS:
         upstream = driver.router.state.members.upstreams[parent.name]
@@ -93,7 +96,7 @@
 
 
 def test_without_reply_details_timely_answers_clear_a_parent_that_timed_out() -> None:
-    """A parent at fault for fills that fail must get credit for fills that succeed."""
+    """If failed fills count against a parent, successful fills must count for it."""
     driver = Driver(detailed_replies=False, router_count=12, zone_router_count=4)
     for number in range(6):
         driver.now += 0.6
--- a/tests/policy/test_fill_admission.py
+++ b/tests/policy/test_fill_admission.py
@@ -1,11 +1,11 @@
-"""Fill admission by the configured size of the link: which fills it sheds, which bypass the edges."""
+"""Fill admission by the configured size of the link: which fills are shed, which requests bypass edges."""
 
 import json
 
 import pytest
 from driver import fetches
 from harness import SETTINGS
-from test_configured_sizes import SIZED_PARENTS, TRANSFER_CAPACITY, sized
+from test_configured_sizes import SIZED_PARENTS, TRANSFER_CAPACITY, sized_driver
 
 from paddlequay.config.settings import parse_settings
 from paddlequay.policy.fill_admission import ESTIMATED_BYPASS_SPAN, ESTIMATED_FILL_SPAN, LinkLoad
@@ -28,11 +28,10 @@
 
 
 def test_fills_are_shed_while_those_in_flight_fill_the_link() -> None:
-    """Fills into a full link make edges late, and limits cut for that shed hits as well."""
-    driver = sized(link=2.0)
-    driver.router.state.limits.sharing_routers[CacheTier.EDGE] = (
-        0.01  # edges have room: the link alone is in question
-    )
+    """Fills through a full link make edges answer late, and limits that are cut for it shed hits as well."""
+    driver = sized_driver(link=2.0)
+    # Edges have capacity, so that only the link decides.
+    driver.router.state.limits.sharing_routers[CacheTier.EDGE] = 0.01
     fills: list[Fetch] = []
     while len(fills) < ESTIMATED_FILL_SPAN.high * 2.0:
         fills += [fetch for fetch in fetches(driver.request(len(fills))) if fetch.source != fetch.target]
@@ -49,7 +48,7 @@
 
 def test_only_a_reply_detail_proves_that_a_request_does_not_use_the_link() -> None:
     for has_details in (False, True):
-        driver = sized(link=1.0, detailed_replies=has_details)
+        driver = sized_driver(link=1.0, detailed_replies=has_details)
         driver.serve(driver.fetch(7))
         driver.router.state.zone_link.fills_in_flight = 50
         again = driver.fetch(7)
@@ -57,7 +56,7 @@
 
 
 def test_fills_from_siblings_use_no_link_capacity() -> None:
-    driver = sized(link=10.0)
+    driver = sized_driver(link=10.0)
     driver.serve(driver.fetch())
     driver.update_members(
         *[Member(f"new-{n}", "here", "cache", 0, MemberState.READY, TRANSFER_CAPACITY) for n in range(40)]
@@ -78,8 +77,8 @@
 
 @pytest.mark.parametrize("link", [None, 100.0])
 def test_requests_bypass_busy_edges_only_within_the_known_link_capacity(link: float | None) -> None:
-    """With two of three edges of a zone dead, the third shed 525 requests beside an idle link."""
-    driver = sized(link)
+    """With two of three edges of a zone dead, the third one shed 525 requests although the link was idle."""
+    driver = sized_driver(link)
     bypassing = rejected = 0
     for key in range(120):
         for action in driver.request(key):
@@ -89,7 +88,7 @@
 
 
 def test_no_request_bypasses_busy_edges_through_a_full_link() -> None:
-    driver = sized(link=64.0)
+    driver = sized_driver(link=64.0)
     link, bypassing = driver.router.state.zone_link, 0
     for key in range(300):
         utilization = link.utilization()
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -32,14 +32,14 @@
 
 
 def contended_driver() -> Driver:
-    """One router of fourteen at each of four edges, which fill from three parents."""
+    """Returns a driver of one of fourteen routers that send to four edges, which fill from three parents."""
     return Driver(
         members=(*EDGES, *PARENTS, ORIGIN), router_count=194, zone_router_count=14, bypass_allowed=False
     )
 
 
 def end(driver: Driver, fetch: Fetch, load: dict[str, float] | None = None) -> None:
-    """Serves a request at once, with a load report if one is given."""
+    """Ends an attempt as served at once, with a load report if one is given."""
     ended = AttemptEnded(
         fetch.request,
         0,
@@ -53,15 +53,15 @@
     driver.router.handle(ended, driver.now)
 
 
-def fetched(driver: Driver, keys: range) -> list[tuple[int, Fetch]]:
+def fetches_by_key(driver: Driver, keys: range) -> list[tuple[int, Fetch]]:
     return [(key, each) for key in keys for each in driver.request(key) if isinstance(each, Fetch)]
 
 
 def report_load(driver: Driver, load: dict[str, float]) -> None:
-    """Lets every edge report this load."""
+    """Sends requests until every edge has answered one with this load report."""
     reported: set[str] = set()
     for key in range(10_000, 10_200):
-        for _, fetch in fetched(driver, range(key, key + 1)):
+        for _, fetch in fetches_by_key(driver, range(key, key + 1)):
             reported.add(fetch.target)
             end(driver, fetch, load)
         if len(reported) == len(EDGES):
@@ -70,10 +70,10 @@
 
 
 def test_with_a_full_link_the_preferred_edge_serves_cached_objects_without_fills() -> None:
-    """Fills into a link with forty times the transfers that fit have hits rejected as well."""
+    """Fills through a link with forty times the transfers that fit caused hits to be rejected as well."""
     driver = contended_driver()
     report_load(driver, FULL_LINK)
-    fetches = [fetch for _, fetch in fetched(driver, range(20))]
+    fetches = [fetch for _, fetch in fetches_by_key(driver, range(20))]
     assert len(fetches) == 20 and all(fetch.target == fetch.source for fetch in fetches)
     ended = AttemptEnded(fetches[0].request, 0, fetches[0].target, Outcome.MISS, 0.001)
     answer = driver.router.handle(ended, driver.now)
@@ -90,16 +90,16 @@
     driver, keys, home_of = contended_driver(), range(1, 9), {}
     report_load(driver, load | {"cpu": 0.7})
     for key in keys:
-        for _, fetch in fetched(driver, range(key, key + 1)):
+        for _, fetch in fetches_by_key(driver, range(key, key + 1)):
             home_of[key] = fetch.target
             end(driver, fetch)
-    again = fetched(driver, keys)
+    again = fetches_by_key(driver, keys)
     assert len(again) == len(keys)
     assert any(fetch.target != home_of[key] for key, fetch in again) == skips
 
 
-def test_an_edge_that_reports_capacity_is_not_full_by_this_routers_own_requests() -> None:
-    """A share below one request must not reject what the edge has capacity for."""
+def test_a_routers_own_requests_do_not_make_an_edge_busy_that_reports_capacity() -> None:
+    """A router whose share is below one request must not reject what the edge has capacity for."""
     driver = contended_driver()
     report_load(driver, IDLE | {"cpu": 0.7})
     actions = [each for key in range(60) for each in driver.request(key)]
@@ -116,16 +116,16 @@
         if isinstance(each, Fetch):
             end(driver, each, OVERLOADED)
     driver.now += 10 * MAX_REPORT_AGE_S
-    assert fetched(driver, range(60, 70))
+    assert fetches_by_key(driver, range(60, 70))
 
 
-def test_with_few_routers_in_flight_requests_decide_and_reports_do_not_shed() -> None:
+def test_with_few_routers_reports_of_a_full_link_shed_no_requests() -> None:
     """One or two routers at an edge know its load from their own requests."""
     driver = Driver(
         members=(*EDGES, *PARENTS, ORIGIN), router_count=4, zone_router_count=1, bypass_allowed=False
     )
     report_load(driver, FULL_LINK)
-    fetches = [fetch for _, fetch in fetched(driver, range(8))]
+    fetches = [fetch for _, fetch in fetches_by_key(driver, range(8))]
     assert len(fetches) == 8 and all(fetch.target != fetch.source for fetch in fetches)
 
 
@@ -147,22 +147,24 @@
 
 def test_placement_weights_favour_larger_machines_until_utilisation_is_equal() -> None:
     """Equal shares overload a small machine (30 requests in flight) beside a large one with 6."""
-    shares = weights_after(15.0, seed=1)
-    assert max(shares.values()) == shares["large"] == 1.0
-    assert shares["small"] < shares["usual"] < 1.0
-    assert shares["small"] == pytest.approx(0.4, abs=0.12)  # four to ten
+    edge_weights = weights_after(15.0, seed=1)
+    assert max(edge_weights.values()) == edge_weights["large"] == 1.0
+    assert edge_weights["small"] < edge_weights["usual"] < 1.0
+    assert edge_weights["small"] == pytest.approx(0.4, abs=0.12)  # the ratio of their capacities, 4 and 10
 
 
 def test_routers_with_different_report_times_and_noise_prefer_about_the_same_edges() -> None:
     members = [(name, name, 1.0) for name in ("small", "usual", "other", "large")]
     homes: Homes[str] = Homes()
     homes.reset(members)
-    fleet = [weights_after(12.0, seed, period=0.3 + 0.1 * seed) for seed in range(14)]
-    agreed = 0
+    all_weights = [weights_after(12.0, seed, period=0.3 + 0.1 * seed) for seed in range(14)]
+    agreeing_routers = 0
     for key in range(400):
-        firsts = Counter(next(homes.order(digest(str(key)), shares.__getitem__)) for shares in fleet)
-        agreed += firsts.most_common(1)[0][1]
-    assert agreed / (400 * len(fleet)) > 0.9
+        first_homes = Counter(
+            next(homes.order(digest(str(key)), edge_weights.__getitem__)) for edge_weights in all_weights
+        )
+        agreeing_routers += first_homes.most_common(1)[0][1]
+    assert agreeing_routers / (400 * len(all_weights)) > 0.9
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.floats(-1e9, 1e9), st.floats(0, 100)), max_size=60))
@@ -186,7 +188,7 @@
 
 
 def test_routers_with_the_same_report_shed_the_same_share() -> None:
-    """The requests admitted by two hundred routers with one report fall evenly over the span."""
+    """The share of requests that two hundred routers admit by one report falls evenly over the span."""
     shares = []
     low, high = REPORTED_FILL_SPAN
     for load in (low, low + 0.2 * (high - low), (low + high) / 2, high):
@@ -198,7 +200,9 @@
 
 
 @given(st.floats(0, 1e6), st.floats(0, 1), st.floats(0, 1e3))
-def test_more_load_never_admits_more(load: float, sampling_draw: float, more: float) -> None:
+def test_a_higher_reported_load_never_admits_more_requests(
+    load: float, sampling_draw: float, more: float
+) -> None:
     low, high = ZoneLoad(), ZoneLoad()
     for zone_load, value in ((low, load), (high, load + more)):
         zone_load.record("a", LoadReport(value, 1.0, link_multiple=value), 0.0)
@@ -208,7 +212,7 @@
 
 
 def restarted_zone(x1: float, x0: float = 0.0) -> Driver:
-    """A router of a zone whose edges have all restarted empty, and report so."""
+    """Returns a driver of a zone whose edges have all restarted and report that they are empty."""
     driver = Driver(members=(*EDGES, *PARENTS, ORIGIN), router_count=194, zone_router_count=14)
     report = load_report((IDLE | {"x1": x1, "x0": x0}).items())
     for edge in EDGES:
@@ -247,14 +251,16 @@
     classes = (SAFE, replace(SAFE, name="films", priority_weight=2.0), UNSAFE)
     driver, costs = Driver(classes=classes, router_count=194, zone_router_count=14), {}
     driver.router.state.latency.work |= {"pages": 0.1, "films": 0.8, "pays": 9.0}
-    for kind in ("pages", "films"):
-        (fetch,) = driver.request(1, class_name=kind)
+    for cacheable_class in ("pages", "films"):
+        (fetch,) = driver.request(1, class_name=cacheable_class)
         assert isinstance(fetch, Fetch)
-        costs[kind] = driver.router.state.fill_admission.cost(driver.router.requests[fetch.request])
+        costs[cacheable_class] = driver.router.state.fill_admission.cost(
+            driver.router.requests[fetch.request]
+        )
     assert costs == {"pages": pytest.approx(0.25), "films": 1.0}
 
 
-def test_a_busy_edge_is_no_error_without_a_cacheable_class() -> None:
+def test_a_request_to_a_busy_edge_is_rejected_without_an_error_if_no_class_is_cacheable() -> None:
     """The relative cost of a class needs a cacheable class to compare with."""
     driver = Driver(
         members=EDGES, classes=(UNSAFE,), router_count=194, zone_router_count=14, bypass_allowed=False
@@ -272,7 +278,7 @@
     """A cached read takes as much of an edge in slow start as a fill."""
     driver = restarted_zone(FULL_LINK["x1"], x0)
     driver.router.state.members.slow_start[CacheTier.EDGE].load_per_member = 100.0
-    driver.request(99)  # from the first request on work is saved up for them
+    driver.request(99)  # the first request starts the refill of the edges' tokens
     driver.now += 1.0
     for edge in EDGES:
         driver.router.state.zone_load.record(
--- a/tests/policy/test_many_routers.py
+++ b/tests/policy/test_many_routers.py
@@ -1,4 +1,4 @@
-"""Many routers at once: what they send to one member together, and what few answers may change."""
+"""Many routers at once: the load that they send to one member together, and their limits and holders."""
 
 import random
 
@@ -36,12 +36,12 @@
     freshness_lifetime=8.0,
     stale_if_error=30.0,
 )
-WORK = 0.15  # as the module takes it to be before it has seen a size: each request costs 1
+WORK = 0.15  # seconds; equal to the estimate before any size is known, so that each request costs 1
 SIZE_KB = 150.0
 SLOW_START = SlowStart(initial_share=0.1, duration=20.0, overload_multiple=2.0, overload_window=3.0)
 
 
-def fleet(routers: int, members: tuple[Member, ...], has_details: bool = True) -> list[Router]:
+def make_routers(routers: int, members: tuple[Member, ...], has_details: bool = True) -> list[Router]:
     settings = RoutingSettings(
         zone="here",
         classes=(PAGES,),
@@ -62,7 +62,7 @@
     return all_routers
 
 
-def members(parents: int = 4, edges: int = 4) -> tuple[Member, ...]:
+def make_members(parents: int = 4, edges: int = 4) -> tuple[Member, ...]:
     return (
         *(Member(f"edge-{n}", "here", "cache", 0, MemberState.READY) for n in range(edges)),
         *(Member(f"parent-{n}", "hub", "parent", 1, MemberState.READY) for n in range(parents)),
@@ -95,15 +95,15 @@
     routers: int, rate: float, restarts: str
 ) -> None:
     """191 routers, each with tokens for one request to one parent in slow start, would overload it."""
-    all_routers = fleet(routers, members(), has_details=False)
-    chance = random.Random(7)
+    all_routers = make_routers(routers, make_members(), has_details=False)
+    rng = random.Random(7)
     sent: list[float] = []
     warming = f"{restarts}-0"
     start, surge, stop = 20.0, 26.0, 32.0
     now, number, restarted = 1.0, 0, False
     while now < stop:
-        # The surge is of objects never read before, so that every read is a fill, three times as many.
-        now += chance.expovariate(rate * (3.0 if now > surge else 1.0))
+        # The surge triples the rate of requests. Each object is new, so that every read is a fill.
+        now += rng.expovariate(rate * (3.0 if now > surge else 1.0))
         if now > start and not restarted:
             restarted = True
             zone, kind = ("hub", "parent") if restarts == "parent" else ("here", "cache")
@@ -111,12 +111,12 @@
             for router in all_routers:
                 router.handle(MembersChanged((entry,)), now)
         number += 1
-        router = all_routers[chance.randrange(routers)]
+        router = all_routers[rng.randrange(routers)]
         for fetch in send(router, f"r{number}", number, now):
             if warming in (fetch.target, fetch.source) and restarted:
                 sent.append(now)
             end_attempt(router, fetch, Outcome.SERVED, now)
-    # Four members bear the load at no more than 0.7 of what they can do.
+    # Four members serve the load at no more than 0.7 of their capacity.
     assert (
         SLOW_START.initial_share
         and SLOW_START.duration
@@ -130,13 +130,13 @@
         )
         work = WORK * sum(last - SLOW_START.overload_window < at <= last for at in sent)
         assert work <= SLOW_START.overload_multiple * share * capacity * SLOW_START.overload_window + 3 * WORK
-    assert sent or rate / routers < 1.0  # thinner, it may get nothing while it is cold
+    assert sent or rate / routers < 1.0  # with less than one request a second, a cold member may get none
 
 
 @pytest.mark.parametrize("routers", [1, 20, 200])
 def test_requests_in_flight_at_an_edge_are_bounded_for_any_number_of_routers(routers: int) -> None:
-    """Sixteen requests for each router of a zone would be far more than an edge serves."""
-    all_routers = fleet(routers, members(edges=1))
+    """A limit of sixteen requests for each router of a zone would be far more than an edge can serve."""
+    all_routers = make_routers(routers, make_members(edges=1))
     in_flight = 0
     for number in range(4000):
         in_flight += len(send(all_routers[number % routers], f"r{number}", number, 2.0))
@@ -154,11 +154,11 @@
         (0.1, 0.1, MAX_REPORT_AGE_S, True),
     ],
 )
-def test_an_edge_that_reports_capacity_is_not_full(
+def test_the_concurrency_limit_applies_unless_an_edge_has_recently_reported_spare_capacity(
     cores: float, link: float, age: float, rejects: bool
 ) -> None:
-    """Half of a calm day was rejected for limits while edges reported a utilization of a tenth."""
-    (router,) = fleet(1, members(edges=1, parents=40))
+    """On a day without faults, limits rejected half of all requests at a reported utilization of 0.1."""
+    (router,) = make_routers(1, make_members(edges=1, parents=40))
     (fetch,) = send(router, "first", 1, 2.0)
     report = LoadReport(4.0, cores, 0.5, link)
     answer = AttemptEnded(
@@ -170,8 +170,8 @@
 
 
 def test_a_full_edge_is_not_ejected_and_its_source_not_at_fault() -> None:
-    """Incident i633f50: ejected for rejections, full edges no longer served what they had cached."""
-    (router,) = fleet(1, members())
+    """Incident i633f50: full edges were ejected for rejections and no longer served what they had cached."""
+    (router,) = make_routers(1, make_members())
     for number in range(3 * EJECTION_FAILURES):
         (fetch,) = send(router, f"r{number}", 5, 2.0 + number)
         for again in end_attempt(router, fetch, Outcome.REJECTED, 2.0 + number):
@@ -182,7 +182,7 @@
 
 def test_without_reply_details_a_rejection_counts_against_the_source_and_the_next_parent_is_used() -> None:
     """Without reply details, a dead parent shows only as rejections of its fills."""
-    (router,) = fleet(1, members(), has_details=False)
+    (router,) = make_routers(1, make_members(), has_details=False)
     (fetch,) = send(router, "r1", 5, 2.0)
     (again,) = end_attempt(router, fetch, Outcome.REJECTED, 2.0)
     assert again.target == fetch.target
@@ -191,7 +191,7 @@
 
 def test_while_the_origin_is_down_only_cached_copies_are_requested_until_it_recovers() -> None:
     """Incident i633f50: misses waited at a dead origin and occupied capacity that hits needed."""
-    (router,) = fleet(1, members())
+    (router,) = make_routers(1, make_members())
     now = 2.0
     for number in range(EJECTION_FAILURES):
         (fetch,) = send(router, f"r{number}", number, now)
@@ -212,7 +212,7 @@
 
 def test_a_restarted_member_counts_as_empty() -> None:
     """Holders are checked when they are looked up, not when a member leaves."""
-    (router,) = fleet(1, members())
+    (router,) = make_routers(1, make_members())
     (fetch,) = send(router, "r1", 5, 2.0)
     end_attempt(router, fetch, Outcome.SERVED, 2.1, ReplyDetail.FILLED)
     part = next(iter(router.state.hot_objects.parts.values()))
@@ -223,9 +223,9 @@
     assert router.state.hot_objects.holders(part, router.state.members.upstreams, 2.2) == []
 
 
-def test_removed_members_do_not_raise_the_limits_of_the_rest() -> None:
-    """The load of edges that have left must not count as that of the last one, in slow start."""
-    (router,) = fleet(1, members(edges=4))
+def test_removed_members_do_not_raise_the_slow_start_rate_of_the_rest() -> None:
+    """Slow start must not count the load of removed edges as the load of the edge that is left."""
+    (router,) = make_routers(1, make_members(edges=4))
     for number in range(400):
         (fetch,) = send(router, f"r{number}", number, 2.0 + number / 40)
         end_attempt(router, fetch, Outcome.SERVED, 2.0 + number / 40, ReplyDetail.HIT)
@@ -237,19 +237,19 @@
     assert before and router.state.members.slow_start[CacheTier.EDGE].allowed_rate(12.0, 12.0) == before
 
 
-def test_a_router_count_of_none_or_zero_is_no_error() -> None:
+def test_a_router_count_of_none_or_zero_is_accepted() -> None:
     for count in (None, 0):
         settings = RoutingSettings(
             "here", (PAGES,), router_count=count, zone_router_count=count, parent_kind="parent"
         )
         router = Router(settings, 1)
-        router.handle(MembersChanged(members(), full=True), 1.0)
+        router.handle(MembersChanged(make_members(), full=True), 1.0)
         assert send(router, "r1", 5, 2.0)
 
 
 def test_state_of_objects_read_long_ago_expires() -> None:
-    """Most objects are new, so a table that keeps each would grow all day."""
-    (router,) = fleet(1, members())
+    """Most objects are new, so a table that kept the state of each would grow all day."""
+    (router,) = make_routers(1, make_members())
     for number in range(400):
         for fetch in send(router, f"r{number}", number, 2.0 + number):
             end_attempt(router, fetch, Outcome.SERVED, 2.0 + number, ReplyDetail.HIT)
--- a/tests/policy/test_member_directory.py
+++ b/tests/policy/test_member_directory.py
@@ -1,4 +1,4 @@
-"""The endpoint list, members in slow start, state from a predecessor, and events to be ignored."""
+"""The endpoint list, members in slow start, state from a predecessor, and events that are ignored."""
 
 from dataclasses import replace
 
@@ -37,7 +37,7 @@
 
 
 def test_a_member_back_from_a_drain_is_used_at_once_without_earlier_state() -> None:
-    """A member put back by operators must not stay ejected for failures from before."""
+    """A member that operators put back must not stay ejected for failures before the drain."""
     driver = Driver()
     home = driver.fetch(key=7).target
     (edge,) = [each for each in EDGES if each.name == home]
@@ -51,12 +51,12 @@
     assert away.target != home
     driver.update_members(edge)
     again = driver.fetch(key=7)
-    assert again.target == home and again.source == away.target  # filled from who holds it by now
+    assert again.target == home and again.source == away.target  # from the edge that holds it by now
     assert all(fetch.source != home for fetch in map(driver.fetch, range(20)))
 
 
 def test_a_successor_continues_with_the_limits_of_its_predecessor() -> None:
-    """With initial limits again, a third of what one edge alone can serve would be rejected."""
+    """With the initial limits, a successor would reject a third of what its only edge can serve."""
     members = (*EDGES[:1], *PARENTS, ORIGIN)
     predecessor, successor = Driver(members), Driver(members)
 
@@ -69,18 +69,18 @@
             predecessor.now,
         )
 
-    def sent(driver: Driver) -> list[Fetch]:
+    def send_requests(driver: Driver) -> list[Fetch]:
         return [fetch for key in range(60) for fetch in fetches(driver.request(key))]
 
     report(predecessor.fetch())
-    sent_fetches = sent(predecessor)  # while a cache reports room, nothing is refused
+    sent_fetches = send_requests(predecessor)  # nothing is rejected while the edge reports spare capacity
     assert len(sent_fetches) == 60
     for fetch in sent_fetches:
         report(fetch)
     successor.now = predecessor.now = predecessor.now + 5.0
-    first = len(sent(Driver(members)))
+    initial_count = len(send_requests(Driver(members)))
     successor.router.handle(StateInherited(predecessor.router.export_state()), successor.now)
-    assert len(sent(successor)) > 2 * first > 0
+    assert len(send_requests(successor)) > 2 * initial_count > 0
     rates = [
         each.router.state.members.slow_start[CacheTier.EDGE].load_per_member
         for each in (successor, predecessor)
@@ -89,7 +89,7 @@
 
 
 def test_a_zone_wholly_in_slow_start_gets_less_load_than_when_warm() -> None:
-    """Dividing the load by the few warm equivalents of such a zone would send too much."""
+    """Dividing the load by the few warm-member equivalents of such a zone would allow too much."""
     driver = Driver()
     for n in range(1000):
         driver.now += 0.01
@@ -109,23 +109,23 @@
 def test_a_member_in_slow_start_gets_its_share_of_the_load_and_no_more() -> None:
     driver = Driver()
 
-    def second(seed: int) -> list[Fetch]:
+    def run_second(first_key: int) -> list[Fetch]:
         sent = []
         for n in range(100):
             driver.now += 0.01
-            sent += fetches(driver.request(seed + n))
+            sent += fetches(driver.request(first_key + n))
             driver.serve(sent[-1], ReplyDetail.FILLED)
         return sent
 
     for n in range(10):
-        second(n * 1000)
+        run_second(n * 1000)
     warming = Member("edge-0", "here", "cache", 0, MemberState.READY, started=driver.now)
     driver.update_members(warming)
-    early = sum(fetch.target == warming.name for fetch in second(20000))
+    early = sum(fetch.target == warming.name for fetch in run_second(20000))
     assert 0 < early <= 20
     driver.now += 20
-    second(30000)
-    assert sum(fetch.target == warming.name for fetch in second(40000)) > early
+    run_second(30000)
+    assert sum(fetch.target == warming.name for fetch in run_second(40000)) > early
 
 
 def test_a_router_without_known_load_sends_nothing_to_a_parent_in_slow_start() -> None:
@@ -134,7 +134,7 @@
     assert driver.fetch().source == ORIGIN.name
 
 
-def test_late_double_and_unknown_events_are_ignored() -> None:
+def test_late_duplicate_and_unknown_events_are_ignored() -> None:
     driver = Driver()
     fetch = driver.fetch()
     assert driver.router.handle(ClientDisconnected(fetch.request), driver.now) == []
@@ -145,7 +145,7 @@
     assert all(upstream.in_flight == 0 for upstream in driver.router.state.members.upstreams.values())
 
 
-def test_an_endpoint_list_that_must_be_polled_is_polled_again_after_a_failure() -> None:
+def test_a_failed_subscription_to_the_endpoint_list_is_repeated_after_a_delay() -> None:
     driver = Driver(must_subscribe=True)
     assert Subscribe() in driver.started
     (timer,) = driver.router.handle(MembersChanged((), failed=True), driver.now)
@@ -163,10 +163,10 @@
 
 
 @pytest.mark.parametrize(("x0", "sent"), [(0.0, 0), (0.4, 20), (None, 20)])
-def test_an_edge_that_restarts_empty_is_in_slow_start_before_its_watch_event(
+def test_an_edge_that_restarts_empty_is_in_slow_start_before_the_endpoint_list_reports_it(
     x0: float | None, sent: int
 ) -> None:
-    """The first edge back would get 3.5 times the load that it can bear."""
+    """Otherwise, the first edge that is back would get 3.5 times the load that it can serve."""
     driver = Driver(members=(EDGES[0], *PARENTS, ORIGIN))
     upstream = driver.router.state.members.upstreams["edge-0"]
     first = driver.fetch(1)
@@ -179,5 +179,6 @@
     assert not upstream.ejected
     sent_to_edge = [f for key in range(20) for f in fetches(driver.request(key)) if f.target == "edge-0"]
     assert len(sent_to_edge) == sent
-    driver.update_members(replace(EDGES[0], started=driver.now - 16.0))  # the list's word comes before belief
+    # The start time in the endpoint list replaces the presumed one.
+    driver.update_members(replace(EDGES[0], started=driver.now - 16.0))
     assert driver.fetch(50).target == "edge-0"
--- a/tests/policy/test_optional_settings.py
+++ b/tests/policy/test_optional_settings.py
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("cpu", [0.1, None])
-def test_reported_capacity_keeps_a_member_open_and_else_requests_in_flight_decide(
+def test_without_a_report_of_spare_capacity_the_requests_in_flight_make_a_member_busy(
     cpu: float | None,
 ) -> None:
     driver = Driver(members=(EDGES[0], ORIGIN), bypass_allowed=False)
--- a/tests/policy/test_origin_shedding.py
+++ b/tests/policy/test_origin_shedding.py
@@ -19,7 +19,7 @@
 def fill(
     driver: Driver, key: int, wait: float, detail: ReplyDetail = ReplyDetail.FILLED_FROM_ORIGIN
 ) -> Fetch:
-    """Serves a read of a new object, whose fill waited for so many seconds."""
+    """Serves a read of a new object, whose fill waited for `wait` seconds."""
     (fetch,) = driver.request(key)
     assert isinstance(fetch, Fetch)
     ended = AttemptEnded(
@@ -30,7 +30,7 @@
 
 
 def slow_origin_driver(wait: float, detail: ReplyDetail = ReplyDetail.FILLED_FROM_ORIGIN) -> Driver:
-    """Returns a router whose recent fills waited for so many seconds."""
+    """Returns a driver of a router whose recent fills waited for `wait` seconds."""
     driver = Driver(detailed_replies=True)
     for key in range(1000, 1020):
         fill(driver, key, wait, detail)
@@ -43,13 +43,13 @@
     [
         (0.1, ReplyDetail.FILLED_FROM_ORIGIN, False),
         (0.9, ReplyDetail.FILLED_FROM_ORIGIN, True),
-        (0.9, ReplyDetail.FILLED, False),  # a parent's own wait is no word on the origin
+        (0.9, ReplyDetail.FILLED, False),  # a parent's own wait says nothing about the origin
     ],
 )
 def test_while_fill_waits_exceed_the_objective_parents_serve_cached_objects(
     wait: float, detail: ReplyDetail, only_if_cached: bool
 ) -> None:
-    """After a purge of everything, fills waited 0.7 s and the origin did half of its work."""
+    """After a purge of everything, fills waited 0.7 s and the origin did half of the work that it can do."""
     driver = slow_origin_driver(wait, detail)
     for key in range(20):
         fetch = driver.fetch(key)
@@ -58,15 +58,14 @@
     if only_if_cached:
         fetch = driver.fetch(50)
         (cached_read,) = driver.end(fetch, Outcome.MISS, ReplyDetail.SOURCE_MISS)
-        assert (
-            isinstance(cached_read, Fetch) and cached_read.source == cached_read.target
-        )  # what the edge holds, old or new
+        # The edge may serve its copy, fresh or stale.
+        assert isinstance(cached_read, Fetch) and cached_read.source == cached_read.target
         (last,) = driver.end(cached_read, Outcome.MISS, attempt=1)
         assert isinstance(last, Reject)
 
 
 def test_a_wait_longer_than_its_answer_took_is_ignored() -> None:
-    """A corrupt wait of 1e300 s must not keep fills from the origin for minutes."""
+    """A corrupt wait of 1e300 s must not stop fills from the origin for minutes."""
     driver = Driver(detailed_replies=True)
     fetch = driver.fetch(1)
     ended = AttemptEnded(
@@ -92,17 +91,22 @@
     assert isinstance(fetch, Fetch) and not fetch.only_if_cached
 
 
-def test_shedding_grows_over_the_interval_and_waits_recover_within_seconds() -> None:
+def test_shedding_grows_over_the_span_and_ends_within_seconds_of_short_waits() -> None:
     waits = OriginWait()
     assert not waits.sheds(0.3, 0.0, 1.0)
     for step in range(50):
         waits.record(0.3, 1.0 + step * 0.1)
-    middle = sum(waits.sheds(0.3, luck / 100, waits.updated_at) for luck in range(100)) / 100
+    middle = (
+        sum(waits.sheds(0.3, sampling_draw / 100, waits.updated_at) for sampling_draw in range(100)) / 100
+    )
     later = (
-        sum(waits.sheds(0.3, luck / 100, waits.updated_at + MAX_REPORT_AGE_S / 4) for luck in range(100))
+        sum(
+            waits.sheds(0.3, sampling_draw / 100, waits.updated_at + MAX_REPORT_AGE_S / 4)
+            for sampling_draw in range(100)
+        )
         / 100
     )
-    assert 0.0 < later < middle  # not all routers begin together again
+    assert 0.0 < later < middle  # routers resume gradually and not all at once
     assert middle == pytest.approx((1.0 - WAIT_SPAN.low) / (WAIT_SPAN.high - WAIT_SPAN.low), abs=0.02)
     for step in range(30):
         waits.record(0.02, 6.0 + step * 0.1 * WAIT_DECAY_S)
@@ -124,7 +128,7 @@
             driver.router.state.zone_load.record(edge.name, report, driver.now)
 
     for key in range(100, 110):
-        driver.router.state.zone_load.link_reported_at = -9.0  # so that fills go out whatever the link
+        driver.router.state.zone_load.link_reported_at = -9.0  # admits fills whatever the load of the link
         fetch = driver.fetch(key)
         report_load()
         ended = AttemptEnded(fetch.request, 0, fetch.target, Outcome.TIMEOUT, 0.9)
--- a/tests/policy/test_outlier_ejection.py
+++ b/tests/policy/test_outlier_ejection.py
@@ -40,7 +40,7 @@
 def test_a_parent_that_edges_cannot_reach_is_ejected_and_a_full_one_is_not(
     detail: ReplyDetail, ejected: bool
 ) -> None:
-    """An unreachable parent that stayed in use cost 3,376 attempts and the retry budgets."""
+    """An unreachable parent that stayed in use cost 3,376 attempts and used up the retry budgets."""
     driver = Driver(detailed_replies=True)
     source = driver.fetch(key=7).source
     for _ in range(EJECTION_FAILURES):
@@ -115,7 +115,7 @@
 
 
 def test_a_member_that_answers_other_requests_is_not_ejected_for_timeouts() -> None:
-    """Ejected in an overload, a member would move its fills to parents that lack the objects."""
+    """If a member were ejected in an overload, its fills would move to parents that lack the objects."""
     driver = Driver()
     home = driver.fetch()
     for _ in range(2 * EJECTION_FAILURES):
@@ -143,10 +143,10 @@
     driver.now += RECENT_SUCCESS_S + 0.1
     driver.router.handle(OutlierReported(home), driver.now)
     probe = driver.fetch()
-    assert probe.source == home  # at once, and alone
+    assert probe.source == home  # the probe is due at once
     assert driver.fetch().source != home
     driver.end(probe, Outcome.ERROR, ReplyDetail.SOURCE_UNREACHABLE)
-    assert driver.fetch().source != home  # a failed trial puts the next one off
+    assert driver.fetch().source != home  # after a failed probe, the next one is due later
     driver.now += PROBE_DELAY_S + 0.1
     again = driver.fetch()
     assert again.source == home
@@ -171,7 +171,7 @@
     state = driver.router.state
     slowness = state.latency.latency_ratio["pages"]
     for _ in range(EJECTION_FAILURES + 1):
-        (fetch,) = fetches(driver.request(time_left=0.2))  # the class's aim is 0.3
+        (fetch,) = fetches(driver.request(time_left=0.2))  # the class's objective is 0.3 s
         assert fetch.timeout == pytest.approx(0.2)
         driver.now += 0.2
         event = AttemptEnded(fetch.request, 0, fetch.target, Outcome.TIMEOUT, 0.2, unresponsive=unresponsive)
--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -9,7 +9,7 @@
 
 
 def test_a_request_of_a_lost_connection_gets_one_retry_beyond_the_budget() -> None:
-    """Thirty requests on one lost connection would use up the budget."""
+    """Otherwise, thirty requests on one lost connection would use up the budget."""
     driver = Driver()
     driver.router.state.retries.budget = 0.0
     (again,) = fetches(driver.end(driver.fetch(), Outcome.RESET))
@@ -28,7 +28,7 @@
     assert driver.fetch().max_age is None
 
 
-def test_more_purges_than_the_table_holds_bind_every_object() -> None:
+def test_purges_beyond_the_bound_of_the_table_apply_to_every_object() -> None:
     driver = Driver()
     for key in range(MAX_PURGES + 1):
         driver.router.handle(Purged(age=0.1, key=1000 + key), driver.now)
@@ -60,13 +60,13 @@
 
 def test_retries_end_with_their_budget_except_for_one_cache_lookup() -> None:
     driver = Driver()
-    again = []
+    all_retries = []
     for key in range(100):
-        more = fetches(driver.end(driver.fetch(key), Outcome.MISS, ReplyDetail.SOURCE_MISS))
-        again += more
-        for fetch in more:
+        key_retries = fetches(driver.end(driver.fetch(key), Outcome.MISS, ReplyDetail.SOURCE_MISS))
+        all_retries += key_retries
+        for fetch in key_retries:
             driver.router.handle(ClientDisconnected(fetch.request), driver.now)
             driver.end(fetch, Outcome.CANCELLED, attempt=1)
-    fills = [fetch for fetch in again if fetch.source != fetch.target]
+    fills = [fetch for fetch in all_retries if fetch.source != fetch.target]
     assert len(fills) <= MAX_RETRY_BUDGET_ATTEMPTS + 100 * RETRY_BUDGET_RATIO
-    assert len(again) <= 100
+    assert len(all_retries) <= 100
--- a/tests/policy/test_route_selection.py
+++ b/tests/policy/test_route_selection.py
@@ -7,7 +7,7 @@
 from paddlequay.routing.interface import Fetch, Member, MemberState, Outcome, Reject, RejectCause, ReplyDetail
 
 
-def test_fills_of_one_object_pass_one_parent_from_every_zone() -> None:
+def test_all_zones_fill_an_object_through_the_same_parent() -> None:
     here = Driver()
     there = Driver(zone="there")
     for key in range(30):
@@ -37,8 +37,8 @@
     driver = Driver()
     first = driver.fetch()
     driver.serve(first)
-    newcomer = [Member(f"new-{n}", "here", "cache", 0, MemberState.READY) for n in range(40)]
-    driver.update_members(*newcomer)
+    new_edges = [Member(f"new-{n}", "here", "cache", 0, MemberState.READY) for n in range(40)]
+    driver.update_members(*new_edges)
     second = driver.fetch()
     assert second.target != first.target
     assert second.source == first.target and second.only_if_cached
@@ -80,12 +80,12 @@
 def test_uncacheable_requests_bypass_the_caches() -> None:
     fetch = Driver().fetch(class_name="orders")
     assert fetch.target == fetch.source == ORIGIN.name and fetch.retention == 0
-    through = Driver(bypass_allowed=False).fetch(class_name="orders")
-    assert through.target.startswith("edge") and through.source == ORIGIN.name and through.retention == 0
+    via_edge = Driver(bypass_allowed=False).fetch(class_name="orders")
+    assert via_edge.target.startswith("edge") and via_edge.source == ORIGIN.name and via_edge.retention == 0
 
 
 def test_busy_members_shed_load_and_pass_none_to_the_origin() -> None:
-    """Overflow sent to parents and the origin as client traffic would overload them."""
+    """Requests sent to parents and the origin past busy edges would overload them."""
     driver = Driver()
     actions = [action for key in range(300) for action in driver.request(key)]
     assert any(isinstance(action, Reject) for action in actions)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -17,7 +17,7 @@
 
 
 def serve(limiter: SlowStartLimiter, rate: float, links: float, begin: float, end: float) -> float:
-    """Serves work at `rate` a second while `used` outgoing links are in use; returns the end time."""
+    """Serves work at `rate` a second while `links` outgoing links are in use; returns the end time."""
     now = begin
     while now < end:
         now += 0.1
@@ -26,25 +26,24 @@
 
 
 @pytest.mark.parametrize("rejected_ratio", [0.0, 0.5, 0.9])
-def test_rejections_do_not_lower_the_slow_start_budget(rejected_ratio: float) -> None:
-    """With three of four edges new, rejections lower the load and must not lower the allowed rate.
+def test_rejections_do_not_lower_the_allowed_slow_start_rate(rejected_ratio: float) -> None:
+    """Rejections lower the load while three of four edges are new, and must not lower the allowed rate.
 
-    Four edges of capacity 10, used by half; then three are replaced at once, and only what the last one and
-    the new ones take is served.
+    Four edges of capacity 10 are used by half. Then three of them are replaced at once, and a part of the
+    requests is rejected.
     """
     limiter = SlowStartLimiter(SLOW_START)
     limiter.set_members([None] * 4, 100.0)
     now = serve(limiter, 20.0, 2.0, 100.0, 140.0)
     limiter.set_members([None, now, now, now], now)
-    began = now
+    started = now
     now = serve(limiter, 20.0 * (1.0 - rejected_ratio), 2.0 * (1.0 - rejected_ratio), now, now + 10.0)
-    rate = limiter.allowed_rate(began, now)
+    rate = limiter.allowed_rate(started, now)
     assert rate is not None
-    share = limiter.capacity_share(began, now)
-    assert (
-        rate >= 0.99 * REPORTED_CAPACITY_RATIO * 2.5 * share * 10.0
-    )  # what a cold one of capacity 10 can surely do
-    assert rate <= 1.01 * LOAD_SAFETY_RATIO * 2.5 * share * 10.0  # and under the rule's multiple
+    share = limiter.capacity_share(started, now)
+    # The rate is what a member of capacity 10 in slow start can certainly serve, and no more than is safe.
+    assert rate >= 0.99 * REPORTED_CAPACITY_RATIO * 2.5 * share * 10.0
+    assert rate <= 1.01 * LOAD_SAFETY_RATIO * 2.5 * share * 10.0
 
 
 def test_members_without_reports_or_load_show_no_capacity() -> None:
@@ -79,8 +78,8 @@
         limiter.set_members([None] * 6, 100.0)
         serve(limiter, 36.0 * share, 3.6 + rng.uniform(-0.3, 0.3), 100.0, 130.0)
         limiter.set_members([130.0] * 6, 130.0)
-    sent: list[tuple[float, float]] = []  # to the first member, by all
-    work, rate = 0.1, 600.0  # ten times what the members can do: the pace alone bounds it
+    sent: list[tuple[float, float]] = []  # time and work, sent to the first member by all routers
+    work, rate = 0.1, 600.0  # ten times what the members can do, so that only slow start bounds it
     for step in range(int(10.0 * rate)):
         now = 130.0 + step / rate
         limiter, _, buckets = rng.choices(routers, shares)[0]
