--- a/paddlequay/policy/attempt_results.py
+++ b/paddlequay/policy/attempt_results.py
@@ -181,7 +181,7 @@
     ) -> None:
         """Records, for the member that an answer waited for, whether the answer was late.
 
-        A late fill counts against its source only if the target reports that it waited for the source.
+        A late fill counts against its source only with a reply detail, and not if the reported wait is short.
         """
         wait = event.source_wait
         waited_for_source = event.detail is not None and (
--- a/paddlequay/policy/concurrency_limits.py
+++ b/paddlequay/policy/concurrency_limits.py
@@ -1,6 +1,6 @@
 """Concurrency limits: whether a member may be sent another request, by the work in flight there.
 
-A limit bounds the work in flight of all routers that send to the member, measured in requests of mean work.
+A limit bounds the work in flight of all routers that send to the member. Its unit is a request of mean work.
 Each router compares its own work in flight with its share: the limit divided by the number of routers that
 share it. Limits grow slowly while answers are in time, and are cut when many are late.
 """
@@ -19,7 +19,8 @@
 INITIAL_LIMIT_REQUESTS = {CacheTier.EDGE: 10.0, CacheTier.PARENT: 30.0, CacheTier.ORIGIN: 30.0}
 MIN_REQUESTS_PER_TRANSFER = 1.5  # for each transfer that fits: objectives allow twice the sending time
 FILL_RATIO = 0.33  # assumed share of the requests at edges that cause a fill
-DISCOVERY_GROWTH_PER_S = 0.2  # of a parent's limit until its first cut, the only way to find its capacity
+# Growth of a parent's limit until its first cut; only growth finds the capacity of a parent.
+DISCOVERY_GROWTH_PER_S = 0.2
 LIMIT_GROWTH_PER_S = 0.05
 MAX_GROWTH_S = 1.0  # longest time since the previous answer for which a limit grows
 LIMIT_CUT_FACTOR = 0.8
--- a/paddlequay/policy/copy_age.py
+++ b/paddlequay/policy/copy_age.py
@@ -41,8 +41,8 @@
         purged_at = self.all_purged_at
         for name in (("group", group), ("key", key)):
             purged_at = max(purged_at, self.purged_at.get(name, -math.inf))
-        is_binding = purged_at > -math.inf and now - purged_at <= self.completion_time
-        return now - purged_at if is_binding else None
+        may_be_incomplete = purged_at > -math.inf and now - purged_at <= self.completion_time
+        return now - purged_at if may_be_incomplete else None
 
 
 def max_copy_age(request: RequestState, purges: PurgeTimes, allow_stale: bool, now: float) -> float | None:
--- a/paddlequay/policy/edge_weights.py
+++ b/paddlequay/policy/edge_weights.py
@@ -14,7 +14,7 @@
 
 
 class EdgeWeights:
-    """The weight of each edge that reports its load, kept as a bias: the logarithm of the weight."""
+    """The weight of each edge that reports its load, stored as its logarithm, the bias."""
 
     def __init__(self) -> None:
         self.biases: dict[str, float] = {}
--- a/paddlequay/policy/fill_admission.py
+++ b/paddlequay/policy/fill_admission.py
@@ -48,7 +48,7 @@
 def admits_fill_by_report(
     zone_load: ZoneLoad, sampling_draw: float, now: float, cost: float = 1.0, cached: bool = True
 ) -> bool:
-    """Whether the reported load of the link allows a fill; yes without a fresh report.
+    """Whether the reported load of the link allows a fill; True without a fresh report.
 
     Args:
         zone_load: The load reports of the zone.
@@ -90,13 +90,13 @@
         self.fills_in_flight += count
 
     def utilization(self) -> float:
-        """Returns transfers in flight through the link over those that fit; 0 where its size is unknown."""
+        """Returns transfers in flight through the link over those that fit; 0 if its size is unknown."""
         if not self.transfer_capacity:
             return 0.0
         return self.fills_in_flight * self.router_count / self.transfer_capacity
 
     def admits_fill(self, sampling_draw: float, cost: float = 1.0, cached: bool = True) -> bool:
-        """Whether the fills in flight leave capacity for another; yes where the size is unknown.
+        """Whether the fills in flight leave capacity for another; True if the size is unknown.
 
         Args:
             sampling_draw: The request's random number in [0, 1).
--- a/paddlequay/policy/hot_objects.py
+++ b/paddlequay/policy/hot_objects.py
@@ -13,7 +13,7 @@
 
 PartKey = tuple[int | None, int | None]  # the number of an object, and the number of a part of it
 
-HOT_WINDOW_S = 10.0  # longest time between two reads of a hot part, and for which a holder is remembered
+HOT_WINDOW_S = 10.0  # longest time between two reads of a hot part; also how long a holder is remembered
 HOT_READS_COUNT = 1.0  # least number of earlier reads within the window that makes a part hot
 SPREAD_READS_COUNT = 40.0  # reads within the window above which two edges share a part
 MAX_PARTS = 20000
--- a/paddlequay/policy/member_directory.py
+++ b/paddlequay/policy/member_directory.py
@@ -36,7 +36,7 @@
             CacheTier.ORIGIN: SlowStartLimiter(SlowStart()),
         }
         self.origins: list[Upstream] = []
-        self.ready_edge_count = 0  # of all zones
+        self.ready_edge_count = 0  # in all zones
 
     def update(self, event: MembersChanged, now: float) -> list[Upstream]:
         """Applies the endpoint list or a change of it; returns the members that left or were replaced.
--- a/paddlequay/policy/slow_start.py
+++ b/paddlequay/policy/slow_start.py
@@ -36,9 +36,7 @@
         self.slow_start = slow_start
         self.load_per_member = 0.0  # work served a second by each warm member
         self.total_load = 0.0  # work served a second by all members
-        self.reported_links = (
-            0.0  # outgoing links in use by the members' reports, averaged over the same time
-        )
+        self.reported_links = 0.0  # outgoing links in use by the members' reports, over the same time
         self.updated_at = -math.inf
         self.member_count = 0
         self.warming_starts: list[float] = []
@@ -61,7 +59,7 @@
         return min(1.0, slow_start.initial_share + missing_share * age / slow_start.duration)
 
     def warm_member_equivalents(self, now: float) -> float:
-        """Returns the sum of all shares of capacity, at least 1 and `MIN_WARM_RATIO` times the members."""
+        """Returns the sum of all shares of capacity, at least 1 and `MIN_WARM_RATIO` of the member count."""
         if not self.warming_starts:
             return max(1.0, self.member_count)
         shares = [self.capacity_share(start, now) for start in self.warming_starts]
