--- a/paddlequay/cluster/buckets.py
+++ b/paddlequay/cluster/buckets.py
@@ -1,9 +1,9 @@
-"""What one router has of a limit: tokens of a rate, or slots for requests in flight.
+"""One router's part of a limit: a bucket of tokens for a rate, or of slots for requests in flight.
 
-Both kinds first bring themselves up to the moment of use, so that a process that was stopped finds its grant
+A bucket is advanced to the current time before each use, so that a process that was stopped finds its grant
 expired. docs/cluster/limits.md proves that the fleet stays within the limit: at every instant the capacities
-and rates of all routers' buckets are the limit's at most, tokens never exceed the capacity, and a raised
-capacity brings no tokens.
+and rates of all routers' buckets sum to at most the limit, tokens never exceed the capacity, and a raised
+capacity adds no tokens.
 """
 
 import heapq
@@ -18,14 +18,15 @@
 
 @dataclass(frozen=True, slots=True)
 class BucketTiming:
-    """The times of all buckets of a process, in seconds of its clock.
+    """Times and durations that all buckets of a process share, in seconds of its clock.
 
     Attributes:
-        started_at: When the process started; its predecessor has spent its tokens, maybe not all its slots.
-        min_clock_rate: The true seconds in one second of this clock, at least.
-        retention_s: For how long an isolated router retains a part of its grant, with `PartitionMode.OPEN`.
-        floor_blocked_s: For how long after the start requests of the predecessor may still be in flight.
-        window_s: The length of a window of demand.
+        started_at: When the process started; its predecessor may have spent all tokens by then, and its
+            requests may still be in flight.
+        min_clock_rate: The least true time, in seconds, that passes in one second of this clock.
+        retention_s: How long an isolated router retains a part of its grant, with `PartitionMode.OPEN`.
+        floor_blocked_s: How long after the start requests of the predecessor may still be in flight.
+        window_s: The length of a window in which demand is counted.
     """
 
     started_at: float
@@ -37,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveGrant:
-    """The quota beside the floor.
+    """The quota that a router may use in addition to its floor.
 
     Attributes:
-        quota: What may be used beside the floor.
-        valid_until: When it ends.
-        is_retained: Whether the router is isolated and the quota is what it retains.
+        quota: The part of the limit that may be used in addition to the floor.
+        valid_until: When the quota ends.
+        is_retained: Whether the quota is the part that an isolated router retains of an expired grant.
     """
 
     quota: Quota = NO_QUOTA
@@ -50,7 +51,7 @@
     is_retained: bool = False
 
     def after_expiry(self, division: LimitDivision, timing: BucketTiming, isolated: bool) -> "ActiveGrant":
-        """Returns what follows this grant: a retained part where the router is isolated, else nothing."""
+        """Returns what replaces this grant at its end: in an isolated router a part of it, else no grant."""
         if not isolated or self.is_retained or timing.retention_s <= 0:
             return NO_GRANT
         retained = self.quota.min_with(division.isolated)
@@ -61,42 +62,42 @@
 
 
 class Bucket(Protocol):
-    """What one router has of one limit. Times are seconds of the process's clock."""
+    """One router's part of one limit. Times are seconds of the process's clock."""
 
     grant: ActiveGrant
     demand: DemandMeter
 
     def advance(self, now: float, isolated: bool) -> None:
-        """Brings the bucket up to `now`; to be called before every question."""
+        """Advances the bucket to `now`; has to be called before every other method that takes `now`."""
 
     def receive_grant(self, quota: Quota, valid_until: float) -> None:
         """Replaces the quota beside the floor by one that the holder has granted."""
 
     def admits(self, now: float, duration_s: float) -> bool:
-        """Returns whether a request may start now that ends within `duration_s`."""
+        """Returns whether a request that ends within `duration_s` may start now."""
 
     def acquire(self, permit: int, now: float, duration_s: float) -> None:
-        """Takes what a request needs; only where `admits` is true at the same moment."""
+        """Takes a token or a slot for a request; only allowed if `admits` is true at the same `now`."""
 
     def release(self, permit: int) -> None:
-        """Gives back what a request has taken, when it ends."""
+        """Frees the slot of a request that has ended."""
 
     def retry_after(self, now: float) -> float | None:
-        """Returns the seconds until a request is admitted, None where only another grant can admit one."""
+        """Returns the seconds until a request is admitted; None if unknown or never with this grant."""
 
     def demand_milli(self, now: float) -> int:
-        """Returns what the router would use, in thousandths; starts a new observation."""
+        """Returns what the router would use, in thousandths of a request; starts a new observation."""
 
     def is_unused(self) -> bool:
-        """Returns whether a bucket that is made later is the same as this one."""
+        """Returns whether a bucket created later would have the same state as this one."""
 
 
 class RateBucket:
-    """Tokens of a rate, in thousandths of a request.
+    """A token bucket for a limit on a rate; tokens are thousandths of a request.
 
-    A bucket that is made later holds what it would hold had it been unused since the process started, when it
-    was empty: the predecessor may have spent all tokens. So one that is full and without a grant may be
-    dropped.
+    A new bucket starts with the tokens of a bucket that was empty when the process started and has been
+    unused since: the predecessor may have spent all tokens. So a full bucket without a grant may be dropped
+    and created again.
     """
 
     def __init__(self, division: LimitDivision, timing: BucketTiming, now: float) -> None:
@@ -108,7 +109,7 @@
         self.tokens = self.initial_tokens(now)
 
     def initial_tokens(self, now: float) -> float:
-        """Returns the tokens of the floor since the process started."""
+        """Returns the tokens that the floor has gained since the process started."""
         floor = self.division.floor
         since_start = floor.amount_milli * (now - self.timing.started_at) * self.timing.min_clock_rate
         return min(floor.burst_milli, since_start)
@@ -120,7 +121,7 @@
 
     @property
     def rate_milli(self) -> int:
-        """The tokens that it gains per second."""
+        """The tokens that the bucket gains per second."""
         return self.division.floor.amount_milli + self.grant.quota.amount_milli
 
     def fill(self, now: float) -> None:
@@ -131,12 +132,12 @@
             self.filled_at = now
 
     def change_grant(self, grant: ActiveGrant) -> None:
-        """Replaces the grant as of `filled_at`: tokens above the new capacity are lost, none are gained."""
+        """Replaces the grant as of `filled_at`. Tokens above the new capacity are lost; none are added."""
         self.grant = grant
         self.tokens = min(self.tokens, self.capacity_milli)
 
     def advance(self, now: float, isolated: bool) -> None:
-        """Fills the bucket up to `now`, through the ends of the grant and of what was retained of it."""
+        """Fills the bucket up to `now`; ends the grant, and the part retained of it, when each expires."""
         while self.grant.valid_until <= now:
             self.fill(self.grant.valid_until)
             self.change_grant(self.grant.after_expiry(self.division, self.timing, isolated))
@@ -147,25 +148,25 @@
         self.change_grant(ActiveGrant(quota, valid_until))
 
     def admits(self, now: float, duration_s: float) -> bool:
-        """Returns whether there is a token."""
+        """Returns whether the bucket has a token for a whole request."""
         return self.tokens >= MILLI_PER_REQUEST
 
     def acquire(self, permit: int, now: float, duration_s: float) -> None:
-        """Spends a token; an admitted request is demand as well as a rejected one."""
+        """Spends the token of one request, and counts the request as demand, as rejected ones are."""
         self.tokens -= MILLI_PER_REQUEST
         self.demand.add(now)
 
     def release(self, permit: int) -> None:
-        """Does nothing: tokens are spent for good."""
+        """Does nothing: a spent token is not returned."""
 
     def retry_after(self, now: float) -> float | None:
-        """Returns the seconds until there is a token at the present rate."""
+        """Returns the seconds until there is a token at the present rate; None if there will be none."""
         if self.capacity_milli < MILLI_PER_REQUEST or not self.rate_milli:
             return None
         return (MILLI_PER_REQUEST - self.tokens) / (self.rate_milli * self.timing.min_clock_rate)
 
     def demand_milli(self, now: float) -> int:
-        """Returns the rate of requests, rejected ones included, in thousandths per second."""
+        """Returns the rate of requests, rejected ones included, in thousandths of a request per second."""
         return self.demand.rate_milli(now)
 
     def is_unused(self) -> bool:
@@ -174,7 +175,7 @@
 
 
 class SlotKind(IntEnum):
-    """What a request in flight counts against."""
+    """The part of a limit on requests in flight to which a slot belongs."""
 
     FLOOR = 0
     GRANTED = 1
@@ -184,9 +185,9 @@
 class SlotBucket:
     """Slots for requests in flight: of the floor, granted, or retained while the router is isolated.
 
-    A request on a granted slot ends before the grant does: the granted slots in use were all acquired within
-    a grant that is still valid, and are no more than that grant's. Retained slots are counted apart. Floor
-    slots stay blocked while requests of the predecessor may be in flight.
+    A request on a granted slot ends before the grant does. So all granted slots in use were acquired within a
+    grant that is still valid, and do not exceed it. Retained slots are counted separately. Floor slots stay
+    blocked while requests of the predecessor may be in flight.
     """
 
     def __init__(self, division: LimitDivision, timing: BucketTiming, now: float) -> None:
@@ -200,7 +201,7 @@
         self.peak_in_flight = 0
 
     def advance(self, now: float, isolated: bool) -> None:
-        """Releases slots of requests past their time-out, and goes through the ends of grants."""
+        """Releases the slots of requests past their time-out, and ends grants that have expired."""
         while self.deadlines and self.deadlines[0][0] <= now:
             _, permit = heapq.heappop(self.deadlines)
             self.release(permit)
@@ -212,11 +213,11 @@
         self.grant = ActiveGrant(quota, valid_until)
 
     def is_floor_open(self, now: float) -> bool:
-        """Returns whether no request of the predecessor can be in flight any more."""
+        """Returns whether floor slots may be used: the predecessor's requests have all ended."""
         return now >= self.timing.started_at + self.timing.floor_blocked_s
 
     def free_slot(self, now: float, duration_s: float) -> SlotKind | None:
-        """Returns the kind of slot that a request of `duration_s` may have now, None where it has to wait."""
+        """Returns the kind of slot that is free for a request of `duration_s` now; None if none is."""
         floor_in_use_milli = self.in_use[SlotKind.FLOOR] * MILLI_PER_REQUEST
         if self.is_floor_open(now) and floor_in_use_milli < self.division.floor.amount_milli:
             return SlotKind.FLOOR
@@ -227,30 +228,30 @@
         return kind if ends_in_time else None
 
     def admits(self, now: float, duration_s: float) -> bool:
-        """Returns whether there is a slot for a request that ends within `duration_s`."""
+        """Returns whether a slot is free for a request that ends within `duration_s`."""
         return self.free_slot(now, duration_s) is not None
 
     def acquire(self, permit: int, now: float, duration_s: float) -> None:
-        """Takes a slot until the request ends, by its time-out at the latest."""
+        """Takes a slot until the request ends, at the latest by its time-out."""
         kind = self.free_slot(now, duration_s)
-        assert kind is not None  # `admits` was asked at the same moment
+        assert kind is not None  # the caller has checked `admits` at the same `now`
         self.in_use[kind] += 1
         self.slots[permit] = kind
         heapq.heappush(self.deadlines, (now + duration_s, permit))
         self.peak_in_flight = max(self.peak_in_flight, len(self.slots))
 
     def release(self, permit: int) -> None:
-        """Frees a slot; does nothing once the request has timed out."""
+        """Frees the slot of a request; does nothing if its time-out has freed it already."""
         kind = self.slots.pop(permit, None)
         if kind is not None:
             self.in_use[kind] -= 1
 
     def retry_after(self, now: float) -> float | None:
-        """Returns None: when a slot becomes free is not known."""
+        """Returns None: it is not known when a slot becomes free."""
         return None
 
     def demand_milli(self, now: float) -> int:
-        """Returns the slots that would be used: the peak in flight since the last call, and the rejected."""
+        """Returns the peak in flight since the last call plus recent rejections, in thousandths."""
         peak = self.peak_in_flight
         self.peak_in_flight = len(self.slots)
         return (peak + self.demand.peak(now)) * MILLI_PER_REQUEST
--- a/paddlequay/cluster/fleet_limits.py
+++ b/paddlequay/cluster/fleet_limits.py
@@ -1,8 +1,8 @@
-"""Limits that hold over all routers: each router has a floor, and a grant beside it by its demand.
+"""Limits over all routers: each router has a floor and, according to its demand, a grant in addition.
 
 docs/cluster/limits.md compares the designs and proves that a limit is kept. A grant is valid for
-`ClusterBounds.grant_validity_s` from when its request was sent, less the clock drift. Admission waits for
-nothing: it decides by what this router has.
+`ClusterBounds.grant_validity_s` from when its request was sent, less the clock drift. Admission decides at
+once, by the floor and the grant that this router has.
 """
 
 from collections.abc import Iterable
@@ -30,15 +30,15 @@
     Urgency,
 )
 
-MAX_LOCAL_LIMITS = 4096  # limits of single values that a router keeps at a time
-MAX_TOKEN_WAIT_S = 1.0  # told a rejected client; a grant may bring a token sooner
+MAX_LOCAL_LIMITS = 4096  # limits of single values that a router keeps at the same time
+MAX_TOKEN_WAIT_S = 1.0  # longest wait told to a rejected client; a grant may bring a token sooner
 
-LimitKey = tuple[LimitScope, str]  # a scope and a value of it, under which a request falls
+LimitKey = tuple[LimitScope, str]  # a scope, and the value that a request has in it
 
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """Permission for a request; `FleetLimits.release` takes it back when the request ends."""
+    """Permission for one request; has to be passed to `FleetLimits.release` when the request ends."""
 
     number: int
     limits: tuple[NameDigest, ...]
@@ -46,34 +46,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """The rule that rejects a request, and in how many seconds another attempt is worth it."""
+    """The name of the rule that rejects a request, and the seconds after which a retry may succeed."""
 
     rule: str
     retry_after_s: float
 
 
 class FleetLimits:
-    """This router's side of all limits, and the holder's where it has the lease; implements `Component`.
+    """Admits requests under all limits, and grants quotas where this router holds the lease.
 
-    Starts with empty buckets. After `admit`, `due()` may be earlier than before.
+    Implements `Component`. Starts with empty buckets. A call of `admit` may make `due()` earlier.
 
     Args:
         fleet: The routers.
         bounds: The times that all routers share.
         rules: The limits of the settings.
-        held_term: Returns the term of a lease that this router holds at a moment, or None.
+        held_term: Returns the term of a lease if this router holds it at the given time, else None.
         incarnation: Of this process.
         now: Seconds of this process's clock.
-        slot_grant_extension_s: How much longer than `bounds.grant_validity_s` grants of slots are valid, the
-            same at all routers: the longest request that may start on a granted slot.
-        max_request_s: The longest time-out of a request: floor slots stay blocked for as long.
-        is_first_process: Whether there was no process before, so that no floor slot has to be blocked.
-        fast_ratio: The most by which this clock runs faster than true time, a part of every rate that it
-            costs; `bounds.drift_ratio` by default.
-        max_local_limits: The limits of single values that are kept at a time.
+        slot_grant_extension_s: How much longer than `bounds.grant_validity_s` grants of slots are valid; the
+            same at all routers. It is the longest request that may start on a granted slot.
+        max_request_s: The longest time-out of a request; floor slots are blocked for as long after the start.
+        is_first_process: Whether this router had no former process, so that no floor slot has to be blocked.
+        fast_ratio: The ratio by which this clock may run faster than true time; every rate is reduced by as
+            much. `bounds.drift_ratio` by default.
+        max_local_limits: The limits of single values that are kept at the same time.
 
     Raises:
-        ValueError: A rule cannot be kept, or the names of two rules cannot be told apart.
+        ValueError: A rule is invalid, or the names of two rules have the same digest.
     """
 
     HANDLED_MESSAGES: tuple[type[PeerMessage], ...] = (QuotaRequest, QuotaGrant)
@@ -105,7 +105,7 @@
         self.timing = BucketTiming(
             started_at=now,
             min_clock_rate=self.min_clock_rate(),
-            retention_s=bounds.epoch_validity_s,  # as long as a placement epoch
+            retention_s=bounds.epoch_validity_s,  # the same as of a placement epoch
             floor_blocked_s=0.0 if is_first_process else _longest_by_slow_clock(max_request_s, bounds),
             window_s=bounds.grant_validity_s / 3,
         )
@@ -116,27 +116,25 @@
         self._permit_numbers = count(1)
 
     def min_clock_rate(self) -> float:
-        """Returns the least true seconds in one of this clock: a fast clock must not fill buckets fast."""
+        """Returns the least true seconds in one second of this clock: a fast clock must not fill faster."""
         return 1 / (1 + self.fast_ratio)
 
     @property
     def leases(self) -> tuple[NameDigest, ...]:
-        """The leases that some router has to hold."""
+        """The leases whose holders grant the quotas of the limits."""
         return self.registry.leases
 
-    # --- admission ---
-
     def admit(self, scope: LimitScope, value: str, now: float, duration_s: float) -> Permit | Rejection:
-        """Admits or rejects one request that ends within `duration_s`, by its time-out."""
+        """Admits or rejects one request whose time-out is `duration_s`."""
         return self.admit_all(((scope, value),), now, duration_s)
 
     def admit_all(self, keys: Iterable[LimitKey], now: float, duration_s: float) -> Permit | Rejection:
-        """Admits a request under all limits that it falls under, or uses nothing of any.
+        """Admits a request under all limits that apply to it, or rejects it without using any of them.
 
         Args:
-            keys: What the request falls under.
+            keys: The scopes and values that the request has.
             now: Seconds of this process's clock.
-            duration_s: How long the request lasts at most.
+            duration_s: The longest that the request may last.
 
         Returns:
             A permit, or the rejection by the limit that takes longest to admit it.
@@ -159,7 +157,7 @@
         return self._acquire(limits, now, duration_s)
 
     def release(self, permit: Permit, now: float) -> None:
-        """Frees the slots of a request that has ended; tokens are spent. Twice is the same as once."""
+        """Frees the slots of a request that has ended; tokens stay spent. A repeated call has no effect."""
         for name in permit.limits:
             limit = self.local_limits.get(name)
             if limit is not None:
@@ -173,7 +171,7 @@
         return Permit(number, tuple(limits))
 
     def _reject(self, rejecting: dict[NameDigest, LocalLimit], now: float) -> Rejection:
-        """Counts demand only where it is rejected: elsewhere a higher share would be of no use to it."""
+        """Counts the demand at the rejecting limits only: a higher share of the others would not help."""
         for name, limit in rejecting.items():
             self.client.record_rejection(name, limit, now)
         waits = [(self._retry_after(limit, now), limit.fleet_limit.rule.name) for limit in rejecting.values()]
@@ -181,7 +179,7 @@
         return Rejection(rule, retry_after_s)
 
     def _retry_after(self, limit: LocalLimit, now: float) -> float:
-        """Returns the seconds until there is a token, or until another answer of the holder may be here."""
+        """Returns the seconds until there is a token, or until the holder may have answered again."""
         token_wait_s = limit.bucket.retry_after(now)
         if token_wait_s is None:
             return self.bounds.grant_validity_s / 3
@@ -192,12 +190,10 @@
             return self.slot_bucket_class(limit.division, self.timing, now)
         return self.rate_bucket_class(limit.division, self.timing, now)
 
-    # --- as a component of the cluster ---
-
     def handle_message(
         self, sender: Peer, incarnation: int, message: PeerMessage, now: float
     ) -> list[Action]:
-        """Answers a request for a quota as the holder, or uses a grant."""
+        """Answers another router's request for a quota, or uses a grant that the holder sent."""
         match message:
             case QuotaRequest():
                 return self._handle_request(sender, incarnation, message, now)
@@ -215,7 +211,7 @@
         return [] if grant is None else [SendMessage(sender, grant, Urgency.CHANGE)]
 
     def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
-        """Follows the holders of the limits' leases."""
+        """Records which routers hold the leases of the limits."""
         match event:
             case LeaseAcquired(lease, term) if lease in self.leases:
                 self.granter.record_term(lease, term, now)
--- a/paddlequay/cluster/grant_ledger.py
+++ b/paddlequay/cluster/grant_ledger.py
@@ -1,4 +1,4 @@
-"""What the holder of a limit remembers: who requests quotas, what is granted and until when."""
+"""The records of the holder of a limit: which routers request quotas, and which grants they may still use."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -6,21 +6,21 @@
 from paddlequay.cluster.quotas import NO_QUOTA, Quota
 from paddlequay.cluster.types import NEVER, NameDigest, Peer
 
-MAX_LEDGERS = 4096  # limits with demand at a time; past it routers that request stay at their floors
-MAX_GRANTS_PER_PROCESS = 16  # valid ones, none of which covers another
+MAX_LEDGERS = 4096  # limits with demand at the same time; routers get no grants for further ones
+MAX_GRANTS_PER_PROCESS = 16  # valid grants, none of which covers another
 
 Process = tuple[Peer, int]  # a router and the incarnation of its process
 
 
 @dataclass(slots=True)
-class Requester:
+class QuotaRequester:
     """A router that has requested a quota.
 
     Attributes:
-        incarnation: Of the process that has.
-        request_number: Of its last request.
-        demand_milli: What it needs beside its floor, in thousandths.
-        valid_until: When it counts no more unless it requests again.
+        incarnation: The incarnation of its process.
+        request_number: The number of its last request.
+        demand_milli: Its demand beyond the floor, in thousandths of a request.
+        valid_until: Until when its demand counts, unless it requests again.
     """
 
     incarnation: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """A quota that was granted, and until when its receiver may use it."""
+    """A granted quota, and until when its receiver may still be using it."""
 
     quota: Quota
     valid_until: float
@@ -39,9 +39,10 @@
 
 @dataclass(slots=True)
 class OutstandingGrants:
-    """The grants that one process may still use, for all that the holder knows.
+    """The grants that one process may still be using, as far as the holder knows.
 
-    `largest` is asked for each process at each request, so its result is cached until a grant comes or ends.
+    `largest` is called for each process at each request, so its result is cached until a grant is added or
+    expires.
     """
 
     grants: list[Grant] = field(default_factory=list)  # replaced, never changed in place
@@ -50,7 +51,7 @@
     _cached_until: float = field(default=0.0, init=False)
 
     def largest(self, now: float) -> Quota:
-        """Returns the largest amount and the largest burst of the grants that are valid; drops the others."""
+        """Returns the largest amount and the largest burst among the valid grants; drops expired grants."""
         if self.grants is self._cached_grants and now < self._cached_until:
             return self._cached_largest
         self.grants = [grant for grant in self.grants if grant.valid_until > now]
@@ -63,9 +64,9 @@
         return largest
 
     def add(self, quota: Quota, valid_until: float) -> None:
-        """Adds a grant, and drops those that it covers.
+        """Adds a grant, and drops the grants that it covers.
 
-        Past `MAX_GRANTS_PER_PROCESS`, two grants count as one of the larger quota and the later end.
+        Past `MAX_GRANTS_PER_PROCESS`, merges two grants into one with the larger quota and the later end.
         """
         uncovered = [grant for grant in self.grants if grant.quota.min_with(quota) != grant.quota]
         if len(uncovered) >= MAX_GRANTS_PER_PROCESS:
@@ -78,25 +79,25 @@
     """The demand and the grants of one limit.
 
     Attributes:
-        requesters: The routers that have requested, by number.
-        outstanding: The grants that may still be used, by process.
-        shares: The last division of the pool, by router.
+        requesters: The routers that have requested quotas, by router number.
+        outstanding: The grants that may still be in use, by process.
+        shares: The latest division of the pool, by router.
         shares_until: Until when that division is used.
     """
 
-    requesters: dict[Peer, Requester] = field(default_factory=dict)
+    requesters: dict[Peer, QuotaRequester] = field(default_factory=dict)
     outstanding: dict[Process, OutstandingGrants] = field(default_factory=dict)
     shares: dict[Peer, Quota] = field(default_factory=dict)
     shares_until: float = 0.0
 
     def drop_expired_requesters(self, now: float) -> None:
-        """Forgets routers that have not requested lately."""
+        """Deletes routers whose last request is too old to count."""
         self.requesters = {
             peer: requester for peer, requester in self.requesters.items() if requester.valid_until > now
         }
 
     def granted_to_others(self, process: Process, now: float) -> Quota:
-        """Returns the sum of what all other processes may use, a former one of the same router included."""
+        """Returns the sum of what all other processes may use, including a former one of the same router."""
         amount_milli = 0
         burst_milli = 0
         for other, outstanding in list(self.outstanding.items()):
@@ -109,7 +110,7 @@
         return Quota(amount_milli, burst_milli)
 
     def is_in_use(self, now: float) -> bool:
-        """Returns whether any process may use a grant of this limit."""
+        """Returns whether any process may still be using a grant of this limit."""
         return any(outstanding.largest(now).amount_milli for outstanding in self.outstanding.values())
 
 
@@ -121,7 +122,7 @@
         self._ledgers: OrderedDict[NameDigest, Ledger] = OrderedDict()
 
     def of_limit(self, limit: NameDigest, now: float) -> Ledger | None:
-        """Returns the ledger of a limit; None where there are too many and the oldest is in use."""
+        """Returns the ledger of a limit; None if there are too many and the oldest is still in use."""
         ledger = self._ledgers.get(limit)
         if ledger is not None:
             self._ledgers.move_to_end(limit)
--- a/paddlequay/cluster/limit_registry.py
+++ b/paddlequay/cluster/limit_registry.py
@@ -1,4 +1,4 @@
-"""The limits of a fleet as its routers share them: their leases, division and names."""
+"""The limits that all routers of a fleet share: their leases, their division and their names."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 from paddlequay.cluster.settings import LimitRule, LimitScope
 from paddlequay.cluster.types import ClusterBounds, NameDigest
 
-VALUE_BITS = 40  # of a limit's name that tell its value; the upper 24 tell its rule
+VALUE_BITS = 40  # low bits of a limit's name, which identify the value; the upper 24 identify the rule
 VALUE_MASK = (1 << VALUE_BITS) - 1
 ANY_VALUE = "*"
 
@@ -20,10 +20,10 @@
 
 
 def limit_of(lease: NameDigest, value: str) -> NameDigest:
-    """Returns the name of a rule's limit for one value.
+    """Returns the name of the limit that a rule sets for one value.
 
-    A holder can tell the rule of a value that it has never seen itself. Values of the same digest share a
-    limit, so that the limit still holds.
+    The name contains the digest of the rule, so that a holder finds the rule of a value that it has not seen
+    itself. Values of the same digest share a limit, and are limited together.
     """
     return (lease & ~VALUE_MASK) | (xxh3_64_intdigest(value) & VALUE_MASK)
 
@@ -33,9 +33,9 @@
     """A limit over all routers.
 
     Attributes:
-        rule: What the settings say.
-        lease: The lease whose holder grants quotas of it.
-        division: How it is divided over the fleet.
+        rule: The rule in the settings.
+        lease: The lease whose holder grants quotas of the limit.
+        division: How the limit is divided over the fleet.
         grant_validity_s: How long a grant is valid, in seconds.
     """
 
@@ -45,12 +45,12 @@
     grant_validity_s: float
 
     def applies_to(self, value: str) -> bool:
-        """Returns whether a value of the rule's scope falls under this limit."""
+        """Returns whether this limit applies to a value of the rule's scope."""
         return self.rule.match in (ANY_VALUE, value)
 
 
 class LimitRegistry:
-    """All limits of the settings, by what falls under them and by the names of their values."""
+    """All limits of the settings, found by scope and value or by the name of a value's limit."""
 
     def __init__(
         self,
@@ -59,16 +59,16 @@
         bounds: ClusterBounds,
         slot_grant_extension_s: float,
     ) -> None:
-        """Divides the limits.
+        """Divides the limits over the fleet.
 
         Args:
             rules: The limits of the settings.
             fleet_size: The number of routers.
             bounds: The times that all routers share.
-            slot_grant_extension_s: How much longer than others grants of slots are valid.
+            slot_grant_extension_s: How much longer grants of slots are valid than other grants, in seconds.
 
         Raises:
-            ValueError: A rule cannot be kept, or the names of two rules cannot be told apart.
+            ValueError: A rule is invalid, or the names of two rules have the same digest.
         """
         self._by_scope: dict[LimitScope, list[FleetLimit]] = {}
         self._by_rule_bits: dict[int, FleetLimit] = {}
@@ -81,7 +81,7 @@
             rule_bits = lease >> VALUE_BITS
             if rule_bits in self._by_rule_bits:
                 raise ValueError(
-                    f"limit {rule.name}: another has the same name, or one that cannot be told apart"
+                    f"limit {rule.name}: another limit has the same name, or a name with the same digest"
                 )
             self._by_rule_bits[rule_bits] = limit
             self._by_scope.setdefault(rule.scope, []).append(limit)
@@ -91,13 +91,13 @@
 
     @property
     def leases(self) -> tuple[NameDigest, ...]:
-        """The leases that some router has to hold."""
+        """The leases whose holders grant the quotas of the limits."""
         return tuple(limit.lease for limit in self)
 
     def of_name(self, limit: NameDigest) -> FleetLimit | None:
-        """Returns the limit that a value's limit belongs to, None for an unknown one."""
+        """Returns the fleet limit to which the limit of a value belongs; None if its rule is unknown."""
         return self._by_rule_bits.get(limit >> VALUE_BITS)
 
     def matching(self, scope: LimitScope, value: str) -> Iterator[FleetLimit]:
-        """Yields the limits that a value falls under."""
+        """Yields the limits that apply to a value of a scope."""
         return (limit for limit in self._by_scope.get(scope, ()) if limit.applies_to(value))
--- a/paddlequay/cluster/local_limits.py
+++ b/paddlequay/cluster/local_limits.py
@@ -1,4 +1,4 @@
-"""The limits of single values that a router keeps: their buckets, and the requests for quotas under way."""
+"""The limits of single values that a router keeps: their buckets, and their requests for quotas."""
 
 import heapq
 from collections import OrderedDict
@@ -10,24 +10,24 @@
 from paddlequay.cluster.settings import PartitionMode
 from paddlequay.cluster.types import NEVER, NameDigest
 
-MAX_EVICTION_ATTEMPTS = 8  # oldest limits that are tried when one has to go
+MAX_EVICTION_ATTEMPTS = 8  # least recently used limits that are checked for eviction
 
 
 @dataclass(slots=True)
 class LocalLimit:
-    """One limit of one value, as this router uses it. Times are seconds of its clock.
+    """This router's state of the limit of one value. Times are seconds of its clock.
 
     Attributes:
-        fleet_limit: The limit that it is one value's of.
-        bucket: What this router has of it.
-        sent_requests: When each request for a quota was sent, by number, the oldest first.
+        fleet_limit: The fleet limit that applies to the value.
+        bucket: This router's part of the limit.
+        sent_requests: When each request for a quota was sent, by request number, the oldest first.
         granted_request: The number of the request that the grant in use answers.
-        next_request_at: When a request is due.
-        last_request_at: When the last one was sent.
-        unanswered_since: Since when requests have had no answer.
+        next_request_at: When the next request for a quota is due.
+        last_request_at: When the last request for a quota was sent.
+        unanswered_since: When the first of the requests was sent that have had no answer.
         rejected_since_request: Whether a request of a client was rejected since the last request for a quota.
-        last_demand_milli: What the last request asked for, in thousandths.
-        last_broadcast_at: When all routers that may hold the lease were asked.
+        last_demand_milli: The demand in the last request for a quota, in thousandths of a request.
+        last_broadcast_at: When a request was last sent to all routers that may hold the lease.
     """
 
     fleet_limit: FleetLimit
@@ -43,9 +43,9 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Whether the grant ends while this router requests in vain, so that it may retain a part of it.
+        """Whether requests since the grant in use are unanswered, so that a part of it may be retained.
 
-        False for a strict limit, and where the router has ceased to request.
+        False for a strict limit, and where the router has stopped requesting.
         """
         if self.fleet_limit.rule.mode is not PartitionMode.OPEN:
             return False
@@ -56,12 +56,12 @@
         )
 
     def advance(self, now: float) -> None:
-        """Brings the bucket up to `now`."""
+        """Advances the bucket to `now`."""
         self.bucket.advance(now, self.is_isolated)
 
 
 class LocalLimits:
-    """The local limits by name, the least recently used first; a bounded number of them."""
+    """A bounded number of local limits by name, the least recently used first."""
 
     def __init__(self, max_limits: int, make_bucket: Callable[[FleetLimit, float], Bucket]) -> None:
         self.max_limits = max_limits
@@ -75,19 +75,19 @@
         return iter(self._limits.values())
 
     def get(self, name: NameDigest) -> LocalLimit | None:
-        """Returns a limit that is kept, without a use of it."""
+        """Returns a limit without marking it as used; None if it is not kept."""
         return self._limits.get(name)
 
     def use(
         self, name: NameDigest, fleet_limit: FleetLimit, now: float, pinned: Container[NameDigest]
     ) -> LocalLimit | None:
-        """Returns a limit, new if need be; None where all that are kept are in use.
+        """Returns a limit and marks it as used, creating it if needed; None if no other can be evicted.
 
         Args:
-            name: Of the limit.
-            fleet_limit: The limit that it belongs to.
+            name: The name of the limit.
+            fleet_limit: The fleet limit to which it belongs.
             now: Seconds of this process's clock.
-            pinned: The limits that must not be dropped for it.
+            pinned: The names of limits that must not be evicted for it.
         """
         limit = self._limits.get(name)
         if limit is not None:
@@ -100,15 +100,15 @@
         return limit
 
     def may_drop(self, limit: LocalLimit, now: float) -> bool:
-        """Returns whether a limit is as good as new, so that dropping it gains nobody anything.
+        """Returns whether a new limit would have the same state, so that dropping this one admits no more.
 
-        The requests that it has sent are forgotten with it, so that their answers are void.
+        The record of its sent requests is dropped with it, so that answers to them are void.
         """
         limit.advance(now)
         return limit.bucket.is_unused()
 
     def _evict(self, now: float, pinned: Container[NameDigest]) -> bool:
-        """Drops one of the oldest limits; returns False where none of them may go."""
+        """Drops one of the least recently used limits; returns False if none of them may be dropped."""
         names = iter(self._limits)
         oldest = [next(names) for _ in range(min(MAX_EVICTION_ATTEMPTS, len(self._limits)))]
         for name in oldest:
@@ -119,19 +119,19 @@
 
 
 class RequestSchedule:
-    """When each local limit requests a quota next."""
+    """The times at which the local limits next request quotas."""
 
     def __init__(self, limits: LocalLimits) -> None:
         self.limits = limits
         self._heap: list[tuple[float, NameDigest]] = []
 
     def request_by(self, name: NameDigest, limit: LocalLimit, at: float) -> None:
-        """Schedules a request, unless an earlier one is due."""
+        """Schedules a request, unless one is scheduled earlier."""
         if at < limit.next_request_at:
             self._schedule(name, limit, at)
 
     def postpone(self, name: NameDigest, limit: LocalLimit, at: float) -> None:
-        """Puts a scheduled request off, unless it is later already."""
+        """Postpones a scheduled request to `at`, unless it is scheduled later already."""
         self._schedule(name, limit, max(limit.next_request_at, at))
 
     def due(self) -> float:
@@ -145,11 +145,11 @@
         return NEVER
 
     def pop_due(self, now: float) -> Iterator[tuple[NameDigest, LocalLimit]]:
-        """Yields the limits whose request is due, also those that are scheduled meanwhile."""
+        """Yields the limits whose requests are due, including those scheduled during the iteration."""
         while self.due() <= now:
             _, name = heapq.heappop(self._heap)
             limit = self.limits.get(name)
-            assert limit is not None  # `due` has dropped entries of limits that are gone
+            assert limit is not None  # `due` has removed the entries of limits that were dropped
             limit.next_request_at = NEVER
             yield name, limit
 
--- a/paddlequay/cluster/quota_client.py
+++ b/paddlequay/cluster/quota_client.py
@@ -1,4 +1,4 @@
-"""A router's side of quotas: requests them from the holders of limits, and uses the grants that come."""
+"""A router's side of quotas: requests them from the holders of limits, and applies the grants it receives."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -19,15 +19,15 @@
     Urgency,
 )
 
-MAX_SENT_REQUESTS = 16  # of a limit whose answers are still accepted
-NUMBER_BITS = 20  # low bits of a request's number, which count; the incarnation is above them
-NUMBER_MODULUS = 2**63  # the numbers that a message's field holds
-EVERY_PEER = (None,)  # as receivers: `SendMessage.to` is None for a message to all
-MAX_REQUESTS_PER_GRANT = 12  # within a grant's validity, of a limit that rejects
+MAX_SENT_REQUESTS = 16  # requests of one limit whose answers are still accepted
+REQUEST_NUMBER_BITS = 20  # low bits of a request's number, a counter; the bits above it are the incarnation
+REQUEST_NUMBER_MODULUS = 2**63  # numbers are below it, as the message's field requires
+EVERY_PEER = (None,)  # receivers of a broadcast: `SendMessage.to` is None for a message to all
+MAX_REQUESTS_PER_GRANT = 12  # requests within a grant's validity, for a limit that rejects
 
-# As ratios of a grant's validity.
-RENEWAL_RATIO = 2 / 3  # until a grant is renewed: two attempts are left before its end
-RETRY_RATIO = 1 / 7  # until a request without an answer is sent again, later each time
+# As multiples of a grant's validity.
+RENEWAL_RATIO = 2 / 3  # time until a grant is renewed; leaves two attempts before its end
+RETRY_RATIO = 1 / 7  # first wait before an unanswered request is repeated; later ones are longer
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,13 +39,13 @@
 
 
 def first_request_number(incarnation: int) -> int:
-    """Returns the number of a process's first request; the numbers of two processes differ."""
-    counted_from = (incarnation << NUMBER_BITS) % NUMBER_MODULUS
+    """Returns the number of a process's first request. The numbers of different processes differ."""
+    counted_from = (incarnation << REQUEST_NUMBER_BITS) % REQUEST_NUMBER_MODULUS
     return counted_from + 1
 
 
 class QuotaClient:
-    """Requests quotas for the local limits of a router. `incarnation` is that of its process."""
+    """Requests quotas for the local limits of a router, whose process has `incarnation`."""
 
     def __init__(
         self, fleet: Fleet, bounds: ClusterBounds, incarnation: int, limits: LocalLimits, granter: Granter
@@ -60,7 +60,7 @@
         self._numbers = count(first_request_number(incarnation))
 
     def observe_holder(self, lease: NameDigest, holder: Peer, term: int) -> None:
-        """Remembers the holder of a lease, unless one of a later term is known."""
+        """Records the holder of a lease, unless a holder of a later term is known."""
         if term >= self._known_term(lease):
             self._holders[lease] = KnownHolder(term, holder)
 
@@ -72,7 +72,7 @@
         self.schedule.request_by(name, limit, max(now, soonest))
 
     def record_admission(self, name: NameDigest, limit: LocalLimit, now: float) -> None:
-        """Schedules the renewal of the quota before its grant ends."""
+        """Schedules a renewal of the quota before its grant ends."""
         self.schedule.request_by(name, limit, max(now, self._renewal_at(limit)))
 
     def due(self) -> float:
@@ -87,7 +87,7 @@
         return actions
 
     def handle_grant(self, sender: Peer, grant: QuotaGrant, now: float) -> None:
-        """Uses a grant that answers a request of this process and has not ended."""
+        """Applies a grant that answers a request of this process and has not expired."""
         limit = self.limits.get(grant.limit)
         if limit is None:
             return
@@ -109,8 +109,8 @@
     def valid_from(self, limit: LocalLimit, grant: QuotaGrant, now: float) -> float | None:
         """Returns when the validity of a grant began: when the request that it answers was sent.
 
-        Returns None for a void grant: one that answers no request of this process, or one older than that of
-        the grant in use, or one of a lower term than is known.
+        Returns None for a void grant: it answers no request of this process, or a request no newer than that
+        of the grant in use, or its term is lower than the latest known one.
         """
         if grant.request_number <= limit.granted_request:
             return None
@@ -119,7 +119,7 @@
         return limit.sent_requests.get(grant.request_number)
 
     def _request(self, name: NameDigest, limit: LocalLimit, now: float) -> list[Action]:
-        """Requests a quota, as long as the demand exceeds the floor."""
+        """Requests a quota if the demand exceeds the floor or a request was rejected."""
         limit.advance(now)
         division = limit.fleet_limit.division
         demand_milli = min(limit.bucket.demand_milli(now), division.limit.amount_milli)
@@ -139,7 +139,7 @@
         return self._send_request(limit, request, now)
 
     def _is_answered(self, limit: LocalLimit, demand_milli: int, now: float) -> bool:
-        """Returns whether the last request was answered, and the same again would get the same."""
+        """Returns whether the last request was answered and a further one would get the same answer."""
         return (
             limit.granted_request in limit.sent_requests
             and now < self._renewal_at(limit)
@@ -147,7 +147,7 @@
         )
 
     def _record_sent(self, limit: LocalLimit, demand_milli: int, now: float) -> int:
-        """Records a request as sent; forgets those whose answers would come too late or are too many."""
+        """Records a request as sent; drops those that are too old for a useful answer, or too many."""
         limit.rejected_since_request = False
         limit.last_demand_milli = demand_milli
         number = next(self._numbers)
@@ -162,23 +162,22 @@
         return number
 
     def _schedule_retry(self, name: NameDigest, limit: LocalLimit, now: float) -> None:
-        """Schedules the next request; without answers the wait doubles, up to a grant's validity."""
+        """Schedules the next request; the wait doubles while no answer comes, up to a grant's validity."""
         wait = max(self.bounds.grant_validity_s * RETRY_RATIO, now - limit.unanswered_since)
         self.schedule.request_by(name, limit, now + min(wait, self.bounds.grant_validity_s))
 
     def _request_from_self(self, limit: LocalLimit, request: QuotaRequest, now: float) -> None:
-        """Requests a quota from this router as the holder."""
+        """Requests a quota from this router, which is the holder itself."""
         me = self.fleet.me
         grant = self.granter.handle_request(limit.fleet_limit, me, self.incarnation, request, now)
         if grant is not None:
             self.handle_grant(me, grant, now)
 
     def _send_request(self, limit: LocalLimit, request: QuotaRequest, now: float) -> list[Action]:
-        """Sends a request to the known holder, or to all acceptors where it is unknown or does not answer.
+        """Sends a request to the known holder, or to all acceptors if none is known or it does not answer.
 
-        A broadcast is sent once a grant's validity at most. Within that time after one, a request goes to the
-        known holder alone, and is not sent at all where none is known. Without another acceptor it
-        goes to all peers.
+        If there is no other acceptor, the broadcast goes to all peers. It is sent at most once in a grant's
+        validity: until then requests go to the known holder only, and are not sent if none is known.
         """
         holder = self._other_holder(limit.fleet_limit.lease)
         answer_timeout_s = self.bounds.grant_validity_s
--- a/paddlequay/cluster/quotas.py
+++ b/paddlequay/cluster/quotas.py
@@ -1,7 +1,7 @@
-"""Quotas of a limit: the floor of each router, the pool that is granted beside it, and its division.
+"""Quotas of a limit: the floor of each router, the pool for further grants, and the division of the pool.
 
 All amounts are whole thousandths of a request, so that sums are exact: the floors of all routers and the pool
-are the limit, to the last thousandth.
+sum to the limit.
 """
 
 from collections.abc import Mapping
@@ -18,8 +18,8 @@
     """A part of a limit, in thousandths of a request.
 
     Attributes:
-        amount_milli: Per second; of a limit on requests in flight, the slots.
-        burst_milli: At once; 0 for a limit on requests in flight.
+        amount_milli: Requests per second; for a limit on requests in flight, slots.
+        burst_milli: Requests at the same moment; 0 for a limit on requests in flight.
     """
 
     amount_milli: int = 0
@@ -40,7 +40,7 @@
         )
 
     def minus(self, other: "Quota") -> "Quota":
-        """Returns what is left, never below nothing."""
+        """Returns the difference of both amounts and of both bursts, never below 0."""
         return Quota(
             max(0, self.amount_milli - other.amount_milli),
             max(0, self.burst_milli - other.burst_milli),
@@ -54,16 +54,17 @@
 class LimitDivision:
     """A limit as it is divided over the fleet: `limit` = fleet size * `floor` + `pool`.
 
-    With `PartitionMode.OPEN`, `isolated` is (open_factor - 1) * limit / fleet size: floors and valid grants
-    are the limit at most, and what all routers can retain is (open_factor - 1) * limit at most. So the fleet
-    stays within open_factor * limit although no router knows what the others retain.
+    With `PartitionMode.OPEN`, `isolated` is (open_factor - 1) * limit / fleet size. Floors and valid grants
+    sum to at most the limit, and the parts that all routers can retain sum to at most
+    (open_factor - 1) * limit. So the fleet stays within open_factor * limit, although no router knows what
+    the others retain.
 
     Attributes:
         limit: The whole limit.
-        floor: What each router may always use.
-        pool: What the holder grants beside the floors.
-        isolated: What an isolated router retains of its last grant at most.
-        unit_milli: Grants are multiples of it: a thousandth per second, or a slot.
+        floor: The part that each router may always use.
+        pool: The part that the holder grants in addition to the floors.
+        isolated: The most that an isolated router retains of its last grant.
+        unit_milli: The unit of grants: a thousandth of a request per second, or a slot.
     """
 
     limit: Quota
@@ -74,7 +75,7 @@
 
     @property
     def burst_shortfall_milli(self) -> int:
-        """How much burst a router needs beside its floor to admit a single request."""
+        """The burst that a router needs in addition to its floor to admit a single request."""
         if self.unit_milli != 1:
             return 0
         return max(0, MILLI_PER_REQUEST - self.floor.burst_milli)
@@ -84,26 +85,28 @@
     """Divides a limit over the routers of a fleet.
 
     Raises:
-        ValueError: The rule contradicts itself, or a figure of it is out of range.
+        ValueError: The rule sets both or neither of a rate and slots, or one of its values is out of range.
     """
     if (rule.rate_per_s is None) == (rule.max_in_flight is None):
-        raise ValueError(f"limit {rule.name}: either a rate or a number at once")
+        raise ValueError(f"limit {rule.name}: expected either a rate or a number of requests in flight")
     figures_in_range = 0 <= rule.floor_ratio <= 1 and rule.open_factor >= 1 and fleet_size >= 1
     if not figures_in_range or not 0 < len(rule.name) <= MAX_TEXT_BYTES:
-        raise ValueError(f"limit {rule.name}: floor, over or name out of bounds")
+        raise ValueError(
+            f"limit {rule.name}: floor ratio, open factor, name length or fleet size out of range"
+        )
     if rule.max_in_flight is not None:
         return _divide_slots(rule, rule.max_in_flight, fleet_size)
     return _divide_rate(rule, rule.rate_per_s or 0.0, fleet_size)
 
 
 def _excess_factor(rule: LimitRule) -> float:
-    """Returns what isolated routers may use beside the limit, as a multiple of it."""
+    """Returns how much isolated routers may use in addition to the limit, as a multiple of it."""
     return rule.open_factor - 1 if rule.mode is PartitionMode.OPEN else 0.0
 
 
 def _divide_slots(rule: LimitRule, slots: int, fleet_size: int) -> LimitDivision:
     if slots < 1:
-        raise ValueError(f"limit {rule.name}: less than one at once")
+        raise ValueError(f"limit {rule.name}: expected at least 1 request in flight, got {slots}")
     floor = min(int(slots * rule.floor_ratio), slots) // fleet_size
     isolated = int(slots * _excess_factor(rule)) // fleet_size
     return LimitDivision(
@@ -116,9 +119,9 @@
 
 
 def _divide_rate(rule: LimitRule, rate_per_s: float, fleet_size: int) -> LimitDivision:
-    """Divides a rate. A floor whose burst admits no request would be lost, and goes to the pool instead."""
+    """Divides a rate. A floor whose burst admits no request would be unusable, so it goes to the pool."""
     if rate_per_s <= 0 or rule.burst < 1:
-        raise ValueError(f"limit {rule.name}: a rate above 0 and a burst of 1 at least")
+        raise ValueError(f"limit {rule.name}: expected a rate above 0 and a burst of at least 1")
     limit = Quota(int(rate_per_s * MILLI_PER_REQUEST), int(rule.burst * MILLI_PER_REQUEST))
     floor = Quota(
         min(int(limit.amount_milli * rule.floor_ratio), limit.amount_milli) // fleet_size,
@@ -143,17 +146,18 @@
 
 
 def max_min_shares(pool_milli: int, demands_milli: Mapping[int, int], unit_milli: int = 1) -> dict[int, int]:
-    """Divides a pool max-min fairly: small demands are met, the others share the rest evenly.
+    """Divides a pool max-min fairly: small demands are met, and the others share the rest evenly.
 
-    What nobody demands is divided too, in proportion to the demands, as headroom for demand not yet seen.
+    If the pool exceeds all demands, the excess is divided in proportion to them, as headroom for demand that
+    is not measured yet.
 
     Args:
-        pool_milli: What is divided, in thousandths.
-        demands_milli: The demand of each router, in thousandths; those without demand get no share.
-        unit_milli: Shares are multiples of it.
+        pool_milli: The amount to divide, in thousandths.
+        demands_milli: The demand of each router, in thousandths; routers without demand get no share.
+        unit_milli: The unit of which all shares are multiples.
 
     Returns:
-        The share of each router, in thousandths. Two that get less than they demand differ by a unit at most.
+        The share of each router, in thousandths. Shares below their demands differ by a unit at most.
     """
     by_demand = sorted(
         (-(-demand // unit_milli), peer) for peer, demand in demands_milli.items() if demand > 0
@@ -169,7 +173,7 @@
 
 
 def _add_headroom(units: dict[int, int], by_demand: list[tuple[int, int]], spare: int) -> None:
-    """Adds spare units in proportion to demands; the remainders go one each to the largest demands."""
+    """Adds spare units in proportion to demands; the remainder goes to the largest demands, a unit each."""
     total = sum(demand for demand, _ in by_demand)
     left = spare
     for demand, peer in by_demand:
@@ -181,9 +185,9 @@
 
 
 def even_bursts(pool_milli: int, shares_milli: Mapping[int, int]) -> dict[int, int]:
-    """Divides the burst that goes with shares of a rate evenly, in thousandths.
+    """Divides the burst of a rate evenly among the routers that have shares, in thousandths.
 
-    A router below its demand has an empty bucket and no use for burst; one at its demand needs it to admit
-    requests as they come, the more of it the fewer they are.
+    A router whose share is below its demand has an empty bucket and cannot use burst. A router whose demand
+    is met needs burst to admit requests when they arrive; the fewer they are, the more burst it needs.
     """
     return {peer: pool_milli // len(shares_milli) for peer in shares_milli}
--- a/paddlequay/cluster/settings.py
+++ b/paddlequay/cluster/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the cluster, as its components take them; `schema/cluster.py` reads the file."""
+"""The cluster settings in the form that its components use; `schema/cluster.py` reads the file."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -8,14 +8,14 @@
 
 
 class PartitionMode(Enum):
-    """What a limit does where its holder cannot be reached."""
+    """How a limit behaves in a router that cannot reach its holder."""
 
     STRICT = "strict"  # never exceeds the limit: an isolated router has its floor
     OPEN = "open"  # availability first: an isolated router retains a part of its last grant
 
 
 class LimitScope(Enum):
-    """What a limit is kept for, each value of it apart."""
+    """The property of a request to which a limit applies; each value has its own limit."""
 
     CLASS = "class"
     TENANT = "tenant"
@@ -26,18 +26,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitRule:
-    """A limit over all routers, on a rate or on requests in flight; exactly one of both is set.
+    """A limit over all routers. Exactly one of `rate_per_s` and `max_in_flight` is set.
 
     Attributes:
-        name: Names the limit to all routers.
-        scope: What it is kept for.
-        match: A class, a tenant, a group's number, a member's name or kind; "*" for each of them.
+        name: The name of the limit, the same at all routers.
+        scope: The property of a request to which the limit applies.
+        match: A class, a tenant, a group's number, or a member's name or kind; "*" applies to each value.
         rate_per_s: Requests per second.
-        burst: Requests at once, beside the rate.
+        burst: Requests that may start at the same moment, with `rate_per_s`.
         max_in_flight: Requests in flight.
-        mode: What it does where the holder cannot be reached.
+        mode: How the limit behaves in a router that cannot reach the holder.
         open_factor: With `PartitionMode.OPEN`, the multiple of the limit that is never exceeded.
-        floor_ratio: The part that is divided evenly among all routers, whatever their demand.
+        floor_ratio: The ratio of the limit that is divided evenly among all routers, whatever their demand.
     """
 
     name: str
@@ -53,16 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelRule:
-    """Which requests make live channels, and how channels are owned."""
+    """The requests that belong to live channels, and how routers own channels."""
 
     classes: tuple[str, ...]
-    bundles: int = 64  # leases of a zone that its channels share
-    prefetch_parts: int = 1  # parts that the owner fills beyond the highest one read
-    idle_timeout_s: float = 3.0  # a channel that is not read for so long ends
-    max_channels: int = 4096  # remembered at a router
-    rebalance_ratio: float = (
-        1.5  # of the mean load of the zone's routers, above which an owner moves a bundle
-    )
+    bundles: int = 64  # bundles of a zone; the channels of a bundle share a lease
+    prefetch_parts: int = 1  # parts that the owner prefetches beyond the highest one read
+    idle_timeout_s: float = 3.0  # a channel ends when it is not read for this long
+    max_channels: int = 4096  # channels that a router keeps at the same time
+    rebalance_ratio: float = 1.5  # an owner moves a bundle above this multiple of the mean load in its zone
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,15 +68,15 @@
     """One router's settings of the cluster.
 
     Attributes:
-        name: Of the installation; datagrams of other installations are ignored.
+        name: The name of the installation; datagrams of other installations are ignored.
         acceptors: The routers that vote on leases.
         bounds: The times that all routers share.
-        bytes_per_s: What this router sends at most; a message to all counts for each receiver.
+        bytes_per_s: The most that this router sends; a message to all counts once for each receiver.
         pings_per_s: How often this router probes a peer.
         verdicts: Whether routers share verdicts on sources and caches.
         limits: The limits over all routers.
-        channels: How live channels are owned, None where they are not.
-        placement_rules: The file of the placement rules, None for plain homes.
+        channels: How routers own live channels; None if there are none.
+        placement_rules: The file of the placement rules; None for plain homes.
     """
 
     name: str
--- a/tests/cluster/test_limit_permits.py
+++ b/tests/cluster/test_limit_permits.py
@@ -106,7 +106,7 @@
     assert world.permits.admit(b, 2.0) == (NO_LIMITS_RETRY_S if strict else None)
     assert (world.permits.before_write(attempt, 1.0) is None) is not strict
     world.permits.request_ended(a)
-    assert not world.permits.requests and not world.permits.attempts
+    assert not world.permits.request_permits and not world.permits.attempt_permits
 
 
 def test_a_limit_of_any_member_does_not_apply_to_their_kind(tmp_path: Path) -> None:
