--- a/tests/cluster/test_cluster_settings.py
+++ b/tests/cluster/test_cluster_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the cluster: the example in deploy/, and errors that name line and field."""
+"""The cluster settings: the example in deploy/ is valid, and errors name the line and the field."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 from paddlequay.schema.cluster import read_cluster
 
 ROOT = Path(__file__).parents[2]
-GOOD = """cluster {
+VALID_SETTINGS = """cluster {
   name: "here"
   acceptor: 0
   acceptor: 1
@@ -21,7 +21,7 @@
 """
 
 
-def read(folder: Path, text: str) -> None:
+def read_settings_text(folder: Path, text: str) -> None:
     file = folder / "cluster.txtpb"
     file.write_text(text)
     read_cluster(file)
@@ -30,13 +30,17 @@
 def test_the_example_settings_in_deploy_are_valid() -> None:
     settings = read_cluster(ROOT / "deploy/cluster.txtpb")
     assert settings.acceptors == (0, 1, 2) and settings.bounds.lease_s == 1.5
-    charges, tenants = settings.limits
+    charge_limit, tenant_limit = settings.limits
     assert (
-        charges.scope is LimitScope.CLASS
-        and charges.mode is PartitionMode.STRICT
-        and charges.rate_per_s == 40
+        charge_limit.scope is LimitScope.CLASS
+        and charge_limit.mode is PartitionMode.STRICT
+        and charge_limit.rate_per_s == 40
+    )
+    assert (
+        tenant_limit.match == "*"
+        and tenant_limit.mode is PartitionMode.OPEN
+        and tenant_limit.max_in_flight is None
     )
-    assert tenants.match == "*" and tenants.mode is PartitionMode.OPEN and tenants.max_in_flight is None
 
 
 @pytest.mark.parametrize(
@@ -67,8 +71,8 @@
 def test_invalid_cluster_settings_are_reported_with_their_field(
     tmp_path: Path, old: str, new: str, error_text: str
 ) -> None:
-    read(tmp_path, GOOD)
-    assert old in GOOD
+    read_settings_text(tmp_path, VALID_SETTINGS)
+    assert old in VALID_SETTINGS
     with pytest.raises(ConfigError) as error:
-        read(tmp_path, GOOD.replace(old, new, 1))
+        read_settings_text(tmp_path, VALID_SETTINGS.replace(old, new, 1))
     assert error_text in str(error.value)
--- a/tests/cluster/test_lease_search.py
+++ b/tests/cluster/test_lease_search.py
@@ -1,12 +1,12 @@
-"""The search through what may happen to leases finds nothing, and finds each guard's fault without it."""
+"""The search for faults of leases finds none, and finds the fault of each guard that is removed."""
 
 import pytest
 
 from paddlequay.lab.lease_guards import WITHOUT_GUARD
 from paddlequay.lab.lease_search import Report, search, small_world
 
-# A seed a little before the first walk, from 1 on, that shows the fault: long searches are the lab's.
-SEEN_FROM = {
+# By guard: a seed shortly before the first walk that shows its fault, which keeps the search in a test short.
+SEARCH_START_SEEDS = {
     "restart stay-out": 250,
     "ballot check in accept": 225,
     "clock in heads": 660,
@@ -24,23 +24,25 @@
 
 
 @pytest.mark.parametrize("guard", WITHOUT_GUARD)
-def test_random_walks_find_the_fault_of_each_guard_taken_out(guard: str) -> None:
-    report = search(20_000, SEEN_FROM.get(guard, 1), guard, depth=0)
+def test_random_walks_find_the_fault_of_each_removed_guard(guard: str) -> None:
+    report = search(20_000, SEARCH_START_SEEDS.get(guard, 1), guard, depth=0)
     assert report.faults, guard
     assert ("go back" if guard.split()[0] in ("ballot", "clock", "floor") else "two hold") in report.faults[0]
 
 
 @pytest.mark.parametrize(("guard", "starts_held"), [("majority", False), ("no overwriting of a lock", True)])
-def test_small_worlds_find_guards_taken_out_within_their_depth(guard: str, starts_held: bool) -> None:
+def test_small_worlds_find_the_fault_of_a_removed_guard_within_their_depth(
+    guard: str, starts_held: bool
+) -> None:
     report = Report()
     small_world(1, 5, report, starts_held, WITHOUT_GUARD[guard])
     assert "two hold" in report.faults[0]
 
 
 def test_the_same_seed_gives_the_same_walks() -> None:
-    one, two = search(4_000, 5, depth=0), search(4_000, 5, depth=0)
-    assert (one.kinds, one.acquisitions, one.max_healing_s) == (
-        two.kinds,
-        two.acquisitions,
-        two.max_healing_s,
+    first, second = search(4_000, 5, depth=0), search(4_000, 5, depth=0)
+    assert (first.kinds, first.acquisitions, first.max_healing_s) == (
+        second.kinds,
+        second.acquisitions,
+        second.max_healing_s,
     )
--- a/tests/cluster/test_leases.py
+++ b/tests/cluster/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases under named faults: which router holds when, under which term, and how soon. True seconds."""
+"""Leases under faults: which router holds a lease, under which term, and how soon. Times are true seconds."""
 
 import math
 import random
@@ -30,33 +30,44 @@
 from paddlequay.lab.lease_world import LeaseWorld
 
 LEASE_S = ClusterBounds().lease_s
-RESTART_DELAY_S = LEASE_S * 1.05 / 0.95  # of an acceptor, at most, as a lock; by the slowest clock
+RESTART_DELAY_S = LEASE_S * 1.05 / 0.95  # longest restart delay of an acceptor, by the slowest clock
 SEEDS = range(30)
 
 
-def held(world: LeaseWorld) -> bool:
+def is_lease_held(world: LeaseWorld) -> bool:
     return bool(world.holders(1))
 
 
-def until_held(
-    world: LeaseWorld, seconds: float, by: int | None = None, above: int = 0, loss: float = 0.0
+def seconds_until_held(
+    world: LeaseWorld, seconds: float, by_router: int | None = None, above_term: int = 0, loss: float = 0.0
 ) -> float:
-    """True seconds until a router, or `by`, holds lease 1 under a term above `above`; inf past `seconds`."""
+    """Returns the true seconds until a router holds lease 1; infinity if none does within `seconds`.
+
+    Args:
+        world: The simulated routers.
+        seconds: The longest time to wait.
+        by_router: The router that has to hold the lease; None for any.
+        above_term: A term that the holder's term has to exceed.
+        loss: The ratio of messages that are lost.
+    """
 
     def done() -> bool:
-        return any(term > above and me == (me if by is None else by) for me, term in world.holders(1))
+        return any(
+            term > above_term and me == (me if by_router is None else by_router)
+            for me, term in world.holders(1)
+        )
 
     elapsed = world.run(seconds, done, loss)
     return math.inf if elapsed is None else elapsed
 
 
-def holding(seed: int, *wanting: int, size: int = 5) -> LeaseWorld:
-    """Acceptors 0 to 2 vote, router 3 holds lease 1, and others bid for it."""
+def world_with_holder(seed: int, *bidders: int, size: int = 5) -> LeaseWorld:
+    """Makes a world in which acceptors 0 to 2 vote, router 3 holds lease 1, and other routers bid for it."""
     world = LeaseWorld(size, seed)
     world.run(RESTART_DELAY_S + 0.1)
     world.request(3, 1)
-    assert until_held(world, 1.0) < 1
-    for each in wanting:
+    assert seconds_until_held(world, 1.0) < 1
+    for each in bidders:
         world.request(each, 1)
     world.run(1.0)
     return world
@@ -65,26 +76,26 @@
 def test_a_lease_of_a_killed_holder_is_reacquired_within_the_stated_time() -> None:
     elapsed = []
     for seed in SEEDS:
-        world = holding(seed, 0, 4)
+        world = world_with_holder(seed, 0, 4)
         world.processes[3].stopped = True
-        elapsed.append(until_held(world, 4.0, above=world.last_terms[1]))
+        elapsed.append(seconds_until_held(world, 4.0, above_term=world.last_terms[1]))
     assert max(elapsed) <= 2.2
 
 
 def test_a_holder_stopped_past_its_lease_finds_it_lost_before_any_message() -> None:
-    world = holding(1, 4)
+    world = world_with_holder(1, 4)
     world.processes[3].stopped = True
     term = world.processes[3].holds(1)
     assert term is not None
-    assert until_held(world, 4.0, by=4, above=term) < 4
-    assert world.processes[3].holds(1) is None  # before it was told anything
+    assert seconds_until_held(world, 4.0, by_router=4, above_term=term) < 4
+    assert world.processes[3].holds(1) is None  # before any message has arrived
     actions = world.processes[3].leases.tick(world.processes[3].clock)
     assert LeaseLost(1, term) in actions
     assert [me for me, _ in world.holders(1)] == [4]
 
 
 def test_a_renewal_accepted_after_the_end_does_not_restore_the_lease() -> None:
-    world = holding(1)
+    world = world_with_holder(1)
     process = world.processes[3]
     world.run(1.0, lambda: any(isinstance(message.message, Propose) for message in world.pending))
     batch, world.pending = world.pending, []
@@ -104,43 +115,43 @@
     receives_nothing: bool, bound_s: float
 ) -> None:
     for seed in SEEDS:
-        world = holding(seed, 4)
+        world = world_with_holder(seed, 4)
         for each in (0, 1, 2, 4):
             world.blocked_links.add((each, 3) if receives_nothing else (3, each))
-        assert until_held(world, 6.0, by=4, above=world.last_terms[1]) <= bound_s
+        assert seconds_until_held(world, 6.0, by_router=4, above_term=world.last_terms[1]) <= bound_s
 
 
-def test_no_router_holds_the_lease_without_a_majority_and_one_does_once_it_is_back() -> None:
-    world = holding(2, 0, 4)
+def test_no_router_holds_the_lease_without_a_majority_and_one_acquires_it_when_acceptors_return() -> None:
+    world = world_with_holder(2, 0, 4)
     world.processes[1].stopped = world.processes[2].stopped = True
-    assert world.run(2.0, lambda: not held(world)) is not None
-    assert world.run(5.0, lambda: held(world)) is None
-    assert world.settle(2.2, lambda: held(world)) is not None
+    assert world.run(2.0, lambda: not is_lease_held(world)) is not None
+    assert world.run(5.0, lambda: is_lease_held(world)) is None
+    assert world.settle(2.2, lambda: is_lease_held(world)) is not None
 
 
 def test_acceptors_restarted_in_turn_keep_the_holder_and_the_order_of_terms() -> None:
     for seed in SEEDS:
-        world = holding(seed)
+        world = world_with_holder(seed)
         term = world.last_terms[1]
         for each in (0, 1, 2):
             world.restart(each)
             world.run(RESTART_DELAY_S + 0.2)
             assert [(3, term)] == world.holders(1)
-        # All former votes are forgotten, and so is what the next bidder knew.
+        # By then the acceptors have dropped all former votes, and the next bidder has restarted.
         world.restart(4)
         world.processes[3].stopped = True
         world.run(RESTART_DELAY_S + 5 * LEASE_S)
         world.request(4, 1)
-        assert until_held(world, 2.0, by=4) < 2
+        assert seconds_until_held(world, 2.0, by_router=4) < 2
         assert counter_of(world.last_terms[1]) > counter_of(term) and world.forgotten_terms == 0
 
 
 def test_a_successor_acquires_a_released_lease_at_once_and_before_others() -> None:
     elapsed = []
     for seed in SEEDS:
-        world = holding(seed, 0, 1, 4)
+        world = world_with_holder(seed, 0, 1, 4)
         world.release(3, 1, successor=4)
-        elapsed.append(until_held(world, 1.0))
+        elapsed.append(seconds_until_held(world, 1.0))
         assert [me for me, _ in world.holders(1)] == [4]
     assert max(elapsed) <= 0.15
 
@@ -152,7 +163,7 @@
         world.run(RESTART_DELAY_S + 0.1)
         for each in range(8):
             world.request(each, 1)
-        elapsed.append(until_held(world, 4.0))
+        elapsed.append(seconds_until_held(world, 4.0))
     assert sum(elapsed) / len(elapsed) <= 0.2 and max(elapsed) <= 0.7
 
 
@@ -163,11 +174,11 @@
         world.run(RESTART_DELAY_S + 0.1)
         world.request(3, 1)
         world.request(4, 1)
-        elapsed.append(until_held(world, 6.0, loss=0.3))
+        elapsed.append(seconds_until_held(world, 6.0, loss=0.3))
         world.run(20.0, loss=0.3)
         terms += world.acquisitions
     assert max(elapsed) <= 2.0
-    assert terms <= len(SEEDS) + 3  # of 600 seconds held
+    assert terms <= len(SEEDS) + 3  # in 600 seconds
 
 
 def test_the_leases_of_a_dead_holder_are_bid_for_at_the_stated_rate() -> None:
@@ -202,13 +213,13 @@
     assert elapsed is not None and elapsed <= 2.2 + 200 / bid_schedule.ELECTIONS_PER_S
 
 
-def single(now: float = 0.0) -> Leases:
-    """A router that is the only acceptor: it handles all its messages itself."""
+def single_acceptor_leases(now: float = 0.0) -> Leases:
+    """Makes the leases of a router that is the only acceptor: it handles all of its messages itself."""
     return Leases(Fleet(0, 2, (0,)), ClusterBounds(), random.Random(1), now)
 
 
 def test_a_single_acceptor_acquires_renews_and_releases_without_messages_to_itself() -> None:
-    leases = single()
+    leases = single_acceptor_leases()
     leases.request(7, 0.0)
     now, actions = 0.0, []
     while now < 5:
@@ -227,8 +238,8 @@
         world.run(RESTART_DELAY_S + 0.1)
         world.blocked_links = {(3, 0), (0, 3)}
         world.request(3, 1)
-        assert until_held(world, 1.0) < 1
-        world.request(4, 1)  # acceptor 0 promises it, again and again
+        assert seconds_until_held(world, 1.0) < 1
+        world.request(4, 1)  # acceptor 0 promises its ballots, again and again
         world.run(3.0)
         world.blocked_links.clear()
         world.run(2.0)
@@ -238,25 +249,25 @@
         assert world.holders(1) == [(3, term)]
 
 
-def test_acceptors_started_at_once_grant_the_lease_soon_after_the_restart_delay() -> None:
+def test_acceptors_started_together_grant_the_lease_soon_after_the_restart_delay() -> None:
     for seed in SEEDS:
         world = LeaseWorld(5, seed)
         for each in (0, 3, 4):
-            world.request(each, 1)  # a request before the vote must not leave the ballot too low for good
-        assert RESTART_DELAY_S * 0.9 < until_held(world, 4.0) < RESTART_DELAY_S + 0.8
+            world.request(each, 1)  # a ballot made before the acceptors vote must not stay too low for ever
+        assert RESTART_DELAY_S * 0.9 < seconds_until_held(world, 4.0) < RESTART_DELAY_S + 0.8
 
 
-def test_a_successor_told_before_the_acceptors_does_not_wait_for_the_lock_to_end() -> None:
-    world = holding(3, 4)
+def test_a_successor_notified_before_the_acceptors_does_not_wait_for_the_lock_to_end() -> None:
+    world = world_with_holder(3, 4)
     world.release(3, 1, successor=4)
     (late, early) = ([m for m in world.pending if (m.to == 4) is early] for early in (False, True))
     world.pending = early
     world.run(0.1)
     world.pending += late
-    assert until_held(world, 1.0, by=4) <= 0.2
+    assert seconds_until_held(world, 1.0, by_router=4) <= 0.2
 
 
-def test_a_bidder_whose_promises_were_forgotten_uses_a_new_ballot() -> None:
+def test_a_bidder_uses_a_new_ballot_after_acceptors_have_dropped_its_promises() -> None:
     world = LeaseWorld(4, 1)
     world.run(RESTART_DELAY_S + 0.1)
     world.request(3, 1)
@@ -264,7 +275,7 @@
     world.run(0.1)
     world.processes[3].stopped = True
     world.run(3 * LEASE_S)
-    assert world.settle(1.0, lambda: held(world)) is not None
+    assert world.settle(1.0, lambda: is_lease_held(world)) is not None
 
 
 BALLOT = 5 << 32 | 1 << 16  # a ballot of router 1
@@ -275,8 +286,8 @@
     ("messages", "answers"),
     [
         ([(2.0, PREPARE), (2.0, ACQUIRE), (2.4, RENEW)], [Promise, Accept, Accept]),
-        ([(2.0, ACQUIRE)], [Reject]),  # not promised by this process
-        ([(2.0, PREPARE), (2.8, ACQUIRE)], [Promise, Reject]),  # not lately
+        ([(2.0, ACQUIRE)], [Reject]),  # this process has not promised the ballot
+        ([(2.0, PREPARE), (2.8, ACQUIRE)], [Promise, Reject]),  # the promise has expired
         ([(2.0, PREPARE), (2.1, Release(7, BALLOT, 1)), (2.2, ACQUIRE)], [Promise, Reject]),  # released
         (
             [(2.0, PREPARE), (2.0, ACQUIRE), (2.1, Release(7, BALLOT, 1)), (2.2, RENEW)],
@@ -285,14 +296,14 @@
         (
             [(2.0, RENEW), (2.1, Prepare(7, BALLOT + 1))],
             [Accept, Promise],
-        ),  # held past a restart; the next run waits
-        ([(2.0, Propose(7, BALLOT, 1501, 0))], []),  # longer than the restart delay
+        ),  # the lease was held during a restart; another run has to wait
+        ([(2.0, Propose(7, BALLOT, 1501, 0))], []),  # longer than the restart delay covers
     ],
 )
 def test_an_acceptor_accepts_a_proposal_only_while_its_promise_binds(
     messages: list[tuple[float, PeerMessage]], answers: list[type[PeerMessage]]
 ) -> None:
-    leases = single()
+    leases = single_acceptor_leases()
     leases.tick(2.0)
     actions = [
         each.message
@@ -307,7 +318,7 @@
 
 
 def test_a_released_lock_is_reserved_for_the_successor_for_a_short_time() -> None:
-    leases = single()
+    leases = single_acceptor_leases()
     leases.tick(2.0)
     for message in (PREPARE, ACQUIRE, Release(7, BALLOT, 2)):
         leases.handle_message(1, 0, message, 2.0)
@@ -317,7 +328,7 @@
 
 
 def test_a_query_for_the_holder_is_answered_and_changes_nothing() -> None:
-    leases = single()
+    leases = single_acceptor_leases()
     leases.tick(2.0)
     ballot = 5 << 32 | 1 << 16
     for message in (Prepare(7, ballot), Propose(7, ballot, 1500, 0)):
@@ -335,27 +346,29 @@
     monkeypatch.setattr(proposer, "MAX_BIDS", 3)
     monkeypatch.setattr(bid_schedule, "MAX_BIDS", 3)
     monkeypatch.setattr(holder_hints, "MAX_HINTS", 3)
-    leases = single()
+    leases = single_acceptor_leases()
     leases.tick(2.0)
-    voting = leases.acceptor
-    assert voting is not None
+    lease_acceptor = leases.acceptor
+    assert lease_acceptor is not None
     for name in range(9):
         leases.handle_message(1, 0, Prepare(name, 9 << 32 | 1 << 16), 2.0)
         leases.handle_message(0, 0, Promise(name, 1, 9 << 32 | 1 << 16, 1, 1500), 2.0)
         actions = leases.request(name, 2.0)
-    assert len(voting.votes) == 3 and len(leases.proposer.hints) == 3 and len(leases.proposer.bids) == 3
+    assert (
+        len(lease_acceptor.votes) == 3 and len(leases.proposer.hints) == 3 and len(leases.proposer.bids) == 3
+    )
     assert [type(each) for each in actions] == [LogEvent]
     for name in range(3):
         leases.release(name, 2.0)
     leases.tick(2.0 + 2.1 * LEASE_S)
     assert (
-        not voting.votes and counter_of(voting.promise_floor or 0) == 9
-    )  # forgotten, but not the order of terms
+        not lease_acceptor.votes and counter_of(lease_acceptor.promise_floor or 0) == 9
+    )  # the votes have expired, but terms still increase
 
 
 def test_malformed_messages_raise_nothing_and_ballots_of_other_routers_are_ignored() -> None:
     rng = random.Random(3)
-    leases = single()
+    leases = single_acceptor_leases()
     leases.request(0, 0.0)
     kinds: list[type[PeerMessage]] = [MESSAGE_TYPES[kind] for kind in range(10, 16)]
     for turn in range(5000):
@@ -363,7 +376,7 @@
         values = [rng.choice((0, 1, 1 << 16, 1 << 32 | 1 << 16, (1 << 63) - 1)) for _ in kind.__slots__]
         leases.handle_message(1, 0, kind(*values), 2.0 + turn / 1000)
         leases.tick(2.0 + turn / 1000)
-    fresh = single()
+    fresh = single_acceptor_leases()
     fresh.tick(2.0)
     assert fresh.handle_message(1, 0, Prepare(7, 5 << 32), 2.0) == []  # a ballot of router 0
     assert fresh.handle_message(1, 0, Release(7, 5 << 32, 1), 2.0) == []
--- a/tests/cluster/test_quotas.py
+++ b/tests/cluster/test_quotas.py
@@ -1,4 +1,4 @@
-"""The division of a limit: sums are exact, and shares are max-min fair."""
+"""The division of a limit: its parts sum exactly to the limit, and shares are max-min fair."""
 
 import pytest
 from hypothesis import given, settings
@@ -23,17 +23,17 @@
     pool: int, demands: dict[int, int], unit: int
 ) -> None:
     shares = max_min_shares(pool, demands, unit)
-    asking = {peer: -(-demand // unit) * unit for peer, demand in demands.items() if demand}
-    assert set(shares) == set(asking)
-    assert sum(shares.values()) == (pool // unit * unit if asking else 0)
+    rounded_demands = {peer: -(-demand // unit) * unit for peer, demand in demands.items() if demand}
+    assert set(shares) == set(rounded_demands)
+    assert sum(shares.values()) == (pool // unit * unit if rounded_demands else 0)
     assert all(share >= 0 and share % unit == 0 for share in shares.values())
-    if sum(asking.values()) <= pool // unit * unit:
-        assert all(shares[peer] >= demand for peer, demand in asking.items())
+    if sum(rounded_demands.values()) <= pool // unit * unit:
+        assert all(shares[peer] >= demand for peer, demand in rounded_demands.items())
         return
-    for peer, demand in asking.items():
+    for peer, demand in rounded_demands.items():
         assert shares[peer] <= demand
         if shares[peer] < demand:
-            # A router below its demand has no less than any other, but for the unit that cannot be split.
+            # A router below its demand has at most one unit, which cannot be split, less than any other.
             assert all(other <= shares[peer] + unit for other in shares.values())
 
 
