--- a/tests/cluster/test_fleet_limits.py
+++ b/tests/cluster/test_fleet_limits.py
@@ -1,4 +1,4 @@
-"""Limits over all routers are never exceeded; each guard has a case that exceeds them without it."""
+"""Limits over all routers are never exceeded; for each guard, a scenario exceeds them without it."""
 
 from collections.abc import Callable
 
@@ -31,10 +31,10 @@
 
 
 def make_world(
-    kind: type[FleetLimits], rule: LimitRule, size: int, seed: int = 1, **more: float
+    limits_class: type[FleetLimits], rule: LimitRule, size: int, seed: int = 1, **options: float
 ) -> LimitWorld:
-    """A world of true clocks and links without loss, where router 0 holds the lease first."""
-    world = LimitWorld(seed, size, (rule,), kind, clock_error=0.0, **more)
+    """Makes a world with exact clocks and links without loss, in which router 0 holds the lease first."""
+    world = LimitWorld(seed, size, (rule,), limits_class, clock_error=0.0, **options)
     world.leases.first_holder = 0
     world.long_delays = 0.0
     return world
@@ -46,43 +46,43 @@
         router.duration_s = duration_s
 
 
-def lose(world: LimitWorld, peer: int, kind: type, grant_delay_s: float = 0.001) -> Link:
-    """A link that loses messages of a kind from and to a router from now on."""
+def make_lossy_link(world: LimitWorld, peer: int, message_type: type, grant_delay_s: float = 0.001) -> Link:
+    """Makes a link that from now on loses all messages of one type from and to a router."""
     start = world.now
 
     def link(router: SimulatedRouter, other: SimulatedRouter, send: SendMessage) -> float | None:
-        if isinstance(send.message, kind) and peer in (router.me, other.me) and world.now >= start:
+        if isinstance(send.message, message_type) and peer in (router.me, other.me) and world.now >= start:
             return None
         return grant_delay_s if isinstance(send.message, QuotaGrant) and other.me == peer else 0.001
 
     return link
 
 
-def late_answers(kind: type[FleetLimits], rule: LimitRule = RATE) -> LimitWorld:
-    """Grants take half a second to a router whose later requests are lost; another requests its share."""
-    world = make_world(kind, rule, 3)
+def delayed_grants(limits_class: type[FleetLimits], rule: LimitRule = RATE) -> LimitWorld:
+    """Grants reach a router after half a second, and its later requests are lost; another needs the share."""
+    world = make_world(limits_class, rule, 3)
     world.link = (
         lambda router, other, send: 0.5 if isinstance(send.message, QuotaGrant) and other.me == 1 else 0.001
     )
     set_demand(world, 0, 300, 0)
-    world.run(2.0).link = lose(world, 1, QuotaRequest, grant_delay_s=0.5)
+    world.run(2.0).link = make_lossy_link(world, 1, QuotaRequest, grant_delay_s=0.5)
     world.run(2.3)
     set_demand(world, 0, 300, 300)
     return world.run(4.0)
 
 
-def lost_reduction(kind: type[FleetLimits]) -> LimitWorld:
-    """A router's share is reduced, and the grant is lost."""
-    world = make_world(kind, STEEP, 3)
+def lost_reduction(limits_class: type[FleetLimits]) -> LimitWorld:
+    """A router's share is reduced, and the grant that tells it so is lost."""
+    world = make_world(limits_class, STEEP, 3)
     set_demand(world, 0, 4000, 0)
-    world.run(2.0).link = lose(world, 1, QuotaGrant)
+    world.run(2.0).link = make_lossy_link(world, 1, QuotaGrant)
     set_demand(world, 0, 4000, 4000)
     return world.run(3.0)
 
 
-def two_halves(kind: type[FleetLimits]) -> LimitWorld:
-    """The holder and a router with a grant are isolated until the rest has acquired the lease."""
-    world = make_world(kind, RATE, 5)
+def isolated_holder(limits_class: type[FleetLimits]) -> LimitWorld:
+    """The holder and a router with a grant are isolated until another router has acquired the lease."""
+    world = make_world(limits_class, RATE, 5)
     set_demand(world, 0, 300, 0, 300, 0)
     world.run(2.0)
     for router in world.routers:
@@ -93,15 +93,15 @@
     return world.run(9.0)
 
 
-def slow_and_fast(kind: type[FleetLimits]) -> LimitWorld:
-    """A slow clock uses a grant that a fast one counts; another router requests at the moment between."""
+def slow_and_fast_clocks(limits_class: type[FleetLimits]) -> LimitWorld:
+    """The router of a grant has a slow clock, the holder a fast one; another requests between their ends."""
     for step in range(20):
-        world = make_world(kind, STEEP, 3)
+        world = make_world(limits_class, STEEP, 3)
         for router, rate in zip(world.routers, (1.05, 0.95, 1.05), strict=True):
             router.clock_rate = rate
         world.run(0.8)
         set_demand(world, 0, 4000, 0)
-        world.run(1.3).link = lose(world, 1, QuotaRequest)
+        world.run(1.3).link = make_lossy_link(world, 1, QuotaRequest)
         world.run(1.7 + step * 0.01)
         set_demand(world, 0, 4000, 4000)
         world.arrive(world.routers[2])
@@ -110,18 +110,18 @@
     return world
 
 
-def stalled_holder(kind: type[FleetLimits]) -> LimitWorld:
-    """The holder is stopped for longer than its lease, and continues."""
-    world = make_world(kind, RATE, 5)
+def stalled_holder(limits_class: type[FleetLimits]) -> LimitWorld:
+    """The holder's process is stopped for longer than its lease, and then continues."""
+    world = make_world(limits_class, RATE, 5)
     set_demand(world, 300, 0, 300)
     world.run(2.0)
     world.stall(world.routers[0], 3.0)
     return world.run(7.0)
 
 
-def stalled_router(kind: type[FleetLimits]) -> LimitWorld:
-    """A router is stopped past its grant, which another has by then; a surge uses all that both have."""
-    world = make_world(kind, SLOW, 3)
+def stalled_router(limits_class: type[FleetLimits]) -> LimitWorld:
+    """A router is stopped until its grant has gone to another router; a surge uses up what both have."""
+    world = make_world(limits_class, SLOW, 3)
     set_demand(world, 0, 4, 0)
     world.run(3.5)
     world.stall(world.routers[1], 8.0)
@@ -131,9 +131,9 @@
     return world.run(12.0)
 
 
-def unused_tokens(kind: type[FleetLimits]) -> LimitWorld:
-    """A grant full of tokens expires, and another fills up; a surge uses all that both have."""
-    world = make_world(kind, SLOW, 3)
+def unused_tokens(limits_class: type[FleetLimits]) -> LimitWorld:
+    """A grant expires with a full bucket, and another router's fills; a surge uses up what both have."""
+    world = make_world(limits_class, SLOW, 3)
     set_demand(world, 0, 4, 0)
     world.run(6.0)
     set_demand(world, 0, 0, 4)
@@ -142,9 +142,9 @@
     return world.run(13.0)
 
 
-def moved_share(kind: type[FleetLimits]) -> LimitWorld:
-    """A grant is spent, expires, and goes to another router."""
-    world = make_world(kind, SLOW, 3)
+def spent_grant(limits_class: type[FleetLimits]) -> LimitWorld:
+    """The tokens of a grant are spent, it expires, and its share is granted to another router."""
+    world = make_world(limits_class, SLOW, 3)
     set_demand(world, 0, 4, 0)
     world.run(6.0)
     world.surge(60)
@@ -152,9 +152,9 @@
     return world.run(8.0)
 
 
-def restarts(kind: type[FleetLimits]) -> LimitWorld:
-    """Half of the routers restart just after all tokens were used."""
-    world = make_world(kind, FLOORS, 4)
+def restarted_routers(limits_class: type[FleetLimits]) -> LimitWorld:
+    """Half of the routers restart just after all tokens have been spent."""
+    world = make_world(limits_class, FLOORS, 4)
     world.run(5.0)
     world.surge(20)
     world.run(5.05)
@@ -164,10 +164,10 @@
     return world.run(6.0)
 
 
-def restarted_slots(kind: type[FleetLimits], floor: float = 1.0) -> LimitWorld:
-    """A router restarts while requests of its former process are in flight."""
+def restarted_slots(limits_class: type[FleetLimits], floor: float = 1.0) -> LimitWorld:
+    """A router restarts while requests of its former process are still in flight."""
     world = make_world(
-        kind, LimitRule("places", LimitScope.SOURCE, "s", max_in_flight=8, floor_ratio=floor), 4
+        limits_class, LimitRule("places", LimitScope.SOURCE, "s", max_in_flight=8, floor_ratio=floor), 4
     )
     set_demand(world, 0, 30, duration_s=0.45)
     world.run(5.0).surge(20)
@@ -178,11 +178,11 @@
     return world.run(6.0)
 
 
-def long_requests(kind: type[FleetLimits]) -> LimitWorld:
-    """An isolated router starts requests that end after its grant."""
-    world = make_world(kind, SLOTS, 3)
+def long_requests(limits_class: type[FleetLimits]) -> LimitWorld:
+    """An isolated router has demand for requests that would end after its grant."""
+    world = make_world(limits_class, SLOTS, 3)
     set_demand(world, 0, 100, duration_s=0.1)
-    world.run(2.0).link = lose(world, 1, QuotaRequest)
+    world.run(2.0).link = make_lossy_link(world, 1, QuotaRequest)
     set_demand(world, 0, 100, duration_s=1.0)
     world.run(2.2)
     set_demand(world, 0, 100, 100, duration_s=1.0)
@@ -190,9 +190,9 @@
     return world.run(3.5)
 
 
-def isolated(kind: type[FleetLimits]) -> LimitWorld:
-    """The router that has the whole limit in the open mode is isolated for good."""
-    world = make_world(kind, OPEN, 5)
+def isolated_router(limits_class: type[FleetLimits]) -> LimitWorld:
+    """In open mode, the router that has the whole limit is isolated permanently."""
+    world = make_world(limits_class, OPEN, 5)
     set_demand(world, 0, 300, 0, 300)
     world.routers[3].demand_per_s = 0
     world.run(2.0)
@@ -201,9 +201,11 @@
     return world.run(8.0)
 
 
-def fast_clocks(kind: type[FleetLimits]) -> LimitWorld:
+def fast_clocks(limits_class: type[FleetLimits]) -> LimitWorld:
     world = make_world(
-        kind, LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=100.0, burst=30.0, floor_ratio=1.0), 2
+        limits_class,
+        LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=100.0, burst=30.0, floor_ratio=1.0),
+        2,
     )
     for router in world.routers:
         router.clock_rate = 1.05
@@ -211,38 +213,40 @@
     return world.run(15.0)
 
 
-CASES: tuple[tuple[type[FleetLimits], Callable[[type[FleetLimits]], LimitWorld]], ...] = (
-    (limit_guards.ValidFromReceipt, late_answers),
-    (limit_guards.AnyRequestAnswered, late_answers),
+GUARD_SCENARIOS: tuple[tuple[type[FleetLimits], Callable[[type[FleetLimits]], LimitWorld]], ...] = (
+    (limit_guards.ValidFromReceipt, delayed_grants),
+    (limit_guards.AnyRequestAnswered, delayed_grants),
     (limit_guards.LowerShareAtOnce, lost_reduction),
-    (limit_guards.WithoutWait, two_halves),
-    (limit_guards.WithoutDriftOfGrants, slow_and_fast),
+    (limit_guards.WithoutWait, isolated_holder),
+    (limit_guards.WithoutDriftOfGrants, slow_and_fast_clocks),
     (limit_guards.FormerTermRemembered, stalled_holder),
     (limit_guards.ExpiryFoundLate, stalled_router),
     (limit_guards.WithoutClipping, unused_tokens),
-    (limit_guards.RaisedWithTokens, moved_share),
-    (limit_guards.FullAtStart, restarts),
+    (limit_guards.RaisedWithTokens, spent_grant),
+    (limit_guards.FullAtStart, restarted_routers),
     (limit_guards.FloorsNeverBlocked, restarted_slots),
-    (limit_guards.FormerProcessForgotten, lambda kind: restarted_slots(kind, 0.0)),
+    (limit_guards.FormerProcessForgotten, lambda limits_class: restarted_slots(limits_class, 0.0)),
     (limit_guards.EndingAfterGrant, long_requests),
-    (limit_guards.WholeGrantRetained, isolated),
+    (limit_guards.WholeGrantRetained, isolated_router),
     (limit_guards.FilledByFastClock, fast_clocks),
 )
 
 
-@pytest.mark.parametrize(("without", "case"), CASES, ids=[each.__name__ for each, _ in CASES])
-def test_a_limit_is_kept_and_exceeded_once_the_guard_is_taken_out(
-    without: type[FleetLimits], case: Callable[[type[FleetLimits]], LimitWorld]
+@pytest.mark.parametrize(
+    ("without_guard", "scenario"), GUARD_SCENARIOS, ids=[each.__name__ for each, _ in GUARD_SCENARIOS]
+)
+def test_a_limit_is_kept_and_is_exceeded_without_the_guard(
+    without_guard: type[FleetLimits], scenario: Callable[[type[FleetLimits]], LimitWorld]
 ) -> None:
-    for kind, is_exceeded in ((FleetLimits, False), (without, True)):
-        world = case(kind)
+    for limits_class, is_exceeded in ((FleetLimits, False), (without_guard, True)):
+        world = scenario(limits_class)
         (audit,) = world.audits.values()
-        assert audit.is_exceeded is is_exceeded, (kind, audit.max_ratio)
+        assert audit.is_exceeded is is_exceeded, (limits_class, audit.max_ratio)
         assert len(audit.admitted) > 8
 
 
-def served(world: LimitWorld, since: float, until: float) -> float:
-    """Requests per second that were admitted in a span."""
+def admitted_per_s(world: LimitWorld, since: float, until: float) -> float:
+    """Returns the requests per second that were admitted between two times."""
     (audit,) = world.audits.values()
     return sum(since <= at < until for at in audit.admitted) / (until - since)
 
@@ -252,15 +256,15 @@
     world = make_world(FleetLimits, rule, 4)
     set_demand(world, 60, 60, 60, 60)
     world.run(4.0)
-    assert served(world, 2.0, 4.0) > 93
+    assert admitted_per_s(world, 2.0, 4.0) > 93
     for router in world.routers:
         router.side = router.me
     world.run(10.0)
-    # Leases and grants have ended: each router uses its floor, a quarter of a fifth of the limit.
-    assert 17 < served(world, 7.0, 10.0) <= 20
+    # Leases and grants have expired: each router uses its floor, a quarter of a fifth of the limit.
+    assert 17 < admitted_per_s(world, 7.0, 10.0) <= 20
     limit_search.heal(world)
     world.run(14.0)
-    assert served(world, 12.0, 14.0) > 93
+    assert admitted_per_s(world, 12.0, 14.0) > 93
     assert not world.audits["rate"].is_exceeded
 
 
@@ -272,8 +276,8 @@
     world.start(world.routers[0])
     set_demand(world, 80, 80, 1200, 80)
     world.run(10.0)
-    # The lease has ended, another router acquired it and waited a grant's life.
-    assert served(world, 7.0, 10.0) > 0.8 * 400
+    # The lease has expired; another router has acquired it and waited for the validity of a grant.
+    assert admitted_per_s(world, 7.0, 10.0) > 0.8 * 400
     assert not world.audits["rate"].is_exceeded
 
 
@@ -281,7 +285,7 @@
 def test_the_limit_is_used_again_two_seconds_after_a_demand_shift(
     fast_ratio: float | None, min_used: float
 ) -> None:
-    """At most 5 % are unused; slowed filling by the drift of `ClusterBounds` adds 4.8 %."""
+    """At most 5 % of the limit stays unused; filling slowed by the drift of `ClusterBounds` adds 4.8 %."""
     rule = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=400.0, burst=400.0)
     world = LimitWorld(3, 4, (rule,), clock_error=0.0, fast_ratio=fast_ratio)
     world.long_delays = 0.0
@@ -289,12 +293,12 @@
     world.run(6.0)
     set_demand(world, 40, 600, 40, 40)
     world.run(12.0)
-    assert served(world, 8.0, 12.0) > min_used * 400
+    assert admitted_per_s(world, 8.0, 12.0) > min_used * 400
     assert not world.audits["rate"].is_exceeded
 
 
 def test_open_mode_never_exceeds_its_multiple_while_routers_are_isolated_in_turn() -> None:
-    """Each router in turn gets the whole limit, is isolated, and retains its part; in the end all are."""
+    """One router after the other gets the whole limit and is isolated, until all retain their parts."""
     rule = LimitRule(
         "open",
         LimitScope.CLASS,
@@ -305,8 +309,8 @@
         mode=PartitionMode.OPEN,
         open_factor=1.5,
     )
-    for kind, is_exceeded in ((FleetLimits, False), (limit_guards.WholeGrantRetained, True)):
-        world = make_world(kind, rule, 5)
+    for limits_class, is_exceeded in ((FleetLimits, False), (limit_guards.WholeGrantRetained, True)):
+        world = make_world(limits_class, rule, 5)
         for peer in (4, 3, 2, 1):
             world.routers[peer].demand_per_s = 400
             world.run(world.now + 3.0)
@@ -314,8 +318,8 @@
         world.run(world.now + 4.0)
         assert world.audits["open"].is_exceeded is is_exceeded
         if not is_exceeded:
-            # Four keep a fifth of the half each beside their floors; the fifth router has no demand.
-            assert 40 < served(world, world.now - 2.0, world.now) <= 4 * (4 + 10)
+            # Four routers retain a tenth of the limit each, besides their floors; the fifth has no demand.
+            assert 40 < admitted_per_s(world, world.now - 2.0, world.now) <= 4 * (4 + 10)
 
 
 def test_random_worlds_exceed_no_limit() -> None:
@@ -338,6 +342,6 @@
     world = make_world(FleetLimits, rule, 4)
     set_demand(world, 40, 40, 40, 40)
     world.run(50.0)
-    # Two at a time, 4.8 s each; changing over costs a grant's life each time.
-    assert min(router.admitted for router in world.routers) > 100 and served(world, 10.0, 50.0) > 13
+    # Two routers at a time for 4.8 s; each change of turns costs the validity of a grant.
+    assert min(router.admitted for router in world.routers) > 100 and admitted_per_s(world, 10.0, 50.0) > 13
     assert not world.audits["rate"].is_exceeded
--- a/tests/cluster/test_quota_exchange.py
+++ b/tests/cluster/test_quota_exchange.py
@@ -1,4 +1,4 @@
-"""The limits of one router and the grants of one holder, each by itself."""
+"""The limits of one router, and the grants of one holder, each tested separately."""
 
 import pytest
 
@@ -15,19 +15,19 @@
 RATE = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=100.0, burst=30.0, floor_ratio=0.0)
 
 
-def alone(
-    *rules: LimitRule, holds: int | None = 1, size: int = 1, acceptors: tuple[int, ...] = (), **more: int
+def make_fleet_limits(
+    *rules: LimitRule, holds: int | None = 1, size: int = 1, acceptors: tuple[int, ...] = (), **options: int
 ) -> FleetLimits:
-    """The limits of a router that holds all leases or none, and has started at 0."""
+    """Makes the limits of a router that started at 0; it holds all leases under the term `holds`, or none."""
     fleet = Fleet(0, size, acceptors)
-    return FleetLimits(fleet, ClusterBounds(), rules, lambda lease, now: holds, 7, 0.0, **more)  # type: ignore[arg-type]
+    return FleetLimits(fleet, ClusterBounds(), rules, lambda lease, now: holds, 7, 0.0, **options)  # type: ignore[arg-type]
 
 
 def test_a_request_is_admitted_by_all_of_its_limits_or_uses_none() -> None:
     outer = LimitRule("class", LimitScope.CLASS, "*", rate_per_s=10.0, burst=10.0, floor_ratio=1.0)
     inner = LimitRule("tenant", LimitScope.TENANT, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0)
     slots = LimitRule("source", LimitScope.SOURCE, "s", max_in_flight=2, floor_ratio=1.0)
-    limits = alone(outer, inner, slots)
+    limits = make_fleet_limits(outer, inner, slots)
     now = 100.0
     keys = ((LimitScope.CLASS, "c"), (LimitScope.TENANT, "t"), (LimitScope.SOURCE, "s"))
     first = limits.admit_all(keys, now, 1.0)
@@ -40,7 +40,7 @@
     limits.release(first, now)
     assert isinstance(limits.admit_all(keys, now, 1.0), Permit)
     limits.release(second, now)
-    # The tenant's tokens are used; of the class's ten only three are, however many were rejected.
+    # The tenant's 3 tokens are spent. Of the class's 10 only 3 are: rejected requests have spent none.
     rejection = limits.admit_all(keys, now, 1.0)
     assert (
         isinstance(rejection, Rejection)
@@ -48,13 +48,13 @@
         and 0.9 < rejection.retry_after_s <= 1.0
     )
     assert sum(isinstance(limits.admit(LimitScope.CLASS, "c", now, 1.0), Permit) for _ in range(20)) == 7
-    # A slot whose request never ends is free after its time-out.
+    # The slot of a request that never ends is free after the request's time-out.
     assert isinstance(limits.admit(LimitScope.SOURCE, "s", now + 1.01, 1.0), Permit)
     assert isinstance(limits.admit(LimitScope.SOURCE, "s", now + 1.01, 1.0), Permit)
 
 
 class DropsUsedLimits(FleetLimits):
-    """Drops limits that are in use."""
+    """Drops limits even while they are in use."""
 
     class local_limits_class(LocalLimits):  # noqa: N801
         def may_drop(self, limit: LocalLimit, now: float) -> bool:
@@ -67,15 +67,17 @@
         limits = kind(
             Fleet(0, 1), ClusterBounds(), [rule], lambda lease, now: None, 7, 0.0, max_local_limits=2
         )
-        got = [isinstance(limits.admit(LimitScope.TENANT, "a", 50.0, 1.0), Permit) for _ in range(5)]
-        assert got == [True] * 3 + [False] * 2
+        admitted_flags = [
+            isinstance(limits.admit(LimitScope.TENANT, "a", 50.0, 1.0), Permit) for _ in range(5)
+        ]
+        assert admitted_flags == [True] * 3 + [False] * 2
         for value in ("b", "b", "c", "d"):
             limits.admit(LimitScope.TENANT, value, 50.0, 1.0)
         assert len(limits.local_limits) == 2
         again = sum(isinstance(limits.admit(LimitScope.TENANT, "a", 50.0, 1.0), Permit) for _ in range(3))
         assert 3 + again == admitted
-    # One whose bucket is full again is evicted for another.
-    limits = alone(rule, holds=None, max_local_limits=2)
+    # A limit whose bucket is full again is evicted for another.
+    limits = make_fleet_limits(rule, holds=None, max_local_limits=2)
     for value, now in (("a", 50.0), ("b", 50.0), ("c", 54.0)):
         assert isinstance(limits.admit(LimitScope.TENANT, value, now, 1.0), Permit)
 
@@ -86,8 +88,8 @@
     return send.message
 
 
-def test_grants_without_a_matching_request_are_void_and_no_demand_sends_no_request() -> None:
-    limits = alone(RATE, holds=None, size=3)
+def test_grants_without_a_matching_request_are_void_and_no_request_is_sent_without_demand() -> None:
+    limits = make_fleet_limits(RATE, holds=None, size=3)
     limits.handle_event(HolderObserved(lease_of(RATE), 2, 5), 10.0)
     assert limits.due() == float("inf")
     assert isinstance(limits.admit(LimitScope.CLASS, "c", 10.0, 1.0), Rejection)
@@ -105,12 +107,12 @@
     ):
         limits.handle_message(2, 1, void, 10.1)
         assert bucket.grant.quota == NO_QUOTA
-    # A grant above the pool and its validity counts as the pool, for the validity.
+    # A grant is cut to the pool and to the longest validity.
     limits.handle_message(2, 1, QuotaGrant(limit, number, 5, 2**62, 2**62, 2**40), 10.1)
     assert bucket.grant.quota == Quota(100_000, 30_000) and bucket.grant.valid_until == pytest.approx(10.57)
     limits.handle_message(2, 1, QuotaGrant(limit, number, 5, 1, 1, 600), 10.1)
     assert bucket.grant.quota == Quota(100_000, 30_000)
-    # Without demand the requests end, and so does the grant.
+    # Without demand the router stops requesting, and its grant expires.
     now = 10.2
     for _ in range(150):
         limits.tick(now)
@@ -121,8 +123,8 @@
 
 
 def test_an_answered_demand_is_not_requested_again_before_the_renewal() -> None:
-    """Rejected demand must not send a request each time: that would be most of the traffic."""
-    limits = alone(RATE, holds=None, size=3)
+    """A rejection must not cause a request each time: these requests would be most of the traffic."""
+    limits = make_fleet_limits(RATE, holds=None, size=3)
     limits.handle_event(HolderObserved(lease_of(RATE), 2, 5), 10.0)
     request_count = 0
     for step in range(500):
@@ -138,8 +140,8 @@
 
 
 def test_unanswered_quota_requests_back_off_and_go_to_acceptors_only() -> None:
-    """A busy holder is not asked the more the less it answers; other routers are not asked."""
-    limits = alone(RATE, holds=None, size=9, acceptors=(0, 3, 5))
+    """A busy holder must not get more requests the less it answers; other routers get none."""
+    limits = make_fleet_limits(RATE, holds=None, size=9, acceptors=(0, 3, 5))
     sent = []
     for step in range(600):
         now = 10.0 + step / 100
@@ -150,48 +152,50 @@
 
 
 def test_a_holder_counts_outstanding_grants_and_ignores_repeated_requests() -> None:
-    limited = FleetLimit(RATE, lease_of(RATE), divide_limit(RATE, 4), 0.6)
+    fleet_limit = FleetLimit(RATE, lease_of(RATE), divide_limit(RATE, 4), 0.6)
     term: list[int | None] = [3]
     granter = Granter(ClusterBounds(), 4, lambda lease, now: term[0])
-    limit = limit_of(limited.lease, "c")
-    granter.record_term(limited.lease, 3, 0.0)
-    assert granter.handle_request(limited, 1, 1, QuotaRequest(limit, 1, 90_000, 0), 0.65) is None
-    first = granter.handle_request(limited, 1, 1, QuotaRequest(limit, 2, 90_000, 0), 0.67)
+    limit = limit_of(fleet_limit.lease, "c")
+    granter.record_term(fleet_limit.lease, 3, 0.0)
+    assert granter.handle_request(fleet_limit, 1, 1, QuotaRequest(limit, 1, 90_000, 0), 0.65) is None
+    first = granter.handle_request(fleet_limit, 1, 1, QuotaRequest(limit, 2, 90_000, 0), 0.67)
     assert first is not None and first.amount_milli == 100_000
-    assert granter.handle_request(limited, 1, 1, QuotaRequest(limit, 2, 90_000, 0), 0.68) is None
-    second = granter.handle_request(limited, 2, 1, QuotaRequest(limit, 1, 90_000, 0), 0.7)
+    assert granter.handle_request(fleet_limit, 1, 1, QuotaRequest(limit, 2, 90_000, 0), 0.68) is None
+    second = granter.handle_request(fleet_limit, 2, 1, QuotaRequest(limit, 1, 90_000, 0), 0.7)
     assert second is not None and second.amount_milli == 0
-    lowered = granter.handle_request(limited, 1, 1, QuotaRequest(limit, 3, 90_000, 0), 0.8)
-    assert lowered is not None and lowered.amount_milli == 50_000
-    still = granter.handle_request(limited, 2, 1, QuotaRequest(limit, 2, 90_000, 0), 0.67 + 0.65)
-    assert still is not None and still.amount_milli == 0
-    free = granter.handle_request(limited, 2, 1, QuotaRequest(limit, 3, 90_000, 0), 0.67 + 0.67)
+    reduced = granter.handle_request(fleet_limit, 1, 1, QuotaRequest(limit, 3, 90_000, 0), 0.8)
+    assert reduced is not None and reduced.amount_milli == 50_000
+    still_outstanding = granter.handle_request(
+        fleet_limit, 2, 1, QuotaRequest(limit, 2, 90_000, 0), 0.67 + 0.65
+    )
+    assert still_outstanding is not None and still_outstanding.amount_milli == 0
+    free = granter.handle_request(fleet_limit, 2, 1, QuotaRequest(limit, 3, 90_000, 0), 0.67 + 0.67)
     assert free is not None and free.amount_milli == 50_000
     assert (
-        granter.handle_request(limited, 2, 1, QuotaRequest(limit, 4, 90_000, 9), 1.4) is None
-    )  # it has heard a later holder
+        granter.handle_request(fleet_limit, 2, 1, QuotaRequest(limit, 4, 90_000, 9), 1.4) is None
+    )  # the sender knows a later holder
     term[0] = None
-    assert granter.handle_request(limited, 2, 1, QuotaRequest(limit, 5, 90_000, 3), 1.4) is None
+    assert granter.handle_request(fleet_limit, 2, 1, QuotaRequest(limit, 5, 90_000, 3), 1.4) is None
     term[0] = 8
-    assert granter.handle_request(limited, 2, 1, QuotaRequest(limit, 6, 90_000, 3), 1.5) is None
-    assert granter.handle_request(limited, 2, 1, QuotaRequest(limit, 7, 90_000, 3), 2.17) is not None
+    assert granter.handle_request(fleet_limit, 2, 1, QuotaRequest(limit, 6, 90_000, 3), 1.5) is None
+    assert granter.handle_request(fleet_limit, 2, 1, QuotaRequest(limit, 7, 90_000, 3), 2.17) is not None
 
 
-def test_a_holder_grants_to_itself_and_a_router_without_a_known_holder_asks_all() -> None:
-    limits = alone(RATE, size=2)
+def test_a_holder_grants_to_itself_and_a_router_without_a_known_holder_asks_all_peers() -> None:
+    limits = make_fleet_limits(RATE, size=2)
     limits.handle_event(LeaseAcquired(lease_of(RATE), 1, 2.0), 0.0)
     assert isinstance(limits.admit(LimitScope.CLASS, "c", 1.0, 1.0), Rejection)
     assert limits.tick(1.0) == []
     assert isinstance(limits.admit(LimitScope.CLASS, "c", 1.1, 1.0), Permit)
-    lost = alone(RATE, holds=None, size=2)
-    lost.admit(LimitScope.CLASS, "c", 1.0, 1.0)
-    (send,) = lost.tick(1.0)
+    without_lease = make_fleet_limits(RATE, holds=None, size=2)
+    without_lease.admit(LimitScope.CLASS, "c", 1.0, 1.0)
+    (send,) = without_lease.tick(1.0)
     assert isinstance(send, SendMessage) and send.to is None
-    lost.admit(LimitScope.CLASS, "c", 1.1, 1.0)
-    assert lost.tick(1.3) == []
+    without_lease.admit(LimitScope.CLASS, "c", 1.1, 1.0)
+    assert without_lease.tick(1.3) == []
 
 
-def test_measured_demand_is_steady_in_noise_and_follows_a_shift_quickly() -> None:
+def test_measured_demand_ignores_noise_and_follows_a_shift_quickly() -> None:
     meter = DemandMeter(0.0, 0.2)
     for window, count in enumerate((8, 11, 9, 12, 10, 9, 11, 10)):
         for _ in range(count):
@@ -209,7 +213,7 @@
         LimitRule("class", LimitScope.CLASS, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0),
         LimitRule("tenant", LimitScope.TENANT, "*", rate_per_s=1.0, burst=3.0, floor_ratio=1.0),
     )
-    limits = alone(*rules, holds=None, max_local_limits=1)
+    limits = make_fleet_limits(*rules, holds=None, max_local_limits=1)
     keys = ((LimitScope.CLASS, "c"), (LimitScope.TENANT, "t"))
     assert limits.admit_all(keys, 50.0, 1.0) == Rejection("tenant", ClusterBounds().grant_validity_s)
     assert len(limits.local_limits) == 1
@@ -217,16 +221,16 @@
 
 def test_a_share_that_admits_no_request_is_left_to_other_routers() -> None:
     rule = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=90.0, burst=3.5, floor_ratio=0.0)
-    limited = FleetLimit(rule, lease_of(rule), divide_limit(rule, 3), 0.6)
+    fleet_limit = FleetLimit(rule, lease_of(rule), divide_limit(rule, 3), 0.6)
     granter = Granter(ClusterBounds(), 3, lambda lease, now: 1)
-    granter.record_term(limited.lease, 1, -1.0)
-    limit = limit_of(limited.lease, "c")
+    granter.record_term(fleet_limit.lease, 1, -1.0)
+    limit = limit_of(fleet_limit.lease, "c")
     bursts = []
     for number, (peer, now) in enumerate(
         ((0, 0.0), (1, 0.1), (0, 0.2), (1, 0.67), (2, 0.7), (0, 0.75), (2, 0.9))
     ):
-        grant = granter.handle_request(limited, peer, 1, QuotaRequest(limit, number + 1, 90_000, 0), now)
+        grant = granter.handle_request(fleet_limit, peer, 1, QuotaRequest(limit, number + 1, 90_000, 0), now)
         assert grant is not None
         bursts.append(grant.burst_milli)
-    # At 0.9 the first's two shares are 1750 and 1166, the second's is 1750: nothing whole is left.
+    # At 0.9, bursts of 1750 and 1166 of router 0 and of 1750 of router 1 are outstanding: too little is free.
     assert bursts == [3500, 0, 1750, 1750, 0, 1166, 0]
