--- a/tests/cluster/test_channel_prefetcher.py
+++ b/tests/cluster/test_channel_prefetcher.py
@@ -1,4 +1,4 @@
-"""Fills ahead as requests to the exchange: written only by who owns the channel then, blamed on nobody."""
+"""Prefetches as requests to the exchange: written only while this router owns the channel, never blamed."""
 
 import random
 from collections.abc import Sequence
@@ -29,7 +29,7 @@
 
 
 class FakeLeases:
-    """Leases that are held under one term, or not held."""
+    """Leases that are all held under one term, or not held while `term` is None."""
 
     term: int | None = 0x99
 
@@ -50,7 +50,7 @@
 
 
 class PrefetchInterceptor(Looker):
-    """Hands the calls of the exchange on to the prefetcher, as the cluster's driver does."""
+    """Passes the exchange's calls to the prefetcher, as the cluster's driver does."""
 
     prefetcher: ChannelPrefetcher
 
@@ -65,7 +65,7 @@
         self.prefetcher.request_ended(item)
 
 
-class Rig:
+class PrefetchRig:
     def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         self.exchange: Exchange
         self.exchange, _, self.side = made(folder)
@@ -102,12 +102,12 @@
 def test_the_next_part_is_prefetched_under_the_term_and_reported_with_its_cache(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig = Rig(tmp_path, monkeypatch)
+    rig = PrefetchRig(tmp_path, monkeypatch)
     prefetch = next(each for each in rig.read(1, 2, 3).started if each.id.startswith("ahead"))
-    order = rig.exchange.attempts.prepare_write(prefetch)
-    assert order is not None and order.part == 4
-    assert request_fields(order)["term"] == "99"
-    assert request_fields(order)["chan"] == f"{channel_id('here', NAME):x}"
+    cache_request = rig.exchange.attempts.prepare_write(prefetch)
+    assert cache_request is not None and cache_request.part == 4
+    assert request_fields(cache_request)["term"] == "99"
+    assert request_fields(cache_request)["chan"] == f"{channel_id('here', NAME):x}"
     rig.exchange.attempts.end(prefetch, AttemptResult(Outcome.SERVED, stamp=CopyStamp("t", 1.0)))
     (message,) = rig.actions
     assert (
@@ -117,7 +117,7 @@
     )
     assert (message.message.part, message.message.cache, message.message.term) == (4, digest("box"), 0x99)
     assert not rig.prefetcher.pending
-    # The hint that comes of it reaches the decisions with the client's own request.
+    # A hint about a part reaches the routing decisions with the client's own request for that part.
     rig.exchange.router.state.hot_objects.parts.clear()
     rig.channels.hints.add(channel_id("here", NAME), 5, digest("aimag"), 0x99, 3.0, 10.0)
     rig.read(4, 5)
@@ -127,7 +127,7 @@
 def test_a_prefetch_is_not_written_after_the_lease_is_lost_and_no_member_is_blamed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig = Rig(tmp_path, monkeypatch)
+    rig = PrefetchRig(tmp_path, monkeypatch)
     prefetch = next(each for each in rig.read(1, 2, 3).started if each.id.startswith("ahead"))
     count, box = len(rig.side.started), rig.exchange.router.state.members.upstreams["box"]
     limit = box.concurrency_limit
@@ -135,11 +135,11 @@
     assert rig.exchange.attempts.prepare_write(prefetch) is None
     assert prefetch.id not in rig.exchange.intake.open_ids and not rig.prefetcher.pending and not rig.actions
     assert len(rig.side.started) == count and box.failures == 0 and box.concurrency_limit == limit
-    assert rig.read(9).started[-1].id == "client 9"  # and nothing is asked ahead without it
+    assert rig.read(9).started[-1].id == "client 9"  # and without the lease nothing is prefetched
 
 
 def test_requests_of_other_classes_start_no_prefetch(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    rig = Rig(tmp_path, monkeypatch)
+    rig = PrefetchRig(tmp_path, monkeypatch)
     replies: list[FinalAnswer] = []
     for number in range(5):
         rig.exchange.submit(ask(f"c{number}", "charge"), replies.append)
--- a/tests/cluster/test_channels.py
+++ b/tests/cluster/test_channels.py
@@ -22,9 +22,6 @@
 UNPLANNED_RUNS = 200
 
 
-# --- detection of channels, and bounds of the tables ---
-
-
 def test_consecutive_parts_make_a_live_channel_and_seeks_or_far_parts_do_not() -> None:
     detector = ChannelDetector("here", RULE)
     assert [detector.record_read("a", "video", part, part * 1.0).is_live for part in (5, 6, 7)] == [
@@ -32,14 +29,12 @@
         False,
         True,
     ]
-    assert detector.record_read("a", "video", 10**9, 7.5).highest_part == 7  # one odd client moves nothing
-    assert (
-        detector.record_read("a", "video", 9, 8.0).highest_part == 9
-    )  # the one between was read at another router
+    assert detector.record_read("a", "video", 10**9, 7.5).highest_part == 7  # a distant part is ignored
+    assert detector.record_read("a", "video", 9, 8.0).highest_part == 9  # part 8 was read at another router
     assert not any(detector.record_read("b", "video", part, 8.0).is_live for part in (3, 90, 4000, 2))
     assert not detector.record_read(
         "a", "video", 10, 8.0 + RULE.idle_timeout_s + 0.1
-    ).is_live  # evidence anew after a pause
+    ).is_live  # after a pause it must advance again
     assert {channel.object_name for channel in detector.pop_ended(30.0)} == {
         "a",
         "b",
@@ -71,26 +66,23 @@
     assert len(detector.channels) == len(hints.channels) == 10
     assert max(len(parts) for parts in hints.channels.values()) <= 16
     hints.add(49, 39, CACHE + 1, 4, 3.0, 1.0)
-    # The hint under the higher term, until it expires.
+    # The hint under the higher term is kept until it expires.
     assert hints.find(49, 39, 2.9) == CACHE and hints.find(49, 39, 3.1) is None
     hints.drop_expired(99.0)
     assert not hints.channels
 
 
-def owned_by_one(rule: ChannelRule, channels: int) -> tuple[World, list[int]]:
-    """Returns a zone whose router 4 owns all bundles and all routers read, and the bundles with channels."""
+def zone_with_one_owner(rule: ChannelRule, channels: int) -> tuple[World, list[int]]:
+    """Returns a zone that all routers read and whose bundles router 4 owns, and the bundles with channels."""
     names = tuple(f"cam{number}" for number in range(channels))
     world = World(3, names=names, rule=rule)
-    used = sorted({channel_id("here", name) % rule.bundles for name in names})
+    used_bundles = sorted({channel_id("here", name) % rule.bundles for name in names})
     world.readers = {4}
-    assert world.run(20.0, lambda: all(world.owners(number) for number in used))
+    assert world.run(20.0, lambda: all(world.owners(number) for number in used_bundles))
     world.readers = set(range(5))
     world.run(3.5)
-    assert all(world.owners(number) == [4] for number in used)
-    return world, used
-
-
-# --- planned handoffs ---
+    assert all(world.owners(number) == [4] for number in used_bundles)
+    return world, used_bundles
 
 
 def test_planned_handoffs_overlap_within_the_bound_and_never_have_three_owners() -> None:
@@ -120,7 +112,7 @@
 
 
 def assert_terms_grow(world: World) -> None:
-    """Asserts that the tier accepts no fill under a lower term than before."""
+    """Asserts that the tier accepts no fill under a lower term than that of an earlier fill."""
     for channel in {fill.prefetch.channel for fill in world.fills}:
         terms = [
             fill.prefetch.term for fill in world.fills if fill.accepted and fill.prefetch.channel == channel
@@ -129,7 +121,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_handoff_delayed_by_a_second_ends_its_overlap_by_the_old_owners_clock(seed: int) -> None:
+def test_overlap_of_a_delayed_handoff_ends_by_the_previous_owners_clock(seed: int) -> None:
     world = World(seed)
     owner = world.settle()
     others = set(range(5)) - {owner, 0, 1, 2}
@@ -143,14 +135,14 @@
     world.apply(owner, world.processes[owner].channels.drain(world.processes[owner].clock))
     assert world.run(9.0, lambda: world.has_moved_from(owner))
     world.run(2.0)
-    # The release to the successor is late, too: the overlap ends before it, by the owner's own clock.
+    # The release reaches the successor late as well, so the overlap ends first, by the owner's own clock.
     assert world.measurements[0].max_owners <= 2 and world.measurements[0].overlap_s <= BOUNDS.overlap_s
     released = [fill.at for fill in world.fills if fill.router == owner]
     assert released and world.processes[owner].channels.is_drained(world.processes[owner].clock)
 
 
 def test_an_owner_of_all_bundles_is_drained_under_load_within_seconds() -> None:
-    world, used = owned_by_one(RULE, 24)
+    world, used_bundles = zone_with_one_owner(RULE, 24)
     world.loss_ratio = 0.02
     for measured in world.measurements:
         measured.gap_s = 0.0
@@ -164,21 +156,18 @@
         measured.max_owners <= 2 and measured.overlap_s <= BOUNDS.overlap_s for measured in world.measurements
     )
     assert max(measured.gap_s for measured in world.measurements) <= MAX_GAP_S
-    assert all(world.owners(number) not in ([], [4]) for number in used)
+    assert all(world.owners(number) not in ([], [4]) for number in used_bundles)
     assert_terms_grow(world)
 
 
-# --- unplanned ---
-
-
-@pytest.mark.parametrize("how", ["killed", "stopped", "cut off"])
-def test_a_lost_owner_is_replaced_without_overlap_within_a_lease_and_a_second(how: str) -> None:
+@pytest.mark.parametrize("failure", ["killed", "stopped", "cut off"])
+def test_a_lost_owner_is_replaced_without_overlap_within_a_lease_and_a_second(failure: str) -> None:
     for seed in range(UNPLANNED_RUNS // 3 + 1):
         world = World(seed, delay_s=(0.001, 0.02))
         owner = world.settle()
         process = world.processes[owner]
-        process.dead, process.stopped = how == "killed", how == "stopped"
-        if how == "cut off":
+        process.dead, process.stopped = failure == "killed", failure == "stopped"
+        if failure == "cut off":
             world.isolate(owner)
         world.run(2.0 + random.Random(seed).random() * 2)
         process.stopped = False
@@ -218,8 +207,8 @@
     process.stopped = True
     assert world.run(5.0, lambda: bool(world.owners()) and world.fills[-1].router != owner)
     process.stopped = False
-    assert process.channels.writable_term(prefetch, process.clock) is None  # before any message tells it
-    world.arrive(owner, prefetch)  # what was written just before the stop
+    assert process.channels.writable_term(prefetch, process.clock) is None  # before it receives a message
+    world.arrive(owner, prefetch)  # a fill that was written just before the stop
     assert not world.fills[-1].accepted
     world.run(1.0)
     assert not process.channels.prefetch_succeeded(prefetch, CACHE + 1, process.clock)
@@ -247,11 +236,8 @@
     assert other.find_cache(prefetch.channel, prefetch.part + 9, now) is None
 
 
-# --- bounds ---
-
-
 def test_loss_of_the_owner_of_hundreds_of_channels_starts_few_elections_a_second() -> None:
-    world, used = owned_by_one(ChannelRule(("video",)), 300)
+    world, used_bundles = zone_with_one_owner(ChannelRule(("video",)), 300)
     requests: list[tuple[float, int]] = []
     for me, process in enumerate(world.processes):
         request = process.leases.request
@@ -263,18 +249,18 @@
         process.leases.request = counted  # type: ignore[assignment,method-assign]
     world.elections.clear()
     world.processes[4].dead = True
-    assert world.run(10.0, lambda: all(world.owners(number) for number in used))
-    for events, most in (
+    assert world.run(10.0, lambda: all(world.owners(number) for number in used_bundles))
+    for events, max_count in (
         (requests, owner_search.BIDS_PER_S + owner_search.MAX_BURST_BIDS),
         (world.elections, 25 + 8),
     ):
         counts = Counter((int(at * 2), me) for at, me in events)
-        pairs = [counts[half, me] + counts[half + 1, me] for half, me in counts]
-        assert max(pairs) <= most, (max(pairs), most)
+        pairs = [counts[half_second, me] + counts[half_second + 1, me] for half_second, me in counts]
+        assert max(pairs) <= max_count, (max(pairs), max_count)
 
 
 def test_oscillating_loads_move_few_bundles() -> None:
-    world, _ = owned_by_one(ChannelRule(("video",), bundles=32), 100)
+    world, _ = zone_with_one_owner(ChannelRule(("video",), bundles=32), 100)
     offers_made: list[tuple[float, int]] = []
     for me, process in enumerate(world.processes):
         offer_bundle = process.channels.handoff.offer_bundle
@@ -284,10 +270,10 @@
             return offer_bundle(bundle, successor, now)
 
         process.channels.handoff.offer_bundle = counted  # type: ignore[method-assign]
-    for half in range(60):
+    for half_second in range(60):
         for me, process in enumerate(world.processes):
             for peer in set(range(5)) - {me}:
-                message = OwnerLoad(1000_000 * ((half + peer) % 2), 0)  # nothing and very much, in turn
+                message = OwnerLoad(1000_000 * ((half_second + peer) % 2), 0)  # none and very high in turn
                 process.channels.handle_message(peer, 0, message, process.clock)
         world.run(0.5)
     moves = Counter(me for _, me in offers_made)
@@ -296,7 +282,7 @@
 
 
 class FakeLeases:
-    """Leases as a test sets them; requested ones are recorded."""
+    """Leases whose state the test sets; records which leases are requested."""
 
     def __init__(self) -> None:
         self.held: dict[int, int] = {}
@@ -321,8 +307,10 @@
         return self.reported_holder
 
 
-def owner_of(bundles: int = 1, rates: tuple[float, ...] = ()) -> tuple[Channels, FakeLeases, list[Bundle]]:
-    """Router 0, which has long owned the bundles with a rate under term 5; router 1 follows them."""
+def channels_of_owner(
+    bundles: int = 1, rates: tuple[float, ...] = ()
+) -> tuple[Channels, FakeLeases, list[Bundle]]:
+    """Returns router 0, a long-time owner under term 5 of one bundle per rate, each followed by router 1."""
     leases = FakeLeases()
     rule = ChannelRule(("video",), bundles=bundles)
     rng = random.Random(1)
@@ -334,35 +322,36 @@
     return channels, leases, channels.bundles.all
 
 
-def test_the_old_term_ends_with_the_overlap_by_the_slowest_clock_or_at_a_higher_term() -> None:
-    channels, _, (bundle,) = owner_of(1, (1.0,))
+def test_old_term_expires_with_the_overlap_or_when_a_higher_term_is_received() -> None:
+    channels, _, (bundle,) = channels_of_owner(1, (1.0,))
     prefetch = Prefetch(7, "a", "video", 3, 5)
     channels.bundles.release(bundle, 100.0, successor=1)
-    ends = 100.0 + BOUNDS.overlap_s * (1 - BOUNDS.drift_ratio)
+    overlap_end = 100.0 + BOUNDS.overlap_s * (1 - BOUNDS.drift_ratio)
     assert (
-        channels.writable_term(prefetch, ends - 0.001) == 5 and channels.writable_term(prefetch, ends) is None
+        channels.writable_term(prefetch, overlap_end - 0.001) == 5
+        and channels.writable_term(prefetch, overlap_end) is None
     )
     bundle.accept_term(6, 100.1)
     assert channels.writable_term(prefetch, 100.1) is None
-    channels, leases, (bundle,) = owner_of(1, (1.0,))
-    bundle.acquired_at = 100.0 - BOUNDS.overlap_s  # the one before it may still fill
+    channels, leases, (bundle,) = channels_of_owner(1, (1.0,))
+    bundle.acquired_at = 100.0 - BOUNDS.overlap_s  # the previous owner may still fill
     channels.bundles.release(bundle, 100.0, successor=1)
     assert channels.writable_term(prefetch, 100.0) is None
     leases.held[bundle.lease] = 8
-    assert channels.writable_term(prefetch, 101.0) is None  # under a term of its own, but not this one
+    assert channels.writable_term(prefetch, 101.0) is None  # the held lease has another term
     bundle.accept_term(9, 101.0)
     assert channels.writable_term(Prefetch(7, "a", "video", 3, 8), 101.0) is None
 
 
-def test_bid_delays_of_many_routers_leave_few_first() -> None:
-    channels, _, _ = owner_of()
-    firsts = [sorted(channels.owner_search.bid_delay_s() for _ in range(50))[:2] for _ in range(200)]
-    # Seen 0.040 s: an election nearby. Evenly drawn, the second is 0.008 s behind the first.
-    assert sum(second - first for first, second in firsts) / 200 > 0.03
+def test_bid_delays_let_one_of_many_routers_bid_well_before_the_next() -> None:
+    channels, _, _ = channels_of_owner()
+    two_shortest = [sorted(channels.owner_search.bid_delay_s() for _ in range(50))[:2] for _ in range(200)]
+    # The mean gap is 0.040 s, about an election between nearby routers; uniform delays give 0.008 s.
+    assert sum(second - first for first, second in two_shortest) / 200 > 0.03
 
 
-def test_a_holder_reported_by_acceptors_that_denies_it_does_not_prevent_a_bid() -> None:
-    channels, leases, (bundle,) = owner_of()
+def test_reported_holder_that_denies_ownership_does_not_prevent_a_bid() -> None:
+    channels, leases, (bundle,) = channels_of_owner()
     leases.reported_holder = bundle.owner = 3
     for part in (1, 2, 3):
         channels.record_read("a", "video", part, 100.0)
@@ -372,7 +361,7 @@
     assert leases.requested == [bundle.lease]
 
 
-def offers(actions: list[Action]) -> list[int | None]:
+def offer_receivers(actions: list[Action]) -> list[int | None]:
     return [
         action.to
         for action in actions
@@ -381,24 +370,24 @@
 
 
 def test_rebalancing_moves_only_a_bundle_that_evens_the_load_to_a_reachable_follower() -> None:
-    channels, _, bundles = owner_of(8, (10.0, 1.0))
+    channels, _, bundles = channels_of_owner(8, (10.0, 1.0))
     handoffs = channels.handoff
     handoffs.peer_loads = {1: PeerLoad(8.0, 100.0), 2: PeerLoad(8.0, 100.0)}
-    assert not handoffs.start_handoffs(100.0)  # 11 is not much more than a mean of 9
+    assert not handoffs.start_handoffs(100.0)  # a load of 11 is not far above the mean of 9
     handoffs.peer_loads |= {2: PeerLoad(0.0, 100.0), 3: PeerLoad(0.0, 100.0)}
     handoffs.unreachable = {1}
     assert not handoffs.start_handoffs(100.0)
     handoffs.unreachable = set()
-    assert offers(handoffs.start_handoffs(100.0)) == [1]
-    assert bundles[0].offer is None and bundles[1].offer is not None  # the large one would only swap places
+    assert offer_receivers(handoffs.start_handoffs(100.0)) == [1]
+    assert bundles[0].offer is None and bundles[1].offer is not None  # the larger one would overload router 1
     bundles[1].offer = None
     assert not handoffs.start_handoffs(100.0 + handoff.REBALANCE_INTERVAL_S - 0.1)
 
 
 def test_a_drain_offers_few_bundles_at_once_and_a_router_without_readers_declines() -> None:
-    channels, _, _ = owner_of(8, (1.0,) * 8)
-    assert offers(channels.drain(100.0)) == [1] * handoff.MAX_CONCURRENT_HANDOFFS
-    channels, leases, (bundle,) = owner_of()
+    channels, _, _ = channels_of_owner(8, (1.0,) * 8)
+    assert offer_receivers(channels.drain(100.0)) == [1] * handoff.MAX_CONCURRENT_HANDOFFS
+    channels, leases, (bundle,) = channels_of_owner()
     (message,) = channels.handle_message(3, 0, HandoffOffer(bundle.lease, 5, 0), 100.0)
     assert (
         isinstance(message, SendMessage)
@@ -411,7 +400,7 @@
     ) and leases.requested == [bundle.lease]
 
 
-def test_a_router_that_is_followed_without_owning_the_bundle_denies_it() -> None:
+def test_router_that_does_not_own_the_bundle_answers_a_follower_with_a_denial() -> None:
     world = World(11)
     owner = world.settle()
     other = (owner + 1) % 5
@@ -419,4 +408,4 @@
     bundle = channels.bundles.all[0]
     (answer,) = channels.handle_message(owner, 0, HandoffReply(bundle.lease, 0, 1), now)
     assert isinstance(answer.message, HandoffReply) and answer.message.accepted == 0  # type: ignore[union-attr]
-    assert channels.handle_message(owner, 0, HandoffReply(12345, 0, 1), now) == []  # another plaza's bundle
+    assert channels.handle_message(owner, 0, HandoffReply(12345, 0, 1), now) == []  # a bundle of another zone
--- a/tests/cluster/test_placement_tables.py
+++ b/tests/cluster/test_placement_tables.py
@@ -1,4 +1,4 @@
-"""Placement rules at one router: compiled for its list, followed once the fleet agrees, paced."""
+"""Placement rules at one router: when a table is compiled, when it is used, and how fast shards migrate."""
 
 import asyncio
 import json
@@ -59,7 +59,7 @@
 
 
 class RouterRig:
-    """One router that is the whole fleet; nothing is sent, and time passes in `run` alone."""
+    """A fleet of one router that sends nothing; simulated time passes only in `run`."""
 
     def __init__(self, folder: Path, rules: str) -> None:
         self.clock = Clock()
@@ -127,29 +127,29 @@
         rig.run(3.0)
         assert rig.all_homes_are("e2")
         rig.clock.now += 31.0
-        assert not rig.all_homes_are("e2")  # stopped for longer than an epoch is valid
+        assert not rig.all_homes_are("e2")  # the router was stopped for longer than an epoch is valid
 
     run_script(tmp_path, script)
 
 
-def test_only_changes_that_rules_see_compile_a_new_table(tmp_path: Path) -> None:
+def test_only_member_changes_that_affect_rules_compile_a_new_table(tmp_path: Path) -> None:
     async def script(rig: RouterRig) -> None:
         await rig.update()
-        own = rig.placement.compilation.table
-        assert own is not None and own.names == ("e0", "e1", "e2", "e3")
+        first = rig.placement.compilation.table
+        assert first is not None and first.names == ("e0", "e1", "e2", "e3")
         rig.exchange.update_members(
             (Member("e1", "here", "box", started=50.0), Member("p2", "hub", "parent")), False
         )
         await rig.update()
-        assert rig.placement.compilation.table is own
+        assert rig.placement.compilation.table is first
         rig.exchange.update_members((Member("e1", "here", "box", state=MemberState.DRAINING),), False)
         await rig.update()
-        assert rig.placement.compilation.table is not own and rig.counters.counts["placement_compiled"] == 2
+        assert rig.placement.compilation.table is not first and rig.counters.counts["placement_compiled"] == 2
 
     run_script(tmp_path, script)
 
 
-def test_another_file_migrates_shards_at_its_pace_and_names_previous_homes(tmp_path: Path) -> None:
+def test_changed_rules_migrate_shards_at_their_rate_and_report_previous_homes(tmp_path: Path) -> None:
     async def script(rig: RouterRig) -> None:
         await rig.update()
         rig.path.write_text(RULES.format("e3"))
@@ -161,8 +161,8 @@
         assert rig.all_homes_are("e3")
         request = ClientRequest("x", "video", 1.0, "7", 7, None, None)
         rig.placement.prepare_request(request)
-        seen = rig.exchange.router.state.hot_objects.parts[7, None]
-        assert list(seen.holders) == ["e2"]
+        hot_part = rig.exchange.router.state.hot_objects.parts[7, None]
+        assert list(hot_part.holders) == ["e2"]
         assert rig.counters.counts["placement_former_named"] == 1
         explanation = json.loads(rig.placement.explain("class=video,key=7"))
         assert (explanation["now"], explanation["former"], explanation["rule"], explanation["waits"]) == (
@@ -178,13 +178,13 @@
     run_script(tmp_path, script)
 
 
-def test_a_file_that_cannot_be_used_leaves_the_rules_before(tmp_path: Path) -> None:
+def test_unusable_rules_file_leaves_the_previous_rules_in_use(tmp_path: Path) -> None:
     async def script(rig: RouterRig) -> None:
         await rig.update()
         rig.path.write_text("otherwise: 64 shards by what.")
         with pytest.raises(ConfigError, match=r"p\.rules:1:"):
             rig.placement.reload()
-        rig.path.write_text("otherwise: 64 shards by object; 9 copies.")  # more than the list has
+        rig.path.write_text("otherwise: 64 shards by object; 9 copies.")  # more copies than there are members
         rig.placement.reload()
         await rig.update()
         await rig.update()
@@ -194,7 +194,7 @@
     run_script(tmp_path, script)
 
 
-def test_another_number_of_shards_waits_for_pending_migrations(tmp_path: Path) -> None:
+def test_table_with_another_number_of_shards_waits_for_pending_migrations(tmp_path: Path) -> None:
     async def script(rig: RouterRig) -> None:
         await rig.update()
         rig.path.write_text(RULES.format("e3").replace("100 shards", "10 shards"))
@@ -224,14 +224,14 @@
     run_script(tmp_path, script)
 
 
-def test_the_console_explains_its_query_form_and_why_there_is_no_rule(tmp_path: Path) -> None:
+def test_console_explains_the_form_of_a_query_and_why_no_rule_applies(tmp_path: Path) -> None:
     rig = RouterRig(tmp_path, RULES.format("e2"))
     for text in ("", "key", "what=1", "class=video,", "group=x"):
         assert "expected" in json.loads(rig.placement.explain(text))
     assert json.loads(rig.placement.explain("class=video,key=7"))["rule"] is None
 
 
-def test_few_tables_are_held_however_often_the_list_changes(tmp_path: Path) -> None:
+def test_number_of_tables_kept_is_bounded_when_the_list_changes_often(tmp_path: Path) -> None:
     async def script(rig: RouterRig) -> None:
         for n in range(12):
             rig.exchange.update_members((Member(f"x{n}", "here", "box"),), False)
--- a/tests/cluster/test_sharing_channels.py
+++ b/tests/cluster/test_sharing_channels.py
@@ -12,9 +12,9 @@
 from paddlequay.lab.load import Connection
 from paddlequay.lab.zone_cluster import ZonePlan
 
-RULES = '  channels { class: "lane-video" bundles: 4 live_s: 3 }\n'
+CHANNEL_SETTINGS = '  channels { class: "lane-video" bundles: 4 live_s: 3 }\n'
 NAME = "00000000000000c5"
-PART_INTERVAL_S = 0.15  # between two parts, and over which the readers of one are spread
+PART_INTERVAL_S = 0.15  # between two parts; the reads of one part are spread over it
 
 
 class Readers:
@@ -23,20 +23,20 @@
     def __init__(self, rig: FleetRig) -> None:
         self.rig = rig
         self.connections = [Connection(address) for address in rig.load.routers]
-        self.down: set[int] = set()  # routers that no client reads from
+        self.skipped_routers: set[int] = set()  # routers without readers
         self.part = 0
-        self.number = 0
+        self.serial = 0
         self.outcomes: Counter[str] = Counter()
         self.corrupt = 0
 
     async def read(self, router: int, part: int) -> None:
         await asyncio.sleep(0.3 * PART_INTERVAL_S * router)
-        self.number += 1
-        fields = {"call": f"{self.number:016x}", "ttl": "3000", "row": NAME, "slice": str(part), "set": "197"}
+        self.serial += 1
+        fields = {"call": f"{self.serial:016x}", "ttl": "3000", "row": NAME, "slice": str(part), "set": "197"}
         try:
             error, result = await self.connections[router].ask("lane-video", fields, b"", 4.0)
-        except (OSError, TimeoutError) as problem:
-            self.outcomes[type(problem).__name__] += 1
+        except (OSError, TimeoutError) as failure:
+            self.outcomes[type(failure).__name__] += 1
             return
         self.outcomes["served" if error is None else str(error[0])] += 1
         if error is None:
@@ -47,7 +47,7 @@
         while True:
             self.part += 1
             for router in range(len(self.connections)):
-                if router not in self.down:
+                if router not in self.skipped_routers:
                     task = asyncio.ensure_future(self.read(router, self.part))
                     tasks.add(task)
                     task.add_done_callback(tasks.discard)
@@ -65,11 +65,11 @@
 
 
 async def until_owned(moments: list[Moment], excluded: set[int], timeout_s: float) -> int:
-    """Returns a router that owns the bundle after now."""
-    begun = time.time()
-    while time.time() - begun < timeout_s:
+    """Waits until a router outside `excluded` owns the bundle, as seen from now on, and returns it."""
+    started_at = time.time()
+    while time.time() - started_at < timeout_s:
         for moment in moments[::-1]:
-            if moment.at <= begun:
+            if moment.at <= started_at:
                 break
             known = [router for router in owners(moment) if router not in excluded]
             if known:
@@ -82,30 +82,32 @@
     return sum(page["counts"].get(name, 0) for page in moment.pages.values())
 
 
-def test_one_owner_prefetches_and_a_drain_a_kill_or_a_stop_replaces_it(tmp_path: Path) -> None:
+def test_owner_prefetches_alone_and_is_replaced_after_a_drain_a_kill_and_a_stop(tmp_path: Path) -> None:
     moments: list[Moment] = []
-    rig = FleetRig(ZonePlan(routers=4, boxes=2, tiers=1, regional=0, rate=20.0, seed=5), tmp_path, RULES, 5)
+    rig = FleetRig(
+        ZonePlan(routers=4, boxes=2, tiers=1, regional=0, rate=20.0, seed=5), tmp_path, CHANNEL_SETTINGS, 5
+    )
     readers = Readers(rig)
 
     async def script() -> None:
         first = await until_owned(moments, set(), 6.0)
         await asyncio.sleep(1.5)
         assert counter_sum(moments[-1], "channels.hints") > 0
-        # Planned: SIGTERM drains the owner; its clients go to the other routers.
-        readers.down.add(first)
+        # Planned handoff: SIGTERM drains the owner; its clients go to the other routers.
+        readers.skipped_routers.add(first)
         rig.process(first).terminate()
         second = await until_owned(moments, {first}, 3.0)
         await rig.process(first).wait()
         await rig.restart(first)
-        readers.down.clear()
-        # Killed: after a lease and an election another router owns it.
-        readers.down.add(second)
+        readers.skipped_routers.clear()
+        # Killed owner: after a lease and an election another router owns the bundle.
+        readers.skipped_routers.add(second)
         await rig.kill_router(second)
         third = await until_owned(moments, {second}, 1.5 + 1.0 + 1.5)
         await rig.restart(second)
-        readers.down.clear()
-        # Stopped for longer than its lease, and continued with an old term.
-        readers.down.add(third)
+        readers.skipped_routers.clear()
+        # Stopped owner: it continues after its lease has expired, with an old term.
+        readers.skipped_routers.add(third)
         rig.stop(third)
         await until_owned(moments, {third}, 1.5 + 1.0 + 1.5)
         rig.go_on(third)
@@ -132,7 +134,7 @@
     for at, _, term in observations:
         if term is not None:
             terms.setdefault(term, []).append(at)
-    # Two owners at once, each by its own term, for the bound of a planned handoff at most.
+    # Two owners, each with its own term, overlap at most for the bound of a planned handoff.
     ordered = sorted(terms.items())
     for (_, before), (_, after) in itertools.pairwise(ordered):
         assert before[-1] - after[0] <= 0.5, ordered
