--- a/paddlequay/cluster/bundle_owner.py
+++ b/paddlequay/cluster/bundle_owner.py
@@ -67,7 +67,7 @@
         bundle.last_report_at = now
         valid_ms = int(valid_s * 1000)
         report = ChannelPartReport(prefetch.channel, prefetch.term, prefetch.part, cache, valid_ms)
-        # Sent with low urgency: when bandwidth is short, messages that decide something go before hints.
+        # Hints are `ROUTINE`: when bandwidth is short, they yield to messages that decide something.
         actions: list[Action] = [
             SendMessage(peer, report, Urgency.ROUTINE) for peer in bundle.current_followers(now)
         ]
--- a/paddlequay/cluster/bundles.py
+++ b/paddlequay/cluster/bundles.py
@@ -17,7 +17,7 @@
 
 FOLLOWER_TIMEOUT_S = 3.5  # time for three follow messages, of which two may be lost
 TERM_RETENTION_S = 30.0  # then a higher term is ignored: acceptors that lost their state issue lower ones
-LONG_AGO_S = -1e9  # seconds; earlier than any clock reading
+LONG_AGO_S = -1e9  # earlier than any clock reading
 
 
 class LeaseTerms(Protocol):
--- a/paddlequay/cluster/placement_epochs.py
+++ b/paddlequay/cluster/placement_epochs.py
@@ -16,7 +16,7 @@
 from paddlequay.cluster.ballots import router_of
 from paddlequay.cluster.messages import PeerMessage, TableAcknowledgement, TableAnnouncement
 from paddlequay.cluster.table_epochs import (
-    MAX_NUMBER,
+    MAX_EPOCH_NUMBER,
     TABLES_LEASE,
     DeclaredEpoch,
     TableContent,
@@ -111,9 +111,9 @@
     ) -> list[Action]:
         """Handles a holder's announcement or, as the holder, an acknowledgement from a router."""
         match message:
-            case TableAnnouncement(epoch_number=number, term=term) if term and 0 < number <= MAX_NUMBER:
+            case TableAnnouncement(epoch_number=number, term=term) if term and 0 < number <= MAX_EPOCH_NUMBER:
                 return self._handle_announcement(sender, message, now)
-            case TableAcknowledgement(epoch_number=number) if number <= MAX_NUMBER:
+            case TableAcknowledgement(epoch_number=number) if number <= MAX_EPOCH_NUMBER:
                 return self._handle_acknowledgement(sender, incarnation, message, now)
         return []
 
--- a/paddlequay/cluster/prefetch.py
+++ b/paddlequay/cluster/prefetch.py
@@ -48,16 +48,16 @@
 class DecayingRate:
     """A rate of events per second, averaged with exponential decay."""
 
-    value: float = 0.0
+    rate_per_s: float = 0.0
     updated_at: float = 0.0
 
     def per_second(self, now: float) -> float:
         """Returns the rate at `now`, in events per second."""
-        return self.value * math.exp(min(0.0, self.updated_at - now) / RATE_TIME_CONSTANT_S)
+        return self.rate_per_s * math.exp(min(0.0, self.updated_at - now) / RATE_TIME_CONSTANT_S)
 
     def add(self, now: float) -> None:
         """Counts one event."""
-        self.value = self.per_second(now) + 1 / RATE_TIME_CONSTANT_S
+        self.rate_per_s = self.per_second(now) + 1 / RATE_TIME_CONSTANT_S
         self.updated_at = max(self.updated_at, now)
 
 
@@ -103,11 +103,11 @@
 
     def record_read(self, object_name: str, class_name: str, part: int, now: float) -> Channel:
         """Records a read and returns its channel. `pop_ended` removes channels beyond the maximum."""
-        number = channel_id(self.zone, object_name)
-        channel = self.channels.get(number)
+        key = channel_id(self.zone, object_name)
+        channel = self.channels.get(key)
         if channel is None:
-            channel = Channel(number, object_name, class_name, part, now, now)
-            self.channels[number] = channel
+            channel = Channel(key, object_name, class_name, part, now, now)
+            self.channels[key] = channel
         elif now - channel.advanced_at > self.rule.idle_timeout_s:
             channel.highest_part = part
             channel.advanced_at = now
@@ -117,7 +117,7 @@
             channel.advanced_at = now
             channel.advances += 1
         channel.last_read_at = now
-        self.channels.move_to_end(number)
+        self.channels.move_to_end(key)
         return channel
 
     def pop_ended(self, now: float) -> Iterator[Channel]:
--- a/paddlequay/cluster/table_answers.py
+++ b/paddlequay/cluster/table_answers.py
@@ -90,9 +90,9 @@
         }
         return [peer for peer in self._others() if peer not in agreeing]
 
-    def peers_not_using(self, short: int) -> list[Peer]:
+    def peers_not_using(self, short_epoch: int) -> list[Peer]:
         """Returns the other routers that have not confirmed that they use the epoch with this short form."""
-        return [peer for peer in self._others() if self.used_epochs.get(peer) != short]
+        return [peer for peer in self._others() if self.used_epochs.get(peer) != short_epoch]
 
     def table_counts(self) -> Counter[int]:
         """Returns how many routers have each table."""
@@ -107,25 +107,25 @@
 
     def __init__(self, answers: TableAnswers) -> None:
         self.answers = answers
-        self._since = NEVER
+        self._differing_since = NEVER
         self._logged_at = -NEVER
 
     def reset(self) -> None:
         """Starts measuring again, for a new term."""
-        self._since = NEVER
+        self._differing_since = NEVER
 
     def check(self, now: float) -> list[LogEvent]:
         """Returns a log event if the tables differ and an event is due."""
         counts = self.answers.table_counts()
         if len(counts) < 2:
-            self._since = NEVER
+            self._differing_since = NEVER
             return []
-        self._since = min(self._since, now)
-        if now - self._since < LOG_INTERVAL_S / 2 or now - self._logged_at < LOG_INTERVAL_S:
+        self._differing_since = min(self._differing_since, now)
+        if now - self._differing_since < LOG_INTERVAL_S / 2 or now - self._logged_at < LOG_INTERVAL_S:
             return []
         self._logged_at = now
         fields = (
-            ("for_s", round(now - self._since, 1)),
+            ("for_s", round(now - self._differing_since, 1)),
             ("answered", len(self.answers.by_peer)),
             ("tables", len(counts)),
             ("most_alike", max(counts.values())),
--- a/paddlequay/cluster/table_epochs.py
+++ b/paddlequay/cluster/table_epochs.py
@@ -14,28 +14,28 @@
 
 TABLES_LEASE: NameDigest = digest("tables")
 
-NUMBER_BITS = 32
-MAX_NUMBER = (1 << NUMBER_BITS) - 1
+EPOCH_NUMBER_BITS = 32
+MAX_EPOCH_NUMBER = (1 << EPOCH_NUMBER_BITS) - 1
 
 
 def epoch_of(term: int, number: int) -> int:
     """Returns an epoch as a number of 95 bits that can be compared; messages carry both parts."""
-    return term << NUMBER_BITS | number
+    return term << EPOCH_NUMBER_BITS | number
 
 
 def term_of(epoch: int) -> int:
     """Returns the term under which an epoch was created."""
-    return epoch >> NUMBER_BITS
+    return epoch >> EPOCH_NUMBER_BITS
 
 
 def number_of(epoch: int) -> int:
     """Returns the number of an epoch under its term."""
-    return epoch & MAX_NUMBER
+    return epoch & MAX_EPOCH_NUMBER
 
 
 def short_epoch(epoch: int) -> int:
     """Returns an epoch in 63 bits, for messages and logs; the order is kept unless terms share a counter."""
-    return counter_of(term_of(epoch)) << NUMBER_BITS | number_of(epoch)
+    return counter_of(term_of(epoch)) << EPOCH_NUMBER_BITS | number_of(epoch)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/cluster/test_placement_epochs.py
+++ b/tests/cluster/test_placement_epochs.py
@@ -228,7 +228,7 @@
     proposer = process.tables.proposer
 
     def has_majority() -> bool:
-        # Once answers arrive, the holder's messages are blocked; it still receives a majority's answers.
+        # Messages of the holder after its proposal are blocked; it still receives the answers.
         if proposer.proposal is not None:
             world.blocked_links |= {(holder, peer) for peer in rest if proposer.answers.by_peer}
         return proposer.declared is not None and proposer.declared.content.table == digest_of(1, 2)
--- a/tests/cluster/test_sharing_tables.py
+++ b/tests/cluster/test_sharing_tables.py
@@ -36,9 +36,9 @@
             await asyncio.sleep(0.05)
         raise AssertionError(f"not within 15 s: {expectation}: {placement_pages(self.moments[-1])}")
 
-    def reload_rules(self, *routers: int) -> None:
-        for router in routers:
-            self.rig.process(router).send_signal(signal.SIGHUP)
+    def reload_rules(self, *numbers: int) -> None:
+        for number in numbers:
+            self.rig.process(number).send_signal(signal.SIGHUP)
 
 
 def all_agree(placements: dict[int, dict[str, Any]]) -> bool:
