--- a/paddlequay/cluster/owner_search.py
+++ b/paddlequay/cluster/owner_search.py
@@ -88,7 +88,7 @@
         return actions
 
     def needs_owner(self, bundle: Bundle) -> bool:
-        """Returns whether a bundle is read here, unless this router is draining or in the overlap of a handoff."""
+        """Returns whether a bundle is read here, unless this router drains or is in a handoff's overlap."""
         return bool(bundle.live_channels) and not self.handoff.draining and bundle.overlap is None
 
     def follow_owner(self, bundle: Bundle, now: float) -> list[Action]:
