--- a/paddlequay/lifecycle/operator_state.py
+++ b/paddlequay/lifecycle/operator_state.py
@@ -51,9 +51,7 @@
     def __init__(self, path: Path) -> None:
         self.path = path
         self.overrides: dict[str, Override] = {}
-        self.ejected: set[str] = (
-            set()
-        )  # ids of ejected caches; a set, because it is consulted before each write
+        self.ejected: set[str] = set()  # ids of ejected caches: consulted before each write
         self.known_ids: OrderedDict[str, None] = OrderedDict()  # the latest ids that the endpoint list named
         self.on_change: list[Callable[[str], None]] = []
 
--- a/paddlequay/net/clients/answer_writer.py
+++ b/paddlequay/net/clients/answer_writer.py
@@ -81,16 +81,16 @@
             pieces = (b"".join(pieces),)
         try:
             for piece in pieces:
-                done = self.stream.write(memoryview(piece))
+                write_future = self.stream.write(memoryview(piece))
         except StreamClosedError:
             self.front.unsent_bytes -= size
             self.unsent_bytes -= size
             return
         self.front.counters.add("answer_bytes", size)
-        if done.done():  # the usual case
+        if write_future.done():  # the usual case
             self.note_written(size, on_written)
         else:
-            done.add_done_callback(lambda _: self.note_written(size, on_written))
+            write_future.add_done_callback(lambda _: self.note_written(size, on_written))
 
     def close_slowest(self) -> "AnswerWriter":
         """Closes the connection with the most unsent bytes, and returns its writer."""
--- a/paddlequay/net/clients/session_reader.py
+++ b/paddlequay/net/clients/session_reader.py
@@ -19,10 +19,10 @@
 class SessionReader:
     """Reads for one session, and closes it at the end of the connection.
 
-    The reader submits requests only once it has read all received bytes. So a cancel or a close that the
-    client has sent after a request prevents attempts for that request. A half-close counts as a close,
-    because the two cannot be told apart. The session does not refer to its reader, because a connection in a
-    reference cycle is freed late.
+    The reader submits requests only once it has read all received bytes, or after `MAX_BACKLOG_S`. So a
+    cancel or a close that the client has sent after a request prevents attempts for that request. A
+    half-close counts as a close, because the two cannot be told apart. The session does not refer to its
+    reader, because a connection in a reference cycle is freed late.
     """
 
     def __init__(self, session: ClientSession) -> None:
--- a/paddlequay/net/upstreams/cache_messages.py
+++ b/paddlequay/net/upstreams/cache_messages.py
@@ -16,7 +16,7 @@
     "FAULT": Outcome.ERROR,
     "LATE": Outcome.NOT_SENT,
 }
-DETAIL_BY_FIELD = {
+DETAIL_BY_WIRE_NAME = {
     "HIT": ReplyDetail.HIT,
     "MISS": ReplyDetail.FILLED,
     "MISS_ORIGIN": ReplyDetail.FILLED_FROM_ORIGIN,
@@ -92,7 +92,7 @@
             outcome=OUTCOME_BY_STATUS[answer.status],
             body=answer.body,
             not_modified=answer.status == "VALID",
-            detail=DETAIL_BY_FIELD.get(answer.fields.get("detail", "")),
+            detail=DETAIL_BY_WIRE_NAME.get(answer.fields.get("detail", "")),
             source_wait=None if source_wait_ms is None else parse_number(source_wait_ms) / MS_PER_S,
             load_report=parse_load(answer.fields["use"]) if answer.fields.get("use") else NO_LOAD_REPORT,
             stamp=parse_stamp(answer.fields),
--- a/paddlequay/net/upstreams/connection.py
+++ b/paddlequay/net/upstreams/connection.py
@@ -219,9 +219,9 @@
 
     def send(self, data: bytes) -> None:
         """Writes to the open stream; once the socket has accepted all bytes, writes the waiting attempts."""
-        done = self.stream.write(data)
+        write_future = self.stream.write(data)
         if self.stream.writing():
-            done.add_done_callback(lambda _: self.write_waiting())
+            write_future.add_done_callback(lambda _: self.write_waiting())
 
     def handle_answer(self, answer: wire.CacheAnswer) -> None:
         """Ends the attempt of a complete answer. Raises `CacheProtocolError` if the answer is invalid."""
--- a/paddlequay/requests/exchange.py
+++ b/paddlequay/requests/exchange.py
@@ -220,8 +220,8 @@
         pending = self.pending.get(action.request)
         if pending is None:
             return
-        tried = "attempted" if pending.attempts else "unattempted"
-        self.counters.add(f"rejected.{tried}.{action.cause.value}")
+        attempt_label = "attempted" if pending.attempts else "unattempted"
+        self.counters.add(f"rejected.{attempt_label}.{action.cause.value}")
         answer = FinalAnswer(
             AnswerStatus.REJECTED, retry_after=action.retry_after, detail=pending.last_detail
         )
--- a/paddlequay/requests/messages.py
+++ b/paddlequay/requests/messages.py
@@ -187,7 +187,7 @@
     carrier: AttemptCarrier | None = None
     written_at: float | None = None
     ended: bool = False
-    never_resend: bool = False  # its class is not idempotent: once written, it must not be sent again
+    never_resend: bool = False  # not idempotent: must not be resent if it may have been executed
     chosen_members: tuple[Member | None, ...] = ()  # target and source, as listed when they were chosen
 
     @property
--- a/tests/cluster/test_channel_prefetcher.py
+++ b/tests/cluster/test_channel_prefetcher.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from test_interceptor import Looker, Side, ask, made
+from test_interceptor import RecordingInterceptor, RecordingUpstreamPool, client_request, create_exchange
 
 from paddlequay.cluster.channels import Channels
 from paddlequay.cluster.messages import ChannelPartReport, HandoffReply
@@ -49,7 +49,7 @@
         return None
 
 
-class PrefetchInterceptor(Looker):
+class PrefetchInterceptor(RecordingInterceptor):
     """Hands the calls of the exchange on to the prefetcher, as the cluster's driver does."""
 
     prefetcher: ChannelPrefetcher
@@ -68,7 +68,7 @@
 class Rig:
     def __init__(self, folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         self.exchange: Exchange
-        self.exchange, _, self.side = made(folder)
+        self.exchange, _, self.side = create_exchange(folder)
         self.leases, self.actions = FakeLeases(), list[Action]()
         rule = ChannelRule(("video",), bundles=1)
         rng = random.Random(1)
@@ -91,9 +91,9 @@
     def apply_actions(self, actions: Sequence[Action]) -> None:
         self.actions += actions
 
-    def read(self, *parts: int) -> Side:
+    def read(self, *parts: int) -> RecordingUpstreamPool:
         for part in parts:
-            request = ask(f"client {part}")
+            request = client_request(f"client {part}")
             request.part = part
             self.exchange.submit(request, lambda reply: None)
         return self.side
@@ -142,5 +142,5 @@
     rig = Rig(tmp_path, monkeypatch)
     replies: list[FinalAnswer] = []
     for number in range(5):
-        rig.exchange.submit(ask(f"c{number}", "charge"), replies.append)
+        rig.exchange.submit(client_request(f"c{number}", "charge"), replies.append)
     assert not any(each.id.startswith("ahead") for each in rig.side.started)
--- a/tests/cluster/test_limit_permits.py
+++ b/tests/cluster/test_limit_permits.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from test_interceptor import ask, made
+from test_interceptor import client_request, create_exchange
 
 from paddlequay.cluster.fleet_limits import FleetLimits
 from paddlequay.cluster.settings import ClusterSettings, LimitRule, LimitScope, PartitionMode
@@ -19,7 +19,7 @@
 
     def __init__(self, folder: Path, *rules: LimitRule) -> None:
         self.exchange: Exchange
-        self.exchange, _, self.side = made(folder)
+        self.exchange, _, self.side = create_exchange(folder)
         self.exchange.attempts.interceptor = None
         self.now = 100.0
         settings = ClusterSettings("here", (), limits=rules)
@@ -39,7 +39,7 @@
 
     def open(self, kind: str = "video") -> tuple[PendingRequest, UpstreamAttempt]:
         self.opened += 1
-        item = self.exchange.submit(ask(f"{self.opened:x}", kind), lambda _: None)
+        item = self.exchange.submit(client_request(f"{self.opened:x}", kind), lambda _: None)
         assert item is not None
         item.deadline = self.now + 2.0
         return item, self.side.started[-1]
--- a/tests/race_conditions/rig_clients.py
+++ b/tests/race_conditions/rig_clients.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from test_interceptor import KINDS, MEMBERS, Side
+from test_interceptor import MEMBERS, REQUEST_CLASSES, RecordingUpstreamPool
 
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.operator_state import OperatorState
@@ -33,7 +33,7 @@
 
 WAIT = 5.0
 SETTINGS = RoutingSettings(
-    zone="here", classes=KINDS, parent_kind="parent", origin_kind="origin", bypass_allowed=True
+    zone="here", classes=REQUEST_CLASSES, parent_kind="parent", origin_kind="origin", bypass_allowed=True
 )
 
 
@@ -98,7 +98,7 @@
         self.exchange = Exchange(
             Router(SETTINGS, 1), operation, self.shares, self.limits, scheduler, self.counters
         )
-        self.side = Side()
+        self.side = RecordingUpstreamPool()
         self.exchange.attempts.upstreams = self.side
         self.exchange.update_members(MEMBERS, full=True)
         load = OverloadGuard(self.limits, 1)
--- a/tests/race_conditions/test_endpoint_updates.py
+++ b/tests/race_conditions/test_endpoint_updates.py
@@ -8,7 +8,7 @@
 
 import pytest
 from rig_endpoints import entry, roster
-from test_interceptor import made
+from test_interceptor import create_exchange
 
 from paddlequay.discovery.reports import MembershipLimits, SourceRule
 from paddlequay.discovery.resolver_types import SendQuery
@@ -43,7 +43,7 @@
 
 
 def followed(tmp_path: Path) -> tuple[EndpointWatch, Exchange, Breaking]:
-    exchange, _, _ = made(tmp_path)
+    exchange, _, _ = create_exchange(tmp_path)
     pool = Breaking(exchange, exchange.intake.quotas, exchange.limits, exchange.counters)
     follower = EndpointWatch(("127.0.0.1", 1), exchange, pool, exchange.limits, exchange.counters)
     follower.start_from({"no": 1, "items": [roster(1, entry("a"), entry("b", hostPort="10.0.0.2:80"))]})
@@ -52,7 +52,7 @@
 
 def discovered(tmp_path: Path, most: int = 100) -> tuple[EndpointWatch, Exchange, Breaking, MemberSources]:
     """The same with the list as a source of the membership."""
-    exchange, _, _ = made(tmp_path)
+    exchange, _, _ = create_exchange(tmp_path)
     pool = Breaking(exchange, exchange.intake.quotas, exchange.limits, exchange.counters)
     follower = EndpointWatch(("127.0.0.1", 1), exchange, pool, exchange.limits, exchange.counters)
     settings = DiscoverySettings((SourceRule("list"),), (), (), None, MembershipLimits(max_members=most))
--- a/tests/race_conditions/test_purges.py
+++ b/tests/race_conditions/test_purges.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from test_interceptor import Clock, Side
+from test_interceptor import Clock, RecordingUpstreamPool
 
 from paddlequay.config.limits import Limits
 from paddlequay.lifecycle.operator_state import OperatorState
@@ -38,7 +38,7 @@
 KEY, GROUP = 7, 13
 
 
-def made(folder: Path) -> tuple[Exchange, Side]:
+def made(folder: Path) -> tuple[Exchange, RecordingUpstreamPool]:
     settings = RoutingSettings(
         zone="here",
         classes=KINDS,
@@ -47,7 +47,7 @@
         bypass_allowed=True,
         purge_completion=6.0,
     )
-    limits, side = Limits(), Side()
+    limits, side = Limits(), RecordingUpstreamPool()
     exchange = Exchange(
         Router(settings, 1),
         OperatorState(folder / "orders"),
@@ -61,7 +61,7 @@
     return exchange, side
 
 
-def order(exchange: Exchange, side: Side, kind: str) -> UpstreamRequest:
+def order(exchange: Exchange, side: RecordingUpstreamPool, kind: str) -> UpstreamRequest:
     exchange.submit(
         ClientRequest(f"a{len(side.started)}", kind, 2.0, f"{KEY:016x}", KEY, 0, GROUP), lambda _: None
     )
--- a/tests/requests/test_interceptor.py
+++ b/tests/requests/test_interceptor.py
@@ -1,4 +1,4 @@
-"""What looks on at the exchange: may refuse a request or a write, and hears each end exactly once."""
+"""An interceptor of the exchange may reject a request or a write, and is told of each end exactly once."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -27,7 +27,7 @@
     RoutingSettings,
 )
 
-KINDS = (
+REQUEST_CLASSES = (
     RequestClass("video", latency_objective=0.5, deadline=2.0, idempotency=Idempotency.IDEMPOTENT),
     RequestClass(
         "charge",
@@ -51,33 +51,33 @@
     def unix(self) -> float:
         return 1000.0
 
-    def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
+    def call_later(self, delay: float, callback: Callable[[], None]) -> Timer:
         return NoTimer()
 
 
-class Looker:
-    """Says what it is set to, and keeps what it heard."""
+class RecordingInterceptor:
+    """Answers as it is configured, and records the ends that it is told of."""
 
     def __init__(self) -> None:
-        self.wait: float | None = None
-        self.note: ReplyDetail | None = None
-        self.heard: list[tuple[str, str]] = []
+        self.retry_after: float | None = None
+        self.write_rejection: ReplyDetail | None = None
+        self.ended: list[tuple[str, str]] = []
 
-    def admit(self, item: PendingRequest, left: float) -> float | None:
-        return self.wait
+    def admit(self, pending: PendingRequest, time_left: float) -> float | None:
+        return self.retry_after
 
-    def before_write(self, attempt: UpstreamAttempt, left: float) -> ReplyDetail | None:
-        return self.note
+    def before_write(self, attempt: UpstreamAttempt, time_left: float) -> ReplyDetail | None:
+        return self.write_rejection
 
-    def attempt_ended(self, attempt: UpstreamAttempt, end: AttemptResult) -> None:
-        self.heard.append((attempt.fetch.target, end.outcome.value))
+    def attempt_ended(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
+        self.ended.append((attempt.fetch.target, result.outcome.value))
 
-    def request_ended(self, item: PendingRequest) -> None:
-        self.heard.append((item.request.id, "over"))
+    def request_ended(self, pending: PendingRequest) -> None:
+        self.ended.append((pending.request.id, "request ended"))
 
 
-class Side:
-    """The caches' side: what was to be started."""
+class RecordingUpstreamPool:
+    """Records the attempts that it is to start."""
 
     def __init__(self) -> None:
         self.started: list[UpstreamAttempt] = []
@@ -86,70 +86,80 @@
         self.started.append(attempt)
 
 
-def made(tmp_path: Path) -> tuple[Exchange, Looker, Side]:
+def create_exchange(tmp_path: Path) -> tuple[Exchange, RecordingInterceptor, RecordingUpstreamPool]:
     settings = RoutingSettings(
-        zone="here", classes=KINDS, parent_kind="parent", origin_kind="origin", bypass_allowed=True
+        zone="here",
+        classes=REQUEST_CLASSES,
+        parent_kind="parent",
+        origin_kind="origin",
+        bypass_allowed=True,
     )
     limits = Limits()
     exchange = Exchange(
         Router(settings, 1),
-        OperatorState(tmp_path / "orders"),
+        OperatorState(tmp_path / "overrides"),
         ProcessQuotas(limits),
         limits,
         Clock(),
         Counters(),
     )
-    looker, side = Looker(), Side()
-    exchange.attempts.interceptor, exchange.attempts.upstreams = looker, side
+    interceptor, upstreams = RecordingInterceptor(), RecordingUpstreamPool()
+    exchange.attempts.interceptor, exchange.attempts.upstreams = interceptor, upstreams
     exchange.update_members(MEMBERS, full=True)
-    return exchange, looker, side
+    return exchange, interceptor, upstreams
 
 
-def ask(id: str, kind: str = "video") -> ClientRequest:
-    return ClientRequest(id, kind, 2.0, "0000000000000007", 7, 0, None)
+def client_request(id: str, class_name: str = "video") -> ClientRequest:
+    return ClientRequest(id, class_name, 2.0, "0000000000000007", 7, 0, None)
 
 
-def test_a_request_over_a_fleet_limit_is_rejected_at_once_with_a_retry_after(
+def test_request_over_a_fleet_limit_is_rejected_at_once_with_a_retry_after(
     tmp_path: Path,
 ) -> None:
-    exchange, looker, side = made(tmp_path)
-    replies: list[FinalAnswer] = []
-    looker.wait = 0.4
-    assert exchange.submit(ask("a", "charge"), replies.append) is None
-    assert [(reply.status, reply.retry_after) for reply in replies] == [(AnswerStatus.REJECTED, 0.4)]
-    assert not exchange.pending and not exchange.intake.open_ids and not side.started and not looker.heard
+    exchange, interceptor, upstreams = create_exchange(tmp_path)
+    answers: list[FinalAnswer] = []
+    interceptor.retry_after = 0.4
+    assert exchange.submit(client_request("a", "charge"), answers.append) is None
+    assert [(answer.status, answer.retry_after) for answer in answers] == [(AnswerStatus.REJECTED, 0.4)]
+    assert (
+        not exchange.pending
+        and not exchange.intake.open_ids
+        and not upstreams.started
+        and not interceptor.ended
+    )
     assert exchange.counters.counts["rejected.fleet_limit"] == 1
 
 
-def test_an_attempt_over_a_limit_counts_as_rejected_and_the_request_is_retried_elsewhere(
+def test_attempt_over_a_fleet_limit_ends_as_rejected_and_the_request_is_retried_at_another_member(
     tmp_path: Path,
 ) -> None:
-    exchange, looker, side = made(tmp_path)
-    replies: list[FinalAnswer] = []
-    exchange.submit(ask("a"), replies.append)
-    looker.note = ReplyDetail.SOURCE_REJECTED
-    assert exchange.attempts.prepare_write(side.started[0]) is None
-    looker.note = None
-    assert looker.heard == [("box", "rejected")]
-    assert len(side.started) == 2 and exchange.attempts.prepare_write(side.started[1]) is not None
-
-
-def test_interceptors_see_each_attempt_end_and_request_end_once(tmp_path: Path) -> None:
-    exchange, looker, side = made(tmp_path)
-    replies: list[FinalAnswer] = []
-    exchange.submit(ask("a"), replies.append)
-    attempt = side.started[0]
+    exchange, interceptor, upstreams = create_exchange(tmp_path)
+    answers: list[FinalAnswer] = []
+    exchange.submit(client_request("a"), answers.append)
+    interceptor.write_rejection = ReplyDetail.SOURCE_REJECTED
+    assert exchange.attempts.prepare_write(upstreams.started[0]) is None
+    interceptor.write_rejection = None
+    assert interceptor.ended == [("box", "rejected")]
+    assert len(upstreams.started) == 2 and exchange.attempts.prepare_write(upstreams.started[1]) is not None
+
+
+def test_interceptor_is_told_once_of_the_end_of_each_attempt_and_request(tmp_path: Path) -> None:
+    exchange, interceptor, upstreams = create_exchange(tmp_path)
+    answers: list[FinalAnswer] = []
+    exchange.submit(client_request("a"), answers.append)
+    attempt = upstreams.started[0]
     assert exchange.attempts.prepare_write(attempt) is not None
     exchange.attempts.mark_written(attempt)
     exchange.attempts.end(attempt, AttemptResult(Outcome.SERVED, b"x"))
     exchange.attempts.end(attempt, AttemptResult(Outcome.SERVED, b"x"))
-    assert [reply.status for reply in replies] == [AnswerStatus.SERVED]
-    assert looker.heard == [("box", "served"), ("a", "over")]
+    assert [answer.status for answer in answers] == [AnswerStatus.SERVED]
+    assert interceptor.ended == [("box", "served"), ("a", "request ended")]
 
 
-def test_a_disconnected_client_returns_the_permits_of_its_attempts(tmp_path: Path) -> None:
-    exchange, looker, side = made(tmp_path)
-    item = exchange.submit(ask("a"), lambda _: None)
-    assert item is not None and exchange.attempts.prepare_write(side.started[0]) is not None
-    exchange.withdraw(item)
-    assert looker.heard == [("a", "over")]
+def test_interceptor_is_told_once_of_a_request_whose_client_has_disconnected(tmp_path: Path) -> None:
+    """The interceptor returns the permits of the request's attempts then."""
+    exchange, interceptor, upstreams = create_exchange(tmp_path)
+    pending = exchange.submit(client_request("a"), lambda _: None)
+    assert pending is not None and exchange.attempts.prepare_write(upstreams.started[0]) is not None
+    exchange.withdraw(pending)
+    assert interceptor.ended == [("a", "request ended")]
