--- a/paddlequay/net/clients/client_front.py
+++ b/paddlequay/net/clients/client_front.py
@@ -103,7 +103,8 @@
     def accepts_requests(self) -> bool:
         """Returns whether clients are told that the router is ready.
 
-        The two processes of a hot restart count as one router, which is ready if its successor is.
+        The two processes of a hot restart count as one router, so a process that shuts down remains ready
+        once a successor has replaced it.
         """
         return not self.operator_state.draining and (not self.shutting_down or self.replaced)
 
--- a/paddlequay/net/upstreams/connection_health.py
+++ b/paddlequay/net/upstreams/connection_health.py
@@ -5,9 +5,7 @@
 from paddlequay.net.upstreams.connection import UpstreamConnection
 from paddlequay.requests.messages import UpstreamAttempt
 
-MAX_SPEEDUP_FACTOR = (
-    2.0  # the rest of an answer is assumed to arrive at up to this multiple of the rate so far
-)
+MAX_SPEEDUP_FACTOR = 2.0  # the rest of an answer may arrive at up to this multiple of the rate so far
 
 
 def unanswered_since(connection: UpstreamConnection, received_at: float) -> list[UpstreamAttempt]:
--- a/paddlequay/net/upstreams/connection_reader.py
+++ b/paddlequay/net/upstreams/connection_reader.py
@@ -75,9 +75,7 @@
             try:
                 data = await connection.pending_read
             except BaseException:
-                connection.pending_read = (
-                    None  # breaks a cycle: it refers to the error, the error to this frame
-                )
+                connection.pending_read = None  # breaks the reference cycle of future, error and frame
                 raise
             connection.handle_data(data)
             reads += 1
--- a/paddlequay/requests/quotas.py
+++ b/paddlequay/requests/quotas.py
@@ -39,7 +39,7 @@
         self.memory_share = 1.0
 
     def limit_to(self, in_use: QuotaInUse) -> None:
-        """Limits this process, as the predecessor, to the connections that it has in use."""
+        """Limits this process, as the predecessor, to the connections that it may keep."""
         self.client_connections = in_use.client_connections
         self.cache_connections = in_use.cache_connections
         self.memory_share = SHARED_MEMORY_RATIO
--- a/paddlequay/requests/write_checks.py
+++ b/paddlequay/requests/write_checks.py
@@ -13,7 +13,7 @@
 from paddlequay.requests.messages import ClientRequest, Scheduler, UpstreamAttempt
 from paddlequay.routing.interface import Fetch, Member, MemberState, RequestClass
 
-MAX_PURGES = 4096  # latest purges that are remembered: over an hour at one per second
+MAX_PURGES = 4096  # purges of objects or groups that are remembered: over an hour at one per second
 MIN_AGE_LIMIT_S = 0.001  # on the wire, a limit of 0 selects the cache's default
 
 
