--- a/tests/cluster/test_limit_permits.py
+++ b/tests/cluster/test_limit_permits.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from test_interceptor import ask, made
+from test_interceptor import client_request, create_exchange
 
 from paddlequay.cluster.fleet_limits import FleetLimits
 from paddlequay.cluster.settings import ClusterSettings, LimitRule, LimitScope, PartitionMode
@@ -19,7 +19,7 @@
 
     def __init__(self, folder: Path, *rules: LimitRule) -> None:
         self.exchange: Exchange
-        self.exchange, _, self.side = made(folder)
+        self.exchange, _, self.side = create_exchange(folder)
         self.exchange.attempts.interceptor = None
         self.now = 100.0
         settings = ClusterSettings("here", (), limits=rules)
@@ -39,7 +39,9 @@
 
     def submit_request(self, class_name: str = "video") -> tuple[PendingRequest, UpstreamAttempt]:
         self.submitted_count += 1
-        pending_request = self.exchange.submit(ask(f"{self.submitted_count:x}", class_name), lambda _: None)
+        pending_request = self.exchange.submit(
+            client_request(f"{self.submitted_count:x}", class_name), lambda _: None
+        )
         assert pending_request is not None
         pending_request.deadline = self.now + 2.0
         return pending_request, self.side.started[-1]
