--- a/paddlequay/cluster/failure_detector.py
+++ b/paddlequay/cluster/failure_detector.py
@@ -1,7 +1,7 @@
 """Probes peers with pings, directly and through other routers, and suspects those that do not acknowledge.
 
-Each period one peer is probed, each in turn in a random order, as in SWIM (Das, Gupta, Motivala 2002). From
-the second ping of a probe on, other routers are asked to ping the peer too.
+One peer is probed per period, in rounds over all peers in random order, as in SWIM (Das, Gupta, Motivala
+2002). From the second ping of a probe on, other routers ("helpers") are asked to ping the peer too.
 """
 
 from dataclasses import dataclass
@@ -16,14 +16,17 @@
 from paddlequay.cluster.suspicion import SuspicionRules
 from paddlequay.cluster.types import Action, Peer, PeerState, SendMessage, Urgency
 
-HELPER_COUNT = (
-    3  # routers that ping in this one's place: at 20 % loss one of them succeeds in four of five cases
+# Routers that are asked to ping a peer in this router's place. At 20 % loss at least one of three succeeds in
+# four of five cases.
+HELPER_COUNT = 3
+# With helpers from the second ping on, 20 % loss alone causes a suspicion in 2 of 1000 probes.
+MAX_PINGS_PER_PROBE = 3
+PINGS_PER_SUSPICION = 5  # a router that learned of the suspicion from an update sends only two
+STARTUP_PINGS_PER_S = 50  # pings of a starting router to all peers; a round takes 4 s in a fleet of 200
+STARTUP_ROUNDS = 2  # how often a starting router pings each peer that is still unknown
+PERIODS_PER_LOST_PEER_PING = (
+    4  # probe periods per ping to a dead or unknown peer; finds peers after a partition heals
 )
-MAX_PINGS_PER_PROBE = 3  # the later ones with helpers: 20 % loss alone suspects 2 in 1000
-PINGS_PER_SUSPICION = 5  # two of them by routers that learned of the suspicion from others
-STARTUP_PINGS_PER_S = 50  # of a starting router until all were pinged: 4 s in a fleet of 200
-STARTUP_ROUNDS = 2
-LOST_PEER_PERIODS = 4  # periods between pings to a dead or unknown peer, so that a healed partition is found
 
 
 @dataclass(slots=True)
@@ -36,7 +39,7 @@
 
 
 class FailureDetector:
-    """Owns the current probe, the pending pings and their timers. `period_s` is between two probes."""
+    """Owns the current probe, the pending pings and their timers. A probe starts every `period_s` seconds."""
 
     def __init__(
         self,
@@ -62,10 +65,8 @@
         self._period_count = 0
         self._probe: _Probe | None = None
 
-    # --- timers ---
-
     def tick(self, now: float) -> list[Action]:
-        """Sends the pings that are due and suspects a peer whose probe has failed."""
+        """Sends the pings that are due, and suspects the probed peer if its probe has failed."""
         actions = self._ping_unknown_peers(now)
         if self._probe is not None and self._probe.next_ping_at <= now:
             actions += self._continue_probe(self._probe, now)
@@ -76,34 +77,32 @@
         return actions
 
     def next_due(self) -> float:
-        """Returns when a ping is next to be sent; suspects have timers of their own."""
+        """Returns when the next ping is due, except for those to suspects (`SuspicionRules.next_due`)."""
         due = self._next_period if self._probe is None else self._probe.next_ping_at
         if self._startup_peers:
             due = min(due, self._next_startup_ping)
         return due
 
     def shift_timers(self, seconds: float) -> None:
-        """Moves all timers by the length of a stall."""
+        """Postpones all timers by the length of a stall of this process."""
         self._next_period += seconds
         self._next_startup_ping += seconds
         if self._probe is not None:
             self._probe.started_at += seconds
             self._probe.next_ping_at += seconds
 
-    # --- pings ---
-
     def ping(
         self, peer: Peer, now: float, requester: Peer | None = None, requester_number: int = 0
     ) -> list[Action]:
-        """Sends a ping, on behalf of `requester` where that is not None."""
+        """Sends a ping; if `requester` is not None, on behalf of that router."""
         number = self._pings.register(peer, now, requester, requester_number)
         ping = Ping(number, self._members[peer].incarnation)
         return [SendMessage(peer, ping, Urgency.CHANGE), *self._gossip.piggyback(peer)]
 
     def ping_with_helpers(self, peer: Peer, now: float) -> list[Action]:
-        """Pings a peer directly and through helpers, and the helpers too.
+        """Pings a peer directly and through helpers, and pings the helpers too.
 
-        The helpers' own acknowledgements show whether this router is isolated itself.
+        Acknowledgements of the helpers show that this router is not isolated itself.
         """
         actions = self.ping(peer, now)
         number = self._pings.last_number
@@ -113,7 +112,7 @@
         return actions
 
     def handle_ack(self, ack: Ack, now: float) -> list[Action]:
-        """Handles an acknowledgement; ignores one that no ping waits for."""
+        """Handles an acknowledgement; ignores it if no ping is waiting for it."""
         if not is_valid_incarnation(ack.incarnation):
             return []
         ping = self._pings.resolve(ack.number, ack.peer)
@@ -143,10 +142,8 @@
             return self._rules.notify(ack.peer, now)
         return self._rules.confirm_alive(ack.peer, ack.incarnation, now)
 
-    # --- steps of a tick ---
-
     def _ping_unknown_peers(self, now: float) -> list[Action]:
-        """Pings all peers after the start, at a bounded rate, to learn which are alive."""
+        """Pings the unknown peers after the start, at a limited rate, to learn which are alive."""
         actions: list[Action] = []
         while self._startup_peers and self._next_startup_ping <= now:
             peer = self._startup_peers.pop()
@@ -156,7 +153,7 @@
         return actions
 
     def _begin_period(self, now: float) -> list[Action]:
-        """Probes the next peer, and pings a lost one every few periods."""
+        """Starts the probe of the next peer and, in some periods, pings a lost peer."""
         actions: list[Action] = []
         self._next_period = now + self._period_s
         self._period_count += 1
@@ -169,12 +166,12 @@
         return actions
 
     def _ping_timeout_s(self) -> float:
-        """Returns the seconds between two pings of a probe; all of them take a little less than a period."""
+        """Returns the seconds between two pings of a probe; a probe takes a little less than a period."""
         return self._period_s * self._health.wait_factor / (MAX_PINGS_PER_PROBE + 0.5)
 
     def _may_ping_lost_peer(self) -> bool:
         started = not self._startup_peers
-        return bool(self._members.lost) and started and self._period_count % LOST_PEER_PERIODS == 0
+        return bool(self._members.lost) and started and self._period_count % PERIODS_PER_LOST_PEER_PING == 0
 
     def _ping_lost_peer(self, now: float) -> list[Action]:
         peer = self._rng.choice(sorted(self._members.lost))
@@ -184,7 +181,7 @@
         return actions
 
     def _continue_probe(self, probe: _Probe, now: float) -> list[Action]:
-        """Ends a probe that was acknowledged, sends its next ping, or suspects the peer."""
+        """Ends an acknowledged probe, sends its next ping, or suspects the peer after the last ping."""
         record = self._members[probe.peer]
         if probe.acknowledged or record.state is not PeerState.ALIVE:
             self._probe = None
@@ -197,15 +194,15 @@
         self._probe = None
         seen_during_probe = record.last_seen >= probe.started_at
         if seen_during_probe:
-            return []  # the peer is alive, though this router does not reach it
+            return []  # the peer is alive, although it did not acknowledge the pings
         reached_others = self._health.last_acknowledged_at >= probe.started_at
         if reached_others:
-            # An isolated router does not spread suspicions: the whole fleet would refute them.
-            self._gossip.enqueue(self._rules.belief_about(probe.peer, PeerState.SUSPECT))
+            # An isolated router does not spread its suspicions, since all other routers would have to refute.
+            self._gossip.enqueue(self._rules.make_update(probe.peer, PeerState.SUSPECT))
         return self._rules.suspect(probe.peer, now, suspected_here=True)
 
     def _check_suspect(self, peer: Peer, now: float) -> list[Action]:
-        """Declares a suspect dead whose time is over, or pings it again."""
+        """Declares a suspect dead if its time to refute has passed, or pings it if that is due."""
         record = self._members[peer]
         if record.dead_at <= now:
             return self._rules.end_suspicion(peer, now)
@@ -214,6 +211,6 @@
         record.next_probe_at = now + self._rules.suspicion_s / PINGS_PER_SUSPICION
         actions = self.ping_with_helpers(peer, now) if record.suspected_here else self.ping(peer, now)
         if self._health.last_acknowledged_at >= record.suspected_at:
-            suspicion = self._rules.belief_about(peer, PeerState.SUSPECT)
+            suspicion = self._rules.make_update(peer, PeerState.SUSPECT)
             actions.append(SendMessage(peer, suspicion, Urgency.CHANGE))
         return actions
--- a/paddlequay/cluster/liveness.py
+++ b/paddlequay/cluster/liveness.py
@@ -1,10 +1,11 @@
-"""Which routers of the fleet are alive: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health.
-
-Every period one peer is probed (`failure_detector.py`). A peer that does not acknowledge is suspected, and
-declared dead where it does not refute in time (`suspicion.py`). Changes are passed on with other datagrams,
-and to a few peers at once, a bounded number of times (`gossip.py`). Any datagram is a sign of life. An
-isolated router declares nobody dead, so that in a fleet of two the one that is left only suspects the other.
-Time in which this process was stalled does not count.
+"""Membership: which routers are alive, by SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health.
+
+One peer is probed per period (`failure_detector.py`). A peer that does not acknowledge is suspected, and
+declared dead if it does not refute the suspicion in time (`suspicion.py`). Changes are gossiped: they are
+piggybacked on other datagrams and sent to a few random peers, a limited number of times (`gossip.py`). Any
+datagram shows that its sender is alive. An isolated router declares no peer dead; in a fleet of two,
+therefore, a router whose peer has died only suspects it. Time during which this process was stalled does not
+count.
 """
 
 import math
@@ -30,16 +31,16 @@
     Urgency,
 )
 
-GOSSIP_INTERVAL_S = 0.2  # an update waits no longer for a datagram to go along with; memberlist's interval
-GOSSIP_PEER_COUNT = 3  # as memberlist has it
-MIN_STALL_S = 0.1  # a tick this late is a stall; a loaded event loop stays below it
+GOSSIP_INTERVAL_S = 0.2  # an update waits at most this long to be sent; the same as in memberlist
+GOSSIP_PEER_COUNT = 3  # the same as in memberlist
+MIN_STALL_S = 0.1  # a tick that is later than this is a stall; a busy event loop delays ticks less
 
 
 class Liveness:
-    """Tells which peers are alive and whether this router is isolated; implements `Component`.
+    """Tracks which peers are alive and whether this router is isolated; implements `Component`.
 
-    `handle_datagram` is to be called for each datagram before its messages go to `handle_message`. The header
-    of each datagram that is sent carries the current `incarnation`.
+    For each received datagram, `handle_datagram` must be called before `handle_message`. The header of each
+    datagram that is sent must carry the current `incarnation`.
     """
 
     HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (Ping, Ack, PingRequest, MembershipUpdate)
@@ -49,7 +50,7 @@
     ) -> None:
         period_s = 1.0 / settings.pings_per_s
         suspicion_s = settings.bounds.suspicion_timeout_s * max(1.0, math.log10(fleet.size))
-        transmissions = 4 * math.ceil(math.log10(fleet.size + 1))  # as memberlist bounds them
+        transmissions = 4 * math.ceil(math.log10(fleet.size + 1))  # the formula of memberlist
         self._me = fleet.me
         self._members = MembershipTable([peer for peer in range(fleet.size) if peer != fleet.me], rng)
         self._gossip = GossipQueue(transmissions)
@@ -62,49 +63,46 @@
         )
         self._next_gossip = now
 
-    # --- queries ---
-
     @property
     def incarnation(self) -> int:
-        """Returns this router's own incarnation, which grows with each refutation."""
+        """Returns this router's own incarnation, which increases with each refutation."""
         return self._rules.incarnation
 
     def state_of(self, peer: Peer) -> PeerState:
-        """Returns what is believed about a peer. This router is alive, a number outside the fleet unknown."""
+        """Returns a peer's state: ALIVE for this router itself, UNKNOWN for a number outside the fleet."""
         if peer == self._me:
             return PeerState.ALIVE
         record = self._members.get(peer)
         return record.state if record else PeerState.UNKNOWN
 
     def incarnation_of(self, peer: Peer) -> int:
-        """Returns the highest incarnation known of a peer; 0 where none is known."""
+        """Returns the highest known incarnation of a peer; 0 if none is known."""
         if peer == self._me:
             return self.incarnation
         record = self._members.get(peer)
         return record.incarnation if record else 0
 
     def alive_peers(self) -> list[Peer]:
-        """Returns this router and the peers that are alive, in order; suspects are not among them."""
+        """Returns this router and all alive peers in ascending order, without suspects."""
         return sorted([self._me, *self._members.alive_peers()])
 
     @property
     def alive_count(self) -> int:
-        """Returns how many routers are alive, this one included."""
+        """Returns the number of alive routers, including this one."""
         return 1 + self._members.alive_count
 
-    # --- Part ---
-
     def handle_datagram(self, sender: Peer, incarnation: int, now: float) -> list[Action]:
-        """Handles the arrival of a datagram, whatever messages it holds."""
+        """Handles the arrival of a datagram, which shows that its sender is alive."""
         self._compensate_stall(now)
         record = self._members.get(sender)
         if record is None or not is_valid_incarnation(incarnation):
             return []
         self._health.last_received_at = now
         if incarnation < record.incarnation:
-            return []  # delayed, or sent by a router whose clock was set back, which the next `Ping` corrects
+            return []  # delayed, or the sender's clock was set back, which it corrects at the next `Ping`
         if incarnation == record.incarnation and record.state is PeerState.DEAD:
-            # The sender was stopped or isolated. It is to refute, so that all others accept it again as well.
+            # The sender was stalled or isolated. It has to refute its death, so that all other peers learn of
+            # it too.
             return self._rules.notify(sender, now)
         return self._rules.confirm_alive(sender, incarnation, now)
 
@@ -131,7 +129,7 @@
         return []
 
     def tick(self, now: float) -> list[Action]:
-        """Probes, suspects, passes updates on, and reports where this router has become isolated."""
+        """Runs the due probes, suspicions and gossip, and reports a change of this router's connectivity."""
         if not self._members:
             return []
         self._compensate_stall(now)
@@ -144,7 +142,7 @@
         return actions
 
     def due(self) -> float:
-        """Returns when `tick` next has work; `NEVER` for the only router of a fleet."""
+        """Returns when `tick` next has work; `NEVER` if the fleet has no other router."""
         if not self._members:
             return NEVER
         due = min(self._detector.next_due(), self._rules.next_due())
@@ -152,10 +150,8 @@
             due = min(due, self._next_gossip)
         return due
 
-    # --- steps ---
-
     def _acknowledge(self, sender: Peer, ping: Ping) -> list[Action]:
-        """Answers a ping; one that names a higher incarnation of this router is refuted first."""
+        """Acknowledges a ping; if the ping names a higher incarnation of this router, refutes that first."""
         if self.incarnation < ping.known_incarnation and is_valid_incarnation(ping.known_incarnation):
             self._rules.refute(ping.known_incarnation)
         ack = Ack(ping.number, self._me, self.incarnation)
@@ -172,7 +168,7 @@
         return actions
 
     def _compensate_stall(self, now: float) -> None:
-        """Moves all timers by the length of a stall of this process, in which nothing was received."""
+        """Postpones all timers by the length of a stall of this process, during which it received nothing."""
         if not self._has_gossip_to_send():
             self._next_gossip = max(self._next_gossip, now)
         stall_s = now - self.due()
--- a/paddlequay/cluster/local_health.py
+++ b/paddlequay/cluster/local_health.py
@@ -1,19 +1,21 @@
-"""This router's own health: whether it is isolated, and how patient it has to be with others.
+"""This router's own health: whether it is isolated, and by which factor its timeouts for peers are extended.
 
-The health score is Lifeguard's (Dadgar, Phillips, Currey 2018): a router that runs late or had to refute a
-claim waits longer before it suspects others.
+The health score is that of Lifeguard (Dadgar, Phillips, Currey 2018): a router that was stalled or had to
+refute a suspicion of itself may be slow, so it waits longer before it suspects others.
 """
 
 from paddlequay.cluster.types import SelfChanged
 
-MAX_SCORE = 7  # as Lifeguard has it: waits are at most 8 times as long
-ISOLATED_PERIODS = 2.5  # without any datagram or acknowledgement: two whole rounds and a half
+MAX_SCORE = 7  # as in Lifeguard: timeouts are at most 8 times as long
+ISOLATION_TIMEOUT_PERIODS = (
+    2.5  # probe periods without a datagram or an acknowledgement after which a router is isolated
+)
 
 
 class LocalHealth:
-    """The health score, and when this router last heard from others and was heard by them.
+    """The health score, and when this router last received a datagram and an acknowledgement.
 
-    Times are seconds; `period_s` is the time between two probes.
+    Times are in seconds; `period_s` is the time between two probes.
     """
 
     def __init__(self, period_s: float, now: float) -> None:
@@ -25,27 +27,27 @@
 
     @property
     def wait_factor(self) -> int:
-        """Returns the factor, from 1 to 8, by which all waits for others are longer."""
+        """Returns the factor, from 1 to 8, by which all timeouts for peers are multiplied."""
         return 1 + self._score
 
     def worsen(self) -> None:
-        """Records a stall of this process, or a claim that it had to refute."""
+        """Records a stall of this process, or that it had to refute a report about itself."""
         self._score = min(MAX_SCORE, self._score + 1)
 
     def record_probe(self, acknowledged: bool) -> None:
-        """Records the end of a probe: an acknowledged one improves the score."""
+        """Records the end of a probe; an acknowledged probe improves the score."""
         self._score = max(0, self._score - acknowledged)
 
     def was_unreachable(self, now: float) -> bool:
-        """Returns whether nobody has acknowledged a ping of this router for two periods."""
+        """Returns whether no peer has acknowledged a ping of this router for two periods."""
         return now - self.last_acknowledged_at > 2 * self._period_s
 
     def detect_change(self, now: float) -> SelfChanged | None:
-        """Returns an event where this router has become isolated or connected again."""
-        patience_s = ISOLATED_PERIODS * self._period_s * self.wait_factor
+        """Returns an event if this router's connectivity has changed since the last call, else None."""
+        timeout_s = ISOLATION_TIMEOUT_PERIODS * self._period_s * self.wait_factor
         current = SelfChanged(
-            receives=now - self.last_received_at <= patience_s,
-            reaches=now - self.last_acknowledged_at <= patience_s,
+            receives=now - self.last_received_at <= timeout_s,
+            reaches=now - self.last_acknowledged_at <= timeout_s,
         )
         if current == self._reported:
             return None
@@ -53,6 +55,6 @@
         return current
 
     def shift_timers(self, seconds: float) -> None:
-        """Moves all times by the length of a stall, in which nobody could have been heard."""
+        """Postpones the times by the length of a stall, during which this process could receive nothing."""
         self.last_received_at += seconds
         self.last_acknowledged_at += seconds
--- a/paddlequay/cluster/pings.py
+++ b/paddlequay/cluster/pings.py
@@ -1,4 +1,4 @@
-"""Pings that wait for their acknowledgement, this router's own and those sent on behalf of others."""
+"""Pings that are not yet acknowledged: this router's own, and those sent on behalf of others."""
 
 from dataclasses import dataclass, field
 
@@ -10,20 +10,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingPing:
-    """A ping that waits for its acknowledgement."""
+    """A ping that is not yet acknowledged."""
 
     peer: Peer
     expires_at: float
-    requester: Peer | None  # the router that asked for it; None: this router itself
-    requester_number: int  # the number under which the requester waits
+    requester: Peer | None  # the router that asked for the ping; None: this router itself
+    requester_number: int  # the number of the requester's own ping
 
 
 @dataclass(slots=True)
 class PendingPings:
-    """The pings that wait, by their numbers, the oldest first; each for `timeout_s` seconds."""
+    """The pending pings by number, oldest first. A ping expires after `timeout_s` seconds."""
 
     timeout_s: float
-    # Starts at random, so that acknowledgements meant for an earlier process match nothing.
+    # The first number is random, so that acknowledgements for an earlier process match no ping.
     last_number: int
     _pending: dict[int, PendingPing] = field(default_factory=dict)
 
@@ -35,7 +35,7 @@
         return self.last_number
 
     def _drop_expired(self, now: float) -> None:
-        """Makes room for one more ping."""
+        """Drops expired pings, and the oldest pings as long as there is no space for another one."""
         while self._pending:
             oldest = next(iter(self._pending))
             if len(self._pending) < MAX_PENDING_PINGS and self._pending[oldest].expires_at > now:
@@ -43,7 +43,7 @@
             del self._pending[oldest]
 
     def resolve(self, number: int, peer: Peer) -> PendingPing | None:
-        """Returns the ping that an acknowledgement answers, once; None where there is none."""
+        """Removes and returns the ping that an acknowledgement answers; None if there is none."""
         ping = self._pending.get(number)
         if ping is None or ping.peer != peer:
             return None
--- a/paddlequay/cluster/replay_window.py
+++ b/paddlequay/cluster/replay_window.py
@@ -1,33 +1,33 @@
-"""Detects repeated and late datagrams of a peer by their sequence numbers."""
+"""Detects repeated and outdated datagrams of a peer by their sequence numbers."""
 
 from dataclasses import dataclass
 
-# Sequence numbers by which datagrams may overtake each other. A router's numbers run on over all receivers:
-# at the default byte rate, and 25 bytes at least for a datagram with a message, this is 1.6 s of sending.
+# How many sequence numbers a datagram may lag behind the highest one. A sender counts its datagrams to all
+# receivers: at the default byte rate and at least 25 bytes per datagram, this is 1.6 s of sending.
 WINDOW_SIZE = 1024
 
 
 @dataclass(slots=True)
 class ReplayWindow:
-    """The sequence numbers received of a peer's incarnation: the highest, and a bit for each one below it."""
+    """Sequence numbers received from a peer's incarnation: the highest, and a bit for each one below it."""
 
     incarnation: int
     highest: int
     received_bits: int = 1
 
     def is_stale(self, incarnation: int, sequence: int) -> bool:
-        """Returns whether a datagram is of an earlier incarnation, or from before the window."""
+        """Returns whether a datagram is of an earlier incarnation, or older than the window."""
         if incarnation != self.incarnation:
             return incarnation < self.incarnation
         return self.highest - sequence >= WINDOW_SIZE
 
     def is_repeated(self, incarnation: int, sequence: int) -> bool:
-        """Returns whether a datagram that is not stale was received before."""
+        """Returns whether a datagram, which must not be stale, was received before."""
         distance = self.highest - sequence
         return incarnation == self.incarnation and distance >= 0 and bool(self.received_bits >> distance & 1)
 
     def record(self, incarnation: int, sequence: int) -> None:
-        """Records a datagram that is neither stale nor repeated."""
+        """Records a datagram, which must be neither stale nor repeated."""
         if incarnation != self.incarnation:
             self.incarnation = incarnation
             self.highest = sequence
--- a/paddlequay/cluster/suspicion.py
+++ b/paddlequay/cluster/suspicion.py
@@ -1,7 +1,7 @@
-"""The rules by which a peer is believed alive, suspect or dead, and by which beliefs spread and are refuted.
+"""The rules by which a peer becomes alive, suspect or dead, and by which updates spread and are refuted.
 
-A suspicion lasts long enough for the suspect to refute it with a higher incarnation. A router that nobody
-acknowledges declares nobody dead: its suspicions stay its own.
+A suspicion lasts long enough for the suspect to refute it with a higher incarnation. A router whose pings no
+peer acknowledges may be isolated itself: it declares no peer dead and does not spread its suspicions.
 """
 
 from random import Random
@@ -20,7 +20,8 @@
 class SuspicionRules:
     """Owns this router's incarnation and applies the rules to the membership table.
 
-    Times are seconds: `period_s` between two probes, `suspicion_s` from suspicion to death in good health.
+    `period_s` is the time between two probes, `suspicion_s` the time from suspicion to death at a health
+    score of 0.
     """
 
     def __init__(
@@ -45,22 +46,22 @@
 
     @property
     def suspicion_s(self) -> float:
-        """Returns the seconds from suspicion to death at this router's present health."""
+        """Returns the seconds from suspicion to death at this router's current health."""
         return self._suspicion_s * self._health.wait_factor
 
-    def belief_about(self, peer: Peer, state: PeerState) -> MembershipUpdate:
-        """Returns the update that states a peer's state in its known incarnation, reported by this router."""
+    def make_update(self, peer: Peer, state: PeerState) -> MembershipUpdate:
+        """Returns an update, reported by this router, that a peer has a state in its known incarnation."""
         return MembershipUpdate(peer, self._members[peer].incarnation, STATE_NUMBERS[state], self._me)
 
-    def refute(self, claimed_incarnation: int) -> None:
-        """Raises this router's incarnation above a claim about it, and spreads that it is alive."""
-        self.incarnation = refuting_incarnation(self.incarnation, claimed_incarnation)
+    def refute(self, reported_incarnation: int) -> None:
+        """Raises this router's incarnation above one that a peer reported, and spreads that it is alive."""
+        self.incarnation = refuting_incarnation(self.incarnation, reported_incarnation)
         self._health.worsen()
         alive = MembershipUpdate(self._me, self.incarnation, STATE_NUMBERS[PeerState.ALIVE], self._me)
         self._gossip.enqueue(alive)
 
     def confirm_alive(self, peer: Peer, incarnation: int, now: float) -> list[Action]:
-        """Handles a sign of life of a peer, in its known or a higher incarnation."""
+        """Marks a peer as alive in its known incarnation or a higher one."""
         record = self._members[peer]
         restarted = process_start_ms(incarnation) != process_start_ms(record.incarnation)
         refuted = incarnation != record.incarnation and not restarted
@@ -75,7 +76,7 @@
         return [self._members.change_state(peer, PeerState.ALIVE)]
 
     def suspect(self, peer: Peer, now: float, suspected_here: bool) -> list[Action]:
-        """Begins a suspicion, found by this router itself or learned from an update."""
+        """Starts a suspicion of a peer, whose probe failed here or which an update reports."""
         event = self._members.change_state(peer, PeerState.SUSPECT)
         record = self._members[peer]
         record.suspected_at = now
@@ -83,45 +84,46 @@
         record.suspected_here = suspected_here
         record.next_probe_at = now
         if not suspected_here:
-            # The refutation spreads the same way as the suspicion: probe only if it has not come by then.
+            # A refutation spreads in the same way as the suspicion, so probe only if none has arrived by
+            # then.
             record.next_probe_at = now + self.suspicion_s * self._rng.uniform(0.5, 0.7)
         return [event]
 
     def may_declare_dead(self, record: PeerRecord, now: float) -> bool:
-        """Returns whether others acknowledged this router during the suspicion and within two periods."""
+        """Returns whether a peer acknowledged this router since the suspicion and within two periods."""
         return self._health.last_acknowledged_at >= max(record.suspected_at, now - 2 * self._period_s)
 
     def end_suspicion(self, peer: Peer, now: float) -> list[Action]:
-        """Declares a suspect dead whose time is over, or waits while this router may be isolated itself."""
+        """Declares a suspect dead, or waits while this router may be isolated itself."""
         record = self._members[peer]
         if not self.may_declare_dead(record, now):
             record.dead_at = now + self._period_s / 4
             return []
-        self._gossip.enqueue(self.belief_about(peer, PeerState.DEAD))
+        self._gossip.enqueue(self.make_update(peer, PeerState.DEAD))
         return [self._members.change_state(peer, PeerState.DEAD)]
 
     def prolong_suspicions(self, now: float) -> None:
-        """Gives all suspects their whole time: refutations sent while this router was isolated are lost."""
+        """Gives all suspects the full time to refute: this router was isolated and lost refutations."""
         for peer in self._members.suspects:
             record = self._members[peer]
             record.dead_at = max(record.dead_at, now + self.suspicion_s)
 
     def notify(self, peer: Peer, now: float) -> list[Action]:
-        """Sends a peer what is believed about it, so that it refutes; at most twice a period."""
+        """Tells a peer that it is considered suspect or dead, so that it refutes; at most twice a period."""
         record = self._members[peer]
         if now - record.notified_at < self._period_s / 2:
             return []
         record.notified_at = now
-        believed = PeerState.DEAD if record.state is PeerState.DEAD else PeerState.SUSPECT
-        return [SendMessage(peer, self.belief_about(peer, believed), Urgency.CHANGE)]
+        reported = PeerState.DEAD if record.state is PeerState.DEAD else PeerState.SUSPECT
+        return [SendMessage(peer, self.make_update(peer, reported), Urgency.CHANGE)]
 
     def apply_update(self, update: MembershipUpdate, now: float) -> list[Action]:
-        """Handles what another router believes about a peer or about this router."""
+        """Applies an update about a peer or about this router itself."""
         state = STATES.get(update.state)
         if state is None or not is_valid_incarnation(update.incarnation):
             return []
         if update.peer == self._me:
-            self._apply_claim_about_self(update.incarnation, state)
+            self._apply_update_about_self(update.incarnation, state)
             return []
         record = self._members.get(update.peer)
         if record is None or update.incarnation < record.incarnation:
@@ -132,16 +134,16 @@
             return self.confirm_alive(update.peer, update.incarnation, now)
         return self._apply_fault(update, state, record, now)
 
-    def _apply_claim_about_self(self, incarnation: int, state: PeerState) -> None:
-        outdated = incarnation > self.incarnation
-        accused = incarnation == self.incarnation and state is not PeerState.ALIVE
-        if outdated or accused:
+    def _apply_update_about_self(self, incarnation: int, state: PeerState) -> None:
+        is_higher = incarnation > self.incarnation
+        is_suspected = incarnation == self.incarnation and state is not PeerState.ALIVE
+        if is_higher or is_suspected:
             self.refute(incarnation)
 
     def _apply_fault(
         self, update: MembershipUpdate, state: PeerState, record: PeerRecord, now: float
     ) -> list[Action]:
-        """Handles an update that a peer is suspect or dead, in its known or a higher incarnation."""
+        """Applies an update that a peer is suspect or dead in its known incarnation or a higher one."""
         if update.incarnation == record.incarnation:
             if record.state in (PeerState.DEAD, state):
                 return []
@@ -155,7 +157,7 @@
         return [self._members.change_state(update.peer, PeerState.DEAD)]
 
     def next_due(self) -> float:
-        """Returns when a suspect is next to be probed or declared dead."""
+        """Returns when the next suspect is to be pinged or declared dead."""
         due = NEVER
         for peer in self._members.suspects:
             record = self._members[peer]
@@ -163,7 +165,7 @@
         return due
 
     def shift_timers(self, seconds: float) -> None:
-        """Moves the suspicions by the length of a stall."""
+        """Postpones the timers of suspicions by the length of a stall of this process."""
         for peer in self._members.suspects:
             record = self._members[peer]
             record.suspected_at += seconds
