--- a/paddlequay/cluster/evidence_reports.py
+++ b/paddlequay/cluster/evidence_reports.py
@@ -1,10 +1,11 @@
-"""When this router sends its own evidence to the others.
+"""Decides when this router sends its own evidence on a subject to the other routers.
 
-A fault is sent at once. A router that is served stays silent until enough others have observed a fault, and
-then answers unless other answers outweigh the fault already. So nothing is sent while all members serve.
+A fault is sent at once. Evidence that a subject serves is only an answer: it is sent after enough other
+routers have reported a fault of the subject, unless answers of other routers already outweigh the fault. So
+no evidence is sent while all members serve.
 """
 
-from paddlequay.cluster.evidence_store import TRANSIT_S, EvidenceStore, SubjectRecord
+from paddlequay.cluster.evidence_store import TRANSIT_ALLOWANCE_S, EvidenceStore, SubjectRecord
 from paddlequay.cluster.messages import Evidence
 from paddlequay.cluster.types import NEVER, Action, ClusterBounds, Fleet, NameDigest, SendMessage, Urgency
 from paddlequay.cluster.verdict_rules import (
@@ -15,30 +16,32 @@
 )
 from paddlequay.placement.homes import digest
 
-ANSWER_SPREAD_S = 0.05  # answers are spread over this, so that most routers find that enough have answered
-MIN_REPORT_INTERVAL_S = 0.2  # between reports on one subject: five a second at most
-REPEAT_INTERVAL_S = 0.7  # between reports without a change: two while evidence is valid
-# In larger fleets about as many routers report on a subject: enough for a majority at few bytes.
+# Answers are spread over this time, so that most routers see that enough others have answered before them.
+ANSWER_SPREAD_S = 0.05
+MIN_REPORT_INTERVAL_S = 0.2  # between reports on one subject, so at most five per second
+REPEAT_INTERVAL_S = 0.7  # between unchanged reports, so that two are sent while evidence is valid
+# In larger fleets about this many routers report on each subject: enough for a majority at a low cost in
+# bytes.
 MAX_REPORTING_ROUTERS = 48
 
 
 class EvidenceReports:
-    """Decides which of this router's observations are sent, and when."""
+    """Decides which observations of this router are sent, and when."""
 
     def __init__(self, fleet: Fleet, bounds: ClusterBounds, store: EvidenceStore) -> None:
         self._fleet = fleet
         self._store = store
-        self._max_own_age_s = bounds.evidence_s - TRANSIT_S
+        self._max_own_age_s = bounds.evidence_s - TRANSIT_ALLOWANCE_S
 
     def report(self, subject: NameDigest, record: SubjectRecord, now: float) -> list[Action]:
-        """Sends this router's evidence on a subject where it is due; else sets when it is."""
+        """Sends this router's evidence on a subject if it is due; otherwise sets when it will be due."""
         record.report_at = NEVER
         own = record.own
         if own is None or not self._may_report(subject, own, now):
             return []
         other_members = self._store.other_serving_members(record, now)
         if own.fault in DOWN_FAULTS and not other_members:
-            return []  # it would not count
+            return []  # receivers would ignore it, since this router may be isolated
         previous = self._previous_report(record, now)
         due = self._report_due(subject, record, own, previous, now)
         if due is None:
@@ -56,7 +59,7 @@
         return [SendMessage(None, evidence, urgency)]
 
     def _may_report(self, subject: NameDigest, own: Observation, now: float) -> bool:
-        """Returns whether this router reports on a subject, and its evidence would be valid on arrival."""
+        """Returns whether this router reports on a subject and its evidence would be valid on arrival."""
         too_old = now - own.observed_at > self._max_own_age_s
         return not self._store.is_isolated and not too_old and self._is_reporting_router(subject)
 
@@ -67,7 +70,7 @@
         return digest(f"{subject} {self._fleet.me}") % size < MAX_REPORTING_ROUTERS
 
     def _previous_report(self, record: SubjectRecord, now: float) -> Observation | None:
-        """Returns the last report on a subject while others still count it."""
+        """Returns this router's last report on a subject; None if it is no longer valid for receivers."""
         previous = record.last_report
         if previous is not None and now - previous.observed_at > self._max_own_age_s:
             return None
@@ -81,7 +84,7 @@
         previous: Observation | None,
         now: float,
     ) -> float | None:
-        """Returns when this router's evidence is due to be sent; None while there is nothing to send."""
+        """Returns when this router's evidence is due to be sent; None if there is nothing to send."""
         is_answer = not own.fault and (previous is None or not previous.fault)
         if is_answer:
             answer_at = self._answer_due(subject, record, now)
@@ -95,7 +98,7 @@
         return previous.observed_at + (MIN_REPORT_INTERVAL_S if changed else REPEAT_INTERVAL_S)
 
     def _answer_due(self, subject: NameDigest, record: SubjectRecord, now: float) -> float | None:
-        """Returns when this router states that it is served; None while nobody has to hear it."""
+        """Returns when to send the answer that the subject serves this router; None if none is needed."""
         if record.witnesses_since is None or self._is_outweighed(record, now):
             return None
         spread_ratio = (digest(f"{self._fleet.me} {subject}") % 1000) / 1000
@@ -107,7 +110,7 @@
 
     @staticmethod
     def _has_changed(own: Observation, previous: Observation | None) -> bool:
-        """Returns whether this router's evidence differs from what it has last sent."""
+        """Returns whether this router's evidence differs from its last report."""
         if previous is None:
             return True
         gained_weight = own.fault != 0 and previous.attempt_count < own.weight
--- a/paddlequay/cluster/evidence_store.py
+++ b/paddlequay/cluster/evidence_store.py
@@ -1,12 +1,13 @@
-"""All evidence that this router has on subjects, its own and that of peers, and which of it is valid now.
+"""Stores the evidence on subjects, this router's own and that of peers, and decides which of it is valid now.
 
-Evidence of a peer does not count while the peer is suspect or dead, after it or the subject has restarted, or
-where no other member of the subject's kind serves the peer: it may be isolated itself.
+Evidence of a peer is not valid while the peer is suspect or dead, or after the peer or the subject has
+restarted. Nor is a report of a failing or silent subject if no other member of its kind serves the peer,
+which may then be isolated itself.
 
-Clocks are not compared. The age of a peer's evidence is the stated age plus the time since it was received,
-both with the clock drift, plus `TRANSIT_S`. It is checked whenever a verdict is asked for, so that nothing
-older than `ClusterBounds.evidence_s` counts, provided that no datagram is under way for longer than
-`TRANSIT_S`.
+Clocks of different routers are not compared. The age of a peer's evidence is the stated age plus the time
+since it was received, both extended by the clock drift, plus `TRANSIT_ALLOWANCE_S`. The age is checked
+whenever a verdict is queried, so that no evidence older than `ClusterBounds.evidence_s` counts, provided that
+no datagram is under way for longer than `TRANSIT_ALLOWANCE_S`.
 """
 
 from collections.abc import Iterator
@@ -15,49 +16,48 @@
 from paddlequay.cluster.types import NEVER, ClusterBounds, Fault, NameDigest, Peer, PeerChanged, PeerState
 from paddlequay.cluster.verdict_rules import DOWN_FAULTS, Observation, fault_group
 
-TRANSIT_S = 0.5  # in the sender's outbox and on the network; evidence is valid for that much less
-MAX_SUBJECTS = 256  # more than the endpoint list has near one router
-MAX_WITNESSES = 64  # for each subject
+# Allowance for the time in the sender's outbox and on the network, by which evidence is valid for less time.
+TRANSIT_ALLOWANCE_S = 0.5
+MAX_SUBJECTS = 256  # more than the endpoint list has members near one router
+MAX_WITNESSES_PER_SUBJECT = 64  # peers whose evidence is kept, per subject
 MAX_ATTEMPT_COUNT = 1 << 20
 
 
 @dataclass(slots=True)
 class SubjectRecord:
-    """What is known about one subject. Times are seconds of this router's clock."""
+    """The evidence on one subject and the state of its verdict. Times are seconds of this router's clock."""
 
     kind: str = ""
-    start_ms: int = 0  # Unix time of the subject's start, by this router's endpoint list
+    start_ms: int = 0  # Unix time of the subject's start in this router's endpoint list
     own: Observation | None = None
     last_served_at: float = -NEVER  # when it last served this router
     by_peer: dict[Peer, Observation] = field(default_factory=dict)
-    last_report: Observation | None = None  # what was last sent to peers, with the time of sending
+    last_report: Observation | None = None  # what was last sent to peers; `observed_at` is when it was sent
     report_at: float = NEVER  # when the next report is due
-    witnesses_since: float | None = None  # since when there are enough witnesses, whatever their weight
-    majority_since: float | None = None  # since when they have the majority
-    published: Fault | None = None  # the verdict as other components know it
+    witnesses_since: float | None = None  # since when enough routers have observed a fault, of any weight
+    majority_since: float | None = None  # since when these routers have the majority of the weight
+    published: Fault | None = None  # the verdict that was last reported to other components
     published_until: float = 0.0
 
 
 class EvidenceStore:
-    """The records of subjects, and the peers whose evidence counts. Keeps `MAX_SUBJECTS`, the latest used."""
+    """Keeps records of the `MAX_SUBJECTS` most recently used subjects, and which peers' evidence counts."""
 
     def __init__(self, bounds: ClusterBounds) -> None:
         self._max_age_s = bounds.evidence_s
         self._drift_factor = 1.0 + bounds.drift_ratio
-        self._records: dict[NameDigest, SubjectRecord] = {}  # the one used last at the end
+        self._records: dict[NameDigest, SubjectRecord] = {}  # least recently used first
         self._incarnations: dict[Peer, int] = {}
         self._unreliable: set[Peer] = set()
-        self.open_subjects: set[NameDigest] = set()  # with a fault, or with a report to send
+        self.open_subjects: set[NameDigest] = set()  # subjects with a reported fault or a report to send
         self.is_isolated = False
 
-    # --- records ---
-
     def get(self, subject: NameDigest) -> SubjectRecord | None:
-        """Returns the record of a subject; None where nothing is known about it."""
+        """Returns the record of a subject; None if there is no evidence on it."""
         return self._records.get(subject)
 
     def use(self, subject: NameDigest) -> SubjectRecord:
-        """Returns the record of a subject, a new one if need be; drops the one unused for longest."""
+        """Returns the record of a subject, creating it if needed; may drop the least recently used one."""
         record = self._records.pop(subject, None)
         if record is None:
             record = SubjectRecord()
@@ -71,12 +71,10 @@
         self.open_subjects.discard(subject)
 
     def open_records(self) -> Iterator[tuple[NameDigest, SubjectRecord]]:
-        """Returns the open subjects with their records, in order of their digests."""
+        """Returns the open subjects with their records, in the order of their digests."""
         for subject in sorted(self.open_subjects):
             yield subject, self._records[subject]
 
-    # --- evidence ---
-
     def add_own(
         self, record: SubjectRecord, kind: str, served: bool, fault: Fault | None, now: float
     ) -> None:
@@ -97,23 +95,23 @@
         return 0 if served else int(Fault.FAILING)
 
     def _continues(self, record: SubjectRecord, own: Observation, fault: int, now: float) -> bool:
-        """Returns whether an attempt ended as the one before it, at the same start of the subject."""
+        """Returns whether an attempt had the same result as the one before, with no restart in between."""
         same_end = fault_group(own.fault) == fault_group(fault)
         same_start = own.subject_start_ms in (0, record.start_ms)
         return same_end and same_start and self.is_own_fresh(own, now)
 
     def accepts_incarnation(self, peer: Peer, incarnation: int) -> bool:
-        """Returns whether an incarnation is no earlier than any known one of a peer."""
+        """Returns whether an incarnation is not below the highest known one of a peer."""
         return incarnation >= self._incarnations.get(peer, 0)
 
     def note_incarnation(self, peer: Peer, incarnation: int) -> None:
-        """Records an incarnation of a peer; evidence of earlier ones no longer counts."""
+        """Records an incarnation of a peer; evidence of earlier incarnations no longer counts."""
         self._incarnations[peer] = max(self._incarnations.get(peer, 0), incarnation)
 
     def add_of_peer(self, record: SubjectRecord, peer: Peer, observation: Observation) -> bool:
-        """Records a peer's evidence. Returns False for evidence that a later one has overtaken."""
+        """Records a peer's evidence. Returns False if more recent evidence of the peer is recorded."""
         previous = record.by_peer.get(peer)
-        if previous is None and len(record.by_peer) >= MAX_WITNESSES:
+        if previous is None and len(record.by_peer) >= MAX_WITNESSES_PER_SUBJECT:
             oldest = min(record.by_peer, key=lambda other: record.by_peer[other].observed_at)
             del record.by_peer[oldest]
         same_process = previous is not None and previous.incarnation == observation.incarnation
@@ -123,22 +121,20 @@
         return True
 
     def apply_peer_state(self, event: PeerChanged) -> None:
-        """Records whether the evidence of a peer counts, after liveness has reported a change."""
+        """Records whether the evidence of a peer counts after a change of its state."""
         self.note_incarnation(event.peer, event.incarnation)
         if event.state in (PeerState.SUSPECT, PeerState.DEAD):
             self._unreliable.add(event.peer)
         else:
             self._unreliable.discard(event.peer)
 
-    # --- validity ---
-
     def observation_time(self, age_s: float, now: float) -> float:
-        """Returns when evidence of a stated age was observed at the latest, by this router's clock."""
+        """Returns the time, by this router's clock, of an observation with a stated age of `age_s`."""
         return now - age_s * self._drift_factor
 
     def age_s(self, observation: Observation, now: float) -> float:
-        """Returns the age of a peer's evidence at most, with clock drift and its time under way."""
-        return (now - observation.observed_at) * self._drift_factor + TRANSIT_S
+        """Returns the highest possible age of a peer's evidence, including clock drift and transit."""
+        return (now - observation.observed_at) * self._drift_factor + TRANSIT_ALLOWANCE_S
 
     def is_fresh(self, observation: Observation, now: float) -> bool:
         """Returns whether a peer's evidence is recent enough to count."""
@@ -149,7 +145,7 @@
         return now - own.observed_at <= self._max_age_s
 
     def other_serving_members(self, record: SubjectRecord, now: float) -> int:
-        """Returns how many other members of a subject's kind serve this router, the last attempt included."""
+        """Returns how many other members of a subject's kind serve this router, also at the last attempt."""
         return sum(
             other is not record
             and other.kind == record.kind
@@ -160,7 +156,7 @@
         )
 
     def valid_evidence(self, record: SubjectRecord, now: float) -> list[Observation]:
-        """Returns all evidence on a subject that counts now, this router's own last."""
+        """Returns all valid evidence on a subject; this router's own evidence comes last."""
         valid = [
             observation
             for peer, observation in record.by_peer.items()
@@ -181,5 +177,5 @@
 
     @staticmethod
     def _is_convincing(observation: Observation) -> bool:
-        """Returns False where the observing router may be isolated: no other member serves it either."""
+        """Returns False if the observing router may be isolated, since no other member serves it either."""
         return observation.other_member_count > 0 or observation.fault not in DOWN_FAULTS
--- a/paddlequay/cluster/outbox.py
+++ b/paddlequay/cluster/outbox.py
@@ -1,13 +1,14 @@
-"""Packs waiting messages into datagrams, the most urgent first, within a limit on bytes.
+"""Packs queued messages into datagrams, the most urgent first, within a byte limit.
 
-The limit is a token bucket of `bytes_per_s` and `burst_bytes`. A datagram to all costs its length for each
-receiver. In any t seconds a router sends at most `burst_bytes + bytes_per_s * t`, and a fleet of n routers n
-times that, however many messages components send: messages wait, are replaced or dropped, and are counted.
+The limit is a token bucket with the rate `bytes_per_s` and the capacity `burst_bytes`; a token pays for one
+byte. A datagram to all routers costs its length once per receiver. In any t seconds a router sends at most
+`burst_bytes + bytes_per_s * t` bytes, and a fleet of n routers n times that, however many messages components
+send: messages that exceed the limit wait, are replaced or are dropped, and `counts` records this.
 
-`reserve_bytes`, one full datagram to all, is a part of the burst that only lease messages use. So a lease
-message goes at once unless lease messages have used the reserve themselves; then it waits no longer than the
-bytes of the lease messages before it and its own take at `bytes_per_s`. As nothing else is sent while less
-than the reserve is left, nothing else overtakes a lease message that waits for tokens either.
+Of the burst, `reserve_bytes` (one full datagram to all) are reserved for lease messages. A lease message is
+therefore sent at once unless earlier lease messages have used up the reserve; in that case it waits only as
+long as the lease messages before it and it itself take at `bytes_per_s`. Other messages are not sent while
+less than the reserve is left, so none of them overtakes a waiting lease message.
 """
 
 import math
@@ -20,24 +21,26 @@
 from paddlequay.cluster.types import NEVER, ClusterBounds, NameDigest, SendMessage, Urgency
 from paddlequay.cluster.wire import MAX_DATAGRAM_BYTES, MAX_MESSAGES, Wire
 
-MIN_MAX_MESSAGES = 4096  # that wait at one urgency, or twice the fleet's size where that is more
-MAX_STALL_S = 0.25  # of sending that is not lost when the process is not run for so long
-# Part of the age of evidence: an age is fixed when it is packed, and verdicts allow 0.5 s for its way.
-CHANGE_AGE_DIVISOR = 8
-ROUTINE_MAX_AGE_S = 1.0  # components repeat routine messages about once a second, and state them better then
-ROUNDING_TOKENS = 1e-3  # so that rounding does not wake the driver for a token too few
+# The messages that may wait at one urgency, unless twice the fleet's size is more.
+MIN_QUEUE_CAPACITY = 4096
+MAX_STALL_S = 0.25  # the burst makes up for the sending missed in a stall of the process up to this long
+# Changes wait at most this fraction of the maximum age of evidence: the age in a message is fixed when the
+# message is packed, and verdicts allow 0.5 s for queueing and transit.
+CHANGE_MAX_AGE_DIVISOR = 8
+ROUTINE_MAX_AGE_S = 1.0  # components send a newer routine message about once a second
+TOKEN_ROUNDING_MARGIN = 1e-3  # added to a wait, so that rounding does not end it before the tokens suffice
 
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """A datagram to send to one peer, or to all others."""
+    """A datagram to send to one peer or to all other routers."""
 
     to: Receiver
     data: bytes
 
 
 def subject_of(message: PeerMessage) -> NameDigest | None:
-    """Returns what a message is about; a newer routine message of its kind on that replaces it."""
+    """Returns the subject of a message. A newer routine message of the same kind and subject replaces it."""
     match message:
         case (
             messages.Prepare()
@@ -62,10 +65,10 @@
 
 
 class Outbox:
-    """All that one router sends; `counts` tells what was sent, and what was dropped and why.
+    """The outgoing messages of one router. `counts` holds what was sent, and what was dropped and why.
 
-    Time must not go back. Messages to this router itself or to a number outside the fleet are dropped and
-    counted.
+    `now` must not decrease between calls. Messages to this router itself or to a number outside the fleet are
+    dropped and counted.
     """
 
     def __init__(
@@ -85,10 +88,10 @@
         self._refilled_at = now
         self.counts: Counter[str] = Counter()
         self._message_count = 0
-        max_messages = max(MIN_MAX_MESSAGES, 2 * self.fleet.size)
+        max_messages = max(MIN_QUEUE_CAPACITY, 2 * self.fleet.size)
         max_age_s = {
-            Urgency.LEASE: bounds.lease_s,  # an answer as old as a lease is of no use
-            Urgency.CHANGE: bounds.evidence_s / CHANGE_AGE_DIVISOR,
+            Urgency.LEASE: bounds.lease_s,  # a reply is useless after the lease has expired
+            Urgency.CHANGE: bounds.evidence_s / CHANGE_MAX_AGE_DIVISOR,
             Urgency.ROUTINE: routine_max_age_s,
         }
         self.queues = {
@@ -97,7 +100,7 @@
         }
 
     def put(self, action: SendMessage, now: float) -> None:
-        """Adds a message that `take` is to send."""
+        """Queues a message, which `take` will send."""
         if action.to is None and self.fleet.size < 2:
             return
         if action.to is not None and not self._is_peer(action.to):
@@ -121,7 +124,7 @@
         return MessageKey(action.message.KIND, self._message_count)
 
     def take(self, now: float) -> list[Datagram]:
-        """Returns the datagrams to send now, in this order."""
+        """Returns the datagrams to send now, in order."""
         self._refill(now)
         datagrams = []
         while (datagram := self._next_datagram(now)) is not None:
@@ -135,39 +138,36 @@
             self._refilled_at = now
 
     def due(self) -> float:
-        """Returns when `take` may next have something to send; `NEVER` while nothing waits."""
+        """Returns when `take` may next have a datagram to send; `NEVER` while no message waits."""
         for urgency, queue in self.queues.items():
             for to, waiting in queue.by_receiver.items():
                 missing = self._required_tokens(to, urgency, next(iter(waiting.values()))) - self.tokens
                 if missing <= 0:
                     return self._refilled_at
-                return self._refilled_at + (missing + ROUNDING_TOKENS) / self.bytes_per_s
+                return self._refilled_at + (missing + TOKEN_ROUNDING_MARGIN) / self.bytes_per_s
         return NEVER
 
-    # --- cost ---
-
     def _tokens_per_byte(self, to: Receiver) -> int:
         return self.fleet.size - 1 if to is None else 1
 
     def _reserve_for(self, urgency: Urgency) -> int:
-        """Returns the tokens that must be left when messages of an urgency have been sent."""
+        """Returns the tokens that messages of an urgency must leave in the bucket."""
         return 0 if urgency is Urgency.LEASE else self.reserve_bytes
 
     def _header_bytes(self) -> int:
-        """Returns the length of the next datagram without messages."""
+        """Returns the length of the next datagram without its messages."""
         return MAX_DATAGRAM_BYTES - self.wire.available_bytes()
 
     def _required_tokens(self, to: Receiver, urgency: Urgency, message: QueuedMessage) -> int:
-        """Returns the tokens with which a message may be sent alone."""
+        """Returns the tokens that the bucket must hold for a message to be sent alone."""
         length = self._header_bytes() + len(message.data)
         return length * self._tokens_per_byte(to) + self._reserve_for(urgency)
 
-    # --- packing ---
-
     def _next_datagram(self, now: float) -> Datagram | None:
-        """Returns the next datagram: for the next receiver of the most urgent messages that wait.
+        """Returns the next datagram, to the next receiver of the most urgent waiting messages.
 
-        Where the tokens do not suffice for it, all wait: a cheaper message must not delay a dearer one.
+        Returns None if the tokens do not suffice for it, even if they would for another message: a cheaper
+        message must not delay a more expensive one.
         """
         for urgency, queue in self.queues.items():
             message = queue.next_message(now)
@@ -179,7 +179,7 @@
         return None
 
     def _pack(self, to: Receiver, now: float) -> Datagram:
-        """Packs as many messages for a receiver as fit and are paid for, the most urgent first."""
+        """Packs as many messages for a receiver as fit and the tokens allow, the most urgent first."""
         length = self._header_bytes()
         packed: list[bytes] = []
         for urgency, queue in self.queues.items():
@@ -201,9 +201,9 @@
         return datagram
 
     def _max_length(self, to: Receiver, urgency: Urgency) -> int:
-        """Returns the length up to which messages of an urgency are added.
+        """Returns the length of the datagram up to which messages of an urgency may be added.
 
-        What is sent along with a lease message must leave the reserve as it would alone.
+        Messages that are sent along with a lease message must not use the reserve either.
         """
         affordable = (self.tokens - self._reserve_for(urgency)) / self._tokens_per_byte(to)
         return min(MAX_DATAGRAM_BYTES, math.floor(affordable))
--- a/paddlequay/cluster/outbox_queue.py
+++ b/paddlequay/cluster/outbox_queue.py
@@ -1,4 +1,4 @@
-"""The messages of one urgency that wait in the outbox, in a queue for each receiver."""
+"""The waiting messages of one urgency in the outbox, with a queue for each receiver."""
 
 import math
 from collections import Counter
@@ -10,9 +10,9 @@
 Receiver = Peer | None  # None: all other routers
 
 MAX_MESSAGES_PER_RECEIVER = 64  # about eight datagrams
-SWEEPS_PER_MAX_AGE = 8  # times that a full queue is searched for old messages while one becomes too old
+SWEEPS_PER_MAX_AGE = 8  # how often, within the maximum age, a full queue is searched for expired messages
 
-# The names of the queues in counters.
+# The names of the queues in names of counters.
 QUEUE_NAMES = {Urgency.LEASE: "lease", Urgency.CHANGE: "news", Urgency.ROUTINE: "routine"}
 
 
@@ -20,7 +20,7 @@
 class MessageKey:
     """Identifies a waiting message. A newer message with the same key replaces it.
 
-    Routine messages of one kind have their subject as `number`, all others a number of their own.
+    `number` is the subject for a routine message, and a unique number for any other message.
     """
 
     kind: int
@@ -29,16 +29,17 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedMessage:
-    """A packed message, and when it was put into the queue."""
+    """A packed message, and when it was queued."""
 
     data: bytes
     queued_at: float
 
 
 class OutboxQueue:
-    """The messages of one urgency, by receiver; the receivers take turns.
+    """The waiting messages of one urgency by receiver; receivers are served in turn.
 
-    `max_age_s` is for how many seconds a message may wait, `max_messages` how many wait for all receivers.
+    A message may wait for `max_age_s` seconds; at most `max_messages` messages wait, for all receivers
+    together.
     """
 
     def __init__(self, urgency: Urgency, max_age_s: float, max_messages: int, counters: Counter[str]) -> None:
@@ -46,17 +47,17 @@
         self.max_messages = max_messages
         self.counters = counters
         self.name = QUEUE_NAMES[urgency]
-        # The first receiver is the next one; receivers without messages are removed.
+        # The first receiver is served next; receivers without messages are removed.
         self.by_receiver: dict[Receiver, dict[MessageKey, QueuedMessage]] = {}
         self.count = 0
         self._last_sweep_at = -math.inf
 
     def put(self, to: Receiver, key: MessageKey, data: bytes, now: float) -> None:
-        """Adds a message. A receiver's full queue loses its oldest message; a full outbox takes no more."""
+        """Adds a message. A receiver's full queue drops its oldest; a full outbox drops the new message."""
         waiting = self.by_receiver.get(to, {})
         if key in waiting:
             self._count_dropped("replaced")
-            waiting[key] = QueuedMessage(data, now)  # keeps its turn, so that nothing is delayed forever
+            waiting[key] = QueuedMessage(data, now)  # keeps its position, so that it is not delayed forever
             return
         if len(waiting) >= MAX_MESSAGES_PER_RECEIVER:
             self._count_dropped("full")
@@ -68,7 +69,7 @@
         self.count += 1
 
     def _make_room(self, now: float) -> bool:
-        """Returns whether one more message may wait, after old ones were dropped if need be."""
+        """Returns whether one more message may wait; drops expired ones first if there are too many."""
         if self.count >= self.max_messages:
             self._sweep(now)
         return self.count < self.max_messages
@@ -85,7 +86,7 @@
             del self.by_receiver[to]
 
     def drop_expired(self, to: Receiver, now: float) -> None:
-        """Drops what has waited too long for one receiver."""
+        """Drops expired messages to one receiver."""
         waiting = self.by_receiver.get(to, {})
         expired = [key for key, message in waiting.items() if now - message.queued_at > self.max_age_s]
         if expired:
@@ -93,14 +94,14 @@
             self._remove(to, expired)
 
     def _sweep(self, now: float) -> None:
-        """Drops what has waited too long for any receiver, unless this was done just before."""
+        """Drops expired messages to all receivers, unless this was done recently."""
         if now - self._last_sweep_at >= self.max_age_s / SWEEPS_PER_MAX_AGE:
             self._last_sweep_at = now
             for to in list(self.by_receiver):
                 self.drop_expired(to, now)
 
     def next_message(self, now: float) -> QueuedMessage | None:
-        """Returns the oldest message for the first of `by_receiver`, after expired ones were dropped."""
+        """Drops expired messages and returns the oldest message to the receiver that is served next."""
         while self.by_receiver:
             to = next(iter(self.by_receiver))
             self.drop_expired(to, now)
@@ -109,7 +110,7 @@
         return None
 
     def remove_sent(self, to: Receiver, keys: list[MessageKey]) -> None:
-        """Removes messages that were sent; the other receivers come first from now on."""
+        """Removes sent messages and moves their receiver behind the other receivers."""
         self._remove(to, keys)
         if to in self.by_receiver:
             self.by_receiver[to] = self.by_receiver.pop(to)
--- a/paddlequay/cluster/verdict_rules.py
+++ b/paddlequay/cluster/verdict_rules.py
@@ -1,55 +1,61 @@
 """The rule by which evidence of several routers becomes a verdict.
 
-A verdict is a fault that at least `MIN_WITNESSES` routers have observed and that has more than half of the
-weight of all valid evidence on the subject. A router weighs 1 after one attempt and `MAX_WEIGHT` after more.
+A fault becomes a verdict if at least `MIN_WITNESSES` routers have observed it and their evidence has more
+than half of the weight of all valid evidence on the subject. Evidence has weight 1 after one attempt and
+`MAX_WEIGHT` after more attempts.
 """
 
 from dataclasses import dataclass
 
 from paddlequay.cluster.types import Fault
 
-MIN_WITNESSES = 2  # what a single router has observed stays its own business
-MAX_WEIGHT = 2  # one attempt fails by chance, two in a row seldom; a busy router must not outvote others
+MIN_WITNESSES = 2  # the evidence of a single router is no verdict
+# One attempt may fail by chance, two in a row rarely do. A higher weight would let a busy router outvote
+# others.
+MAX_WEIGHT = 2
 
 DOWN_FAULTS = (Fault.FAILING, Fault.SILENT)
 
 
 @dataclass(slots=True)
 class Observation:
-    """What one router, this one or a peer, has observed of a subject."""
+    """The evidence of one router, this one or a peer, on a subject."""
 
     incarnation: int  # of the peer; 0 for this router itself
     subject_start_ms: int  # Unix time of the subject's start; 0 unknown
-    fault: int  # a `Fault`, or 0 while the subject serves
-    attempt_count: int  # attempts in a row with the same end
-    observed_at: float  # by this router's clock, of peers after their stated age and the drift
+    fault: int  # a `Fault`, or 0 if the subject serves
+    attempt_count: int  # attempts in a row with the same result
+    observed_at: float  # by this router's clock; for peers derived from the stated age and the clock drift
     other_member_count: int  # members of the same kind that serve the observing router
 
     @property
     def weight(self) -> int:
-        """Returns how much this observation counts."""
+        """Returns the weight of this observation in a vote."""
         return min(self.attempt_count, MAX_WEIGHT)
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The fleet's verdict on a subject, as it counts for this router now."""
+    """The fleet's verdict on a subject, as this router evaluates it now."""
 
     fault: Fault
     witness_count: int
-    age_s: float  # at most, of the oldest evidence in it
+    age_s: float  # the highest possible age of the oldest evidence that supports it
 
 
 def fault_group(fault: int) -> int:
-    """Returns what supports the same verdict: a dead member fails for one router and is silent to another."""
+    """Returns the group of a fault; faults of one group support the same verdict.
+
+    FAILING and SILENT are one group, since a dead member may fail for one router and be silent to another.
+    """
     return Fault.FAILING if fault == Fault.SILENT else fault
 
 
 def find_witnesses(valid: list[Observation]) -> list[Observation] | None:
-    """Returns the observations that carry a verdict; None where the evidence does not suffice for one.
+    """Returns the observations that support a verdict; None if the evidence does not suffice for one.
 
     Args:
-        valid: all evidence on a subject that counts now, at most one observation a router.
+        valid: all valid evidence on a subject, at most one observation per router.
     """
     total_weight = sum(observation.weight for observation in valid)
     for group in {fault_group(observation.fault) for observation in valid if observation.fault}:
@@ -61,13 +67,13 @@
 
 
 def most_common_fault(witnesses: list[Observation]) -> Fault:
-    """Returns the fault that most witnesses state; the lowest number of several."""
+    """Returns the fault that most witnesses report; on a tie, the one with the lowest number."""
     faults = [witness.fault for witness in witnesses]
     return Fault(max(sorted(set(faults)), key=faults.count))
 
 
 def is_outweighed(valid_of_peers: list[Observation]) -> bool:
-    """Returns whether peers that are served have twice the weight of those with a fault, and more."""
+    """Returns whether peers without a fault outweigh those with one: by 2 to 1, plus two full weights."""
     serving = sum(observation.weight for observation in valid_of_peers if not observation.fault)
     failing = sum(observation.weight for observation in valid_of_peers if observation.fault)
     return serving >= 2 * failing + 2 * MAX_WEIGHT
--- a/paddlequay/cluster/verdicts.py
+++ b/paddlequay/cluster/verdicts.py
@@ -1,10 +1,10 @@
-"""The fleet's verdicts on sources and caches: what several routers have observed in the last seconds.
+"""The fleet's verdicts on sources and caches, from what several routers have observed in the last seconds.
 
-Each router sends what it has observed itself (`evidence_reports.py`), never what it has received. Evidence
-that is valid (`evidence_store.py`) becomes a verdict by a majority (`verdict_rules.py`) that has lasted
-`SETTLE_S`, in which routers that are served can answer. Own evidence counts as that of any other router; a
-router that has been served since the verdict came about ignores the verdict. A verdict only moves the point
-at which a router begins its own probe of the subject.
+Each router sends only its own observations (`evidence_reports.py`), never those that it has received. Valid
+evidence (`evidence_store.py`) becomes a verdict after a majority (`verdict_rules.py`) has lasted for
+`SETTLE_S`, during which routers that the subject serves can answer. A router's own evidence counts like that
+of any other router, but a router that the subject has served since the majority began ignores the verdict. A
+verdict only makes a router start its own probe of the subject earlier.
 """
 
 from typing import ClassVar
@@ -34,14 +34,14 @@
     most_common_fault,
 )
 
-SETTLE_S = 0.1  # for so long a majority has to last before it is a verdict
-OPEN_POLL_S = 0.1  # between looks at open subjects
-IDLE_POLL_S = 0.25  # between ticks without any, so that a stall is noticed
-MIN_STALL_S = 0.1  # a tick this late is a stall
+SETTLE_S = 0.1  # how long a majority must last before it becomes a verdict
+OPEN_POLL_INTERVAL_S = 0.1  # between ticks while there are open subjects
+IDLE_POLL_INTERVAL_S = 0.25  # between ticks while there are none, so that a stall is detected
+MIN_STALL_S = 0.1  # a tick that is later than this is a stall
 
 
 class ReceiveDelay:
-    """How long a message that is read now may have waited in the socket during a stall of this process."""
+    """Estimates how long a received message may have waited in the socket during a stall of this process."""
 
     def __init__(self, now: float) -> None:
         self.last_tick_at = now
@@ -49,20 +49,20 @@
         self._applies_until = -NEVER
 
     def detect_stall(self, now: float) -> None:
-        """Notices that no tick has come for too long. What is read soon after may be as old as the stall."""
-        silence_s = now - self.last_tick_at
-        if silence_s > IDLE_POLL_S + MIN_STALL_S:
-            self._stall_s = silence_s
-            self._applies_until = now + IDLE_POLL_S
+        """Detects a stall by a late tick. Messages that are read soon after it may be as old as the stall."""
+        since_tick_s = now - self.last_tick_at
+        if since_tick_s > IDLE_POLL_INTERVAL_S + MIN_STALL_S:
+            self._stall_s = since_tick_s
+            self._applies_until = now + IDLE_POLL_INTERVAL_S
             self.last_tick_at = now
 
     def seconds(self, now: float) -> float:
-        """Returns for how long a message that is read now may have waited, in seconds."""
+        """Returns how many seconds a message that is read now may have waited."""
         return self._stall_s if now <= self._applies_until else 0.0
 
 
 class Verdicts:
-    """Turns evidence into verdicts; a `Component`. `record_attempt` takes this router's own attempts."""
+    """Turns evidence into verdicts; a `Component`. `record_attempt` adds this router's own evidence."""
 
     HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (Evidence,)
 
@@ -73,10 +73,8 @@
         self._reports = EvidenceReports(fleet, settings.bounds, self._store)
         self._receive_delay = ReceiveDelay(now)
 
-    # --- queries ---
-
     def verdict_on(self, subject: NameDigest, now: float) -> Verdict | None:
-        """Returns the verdict on a subject; None without one, or if it has served this router since."""
+        """Returns the verdict on a subject; None without one, or if the subject served this router since."""
         record = self._store.get(subject)
         if record is None or record.majority_since is None or now - record.majority_since < SETTLE_S:
             return None
@@ -85,18 +83,16 @@
         return self._evaluate(record, now)
 
     def should_probe_early(self, subject: NameDigest, now: float) -> bool:
-        """Returns whether to probe a subject before this router's own count of failures says so."""
+        """Returns whether to probe a subject before this router's own failures would cause a probe."""
         verdict = self.verdict_on(subject, now)
         return verdict is not None and verdict.fault in DOWN_FAULTS
 
-    # --- this router's own observations ---
-
     def record_restart(self, subject: NameDigest, start_ms: int, now: float) -> list[Action]:
-        """Handles a restart of a subject in the endpoint list: earlier evidence no longer counts.
+        """Handles a restart of a subject that the endpoint list shows: earlier evidence no longer counts.
 
         Args:
             subject: digest of the member's name.
-            start_ms: Unix time of its start in milliseconds.
+            start_ms: Unix time of the subject's start in milliseconds.
             now: this router's clock in seconds.
         """
         record = self._store.use(subject)
@@ -106,14 +102,14 @@
     def record_attempt(
         self, subject: NameDigest, start_ms: int, kind: str, served: bool, fault: Fault | None, now: float
     ) -> list[Action]:
-        """Handles the end of an attempt of this router.
+        """Records the end of an attempt of this router.
 
         Args:
             subject: digest of the member's name.
-            start_ms: Unix time of the member's start by the endpoint list, in milliseconds; 0 unknown.
+            start_ms: Unix time of the member's start in the endpoint list, in milliseconds; 0 unknown.
             kind: the member's kind.
-            served: whether it served.
-            fault: what was wrong with it, possibly although it served.
+            served: whether the member served.
+            fault: the observed fault, possibly of a member that served; None if there was none.
             now: this router's clock in seconds.
         """
         self._receive_delay.detect_stall(now)
@@ -125,8 +121,6 @@
         self._store.add_own(record, kind, served, fault, now)
         return self._reports.report(subject, record, now) + self._publish(subject, record, now)
 
-    # --- Part ---
-
     def handle_message(
         self, sender: Peer, incarnation: int, message: PeerMessage, now: float
     ) -> list[Action]:
@@ -153,12 +147,12 @@
             return []
         if message.fault:
             self._store.open_subjects.add(subject)
-        # The reports depend on what `_publish` finds, but are sent first.
+        # Reports depend on the state that `_publish` updates, but come first in the returned actions.
         published = self._publish(subject, record, now)
         return self._reports.report(subject, record, now) + published
 
     def handle_event(self, event: LocalEvent, now: float) -> list[Action]:
-        """Handles a change of a peer's state, or of this router's connection to the fleet."""
+        """Handles a change of a peer's state or of this router's own connectivity."""
         match event:
             case PeerChanged():
                 self._store.apply_peer_state(event)
@@ -169,7 +163,7 @@
         return self._update_open_subjects(now)
 
     def tick(self, now: float) -> list[Action]:
-        """Sends reports that are due and updates the verdicts on open subjects."""
+        """Sends due reports and updates the verdicts on open subjects."""
         self._receive_delay.detect_stall(now)
         self._receive_delay.last_tick_at = now
         return self._update_open_subjects(now)
@@ -177,15 +171,13 @@
     def due(self) -> float:
         """Returns when `tick` next has work."""
         last_tick_at = self._receive_delay.last_tick_at
-        due = last_tick_at + (OPEN_POLL_S if self._store.open_subjects else IDLE_POLL_S)
+        due = last_tick_at + (OPEN_POLL_INTERVAL_S if self._store.open_subjects else IDLE_POLL_INTERVAL_S)
         for _, record in self._store.open_records():
             due = min(due, record.report_at)
             if record.majority_since is not None and record.majority_since + SETTLE_S > last_tick_at:
                 due = min(due, record.majority_since + SETTLE_S)
         return due
 
-    # --- steps ---
-
     def _is_acceptable(self, sender: Peer, incarnation: int, message: Evidence) -> bool:
         is_peer = 0 <= sender < self._fleet.size and sender != self._fleet.me
         is_usable = message.fault in (0, *Fault) and message.attempt_count >= 1
@@ -198,14 +190,14 @@
         return actions
 
     def _was_served_since(self, record: SubjectRecord, since: float, now: float) -> bool:
-        """Returns whether a subject's last attempt served this router, and ended after a moment."""
+        """Returns whether this router's last attempt on a subject was served and ended after `since`."""
         own = record.own
         if own is None or own.fault or not self._store.is_own_fresh(own, now):
             return False
         return own.observed_at > since
 
     def _evaluate(self, record: SubjectRecord, now: float) -> Verdict | None:
-        """Returns the verdict that valid evidence supports, however long it has done so."""
+        """Returns the verdict that valid evidence supports, even if the majority has not settled yet."""
         witnesses = find_witnesses(self._store.valid_evidence(record, now))
         if witnesses is None:
             return None
@@ -221,7 +213,7 @@
         verdict = self.verdict_on(subject, now)
         fault = verdict.fault if verdict is not None else None
         valid_until = now + self._max_age_s - verdict.age_s if verdict is not None else 0.0
-        expires_soon = now >= record.published_until - OPEN_POLL_S
+        expires_soon = now >= record.published_until - OPEN_POLL_INTERVAL_S
         extends = valid_until > record.published_until
         if fault is record.published and not (expires_soon and extends):
             return []
--- a/paddlequay/net/cluster/driver.py
+++ b/paddlequay/net/cluster/driver.py
@@ -1,6 +1,6 @@
-"""Has a router join and leave the cluster, and passes the events of the cluster's components on.
+"""Lets a router join and leave the cluster, and dispatches the events of the cluster's components.
 
-The cluster's components decide; the driver only carries. It exists only where the settings name a cluster.
+All decisions are made by the components. The driver is created only if the settings contain a cluster.
 """
 
 import asyncio
@@ -27,11 +27,11 @@
 
 LOGGER = logging.getLogger(__name__)
 
-JOIN_INTERVAL_S = 0.1  # between attempts to join beside an older process
+JOIN_INTERVAL_S = 0.1  # between attempts to join while another process of this router has the address
 
 
 def make_fleet(settings: ClusterSettings, peering: Peering, zone: str) -> Fleet:
-    """Returns the routers of the fleet; raises `ValueError` where settings and peers do not fit."""
+    """Returns the routers of the fleet. Raises `ValueError` if the settings do not match the peers."""
     if len(peering.peers) > MAX_PEERS:
         raise ValueError(f"expected at most {MAX_PEERS} peers, got {len(peering.peers)}")
     acceptors = settings.acceptors
@@ -41,10 +41,10 @@
 
 
 class ClusterDriver:
-    """One router in the cluster. Raises `ValueError` where settings and peers do not fit.
+    """One router's membership in the cluster. Raises `ValueError` if the settings do not match the peers.
 
-    There is no `session` while another process of this router has the peers' address, as during a hot
-    restart: both would use the same quota. Until it is free, requests under strict limits are rejected.
+    `session` is None while another process of this router has the address for peers, as during a hot restart:
+    otherwise both processes would use the same quota. Until then, requests under strict limits are rejected.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         self._joining: asyncio.Task[None] | None = None
         self._is_stopped = True
         self._has_yielded = False
-        self._make_session()  # raises now for peers that cannot be used
+        self._make_session()  # raises `ValueError` now if the peers are invalid
         if settings.placement_rules is not None:
             from paddlequay.net.cluster import placement_tables
 
@@ -84,11 +84,9 @@
 
     @property
     def node(self) -> ClusterNode | None:
-        """Returns the cluster's node; None while another process of this router is in the cluster."""
+        """Returns the node of the current session; None without a session."""
         return self.session.node if self.session is not None else None
 
-    # --- joining and leaving ---
-
     def _make_session(self) -> ClusterSession:
         return ClusterSession(
             self.settings,
@@ -102,7 +100,7 @@
         )
 
     async def start(self) -> None:
-        """Joins the cluster, or waits until another process has left it. May be called again after `stop`."""
+        """Joins the cluster, or keeps trying while another process has the address. Restarts after `stop`."""
         self._is_stopped = False
         if self.placement is not None:
             self.placement.start()
@@ -115,7 +113,7 @@
             await asyncio.sleep(JOIN_INTERVAL_S)
 
     async def _join(self) -> bool:
-        """Returns whether the peers' address was free; the floors of limits fill from then on."""
+        """Joins if the peers' address is free; returns whether it was. Floors of limits fill from then on."""
         session = self._make_session()
         try:
             await session.transport.start()
@@ -132,7 +130,7 @@
         return True
 
     def _join_channels(self, session: ClusterSession) -> None:
-        """Takes part in the ownership of live channels, where the settings name classes of them."""
+        """Adds the component for live channels if the settings name classes of them."""
         node = session.node
         rule = self.settings.channels
         if rule is None or node.leases is None:
@@ -152,7 +150,7 @@
         )
 
     def release(self) -> None:
-        """Gives back what others would have to wait for; everything else goes on, as in a drain."""
+        """Releases leases that other routers would have to wait for; all else continues, as in a drain."""
         session = self.session
         if session is None:
             return
@@ -164,7 +162,7 @@
         session.transport.flush()
 
     def stop(self) -> None:
-        """Leaves the cluster and frees the address; strict limits admit nothing more until `start`."""
+        """Leaves the cluster and frees the address; strict limits reject all requests until `start`."""
         if self._is_stopped:
             return
         self._is_stopped = True
@@ -185,15 +183,13 @@
         self._has_yielded = True
 
     def resume(self) -> None:
-        """Joins again, in a new session, where this process had left the cluster to one that has ended."""
+        """Joins again in a new session if this process left the cluster to a successor that has ended."""
         if self._has_yielded:
             self._has_yielded = False
             self._joining = asyncio.ensure_future(self.start())
 
-    # --- actions and events ---
-
     def execute(self, node: ClusterNode, actions: Sequence[Action]) -> None:
-        """Executes actions at once, unless they are of an earlier session."""
+        """Executes actions and sends the messages, unless `node` belongs to an earlier session."""
         if self.session is not None and node is self.session.node:
             self.session.execute(actions)
             self.session.transport.flush()
--- a/paddlequay/net/cluster/event_log.py
+++ b/paddlequay/net/cluster/event_log.py
@@ -1,6 +1,7 @@
-"""Counts and logs the events of the cluster's components, under names of their own.
+"""Counts and logs the events of the cluster's components.
 
-The names of counters, log lines and their fields stand here, whatever the types and attributes are named.
+Operators rely on the names of counters, log lines and their fields. They are defined here, independently of
+the names of types and attributes in the code.
 """
 
 import logging
@@ -24,7 +25,7 @@
 
 LOGGER = logging.getLogger(__name__)
 
-LOG_INTERVAL_S = 5.0  # between two lines of a kind
+LOG_INTERVAL_S = 5.0  # between two lines of the same event
 
 # The names of events in counters and log lines.
 EVENT_NAMES: dict[type[LocalEvent], str] = {
@@ -38,7 +39,7 @@
     TableChanged: "TableChanged",
 }
 
-# The fields of log lines and the attributes that they show, in the lines' order.
+# The fields of log lines, in order, and the attribute that each shows.
 EVENT_FIELDS: dict[type[LocalEvent], dict[str, str]] = {
     PeerChanged: {"peer": "peer", "incarnation": "incarnation", "standing": "state"},
     SelfChanged: {"heard": "receives", "reaches": "reaches"},
@@ -69,7 +70,7 @@
 
 
 class EventLog:
-    """Counts each event, and logs at most one of a kind in `LOG_INTERVAL_S`."""
+    """Counts each event, and logs at most one event of each name per `LOG_INTERVAL_S`."""
 
     def __init__(self, counters: Counters, clock: Callable[[], float]) -> None:
         self._counters = counters
@@ -77,7 +78,7 @@
         self._logged_at: dict[str, float] = {}
 
     def record(self, event: ClusterEvent) -> None:
-        """Counts an event, and logs it unless a line of its kind was logged just before."""
+        """Counts an event, and logs it unless one of the same name was logged within `LOG_INTERVAL_S`."""
         name = log_name(event)
         self._counters.add(f"cluster.{name}")
         now = self._clock()
--- a/paddlequay/net/cluster/interceptor.py
+++ b/paddlequay/net/cluster/interceptor.py
@@ -1,6 +1,7 @@
-"""What the cluster does with each request and attempt of the exchange, which asks at the moment of use.
+"""Connects the exchange to the cluster: called for each request and attempt.
 
-Limits admit or reject; live channels and placement prepare the decisions; ends of attempts become evidence.
+Limits admit or reject requests, live channels and placement prepare routing decisions, and ends of attempts
+become evidence for verdicts.
 """
 
 import contextlib
@@ -22,8 +23,8 @@
 LOGGER = logging.getLogger(__name__)
 
 
-class JoinedParts(Protocol):
-    """What the driver has joined to the exchange at this moment; None for what is not in use."""
+class ActiveComponents(Protocol):
+    """The parts of the driver that are active now; None for those that are not in use."""
 
     session: ClusterSession | None
     prefetcher: "ChannelPrefetcher | None"
@@ -31,57 +32,57 @@
 
 
 class ClusterInterceptor:
-    """Implements the exchange's `RequestInterceptor`. No error of the cluster costs a request its answer."""
+    """Implements the exchange's `RequestInterceptor`. An error in the cluster does not fail a request."""
 
     def __init__(
-        self, driver: JoinedParts, permits: LimitPermits, verdicts: VerdictExchange, counters: Counters
+        self, driver: ActiveComponents, permits: LimitPermits, verdicts: VerdictExchange, counters: Counters
     ) -> None:
         self._driver = driver
         self._permits = permits
         self._verdicts = verdicts
         self._counters = counters
 
-    def admit(self, item: PendingRequest, left: float) -> float | None:
+    def admit(self, pending: PendingRequest, time_left: float) -> float | None:
         """Returns None to admit a request, or the seconds after which its client may retry."""
-        retry_after_s = self._permits.admit(item, left)
-        with self._contained():
+        retry_after_s = self._permits.admit(pending, time_left)
+        with self._suppress_cluster_errors():
             if retry_after_s is None and self._driver.prefetcher is not None:
-                self._driver.prefetcher.admit(item)
+                self._driver.prefetcher.admit(pending)
             if retry_after_s is None and self._driver.placement is not None:
-                self._driver.placement.prepare_request(item.request)
+                self._driver.placement.prepare_request(pending.request)
             self._wake()
         return retry_after_s
 
-    def before_write(self, attempt: UpstreamAttempt, left: float) -> ReplyDetail | None:
-        """Returns None to have an attempt written, or the detail under which it is rejected."""
-        # Also after this process has left: a prefetch that still waits is rejected by its term.
+    def before_write(self, attempt: UpstreamAttempt, time_left: float) -> ReplyDetail | None:
+        """Returns None to let an attempt be written, or the detail of its rejection."""
+        # Also after this process has left the cluster: a prefetch that still waits is rejected by its term.
         detail = (
             self._driver.prefetcher.before_write(attempt) if self._driver.prefetcher is not None else None
         )
-        detail = detail or self._permits.before_write(attempt, left)
-        with self._contained():
+        detail = detail or self._permits.before_write(attempt, time_left)
+        with self._suppress_cluster_errors():
             self._wake()
         return detail
 
-    def attempt_ended(self, attempt: UpstreamAttempt, end: AttemptResult) -> None:
-        """Gives back what an attempt held, and reports what its end shows about members."""
-        with self._contained():
-            self._permits.attempt_ended(attempt, end)
-            self._report_attempt(attempt, end)
+    def attempt_ended(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
+        """Releases an attempt's permits, and reports the evidence of its end about members."""
+        with self._suppress_cluster_errors():
+            self._permits.attempt_ended(attempt, result)
+            self._report_attempt(attempt, result)
 
-    def request_ended(self, item: PendingRequest) -> None:
-        """Gives back what a request held."""
-        with self._contained():
-            self._permits.request_ended(item)
+    def request_ended(self, pending: PendingRequest) -> None:
+        """Releases a request's permits, and informs the prefetcher."""
+        with self._suppress_cluster_errors():
+            self._permits.request_ended(pending)
             if self._driver.prefetcher is not None:
-                self._driver.prefetcher.request_ended(item)
+                self._driver.prefetcher.request_ended(pending)
 
     @contextlib.contextmanager
-    def _contained(self) -> Iterator[None]:
-        """Counts and logs any error of the cluster: it must not cost a request its answer."""
+    def _suppress_cluster_errors(self) -> Iterator[None]:
+        """Counts and logs any error in the cluster, which must not fail the request."""
         try:
             yield
-        except Exception:  # the edge between a request and the cluster
+        except Exception:  # boundary between a request and the cluster
             if self._counters.add_once("cluster.errors"):
                 LOGGER.exception("cluster_failed")
 
@@ -99,6 +100,6 @@
             self._wake()
 
     def _wake(self) -> None:
-        """Sends messages and sets the timer anew, where the cluster has work before the timer."""
+        """Sends messages and resets the timer if the cluster has work before the timer is due."""
         if self._driver.session is not None:
             self._driver.session.transport.wake(self._driver.session.due())
--- a/paddlequay/net/cluster/peer_transport.py
+++ b/paddlequay/net/cluster/peer_transport.py
@@ -1,8 +1,8 @@
-"""The socket between routers: datagrams in and out, and one timer.
+"""The UDP socket for datagrams between routers, with the node's timer.
 
-A peer is known by the address that its datagrams come from, which is its entry in the list of peers; the
-address that this router listens at need not be its own entry. No network error ends the transport: errors of
-sending and reading are counted, and a lost socket is opened again.
+A peer is identified by the address that its datagrams come from, which must be its entry in the list of
+peers; the address that this router listens on may differ from its own entry. The transport survives network
+errors: errors of sending and receiving are counted, and a socket that was lost is opened again.
 """
 
 import asyncio
@@ -24,20 +24,20 @@
 LOGGER = logging.getLogger(__name__)
 
 REOPEN_INTERVAL_S = 0.5  # between attempts to open a socket
-MIN_TIMER_S = 0.001  # between two calls of the timer
+MIN_TIMER_S = 0.001  # the shortest wait between two ticks
 MAX_TIMER_S = 60.0
-FAILURE_TIMER_S = 0.1  # after a call that raised
-LOG_INTERVAL_S = 60.0  # between two lines of a kind
+FAILURE_TIMER_S = 0.1  # the shortest wait after a tick that raised an error
+LOG_INTERVAL_S = 60.0  # between two log lines of the same kind
 
 
 class DatagramHandler(Protocol):
-    """The receiver of the datagrams. Called one at a time; its messages are sent after each call."""
+    """Handles received datagrams and the timer. The transport sends queued messages after each call."""
 
     def handle_datagram(self, sender: Peer, header: Header, messages: tuple[PeerMessage, ...]) -> None:
         """Handles an accepted datagram."""
 
     def tick(self) -> None:
-        """Handles the passing of time, called once `due` has come."""
+        """Handles timers. Called when the time that `due` returns has come."""
 
     def due(self) -> float:
         """Returns when `tick` next has work, by the transport's clock."""
@@ -45,44 +45,46 @@
 
 
 def normalize_address(address: Sequence[object]) -> Address:
-    """Returns host and port as the kernel gives them, however the host's number was written."""
+    """Returns host and port in the notation of the kernel, whose addresses are compared with the result."""
     host = str(address[0])
-    # A host name stays as it is. The kernel gives none, so its datagrams are rejected by their sender.
+    # A host name is left as it is. The kernel reports none, so datagrams of such a peer are rejected.
     with contextlib.suppress(ValueError):
         host = str(ipaddress.ip_address(host))
     return host, cast(int, address[1])
 
 
 class SocketEvents(asyncio.DatagramProtocol):
-    """The events of one socket."""
+    """Receives the events of one socket from asyncio."""
 
     def __init__(self, transport: "PeerTransport") -> None:
         self.owner = transport
-        self.is_full = False  # the kernel accepts no more, and asyncio buffers 64 KiB: about 4 s
+        # True while the kernel accepts no more data and asyncio's buffer of 64 KiB (about 4 s of sending) is
+        # full.
+        self.is_full = False
 
     def pause_writing(self) -> None:
-        """Notes that the buffer is full."""
+        """Records that the send buffer is full."""
         self.is_full = True
 
     def resume_writing(self) -> None:
-        """Notes that the buffer has room again."""
+        """Records that the send buffer has space again."""
         self.is_full = False
 
     def datagram_received(self, data: bytes, addr: tuple[object, ...]) -> None:
-        """Passes a datagram on."""
+        """Passes a datagram to the transport."""
         self.owner.receive(data, normalize_address(addr))
 
     def error_received(self, exc: Exception) -> None:
-        """Reports an error of an earlier send."""
+        """Reports an error of an earlier datagram that was sent."""
         self.owner.report_problem("errors", error=type(exc).__name__)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Has the socket opened again, unless it was closed on purpose."""
+        """Lets the transport open the socket again, unless the transport has closed it."""
         self.owner.handle_lost_socket(self, exc)
 
 
 class PeerTransport:
-    """Sends and receives one router's datagrams. Raises `ValueError` where two peers share an address."""
+    """Sends and receives one router's datagrams. Raises `ValueError` if two peers have the same address."""
 
     def __init__(
         self,
@@ -101,24 +103,23 @@
         self.numbers = {address: number for number, address in enumerate(self.addresses)}
         if len(self.numbers) != len(peers) or len(peers) != wire.fleet.size:
             raise ValueError(
-                f"{wire.fleet.size} routers at {len(self.numbers)} addresses, {len(peers)} listed"
+                f"expected a different address for each of {wire.fleet.size} routers, "
+                f"got {len(peers)} peers with {len(self.numbers)} addresses"
             )
         self.wire = wire
         self.outbox = outbox
         self.counters = counters
         self.handler = handler
         self.clock = clock
-        self.logged_at: dict[str, float] = {}  # by kind of line, which are few
+        self.logged_at: dict[str, float] = {}  # by kind of log line, of which there are few
         self.transport: asyncio.DatagramTransport | None = None
         self.socket_events: SocketEvents | None = None
         self.reopening: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
 
-    # --- socket ---
-
     async def start(self) -> None:
-        """Opens the socket. Raises `OSError` where the address is not available."""
+        """Opens the socket. Raises `OSError` if the address is not available."""
         await self._open()
         self.flush()
 
@@ -142,7 +143,7 @@
             self.transport.close()
 
     def handle_lost_socket(self, socket_events: SocketEvents, error: Exception | None) -> None:
-        """Opens a new socket where the present one has ended and was not closed."""
+        """Opens a new socket if the current one was lost and the transport is not closed."""
         if self.closed or socket_events is not self.socket_events:
             return
         self.transport = None
@@ -161,10 +162,8 @@
                 self.counters.add("peers.opened")
                 return
 
-    # --- receiving ---
-
     def receive(self, data: bytes, address: Address) -> None:
-        """Handles a datagram from the socket, and sends what follows from it."""
+        """Handles a datagram from the socket, and sends the messages that follow."""
         self.counters.add("peers.received")
         received = self.wire.read(data, self.numbers.get(address))
         if isinstance(received, RejectReason):
@@ -178,7 +177,7 @@
     def _handle(self, received: ReceivedDatagram) -> None:
         try:
             self.handler.handle_datagram(received.header.sender, received.header, received.messages)
-        except Exception:  # the edge of a datagram: the next one may be in order
+        except Exception:  # an error in one datagram must not stop the next ones
             self._log_failure()
 
     def _report_rejected(self, reason: RejectReason, address: Address, length: int) -> None:
@@ -186,21 +185,19 @@
         fields = {"from": f"{host}:{port}", "length": length}
         self.report_problem(reason.value, level=logging.INFO, **fields)
 
-    # --- timer ---
-
     def _on_timer(self) -> None:
         self.timer = None
         min_wait_s = MIN_TIMER_S
         try:
             if self.handler.due() <= self.clock():
                 self.handler.tick()
-        except Exception:  # the edge of a timer: the next tick may be in order
+        except Exception:  # an error in one tick must not stop the next ones
             self._log_failure()
             min_wait_s = FAILURE_TIMER_S
         self.flush(min_wait_s)
 
     def flush(self, min_wait_s: float = MIN_TIMER_S) -> None:
-        """Sends what may be sent, and sets the timer for what is next."""
+        """Sends the datagrams that the byte limit allows, and sets the timer for the next work."""
         for datagram in self.outbox.take(self.clock()):
             self._send(datagram)
         due = min(self.handler.due(), self.outbox.due())
@@ -211,21 +208,19 @@
         loop = asyncio.get_running_loop()
         if self.timer is not None:
             if due != NEVER and self.timer.when() <= loop.time() + wait_s:
-                return  # set anew at each of many events, it would never be due
+                return  # under frequent events, a timer that each of them resets would never fire
             self.timer.cancel()
             self.timer = None
         if not self.closed and due != NEVER:
             self.timer = loop.call_later(wait_s, self._on_timer)
 
     def wake(self, due: float) -> None:
-        """Sends what may be sent where `due` is earlier than the timer."""
+        """Calls `flush` if `due` is earlier than the timer."""
         if self.timer is None or due < self.timer.when():
             self.flush()
 
-    # --- sending ---
-
     def send_messages(self, actions: Sequence[SendMessage]) -> None:
-        """Sends messages as soon as the limit on bytes allows."""
+        """Queues messages and sends them as soon as the byte limit allows."""
         now = self.clock()
         for action in actions:
             self.outbox.put(action, now)
@@ -242,7 +237,7 @@
                     self.send_to(datagram.data, address)
 
     def send_to(self, data: bytes, address: Address) -> None:
-        """Sends a datagram. One that cannot be sent is lost, like one that the network loses."""
+        """Sends a datagram. One that cannot be sent is counted and dropped, as if the network had lost it."""
         if self.transport is None or self.socket_events is None or self.socket_events.is_full:
             self.counters.add("peers.unsent")
             return
@@ -253,14 +248,12 @@
             return
         self.counters.add("peers.sent")
 
-    # --- reporting ---
-
     def _log_failure(self) -> None:
         if self.counters.add_once("peers.failures"):
             LOGGER.exception("peers_failed")
 
     def report_problem(self, kind: str, level: int = logging.WARNING, **fields: object) -> None:
-        """Counts a problem, and logs at most one line of a kind a minute."""
+        """Counts a problem, and logs at most one line of each kind per `LOG_INTERVAL_S`."""
         name = f"peers.{kind}"
         self.counters.add(name)
         now = self.clock()
--- a/paddlequay/net/cluster/session.py
+++ b/paddlequay/net/cluster/session.py
@@ -1,4 +1,4 @@
-"""One membership of this process in the cluster: its node and its socket, from joining to leaving."""
+"""One session of this process in the cluster, from joining to leaving: its node and its socket."""
 
 import random
 import time
@@ -17,9 +17,9 @@
 
 
 class ClusterSession:
-    """A new process in the eyes of the fleet, with a higher incarnation than the session before it.
+    """One session in the cluster. Its incarnation is higher than before, so peers see it as a new process.
 
-    Raises `ValueError` where the peers cannot be used. `max_request_s` is the longest that a request takes.
+    Raises `ValueError` if the peers are invalid. `max_request_s` is the longest duration of a request.
     """
 
     def __init__(
@@ -49,25 +49,23 @@
         )
 
     def random(self) -> random.Random:
-        """Returns a generator of draws that no other session repeats."""
+        """Returns a random generator whose sequence no other session repeats."""
         return random.Random(self._seed ^ self.node.liveness.incarnation)
 
     def execute(self, actions: Sequence[Action]) -> None:
-        """Executes actions of the cluster's components; what is to be sent waits for the next flush."""
+        """Executes actions of the cluster's components; messages are queued until the next flush."""
         self._handle_events(self.node.execute(actions, self._clock()))
 
     def release_leases(self) -> None:
-        """Gives the leases of limits back."""
+        """Releases the leases of limits."""
         self._handle_events(self.node.release_leases(self._clock()))
 
-    # --- DatagramHandler ---
-
     def handle_datagram(self, sender: Peer, header: Header, messages: tuple[PeerMessage, ...]) -> None:
-        """Gives an accepted datagram to the node."""
+        """Passes an accepted datagram to the node."""
         self._handle_events(self.node.handle_datagram(sender, header, messages, self._clock()))
 
     def tick(self) -> None:
-        """Lets the node handle the passing of time."""
+        """Lets the node handle its timers."""
         self._handle_events(self.node.tick(self._clock()))
 
     def due(self) -> float:
--- a/paddlequay/net/cluster/status_page.py
+++ b/paddlequay/net/cluster/status_page.py
@@ -1,6 +1,6 @@
-"""The status page of the cluster for operators: what one router believes and holds now, as JSON.
+"""The cluster's status page for operators: the current state of one router as JSON.
 
-The keys of the page are part of its format, whatever the code's names are.
+The keys of the page are an external format, independent of the names in the code.
 """
 
 import json
@@ -18,7 +18,7 @@
 
 
 def status_page(driver: "ClusterDriver") -> str:
-    """Returns the whole page; `out` is true while another process of this router is in the cluster."""
+    """Returns the page; `out` is true while this process is not in the cluster."""
     node = driver.node
     now = driver.clock()
     if node is None:
@@ -43,7 +43,7 @@
 
 
 def show_leases(node: "ClusterNode", now: float) -> dict[str, Any]:
-    """Returns, for each limit, the lease's holder as far as known, and the term if this router holds it."""
+    """Returns the known holder of each limit's lease, and the term if this router holds it."""
     if node.leases is None or node.limits is None:
         return {}
     return {
@@ -56,7 +56,7 @@
 
 
 def show_limits(driver: "ClusterDriver", node: "ClusterNode") -> dict[str, Any]:
-    """Returns, for each limit, the number of values that are limited now, and of rejections here."""
+    """Returns, for each limit, the number of currently limited values and of rejections by this router."""
     local_limits = node.limits.local_limits if node.limits is not None else ()
     value_counts = Counter(limit.fleet_limit.rule.name for limit in local_limits)
     counts = driver.counters.counts
@@ -67,7 +67,7 @@
 
 
 def show_channels(bundles: "Bundles", now: float) -> dict[str, Any]:
-    """Returns the bundles with live channels, and the term of those that this router owns."""
+    """Returns each bundle with live channels: their number, and the term if this router owns the bundle."""
     return {
         f"{bundle.lease:x}": {"term": bundles.active_term(bundle, now), "live": len(bundle.live_channels)}
         for bundle in bundles.all
@@ -76,7 +76,7 @@
 
 
 def show_verdicts(driver: "ClusterDriver", node: "ClusterNode", now: float) -> dict[str, Any]:
-    """Returns the fleet's verdicts that count for this router now."""
+    """Returns the fleet's verdicts that this router applies now, by name of the member."""
     if node.verdicts is None:
         return {}
     shown = {}
--- a/paddlequay/net/cluster/verdict_exchange.py
+++ b/paddlequay/net/cluster/verdict_exchange.py
@@ -1,4 +1,4 @@
-"""Joins the verdicts with the exchange: attempts become evidence, verdicts become outlier reports."""
+"""Connects verdicts and the exchange: attempts become evidence, verdicts become outlier reports."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -16,14 +16,14 @@
 
 
 class MemberNames:
-    """The names of members by their digests; the latest used `MAX_MEMBER_NAMES` are kept."""
+    """The names of members by digest; keeps the `MAX_MEMBER_NAMES` most recently used."""
 
     def __init__(self, exchange: Exchange) -> None:
         self._exchange = exchange
         self._names: OrderedDict[NameDigest, str] = OrderedDict()
 
     def digest_of(self, name: str) -> NameDigest:
-        """Returns the digest of a member's name, and remembers the name."""
+        """Returns the digest of a member's name, and stores the name."""
         subject = digest(name)
         self._names[subject] = name
         self._names.move_to_end(subject)
@@ -32,19 +32,19 @@
         return subject
 
     def find(self, subject: NameDigest) -> str | None:
-        """Returns the name of a subject, also of a member that this router has not used yet."""
+        """Returns the name of a subject, even if this router has not used the member yet; None if unknown."""
         if subject not in self._names:
             for name in self._exchange.members:
                 self.digest_of(name)
         return self._names.get(subject)
 
     def latest(self, count: int) -> list[tuple[NameDigest, str]]:
-        """Returns the names used last, with their digests."""
+        """Returns the `count` most recently used names with their digests."""
         return list(self._names.items())[-count:]
 
 
 class VerdictExchange:
-    """Carries evidence from the exchange to the verdicts, and verdicts to the decisions."""
+    """Passes evidence from the exchange to the verdicts, and verdicts to the routing decisions."""
 
     def __init__(self, exchange: Exchange, counters: Counters, clock: Callable[[], float]) -> None:
         self._exchange = exchange
@@ -55,16 +55,18 @@
     def record_attempt(
         self, verdicts: Verdicts, attempt: UpstreamAttempt, result: AttemptResult
     ) -> list[Action]:
-        """Gives the verdicts what the end of an attempt shows, and returns the actions that follow."""
+        """Passes the evidence of an attempt to the verdicts, and returns the actions that follow."""
         origins = self._exchange.router.state.members.origins
         origin = origins[0].member.name if origins else None
-        found = evidence_of_attempt(attempt.fetch, result.outcome, result.detail, result.unresponsive, origin)
+        evidence = evidence_of_attempt(
+            attempt.fetch, result.outcome, result.detail, result.unresponsive, origin
+        )
         return record_evidence(
-            verdicts, found, self._exchange.members.get, self.names.digest_of, self._clock()
+            verdicts, evidence, self._exchange.members.get, self.names.digest_of, self._clock()
         )
 
     def is_evidence(self, attempt: UpstreamAttempt, result: AttemptResult) -> bool:
-        """Returns whether an attempt's end shows anything: it was written, and had time for an answer."""
+        """Returns whether an attempt gives evidence: it was written, and had enough time for an answer."""
         if attempt.written_at is None:
             return False
         if result.outcome is not Outcome.TIMEOUT:
@@ -73,7 +75,7 @@
         return attempt.expires_at - attempt.started_at >= request_class.latency_objective
 
     def deliver(self, verdicts: Verdicts, event: VerdictChanged) -> None:
-        """Reports a member to the decisions as an outlier, if the verdict still holds now."""
+        """Counts a verdict, and reports the member as an outlier if it should be probed early."""
         name = self.names.find(event.subject)
         if name is None:
             return
--- a/tests/cluster/test_outbox.py
+++ b/tests/cluster/test_outbox.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from paddlequay.cluster.evidence_store import TRANSIT_S
+from paddlequay.cluster.evidence_store import TRANSIT_ALLOWANCE_S
 from paddlequay.cluster.messages import (
     MESSAGE_TYPES,
     Ack,
@@ -19,7 +19,7 @@
     Propose,
     QuotaRequest,
 )
-from paddlequay.cluster.outbox import MIN_MAX_MESSAGES, ROUTINE_MAX_AGE_S, Datagram, Outbox, subject_of
+from paddlequay.cluster.outbox import MIN_QUEUE_CAPACITY, ROUTINE_MAX_AGE_S, Datagram, Outbox, subject_of
 from paddlequay.cluster.outbox_queue import MAX_MESSAGES_PER_RECEIVER
 from paddlequay.cluster.types import NEVER, ClusterBounds, Fleet, SendMessage, Urgency
 from paddlequay.cluster.wire import MAX_DATAGRAM_BYTES, Codec, ReceivedDatagram, RejectReason, Wire
@@ -170,7 +170,7 @@
 
 def test_evidence_is_dropped_before_its_transit_allowance_ends() -> None:
     """Its age is fixed when it is packed: what waited longer would count beyond its maximum age."""
-    for waits, goes in ((0.2, 1), (0.3, 0), (TRANSIT_S, 0)):
+    for waits, goes in ((0.2, 1), (0.3, 0), (TRANSIT_ALLOWANCE_S, 0)):
         outbox = make_outbox()
         outbox.tokens, outbox.bytes_per_s = 0.0, 1e-9
         outbox.put(SendMessage(None, Evidence(7, 0, 2, 1, 1, 1), CHANGE), 0.0)
@@ -186,9 +186,9 @@
     for number in range(MAX_MESSAGES_PER_RECEIVER + 9):
         outbox.put(SendMessage(1, Ping(number, 0), LEASE), 0.0)
     assert (outbox.queues[LEASE].count, outbox.counts["dropped.full.lease"]) == (MAX_MESSAGES_PER_RECEIVER, 9)
-    for number in range(2 * MIN_MAX_MESSAGES):
+    for number in range(2 * MIN_QUEUE_CAPACITY):
         outbox.put(SendMessage(1 + number % (size - 1), Ping(number, 0), CHANGE), 0.0)
-    assert outbox.queues[CHANGE].count == MIN_MAX_MESSAGES
+    assert outbox.queues[CHANGE].count == MIN_QUEUE_CAPACITY
     outbox.put(SendMessage(5, Ping(1, 0), CHANGE), 10.0)  # expired messages make room
     assert outbox.queues[CHANGE].count == 1
     assert outbox.queues[LEASE].count == MAX_MESSAGES_PER_RECEIVER
--- a/tests/cluster/test_verdicts.py
+++ b/tests/cluster/test_verdicts.py
@@ -273,7 +273,7 @@
     for peer in range(1, 200):
         rig.receive_evidence(peer)
     assert len(rig.part._store._records) <= evidence_store.MAX_SUBJECTS >= len(rig.part._store.open_subjects)
-    assert len(rig.part._store._records[PARENT].by_peer) <= evidence_store.MAX_WITNESSES
+    assert len(rig.part._store._records[PARENT].by_peer) <= evidence_store.MAX_WITNESSES_PER_SUBJECT
 
 
 @pytest.mark.parametrize("isolated", [False, True])
