--- a/tests/cluster/test_cluster_audit.py
+++ b/tests/cluster/test_cluster_audit.py
@@ -1,4 +1,4 @@
-"""The audit of real routers detects violations, and nothing else."""
+"""The audit of runs with real routers reports violations, and no correct behaviour as one."""
 
 import random
 
@@ -34,9 +34,9 @@
 
 
 def test_a_token_bucket_passes_the_limit_audit_and_a_burst_fails_it() -> None:
-    drawn, now, tokens, times = random.Random(3), 0.0, 4.0, []
+    rng, now, tokens, times = random.Random(3), 0.0, 4.0, []
     for _ in range(500):
-        wait = drawn.expovariate(30)
+        wait = rng.expovariate(30)
         now, tokens = now + wait, min(4.0, tokens + 10 * wait)
         if tokens >= 1:
             tokens -= 1
@@ -45,7 +45,7 @@
     assert max_excess([*times, *([times[100]] * 5)], 10, 4, 0) > 1
 
 
-def test_two_holders_are_proven_only_by_an_observation_between_two_of_another_router() -> None:
+def test_double_holder_is_counted_only_for_an_observation_between_two_of_another_holder() -> None:
     handed_over = [
         LeaseObservation(1, 0, 5),
         LeaseObservation(2, 0, 5),
@@ -69,7 +69,7 @@
     )
 
 
-def test_charges_run_twice_and_answers_missing_or_double_are_found() -> None:
+def test_repeated_charges_and_missing_or_duplicate_answers_are_found() -> None:
     answers = [
         ClientAnswer(0, 1, "a", "served"),
         ClientAnswer(0, 1, "b", "served"),
--- a/tests/cluster/test_cluster_driver.py
+++ b/tests/cluster/test_cluster_driver.py
@@ -1,6 +1,6 @@
-"""Several real processes of the router share limits, leases and verdicts, under faults.
+"""Several real router processes share limits, leases and verdicts while faults are injected.
 
-Admitted requests are counted at the origin, answers at the clients, holders by the status pages.
+Admitted requests are counted at the origin, answers at the clients, and lease holders from the status pages.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 
 class ClusterRig:
-    """Real routers, charges at twice their limit, and their status pages over time."""
+    """Real routers, a load of charges at twice their limit, and the routers' status pages over time."""
 
     def __init__(self, folder: Path, routers: int, tiers: int, seed: int) -> None:
         plan = ZonePlan(routers=routers, boxes=2, tiers=tiers, regional=min(1, tiers), rate=30.0, seed=seed)
@@ -52,37 +52,40 @@
             if condition():
                 return
             await asyncio.sleep(0.05)
-        raise AssertionError(f"not within {timeout_s} s: {name}")
+        raise AssertionError(f"condition not met within {timeout_s} s: {name}")
 
     async def until_lease_is_used(self) -> None:
-        """Waits until the lease is held and its grants are used, for far more than floors admit."""
-        begun = time.time()
+        """Waits until the lease is held and far more charges are admitted than the floors alone allow."""
+        started_at = time.time()
         await self.until(
-            lambda: any(seen.term and seen.at > begun for seen in self.observations()),
-            "a holder of the lease",
+            lambda: any(
+                observation.term and observation.at > started_at for observation in self.observations()
+            ),
+            "a router holds the lease",
         )
-        ran = self.rig.origin.charged_at
+        charged_at = self.rig.origin.charged_at
         await self.until(
-            lambda: sum(at > time.time() - 1.0 for at in ran) > 0.6 * LIMIT_PER_S, "grants that are used"
+            lambda: sum(at > time.time() - 1.0 for at in charged_at) > 0.6 * LIMIT_PER_S,
+            "granted quotas are used",
         )
 
 
 def run_scenario(
     folder: Path, scenario: Scenario, routers: int = 5, tiers: int = 0, seed: int = 1
 ) -> ClusterRig:
-    """Runs a scenario and audits the guarantees that hold under every fault."""
+    """Runs a scenario and audits the guarantees that must hold under every fault."""
     cluster = ClusterRig(folder, routers, tiers, seed)
 
     async def run() -> None:
         tasks: list[asyncio.Task[None]] = []
         try:
             await cluster.rig.up()
-            looking = watch(cluster.rig, 0.1, cluster.moments)
-            tasks = [asyncio.ensure_future(each) for each in (cluster.charges.run(), looking)]
+            watching = watch(cluster.rig, 0.1, cluster.moments)
+            tasks = [asyncio.ensure_future(each) for each in (cluster.charges.run(), watching)]
             await cluster.until_lease_is_used()
             await scenario(cluster)
             for task in tasks:
-                assert not task.done()  # it has run until the end
+                assert not task.done()  # the task has run until the end of the scenario
                 task.cancel()
             await cluster.charges.drain()
         finally:
@@ -104,9 +107,7 @@
     return cluster
 
 
-def test_a_limit_holds_through_partitions_and_their_end(
-    tmp_path: Path,
-) -> None:
+def test_a_limit_holds_during_partitions_and_after_they_heal(tmp_path: Path) -> None:
     async def scenario(cluster: ClusterRig) -> None:
         await cluster.script.partition_in_two()
         await cluster.until_lease_is_used()
@@ -131,11 +132,15 @@
         await cluster.until_lease_is_used()
 
     cluster = run_scenario(tmp_path, scenario, seed=2)
-    killed = next(did.at for did in cluster.rig.did if did.what == "kill")
-    after = [seen for seen in cluster.observations() if seen.term and seen.at > killed]
-    assert len({seen.router for seen in after}) >= 1
-    # The lease has to expire, an election follows; the pages are read 0.1 s apart.
-    assert after[0].at - killed < 1.5 + 1.0 + 0.5
+    killed_at = next(fault_action.at for fault_action in cluster.rig.did if fault_action.what == "kill")
+    after = [
+        observation
+        for observation in cluster.observations()
+        if observation.term and observation.at > killed_at
+    ]
+    assert len({observation.router for observation in after}) >= 1
+    # The lease has to expire and an election follows; the status pages are read every 0.1 s.
+    assert after[0].at - killed_at < 1.5 + 1.0 + 0.5
 
 
 def test_a_holder_stopped_for_longer_than_its_lease_does_not_act_on_it(
@@ -170,15 +175,15 @@
     run_scenario(tmp_path, scenario, seed=5)
 
 
-def test_all_routers_have_the_verdict_on_a_dead_parent_within_a_second_and_an_isolated_one_convinces_nobody(
+def test_routers_reach_a_verdict_on_a_dead_parent_and_none_on_an_isolated_routers_evidence(
     tmp_path: Path,
 ) -> None:
-    found: list[VerdictTimes] = []
+    verdict_times: list[VerdictTimes] = []
 
     async def scenario(cluster: ClusterRig) -> None:
         background = asyncio.ensure_future(cluster.rig.load.run(60.0))
         await asyncio.sleep(1.0)
-        # One router alone reaches no cache and no parent.
+        # Only this router reaches no cache and no parent.
         cluster.script.begin_outage(4)
         await cluster.rig.kill_router(4)
         cluster.rig.blind.add(4)
@@ -191,33 +196,32 @@
         await cluster.rig.restart(4)
         await asyncio.sleep(0.5)
         tier = next(name for name in cluster.rig.tiers if name.startswith("aimag"))
-        found.append(await kill_parent(cluster.rig, tier, 8.0))
+        verdict_times.append(await kill_parent(cluster.rig, tier, 8.0))
         background.cancel()
 
     run_scenario(tmp_path, scenario, tiers=2, seed=6)
-    (times,) = found
-    assert times.router_count == 5 and times.p95_s <= 1.5, (
-        times
-    )  # the objective is 1 s; a busy machine is slower
+    (times,) = verdict_times
+    # The objective is 1 s; a busy machine is slower.
+    assert times.router_count == 5 and times.p95_s <= 1.5, times
 
 
 def test_malformed_datagrams_have_no_effect_and_isolated_routers_go_on_serving(tmp_path: Path) -> None:
     async def scenario(cluster: ClusterRig) -> None:
-        drawn = random.Random(7)
-        stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        rng = random.Random(7)
+        foreign_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         cluster.rig.links.part()
-        tally = asyncio.ensure_future(cluster.rig.load.run(2.5))
+        load_run = asyncio.ensure_future(cluster.rig.load.run(2.5))
         for _ in range(150):
             for number in range(5):
-                junk = drawn.randbytes(drawn.choice([0, 1, 30, 200, 255, 256]))
-                stranger.sendto(junk, cluster.rig.links.homes[number])
-                cluster.rig.links.arrive((number + 1) % 5, number, junk)  # from a peer's own address
+                payload = rng.randbytes(rng.choice([0, 1, 30, 200, 255, 256]))
+                foreign_socket.sendto(payload, cluster.rig.links.homes[number])
+                cluster.rig.links.arrive((number + 1) % 5, number, payload)  # from the address of a peer
             await asyncio.sleep(0.01)
-        stranger.close()
-        served = await tally
-        # Isolated routers serve what falls under no limit as routers that share nothing.
-        others = sum(served.asked.values()) - served.asked["toll-charge"]
-        assert served.verdicts["served"] >= 0.98 * others, served.verdicts
+        foreign_socket.close()
+        load_result = await load_run
+        # Requests without a limit are served by isolated routers as by routers without a cluster.
+        unlimited_count = sum(load_result.asked.values()) - load_result.asked["toll-charge"]
+        assert load_result.verdicts["served"] >= 0.98 * unlimited_count, load_result.verdicts
         cluster.rig.links.heal()
         await cluster.until_lease_is_used()
 
@@ -225,7 +229,7 @@
     assert cluster.charges.answers
 
 
-def test_unusable_peers_are_reported_in_one_line(tmp_path: Path) -> None:
+def test_fewer_peers_than_the_acceptors_need_is_reported_in_the_log(tmp_path: Path) -> None:
     async def run() -> None:
         rig = FleetRig(ZonePlan(routers=2, boxes=1, tiers=0, regional=0), tmp_path, CLUSTER_RULES)
         with pytest.raises(TimeoutError):
@@ -240,6 +244,6 @@
     assert "acceptors [0, 1, 2]: there are 2 peers" in log
 
 
-def test_every_local_event_has_a_log_name_of_its_own() -> None:
+def test_every_local_event_has_a_unique_log_name() -> None:
     assert set(EVENT_NAMES) == set(get_args(LocalEvent))
     assert len(set(EVENT_NAMES.values())) == len(EVENT_NAMES)
--- a/tests/cluster/test_cluster_model.py
+++ b/tests/cluster/test_cluster_model.py
@@ -1,4 +1,4 @@
-"""The fleet model in quick forms: days of faults, single failures, and an auditor that detects violations."""
+"""Short runs of the fleet model with many faults or one, and checks that its auditor finds violations."""
 
 from functools import cache
 
@@ -27,25 +27,25 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_simulated_days_of_faults_break_no_guarantee(seed: int) -> None:
+def test_a_simulated_day_of_faults_violates_no_guarantee(seed: int) -> None:
     result = quick_day(seed)
     assert not result.violations
     assert sum(result.faults.values()) > 3 and result.admitted_count > 300
 
 
-class Endless(elections.Elections):
-    """A holder that keeps its lease after its end."""
+class ElectionsWithoutExpiry(elections.Elections):
+    """Elections whose holder considers its lease held after it has expired."""
 
     def is_held(self, bid: Bid, now: float) -> bool:
         return bid.held_until > 0 and bid.phase.value == "holding"
 
 
-class EndlessLeases(Leases):
-    elections_kind = Endless
+class LeasesWithoutExpiry(Leases):
+    elections_kind = ElectionsWithoutExpiry
 
 
-class NoWait(granter.Granter):
-    """A new holder grants at once what its predecessor's grants may still hold."""
+class GranterWithoutWait(granter.Granter):
+    """A granter that, as a new holder, does not wait for its predecessor's grants to expire."""
 
     def wait_after_acquisition(self, limit: FleetLimit) -> float:
         return 0.0
@@ -54,8 +54,8 @@
         return 0.0
 
 
-class Careless(fleet_limits.FleetLimits):
-    granter_kind = NoWait
+class LimitsWithoutWait(fleet_limits.FleetLimits):
+    granter_kind = GranterWithoutWait
 
 
 def test_the_auditor_detects_two_holders(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -70,7 +70,7 @@
 
     correct = stall_holder()
     assert not correct.double_holders and sum(map(len, correct.acquisitions.values())) > 2
-    monkeypatch.setattr("paddlequay.cluster.node.Leases", EndlessLeases)
+    monkeypatch.setattr("paddlequay.cluster.node.Leases", LeasesWithoutExpiry)
     assert stall_holder().double_holders
 
 
@@ -83,12 +83,12 @@
         return auditor.workload.max_limit_ratio
 
     assert 0.3 < shift_demand() <= 1.0
-    monkeypatch.setattr("paddlequay.cluster.node.FleetLimits", Careless)
+    monkeypatch.setattr("paddlequay.cluster.node.FleetLimits", LimitsWithoutWait)
     assert shift_demand() > 1.0
 
 
 def test_forty_routers_in_steady_state_keep_their_lease_and_use_most_of_the_limit() -> None:
-    """Too frequent quota requests would spend the holder's bytes on grants, and lose its lease."""
+    """Too frequent quota requests would use up the holder's byte limit on grants and cost it the lease."""
     row = measure_steady_state(1, 40, 2.0, seconds=4.0)
     assert row["broken"] == 0 and row["used"] > 0.9
     assert row["pair_bytes_s"] < 64 and row["bytes_over_bound"] <= 0
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "deaths", "knows"),
+    ("name", "declared_dead_count", "detects_itself"),
     [
         ("clock 2% fast", 0, False),
         ("five times late", 0, False),
@@ -115,10 +115,12 @@
         ("is not heard", 11, True),
     ],
 )
-def test_a_gray_failure_of_one_router_harms_no_other(name: str, deaths: int, knows: bool) -> None:
+def test_a_gray_failure_of_one_router_harms_no_other(
+    name: str, declared_dead_count: int, detects_itself: bool
+) -> None:
     row = run_gray_failure(name, 1)
-    assert row["dead_by"] == deaths and row["others_dead"] == 0
-    assert (row["knows_itself_s"] is not None) is knows
+    assert row["dead_by"] == declared_dead_count and row["others_dead"] == 0
+    assert (row["knows_itself_s"] is not None) is detects_itself
     assert row["two_holders"] == row["terms_back"] == 0 and row["most_of_limit"] <= 1
 
 
--- a/tests/cluster/test_event_log.py
+++ b/tests/cluster/test_event_log.py
@@ -1,4 +1,4 @@
-"""The names of events in log lines and counters stand apart from those of types and attributes."""
+"""The names of events in log lines and counters are independent of the names of types and attributes."""
 
 from typing import get_args
 
@@ -19,7 +19,7 @@
     assert list(EVENT_FIELDS[event_type].values()) == list(event_type.__slots__)
 
 
-def test_a_log_line_keeps_its_names() -> None:
+def test_log_line_uses_the_external_names_of_the_event_and_its_fields() -> None:
     event = PeerChanged(3, 7, PeerState.DEAD)
     assert log_name(event) == "PeerChanged"
     assert list(log_fields(event)) == [("peer", 3), ("incarnation", 7), ("standing", PeerState.DEAD)]
--- a/tests/cluster/test_liveness.py
+++ b/tests/cluster/test_liveness.py
@@ -1,4 +1,4 @@
-"""Liveness under stalls, restarts, one-way links, partitions and loss, over a simulated network."""
+"""Liveness under stalls, restarts, one-way links, partitions and loss, on a simulated network."""
 
 import math
 from random import Random
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from simnet import Net
+from simnet import ComponentNetwork
 
 from paddlequay.cluster.gossip import MAX_UPDATES_PER_DATAGRAM, GossipQueue
 from paddlequay.cluster.incarnations import first_incarnation, process_start_ms
@@ -17,219 +17,231 @@
 from paddlequay.cluster.types import Fleet, PeerChanged, PeerState, SelfChanged, SendMessage
 
 ALIVE, SUSPECT, DEAD = PeerState.ALIVE, PeerState.SUSPECT, PeerState.DEAD
-Parts = dict[int, Liveness]
+Routers = dict[int, Liveness]
 
 
-def start_router(net: Net, parts: Parts, peer: int, size: int, unix_ms: int) -> None:
+def start_router(net: ComponentNetwork, routers: Routers, peer: int, size: int, unix_ms: int) -> None:
     rng = Random(net.rng.getrandbits(32))
-    part = Liveness(Fleet(peer, size), ClusterSettings("test", ()), first_incarnation(unix_ms), rng, net.now)
-    parts[peer] = part
-    net.add(peer, [part], lambda: part.incarnation)
+    liveness = Liveness(
+        Fleet(peer, size), ClusterSettings("test", ()), first_incarnation(unix_ms), rng, net.now
+    )
+    routers[peer] = liveness
+    net.start_router(peer, [liveness], lambda: liveness.incarnation)
 
 
-def start_fleet(size: int, seed: int = 1, drop: float = 0.0, warm: float = 5.0) -> tuple[Net, Parts]:
-    net = Net(seed, drop)
-    parts: Parts = {}
+def start_fleet(
+    size: int, seed: int = 1, loss_ratio: float = 0.0, warm_up_s: float = 5.0
+) -> tuple[ComponentNetwork, Routers]:
+    net = ComponentNetwork(seed, loss_ratio)
+    routers: Routers = {}
     for peer in range(size):
-        start_router(net, parts, peer, size, 1000 + peer)
-    net.run(warm)
-    return net, parts
+        start_router(net, routers, peer, size, 1000 + peer)
+    net.run(warm_up_s)
+    return net, routers
 
 
-def state_changes(net: Net, peer: int, since: float = 0.0) -> list[PeerState]:
-    """The states that any router has found of a peer, in order."""
-    return [a.state for t, _, a in net.log if isinstance(a, PeerChanged) and a.peer == peer and t >= since]
+def state_changes(net: ComponentNetwork, peer: int, since: float = 0.0) -> list[PeerState]:
+    """Returns the states of a peer that any router has reported, in order."""
+    return [a.state for t, _, a in net.events if isinstance(a, PeerChanged) and a.peer == peer and t >= since]
 
 
-def connection_of(net: Net, me: int) -> tuple[bool, bool] | None:
-    """Whether a router last found that it receives and reaches others; None: nothing has changed."""
-    found = [a for _, p, a in net.log if p == me and isinstance(a, SelfChanged)]
-    return (found[-1].receives, found[-1].reaches) if found else None
+def connection_of(net: ComponentNetwork, me: int) -> tuple[bool, bool] | None:
+    """Returns whether a router receives and reaches others by its last event; None without an event."""
+    own_events = [a for _, p, a in net.events if p == me and isinstance(a, SelfChanged)]
+    return (own_events[-1].receives, own_events[-1].reaches) if own_events else None
 
 
 @pytest.mark.parametrize("size", [3, 12, 40])
 def test_all_routers_declare_a_killed_router_dead_and_no_other(size: int) -> None:
-    net, parts = start_fleet(size)
-    assert all(part.alive_count == size for part in parts.values())
+    net, routers = start_fleet(size)
+    assert all(liveness.alive_count == size for liveness in routers.values())
     net.kill(1)
     net.run(5.0 + 10.0)
-    del parts[1]
-    assert {part.state_of(1) for part in parts.values()} == {DEAD}
-    assert {tuple(part.alive_peers()) for part in parts.values()} == {tuple(sorted(parts))}
-    assert all(not state_changes(net, peer, 5.0) for peer in parts)
+    del routers[1]
+    assert {liveness.state_of(1) for liveness in routers.values()} == {DEAD}
+    assert {tuple(liveness.alive_peers()) for liveness in routers.values()} == {tuple(sorted(routers))}
+    assert all(not state_changes(net, peer, 5.0) for peer in routers)
 
 
 def test_a_stalled_router_declares_nobody_dead_and_refutes_its_death_without_a_restart() -> None:
-    net, parts = start_fleet(5)
+    net, routers = start_fleet(5)
     net.stall(2, 20.0)
     net.run(24.9)
-    assert all(parts[p].state_of(2) is DEAD for p in (0, 1, 3, 4))
-    before = len(net.log)
+    assert all(routers[p].state_of(2) is DEAD for p in (0, 1, 3, 4))
+    count_before = len(net.events)
     net.run(28.0)
-    assert all(part.alive_count == 5 for part in parts.values())
-    assert all(a.state is ALIVE for _, _, a in net.log[before:] if isinstance(a, PeerChanged))
+    assert all(liveness.alive_count == 5 for liveness in routers.values())
+    assert all(a.state is ALIVE for _, _, a in net.events[count_before:] if isinstance(a, PeerChanged))
     assert (
-        process_start_ms(parts[0].incarnation_of(2))
+        process_start_ms(routers[0].incarnation_of(2))
         == process_start_ms(first_incarnation(1002))
-        < parts[0].incarnation_of(2)
+        < routers[0].incarnation_of(2)
     )
-    assert not [a for _, p, a in net.log if p == 2 and isinstance(a, SelfChanged)]
+    assert not [a for _, p, a in net.events if p == 2 and isinstance(a, SelfChanged)]
 
 
-@pytest.mark.parametrize("unix_ms", [9000, 3])  # the second: its clock was set back
+@pytest.mark.parametrize("unix_ms", [9000, 3])  # in the second case the router's clock was set back
 def test_a_restart_is_reported_once_to_each_peer_by_a_higher_process_start(unix_ms: int) -> None:
-    net, parts = start_fleet(5)
-    start_router(net, parts, 2, 5, unix_ms)
+    net, routers = start_fleet(5)
+    start_router(net, routers, 2, 5, unix_ms)
     net.run(9.0)
-    anew = [a for t, _, a in net.log if t >= 5.0 and isinstance(a, PeerChanged) and a.peer == 2]
-    assert {a.state for a in anew} == {ALIVE} and len(anew) == 4
-    assert all(process_start_ms(a.incarnation) > process_start_ms(first_incarnation(1002)) for a in anew)
+    changes = [a for t, _, a in net.events if t >= 5.0 and isinstance(a, PeerChanged) and a.peer == 2]
+    assert {a.state for a in changes} == {ALIVE} and len(changes) == 4
+    assert all(process_start_ms(a.incarnation) > process_start_ms(first_incarnation(1002)) for a in changes)
 
 
 def test_a_one_way_link_causes_no_death() -> None:
-    net, parts = start_fleet(5)
+    net, routers = start_fleet(5)
     net.cut(0, 1)
     net.run(60.0)
-    assert not [s for peer in parts for s in state_changes(net, peer, 5.0) if s is DEAD]
+    assert not [s for peer in routers for s in state_changes(net, peer, 5.0) if s is DEAD]
     assert connection_of(net, 0) is None and connection_of(net, 1) is None
 
 
 def test_a_router_that_reaches_nobody_reports_itself_isolated_and_declares_nobody_dead() -> None:
-    net, parts = start_fleet(5)
+    net, routers = start_fleet(5)
     net.cuts = {(2, peer) for peer in range(5)}
     net.run(15.0)
     assert connection_of(net, 2) == (True, False)
-    assert parts[0].state_of(2) is DEAD
-    assert DEAD not in [a.state for _, p, a in net.log if p == 2 and isinstance(a, PeerChanged)]
+    assert routers[0].state_of(2) is DEAD
+    assert DEAD not in [a.state for _, p, a in net.events if p == 2 and isinstance(a, PeerChanged)]
     net.heal()
     net.run(25.0)
     assert connection_of(net, 2) == (True, True)
-    assert all(part.alive_count == 5 for part in parts.values())
+    assert all(liveness.alive_count == 5 for liveness in routers.values())
 
 
 def test_a_router_that_receives_nothing_causes_no_refutation() -> None:
-    """Others receive its datagrams, so that its suspicions would make all of them refute."""
-    net, parts = start_fleet(5)
+    """Its peers do receive its datagrams; if it spread its suspicions, all of them would have to refute."""
+    net, routers = start_fleet(5)
     net.cuts = {(peer, 2) for peer in range(5)}
     net.run(30.0)
     assert connection_of(net, 2) == (False, False)
-    assert DEAD not in [s for peer in parts for s in state_changes(net, peer)]
-    assert all(part.incarnation == first_incarnation(1000 + peer) for peer, part in parts.items())
+    assert DEAD not in [s for peer in routers for s in state_changes(net, peer)]
+    assert all(liveness.incarnation == first_incarnation(1000 + peer) for peer, liveness in routers.items())
 
 
 def test_an_isolated_router_only_suspects_others_and_recovers_when_the_network_heals() -> None:
-    net, parts = start_fleet(5)
-    net.part([2], [0, 1, 3, 4])
+    net, routers = start_fleet(5)
+    net.partition([2], [0, 1, 3, 4])
     net.run(30.0)
     assert connection_of(net, 2) == (False, False)
-    assert DEAD not in [a.state for _, p, a in net.log if p == 2 and isinstance(a, PeerChanged)]
-    assert parts[0].state_of(2) is DEAD
+    assert DEAD not in [a.state for _, p, a in net.events if p == 2 and isinstance(a, PeerChanged)]
+    assert routers[0].state_of(2) is DEAD
     net.heal()
     net.run(45.0)
-    assert DEAD not in [a.state for _, p, a in net.log if p == 2 and isinstance(a, PeerChanged)]
-    assert all(part.alive_count == 5 for part in parts.values()) and connection_of(net, 2) == (True, True)
+    assert DEAD not in [a.state for _, p, a in net.events if p == 2 and isinstance(a, PeerChanged)]
+    assert all(liveness.alive_count == 5 for liveness in routers.values()) and connection_of(net, 2) == (
+        True,
+        True,
+    )
 
 
 def test_a_healed_partition_becomes_one_fleet_again() -> None:
-    net, parts = start_fleet(12)
-    net.part(range(6), range(6, 12))
+    net, routers = start_fleet(12)
+    net.partition(range(6), range(6, 12))
     net.run(40.0)
-    assert all(part.alive_count == 6 for part in parts.values())
+    assert all(liveness.alive_count == 6 for liveness in routers.values())
     net.heal()
     net.run(60.0)
-    assert all(part.alive_count == 12 for part in parts.values())
+    assert all(liveness.alive_count == 12 for liveness in routers.values())
 
 
-def test_a_fifth_of_datagrams_lost_causes_suspicions_but_no_death() -> None:
-    net, parts = start_fleet(40, drop=0.2)
+def test_loss_of_a_fifth_of_datagrams_causes_suspicions_but_no_death() -> None:
+    net, routers = start_fleet(40, loss_ratio=0.2)
     net.run(65.0)
-    assert SUSPECT in [s for peer in parts for s in state_changes(net, peer, 5.0)]
-    assert not [s for peer in parts for s in state_changes(net, peer, 5.0) if s is DEAD]
+    assert SUSPECT in [s for peer in routers for s in state_changes(net, peer, 5.0)]
+    assert not [s for peer in routers for s in state_changes(net, peer, 5.0) if s is DEAD]
 
 
 def make_liveness(size: int = 4) -> Liveness:
     return Liveness(Fleet(0, size), ClusterSettings("test", ()), first_incarnation(1), Random(3), 0.0)
 
 
-def test_an_update_of_an_old_incarnation_or_against_a_recent_sign_of_life_is_ignored() -> None:
-    part = make_liveness()
-    part.handle_datagram(1, 50 << 16, 0.0)
+def test_an_update_with_an_old_incarnation_or_after_a_recent_datagram_of_the_peer_is_ignored() -> None:
+    liveness = make_liveness()
+    liveness.handle_datagram(1, 50 << 16, 0.0)
     for update in (
         MembershipUpdate(1, 49 << 16, 3, 2),
         MembershipUpdate(1, 50 << 16, 3, 2),
         MembershipUpdate(1, 50 << 16, 2, 2),
     ):
-        part.handle_message(2, 1, update, 0.1)
-        assert part.state_of(1) is ALIVE
-    part.handle_message(2, 1, MembershipUpdate(1, 49 << 16, 3, 2), 2.0)
-    assert part.state_of(1) is ALIVE
-    part.handle_message(2, 1, MembershipUpdate(1, 50 << 16, 3, 2), 2.0)
-    assert part.state_of(1) is DEAD
-    assert [a.message for a in part.handle_datagram(1, 50 << 16, 2.1) if isinstance(a, SendMessage)] == [
+        liveness.handle_message(2, 1, update, 0.1)
+        assert liveness.state_of(1) is ALIVE
+    liveness.handle_message(2, 1, MembershipUpdate(1, 49 << 16, 3, 2), 2.0)
+    assert liveness.state_of(1) is ALIVE
+    liveness.handle_message(2, 1, MembershipUpdate(1, 50 << 16, 3, 2), 2.0)
+    assert liveness.state_of(1) is DEAD
+    assert [a.message for a in liveness.handle_datagram(1, 50 << 16, 2.1) if isinstance(a, SendMessage)] == [
         MembershipUpdate(1, 50 << 16, 3, 0)
     ]
-    assert part.state_of(1) is DEAD  # a late datagram is no refutation
-    part.handle_datagram(1, (50 << 16) + 1, 2.2)
-    assert part.state_of(1) is ALIVE
+    # A datagram of the incarnation that was declared dead is no refutation.
+    assert liveness.state_of(1) is DEAD
+    liveness.handle_datagram(1, (50 << 16) + 1, 2.2)
+    assert liveness.state_of(1) is ALIVE
 
 
 def test_an_ack_without_a_pending_ping_is_ignored() -> None:
-    part = make_liveness()
+    liveness = make_liveness()
     for number in range(100):
-        assert part.handle_message(1, 5, Ack(number, 2, 5), 0.0) == []
-    assert part.state_of(2) is PeerState.UNKNOWN
+        assert liveness.handle_message(1, 5, Ack(number, 2, 5), 0.0) == []
+    assert liveness.state_of(2) is PeerState.UNKNOWN
 
 
-def test_a_router_refutes_claims_about_itself_unless_the_incarnation_is_out_of_range() -> None:
-    part = make_liveness()
-    own = part.incarnation
-    part.handle_message(1, 5, Ping(1, own), 0.0)
+def test_a_router_refutes_reports_about_itself_unless_the_incarnation_is_out_of_range() -> None:
+    liveness = make_liveness()
+    own = liveness.incarnation
+    liveness.handle_message(1, 5, Ping(1, own), 0.0)
     for out_of_range in (Ping(1, 2**63 - 1), MembershipUpdate(0, 2**63 - 1, 3, 1)):
-        part.handle_message(1, 5, out_of_range, 0.0)
-    assert part.incarnation == own
-    part.handle_message(1, 5, Ping(1, own + 3), 0.0)
-    assert part.incarnation == own + 4
-    part.handle_message(1, 5, MembershipUpdate(0, own + 4, 2, 1), 0.0)
-    assert part.incarnation == own + 5
+        liveness.handle_message(1, 5, out_of_range, 0.0)
+    assert liveness.incarnation == own
+    liveness.handle_message(1, 5, Ping(1, own + 3), 0.0)
+    assert liveness.incarnation == own + 4
+    liveness.handle_message(1, 5, MembershipUpdate(0, own + 4, 2, 1), 0.0)
+    assert liveness.incarnation == own + 5
 
 
 def test_a_peer_that_sends_but_does_not_acknowledge_is_not_suspected() -> None:
-    part = make_liveness(2)
+    liveness = make_liveness(2)
     for step in range(200):
-        part.handle_datagram(1, 1 << 16, step * 0.05)
-        part.tick(step * 0.05)
-        assert part.state_of(1) is ALIVE
+        liveness.handle_datagram(1, 1 << 16, step * 0.05)
+        liveness.tick(step * 0.05)
+        assert liveness.state_of(1) is ALIVE
 
 
 @pytest.mark.parametrize(
-    ("size", "acknowledged"), [(4, 0.9), (200, 1.1)]
-)  # before the suspicion; during it, but too early
+    # The acknowledgement comes before the suspicion, or during it but too early.
+    ("size", "acknowledged_at_s"),
+    [(4, 0.9), (200, 1.1)],
+)
 def test_a_suspect_is_declared_dead_only_after_another_peer_has_acknowledged(
-    size: int, acknowledged: float
+    size: int, acknowledged_at_s: float
 ) -> None:
-    part = make_liveness(size)
+    liveness = make_liveness(size)
 
     def acknowledge(now: float) -> None:
-        part.handle_message(3, 1 << 16, Ack(part._detector._pings.register(3, now, None, 0), 3, 1 << 16), now)
+        liveness.handle_message(
+            3, 1 << 16, Ack(liveness._detector._pings.register(3, now, None, 0), 3, 1 << 16), now
+        )
 
     for step in range(int(10.7 / 0.05)):
         now = step * 0.05
-        part.tick(now)
+        liveness.tick(now)
         if step == 20:
-            part.handle_message(2, 1 << 16, MembershipUpdate(1, 1 << 16, 2, 2), now)
-        if step in (round(acknowledged / 0.05), 200):
+            liveness.handle_message(2, 1 << 16, MembershipUpdate(1, 1 << 16, 2, 2), now)
+        if step in (round(acknowledged_at_s / 0.05), 200):
             acknowledge(now)
-        assert part.state_of(1) is (SUSPECT if step >= 20 else PeerState.UNKNOWN)
-    for step in range(30):  # the suspicion lasts its whole time from the first acknowledgement on
+        assert liveness.state_of(1) is (SUSPECT if step >= 20 else PeerState.UNKNOWN)
+    for step in range(30):  # the full time of the suspicion starts at the first acknowledgement
         acknowledge(10.7 + step * 0.1)
-        part.tick(10.7 + step * 0.1)
-    assert part.state_of(1) is DEAD
+        liveness.tick(10.7 + step * 0.1)
+    assert liveness.state_of(1) is DEAD
 
 
 def test_a_router_that_learns_of_a_suspicion_pings_the_suspect() -> None:
-    part = make_liveness()
-    part.handle_message(2, 1 << 16, MembershipUpdate(1, 1 << 16, 2, 2), 0.0)
-    actions = [a for step in range(16) for a in part.tick(step * 0.05)]
+    liveness = make_liveness()
+    liveness.handle_message(2, 1 << 16, MembershipUpdate(1, 1 << 16, 2, 2), 0.0)
+    actions = [a for step in range(16) for a in liveness.tick(step * 0.05)]
     pings = [
         a.message for a in actions if isinstance(a, SendMessage) and a.to == 1 and isinstance(a.message, Ping)
     ]
@@ -237,10 +249,10 @@
 
 
 def test_a_stall_doubles_the_time_of_a_suspicion() -> None:
-    def suspicion_s(part: Liveness, now: float) -> float:
-        part.handle_datagram(1, 1 << 16, now)
-        part.handle_message(1, 1 << 16, MembershipUpdate(1, 2 << 16, 2, 2), now)
-        return part._members[1].dead_at - now
+    def suspicion_s(liveness: Liveness, now: float) -> float:
+        liveness.handle_datagram(1, 1 << 16, now)
+        liveness.handle_message(1, 1 << 16, MembershipUpdate(1, 2 << 16, 2, 2), now)
+        return liveness._members[1].dead_at - now
 
     fresh, stalled = make_liveness(), make_liveness()
     assert stalled.tick(3.0) is not None
@@ -259,7 +271,7 @@
     assert sum(pings.resolve(number, 1) is not None for number in numbers) == 1024
 
 
-MESSAGES = st.one_of(
+ANY_MESSAGE = st.one_of(
     st.builds(Ping, st.integers(0, 2**63 - 1), st.integers(0, 2**63 - 1)),
     st.builds(Ack, st.integers(0, 9), st.integers(0, 2**12), st.integers(0, 2**63 - 1)),
     st.builds(PingRequest, st.integers(0, 9), st.integers(0, 2**12)),
@@ -271,18 +283,20 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(
-    st.lists(st.tuples(st.integers(0, 6), st.integers(0, 2**63 - 1), MESSAGES, st.floats(0, 3)), max_size=40)
+    st.lists(
+        st.tuples(st.integers(0, 6), st.integers(0, 2**63 - 1), ANY_MESSAGE, st.floats(0, 3)), max_size=40
+    )
 )
 def test_no_message_raises_an_error_or_lowers_the_incarnation(
     steps: list[tuple[int, int, PeerMessage, float]],
 ) -> None:
-    part, now = make_liveness(), 0.0
+    liveness, now = make_liveness(), 0.0
     for sender, incarnation, message, step in steps:
-        now, before = now + step, part.incarnation
-        actions = part.handle_datagram(sender, incarnation, now) + part.handle_message(
+        now, incarnation_before = now + step, liveness.incarnation
+        actions = liveness.handle_datagram(sender, incarnation, now) + liveness.handle_message(
             sender, incarnation, message, now
         )
-        actions += part.tick(now)
-        assert before <= part.incarnation < 2**63 and math.isfinite(part.due())
+        actions += liveness.tick(now)
+        assert incarnation_before <= liveness.incarnation < 2**63 and math.isfinite(liveness.due())
         assert all(a.to in (1, 2, 3) for a in actions if isinstance(a, SendMessage))
-        assert part.alive_count == len(part.alive_peers())
+        assert liveness.alive_count == len(liveness.alive_peers())
--- a/tests/cluster/test_outbox.py
+++ b/tests/cluster/test_outbox.py
@@ -1,4 +1,4 @@
-"""The outbox: its limit on bytes, the order of messages, and drops; also over the simulator's messages."""
+"""The outbox: its byte limit, the order of messages, and drops; also with the simulator's transport."""
 
 from collections import Counter
 
@@ -27,34 +27,34 @@
 
 BOUNDS = ClusterBounds()
 CODEC = Codec("quay", 5)
-QUICK = settings(max_examples=60, derandomize=True, deadline=None)
+FUZZ_SETTINGS = settings(max_examples=60, derandomize=True, deadline=None)
 LEASE, CHANGE, ROUTINE = Urgency
-RATE = 2000
+RATE_BYTES_PER_S = 2000
 
 
-def make_outbox(size: int = 5, rate: float = RATE, me: int = 0) -> Outbox:
-    return Outbox(Wire(Codec("quay", size), Fleet(me, size), 1), rate, BOUNDS, 0.0)
+def make_outbox(fleet_size: int = 5, bytes_per_s: float = RATE_BYTES_PER_S, me: int = 0) -> Outbox:
+    return Outbox(Wire(Codec("quay", fleet_size), Fleet(me, fleet_size), 1), bytes_per_s, BOUNDS, 0.0)
 
 
-def read_messages(datagrams: list[Datagram], size: int = 5) -> list[PeerMessage]:
-    codec = Codec("quay", size)
+def read_messages(datagrams: list[Datagram], fleet_size: int = 5) -> list[PeerMessage]:
+    codec = Codec("quay", fleet_size)
     return [message for datagram in datagrams for message in codec.read(datagram.data).messages]
 
 
-def cost(datagram: Datagram, size: int = 5) -> int:
-    return len(datagram.data) * (size - 1 if datagram.to is None else 1)
+def cost_bytes(datagram: Datagram, fleet_size: int = 5) -> int:
+    return len(datagram.data) * (fleet_size - 1 if datagram.to is None else 1)
 
 
-MADE = st.one_of(
+ANY_MESSAGE = st.one_of(
     st.builds(Prepare, st.integers(0, 1 << 63), st.integers(0, 1 << 40)),
     st.builds(Evidence, *[st.integers(0, 1 << 40)] * 2, st.integers(0, 4), *[st.integers(0, 900)] * 3),
     st.builds(QuotaRequest, st.integers(0, 3), *[st.integers(0, 900)] * 3),
 )
-ACTIONS = st.builds(SendMessage, st.none() | st.integers(0, 4), MADE, st.sampled_from(Urgency))
+ACTIONS = st.builds(SendMessage, st.none() | st.integers(0, 4), ANY_MESSAGE, st.sampled_from(Urgency))
 STEPS = st.lists(st.tuples(st.floats(0, 0.7), st.lists(ACTIONS, max_size=25)), max_size=30)
 
 
-@QUICK
+@FUZZ_SETTINGS
 @given(STEPS)
 def test_bytes_in_any_span_are_limited_and_every_message_is_accounted_for(
     steps: list[tuple[float, list[SendMessage]]],
@@ -67,24 +67,26 @@
             put_count += 1
         datagrams = outbox.take(now)
         assert all(len(datagram.data) <= MAX_DATAGRAM_BYTES for datagram in datagrams)
-        sent += [(now, cost(datagram)) for datagram in datagrams]
+        sent += [(now, cost_bytes(datagram)) for datagram in datagrams]
         assert outbox.due() > now
         assert (outbox.due() == NEVER) == (not any(queue.by_receiver for queue in outbox.queues.values()))
-    for number, (begun, _) in enumerate(sent):
+    for number, (started_at, _) in enumerate(sent):
         total = 0
-        for at, price in sent[number:]:
-            total += price
-            assert total <= outbox.burst_bytes + RATE * (at - begun) + 1
-    waiting = sum(queue.count for queue in outbox.queues.values())
-    assert waiting == sum(
-        len(lane) for queue in outbox.queues.values() for lane in queue.by_receiver.values()
+        for at, datagram_bytes in sent[number:]:
+            total += datagram_bytes
+            assert total <= outbox.burst_bytes + RATE_BYTES_PER_S * (at - started_at) + 1
+    waiting_count = sum(queue.count for queue in outbox.queues.values())
+    assert waiting_count == sum(
+        len(receiver_queue)
+        for queue in outbox.queues.values()
+        for receiver_queue in queue.by_receiver.values()
     )
     dropped = sum(count for name, count in outbox.counts.items() if name.startswith("dropped."))
-    assert put_count == dropped + waiting + outbox.counts["sent.notes"]
+    assert put_count == dropped + waiting_count + outbox.counts["sent.notes"]
 
 
 def test_a_lease_message_is_sent_at_once_whatever_else_is_queued() -> None:
-    """As long as lease messages themselves stay below the limit: here one to all each half second."""
+    """Holds while lease messages alone are below the byte limit; here one goes to all every half second."""
     outbox = make_outbox()
     for step in range(500):
         now = step / 50
@@ -95,7 +97,7 @@
             outbox.put(SendMessage(None, Propose(1, 2, 1500, step), LEASE), now)
             (datagram, *_) = outbox.take(now)
             assert Propose(1, 2, 1500, step) in read_messages([datagram])
-            # Messages that are sent along with it are not paid from the reserve.
+            # Messages that are sent along with it do not use the reserve.
             assert outbox.tokens >= outbox.reserve_bytes - 4 * 50
         else:
             outbox.take(now)
@@ -107,35 +109,37 @@
     for number in range(400):
         outbox.put(SendMessage(1 + number % 4, Ack(number, 1, 1), CHANGE), 0.0)
         outbox.put(SendMessage(1 + number % 4, Prepare(number, 1), LEASE), 0.0)
-    spent = sum(map(cost, outbox.take(0.0)))
-    waiting = sum(
-        len(item.data) + 40 for lane in outbox.queues[LEASE].by_receiver.values() for item in lane.values()
+    spent = sum(map(cost_bytes, outbox.take(0.0)))
+    waiting_bytes = sum(
+        len(item.data) + 40
+        for receiver_queue in outbox.queues[LEASE].by_receiver.values()
+        for item in receiver_queue.values()
     )
     now = 0.0
     while outbox.queues[LEASE].by_receiver:
         now = outbox.due()
         assert not any(isinstance(message, Ack) for message in read_messages(outbox.take(now)))
     assert spent <= outbox.burst_bytes
-    assert now <= waiting / RATE
+    assert now <= waiting_bytes / RATE_BYTES_PER_S
     assert not outbox.counts["dropped.old.lease"]
 
 
 def test_the_fleet_stays_within_the_sum_of_its_byte_limits() -> None:
-    """After a minute's silence thirty routers queue far more than they may send, for five seconds."""
-    size, rate, span = 30, 16_000, 5.0
-    fleet = [make_outbox(size, rate, me) for me in range(size)]
+    """After a minute without messages, thirty routers queue far more than they may send for five seconds."""
+    fleet_size, bytes_per_s, span_s = 30, 16_000, 5.0
+    fleet = [make_outbox(fleet_size, bytes_per_s, me) for me in range(fleet_size)]
     total = 0
     for outbox in fleet:
         outbox.take(60.0)
-        for now in (60 + step / 50 for step in range(int(span * 50))):
+        for now in (60 + step / 50 for step in range(int(span_s * 50))):
             for peer in range(4):
                 outbox.put(
                     SendMessage(None, MembershipUpdate(peer, 1 << 40, 2, outbox.fleet.me), CHANGE), now
                 )
                 outbox.put(SendMessage(None, Prepare(peer, 1 << 40), LEASE), now)
-            total += sum(cost(datagram, size) for datagram in outbox.take(now))
-    most = size * (fleet[0].burst_bytes + rate * span)
-    assert 0.9 * most < total <= most
+            total += sum(cost_bytes(datagram, fleet_size) for datagram in outbox.take(now))
+    max_total_bytes = fleet_size * (fleet[0].burst_bytes + bytes_per_s * span_s)
+    assert 0.9 * max_total_bytes < total <= max_total_bytes
 
 
 def test_urgent_messages_come_first_and_a_newer_routine_message_replaces_the_older() -> None:
@@ -158,7 +162,7 @@
 
 
 def test_a_message_that_waited_too_long_is_dropped() -> None:
-    outbox = make_outbox(rate=1)
+    outbox = make_outbox(bytes_per_s=1)
     outbox.tokens = 0
     for urgency in Urgency:
         outbox.put(SendMessage(1, OwnerLoad(1, 1), urgency), 0.0)
@@ -169,27 +173,27 @@
 
 
 def test_evidence_is_dropped_before_its_transit_allowance_ends() -> None:
-    """Its age is fixed when it is packed: what waited longer would count beyond its maximum age."""
-    for waits, goes in ((0.2, 1), (0.3, 0), (TRANSIT_ALLOWANCE_S, 0)):
+    """The stated age is fixed when a message is packed, so a receiver would not notice a longer wait."""
+    for wait_s, sent_count in ((0.2, 1), (0.3, 0), (TRANSIT_ALLOWANCE_S, 0)):
         outbox = make_outbox()
         outbox.tokens, outbox.bytes_per_s = 0.0, 1e-9
         outbox.put(SendMessage(None, Evidence(7, 0, 2, 1, 1, 1), CHANGE), 0.0)
-        outbox.take(waits)
+        outbox.take(wait_s)
         outbox.tokens = outbox.burst_bytes
-        assert len(read_messages(outbox.take(waits))) == goes
+        assert len(read_messages(outbox.take(wait_s))) == sent_count
 
 
 def test_queues_are_bounded_for_each_receiver_and_in_total() -> None:
-    size = 200
-    outbox = make_outbox(size)
+    fleet_size = 200
+    outbox = make_outbox(fleet_size)
     outbox.tokens = -1e9
     for number in range(MAX_MESSAGES_PER_RECEIVER + 9):
         outbox.put(SendMessage(1, Ping(number, 0), LEASE), 0.0)
     assert (outbox.queues[LEASE].count, outbox.counts["dropped.full.lease"]) == (MAX_MESSAGES_PER_RECEIVER, 9)
     for number in range(2 * MIN_QUEUE_CAPACITY):
-        outbox.put(SendMessage(1 + number % (size - 1), Ping(number, 0), CHANGE), 0.0)
+        outbox.put(SendMessage(1 + number % (fleet_size - 1), Ping(number, 0), CHANGE), 0.0)
     assert outbox.queues[CHANGE].count == MIN_QUEUE_CAPACITY
-    outbox.put(SendMessage(5, Ping(1, 0), CHANGE), 10.0)  # expired messages make room
+    outbox.put(SendMessage(5, Ping(1, 0), CHANGE), 10.0)  # expired messages are dropped to make space
     assert outbox.queues[CHANGE].count == 1
     assert outbox.queues[LEASE].count == MAX_MESSAGES_PER_RECEIVER
     outbox.put(SendMessage(2, Ping(0, 0), LEASE), 0.0)
@@ -215,23 +219,26 @@
     a.outbox.put(SendMessage(1, Ping(3, 4), LEASE), 0.0)
     first, second = a.take_posts(0.0)
     assert (first.peer, second.peer) == ("1", "*")
-    heard = b.receive(0, first.content)
-    assert isinstance(heard, ReceivedDatagram) and heard.messages == (Ping(3, 4),)
+    received = b.receive(0, first.content)
+    assert isinstance(received, ReceivedDatagram) and received.messages == (Ping(3, 4),)
     assert b.receive(0, first.content) is None
     assert b.receive(2, second.content) is None
     assert b.rejected == {RejectReason.REPEATED: 1, RejectReason.SENDER: 1}
     assert isinstance(b.receive(0, second.content), ReceivedDatagram)
 
 
-WORDS = {"-": "foreign", "aGkgNw=": "malformed", "a\nGkgNw==": "malformed", "é" * 8: "malformed"}
-WORDS |= {"é" * (MAX_CONTENT_CHARACTERS + 4): "oversized", encode_content(bytes(257)): "oversized"}
+REJECTED_CONTENTS = {"-": "foreign", "aGkgNw=": "malformed", "a\nGkgNw==": "malformed", "é" * 8: "malformed"}
+REJECTED_CONTENTS |= {
+    "é" * (MAX_CONTENT_CHARACTERS + 4): "oversized",
+    encode_content(bytes(257)): "oversized",
+}
 
 
-@pytest.mark.parametrize("content", WORDS)
+@pytest.mark.parametrize("content", REJECTED_CONTENTS)
 def test_a_simulator_message_that_is_no_datagram_is_rejected(content: str) -> None:
     b = SimulatorTransport(make_outbox(me=1).wire, make_outbox(me=1))
     assert b.receive(0, content) is None
-    assert b.rejected == {RejectReason(WORDS[content]): 1}
+    assert b.rejected == {RejectReason(REJECTED_CONTENTS[content]): 1}
     assert encode_content(b"") == "-"
 
 
--- a/tests/cluster/test_peer_transport.py
+++ b/tests/cluster/test_peer_transport.py
@@ -1,4 +1,4 @@
-"""The peer transport on loopback sockets: what it accepts and rejects, its timer, and network errors."""
+"""The peer transport on loopback sockets: accepted and rejected datagrams, its timer, and network errors."""
 
 import asyncio
 import socket
@@ -15,11 +15,11 @@
 from paddlequay.net.cluster.peer_transport import PeerTransport
 from paddlequay.observability.counters import Counters
 
-MAX_WAIT_S = 20.0  # until a condition that does not come is a failure
+MAX_WAIT_S = 20.0  # a test fails if a condition is not met within this time
 
 
 class RecordingHandler:
-    """Records the messages that it receives; may be set to fail, and to be due."""
+    """Records received messages and ticks. A test sets when it is due, and whether it raises errors."""
 
     def __init__(self) -> None:
         self.received: list[tuple[Peer, PeerMessage]] = []
@@ -44,6 +44,8 @@
 
 
 class Router(PeerTransport):
+    """A transport with a recording handler, whose outbox and counters the tests use."""
+
     def __init__(
         self,
         me: Peer,
@@ -52,11 +54,11 @@
         to_all: Address | None = None,
         name: str = "quay",
     ) -> None:
-        now = asyncio.get_running_loop().time
+        clock = asyncio.get_running_loop().time
         wire = Wire(Codec(name, len(peers)), Fleet(me, len(peers)), 1)
         self.recorder = RecordingHandler()
-        box = Outbox(wire, 16_000, ClusterBounds(), now())
-        super().__init__(listen, peers, to_all, wire, box, Counters(), self.recorder, now)
+        outbox = Outbox(wire, 16_000, ClusterBounds(), clock())
+        super().__init__(listen, peers, to_all, wire, outbox, Counters(), self.recorder, clock)
 
     def send(self, to: Peer | None, message: PeerMessage) -> None:
         self.send_messages([SendMessage(to, message, Urgency.CHANGE)])
@@ -65,19 +67,19 @@
         return self.counters.counts[f"peers.{name}"]
 
 
-def plain() -> socket.socket:
-    made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    made.bind(("127.0.0.1", 0))
-    made.settimeout(MAX_WAIT_S)
-    return made
+def bind_udp_socket() -> socket.socket:
+    udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    udp_socket.bind(("127.0.0.1", 0))
+    udp_socket.settimeout(MAX_WAIT_S)
+    return udp_socket
 
 
-def addresses(count: int) -> list[Address]:
-    sockets = [plain() for _ in range(count)]
-    found: list[Address] = [each.getsockname() for each in sockets]
+def free_addresses(count: int) -> list[Address]:
+    sockets = [bind_udp_socket() for _ in range(count)]
+    addresses: list[Address] = [each.getsockname() for each in sockets]
     for each in sockets:
         each.close()
-    return found
+    return addresses
 
 
 async def until(condition: Callable[[], bool]) -> None:
@@ -87,29 +89,29 @@
 
 
 @asynccontextmanager
-async def routers(count: int = 3) -> AsyncIterator[list[Router]]:
-    where = addresses(count)
-    made = [Router(number, address, where) for number, address in enumerate(where)]
-    for each in made:
-        await each.start()
+async def start_routers(count: int = 3) -> AsyncIterator[list[Router]]:
+    addresses = free_addresses(count)
+    routers = [Router(number, address, addresses) for number, address in enumerate(addresses)]
+    for router in routers:
+        await router.start()
     try:
-        yield made
+        yield routers
     finally:
-        for each in made:
-            each.close()
+        for router in routers:
+            router.close()
 
 
-def run(test: Callable[[], Awaitable[None]]) -> Callable[[], None]:
-    def runs() -> None:
+def run_async(test: Callable[[], Awaitable[None]]) -> Callable[[], None]:
+    def run_test() -> None:
         asyncio.run(test())  # type: ignore[arg-type]
 
-    runs.__name__ = test.__name__
-    return runs
+    run_test.__name__ = test.__name__
+    return run_test
 
 
-@run
+@run_async
 async def test_messages_reach_one_peer_or_all() -> None:
-    async with routers() as (a, b, c):
+    async with start_routers() as (a, b, c):
         a.send(None, OwnerLoad(1, 2))
         b.send(0, Ping(3, 4))
         await until(lambda: bool(a.recorder.received and b.recorder.received and c.recorder.received))
@@ -121,18 +123,18 @@
         assert (a.count("sent"), b.count("sent"), c.count("received")) == (2, 1, 1)
 
 
-@run
+@run_async
 async def test_rejected_datagrams_are_counted_and_logged_once_a_kind() -> None:
-    async with routers() as (a, b, c):
-        with closing(plain()) as stranger:
-            right = b.wire.write([b.wire.codec.pack_message(OwnerLoad(1, 2))])
-            other = Codec("harbour", 3)
-            foreign = other.pack(Header(1, 1, 1, 1, 0), [])
+    async with start_routers() as (a, b, c):
+        with closing(bind_udp_socket()) as foreign_socket:
+            valid = b.wire.write([b.wire.codec.pack_message(OwnerLoad(1, 2))])
+            foreign_codec = Codec("harbour", 3)
+            foreign = foreign_codec.pack(Header(1, 1, 1, 1, 0), [])
             body = b"\x91\xc3"
-            for data in (right, bytes(300), b"", foreign, a.wire.codec.tag(body) + body):
-                stranger.sendto(data, a.listen)
-            # Router 2 says that it is router 1; then router 1 says it itself.
-            c.send_to(right, a.listen)
+            for data in (valid, bytes(300), b"", foreign, a.wire.codec.tag(body) + body):
+                foreign_socket.sendto(data, a.listen)
+            # Router 2 sends a datagram whose header names router 1; later router 1 sends it itself.
+            c.send_to(valid, a.listen)
             await until(lambda: a.count("received") == 6)
             assert not a.recorder.received
             assert a.logged_at.keys() == {
@@ -140,24 +142,28 @@
             }
             first = dict(a.logged_at)
             assert [a.count(kind) for kind in ("sender", "oversized", "foreign", "malformed")] == [2, 1, 2, 1]
-            b.send_to(right, a.listen)
-            b.send_to(right, a.listen)
+            b.send_to(valid, a.listen)
+            b.send_to(valid, a.listen)
             await until(lambda: a.count("repeated") == 1)
             assert a.recorder.received == [(1, OwnerLoad(1, 2))]
-            stranger.sendto(b"", a.listen)
+            foreign_socket.sendto(b"", a.listen)
             await until(lambda: a.count("foreign") == 3)
             assert a.logged_at["peers.foreign"] == first["peers.foreign"]
 
 
-@run
+@run_async
 async def test_a_router_may_listen_at_another_address_than_its_entry() -> None:
-    """A link between two routers, as a translation of addresses is: each entry is a socket of it."""
-    inner = addresses(2)
-    with closing(plain()) as first, closing(plain()) as second, closing(plain()) as everyone:
+    """The test acts as an address translator between the routers, whose peers are sockets of the test."""
+    inner = free_addresses(2)
+    with (
+        closing(bind_udp_socket()) as first,
+        closing(bind_udp_socket()) as second,
+        closing(bind_udp_socket()) as all_routers,
+    ):
         outer: list[Address] = [first.getsockname(), second.getsockname()]
         with pytest.raises(ValueError):
             Router(0, inner[0], [outer[0], outer[0]])
-        a, b = (Router(number, inner[number], outer, everyone.getsockname()) for number in (0, 1))
+        a, b = (Router(number, inner[number], outer, all_routers.getsockname()) for number in (0, 1))
         await a.start()
         await b.start()
         loop = asyncio.get_running_loop()
@@ -165,53 +171,52 @@
         first.sendto(await loop.run_in_executor(None, second.recv, 500), b.listen)
         await until(lambda: b.recorder.received == [(0, OwnerLoad(1, 1))])
         b.send(None, OwnerLoad(2, 2))
-        data = await loop.run_in_executor(None, everyone.recv, 500)
-        for listen in inner:  # to all is to oneself too
+        data = await loop.run_in_executor(None, all_routers.recv, 500)
+        for listen in inner:  # a datagram to all also reaches its sender
             second.sendto(data, listen)
         await until(lambda: a.recorder.received == [(1, OwnerLoad(2, 2))] and b.count("own") == 1)
         a.close()
         b.close()
 
 
-@run
+@run_async
 async def test_the_timer_serves_handler_and_byte_limit_and_backs_off_after_a_failure() -> None:
-    async with routers(2) as (a, b):
-        a.outbox.tokens = a.outbox.reserve_bytes - 100  # 140 bytes too few, 9 ms of the bound
+    async with start_routers(2) as (a, b):
+        a.outbox.tokens = a.outbox.reserve_bytes - 100  # 140 bytes too few, which is 9 ms of sending
         a.send(1, OwnerLoad(1, 1))
         assert not a.count("sent")
         await until(lambda: b.recorder.received == [(0, OwnerLoad(1, 1))])
-        begun = a.clock()
-        a.recorder.due_at = begun + 0.05
+        started_at = a.clock()
+        a.recorder.due_at = started_at + 0.05
         a.flush()
         await until(lambda: a.recorder.ticks == 1)
-        assert a.clock() >= begun + 0.05
+        assert a.clock() >= started_at + 0.05
         a.recorder.fails, a.recorder.due_at = True, a.clock()
         a.flush()
         b.send(0, OwnerLoad(1, 1))
-        begun = a.clock()
-        await until(
-            lambda: a.count("failures") == a.recorder.ticks >= 4
-        )  # one tick succeeded, one message failed
-        assert a.clock() - begun > 0.15  # with a pause after each failure
+        started_at = a.clock()
+        # One tick has succeeded, and one message has failed.
+        await until(lambda: a.count("failures") == a.recorder.ticks >= 4)
+        assert a.clock() - started_at > 0.15  # there is a pause after each failure
         a.recorder.fails = False
         b.send(0, OwnerLoad(2, 2))
         await until(lambda: a.recorder.received == [(1, OwnerLoad(2, 2))])
 
 
-@run
+@run_async
 async def test_the_transport_survives_network_errors() -> None:
-    async with routers(2) as (a, b):
+    async with start_routers(2) as (a, b):
         protocol, transport = a.socket_events, a.transport
         assert protocol is not None and transport is not None
         protocol.error_received(ConnectionRefusedError())
-        a.send_to(b"x" * 70_000, b.listen)  # more than any datagram holds: the kernel refuses it
+        a.send_to(b"x" * 70_000, b.listen)  # longer than any datagram, so the kernel rejects it
         a.send_to(b"x", ("127.0.0.1", 0))
         await until(lambda: a.count("errors") == 3)
         protocol.pause_writing()
         a.send(1, OwnerLoad(1, 1))
         assert a.count("unsent") == 1
         protocol.resume_writing()
-        transport.abort()  # as the loop does on an error that it knows no better for
+        transport.abort()  # as asyncio does on a fatal error of the socket
         await until(lambda: a.count("opened") == 1)
         b.send(0, OwnerLoad(2, 2))
         a.send(1, OwnerLoad(3, 3))
@@ -220,22 +225,22 @@
 
 
 def test_continuous_flushes_do_not_postpone_the_timer() -> None:
-    """A full router's loop has events at each turn; a timer set anew at each of them was never due."""
+    """Guards against a busy event loop in which each event resets the timer, so that it never fires."""
 
     async def run() -> None:
-        async with routers(2) as (one, _):
-            one.recorder.due_at = 0.0  # due, and at each event still so
-            left = 2000
+        async with start_routers(2) as (one, _):
+            one.recorder.due_at = 0.0  # due at once, and still due at each event
+            turns_left = 2000
 
-            def event() -> None:
-                nonlocal left
+            def flush_repeatedly() -> None:
+                nonlocal turns_left
                 one.flush()
-                left -= 1
-                if left and not one.recorder.ticks:
-                    asyncio.get_running_loop().call_soon(event)
+                turns_left -= 1
+                if turns_left and not one.recorder.ticks:
+                    asyncio.get_running_loop().call_soon(flush_repeatedly)
 
-            asyncio.get_running_loop().call_soon(event)
-            await until(lambda: one.recorder.ticks > 0 or not left)
-            assert left, "two thousand turns, and no tick"
+            asyncio.get_running_loop().call_soon(flush_repeatedly)
+            await until(lambda: one.recorder.ticks > 0 or not turns_left)
+            assert turns_left, "no tick within 2000 iterations of the event loop"
 
     asyncio.run(run())
