--- a/paddlequay/net/clients/session_front.py
+++ b/paddlequay/net/clients/session_front.py
@@ -1,16 +1,16 @@
-"""The interface of the front that client connections use."""
+"""The interface of the front, as client connections use it."""
 
 from typing import Protocol
 
 from paddlequay.lifecycle.overload import OverloadGuard
 from paddlequay.net.clients.answer_writer import WriterFront
 from paddlequay.net.clients.idle_sessions import IdleSessions
-from paddlequay.net.clients.waiting_calls import QueueFront
+from paddlequay.net.clients.waiting_calls import WaitingCallsFront
 from paddlequay.requests.exchange import Exchange
 from paddlequay.requests.messages import FinalAnswer
 
 
-class SessionFront(WriterFront, QueueFront, Protocol):
+class ClientSessionFront(WriterFront, WaitingCallsFront, Protocol):
     """The state that all client connections share."""
 
     exchange: Exchange
@@ -27,5 +27,5 @@
         ...
 
     def accepts_requests(self) -> bool:
-        """Returns the readiness that clients see."""
+        """Returns whether clients are told that the router is ready."""
         ...
--- a/tests/cluster/test_placement_tables.py
+++ b/tests/cluster/test_placement_tables.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from paddlequay.cluster.node import Node
+from paddlequay.cluster.node import ClusterNode
 from paddlequay.cluster.settings import ClusterSettings
 from paddlequay.cluster.types import Action, Fleet, TableChanged
 from paddlequay.config.limits import Limits
@@ -78,13 +78,13 @@
         self.exchange.update_members(EDGES + SOURCES, True)
         self.node = self.join()
 
-    def join(self) -> Node:
+    def join(self) -> ClusterNode:
         settings = ClusterSettings("test", (0,), verdicts=False)
-        node = Node(settings, Fleet(0, 1, (0,)), self.clock.unix(), 1, self.clock.now)
+        node = ClusterNode(settings, Fleet(0, 1, (0,)), self.clock.unix(), 1, self.clock.now)
         self.placement.join(node)
         return node
 
-    def apply_actions(self, node: Node, actions: Sequence[Action]) -> None:
+    def apply_actions(self, node: ClusterNode, actions: Sequence[Action]) -> None:
         self.handle_events(node.execute(actions, self.clock.now))
 
     def handle_events(self, events: Sequence[object]) -> None:
@@ -189,7 +189,7 @@
         await rig.update()
         await rig.update()
         assert rig.counters.counts["placement_refused"] == 1 and rig.all_homes_are("e2")
-        assert rig.placement.tables is not None and rig.placement.tables.follower.own.table != 0
+        assert rig.placement.epochs is not None and rig.placement.epochs.follower.own_content.table != 0
 
     run_script(tmp_path, script)
 
