--- a/paddlequay/cluster/buckets.py
+++ b/paddlequay/cluster/buckets.py
@@ -54,7 +54,7 @@
         """Returns what replaces this grant at its end: in an isolated router a part of it, else no grant."""
         if not isolated or self.is_retained or timing.retention_s <= 0:
             return NO_GRANT
-        retained = self.quota.min_with(division.isolated)
+        retained = self.quota.min_with(division.max_retained)
         return ActiveGrant(retained, self.valid_until + timing.retention_s, is_retained=True)
 
 
--- a/paddlequay/cluster/limit_registry.py
+++ b/paddlequay/cluster/limit_registry.py
@@ -23,7 +23,7 @@
     """Returns the name of the limit that a rule sets for one value.
 
     The name contains the digest of the rule, so that a holder finds the rule of a value that it has not seen
-    itself. Values of the same digest share a limit, and are limited together.
+    itself. Values of the same digest share a limit, which is therefore kept for each of them.
     """
     return (lease & ~VALUE_MASK) | (xxh3_64_intdigest(value) & VALUE_MASK)
 
--- a/paddlequay/cluster/local_limits.py
+++ b/paddlequay/cluster/local_limits.py
@@ -24,7 +24,7 @@
         granted_request: The number of the request that the grant in use answers.
         next_request_at: When the next request for a quota is due.
         last_request_at: When the last request for a quota was sent.
-        unanswered_since: When the first of the requests was sent that have had no answer.
+        unanswered_since: When the first request for a quota since the last answer was sent.
         rejected_since_request: Whether a request of a client was rejected since the last request for a quota.
         last_demand_milli: The demand in the last request for a quota, in thousandths of a request.
         last_broadcast_at: When a request was last sent to all routers that may hold the lease.
--- a/paddlequay/cluster/quotas.py
+++ b/paddlequay/cluster/quotas.py
@@ -54,8 +54,8 @@
 class LimitDivision:
     """A limit as it is divided over the fleet: `limit` = fleet size * `floor` + `pool`.
 
-    With `PartitionMode.OPEN`, `isolated` is (open_factor - 1) * limit / fleet size. Floors and valid grants
-    sum to at most the limit, and the parts that all routers can retain sum to at most
+    With `PartitionMode.OPEN`, `max_retained` is (open_factor - 1) * limit / fleet size. Floors and valid
+    grants sum to at most the limit, and the parts that all routers can retain sum to at most
     (open_factor - 1) * limit. So the fleet stays within open_factor * limit, although no router knows what
     the others retain.
 
@@ -63,14 +63,14 @@
         limit: The whole limit.
         floor: The part that each router may always use.
         pool: The part that the holder grants in addition to the floors.
-        isolated: The most that an isolated router retains of its last grant.
+        max_retained: The most that an isolated router retains of its last grant.
         unit_milli: The unit of grants: a thousandth of a request per second, or a slot.
     """
 
     limit: Quota
     floor: Quota
     pool: Quota
-    isolated: Quota
+    max_retained: Quota
     unit_milli: int
 
     @property
@@ -108,12 +108,12 @@
     if slots < 1:
         raise ValueError(f"limit {rule.name}: expected at least 1 request in flight, got {slots}")
     floor = min(int(slots * rule.floor_ratio), slots) // fleet_size
-    isolated = int(slots * _excess_factor(rule)) // fleet_size
+    max_retained = int(slots * _excess_factor(rule)) // fleet_size
     return LimitDivision(
         limit=Quota(slots * MILLI_PER_REQUEST),
         floor=Quota(floor * MILLI_PER_REQUEST),
         pool=Quota((slots - floor * fleet_size) * MILLI_PER_REQUEST),
-        isolated=Quota(isolated * MILLI_PER_REQUEST),
+        max_retained=Quota(max_retained * MILLI_PER_REQUEST),
         unit_milli=MILLI_PER_REQUEST,
     )
 
@@ -137,7 +137,7 @@
             limit.amount_milli - fleet_size * floor.amount_milli,
             limit.burst_milli - fleet_size * floor.burst_milli,
         ),
-        isolated=Quota(
+        max_retained=Quota(
             int(limit.amount_milli * excess_factor) // fleet_size,
             int(limit.burst_milli * excess_factor) // fleet_size,
         ),
--- a/paddlequay/cluster/settings.py
+++ b/paddlequay/cluster/settings.py
@@ -15,7 +15,7 @@
 
 
 class LimitScope(Enum):
-    """The property of a request to which a limit applies; each value has its own limit."""
+    """The property of a request or an attempt to which a limit applies; each value has its own limit."""
 
     CLASS = "class"
     TENANT = "tenant"
@@ -30,14 +30,14 @@
 
     Attributes:
         name: The name of the limit, the same at all routers.
-        scope: The property of a request to which the limit applies.
+        scope: The property to which the limit applies.
         match: A class, a tenant, a group's number, or a member's name or kind; "*" applies to each value.
         rate_per_s: Requests per second.
         burst: Requests that may start at the same moment, with `rate_per_s`.
         max_in_flight: Requests in flight.
         mode: How the limit behaves in a router that cannot reach the holder.
         open_factor: With `PartitionMode.OPEN`, the multiple of the limit that is never exceeded.
-        floor_ratio: The ratio of the limit that is divided evenly among all routers, whatever their demand.
+        floor_ratio: The part of the limit that is divided evenly among all routers, whatever their demand.
     """
 
     name: str
--- a/paddlequay/lab/limit_guards.py
+++ b/paddlequay/lab/limit_guards.py
@@ -153,8 +153,8 @@
 
     class rate_bucket_class(RateBucket):  # noqa: N801
         def __init__(self, division: LimitDivision, timing: BucketTiming, now: float) -> None:
-            isolated = division.limit if division.isolated != NO_QUOTA else NO_QUOTA
-            super().__init__(replace(division, isolated=isolated), timing, now)
+            max_retained = division.limit if division.max_retained != NO_QUOTA else NO_QUOTA
+            super().__init__(replace(division, max_retained=max_retained), timing, now)
 
 
 WITHOUT_GUARD: tuple[type[FleetLimits], ...] = (
--- a/tests/cluster/test_quotas.py
+++ b/tests/cluster/test_quotas.py
@@ -57,14 +57,14 @@
     for field in ("amount_milli", "burst_milli"):
         limit, pool = getattr(division.limit, field), getattr(division.pool, field)
         assert size * getattr(division.floor, field) + pool == limit and pool >= 0
-        assert size * getattr(division.isolated, field) <= (open_factor - 1) * limit + 1e-6
+        assert size * getattr(division.max_retained, field) <= (open_factor - 1) * limit + 1e-6
     assert division.floor.amount_milli <= floor * division.limit.amount_milli / size + 1e-6
     if max_in_flight is None:
         assert division.floor == NO_QUOTA or division.floor.burst_milli >= MILLI_PER_REQUEST
     else:
         assert (
             division.floor.amount_milli % MILLI_PER_REQUEST == 0
-            and division.isolated.amount_milli % MILLI_PER_REQUEST == 0
+            and division.max_retained.amount_milli % MILLI_PER_REQUEST == 0
         )
 
 
