--- a/paddlequay/cluster/evidence_reports.py
+++ b/paddlequay/cluster/evidence_reports.py
@@ -20,8 +20,7 @@
 ANSWER_SPREAD_S = 0.05
 MIN_REPORT_INTERVAL_S = 0.2  # between reports on one subject, so at most five per second
 REPEAT_INTERVAL_S = 0.7  # between unchanged reports, so that two are sent while evidence is valid
-# In larger fleets about this many routers report on each subject: enough for a majority at a low cost in
-# bytes.
+# In larger fleets about this many routers report on each subject: enough for a majority at a low byte rate.
 MAX_REPORTING_ROUTERS = 48
 
 
--- a/paddlequay/cluster/evidence_store.py
+++ b/paddlequay/cluster/evidence_store.py
@@ -145,7 +145,10 @@
         return now - own.observed_at <= self._max_age_s
 
     def other_serving_members(self, record: SubjectRecord, now: float) -> int:
-        """Returns how many other members of a subject's kind serve this router, also at the last attempt."""
+        """Returns how many other members of a subject's kind serve this router.
+
+        A member counts if it served recently and the last attempt on it showed none of the `DOWN_FAULTS`.
+        """
         return sum(
             other is not record
             and other.kind == record.kind
--- a/paddlequay/cluster/failure_detector.py
+++ b/paddlequay/cluster/failure_detector.py
@@ -22,11 +22,10 @@
 # With helpers from the second ping on, 20 % loss alone causes a suspicion in 2 of 1000 probes.
 MAX_PINGS_PER_PROBE = 3
 PINGS_PER_SUSPICION = 5  # a router that learned of the suspicion from an update sends only two
-STARTUP_PINGS_PER_S = 50  # pings of a starting router to all peers; a round takes 4 s in a fleet of 200
+STARTUP_PINGS_PER_S = 50  # rate at which a starting router pings all peers: 4 s for a fleet of 200
 STARTUP_ROUNDS = 2  # how often a starting router pings each peer that is still unknown
-PERIODS_PER_LOST_PEER_PING = (
-    4  # probe periods per ping to a dead or unknown peer; finds peers after a partition heals
-)
+# Probe periods per ping to a dead or unknown peer, so that peers find each other after a partition heals.
+PERIODS_PER_LOST_PEER_PING = 4
 
 
 @dataclass(slots=True)
--- a/paddlequay/cluster/liveness.py
+++ b/paddlequay/cluster/liveness.py
@@ -101,8 +101,8 @@
         if incarnation < record.incarnation:
             return []  # delayed, or the sender's clock was set back, which it corrects at the next `Ping`
         if incarnation == record.incarnation and record.state is PeerState.DEAD:
-            # The sender was stalled or isolated. It has to refute its death, so that all other peers learn of
-            # it too.
+            # The sender was stalled or isolated. It has to refute its death, so that other peers learn of it
+            # too.
             return self._rules.notify(sender, now)
         return self._rules.confirm_alive(sender, incarnation, now)
 
--- a/paddlequay/cluster/local_health.py
+++ b/paddlequay/cluster/local_health.py
@@ -7,9 +7,8 @@
 from paddlequay.cluster.types import SelfChanged
 
 MAX_SCORE = 7  # as in Lifeguard: timeouts are at most 8 times as long
-ISOLATION_TIMEOUT_PERIODS = (
-    2.5  # probe periods without a datagram or an acknowledgement after which a router is isolated
-)
+# Probe periods without any datagram or acknowledgement after which this router is isolated.
+ISOLATION_TIMEOUT_PERIODS = 2.5
 
 
 class LocalHealth:
--- a/paddlequay/cluster/suspicion.py
+++ b/paddlequay/cluster/suspicion.py
@@ -1,7 +1,7 @@
 """The rules by which a peer becomes alive, suspect or dead, and by which updates spread and are refuted.
 
 A suspicion lasts long enough for the suspect to refute it with a higher incarnation. A router whose pings no
-peer acknowledges may be isolated itself: it declares no peer dead and does not spread its suspicions.
+peer acknowledges may be isolated itself, so it declares no peer dead and does not spread its suspicions.
 """
 
 from random import Random
@@ -84,8 +84,7 @@
         record.suspected_here = suspected_here
         record.next_probe_at = now
         if not suspected_here:
-            # A refutation spreads in the same way as the suspicion, so probe only if none has arrived by
-            # then.
+            # A refutation spreads in the same way as the suspicion: ping only if none has arrived by then.
             record.next_probe_at = now + self.suspicion_s * self._rng.uniform(0.5, 0.7)
         return [event]
 
--- a/paddlequay/cluster/verdict_rules.py
+++ b/paddlequay/cluster/verdict_rules.py
@@ -9,9 +9,9 @@
 
 from paddlequay.cluster.types import Fault
 
-MIN_WITNESSES = 2  # the evidence of a single router is no verdict
-# One attempt may fail by chance, two in a row rarely do. A higher weight would let a busy router outvote
-# others.
+MIN_WITNESSES = 2  # what only one router observes is left to that router
+# One attempt may fail by chance, two in a row rarely do. With a higher weight, a busy router would outvote
+# other routers.
 MAX_WEIGHT = 2
 
 DOWN_FAULTS = (Fault.FAILING, Fault.SILENT)
--- a/paddlequay/cluster/wire.py
+++ b/paddlequay/cluster/wire.py
@@ -104,7 +104,7 @@
 class Codec:
     """Packs and reads datagrams, without state; the same for all routers of an installation.
 
-    `writes` is the version written, `reads` the highest version read.
+    `written_version` is the version of sent datagrams, `max_read_version` the highest version accepted.
     """
 
     def __init__(
@@ -112,15 +112,15 @@
         installation: str,
         fleet_size: int,
         message_types: Mapping[int, type[PeerMessage]] = MESSAGE_TYPES,
-        writes: int = VERSION,
-        reads: int = VERSION,
+        written_version: int = VERSION,
+        max_read_version: int = VERSION,
     ) -> None:
-        if not writes <= reads <= writes + 1:
+        if not written_version <= max_read_version <= written_version + 1:
             raise ValueError(
-                f"codec writes version {writes} but reads up to {reads}; expected {writes} or one above"
+                f"max_read_version is {max_read_version}, expected {written_version} or one above"
             )
-        self.writes = writes
-        self.reads = reads
+        self.written_version = written_version
+        self.max_read_version = max_read_version
         self.formats = {number: message_format(kind, fleet_size) for number, kind in message_types.items()}
         self._packer = msgpack.Packer()
         # A blake2s key has at most 32 bytes, so a name of any length is hashed first.
@@ -129,9 +129,9 @@
 
     def tag(self, body: bytes) -> bytes:
         """Returns the tag of a datagram's packed array."""
-        keyed = self._keyed_hash.copy()
-        keyed.update(body)
-        return keyed.digest()
+        keyed_hash = self._keyed_hash.copy()
+        keyed_hash.update(body)
+        return keyed_hash.digest()
 
     def pack_message(self, message: PeerMessage) -> bytes:
         """Packs a message. Raises `ValueError` if it is too long or receivers would reject it."""
@@ -191,11 +191,11 @@
         return items
 
     def _check_version(self, version: int) -> None:
-        if version > self.reads:
+        if version > self.max_read_version:
             raise RejectedDatagramError(RejectReason.NEWER)
         if version < 0:
             raise RejectedDatagramError(RejectReason.MALFORMED)
-        if version < max(self.writes - 1, 1):
+        if version < max(self.written_version - 1, 1):
             raise RejectedDatagramError(RejectReason.OLDER)
 
     def _reason_unpackable(self, body: bytes) -> RejectReason:
@@ -207,7 +207,7 @@
             version = unpacker.unpack()
         except (ValueError, msgpack.UnpackException):
             return RejectReason.MALFORMED
-        is_newer = type(version) is int and version > self.reads
+        is_newer = type(version) is int and version > self.max_read_version
         return RejectReason.NEWER if is_newer else RejectReason.MALFORMED
 
     def _read_message(self, item: object) -> PeerMessage | None:
@@ -248,7 +248,11 @@
     def next_header(self) -> Header:
         """Returns the header of the next datagram."""
         return Header(
-            self.codec.writes, self.fleet.me, self.incarnation, self.sequence + 1, self.ballot_counter
+            self.codec.written_version,
+            self.fleet.me,
+            self.incarnation,
+            self.sequence + 1,
+            self.ballot_counter,
         )
 
     def available_bytes(self) -> int:
--- a/paddlequay/net/cluster/driver.py
+++ b/paddlequay/net/cluster/driver.py
@@ -44,7 +44,7 @@
     """One router's membership in the cluster. Raises `ValueError` if the settings do not match the peers.
 
     `session` is None while another process of this router has the address for peers, as during a hot restart:
-    otherwise both processes would use the same quota. Until then, requests under strict limits are rejected.
+    otherwise both processes would use the same quota. Meanwhile requests under strict limits are rejected.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         )
 
     async def start(self) -> None:
-        """Joins the cluster, or keeps trying while another process has the address. Restarts after `stop`."""
+        """Joins the cluster, or keeps trying while another process has the address; also after `stop`."""
         self._is_stopped = False
         if self.placement is not None:
             self.placement.start()
--- a/paddlequay/net/cluster/peer_transport.py
+++ b/paddlequay/net/cluster/peer_transport.py
@@ -58,8 +58,7 @@
 
     def __init__(self, transport: "PeerTransport") -> None:
         self.owner = transport
-        # True while the kernel accepts no more data and asyncio's buffer of 64 KiB (about 4 s of sending) is
-        # full.
+        # True while the kernel accepts no data and asyncio's buffer of 64 KiB (about 4 s of sending) is full.
         self.is_full = False
 
     def pause_writing(self) -> None:
@@ -75,7 +74,7 @@
         self.owner.receive(data, normalize_address(addr))
 
     def error_received(self, exc: Exception) -> None:
-        """Reports an error of an earlier datagram that was sent."""
+        """Reports an error that an earlier send has caused."""
         self.owner.report_problem("errors", error=type(exc).__name__)
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/tests/cluster/test_wire.py
+++ b/tests/cluster/test_wire.py
@@ -218,10 +218,12 @@
 
 def test_releases_read_the_versions_next_to_their_own() -> None:
     one, preparing, two, three = (
-        Codec("quay", FLEET_SIZE, writes=writes, reads=reads)
-        for writes, reads in ((1, 1), (1, 2), (2, 2), (3, 3))
+        Codec("quay", FLEET_SIZE, written_version=written_version, max_read_version=max_read_version)
+        for written_version, max_read_version in ((1, 1), (1, 2), (2, 2), (3, 3))
+    )
+    old, new = (
+        pack(Ping(1, 2), codec=each, header=Header(each.written_version, 1, 1, 1, 0)) for each in (one, two)
     )
-    old, new = (pack(Ping(1, 2), codec=each, header=Header(each.writes, 1, 1, 1, 0)) for each in (one, two))
     assert read_or_reason(new, one) is RejectReason.NEWER
     assert read_or_reason(old, three) is RejectReason.OLDER
     assert all(isinstance(read_or_reason(old, each), ReceivedDatagram) for each in (one, preparing, two))
@@ -229,7 +231,7 @@
     # A later version is recognized whatever follows its number.
     assert read_or_reason(tagged([2, {"a": 1.5}])) is RejectReason.NEWER
     with pytest.raises(ValueError):
-        Codec("quay", FLEET_SIZE, writes=1, reads=3)
+        Codec("quay", FLEET_SIZE, written_version=1, max_read_version=3)
 
 
 def test_unknown_kinds_are_skipped_and_missing_fields_take_their_defaults() -> None:
