--- a/tests/cluster/test_cluster_model.py
+++ b/tests/cluster/test_cluster_model.py
@@ -41,7 +41,7 @@
 
 
 class LeasesWithoutExpiry(Leases):
-    elections_kind = ElectionsWithoutExpiry
+    elections_class = ElectionsWithoutExpiry
 
 
 class GranterWithoutWait(granter.Granter):
@@ -55,7 +55,7 @@
 
 
 class LimitsWithoutWait(fleet_limits.FleetLimits):
-    granter_kind = GranterWithoutWait
+    granter_class = GranterWithoutWait
 
 
 def test_the_auditor_detects_two_holders(monkeypatch: pytest.MonkeyPatch) -> None:
