--- a/paddlequay/hierarchy/__init__.py
+++ b/paddlequay/hierarchy/__init__.py
@@ -1,1 +1,1 @@
-"""The changing cache hierarchy: which cache fills from which. Pure decisions, no sockets, clocks or files."""
+"""The cache hierarchy: decides which cache fills from which. Uses no sockets, clocks or files."""
--- a/paddlequay/hierarchy/copy_cache.py
+++ b/paddlequay/hierarchy/copy_cache.py
@@ -1,7 +1,7 @@
 """Cached copies in memory, bounded in bytes, evicted by retention and then by last use.
 
 A copy never displaces one of a higher retention. There is one index per retention in order of use, one by
-object and one by purge group, so that a look-up, the purge of an object and an eviction cost what they touch.
+object and one by purge group, so that a look-up, a purge and an eviction visit only the copies concerned.
 """
 
 from collections import OrderedDict
@@ -12,11 +12,11 @@
 K = TypeVar("K")
 
 RETENTION_COUNT = 4
-ENTRY_OVERHEAD_BYTES = 512  # what an entry costs in the indexes
+ENTRY_OVERHEAD_BYTES = 512  # memory of one entry in the indexes
 
 
 class PartKey(NamedTuple):
-    """An object and one of its parts; the part is None where the object has none."""
+    """An object and one of its parts; the part is None for an object without parts."""
 
     object_name: str
     part: int | None
@@ -26,8 +26,8 @@
 class CachedCopy:
     """One part of an object.
 
-    `generated_at` is the Unix second at which the origin gave it out; `group` is the purge group, None where
-    it is not known; `retention` is 0 for what is evicted first and 3 for what is evicted last.
+    `generated_at` is the Unix second at which the origin generated the copy; `group` is the purge group, None
+    if it is not known; copies of `retention` 0 are evicted first, those of 3 last.
     """
 
     body: bytes | bytearray | memoryview
@@ -38,15 +38,15 @@
 
     @property
     def size(self) -> int:
-        """The bytes charged for it: the body and the entry's overhead."""
+        """The bytes charged for the copy: its body and the entry's overhead."""
         return len(self.body) + ENTRY_OVERHEAD_BYTES
 
 
 class CopyCache:
-    """All copies of a node.
+    """All cached copies of a node.
 
     Args:
-        max_bytes: The most that the copies may be charged with in all.
+        max_bytes: The limit of all copies' sizes together.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -54,7 +54,7 @@
         self.bytes = 0
         self.evicted = 0
         self.copies: dict[PartKey, CachedCopy] = {}
-        # One order for each retention, the least recently used first.
+        # By retention: the keys in order of use, the least recently used first.
         self.by_use: tuple[OrderedDict[PartKey, None], ...] = tuple(
             OrderedDict() for _ in range(RETENTION_COUNT)
         )
@@ -78,8 +78,8 @@
     def put(self, key: PartKey, copy: CachedCopy) -> bool:
         """Stores a copy and returns whether it was stored.
 
-        It is not stored where a newer one is cached, or where it would displace a copy of a higher
-        retention. A copy inherits the higher retention of the one that it replaces.
+        It is not stored if a newer one is cached or if it would displace a copy of a higher retention. A copy
+        inherits the retention of the one that it replaces, if that is higher.
         """
         replaced = self.copies.get(key)
         if replaced is not None:
@@ -96,11 +96,11 @@
         return True
 
     def can_fit(self, copy: CachedCopy, replaced: CachedCopy | None) -> bool:
-        """Returns whether a copy fits once those of its own or a lower retention are evicted.
+        """Returns whether a copy fits if copies of the same or a lower retention are evicted.
 
         Args:
             copy: The new copy.
-            replaced: The copy that it replaces, whose bytes are free in any case.
+            replaced: The copy that it replaces, whose bytes become free in any case.
         """
         free = self.max_bytes - self.bytes
         if replaced is not None:
@@ -116,7 +116,7 @@
         return False
 
     def drop(self, key: PartKey) -> None:
-        """Removes a copy, if it is there."""
+        """Removes a copy, if it is cached."""
         copy = self.copies.pop(key, None)
         if copy is None:
             return
@@ -128,10 +128,10 @@
     def purge(self, object_name: str | None, group: int | None, purged_at: float) -> int:
         """Drops the copies of an object or of a group that are older than a purge.
 
-        A copy of an unknown group counts as one of every group.
+        A copy whose group is not known counts as a member of every group.
 
         Args:
-            object_name: The object that is purged; None where a group is.
+            object_name: The object that is purged; None for the purge of a group.
             group: The group that is purged, where `object_name` is None.
             purged_at: When the purge was issued, in Unix seconds.
 
--- a/paddlequay/hierarchy/errors.py
+++ b/paddlequay/hierarchy/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the hierarchy, with what was wrong, where it was found and the value that was found there."""
+"""Errors of the hierarchy: what is wrong, in which item or field, and the value found there."""
 
 from paddlequay.errors import PaddlequayError
 
@@ -10,8 +10,8 @@
 
     Args:
         what: What is wrong, or what was expected.
-        where: The item or field that holds the value; empty where the message needs none.
-        value: The value that was found; None where the message shows none.
+        where: The item or field that holds the value; empty to leave it out of the message.
+        value: The value that was found; None to leave it out of the message.
     """
 
     def __init__(self, what: str, where: str = "", value: object = None) -> None:
@@ -25,7 +25,7 @@
 
 
 class FillPathError(HierarchyError):
-    """A fill path that cannot be read or whose signature does not hold, or an unusable signing key."""
+    """A fill path that is malformed or has an invalid signature, or a signing key that cannot be used."""
 
 
 class TopologyError(HierarchyError):
--- a/paddlequay/hierarchy/fencing_tokens.py
+++ b/paddlequay/hierarchy/fencing_tokens.py
@@ -1,27 +1,27 @@
 """Fencing tokens of live channels: a node rejects fills that a channel's former owner still sends.
 
 The owner of a channel prefetches its parts under a fencing token (`term` on the wire), and each owner's token
-is higher than those of the owners before it. An owner checks its lease right before it writes; queues and
-pauses between that check and the arrival are outside its view, so the receiving node compares the tokens.
+is higher than those of earlier owners. An owner checks its lease right before it sends a request, but the
+request can be delayed in queues after that check, so the receiving node compares the tokens as well.
 """
 
 from collections import OrderedDict
 from dataclasses import dataclass
 
-MAX_CHANNELS = 16_384  # some 2 MB; past it the channel seen least recently is forgotten
-TOKEN_MEMORY_S = 60.0  # far longer than any fill that was sent under an earlier token can be in flight
+MAX_CHANNELS = 16_384  # about 2 MB; above it the channel with the least recent fill is forgotten
+TOKEN_MEMORY_S = 60.0  # far longer than a fill under an earlier token can be in flight
 
 
 @dataclass(frozen=True, slots=True)
 class HighestToken:
-    """The highest token of a channel, and when a fill last came under it (seconds)."""
+    """The highest token of a channel, and when a fill was last accepted under it (seconds)."""
 
     token: int
     last_seen: float
 
 
 class FencingTokens:
-    """The highest fencing token seen of each channel.
+    """The highest fencing token that each channel has used.
 
     Args:
         max_channels: How many channels are remembered.
@@ -31,16 +31,16 @@
     def __init__(self, max_channels: int = MAX_CHANNELS, memory_s: float = TOKEN_MEMORY_S) -> None:
         self.max_channels = max_channels
         self.memory_s = memory_s
-        self.highest: OrderedDict[int, HighestToken] = OrderedDict()  # the channel seen least recently first
+        self.highest: OrderedDict[int, HighestToken] = OrderedDict()  # by channel, least recent fill first
 
     def __len__(self) -> int:
         return len(self.highest)
 
     def accepts(self, channel: int, token: int, now: float) -> bool:
-        """Returns whether a fill may be accepted: no higher token of its channel is known.
+        """Records a fill's token and returns True, unless a higher token of its channel is known.
 
-        A rejected fill does not extend the memory of its channel, so that a former owner which goes on
-        sending is not remembered for ever.
+        A rejected fill does not extend the time for which its channel is remembered. Otherwise a former owner
+        that keeps sending would keep the channel's entry for ever.
 
         Args:
             channel: The channel's number.
--- a/paddlequay/hierarchy/fill_coordinator.py
+++ b/paddlequay/hierarchy/fill_coordinator.py
@@ -1,4 +1,4 @@
-"""Coordination of fills: which requests the cache serves, which wait for a fill, and which begin one."""
+"""Coordination of fills: which requests are served from the cache, wait for a fill, or begin a fill."""
 
 from paddlequay.hierarchy.copy_cache import CachedCopy
 from paddlequay.hierarchy.fill_leases import FillLeases, LeaseDecision
@@ -26,13 +26,13 @@
 
 
 class FillCoordinator:
-    """The requests and fills of a node.
+    """Handles the requests and fills of a node.
 
     Args:
-        name: The node's name, which paths of fills are extended by.
-        limits: The node's bounds.
+        name: The node's name, which is appended to the paths of fills.
+        limits: The node's limits.
         cache: The node's cache.
-        source_selector: Names the sources of fills.
+        source_selector: Chooses the sources of fills.
         counters: The node's counters.
     """
 
@@ -52,16 +52,16 @@
         self.leases: FillLeases[FillRequest] = FillLeases(limits.max_fills, limits.max_waiters)
         self.waiting = WaitingRequests()
         self.last_started_us = 0
-        self.actions: list[Action] = []  # since they were taken last
+        self.actions: list[Action] = []  # since the last call of take_actions()
 
     def take_actions(self) -> list[Action]:
-        """Returns the actions that have come up since the last call."""
+        """Returns the actions that were added since the last call."""
         actions = self.actions
         self.actions = []
         return actions
 
     def serve(self, request: FillRequest, now: float) -> None:
-        """Replies to a request from the cache, or lets it wait for a fill; `now` is in Unix seconds."""
+        """Replies to a request at once or lets it wait for a fill; `now` is in Unix seconds."""
         if self._serve_cached(request, now):
             return
         decision = self.leases.decide(request.key, request.path, only_if_cached=not request.may_fill)
@@ -70,7 +70,8 @@
             self.waiting.add(request)
             self.leases.join(request.key, request, request.path)
         elif decision is LeaseDecision.ABORT:
-            # It need not be a wait cycle: the requester can ask the node that the fill here waits for.
+            # Waiting might not close a wait cycle, so the reply names the node that the fill here waits for,
+            # and the requester can ask that node.
             self.counters.add("rings_refused")
             next_hop = self.leases.joinable[request.key].source
             self.reply(request, ReplyStatus.MISS, ReplyReason.LOOP, next_hop=next_hop)
@@ -84,16 +85,16 @@
             self._begin_fill(request, now)
 
     def cancel(self, request: FillRequest) -> None:
-        """Closes a request whose requester no longer waits. The fill goes on, for the cache."""
+        """Closes a request whose requester no longer waits. Its fill continues, to fill the cache."""
         request.is_closed = True
         self.waiting.remove(request)
 
     def end_fill(self, number: int, result: FillResult, now: float) -> None:
-        """Ends a fill: each waiter gets a reply, or a fill of its own where this one's copy is too old.
+        """Ends a fill: replies to each waiter, or begins another fill if the copy is too old for that waiter.
 
         Args:
-            number: The number of the fill's lease; ignored where it is not known any more.
-            result: The copy, or why there is none.
+            number: The number of the fill's lease; an unknown one is ignored.
+            result: The copy, or the reason why there is none.
             now: The time in Unix seconds.
         """
         lease = self.leases.end(number)
@@ -131,7 +132,7 @@
         fill_s: float = 0.0,
         next_hop: str = "",
     ) -> None:
-        """Closes a request with its reply, unless it has been closed before."""
+        """Closes a request and adds its reply to the actions, unless the request is closed already."""
         if request.is_closed:
             return
         is_known = copy is not None and request.known_tag is not None and request.known_tag == copy.tag
@@ -142,7 +143,7 @@
         self.actions.append(Reply(request, status, reason, copy, fill_s, next_hop))
 
     def _serve_cached(self, request: FillRequest, now: float) -> bool:
-        """Replies with the cached copy, and refreshes a stale one; returns whether there was one to serve."""
+        """Replies with the cached copy, and refreshes a stale one; returns whether a reply was sent."""
         served = self.cache.lookup(request)
         if served is None:
             return False
@@ -152,7 +153,7 @@
         return True
 
     def _refresh(self, request: FillRequest, now: float) -> None:
-        """Begins a fill for the cache alone, behind a reply with a stale copy."""
+        """Begins a fill that replaces a stale copy in the cache; no requester waits for it."""
         if self.leases.decide(request.key, request.path) is not LeaseDecision.BEGIN:
             return
         self.counters.add("renewed")
@@ -169,7 +170,7 @@
         self._begin_fill(refresh, now)
 
     def _begin_fill(self, request: FillRequest, now: float) -> None:
-        """Begins the one fill that all further requests for this object and part wait for."""
+        """Begins a fill, which later requests for the same object and part join."""
         path = (request.path or self._new_path(now)).extended_by(self.name)
         lease = self.leases.begin(request.key, path, now, request)
         purged_at = self.cache.purges.latest_of_object(request.object_name)
@@ -187,12 +188,12 @@
         self.actions.append(order)
 
     def _new_path(self, now: float) -> FillPath:
-        """Returns an empty path; its start and this node's name together are unique."""
+        """Returns an empty path whose start time, together with this node's name, is unique."""
         self.last_started_us = max(self.last_started_us + 1, int(now * 1e6))
         return FillPath(self.last_started_us, ())
 
     def _on_outdated(self, request: FillRequest, purged_at: float, now: float) -> None:
-        """Restarts a request that came after a purge or needs a newer copy."""
+        """Restarts a request for which the copy is too old; without restarts left it gets a miss."""
         request.min_generated_at = max(request.min_generated_at, purged_at)
         if has_restarts_left(request, self.limits.max_restarts):
             self._restart(request, now)
@@ -200,7 +201,7 @@
             self.reply(request, ReplyStatus.MISS, ReplyReason.SOURCE_MISS)
 
     def _on_failed(self, request: FillRequest, is_first: bool, result: FillResult, now: float) -> None:
-        """Restarts a request whose fill has failed, or tells it why."""
+        """Restarts a request whose fill has failed, or replies with the reason."""
         if request.is_closed:
             return
         if may_restart_after(result, request, is_first, self.limits.max_restarts, now):
@@ -210,7 +211,7 @@
         self.reply(request, failure.status, failure.reason)
 
     def _restart(self, request: FillRequest, now: float) -> None:
-        """Serves a request once more: by the cache, another fill in flight, or one of its own."""
+        """Serves a request again: from the cache, by another fill in flight, or by a new fill."""
         request.restarts += 1
         self.waiting.remove(request)
         self.counters.add("fills_again")
--- a/paddlequay/hierarchy/fill_outcomes.py
+++ b/paddlequay/hierarchy/fill_outcomes.py
@@ -1,11 +1,11 @@
-"""What a request is told of the fill that it waited for, and when it may wait for another one."""
+"""The reply to a request after its fill ended, and whether the request may begin another fill."""
 
 from dataclasses import dataclass
 
 from paddlequay.hierarchy.fill_requests import FillRequest, FillResult, ReplyReason, ReplyStatus
 from paddlequay.routing.interface import ReplyDetail
 
-MIN_RESTART_TIME_S = 0.05  # left before its deadline, for a request to begin a fill of its own
+MIN_RESTART_TIME_S = 0.05  # time left before its deadline that a request needs to begin a fill of its own
 REASON_OF_FAILURE = {
     ReplyDetail.SOURCE_REJECTED: ReplyReason.SOURCE_REJECTED,
     ReplyDetail.SOURCE_UNREACHABLE: ReplyReason.SOURCE_UNREACHABLE,
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureReply:
-    """The status and reason that a failed fill is replied with."""
+    """The status and reason of the reply to a request whose fill failed."""
 
     status: ReplyStatus
     reason: ReplyReason
 
 
 def reply_to_failure(result: FillResult) -> FailureReply:
-    """Returns what the waiters of a failed fill are told.
+    """Returns the status and reason for the waiters of a failed fill.
 
-    A rejection and a failure of the origin are told apart from a miss: no other source would help.
+    A rejection and a failure of the origin differ from a miss: asking another source would not help.
     """
     if result.is_rejected:
         return FailureReply(ReplyStatus.REJECTED, ReplyReason.SOURCE_REJECTED)
@@ -38,14 +38,14 @@
 
 
 def reason_of_copy(result: FillResult, has_begun_fill: bool) -> ReplyReason:
-    """Returns where the copy of a fill came from, for the request that began it or for one that joined."""
+    """Returns the reason in a reply with a fill's copy; it shows whether the request began the fill."""
     if not has_begun_fill:
         return ReplyReason.COALESCED
     return ReplyReason.FILLED_FROM_ORIGIN if result.from_origin else ReplyReason.FILLED
 
 
 def has_restarts_left(request: FillRequest, max_restarts: int) -> bool:
-    """Returns whether a request may begin a further fill."""
+    """Returns whether a request may begin another fill."""
     return request.may_fill and request.restarts < max_restarts
 
 
@@ -54,13 +54,13 @@
 ) -> bool:
     """Returns whether a request that joined a failed fill may begin one of its own.
 
-    It may have the time, or may ask the sources, that the request which began the fill had not.
+    The request that began the failed fill may have had less time left, or fewer sources that it could ask.
 
     Args:
-        result: How the fill failed.
+        result: The result of the failed fill.
         request: The request.
-        has_begun_fill: Whether the request has begun the fill itself.
-        max_restarts: The most fills that a request may begin after its first.
+        has_begun_fill: Whether the request began the failed fill itself.
+        max_restarts: How many fills a request may begin after its first one.
         now: The time in Unix seconds.
     """
     could_help = not result.is_rejected and result.failure is not ReplyDetail.ORIGIN_FAILED
--- a/paddlequay/hierarchy/fill_requests.py
+++ b/paddlequay/hierarchy/fill_requests.py
@@ -1,4 +1,4 @@
-"""Messages of a cache node: what it is asked, what it replies, and the orders that its driver carries out."""
+"""Messages of a cache node: requests, replies, and the orders that its driver carries out."""
 
 from dataclasses import dataclass
 from enum import Enum, StrEnum
@@ -10,7 +10,7 @@
 
 
 class ReplyStatus(Enum):
-    """The status of a reply; the values are the words of the caches' protocol."""
+    """The status of a reply; the values are those of the cache protocol."""
 
     HIT = "HIT"
     NOT_MODIFIED = "VALID"
@@ -21,10 +21,10 @@
 
 
 class ReplyReason(StrEnum):
-    """Where a copy came from, or why there is none; the values are the words of the caches' protocol."""
+    """Where a copy came from, or why there is none; the values are those of the cache protocol."""
 
     CACHED = "HIT"
-    STALE = "STALE"  # within the grace, while it is refreshed
+    STALE = "STALE"  # an outdated copy within the grace period, served while a fill refreshes it
     FILLED = "MISS"
     FILLED_FROM_ORIGIN = "MISS_ORIGIN"
     COALESCED = "COLLAPSED"  # another request began the fill
@@ -39,17 +39,17 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeLimits:
-    """Bounds of a node.
+    """Limits of a node.
 
     Attributes:
         max_cache_bytes: Memory for cached copies.
         max_fills: Fills in flight.
-        max_waiters: Requests that wait for one fill.
-        max_waiting: Requests that wait in all.
-        purge_memory_s: For how long a purge is remembered.
-        new_node_s: For how long after this node's start the next homes of its objects may still hold them.
-        max_fill_s: For how long a fill may run; it outlives the request that began it.
-        max_restarts: How often a request begins a further fill because the result was too old for it.
+        max_waiters: Requests that wait for the same fill.
+        max_waiting: Requests that wait for any fill.
+        purge_memory_s: How long a purge is remembered.
+        new_node_s: How long after this node's start the next homes of its objects may still hold copies.
+        max_fill_s: How long a fill may run; it can outlive the request that began it.
+        max_restarts: How many more fills a request may begin because a fill failed or its copy was too old.
     """
 
     max_cache_bytes: int = 64 * 1024 * 1024
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnershipClaim:
-    """A node's claim to be an object's home: by which version of the topology, and where the node listens."""
+    """A node's claim to be an object's home: the topology version it is based on, and the node's address."""
 
     topology_version: int
     address: tuple[str, int]
@@ -82,24 +82,24 @@
     """A request to a node for one part of an object.
 
     Attributes:
-        requester: Identifies the requester to the driver; None for a refresh of the node's own.
+        requester: Identifies the requester to the driver; None for a refresh by the node itself.
         object_name: The object.
-        part: Its part, None where it has none.
+        part: The part of the object; None for an object without parts.
         class_name: The request class.
-        min_generated_at: No copy generated before this Unix second will do.
+        min_generated_at: The Unix second before which the copy must not have been generated.
         deadline: The Unix second at which the requester stops waiting.
-        may_fill: False for a request of what is cached, or being filled, only.
-        path: The nodes that the request has passed; None where an edge cache or a router sent it.
+        may_fill: False if the request may be served from the cache or join a fill, but not begin one.
+        path: The nodes that the request has passed; None if an edge cache or a router sent it.
         claim: The claim of the sending node to be the object's home.
         channel_token: The channel that the fill is a prefetch for, and its owner's token.
-        known_tag: The tag of the copy that the requester has; the reply leaves out its body.
-        retention: How long to keep the copy, 0 to 3.
+        known_tag: The tag of the copy that the requester has; a reply with this copy carries no body.
+        retention: The retention of the copy in the cache, 0 (evicted first) to 3 (evicted last).
         may_cache: Whether the copy may be cached here.
-        refreshes_stale: Whether a stale copy that is served is to be refreshed.
+        refreshes_stale: Whether the node refreshes a stale copy that it serves.
         stale_grace_s: By how much a copy may be older than `min_generated_at` while it is refreshed.
-        restarts: How often a further fill was begun for this request.
-        is_closed: Whether it has been answered or cancelled.
-        is_waiting: Whether it counts among the waiting requests.
+        restarts: How many more fills were begun for this request after the first one.
+        is_closed: Whether the request has been answered or cancelled.
+        is_waiting: Whether the request is counted as waiting.
     """
 
     requester: object | None
@@ -131,8 +131,8 @@
 class Reply:
     """The one reply to a request.
 
-    `fill_s` is how long the fill behind it took. `next_hop`, with reason `LOOP`, is the node that the fill
-    here waits for, which the requester may ask in its turn.
+    `fill_s` is how long its fill took, in seconds. With reason `LOOP`, `next_hop` is the node that the fill
+    at this node waits for; the requester may ask that node instead.
     """
 
     request: FillRequest
@@ -145,15 +145,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StartFill:
-    """Order to start a fill: ask the sources that `Node.next_source` names, one after another.
+    """Order to start a fill: ask the sources that `CacheNode.next_source` returns, one after another.
 
     Attributes:
         number: The number of the fill's lease.
         key: The object and part.
         class_name: The request class.
-        min_generated_at: The Unix second at which the copy must have been generated, or later.
-        topology_version: The version to claim ownership by.
-        max_duration_s: For how long the fill may run.
+        min_generated_at: The Unix second before which the copy must not have been generated.
+        topology_version: The topology version of this node's ownership claim.
+        max_duration_s: How long the fill may run.
     """
 
     number: int
@@ -166,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerIntroduction:
-    """Order to make a node known that has claimed an object before the topology names it."""
+    """Order to add a node as a possible source: it has claimed an object before the topology names it."""
 
     name: str
     address: tuple[str, int]
@@ -174,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FillResult:
-    """How a fill ended: with a copy, or with the reason for none."""
+    """The result of a fill: a copy, or the reason why there is none."""
 
     copy: CachedCopy | None = None
     failure: ReplyDetail | None = None
--- a/paddlequay/hierarchy/migration.py
+++ b/paddlequay/hierarchy/migration.py
@@ -1,13 +1,14 @@
-"""Migration of objects after a topology change: where an object was before, so that its new home finds it.
+"""Migration of objects after a topology change: finds the earlier homes, which a new home asks for copies.
 
-A change is not carried out at once but object by object. The new home asks the earlier homes for their cached
-copy, caches it, and asks the parents and the origin last. Earlier homes are those of the last few topologies,
-each for `earlier_home_s` after it was left, and the next homes in the object's order while a node is new
-itself, as those served in its place. An earlier home learns from the look-up that the object has moved (the
-ownership claim) and fills by way of the new home from then on, whichever topology it knows.
+Objects do not move all at once but one by one, when they are requested. The new home asks the earlier homes
+for their cached copy and caches it; it asks the parents and the origin last. Earlier homes are the homes in
+the last few topologies, each for `earlier_home_s` after that topology was replaced. While a node is new
+itself, the next homes in the object's order count as well, because they served the object before. The look-up
+carries an ownership claim, from which an earlier home learns that the object has moved; from then on it fills
+from the new home, whichever topology it knows.
 
-The plan is a pure function of the topologies and their times, which are saved: a node that restarts goes on
-with the same plan, and a second change only adds an earlier home.
+The plan depends only on the topologies and the times of their changes, which are saved. A node that restarts
+therefore continues with the same plan, and a second change only adds an earlier home.
 """
 
 from collections import deque
@@ -20,19 +21,19 @@
 
 MAX_EARLIER_GROUPS = 8
 MAX_LOOKUPS = 2  # earlier homes that one fill asks
-MAX_NEW_NODE_LOOKUPS = 4  # the same at a new node: others served in its place
-NEW_NODE_EXTRA_COUNT = 2  # more homes to choose from: this node itself, and one that may not be asked
+MAX_NEW_NODE_LOOKUPS = 4  # earlier homes that one fill of a new node asks, as other nodes served in its place
+NEW_NODE_EXTRA_COUNT = 2  # further candidates, in place of this node itself and of one that may not be asked
 
 
 @dataclass(frozen=True, slots=True)
 class MigrationLimits:
-    """Bounds of migration.
+    """Limits of migration.
 
     Attributes:
-        earlier_home_s: For how long an earlier home is asked after it was left.
-        claim_s: For how long an ownership claim holds without being made again.
-        lookups_per_s: Look-ups per second that one node sends to another.
-        lookup_burst: Look-ups that may be sent at once.
+        earlier_home_s: How long an earlier home is asked after it stopped being the home.
+        claim_s: How long an ownership claim is valid unless it is renewed.
+        lookups_per_s: Look-ups per second that a node may send to each other node.
+        lookup_burst: Look-ups that a node may send to each other node at once.
     """
 
     earlier_home_s: float = 60.0
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True)
 class EarlierGroup:
-    """A group as it was before a change: its version, when it was left (Unix seconds), weights and homes."""
+    """A group before a change: topology version, time of the change (Unix seconds), weights and homes."""
 
     version: int
     left_at: float
@@ -53,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LookupTokens:
-    """A token bucket's level, and when it was computed (Unix seconds)."""
+    """The level of a token bucket, and when it was computed (Unix seconds)."""
 
     level: float
     updated_at: float
 
 
 class LookupRate:
-    """A token bucket for each other node: a change of everything must not overload one of them."""
+    """A token bucket for each other node, so that a change of many homes does not overload one of them."""
 
     def __init__(self, per_s: float, burst: float) -> None:
         self.per_s = per_s
@@ -68,7 +69,7 @@
         self.tokens: dict[str, LookupTokens] = {}
 
     def admits(self, node: str, now: float) -> bool:
-        """Returns whether a look-up at a node is within the rate, and charges it; `now` is in seconds."""
+        """Charges a look-up at a node and returns True if it is within the rate; `now` is in seconds."""
         known = self.tokens.get(node, LookupTokens(self.burst, now))
         level = min(self.burst, known.level + (now - known.updated_at) * self.per_s)
         is_admitted = level >= 1.0
@@ -76,15 +77,15 @@
         return is_admitted
 
     def keep_only(self, nodes: Iterable[str]) -> None:
-        """Forgets all nodes but these."""
-        kept = set(nodes)
-        self.tokens = {node: tokens for node, tokens in self.tokens.items() if node in kept}
+        """Removes the buckets of all other nodes."""
+        current_nodes = set(nodes)
+        self.tokens = {node: tokens for node, tokens in self.tokens.items() if node in current_nodes}
 
 
 class MigrationPlan:
-    """The current and earlier homes of a group's objects, as one of its members knows them.
+    """The current and earlier homes of a group's objects, from the view of one of its members.
 
-    Earlier groups are kept for `earlier_home_s`, and at most `MAX_EARLIER_GROUPS` of them.
+    At most `MAX_EARLIER_GROUPS` earlier groups are kept, each for `earlier_home_s`.
     """
 
     def __init__(self, own_name: str, limits: MigrationLimits) -> None:
@@ -97,10 +98,10 @@
         self.rate = LookupRate(limits.lookups_per_s, limits.lookup_burst)
 
     def follow(self, topology: Topology, group: str, now: float) -> bool:
-        """Adopts a topology; returns whether the homes of the group have changed by it.
+        """Adopts a topology; returns whether it changed the homes of the group.
 
         Args:
-            topology: The topology from now on.
+            topology: The new topology.
             group: The group of this node.
             now: The time in Unix seconds.
         """
@@ -120,12 +121,12 @@
     def earlier_homes(
         self, hash_key: int, may_ask: Callable[[str], bool], is_new: bool, now: float
     ) -> list[str]:
-        """Returns the nodes that may hold an object from before, the likeliest first, within the rate.
+        """Returns the earlier homes of an object that may be asked within the rate, the likeliest first.
 
         Args:
-            hash_key: The key by which the object's homes are found.
-            may_ask: Whether a node may be asked at all.
-            is_new: Whether this node is so new that the next homes of the object served in its place.
+            hash_key: The object's key for finding its homes.
+            may_ask: Returns whether a node may be asked at all.
+            is_new: Whether this node started so recently that the object's next homes served in its place.
             now: The time in Unix seconds.
         """
         self.forget_expired(now)
@@ -137,17 +138,17 @@
         candidates = dict.fromkeys(
             home for home in homes if home is not None and home != self.own_name and may_ask(home)
         )
-        # The rate charges every candidate, also those past `max_lookups`, which are not asked.
+        # Every candidate is charged to the rate, also those beyond `max_lookups`, which are not asked.
         admitted = [name for name in candidates if self.rate.admits(name, now)]
         return admitted[:max_lookups]
 
     def forget_expired(self, now: float) -> None:
-        """Drops the earlier groups that were left too long ago; `now` is in Unix seconds."""
+        """Drops the earlier groups that were replaced too long ago; `now` is in Unix seconds."""
         while self.earlier_groups and now - self.earlier_groups[-1].left_at > self.limits.earlier_home_s:
             self.earlier_groups.pop()
 
     def export_state(self) -> list[dict[str, Any]]:
-        """Returns the earlier groups as they are saved beside the topology."""
+        """Returns the earlier groups in the form in which they are saved with the topology."""
         return [
             {
                 "version": earlier_group.version,
@@ -158,10 +159,10 @@
         ]
 
     def restore_state(self, state: Iterable[Any], now: float) -> None:
-        """Adopts earlier groups as they were saved.
+        """Adopts earlier groups from their saved form.
 
         Raises:
-            ValueError: One of them cannot be read; then none are adopted.
+            ValueError: One of them is malformed; then none are adopted.
         """
         earlier_groups = [_decode_earlier_group(item, now) for item in state]
         self.earlier_groups = deque(earlier_groups[:MAX_EARLIER_GROUPS], maxlen=MAX_EARLIER_GROUPS)
@@ -173,7 +174,7 @@
         case {"version": int(version), "left": int() | float() as left, "members": dict(members)}:
             weights = {str(name): float(weight) for name, weight in members.items()}
             return EarlierGroup(version, min(float(left), now), weights, _homes_of(weights))
-    raise ValueError(f"an epoch that cannot be read: {str(item)[:60]}")
+    raise ValueError(f"saved earlier group cannot be read: {str(item)[:60]}")
 
 
 def _homes_of(weights: Mapping[str, float]) -> Homes[str]:
--- a/paddlequay/hierarchy/node.py
+++ b/paddlequay/hierarchy/node.py
@@ -1,7 +1,7 @@
-"""One cache node without sockets: what it serves from its cache, which fills it joins, and when it fills.
+"""One cache node without sockets: decides what to serve from the cache, which fill to join and when to fill.
 
-Events in, actions out. A driver hands in requests, results of fills, topologies, purges and the time, and
-carries out the actions.
+The node takes events and returns actions. A driver passes in requests, results of fills, topologies, purges
+and the time, and carries out the actions.
 """
 
 from paddlequay.hierarchy.fencing_tokens import FencingTokens
@@ -23,15 +23,15 @@
 from paddlequay.observability.counters import Counters
 
 
-class Node:
+class CacheNode:
     """One cache of the hierarchy.
 
     Args:
-        name: Its name in the topology.
-        limits: Its bounds.
-        migration_limits: Bounds of migration.
-        started_at: When it started, in Unix seconds.
-        group: Its group, until a topology names one.
+        name: The node's name in the topology.
+        limits: The node's limits.
+        migration_limits: Limits of migration.
+        started_at: When the node started, in Unix seconds.
+        group: The node's group, until a topology names one.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
 
     @property
     def topology(self) -> Topology:
-        """The topology that the node acts on."""
+        """The current topology."""
         return self.source_selector.topology
 
     @property
@@ -63,18 +63,18 @@
 
     @property
     def waiting_count(self) -> int:
-        """How many requests wait."""
+        """How many requests wait for a fill."""
         return self.coordinator.waiting.count
 
     def follow(self, topology: Topology, now: float) -> None:
-        """Acts on a topology from now on; `now` is in Unix seconds. Fills in flight go on."""
+        """Adopts a topology; `now` is in Unix seconds. Fills in flight continue with their sources."""
         self.source_selector.follow(topology, now)
 
     def purge(self, object_name: str | None, group: int | None, purged_at: float, now: float) -> None:
         """Applies a purge to cached copies and to fills in flight.
 
         Args:
-            object_name: The object that is purged; None where a group is.
+            object_name: The object that is purged; None for the purge of a group.
             group: The group that is purged, where `object_name` is None.
             purged_at: When the purge was issued, in Unix seconds.
             now: The time in Unix seconds.
@@ -83,7 +83,9 @@
         self.counters.add("purged_fills", self.leases.purge(object_name, group, purged_at))
 
     def handle_request(self, request: FillRequest, now: float) -> list[Action]:
-        """Handles a request; its one reply is among these actions or among later ones.
+        """Handles a request and returns the actions that follow.
+
+        The request gets exactly one reply, either among these actions or among those of a later call.
 
         Args:
             request: The request.
@@ -94,7 +96,8 @@
             self.counters.add("old_terms")
             self.coordinator.reply(request, ReplyStatus.MISS, ReplyReason.STALE_TOKEN)
         elif request.path is not None and self._closes_loop(request.path):
-            # A path loop is detected where it closes: the node before asks its next source at once.
+            # Rejecting the request here, where the loop closes, lets the previous node ask its next source at
+            # once.
             self.counters.add("loops_found")
             self.coordinator.reply(request, ReplyStatus.MISS, ReplyReason.LOOP)
         else:
@@ -103,16 +106,16 @@
         return self.coordinator.take_actions()
 
     def cancel(self, request: FillRequest) -> None:
-        """Closes a request whose requester no longer waits. The fill goes on, for the cache."""
+        """Closes a request whose requester no longer waits. Its fill continues, to fill the cache."""
         self.coordinator.cancel(request)
 
     def next_source(self, number: int, next_hop: str = "") -> FillStep | None:
-        """Returns the source that a fill asks next; None where none is left, or the fill is not known.
+        """Returns the source that a fill asks next; None if no source is left or the fill is unknown.
 
         Args:
             number: The number of the fill's lease.
-            next_hop: The node that the last source waits for, where that source detected a possible wait
-                cycle.
+            next_hop: The node that the last source waits for, if that source rejected the fill because of a
+                possible wait cycle; empty otherwise.
         """
         lease = self.leases.by_number.get(number)
         source = None if lease is None else self.source_selector.next_source(lease, next_hop)
@@ -121,9 +124,9 @@
         return FillStep(source, lease.wait_for(source.kind, source.target))
 
     def min_generated_at(self, number: int) -> float | None:
-        """Returns the Unix second from which on the copy for a fill must be generated.
+        """Returns the earliest Unix second at which the copy for a fill may have been generated.
 
-        It is None where the fill is not known. Purges since the fill began count.
+        It includes purges that arrived since the fill began. It is None if the fill is unknown.
         """
         lease = self.leases.by_number.get(number)
         if lease is None:
@@ -131,17 +134,17 @@
         return max(lease.min_generated_at, self.cache.purges.latest_of_object(lease.key.object_name))
 
     def on_unreachable(self, number: int, target: str) -> None:
-        """Releases the claim of a source that a fill could not reach."""
+        """Releases the ownership claim of a source that a fill could not reach."""
         lease = self.leases.by_number.get(number)
         if lease is not None:
             self.source_selector.claims.release(lease.key, target)
 
     def on_fill_ended(self, number: int, result: FillResult, now: float) -> list[Action]:
-        """Ends a fill: each waiter gets a reply, or a fill of its own where this one's copy is too old.
+        """Ends a fill: replies to each waiter, or begins another fill if the copy is too old for that waiter.
 
         Args:
             number: The number of the fill's lease.
-            result: The copy, or why there is none.
+            result: The copy, or the reason why there is none.
             now: The time in Unix seconds.
         """
         self.coordinator.end_fill(number, result, now)
@@ -161,7 +164,7 @@
         return self.name in path.hops or len(path.hops) >= MAX_HOPS
 
     def _accept_claim(self, request: FillRequest, now: float) -> None:
-        """Records the sender's claim to be the object's home, where the request carries one."""
+        """Records the sender's claim to be the object's home, if the request carries one."""
         if request.path is None or request.claim is None:
             return
         claimant = request.path.last_hop
--- a/paddlequay/hierarchy/node_cache.py
+++ b/paddlequay/hierarchy/node_cache.py
@@ -1,4 +1,4 @@
-"""The cache of a node, and the purges that decide which copies may be served and stored."""
+"""The cache of a node, and the recent purges that decide which copies may be served and stored."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,18 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServedCopy:
-    """A cached copy that may serve a request, as `CACHED` or as `STALE`."""
+    """A cached copy that may serve a request, with reason `CACHED` or `STALE`."""
 
     copy: CachedCopy
     reason: ReplyReason
 
 
 class NodeCache:
-    """Cached copies and the purges of the last seconds.
+    """Cached copies and recent purges.
 
     Args:
-        max_bytes: The most memory for copies.
-        purge_memory_s: For how long a purge is remembered.
+        max_bytes: The limit of memory for copies.
+        purge_memory_s: How long a purge is remembered.
         counters: The node's counters.
     """
 
@@ -32,10 +32,10 @@
         self.counters = counters
 
     def lookup(self, request: FillRequest) -> ServedCopy | None:
-        """Returns the copy that serves a request: a fresh one, or a stale one within the request's grace.
+        """Returns the copy that serves a request: a fresh one, or a stale one within the grace period.
 
-        No copy from before a purge serves any request. The grace, in seconds, is for the classes whose copies
-        may be served while they are refreshed.
+        A copy from before a purge never serves a request. Only requests whose class allows stale copies
+        during a refresh have a grace period (`stale_grace_s`).
         """
         copy = self.copies.get(request.key)
         if copy is None:
@@ -49,9 +49,9 @@
         return None
 
     def store(self, key: PartKey, copy: CachedCopy, waiters: Iterable[FillRequest]) -> None:
-        """Stores the copy of a fill, with the highest retention that a waiter asks for.
+        """Stores the copy of a fill, with the highest retention that any waiter requests.
 
-        A copy is not stored where it was purged while the fill was in flight, or where no waiter allows it.
+        The copy is not stored if it was purged while the fill was in flight or if no waiter allows caching.
         """
         if copy.generated_at < self.purges.min_generated_at(key.object_name, copy.group):
             self.counters.add("fills_purged")
@@ -64,6 +64,13 @@
             self.counters.add("not_kept")
 
     def purge(self, object_name: str | None, group: int | None, purged_at: float, now: float) -> None:
-        """Drops older copies of an object, or of a group where `object_name` is None (Unix seconds)."""
+        """Records a purge and drops the copies generated before it.
+
+        Args:
+            object_name: The object that is purged; None for the purge of a group.
+            group: The group that is purged, where `object_name` is None.
+            purged_at: When the purge was issued, in Unix seconds.
+            now: The time in Unix seconds.
+        """
         self.purges.add(object_name, group, purged_at, now)
         self.counters.add("purged_copies", self.copies.purge(object_name, group, purged_at))
--- a/paddlequay/hierarchy/ownership_claims.py
+++ b/paddlequay/hierarchy/ownership_claims.py
@@ -1,7 +1,7 @@
-"""Ownership claims: which other node has said that it is the home of an object.
+"""Ownership claims: which other node has claimed to be the home of an object.
 
-Homes are a function of the topology's version, so of two nodes that both take themselves for the home the one
-with the later version is right.
+The topology determines the homes, so of two nodes that both claim an object the one with the later topology
+version is right.
 """
 
 from collections import OrderedDict
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedClaim:
-    """A claim in force: the node, the topology version it claims by, and until when (Unix seconds)."""
+    """An accepted claim: the claimant, its topology version, and when the claim expires (Unix seconds)."""
 
     node: str
     topology_version: int
@@ -26,26 +26,29 @@
 
     Args:
         own_name: The name of this node.
-        lifetime_s: For how many seconds a claim holds without being made again.
+        lifetime_s: For how many seconds a claim is valid unless it is renewed.
     """
 
     def __init__(self, own_name: str, lifetime_s: float) -> None:
         self.own_name = own_name
         self.lifetime_s = lifetime_s
-        self.topology_version = 0  # the version that this node knows
-        self.claims: OrderedDict[PartKey, AcceptedClaim] = OrderedDict()  # the one made first, first
+        self.topology_version = 0  # of this node's topology
+        self.claims: OrderedDict[PartKey, AcceptedClaim] = OrderedDict()  # in the order in which they expire
 
     def __len__(self) -> int:
         return len(self.claims)
 
     def accept(self, key: PartKey, node: str, topology_version: int, now: float) -> bool:
-        """Accepts a claim unless a later topology or a claim by one is known; returns whether it did.
+        """Accepts a claim, unless this node or a valid earlier claim has a later topology version.
 
         Args:
             key: The object and part that are claimed.
-            node: The node that claims them.
-            topology_version: The version that it claims by.
+            node: The claimant.
+            topology_version: The claimant's topology version.
             now: The time in Unix seconds.
+
+        Returns:
+            Whether the claim was accepted; a node's claim to itself never is.
         """
         if topology_version < self.topology_version or node == self.own_name:
             return False
@@ -59,7 +62,7 @@
         return True
 
     def claimant(self, key: PartKey, now: float) -> str | None:
-        """Returns the node that has claimed an object; None where no claim holds at `now` (Unix seconds)."""
+        """Returns the node that has claimed an object; None if no claim is valid at `now` (Unix seconds)."""
         claim = self.claims.get(key)
         if claim is None or claim.valid_until <= now or claim.topology_version < self.topology_version:
             return None
@@ -72,6 +75,6 @@
             del self.claims[key]
 
     def forget_expired(self, now: float) -> None:
-        """Drops the claims that no longer hold at `now` (Unix seconds)."""
+        """Drops the claims that have expired at `now` (Unix seconds)."""
         while self.claims and next(iter(self.claims.values())).valid_until <= now:
             self.claims.popitem(last=False)
--- a/paddlequay/hierarchy/source_fallback.py
+++ b/paddlequay/hierarchy/source_fallback.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 
 from paddlequay.hierarchy.fill_leases import FillSource
-from paddlequay.hierarchy.node import Node
+from paddlequay.hierarchy.node import CacheNode
 from paddlequay.hierarchy.topology import Topology
 from paddlequay.policy import Router
 from paddlequay.policy.availability import is_available
@@ -66,7 +66,7 @@
         node: Names the sources of fills.
     """
 
-    def __init__(self, settings: RoutingSettings, seed: int, node: Node) -> None:
+    def __init__(self, settings: RoutingSettings, seed: int, node: CacheNode) -> None:
         super().__init__(settings, seed)
         self.node = node
         self.next_hops: dict[str, str] = {}  # by request: the node that the last source waits for
--- a/paddlequay/hierarchy/waiting_requests.py
+++ b/paddlequay/hierarchy/waiting_requests.py
@@ -1,4 +1,4 @@
-"""The requests that wait for fills, and when each of them times out."""
+"""The requests that wait for fills, ordered by deadline."""
 
 import heapq
 from collections.abc import Iterator
@@ -6,7 +6,7 @@
 
 from paddlequay.hierarchy.fill_requests import FillRequest
 
-# Entries of closed requests stay in the heap until there are this many more than twice those that wait.
+# The heap is cleared of closed requests once it has this many entries more than twice the waiting requests.
 MAX_CLOSED_ENTRIES = 1000
 
 
@@ -27,7 +27,7 @@
         self.last_number = 0
 
     def add(self, request: FillRequest) -> None:
-        """Adds a request, which waits from now on."""
+        """Adds a request and marks it as waiting."""
         request.is_waiting = True
         self.count += 1
         self.last_number += 1
@@ -36,13 +36,13 @@
             self._drop_closed()
 
     def remove(self, request: FillRequest) -> None:
-        """Stops counting a request; its entry stays in the heap until its deadline, and is harmless there."""
+        """Stops counting a request; its heap entry stays and is skipped when it comes up."""
         if request.is_waiting:
             request.is_waiting = False
             self.count -= 1
 
     def pop_expired(self, now: float) -> Iterator[FillRequest]:
-        """Removes and returns the open requests whose deadline has passed; `now` is in Unix seconds."""
+        """Removes and yields the open requests whose deadline has passed; `now` is in Unix seconds."""
         while self.deadlines:
             earliest = self.deadlines[0]
             if earliest.expires_at > now and not earliest.request.is_closed:
--- a/paddlequay/lab/hierarchy_simulation.py
+++ b/paddlequay/lab/hierarchy_simulation.py
@@ -1,7 +1,7 @@
 """A simulation of cache nodes without sockets or clocks: a message arrives when the caller delivers it.
 
 It serves the search through interleavings of topologies, deaths, purges and fills, and simulations of many
-nodes. The nodes are the real `hierarchy.node.Node`; the network, the origin and the source fallback are
+nodes. The nodes are the real `hierarchy.node.CacheNode`; the network, the origin and the source fallback are
 simulated.
 """
 
@@ -24,7 +24,7 @@
     StartFill,
 )
 from paddlequay.hierarchy.migration import MigrationLimits
-from paddlequay.hierarchy.node import Node
+from paddlequay.hierarchy.node import CacheNode
 from paddlequay.hierarchy.source_selection import FillStep
 from paddlequay.hierarchy.topology import Topology
 from paddlequay.lab.simulated_origin import SimulatedOrigin
@@ -99,7 +99,7 @@
             earlier_home_s=UNBOUNDED, claim_s=UNBOUNDED, lookups_per_s=UNBOUNDED, lookup_burst=UNBOUNDED
         )
         self.disabled_guards = disabled_guards
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, CacheNode] = {}
         self.incarnations: Counter[str] = Counter()
         self.dead: set[str] = set()
         self.pending: list[Message] = []
@@ -112,11 +112,11 @@
         self.stale_replies: list[str] = []
         self.delay: Callable[[str, str], float] = lambda *_: 0.0
 
-    def add(self, name: str, topology: Topology, started_at: float = 0.0) -> Node:
+    def add(self, name: str, topology: Topology, started_at: float = 0.0) -> CacheNode:
         """Starts a node that knows a topology."""
         own = topology.nodes.get(name)
         group = own.group if own is not None else "aimag"
-        node = Node(name, self.limits, self.migration_limits, started_at, group)
+        node = CacheNode(name, self.limits, self.migration_limits, started_at, group)
         self.nodes[name] = node
         for guard in self.disabled_guards:
             _disable(guard, node)
@@ -331,7 +331,7 @@
         return tuple(holders)
 
 
-def _disable(guard: Guard, node: Node) -> None:
+def _disable(guard: Guard, node: CacheNode) -> None:
     """Takes a guard out of a node."""
     leases: Any = node.leases
     selector: Any = node.source_selector
--- a/paddlequay/net/hierarchy/fill_driver.py
+++ b/paddlequay/net/hierarchy/fill_driver.py
@@ -12,7 +12,7 @@
     PeerIntroduction,
     StartFill,
 )
-from paddlequay.hierarchy.node import Node
+from paddlequay.hierarchy.node import CacheNode
 from paddlequay.hierarchy.source_fallback import CACHE_KIND
 from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability.counters import Counters
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        node: Node,
+        node: CacheNode,
         exchange: Exchange,
         pool: ConnectionPool,
         keyring: Keyring,
--- a/paddlequay/net/hierarchy/tier_front.py
+++ b/paddlequay/net/hierarchy/tier_front.py
@@ -17,7 +17,7 @@
     ReplyStatus,
     StartFill,
 )
-from paddlequay.hierarchy.node import Node
+from paddlequay.hierarchy.node import CacheNode
 from paddlequay.lifecycle.background import TaskSupervisor
 from paddlequay.net.hierarchy.fill_driver import FillDriver
 from paddlequay.net.hierarchy.load_meter import LoadMeter
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        node: Node,
+        node: CacheNode,
         classes: Mapping[str, RequestClass],
         exchange: Exchange,
         pool: ConnectionPool,
--- a/paddlequay/programs/tier.py
+++ b/paddlequay/programs/tier.py
@@ -12,7 +12,7 @@
 from paddlequay.config.values import Address
 from paddlequay.errors import ConfigError
 from paddlequay.hierarchy.fill_path import Keyring
-from paddlequay.hierarchy.node import Node
+from paddlequay.hierarchy.node import CacheNode
 from paddlequay.hierarchy.source_fallback import (
     CACHE_KIND,
     ORIGIN_KIND,
@@ -98,7 +98,7 @@
         started_at = self.scheduler.unix()
         folder = settings.folder or Path("/nonexistent")
         self.operator_state = OperatorState(folder / f"paddlequay-{settings.name}.json")
-        self.node = Node(settings.name, settings.node, settings.migration, started_at, settings.group)
+        self.node = CacheNode(settings.name, settings.node, settings.migration, started_at, settings.group)
         router = FallbackRouter(routing_settings(settings, self.limits), int(started_at * 1e6), self.node)
         quotas = ProcessQuotas(self.limits)
         self.exchange = Exchange(
--- a/paddlequay/programs/tier_page.py
+++ b/paddlequay/programs/tier_page.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from paddlequay.hierarchy.migration import MigrationPlan
-from paddlequay.hierarchy.node import Node
+from paddlequay.hierarchy.node import CacheNode
 from paddlequay.hierarchy.topology_tracker import TopologyTracker
 
 SAMPLED_KEY_COUNT = 256
@@ -12,7 +12,7 @@
 KEY_LIMIT = 1 << 64
 
 
-def tier_page(node: Node, tracker: TopologyTracker, now: float) -> str:
+def tier_page(node: CacheNode, tracker: TopologyTracker, now: float) -> str:
     """Returns the page: topology, homes, migrations, fills and loops; `now` is in Unix seconds."""
     selector = node.source_selector
     own = node.topology.nodes.get(node.name)
--- a/tests/hierarchy/rig_node.py
+++ b/tests/hierarchy/rig_node.py
@@ -14,7 +14,7 @@
     StartFill,
 )
 from paddlequay.hierarchy.migration import MigrationLimits
-from paddlequay.hierarchy.node import Node
+from paddlequay.hierarchy.node import CacheNode
 from paddlequay.hierarchy.topology import NodeSpec, Topology, TopologyDelta, TopologyLimits, apply_delta
 from paddlequay.lab.hierarchy_search import first_topology
 
@@ -48,9 +48,9 @@
     return topology(version, *names, **{home: 1e9})
 
 
-def node_alone(**limits: Any) -> Node:
+def node_alone(**limits: Any) -> CacheNode:
     """A node under the origin, with no other in its tier."""
-    node = Node("a", NodeLimits(**limits), MigrationLimits())
+    node = CacheNode("a", NodeLimits(**limits), MigrationLimits())
     node.follow(first_topology(("a",)), 100.0)
     return node
 
@@ -74,7 +74,7 @@
     return [action for action in actions if isinstance(action, StartFill)]
 
 
-def begin_fill(node: Node, request: FillRequest, now: float = 100.0) -> StartFill:
+def begin_fill(node: CacheNode, request: FillRequest, now: float = 100.0) -> StartFill:
     """The fill that a request begins; nothing else follows from the request."""
     (action,) = node.handle_request(request, now)
     assert isinstance(action, StartFill)
--- a/tests/hierarchy/test_fencing_tokens.py
+++ b/tests/hierarchy/test_fencing_tokens.py
@@ -15,7 +15,7 @@
     StartFill,
 )
 from paddlequay.hierarchy.migration import MigrationLimits
-from paddlequay.hierarchy.node import Node
+from paddlequay.hierarchy.node import CacheNode
 from paddlequay.net.upstreams.cache_messages import parse_result
 from paddlequay.policy import Router
 from paddlequay.protocol import caches as wire
@@ -44,7 +44,7 @@
 
 
 def test_a_node_replies_to_a_lower_token_with_a_miss_and_begins_no_fill() -> None:
-    node = Node("a", NodeLimits(), MigrationLimits())
+    node = CacheNode("a", NodeLimits(), MigrationLimits())
 
     def request(token: int | None, part: int) -> list[object]:
         channel_token = None if token is None else ChannelToken(77, token)
--- a/tests/hierarchy/test_fill_path.py
+++ b/tests/hierarchy/test_fill_path.py
@@ -59,7 +59,7 @@
             Keyring([OLD, NEW]).decode(text, context, now)
     with pytest.raises(FillPathError, match="all keys have expired"):
         Keyring([OLD]).encode(PATH, "x", 201)
-    with pytest.raises(FillPathError, match="no key is known here"):
+    with pytest.raises(FillPathError, match="path is signed, but this node has no signing keys"):
         Keyring().decode(text, "x", 50)
 
 
