--- a/paddlequay/hierarchy/fill_leases.py
+++ b/paddlequay/hierarchy/fill_leases.py
@@ -1,15 +1,15 @@
-"""Leases of fills: one fill at a time for an object and part, and all other requests wait for it.
+"""Fill leases: one fill at a time for an object and part, for which all other requests wait.
 
-A fill lease coalesces requests inside one node (single flight, request coalescing). It ends with its fill and
-has neither a term nor an expiry, unlike the leases of `paddlequay.cluster`, which routers agree on.
+A fill lease coalesces requests inside one node (single flight). It ends with its fill and has neither a term
+nor an expiry, unlike the leases of `paddlequay.cluster`, which are agreed between routers.
 
-A purge during a fill is noted at its lease: a request that came after it is not answered by a copy from
-before it, but by one more fill.
+A purge that arrives during a fill is recorded in its lease. A request that arrived after the purge is not
+answered with a copy from before the purge, but by another fill.
 
 Fills that wait for other nodes could form a wait cycle, in which each node waits for the next (a deadlock).
-Only older fills may therefore wait for younger ones (wait-die), so that no wait cycle closes, whatever the
-nodes know of the topology. A path loop is something else: a path that visits a node twice (`fill_path.py`).
-A request that is rejected because of either gets `ReplyReason.LOOP`.
+Therefore only older fills may wait for younger ones (wait-die). This prevents wait cycles even if the nodes
+know different topologies. A path loop is a different condition: a path that visits a node twice
+(`fill_path.py`). A request that is rejected because of either gets `ReplyReason.LOOP`.
 """
 
 import math
@@ -24,31 +24,32 @@
 
 T = TypeVar("T")
 
-MAX_NOTED_PURGES = 64  # at one fill
+MAX_NOTED_PURGES = 64  # of one lease
 
 
 class SourceKind(Enum):
     """What a fill waits for."""
 
-    CACHED_COPY = "cached copy"  # of another node: it waits at most for a fill that waits for the origin
-    NODE = "node"  # another cache, which may wait in its turn
-    ORIGIN = "origin"  # waits for nothing
+    # The cached copy of another node; the request waits there only for a fill that waits for the origin.
+    CACHED_COPY = "cached copy"
+    NODE = "node"  # another cache, which may itself wait for a further node
+    ORIGIN = "origin"  # waits for no other node
 
 
 class LeaseDecision(Enum):
-    """What a request may do about the lease of its object and part."""
+    """What a request may do with regard to the lease of its object and part."""
 
     JOIN = "join"
-    BEGIN = "begin"  # no fill in flight can answer it
+    BEGIN = "begin"  # no fill that could be joined is in flight
     ABORT = "abort"  # waiting could close a wait cycle
-    REJECT = "reject"  # too many wait
+    REJECT = "reject"  # too many fills in flight, or too many requests wait for this one
 
 
 @dataclass(frozen=True, slots=True)
 class FillSource:
     """A node that a fill may ask.
 
-    With `only_if_cached` the node gives only what it has cached, and is told of the claim on the object.
+    With `only_if_cached` the node returns only a cached copy, and the request carries an ownership claim.
     """
 
     target: str
@@ -65,10 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NotedPurge:
-    """A purge during a fill.
+    """A purge that arrived during a fill.
 
     `group` is None for a purge of the object itself; `purged_at` is in Unix seconds; `waiter_count` is how
-    many waited for the fill when it came, so waiters of that index and above came after it.
+    many requests waited for the fill when the purge arrived: waiters from this index on arrived after it.
     """
 
     group: int | None
@@ -76,7 +77,7 @@
     waiter_count: int
 
     def concerns(self, waiter_index: int, group: int | None) -> bool:
-        """Returns whether the purge came before a waiter did, and may be of a copy of this group."""
+        """Returns whether the purge arrived before a waiter, and may apply to a copy of this group."""
         may_be_of_group = self.group is None or group is None or self.group == group
         return self.waiter_count <= waiter_index and may_be_of_group
 
@@ -87,17 +88,17 @@
 
     Attributes:
         key: The object and part.
-        number: The lease's own number.
+        number: The number that identifies the lease.
         path: The nodes that the fill has passed.
-        started_at: When it began, in Unix seconds.
-        min_generated_at: The Unix second at which the copy must have been generated, or later.
+        started_at: When the fill began, in Unix seconds.
+        min_generated_at: The Unix second before which the copy must not have been generated.
         source_kind: What the fill waits for.
-        source: The node that it asks now.
-        youngest_waiter: The youngest path among the fills elsewhere that wait for this one.
-        waiters: The requests that wait, in the order in which they came.
-        sources: The nodes that it may still ask.
-        extra_source_count: How many sources it has asked beside these; a repeated look-up counts as three.
-        purges: The purges during the fill.
+        source: The node that the fill asks now.
+        youngest_waiter: The youngest path among the fills of other nodes that wait for this one.
+        waiters: The requests that wait, in order of arrival.
+        sources: The nodes that the fill may still ask.
+        extra_source_count: How many sources it has asked beyond the list; a repeated look-up counts as three.
+        purges: The purges that arrived during the fill.
     """
 
     key: PartKey
@@ -105,7 +106,7 @@
     path: FillPath
     started_at: float
     min_generated_at: float = 0.0
-    source_kind: SourceKind = SourceKind.CACHED_COPY  # before the first source any fill may join
+    source_kind: SourceKind = SourceKind.CACHED_COPY  # until the first source is chosen, any fill may join
     source: str = ""
     youngest_waiter: FillPath | None = None
     waiters: list[T] = field(default_factory=list)
@@ -114,10 +115,11 @@
     purges: list[NotedPurge] = field(default_factory=list)
 
     def wait_for(self, kind: SourceKind, target: str) -> FillPath:
-        """Records the source that the fill asks from now on; returns the path that goes with the request.
+        """Records the source that the fill asks now; returns the path to send with the request.
 
-        Before it waits for a node the fill becomes younger than all that wait for it. They joined while that
-        was safe, and a wait cycle through them must be detected by this fill's start.
+        Before the fill waits for a node, it is made younger than all fills that wait for it. Those joined
+        while waiting was safe. A wait cycle through them is detected by comparing start times, so this fill
+        must be the youngest of them.
         """
         self.source_kind = kind
         self.source = target
@@ -141,31 +143,31 @@
         return path.is_older_than(self.path)
 
     def note_purge(self, group: int | None, purged_at: float) -> None:
-        """Notes a purge, of the object itself where `group` is None; `purged_at` is in Unix seconds."""
+        """Records a purge; `group` is None for the object itself, `purged_at` is in Unix seconds."""
         if len(self.purges) < MAX_NOTED_PURGES:
             self.purges.append(NotedPurge(group, purged_at, len(self.waiters)))
             return
-        # Too many to keep apart: the last one counts as a purge of the object.
+        # Above the limit, the purge is merged with the last one into a purge of the object itself.
         last = self.purges.pop()
         self.purges.append(NotedPurge(None, max(last.purged_at, purged_at), last.waiter_count))
 
     def latest_purge_before(self, waiter_index: int, group: int | None) -> float:
-        """Returns the latest purge before a waiter came, in Unix seconds.
+        """Returns the time of the latest purge that arrived before a waiter, in Unix seconds.
 
         Args:
-            waiter_index: The waiter's place in `waiters`.
-            group: The group of the copy; None where it is not known, and then purges of all groups count.
+            waiter_index: The waiter's index in `waiters`.
+            group: The group of the copy; None if it is not known, so that purges of all groups count.
         """
         concerned = (purge.purged_at for purge in self.purges if purge.concerns(waiter_index, group))
         return max(concerned, default=-math.inf)
 
 
 class FillLeases(Generic[T]):
-    """All fills in flight.
+    """The leases of all fills in flight.
 
     Args:
-        max_fills: The most fills in flight.
-        max_waiters: The most requests that wait for one of them.
+        max_fills: The limit of fills in flight.
+        max_waiters: The limit of requests that wait for one fill.
     """
 
     def __init__(self, max_fills: int, max_waiters: int) -> None:
@@ -179,7 +181,7 @@
         return len(self.by_number)
 
     def decide(self, key: PartKey, path: FillPath | None, only_if_cached: bool = False) -> LeaseDecision:
-        """Returns what a request may do.
+        """Returns whether a request may join a fill, begin one, or do neither.
 
         Args:
             key: The object and part.
@@ -194,7 +196,7 @@
         return LeaseDecision.JOIN if len(lease.waiters) < self.max_waiters else LeaseDecision.REJECT
 
     def begin(self, key: PartKey, path: FillPath, now: float, waiter: T) -> FillLease[T]:
-        """Returns the lease of a new fill; requests for this object and part join it from now on."""
+        """Creates and returns the lease of a new fill, which later requests for this object and part join."""
         self.last_number += 1
         lease: FillLease[T] = FillLease(key, self.last_number, path, now)
         lease.waiters.append(waiter)
@@ -203,7 +205,7 @@
         return lease
 
     def join(self, key: PartKey, waiter: T, path: FillPath | None) -> FillLease[T]:
-        """Adds a waiter to the fill in flight; `path` is that of the fill that waits, if there is one."""
+        """Adds a waiter to the fill in flight; `path` is the path of the waiting fill, if there is one."""
         lease = self.joinable[key]
         lease.waiters.append(waiter)
         youngest = lease.youngest_waiter
@@ -212,20 +214,20 @@
         return lease
 
     def end(self, number: int) -> FillLease[T] | None:
-        """Removes the lease of a fill that has ended; returns it, or None where it is not known any more."""
+        """Removes the lease of a fill that has ended; returns the lease, or None if it is unknown."""
         lease = self.by_number.pop(number, None)
         if lease is not None and self.joinable.get(lease.key) is lease:
             del self.joinable[lease.key]
         return lease
 
     def purge(self, object_name: str | None, group: int | None, purged_at: float) -> int:
-        """Notes a purge at the fills that it may concern; returns how many.
+        """Records a purge in the leases of the fills that it may concern; returns how many these are.
 
-        The group and age of the copy are known once it comes, so the fills go on. A second fill begun at once
-        would be one too many where the origin knew of the purge before this node did.
+        The fills continue, because the group and age of the copy are known only when it arrives. Beginning a
+        second fill at once would be superfluous if the origin knew of the purge before this node did.
 
         Args:
-            object_name: The object that is purged; None where a group is.
+            object_name: The object that is purged; None for the purge of a group.
             group: The group that is purged, where `object_name` is None.
             purged_at: When the purge was issued, in Unix seconds.
         """
@@ -243,5 +245,5 @@
         return iter(self.by_number.values())
 
     def oldest_age(self, now: float) -> float:
-        """Returns for how many seconds the oldest fill has been in flight; 0 where there is none."""
+        """Returns for how many seconds the oldest fill has been in flight; 0 if there is none."""
         return max((now - lease.started_at for lease in self.by_number.values()), default=0.0)
--- a/paddlequay/hierarchy/fill_outcomes.py
+++ b/paddlequay/hierarchy/fill_outcomes.py
@@ -37,9 +37,9 @@
     return FailureReply(ReplyStatus.MISS, reason)
 
 
-def reason_of_copy(result: FillResult, has_begun_fill: bool) -> ReplyReason:
+def reason_of_copy(result: FillResult, began_fill: bool) -> ReplyReason:
     """Returns the reason in a reply with a fill's copy; it shows whether the request began the fill."""
-    if not has_begun_fill:
+    if not began_fill:
         return ReplyReason.COALESCED
     return ReplyReason.FILLED_FROM_ORIGIN if result.from_origin else ReplyReason.FILLED
 
@@ -50,7 +50,7 @@
 
 
 def may_restart_after(
-    result: FillResult, request: FillRequest, has_begun_fill: bool, max_restarts: int, now: float
+    result: FillResult, request: FillRequest, began_fill: bool, max_restarts: int, now: float
 ) -> bool:
     """Returns whether a request that joined a failed fill may begin one of its own.
 
@@ -59,10 +59,10 @@
     Args:
         result: The result of the failed fill.
         request: The request.
-        has_begun_fill: Whether the request began the failed fill itself.
+        began_fill: Whether the request began the failed fill itself.
         max_restarts: How many fills a request may begin after its first one.
         now: The time in Unix seconds.
     """
     could_help = not result.is_rejected and result.failure is not ReplyDetail.ORIGIN_FAILED
     has_time = request.deadline > now + MIN_RESTART_TIME_S
-    return could_help and has_time and not has_begun_fill and has_restarts_left(request, max_restarts)
+    return could_help and has_time and not began_fill and has_restarts_left(request, max_restarts)
--- a/paddlequay/hierarchy/source_fallback.py
+++ b/paddlequay/hierarchy/source_fallback.py
@@ -1,8 +1,8 @@
 """Source fallback: a node's fills go from source to source under the rules of `policy.Router`.
 
-The node names the sources of a fill and their order. Whether one of them may be used now is decided as for a
-router: failures, probes, concurrency limits, slow start, time-outs and purges. So a node is a front of the
-same exchange and has no second set of rules for health.
+The node names the sources of a fill and their order. Whether a source may be used now is decided by the same
+rules as in a router: failures, probes, concurrency limits, slow start, time-outs and purges. A node therefore
+runs its fills through the same exchange and needs no health rules of its own.
 """
 
 from collections.abc import Iterator
@@ -26,7 +26,7 @@
 
 CACHE_KIND = "node"
 ORIGIN_KIND = "store"
-# In flight at one member, sent by all of a group: a node serves hundreds at once from memory.
+# Requests in flight at one member, from all nodes of a group. A node serves hundreds at once from memory.
 INITIAL_CONCURRENCY_LIMIT = 200.0
 FILL_RETENTION = 1
 MIN_AGE_S = 0.001
@@ -34,9 +34,9 @@
 
 
 def possible_sources(topology: Topology, own_name: str, group: str) -> Iterator[str]:
-    """Returns the nodes that a node may ask at all.
+    """Yields the names of the nodes that a node may ever ask.
 
-    They are its group, the parents of that group and the groups of these, and the origins.
+    These are the other nodes of its group, the nodes in the groups of the group's parents, and the origins.
     """
     parents = {parent for node in topology.caches_of_group(group) for parent in node.parents}
     groups = {group} | {topology.nodes[name].group for name in parents}
@@ -46,7 +46,7 @@
 
 
 def member_of(topology: Topology, name: str) -> Member:
-    """Returns a node of the topology as the routing policy sees it."""
+    """Returns a node of the topology as a member for the routing policy."""
     node = topology.nodes[name]
     return Member(
         name=name,
@@ -58,7 +58,7 @@
 
 
 class FallbackRouter(Router):
-    """`policy.Router` with the sources that a node names in place of the routes of a two-tier cache.
+    """A `policy.Router` that sends to the sources named by a node instead of the routes of a two-tier cache.
 
     Args:
         settings: The settings of the policy.
@@ -69,29 +69,29 @@
     def __init__(self, settings: RoutingSettings, seed: int, node: CacheNode) -> None:
         super().__init__(settings, seed)
         self.node = node
-        self.next_hops: dict[str, str] = {}  # by request: the node that the last source waits for
+        self.next_hops: dict[str, str] = {}  # by request id: the node that the last source waits for
 
     def on_members(self, event: MembersChanged) -> None:
-        """Follows the list; the concurrency limits of new members begin at a node's."""
+        """Updates the members; new ones get `INITIAL_CONCURRENCY_LIMIT`."""
         upstreams = self.state.members.upstreams
         known = set(upstreams)
         super().on_members(event)
         new = [upstream for name, upstream in upstreams.items() if name not in known]
-        # In the form in which a process hands its limits over in a hot restart.
+        # The format in which a process passes its limits to its successor in a hot restart.
         limits = {f"limit {upstream.member.name}": INITIAL_CONCURRENCY_LIMIT for upstream in new}
         self.state.limits.inherit_state(new, limits)
 
     def update_sharing_routers(self) -> None:
-        """Divides concurrency limits among all nodes of the group, which send to the same members."""
+        """Divides the concurrency limits among all nodes of the group, as they send to the same members."""
         group_size = len(self.node.source_selector.migration.weights)
-        # The numbers of edges, parents and origins do not matter where `requesters` is given.
+        # The numbers of edges, parents and origins are not used when `sender_count` is given.
         self.state.limits.set_sharing_routers(1, 1, 1, sender_count=max(1, group_size))
 
     def advance(self, request: RequestState) -> None:
-        """Sends the next attempt of a fill, or fails it.
+        """Sends the next attempt of a fill, or fails the fill.
 
-        A busy source that would fill is not passed over but ends the fill: the next source would be asked for
-        a second fill of the same object.
+        A busy source that could fill the object itself is not skipped but ends the fill, since the next
+        source could begin a second fill of the same object.
         """
         number = request.received.fill
         has_retries = not request.attempts or self.state.retries.may_retry(request, self.now)
@@ -114,7 +114,7 @@
         self.close(request.received.id)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Tells the node of a source that could not be reached, then settles the attempt."""
+        """Reports an unreachable source to the node, then handles the end of the attempt."""
         request = self.requests.get(event.request)
         if request is not None and request.received.fill is not None:
             if event.outcome in UNREACHABLE_OUTCOMES:
@@ -129,14 +129,14 @@
         super().close(request_id)
 
     def _usable_upstream(self, source: FillSource, request: RequestState) -> Upstream | None:
-        """Returns the upstream of a source, where it is listed, ready and not ejected."""
+        """Returns the upstream of a source; None unless it is listed, ready and available."""
         upstream = self.state.members.upstreams.get(source.target)
         if upstream is None or not upstream.ready:
             return None
         return upstream if is_available(self.state, upstream, request, self.now) else None
 
     def _send(self, request: RequestState, upstream: Upstream, source: FillSource) -> None:
-        """Sends one attempt. Naming an origin as the source allows a node to fill."""
+        """Sends one attempt to a source."""
         self.attempts.register(request, AttemptState(upstream, upstream, self.now, False))
         fetch = Fetch(
             request=request.received.id,
@@ -151,14 +151,21 @@
         self.actions.append(fetch)
 
     def _fetch_source(self, source: FillSource) -> str:
-        """Returns what a target fills from: an origin, or itself where it is to give a cached copy only."""
+        """Returns the node that the target may fill from.
+
+        This is an origin, which allows the target to fill. It is the target itself if the target may only
+        return a cached copy, is an origin, or no origin is known.
+        """
         origins = self.state.members.origins
         if source.only_if_cached or source.is_origin or not origins:
             return source.target
         return origins[0].member.name
 
     def _max_age(self, request: RequestState) -> float | None:
-        """Returns how old the copy may be, in seconds; purges since the fill began count."""
+        """Returns the maximum age of the copy in seconds; None if any copy will do.
+
+        It takes account of purges that arrived since the fill began.
+        """
         min_generated_at = self.node.min_generated_at(request.received.fill or 0)
         if min_generated_at is None or min_generated_at <= 0:
             return None
--- a/paddlequay/hierarchy/source_selection.py
+++ b/paddlequay/hierarchy/source_selection.py
@@ -1,15 +1,15 @@
 """Source selection: which nodes a fill asks, one after another, before it goes to the origin.
 
-The rules name the candidates and their order. Whether one of them may be used now (health, limits, slow
-start) is decided by `policy.Router` behind the exchange.
+This module chooses the candidates and their order. `policy.Router`, behind the exchange, decides whether a
+candidate may be used now (health, limits, slow start).
 
-A source rejects a fill where waiting could close a wait cycle, and names its next hop: the node that it waits
-for itself. The fill then proceeds as follows:
+A source rejects a fill if waiting could close a wait cycle, and names its next hop: the node that the source
+itself waits for. The rejected fill then proceeds as follows:
 
-1. It asks the next hop as an extra source, and that node's next hop in turn.
-2. A next hop whose fill waits for the origin lets it join.
-3. If a next hop is this node again, the wait cycle is real, and this fill goes on to its remaining sources,
-   the origin last. But a source that it only asked for a cached copy is asked for it once more before that.
+1. It asks the next hop as an extra source, then the next hop that this node names, and so on.
+2. A next hop whose own fill waits for the origin lets this fill join.
+3. If a next hop is this node itself, the wait cycle is real, and the fill continues with its remaining
+   sources, the origin last. A source that was asked only for a cached copy is asked once more before that.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -26,14 +26,14 @@
 from paddlequay.placement.homes import arrival, digest, object_key, placement_key, slot_of
 
 MAX_INTRODUCED_PEERS = 64
-MAX_EXTRA_SOURCES = 6  # sources that one fill asks beside those in its list
-REPEATED_LOOKUP_COST = MAX_EXTRA_SOURCES // 2  # extra sources that a second look-up at a node counts as
-MAX_HOMES_ASKED = 3  # homes that are asked in turn before a node goes to the origin itself
+MAX_EXTRA_SOURCES = 6  # sources that one fill asks in addition to its list
+REPEATED_LOOKUP_COST = MAX_EXTRA_SOURCES // 2  # how many extra sources a repeated look-up at a node counts as
+MAX_HOMES_ASKED = 3  # homes that a node asks one after another before it uses parents and origins
 
 
 @dataclass(frozen=True, slots=True)
 class FillStep:
-    """The source that a fill asks next, and the path that goes with the request."""
+    """The source that a fill asks next, and the path to send with the request."""
 
     source: FillSource
     path: FillPath
@@ -44,10 +44,10 @@
 
     Args:
         own_name: The name of this node.
-        group: Its group, known also while no topology names the node.
+        group: The node's group, which is used until a topology lists the node.
         started_at: When the node started, in Unix seconds.
-        new_node_s: For how many seconds after that the next homes of its objects may still hold them.
-        limits: Bounds of migration.
+        new_node_s: For how many seconds after its start the next homes of its objects may still hold copies.
+        limits: Limits of migration.
         counters: The node's counters.
     """
 
@@ -68,12 +68,12 @@
         self.topology = Topology()
         self.migration = MigrationPlan(own_name, limits)
         self.claims = OwnershipClaims(own_name, limits.claim_s)
-        # The addresses of claimants that the topology does not name yet, the first introduced first.
+        # The addresses of claimants that the topology does not list yet, in order of introduction.
         self.introduced_peers: dict[str, tuple[str, int]] = {}
-        self.ejected: set[str] = set()  # nodes that operators have taken out
+        self.ejected: set[str] = set()  # nodes that operators have ejected
 
     def follow(self, topology: Topology, now: float) -> None:
-        """Adopts a topology; `now` is in Unix seconds. Fills in flight go on with their sources."""
+        """Adopts a topology; `now` is in Unix seconds. Fills in flight continue with their sources."""
         self.topology = topology
         self.claims.topology_version = topology.version
         self.introduced_peers = {
@@ -88,11 +88,11 @@
     def accept_claim(
         self, key: PartKey, claimant: str, claim: OwnershipClaim, now: float
     ) -> PeerIntroduction | None:
-        """Records that another node claims to be an object's home, unless a later topology says otherwise.
+        """Records another node's claim to be an object's home, unless a later topology is known.
 
         Returns:
-            The order to make the claimant known, where it is one that the topology does not name yet.
-            Without it this node could not ask the claimant and would fill a second time.
+            An order to introduce the claimant, if the topology does not list it yet. Without the introduction
+            this node could not ask the claimant and would fill the object a second time.
         """
         if not self.claims.accept(key, claimant, claim.topology_version, now):
             self.counters.add("claims_old")
@@ -108,18 +108,17 @@
         return None if is_known else PeerIntroduction(claimant, claim.address)
 
     def sources(self, request: FillRequest, path: FillPath, now: float) -> list[FillSource]:
-        """Returns the nodes that a fill asks in turn, each one once.
+        """Returns the nodes that a fill asks one after another, without duplicates.
 
-        First the claimant of the object, where there is one. Then a home asks the nodes that may hold the
-        object from before, and any other node asks the homes. Then the parents follow in the order of their
-        homes, and the origins last.
+        The order is: the object's claimant, if there is one; the earlier homes if this node is the home, or
+        else the homes; the parents in the order in which they are homes of the object; the origins.
 
         Args:
             request: The request that begins the fill.
-            path: The path of the fill, this node included; nodes in it wait for this fill and are not asked.
+            path: The path of the fill, including this node. Nodes in it wait for this fill and are not asked.
             now: The time in Unix seconds.
         """
-        # The key that routers use, so that they ask the node that this one takes for the home.
+        # Routers use the same key, so that they send requests to the node that this one considers the home.
         hash_key = placement_key(object_key(request.object_name))
         sources: dict[str, FillSource] = {}
         claimant = self.claims.claimant(request.key, now)
@@ -139,9 +138,9 @@
         return list(sources.values())
 
     def may_ask(self, name: str, path: FillPath) -> bool:
-        """Returns whether a fill may ask a node: a ready one, not ejected, and not in the fill's path.
+        """Returns whether a fill may ask a node: it must be ready, not ejected and not in the fill's path.
 
-        A node in the path waits for this fill, so that asking it would close a path loop.
+        A node in the path waits for this fill, so asking it would close a path loop.
         """
         node = self.topology.nodes.get(name)
         is_ready = node.is_ready if node is not None else name in self.introduced_peers
@@ -153,12 +152,12 @@
         return True
 
     def next_source(self, lease: FillLease[FillRequest], next_hop: str) -> FillSource | None:
-        """Returns the source that a fill asks next; None where none is left.
+        """Returns the source that a fill asks next; None if none is left.
 
         Args:
             lease: The fill's lease.
-            next_hop: The node that the last source waits for, where that source rejected the fill because of
-                a possible wait cycle; empty otherwise.
+            next_hop: The node that the last source waits for, if that source rejected the fill because of a
+                possible wait cycle; empty otherwise.
         """
         if next_hop:
             source = self._next_hop_source(lease, next_hop)
@@ -169,13 +168,13 @@
         return self._late_claimant(lease) or lease.sources.popleft()
 
     def _earlier_homes(self, hash_key: int, path: FillPath, now: float) -> list[str]:
-        """Returns the nodes that may hold an object of this home from before."""
+        """Returns the earlier homes, which may hold a copy of an object whose home this node is now."""
         self.claims.forget_expired(now)
         is_new = now - self.started_at < self.new_node_s
         return self.migration.earlier_homes(hash_key, lambda name: self.may_ask(name, path), is_new, now)
 
     def _homes(self, hash_key: int, path: FillPath) -> Iterator[str]:
-        """Returns the homes before this node: where the first fails, all nodes ask the same next one."""
+        """Yields the homes that precede this node, so that all nodes ask the same next home if one fails."""
         for name in self.migration.homes.first_home_names(hash_key, MAX_HOMES_ASKED):
             if name == self.own_name:
                 return
@@ -187,27 +186,28 @@
         return [name for name in _in_home_order(parents, hash_key) if self.may_ask(name, path)]
 
     def _next_hop_source(self, lease: FillLease[FillRequest], next_hop: str) -> FillSource | None:
-        """Returns the source that a rejection's next hop leads to, None to go on with the list."""
+        """Returns the source to ask because of a rejection's next hop; None to continue with the list."""
         if next_hop != self.own_name:
             return self._extra_source(lease, next_hop)
         is_exhausted = lease.extra_source_count >= MAX_EXTRA_SOURCES
         if lease.source_kind is not SourceKind.CACHED_COPY or is_exhausted:
             return None
-        # This node and the source looked the object up at each other. The source has gone on since, and has
-        # cached the object or fills it, so it is asked again.
+        # This node and the source looked the object up at each other. The source has meanwhile cached the
+        # object or begun to fill it, so it is asked again.
         lease.extra_source_count += REPEATED_LOOKUP_COST
         return FillSource(lease.source, only_if_cached=True)
 
     def _late_claimant(self, lease: FillLease[FillRequest]) -> FillSource | None:
-        """Returns the claimant of the object, which may be new since the fill began, before the origin."""
+        """Returns the object's claimant if an origin would be next; the claim may be newer than the fill."""
         if not lease.sources[0].is_origin:
             return None
-        # Judged at the fill's start: a claim in force then, or made since, counts even if it has expired.
+        # Checked as of the fill's start: a claim that was valid then, or was made later, counts even if it
+        # has expired since.
         claimant = self.claims.claimant(lease.key, lease.started_at)
         return self._extra_source(lease, claimant) if claimant is not None else None
 
     def _extra_source(self, lease: FillLease[FillRequest], name: str) -> FillSource | None:
-        """Returns a source beside the list, within the bound; it may be one that was asked before."""
+        """Returns a source outside the list, up to `MAX_EXTRA_SOURCES`; it may have been asked before."""
         is_exhausted = lease.extra_source_count >= MAX_EXTRA_SOURCES
         if name == self.own_name or is_exhausted or not self.may_ask(name, lease.path):
             return None
@@ -217,7 +217,7 @@
 
 
 def _in_home_order(nodes: Iterable[NodeSpec], hash_key: int) -> list[str]:
-    """Returns the names of a few nodes in the order in which they are homes of an object."""
+    """Returns the names of the nodes in the order in which they are homes of an object."""
     slot = slot_of(hash_key)
     weights: Mapping[str, float] = {node.name: node.weight for node in nodes}
     return sorted(weights, key=lambda name: (arrival(digest(name), slot, weights[name]), name))
--- a/paddlequay/hierarchy/topology.py
+++ b/paddlequay/hierarchy/topology.py
@@ -1,8 +1,8 @@
 """The topology of the hierarchy: a versioned graph of the caches and the nodes that they may fill from.
 
-Nodes belong to a group, whose members share the homes of objects, and name their parents. Origins (`store` in
-settings and on the wire) hold everything and end every path. A topology is immutable: a delta gives the next
-one, or is rejected with a reason in one line.
+Each node belongs to a group, whose members share the homes of objects, and lists its parents. Origins
+(`store` in settings and on the wire) hold all objects and end every path. A topology is immutable: a delta
+produces the next one, or is rejected with a reason in one line.
 """
 
 import re
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TopologyLimits:
-    """Bounds of what a feed or a file may bring.
+    """Limits of topologies from a feed or a file.
 
     Attributes:
-        nodes: The most nodes of a topology.
-        parents: The most parents of one node.
-        depth: The most steps from a node up to an origin.
-        pending_deltas: The most deltas that wait for the one they are built on.
-        pending_nodes: The most nodes in all of these.
+        nodes: Nodes of a topology.
+        parents: Parents of one node.
+        depth: Steps from a node up to an origin.
+        pending_deltas: Deltas that wait for their base version.
+        pending_nodes: Nodes in all pending deltas together.
     """
 
     nodes: int = 20_000
@@ -39,9 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSpec:
-    """A cache of the hierarchy or an origin, as the topology lists it.
+    """A cache or an origin, as the topology lists it.
 
-    `started_at` is in Unix seconds, 0 where the node has always run.
+    `started_at` is in Unix seconds; 0 means that the node started long ago.
     """
 
     name: str
@@ -55,13 +55,16 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the node takes new requests."""
+        """Whether the node accepts new requests."""
         return self.state is MemberState.READY
 
 
 @dataclass(frozen=True, slots=True)
 class TopologyDelta:
-    """A change from `base_version` to `version`; with base None it names all nodes of the new version."""
+    """A change from `base_version` to `version`.
+
+    If `base_version` is None the delta is full: `changed` lists all nodes of the new version.
+    """
 
     version: int
     base_version: int | None
@@ -71,21 +74,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """One version of the graph; version 0 is the empty one, before any is known."""
+    """One version of the graph; version 0 is empty and stands for an unknown topology."""
 
     version: int = 0
     nodes: Mapping[str, NodeSpec] = field(default_factory=lambda: MappingProxyType({}))
 
     def caches_of_group(self, group: str) -> Iterator[NodeSpec]:
-        """Returns the caches of a group, in the order in which they came."""
+        """Yields the caches of a group, in the order in which the topology lists them."""
         return (node for node in self.nodes.values() if node.group == group and not node.is_origin)
 
     def origins(self) -> Iterator[NodeSpec]:
-        """Returns the origins, in the order in which they came."""
+        """Yields the origins, in the order in which the topology lists them."""
         return (node for node in self.nodes.values() if node.is_origin)
 
     def parent_caches(self, name: str) -> Iterator[NodeSpec]:
-        """Returns the caches that a node may fill from; origins among its parents are left out."""
+        """Yields the parents of a node that are caches, without origins."""
         node = self.nodes.get(name)
         for parent in node.parents if node is not None else ():
             if not self.nodes[parent].is_origin:
@@ -93,7 +96,7 @@
 
 
 def full_delta(topology: Topology) -> TopologyDelta:
-    """Returns a topology as the delta that gives it whatever there was before."""
+    """Returns a full delta, which produces the topology whatever the previous one is."""
     return TopologyDelta(topology.version, None, tuple(topology.nodes.values()))
 
 
@@ -105,23 +108,23 @@
 
 
 def apply_delta(topology: Topology, delta: TopologyDelta, limits: TopologyLimits) -> Topology:
-    """Returns the topology after a delta; the old one stays as it is.
+    """Returns the topology after a delta; the old topology is not changed.
 
     Raises:
-        TopologyError: The topology would break a rule or a limit.
+        TopologyError: The resulting topology would be invalid or exceed a limit.
     """
     where = f"version {delta.version}"
     is_full = delta.base_version is None
     nodes = {} if is_full else dict(topology.nodes)
     for name in delta.removed:
         if nodes.pop(name, None) is None:
-            raise TopologyError(f"drops {name}, which is not there", where)
+            raise TopologyError(f"drops node {name}, which the topology does not list", where)
     nodes.update((node.name, node) for node in delta.changed)
     if len(nodes) > limits.nodes:
         raise TopologyError(f"has {len(nodes)} nodes, more than {limits.nodes}", where)
     if not any(node.is_origin for node in nodes.values()):
         raise TopologyError("has no store", where)
-    # A node that the delta does not name was valid before, unless one of its parents has been removed.
+    # A node that the delta does not list is still valid, unless one of its parents has been removed.
     must_check_all = is_full or bool(delta.removed)
     checked = list(nodes.values()) if must_check_all else [nodes[node.name] for node in delta.changed]
     for node in checked:
@@ -131,26 +134,27 @@
 
 
 def _check_parents(node: NodeSpec, nodes: Mapping[str, NodeSpec], where: str, limits: TopologyLimits) -> None:
-    """Raises `TopologyError` unless a node has the parents that its kind needs."""
+    """Raises `TopologyError` unless an origin has no parents, or a cache has valid ones."""
     if node.is_origin and node.parents:
         raise TopologyError(f"store {node.name} has parents", where)
     if not node.is_origin and not node.parents:
         raise TopologyError(f"{node.name} has no parent", where)
     if len(node.parents) > limits.parents:
-        raise TopologyError(f"{node.name} has {len(node.parents)} parents", where)
+        raise TopologyError(f"{node.name} has {len(node.parents)} parents, more than {limits.parents}", where)
     for parent in node.parents:
         if parent == node.name:
             raise TopologyError(f"{node.name} is its own parent", where)
         if parent not in nodes:
-            raise TopologyError(f"{node.name} has parent {parent}, which is not there", where)
+            raise TopologyError(f"{node.name} has parent {parent}, which the topology does not list", where)
 
 
 def _check_depth(nodes: Mapping[str, NodeSpec], start: Iterable[str], where: str, max_depth: int) -> None:
-    """Raises `TopologyError` for a cycle, or a path longer than `max_depth`, on any path up from `start`.
+    """Raises `TopologyError` if a path up from `start` has a cycle or more than `max_depth` steps.
 
-    A cycle that a delta closes passes a node that the delta names, so nothing else is walked. The walk keeps
-    its own stack, as the graph may be deeper than the interpreter's. Nodes below a changed one are checked
-    only where the delta names them: hops are bounded as well.
+    Only paths from `start` are visited, as any cycle that a delta closes contains a node that it lists. The
+    search uses its own stack, because the graph may be deeper than the interpreter's recursion limit. The
+    depth of nodes below a changed node is checked only if the delta lists them; the limit of hops bounds
+    their paths as well.
     """
     depth: dict[str, int] = {}
     for first in start:
@@ -158,7 +162,7 @@
             continue
         path = [first]
         on_path = {first}
-        unvisited = [iter(nodes[first].parents)]  # the parents left of each node on the path
+        unvisited = [iter(nodes[first].parents)]  # for each node on the path: its parents not yet visited
         while path:
             parent = next(unvisited[-1], None)
             if parent is None:
@@ -167,10 +171,14 @@
                 unvisited.pop()
                 depth[name] = 1 + max((depth[each] for each in nodes[name].parents), default=-1)
                 if depth[name] > max_depth:
-                    raise TopologyError(f"{name} is {depth[name]} steps below a store", where)
+                    raise TopologyError(
+                        f"{name} is {depth[name]} steps below a store, more than {max_depth}", where
+                    )
             elif parent in on_path:
                 cycle = [*path[path.index(parent) :], parent]
-                raise TopologyError(f"a cycle: {' > '.join(cycle[:MAX_SHOWN_CYCLE_NODES])}", where)
+                raise TopologyError(
+                    f"parents form a cycle: {' > '.join(cycle[:MAX_SHOWN_CYCLE_NODES])}", where
+                )
             elif parent not in depth:
                 path.append(parent)
                 on_path.add(parent)
--- a/paddlequay/hierarchy/topology_json.py
+++ b/paddlequay/hierarchy/topology_json.py
@@ -1,4 +1,4 @@
-"""Topology deltas as JSON, alike in the feed and in the saved file."""
+"""Topology deltas as JSON, in the format that the feed and the saved file share."""
 
 import math
 from collections.abc import Mapping
@@ -8,24 +8,24 @@
 from paddlequay.hierarchy.topology import DEFAULT_GROUP, NODE_NAME, NodeSpec, TopologyDelta, TopologyLimits
 from paddlequay.routing.interface import MemberState
 
-STATE_OF_WORD = {"in_service": MemberState.READY, "terminating": MemberState.DRAINING}
-WORD_OF_STATE = {state: word for word, state in STATE_OF_WORD.items()}
+STATE_OF_WIRE_NAME = {"in_service": MemberState.READY, "terminating": MemberState.DRAINING}
+WIRE_NAME_OF_STATE = {state: wire_name for wire_name, state in STATE_OF_WIRE_NAME.items()}
 VERSION_LIMIT = 1 << 62
 PORT_LIMIT = 1 << 16
 
 
 def decode_delta(item: Any, limits: TopologyLimits) -> TopologyDelta:
-    """Returns the delta that a JSON value holds.
+    """Returns the delta that a JSON value encodes.
 
     Raises:
-        TopologyError: The value holds none; it names the node and the field.
+        TopologyError: The value is not a valid delta; the error names the node and the field.
     """
     if not isinstance(item, dict):
         raise TopologyError("expected an object", "shape", str(item))
     version = _typed(item, "version", int, "shape")
     base = None if item.get("base") is None else _typed(item, "base", int, "shape")
     if not 0 < version < VERSION_LIMIT or (base is not None and not 0 <= base < version):
-        raise TopologyError(f"version {version} cannot be built on {base}", "shape")
+        raise TopologyError(f"version {version} is not valid for base version {base}", "shape")
     changed = item.get("put", [])
     removed = item.get("drop", [])
     if not isinstance(changed, list) or not isinstance(removed, list):
@@ -57,15 +57,15 @@
     if not isinstance(parents, list) or len(parents) > limits.parents:
         raise TopologyError(f"expected a list of at most {limits.parents}", f"{where}: parents")
     state = item.get("state", "in_service")
-    if state not in STATE_OF_WORD:
-        raise TopologyError(f"expected one of {', '.join(STATE_OF_WORD)}", f"{where}: state", str(state))
+    if state not in STATE_OF_WIRE_NAME:
+        raise TopologyError(f"expected one of {', '.join(STATE_OF_WIRE_NAME)}", f"{where}: state", str(state))
     return NodeSpec(
         name=name,
         address=address,
         group=_name(item.get("group", DEFAULT_GROUP), f"{where}: group"),
         parents=tuple(dict.fromkeys(_name(parent, f"{where}: parents") for parent in parents)),
         is_origin=_typed({"store": False} | item, "store", bool, where),
-        state=STATE_OF_WORD[state],
+        state=STATE_OF_WIRE_NAME[state],
         weight=_number(item, "weight", 1.0, where),
         started_at=_number(item, "started_ms", 0.0, where) / 1000.0,
     )
@@ -79,7 +79,7 @@
     else:
         data["parents"] = list(node.parents)
     if node.state is not MemberState.READY:
-        data["state"] = WORD_OF_STATE[node.state]
+        data["state"] = WIRE_NAME_OF_STATE[node.state]
     if node.weight != 1.0:
         data["weight"] = node.weight
     if node.started_at:
@@ -88,7 +88,7 @@
 
 
 def _typed(item: Mapping[str, Any], name: str, kind: type, where: str) -> Any:
-    """Returns a field of the given type; a bool is no int."""
+    """Returns a field of the given type; a bool does not count as an int."""
     value = item.get(name)
     if not isinstance(value, kind) or isinstance(value, bool) is not (kind is bool):
         raise TopologyError(f"expected {kind.__name__}", f"{where}: {name}", str(value))
