--- a/paddlequay/net/hierarchy/fill_driver.py
+++ b/paddlequay/net/hierarchy/fill_driver.py
@@ -1,4 +1,4 @@
-"""Fills as requests of the node's own, which go through the exchange by the same rules as any request."""
+"""Runs a node's fills as requests through the exchange, by the same rules as any other request."""
 
 from collections.abc import Callable, Mapping
 
@@ -25,15 +25,15 @@
 
 
 class FillDriver:
-    """Carries out the node's orders to start fills and to make peers known.
+    """Carries out the node's orders to start fills and to introduce peers.
 
     Args:
         node: The node.
         exchange: Runs the fills.
-        pool: Holds the connections to other nodes.
+        pool: The connections to other nodes.
         keyring: Signs the paths of fills.
         counters: The program's counters.
-        execute: Carries out the actions that follow the end of a fill.
+        execute: Carries out the actions that the node returns at the end of a fill.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self.keyring = keyring
         self.counters = counters
         self.execute = execute
-        self.own_address = ("", 0)  # goes with ownership claims
+        self.own_address = ("", 0)  # sent with ownership claims
         self.last_fill_id = 0
         self.in_flight = 0
 
@@ -74,14 +74,14 @@
         self.exchange.submit(request, lambda answer: self._on_answer(order, answer))
 
     def introduce(self, peer: PeerIntroduction) -> None:
-        """Makes a claimant known that the topology does not name yet, so that fills may ask it."""
+        """Adds a claimant that the topology does not list yet, so that fills can ask it."""
         member = Member(peer.name, None, CACHE_KIND, None, None, 1.0, self.exchange.scheduler.unix())
         self.counters.add("met")
         self.pool.update_endpoints((Endpoint(member, peer.address),), False)
         self.exchange.update_members((member,), False)
 
     def _extra_fields(self, order: StartFill, fill_id: str, target: str) -> Mapping[str, str]:
-        """Returns what a fill tells another node: its path, and its claim. An origin is told neither."""
+        """Returns the fields that a fill sends to another node: its path and any claim; none to an origin."""
         lease = self.node.leases.by_number.get(order.number)
         if lease is None or self._is_origin(target):
             return {}
@@ -100,7 +100,10 @@
         self.execute(self.node.on_fill_ended(order.number, result, self.exchange.scheduler.unix()))
 
     def _result(self, answer: FinalAnswer) -> FillResult:
-        """Returns the result of a fill; a copy without a stamp may be older than a purge and is not used."""
+        """Returns the result of a fill.
+
+        A copy without a stamp is not used, as it may have been generated before a purge.
+        """
         if answer.status is not AnswerStatus.SERVED:
             is_rejected = answer.status is AnswerStatus.REJECTED
             return FillResult(failure=answer.detail, is_rejected=is_rejected)
--- a/paddlequay/net/hierarchy/saved_topology.py
+++ b/paddlequay/net/hierarchy/saved_topology.py
@@ -1,4 +1,4 @@
-"""The topology of the last run, saved with the earlier homes in the installation's folder."""
+"""Saves the topology and the earlier homes in the node's folder, and loads them at the next start."""
 
 import asyncio
 import json
@@ -26,18 +26,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TopologySnapshot:
-    """A topology, and the migration plan's earlier homes as they are saved."""
+    """A topology, and the migration plan's earlier groups in their saved form."""
 
     topology: Topology
-    epochs: list[Any]
+    earlier_groups: list[Any]
 
 
 class SavedTopology:
-    """One node's file. Failures are counted and logged, and raise nothing.
+    """The topology file of a node. Failures are counted and logged, not raised.
 
     Args:
         path: The file.
-        limits: Bounds of topologies.
+        limits: Limits of topologies.
         counters: The program's counters.
     """
 
@@ -46,14 +46,14 @@
         self.limits = limits
         self.counters = counters
         self.take_snapshot: Callable[[], TopologySnapshot] | None = None
-        self.saving: asyncio.Task[None] | None = None
-        self.has_unsaved = False
+        self.save_task: asyncio.Task[None] | None = None
+        self.has_unsaved_changes = False
 
     def load(self, restore: Callable[[TopologySnapshot], None]) -> Topology | None:
-        """Reads the file and hands its snapshot to `restore`, which may raise `ValueError`.
+        """Reads the file and passes its snapshot to `restore`, which may raise `ValueError`.
 
         Returns:
-            The topology; None where there is no file or none that can be used.
+            The topology; None if there is no file or it cannot be used.
         """
         try:
             body = record_files.load(self.path, RECORD_KIND, RECORD_VERSION)
@@ -69,21 +69,21 @@
         return snapshot.topology
 
     def save_soon(self, take_snapshot: Callable[[], TopologySnapshot]) -> None:
-        """Saves a snapshot; where a save is in progress, another one follows it."""
+        """Saves a snapshot in the background; if a save is in progress, another one follows it."""
         self.take_snapshot = take_snapshot
-        self.has_unsaved = True
-        if self.saving is None or self.saving.done():
-            self.saving = asyncio.ensure_future(self._save())
+        self.has_unsaved_changes = True
+        if self.save_task is None or self.save_task.done():
+            self.save_task = asyncio.ensure_future(self._save())
 
     async def flush(self) -> None:
-        """Waits for the save in progress."""
-        if self.saving is not None:
-            await self.saving
+        """Waits until the save in progress has ended."""
+        if self.save_task is not None:
+            await self.save_task
 
     async def _save(self) -> None:
-        """Saves off the loop: the flush of a disk may take long."""
-        while self.has_unsaved and self.take_snapshot is not None:
-            self.has_unsaved = False
+        """Saves in a thread, because flushing to disk may block for long."""
+        while self.has_unsaved_changes and self.take_snapshot is not None:
+            self.has_unsaved_changes = False
             body = self._encode(self.take_snapshot())
             try:
                 await asyncio.to_thread(record_files.save, self.path, RECORD_KIND, RECORD_VERSION, body)
@@ -98,5 +98,5 @@
         return TopologySnapshot(apply_delta(Topology(), delta, self.limits), data["epochs"])
 
     def _encode(self, snapshot: TopologySnapshot) -> bytes:
-        data = {"shape": encode_delta(full_delta(snapshot.topology)), "epochs": snapshot.epochs}
+        data = {"shape": encode_delta(full_delta(snapshot.topology)), "epochs": snapshot.earlier_groups}
         return json.dumps(data, separators=(",", ":")).encode()
--- a/paddlequay/net/hierarchy/tier_front.py
+++ b/paddlequay/net/hierarchy/tier_front.py
@@ -1,4 +1,4 @@
-"""The front of a tier's node: its connections, the replies to them, and its state for operators and peers."""
+"""The network front of a tier: connections, replies, and the state shown to operators and peers."""
 
 import socket
 from collections import OrderedDict
@@ -21,7 +21,7 @@
 from paddlequay.lifecycle.background import TaskSupervisor
 from paddlequay.net.hierarchy.fill_driver import FillDriver
 from paddlequay.net.hierarchy.load_meter import LoadMeter
-from paddlequay.net.hierarchy.tier_session import Requester, TierSession
+from paddlequay.net.hierarchy.tier_session import TierRequester, TierSession
 from paddlequay.net.listener import Acceptor
 from paddlequay.net.upstreams.pool import ConnectionPool
 from paddlequay.observability.counters import Counters
@@ -35,10 +35,10 @@
 
 
 class TierFront:
-    """The connections to a node, and the driver of its fills."""
+    """Accepts connections to a node, replies to their requests and carries out the node's actions."""
 
     shutting_down = False
-    replaced = False  # a tier has no hot restart; the console asks every front
+    replaced = False  # the console reads this of every front; a tier has no hot restart
 
     def __init__(
         self,
@@ -55,13 +55,13 @@
         self.exchange = exchange
         self.limits = limits
         self.counters = counters
-        self.fills = FillDriver(node, exchange, pool, keyring, counters, self.execute)
+        self.fill_driver = FillDriver(node, exchange, pool, keyring, counters, self.execute)
         self.decoder = RequestDecoder(classes, keyring, limits.max_part)
-        self.load = LoadMeter()
-        self.sessions: OrderedDict[TierSession, None] = OrderedDict()  # the oldest first
+        self.load_meter = LoadMeter()
+        self.sessions: OrderedDict[TierSession, None] = OrderedDict()  # oldest first
         self.background = TaskSupervisor(counters)
         self.address = ("", 0)
-        self.waiting_for = "the feed"  # why no requests should come yet
+        self.waiting_for = "the feed"  # what the node needs before it is ready; empty once it is ready
         self.acceptor: Acceptor | None = None
 
     def monotonic(self) -> float:
@@ -73,19 +73,19 @@
         return self.exchange.scheduler.unix()
 
     def change_keys(self, keyring: Keyring) -> None:
-        """Signs and verifies paths with other keys from now on."""
-        self.fills.keyring = keyring
+        """Replaces the keys that sign and verify paths."""
+        self.fill_driver.keyring = keyring
         self.decoder = RequestDecoder(self.classes, keyring, self.limits.max_part)
 
     def listen(self, listener: socket.socket) -> None:
-        """Accepts connections on a bound socket from now on."""
+        """Starts to accept connections on a bound socket."""
         listener.listen(LISTEN_BACKLOG_SIZE)
         self.address = listener.getsockname()[:2]
-        self.fills.own_address = self.address
+        self.fill_driver.own_address = self.address
         self.acceptor = Acceptor(listener, self._on_accept, lambda: self.limits.accepts_per_turn)
 
     def sweep(self) -> None:
-        """Closes sessions that stopped inside a message, have long been idle, or are done while draining."""
+        """Closes sessions that stalled inside a message or are idle for long, and idle ones when draining."""
         now = self.monotonic()
         for session in list(self.sessions):
             quiet_s = now - session.last_read_at
@@ -98,15 +98,15 @@
                 session.close()
 
     def on_session_closed(self, session: TierSession) -> None:
-        """Forgets a session."""
+        """Removes a closed session."""
         self.sessions.pop(session, None)
 
-    def decode(self, message: CacheRequest, requester: Requester) -> FillRequest:
+    def decode(self, message: CacheRequest, requester: TierRequester) -> FillRequest:
         """Returns the fill request of a message; raises `RequestFieldError` or `FillPathError`."""
         return self.decoder.decode(message, requester, self.unix())
 
     def handle_request(self, request: FillRequest) -> None:
-        """Hands a request to the node and carries out what follows."""
+        """Passes a request to the node and carries out the actions that follow."""
         self.execute(self.node.handle_request(request, self.unix()))
 
     def cancel(self, request: FillRequest) -> None:
@@ -120,12 +120,12 @@
                 case Reply():
                     self._send_reply(action)
                 case StartFill():
-                    self.fills.start(action)
+                    self.fill_driver.start(action)
                 case PeerIntroduction():
-                    self.fills.introduce(action)
+                    self.fill_driver.introduce(action)
 
     def closed_reason(self) -> str:
-        """Returns why no requests should come; empty while they may."""
+        """Returns why the node should get no new requests; empty if it may get them."""
         if self.shutting_down:
             return "this process is ending"
         if self.exchange.operator_state.draining:
@@ -134,21 +134,21 @@
 
     @property
     def open_summary(self) -> str:
-        """What is open, for operators."""
+        """The numbers of open connections and requests, as text for operators."""
         return f"{len(self.sessions)} connections, {self.node.waiting_count} requests open"
 
     @property
     def has_unsent(self) -> bool:
-        """Whether a session has bytes that are not sent yet."""
+        """Whether any session has bytes that are not sent yet."""
         return any(session.unsent_bytes for session in self.sessions)
 
     def load_report(self) -> str:
         """Returns the load report of the node."""
-        return self.load.report(self.node.waiting_count, self.fills.in_flight)
+        return self.load_meter.report(self.node.waiting_count, self.fill_driver.in_flight)
 
     def on_heartbeat(self, busy_ratio: float) -> None:
-        """Times out requests and ages the load report; `busy_ratio` is the use of the cores, 0 to 1."""
-        self.load.on_heartbeat(busy_ratio)
+        """Times out requests and updates the load report; `busy_ratio` is the use of the cores, 0 to 1."""
+        self.load_meter.on_heartbeat(busy_ratio)
         self.execute(self.node.expire(self.unix()))
 
     @property
@@ -156,26 +156,26 @@
         return self.exchange.operator_state.draining or self.shutting_down
 
     def _on_accept(self, connection: socket.socket) -> None:
-        """Starts a session; where there are too many, an idle one is closed for it."""
+        """Starts a session; at the limit closes an idle one for it, or the new connection if none is idle."""
         if len(self.sessions) >= self.limits.client_connections:
-            idle = next((session for session in self.sessions if not session.requests), None)
-            if idle is None:
+            idle_session = next((session for session in self.sessions if not session.requests), None)
+            if idle_session is None:
                 self.counters.add("turned_away")
                 connection.close()
                 return
             self.counters.add("closed_idle_askers")
-            idle.close()
+            idle_session.close()
         session = TierSession(self, IOStream(connection))
         self.sessions[session] = None
         self.background.spawn("tier_session", session.run())
 
     def _send_reply(self, reply: Reply) -> None:
-        """Writes a reply; a refresh of the node's own has no requester and gets none."""
+        """Writes a reply to its requester; a refresh by the node itself has none."""
         requester = reply.request.requester
-        if not isinstance(requester, Requester):
+        if not isinstance(requester, TierRequester):
             return
         requester.session.requests.pop(requester.id, None)
-        self.load.record_reply(reply.reason is ReplyReason.CACHED)
+        self.load_meter.record_reply(reply.reason is ReplyReason.CACHED)
         copy = reply.copy
         body: Buffer = copy.body if copy is not None and reply.status is ReplyStatus.HIT else b""
         fields = reply_fields(reply, self.load_report())
--- a/paddlequay/net/hierarchy/tier_session.py
+++ b/paddlequay/net/hierarchy/tier_session.py
@@ -25,7 +25,7 @@
 
 LOGGER = logging.getLogger(__name__)
 
-MAX_OPEN_REQUESTS = 4096  # of one connection: routers and caches share few connections
+MAX_OPEN_REQUESTS = 4096  # on one connection, as routers and caches send all requests over few connections
 BAD_LINE_EVENT = "bad_asker_line"
 BAD_PATH_EVENT = "bad_trail"
 BAD_FIELD_EVENT = "bad_field"
@@ -33,7 +33,7 @@
 
 
 class SessionFront(Protocol):
-    """What a session needs of the front that accepted it."""
+    """The interface of the front that accepted a session."""
 
     limits: Limits
     counters: Counters
@@ -42,12 +42,12 @@
         """Returns the monotonic time in seconds."""
         ...
 
-    def decode(self, message: CacheRequest, requester: "Requester") -> FillRequest:
+    def decode(self, message: CacheRequest, requester: "TierRequester") -> FillRequest:
         """Returns the fill request of a message; raises `RequestFieldError` or `FillPathError`."""
         ...
 
     def handle_request(self, request: FillRequest) -> None:
-        """Hands a request to the node and carries out what follows."""
+        """Passes a request to the node and carries out the actions that follow."""
         ...
 
     def cancel(self, request: FillRequest) -> None:
@@ -55,11 +55,11 @@
         ...
 
     def on_session_closed(self, session: "TierSession") -> None:
-        """Forgets a session."""
+        """Removes a closed session."""
         ...
 
     def closed_reason(self) -> str:
-        """Returns why no requests should come; empty while they may."""
+        """Returns why the node should get no new requests; empty if it may get them."""
         ...
 
     def load_report(self) -> str:
@@ -75,7 +75,7 @@
         self.stream = stream
         self.limits = front.limits
         self.parser = CacheRequestParser(self.limits.max_cache_line, self.limits.max_client_body)
-        self.requests: dict[str, FillRequest] = {}  # open, by id
+        self.requests: dict[str, FillRequest] = {}  # open requests by id
         self.unsent_bytes = 0
         self.last_read_at = front.monotonic()
 
@@ -89,7 +89,7 @@
         except CacheProtocolError as error:
             if self.front.counters.add_once("bad_asker_lines"):
                 log.event(LOGGER, logging.WARNING, BAD_LINE_EVENT, why=str(error))
-        except Exception:  # the edge of a connection: a fault ends this one and no other
+        except Exception:  # a fault in one connection must not affect the others
             self.front.counters.add("asker_errors")
             LOGGER.exception(SESSION_FAILED_EVENT)
         finally:
@@ -104,7 +104,7 @@
         self.requests.clear()
 
     def write(self, id: str, status: str, fields: Mapping[str, str], body: Buffer = b"") -> None:
-        """Writes an answer; closes the connection where the peer reads nothing while much is unsent."""
+        """Writes an answer; closes the connection if the peer reads so slowly that too much is unsent."""
         if self.stream.closed():
             return
         size = len(body)
@@ -142,7 +142,7 @@
     def _handle_request(self, message: CacheRequest) -> None:
         counters = self.front.counters
         if message.id in self.requests:
-            # Its answer could not be told from the first one's.
+            # The requester could not distinguish the answers to two open requests with the same id.
             counters.add("rejected.id_open")
             self._fail(message, "ID_OPEN")
             return
@@ -152,7 +152,7 @@
             self.write(message.id, rejected, {"detail": ReplyReason.FILL_REJECTED.value})
             return
         try:
-            request = self.front.decode(message, Requester(self, message.id))
+            request = self.front.decode(message, TierRequester(self, message.id))
         except FillPathError as error:
             counters.add("bad_trails")
             log.event(LOGGER, logging.WARNING, BAD_PATH_EVENT, why=str(error))
@@ -172,12 +172,12 @@
     def _on_written(self, size: int, future: "asyncio.Future[None]") -> None:
         self.unsent_bytes -= size
         if not future.cancelled():
-            future.exception()  # retrieved only: the read reports a closed stream
+            future.exception()  # marks the exception as retrieved; the read reports a closed stream
 
 
 @dataclass(frozen=True, slots=True)
-class Requester:
-    """Where the reply to a request goes: a session, and the request's id on it."""
+class TierRequester:
+    """The destination of a reply: a session and the request's id in it."""
 
     session: TierSession
     id: str
--- a/paddlequay/net/hierarchy/topology_feed.py
+++ b/paddlequay/net/hierarchy/topology_feed.py
@@ -1,4 +1,4 @@
-"""The connection to the topology feed, made anew whenever it falls silent, breaks or restarts its numbers."""
+"""The topology feed's client; it reconnects if the feed is silent, disconnects or resets its numbering."""
 
 import logging
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 LOGGER = logging.getLogger(__name__)
 
-FULL_REQUEST_INTERVAL_S = 5.0  # the feed is asked for everything at most this often
+FULL_REQUEST_INTERVAL_S = 5.0  # the least time between two requests for all events of the feed
 TOPOLOGY_EVENT = "shape"
 TOPOLOGY_REPLACED_EVENT = "shape_replaced"
 FEED_RESTARTED_EVENT = "feed_went_back"
@@ -25,13 +25,13 @@
 
 
 class TopologyFeed(WatchClient[FeedEvent]):
-    """Keeps a node's topology current, and passes purges on to it.
+    """Keeps a node's topology up to date, and passes purges to the node.
 
     Args:
         address: The feed's address.
-        tracker: Holds the current topology.
-        topology_limits: Bounds of topologies.
-        limits: Bounds of connections.
+        tracker: Tracks the current topology.
+        topology_limits: Limits of topologies.
+        limits: Limits of connections.
         counters: The program's counters.
         monotonic: Returns the monotonic time in seconds.
     """
@@ -53,28 +53,30 @@
         self.on_purge: Callable[[PurgeEvent], None] = lambda _: None
         self.full_requested_at = -FULL_REQUEST_INTERVAL_S
         self.must_request_all = False
-        # What the feed sends from its beginning, beside the topology in force, until all of it has come.
-        self.catching_up: TopologyTracker | None = None
-        self.start_over()
+        # Tracks the topologies that the feed sends from its beginning, until the feed has sent all of them.
+        # Meanwhile the current topology stays in force.
+        self.catch_up_tracker: TopologyTracker | None = None
+        self.restart_from_beginning()
 
-    def start_over(self) -> None:
+    def restart_from_beginning(self) -> None:
         """Requests the feed from its beginning.
 
-        Its versions may be lower than the one in force, which came from another feed or from before this one
-        was set up anew; then the feed's holds. So its topologies are tracked apart until all have come: one
-        by one, the old ones would be acted on in turn and those below the one in force be ignored.
+        The feed's versions may be lower than the current one, if that came from another feed or the feed has
+        been reset; then the feed's topology replaces it. Therefore the feed's topologies are tracked apart
+        until all have arrived. Applied one by one, each old topology would take effect for a moment, and
+        those with versions below the current one would be ignored.
         """
         self.last_number = 0
         self.must_request_all = False
         has_topology = bool(self.tracker.topology.version)
-        self.catching_up = TopologyTracker(self.topology_limits) if has_topology else None
+        self.catch_up_tracker = TopologyTracker(self.topology_limits) if has_topology else None
 
     def make_parser(self) -> EventParser[FeedEvent | WatchHeartbeat | UnusableLine]:
         """Returns a parser for a new connection."""
         return TopologyFeedParser(self.limits.max_bulletin_line, self.topology_limits)
 
     def handle(self, event: FeedEvent | WatchHeartbeat | UnusableLine) -> None:
-        """Handles one line; a feed whose numbers go back is requested from its beginning."""
+        """Handles one line; requests the feed from its beginning if its event numbers have gone back."""
         if isinstance(event, WatchHeartbeat) and event.number < self.last_number:
             self.counters.add("feed_went_back")
             fields = {"had": self.last_number, "tells": event.number}
@@ -83,13 +85,13 @@
         else:
             super().handle(event)
         if self.must_request_all:
-            self.start_over()
+            self.restart_from_beginning()
             self.restart(RETRY_PAUSE_S)
 
     def heartbeat(self, number: int) -> None:
-        """Acts on the topology that has been caught up with: the feed has sent everything."""
-        tracker = self.catching_up
-        self.catching_up = None
+        """Adopts the topology tracked from the feed's beginning; a heartbeat follows the last event."""
+        tracker = self.catch_up_tracker
+        self.catch_up_tracker = None
         if tracker is None or not tracker.topology.version or tracker.topology == self.tracker.topology:
             return
         old_version = self.tracker.topology.version
@@ -102,7 +104,7 @@
         self.on_topology(tracker.topology)
 
     def apply_event(self, event: FeedEvent) -> None:
-        """Applies a topology delta or passes a purge on; the feed's endpoint lists are for routers."""
+        """Applies a topology delta or passes on a purge; endpoint lists are for routers and are ignored."""
         if isinstance(event, TopologyEvent):
             self._apply_topology_event(event)
         elif isinstance(event, PurgeEvent):
@@ -110,7 +112,7 @@
             self.on_purge(event)
 
     def _apply_topology_event(self, event: TopologyEvent) -> None:
-        tracker = self.catching_up or self.tracker
+        tracker = self.catch_up_tracker or self.tracker
         before = tracker.topology
         result = DeltaResult(DeltaOutcome.REJECTED, event.reason)
         if event.delta is not None:
@@ -118,7 +120,8 @@
         self.counters.add(f"shapes.{result.outcome.value}")
         if result.outcome in (DeltaOutcome.REJECTED, DeltaOutcome.PENDING):
             log.event(LOGGER, logging.WARNING, f"shape_{result.outcome.value}", why=result.reason)
-            # A delta was missed, or never sent: everything from the start holds a full topology.
+            # The delta's base version was missed or never sent. The feed from its beginning contains a full
+            # topology.
             if event.delta is not None and event.delta.base_version not in (None, before.version):
                 self._request_all()
         topology = tracker.topology
@@ -128,7 +131,7 @@
             self.on_topology(topology)
 
     def _request_all(self) -> None:
-        """Requests everything once this event is applied, unless that was done shortly before."""
+        """Requests all events of the feed after this one, unless that was done within the last seconds."""
         now = self.monotonic()
         if now - self.full_requested_at >= FULL_REQUEST_INTERVAL_S:
             self.full_requested_at = now
--- a/paddlequay/programs/tier.py
+++ b/paddlequay/programs/tier.py
@@ -195,7 +195,7 @@
 
     def restore_migration(self, snapshot: TopologySnapshot) -> None:
         """Goes on with the migration of the last run; raises `ValueError` where it cannot be read."""
-        self.node.source_selector.migration.restore_state(snapshot.epochs, self.scheduler.unix())
+        self.node.source_selector.migration.restore_state(snapshot.earlier_groups, self.scheduler.unix())
 
     def snapshot(self) -> TopologySnapshot:
         """Returns what is saved for the next start."""
--- a/paddlequay/store/__init__.py
+++ b/paddlequay/store/__init__.py
@@ -1,1 +1,1 @@
-"""Storage that outlives the process: checksummed records, replaced atomically."""
+"""Persistent storage: records with checksums, replaced atomically."""
--- a/paddlequay/store/record.py
+++ b/paddlequay/store/record.py
@@ -2,7 +2,7 @@
 
     paddlequay KIND VERSION LENGTH SHA256
 
-A torn or altered record, or one of another kind or version, is told from a complete one. Knows no file.
+Decoding detects records that are truncated, altered, or of another kind or version.
 """
 
 import hashlib
@@ -25,23 +25,23 @@
 
     Args:
         data: All bytes of the record.
-        kind: The kind that it must have.
-        version: The format version that it must have.
+        kind: The kind that the record must have.
+        version: The format version that the record must have.
 
     Raises:
         RecordError: The bytes are not a complete record of this kind and version.
     """
     header = HEADER.match(data[:MAX_HEADER_BYTES])
     if header is None:
-        raise RecordError("no record, or its first line is torn")
+        raise RecordError("record header is missing, truncated or malformed")
     found_kind, found_version, length, checksum = header.groups()
     if found_kind.decode() != kind:
-        raise RecordError(f"a record of {found_kind.decode()}, expected {kind}")
+        raise RecordError(f"record kind is {found_kind.decode()}, expected {kind}")
     if int(found_version) != version:
-        raise RecordError(f"of format {int(found_version)}, expected {version}")
+        raise RecordError(f"record format version is {int(found_version)}, expected {version}")
     body = data[header.end() :]
     if len(body) != int(length):
-        raise RecordError(f"{len(body)} bytes, expected {int(length)}: it is torn")
+        raise RecordError(f"record body has {len(body)} bytes, expected {int(length)}")
     if hashlib.sha256(body).hexdigest() != checksum.decode():
-        raise RecordError("the checksum does not hold")
+        raise RecordError(f"record checksum mismatch: body does not match {checksum.decode()}")
     return body
--- a/paddlequay/store/record_files.py
+++ b/paddlequay/store/record_files.py
@@ -1,7 +1,7 @@
 """Records as files, replaced atomically.
 
-A record is written to a temporary file, flushed to the disk, renamed over the old one, and then the folder is
-flushed. A reader sees the old record or the new one, whenever the machine stops.
+A record is written to a temporary file and flushed to disk; the file is renamed over the old one and then the
+folder is flushed. A reader sees either the old record or the new one, even after a crash of the machine.
 """
 
 import os
@@ -19,12 +19,12 @@
 
     Args:
         path: The file.
-        kind: What the record holds, in lower-case letters and dashes.
+        kind: The kind of the record, in lower-case letters and dashes.
         version: The version of the body's format.
         body: The record's contents.
 
     Raises:
-        OSError: The record could not be written; the old one is still there.
+        OSError: The record could not be written; the old one is unchanged.
     """
     temporary = path.with_name(f"{path.name}.{os.getpid()}{TEMPORARY_SUFFIX}")
     try:
@@ -37,9 +37,9 @@
 
 
 def load(path: Path, kind: str, version: int) -> bytes | None:
-    """Returns the body of the record at `path`; None where there is no file.
+    """Returns the body of the record at `path`; None if there is no such file.
 
-    Removes the temporary files that a crash has left beside it.
+    Also removes temporary files that a crash left behind.
 
     Args:
         path: The file.
@@ -58,7 +58,7 @@
     except FileNotFoundError:
         return None
     if len(data) > MAX_FILE_BYTES:
-        raise RecordError(f"more than {MAX_FILE_BYTES} bytes")
+        raise RecordError(f"record file has more than {MAX_FILE_BYTES} bytes")
     return decode(data, kind, version)
 
 
