--- a/tests/golden/test_golden_pages.py
+++ b/tests/golden/test_golden_pages.py
@@ -45,7 +45,7 @@
 
 
 def test_the_page_of_a_tier_node_keeps_its_fields(ready: Rig) -> None:
-    same("hierarchy", ready.page())
+    same("hierarchy", ready.hierarchy_page())
 
 
 def test_the_page_of_members_keeps_its_fields(tmp_path: Path) -> None:
--- a/tests/hierarchy/rig_node.py
+++ b/tests/hierarchy/rig_node.py
@@ -28,7 +28,7 @@
 
 
 def topology(version: int, *names: str, **weights: float) -> Topology:
-    """A topology of one tier under the origin."""
+    """A topology of caches whose only parent is the origin, with the given weights."""
     nodes = tuple(
         NodeSpec(
             spec.name,
@@ -43,22 +43,22 @@
     return apply_delta(Topology(), TopologyDelta(version, None, nodes), TopologyLimits())
 
 
-def home_of_all(version: int, home: str, *names: str) -> Topology:
-    """A topology by which one node is the home of every object."""
+def topology_with_single_home(version: int, home: str, *names: str) -> Topology:
+    """A topology in which one node is the home of every object."""
     return topology(version, *names, **{home: 1e9})
 
 
-def node_alone(**limits: Any) -> CacheNode:
-    """A node under the origin, with no other in its tier."""
+def single_node(**limits: Any) -> CacheNode:
+    """A node that is the only cache under the origin."""
     node = CacheNode("a", NodeLimits(**limits), MigrationLimits())
     node.follow(first_topology(("a",)), 100.0)
     return node
 
 
-def fill_request(requester: str = "t", object_name: str = "x", **also: Any) -> FillRequest:
-    min_generated_at = also.pop("min_generated_at", 0.0)
-    deadline = also.pop("deadline", 200.0)
-    return FillRequest(requester, object_name, 0, "video", min_generated_at, deadline, **also)
+def fill_request(requester: str = "t", object_name: str = "x", **fields: Any) -> FillRequest:
+    min_generated_at = fields.pop("min_generated_at", 0.0)
+    deadline = fields.pop("deadline", 200.0)
+    return FillRequest(requester, object_name, 0, "video", min_generated_at, deadline, **fields)
 
 
 def replies(actions: Iterable[Action]) -> list[tuple[object, ReplyStatus, ReplyReason | None]]:
@@ -75,7 +75,7 @@
 
 
 def begin_fill(node: CacheNode, request: FillRequest, now: float = 100.0) -> StartFill:
-    """The fill that a request begins; nothing else follows from the request."""
+    """The fill that a request begins, which must be the only action."""
     (action,) = node.handle_request(request, now)
     assert isinstance(action, StartFill)
     return action
--- a/tests/hierarchy/rig_tier.py
+++ b/tests/hierarchy/rig_tier.py
@@ -1,4 +1,4 @@
-"""A tier's node as a process, with a feed, neighbours and clients on loopback."""
+"""Runs tiers as processes, with a feed, an origin, other nodes and clients on loopback."""
 
 import contextlib
 import json
@@ -20,15 +20,16 @@
 SECRET = b"a secret of all the nodes"
 
 
-def node(name: str, at: str, *parents: str, **also: Any) -> dict[str, Any]:
+def node(name: str, address: str, *parents: str, **fields: Any) -> dict[str, Any]:
+    """A node as JSON of the feed; without parents it is an origin."""
     group = (
         {"group": "stores", "store": True} if not parents else {"group": "aimag", "parents": list(parents)}
     )
-    return {"id": name, "at": at} | group | also
+    return {"id": name, "at": address} | group | fields
 
 
 class FeedServer(Party):
-    """A topology feed: writes numbered lines to every node that follows it."""
+    """A topology feed, which writes numbered lines to all nodes connected to it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -52,7 +53,7 @@
 
     def stop(self) -> None:
         """Close the listener and all connections."""
-        self.listener.shutdown(socket.SHUT_RDWR)  # a close alone would not end the accept under way
+        self.listener.shutdown(socket.SHUT_RDWR)  # close() alone would not interrupt a pending accept()
         self.listener.close()
         for connection in self.followers:
             with contextlib.suppress(OSError):
@@ -64,35 +65,38 @@
 
 
 class TierClient:
-    """An edge cache, a router or another node: one connection to a tier."""
+    """A connection to a tier from an edge cache, a router or another node."""
 
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection(("127.0.0.1", port), timeout=WAIT)
         self.file = self.socket.makefile("rb")
 
-    def ask(self, id: str, name: str = f"{7:016x}", **fields: str) -> None:
-        all_ = {"queue": "video", "path": name, "blk": "0", "budget": "3000", "via": "store"} | fields
-        text = ",".join(f"{key}={value}" for key, value in all_.items() if value)
+    def send_request(self, id: str, name: str = f"{7:016x}", **fields: str) -> None:
+        """Send a request; fields replace the defaults, and an empty one is left out."""
+        all_fields = {"queue": "video", "path": name, "blk": "0", "budget": "3000", "via": "store"} | fields
+        text = ",".join(f"{key}={value}" for key, value in all_fields.items() if value)
         self.socket.sendall(f"ASK {id} {text} 0\r\n\r\n".encode())
 
-    def answer(self) -> tuple[str, str, dict[str, str], bytes]:
+    def read_answer(self) -> tuple[str, str, dict[str, str], bytes]:
+        """Read the next answer: its request id, status, fields and body."""
         words = self.file.readline().decode().split()
         body = self.file.read(int(words[3]) + 2)[:-2]
         return words[0], words[1], dict(pair.split("=") for pair in words[2].split(",")), body
 
 
 class Rig:
-    """One tier with an origin and a feed; further nodes are `Party`s or tiers of their own."""
+    """Tiers with an origin and a feed; other nodes are a `Party` or further tiers."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.feed, self.store = FeedServer(), Party()
+        self.feed, self.origin = FeedServer(), Party()
         (folder / "hop.key").write_bytes(SECRET)
         self.ports: dict[str, tuple[int, int]] = {}
         self.processes: dict[str, subprocess.Popen[str]] = {}
         self.log: list[str] = []
 
-    def settings(self, name: str, **replaced: str) -> Path:
+    def write_settings(self, name: str, **replaced: str) -> Path:
+        """Write the settings file of a tier, with texts replaced as given."""
         port, console = self.ports.setdefault(name, (free_port(), free_port()))
         text = f"""tier {{
   name: "{name}"
@@ -112,7 +116,7 @@
         return path
 
     def start(self, name: str = "a") -> None:
-        path = self.settings(name)
+        path = self.write_settings(name)
         process = subprocess.Popen(
             [sys.executable, "-m", "paddlequay", "tier", str(path)],
             cwd=ROOT,
@@ -124,9 +128,10 @@
         threading.Thread(
             target=self.log.extend, args=(iter(process.stderr.readline, ""),), daemon=True
         ).start()
-        until(lambda: self.call("/-/ready", "GET", name)[0] in (200, 503), "the console answers")
+        until(lambda: self.call_console("/-/ready", "GET", name)[0] in (200, 503), "the console answers")
 
-    def call(self, path: str, method: str = "POST", name: str = "a") -> tuple[int, str]:
+    def call_console(self, path: str, method: str = "POST", name: str = "a") -> tuple[int, str]:
+        """Call a tier's console; returns status and text, or 0 and no text if it cannot be reached."""
         request = urllib.request.Request(f"http://127.0.0.1:{self.ports[name][1]}{path}", method=method)
         try:
             with urllib.request.urlopen(request, timeout=WAIT) as answer:
@@ -136,10 +141,10 @@
         except OSError:
             return 0, ""
 
-    def page(self, name: str = "a") -> dict[str, Any]:
-        text = self.call("/-/hierarchy", "GET", name)[1]
-        found: dict[str, Any] = json.loads(text) if text else {"version": 0}
-        return found
+    def hierarchy_page(self, name: str = "a") -> dict[str, Any]:
+        text = self.call_console("/-/hierarchy", "GET", name)[1]
+        page: dict[str, Any] = json.loads(text) if text else {"version": 0}
+        return page
 
     def address(self, name: str) -> str:
         return f"127.0.0.1:{self.ports.setdefault(name, (free_port(), free_port()))[0]}"
@@ -147,27 +152,28 @@
     def publish_topology(self, *nodes: dict[str, Any]) -> None:
         """Publish a full topology on the feed."""
         version = 1 + sum("shape" in event for event in self.feed.events)
-        put = [node("store", self.store.address), *nodes]
+        put = [node("store", self.origin.address), *nodes]
         self.feed.publish(shape={"version": version, "put": put})
 
     def wait_for_version(self, version: int, *names: str) -> None:
-        def all_have_it() -> bool:
-            return all(self.page(name)["version"] == version for name in names or ("a",))
+        def all_at_version() -> bool:
+            return all(self.hierarchy_page(name)["version"] == version for name in names or ("a",))
 
-        until(all_have_it, f"version {version} everywhere")
+        until(all_at_version, f"all nodes have topology version {version}")
 
     def answer_as_origin(
-        self, tag: str = "t", minted: float | None = None, word: str = "HIT", **also: str
+        self, tag: str = "t", generated_at: float | None = None, status: str = "HIT", **fields: str
     ) -> list[str]:
-        """Give the origin's next answer."""
-        stamp = {"tag": tag, "minted": str(round((minted or time.time()) * 1000))} | also
+        """Answer the next request to the origin, and return the words of that request."""
+        stamp = {"tag": tag, "minted": str(round((generated_at or time.time()) * 1000))} | fields
         text = ",".join(f"{key}={value}" for key, value in stamp.items())
-        return self.store.answer(word, text, tag.encode())
+        return self.origin.answer(status, text, tag.encode())
 
     def connect(self, name: str = "a") -> TierClient:
         return TierClient(self.ports[name][0])
 
-    def logged(self, text: str) -> str:
+    def wait_for_log_line(self, text: str) -> str:
+        """Wait for a log line that contains a text, and return it."""
         found: str = until(lambda: next((line for line in list(self.log) if text in line), None), text)
         return found
 
@@ -176,21 +182,21 @@
             if process.poll() is None:
                 process.kill()
             process.wait(timeout=WAIT)
-        for party in (self.feed, self.store):
+        for party in (self.feed, self.origin):
             party.listener.close()
 
 
 def tier_rig(tmp_path: Path) -> Iterator[Rig]:
-    made = Rig(tmp_path)
+    rig = Rig(tmp_path)
     try:
-        yield made
+        yield rig
     finally:
-        made.close()
+        rig.close()
 
 
 def rig_with_ready_tier(rig: Rig) -> Rig:
-    """A rig with one tier alone under the origin, ready."""
+    """A rig with a single tier under the origin, which is ready."""
     rig.publish_topology(node("a", rig.address("a"), "store"))
     rig.start()
-    until(lambda: rig.call("/-/ready", "GET")[0] == 200, "the tier is ready")
+    until(lambda: rig.call_console("/-/ready", "GET")[0] == 200, "the tier is ready")
     return rig
--- a/tests/hierarchy/test_copy_cache.py
+++ b/tests/hierarchy/test_copy_cache.py
@@ -1,4 +1,4 @@
-"""Cached copies at a node: order of eviction, versions, purges, and the memory of purges."""
+"""Cached copies at a node: order of eviction, replacement, purges, and the limit of remembered purges."""
 
 from rig_node import cached_copy
 
@@ -6,7 +6,7 @@
 from paddlequay.hierarchy.purge_history import PurgeHistory
 
 
-def test_low_retention_is_evicted_first_then_least_recent_use_and_never_for_a_lower_retention() -> None:
+def test_cache_evicts_lowest_retention_then_least_recently_used_but_never_a_higher_retention() -> None:
     cache = CopyCache(4 * (100 + ENTRY_OVERHEAD_BYTES))
     for name, retention in (("low", 0), ("one", 1), ("two", 1), ("top", 3)):
         assert cache.put(PartKey(name, 0), cached_copy(retention=retention))
@@ -32,7 +32,7 @@
     assert cached.generated_at == 11 and cached.retention == 3 and len(cache) == 1
 
 
-def test_a_purge_drops_older_copies_of_an_object_or_a_group_and_those_of_an_unknown_group() -> None:
+def test_purge_drops_older_copies_of_its_object_or_group_and_those_of_an_unknown_group() -> None:
     cache = CopyCache(100_000)
     for name, part, generated_at, group in (
         ("a", 0, 5, 1),
@@ -44,7 +44,7 @@
         cache.put(PartKey(name, part), cached_copy(generated_at=generated_at, group=group))
     assert cache.purge("a", None, 7.0) == 1
     assert cache.peek(PartKey("a", 1)) is not None
-    assert cache.purge(None, 1, 7.0) == 2  # b, and d that may belong to any group
+    assert cache.purge(None, 1, 7.0) == 2  # b, and d, which may belong to any group
     assert {key.object_name for key, _ in cache.items()} == {"a", "c"}
     assert cache.purge(None, None, 7.0) == 0
     cache.drop(PartKey("c", 0))
@@ -52,7 +52,7 @@
     assert cache.bytes == 0 and not cache.by_object and not cache.by_group
 
 
-def test_purges_past_the_bound_are_merged_into_one_of_everything() -> None:
+def test_purges_above_the_limit_are_merged_into_one_purge_of_all_objects() -> None:
     purges = PurgeHistory(memory_s=6.0, max_purges=3)
     for number in range(5):
         purges.add(f"o{number}", None, 100.0 + number, 105.0)
--- a/tests/hierarchy/test_fencing_tokens.py
+++ b/tests/hierarchy/test_fencing_tokens.py
@@ -31,15 +31,15 @@
     assert tokens.accepts(1, 5, 0.0) and tokens.accepts(1, 5, 1.0) and tokens.accepts(1, 7, 2.0)
     assert not tokens.accepts(1, 6, 3.0)
     assert tokens.accepts(1, 7, 3.0)
-    assert tokens.accepts(2, 1, 3.0)  # each channel has its own
+    assert tokens.accepts(2, 1, 3.0)  # each channel has its own tokens
 
 
-def test_tokens_are_remembered_within_a_bound_and_for_a_time() -> None:
+def test_token_memory_is_limited_in_channels_and_time() -> None:
     tokens = FencingTokens(max_channels=3, memory_s=10.0)
     for channel in range(5):
         tokens.accepts(channel, 9, 0.0)
     assert len(tokens) == 3 and tokens.accepts(0, 1, 1.0) and not tokens.accepts(4, 1, 1.0)
-    # Rejected fills do not extend the memory of their channel.
+    # A rejected fill does not extend the time for which its channel is remembered.
     assert not tokens.accepts(4, 1, 9.9) and tokens.accepts(4, 1, 10.1)
 
 
@@ -58,8 +58,8 @@
     assert isinstance(request(None, 2)[0], StartFill)  # a request without a channel has no token to check
     assert node.counters.counts["old_terms"] == 1
     reader = wire.CacheAnswerParser(1000, 1000)
-    (told,) = reader.feed(b"x NONE detail=OLD_TERM 0\r\n\r\n")
-    assert parse_result(told).detail is ReplyDetail.STALE_TERM
+    (answer,) = reader.feed(b"x NONE detail=OLD_TERM 0\r\n\r\n")
+    assert parse_result(answer).detail is ReplyDetail.STALE_TERM
 
 
 @pytest.mark.parametrize(
@@ -72,23 +72,23 @@
     assert decode_channel_token({"chan": "ff", "term": "10"}) == ChannelToken(255, 16)
 
 
-def test_a_tier_serves_each_later_owner_and_rejects_the_one_before(ready: Rig) -> None:
+def test_tier_serves_the_channel_owner_with_the_highest_token_and_rejects_a_former_owner(ready: Rig) -> None:
     client = ready.connect()
-    client.ask("q1", chan="7f", term="20")
+    client.send_request("q1", chan="7f", term="20")
     ready.answer_as_origin()
-    assert client.answer()[1] == "HIT"
-    client.ask("q2", chan="7f", term="1f")
-    word = client.answer()
-    assert (word[1], word[2]["detail"]) == ("NONE", "OLD_TERM")
-    client.ask("q3", chan="7f")
-    assert client.answer()[2]["detail"] == "BAD_FIELD"
-    client.ask("q4", chan="80", term="1f")
-    assert client.answer()[1] == "HIT" and ready.store.lines.empty()
+    assert client.read_answer()[1] == "HIT"
+    client.send_request("q2", chan="7f", term="1f")
+    answer = client.read_answer()
+    assert (answer[1], answer[2]["detail"]) == ("NONE", "OLD_TERM")
+    client.send_request("q3", chan="7f")
+    assert client.read_answer()[2]["detail"] == "BAD_FIELD"
+    client.send_request("q4", chan="80", term="1f")
+    assert client.read_answer()[1] == "HIT" and ready.origin.lines.empty()
 
 
 def test_a_router_records_a_reported_holder_without_counting_a_read() -> None:
-    kind = RequestClass("video", latency_objective=0.5, deadline=2.0, idempotency=Idempotency.IDEMPOTENT)
-    router = Router(RoutingSettings(zone="here", classes=(kind,)), 1)
+    video = RequestClass("video", latency_objective=0.5, deadline=2.0, idempotency=Idempotency.IDEMPOTENT)
+    router = Router(RoutingSettings(zone="here", classes=(video,)), 1)
     router.handle(CopyReported(5, 3, "box"), 1.0)
-    seen, before, _ = router.state.hot_objects.record_read((5, 3), 1.5)
-    assert (dict(seen.holders), before) == ({"box": 1.0}, 0.0)  # no read was counted
+    hot_object, reads_before, _ = router.state.hot_objects.record_read((5, 3), 1.5)
+    assert (dict(hot_object.holders), reads_before) == ({"box": 1.0}, 0.0)  # no read was counted
--- a/tests/hierarchy/test_fill_leases.py
+++ b/tests/hierarchy/test_fill_leases.py
@@ -1,4 +1,4 @@
-"""Leases of fills: which requests may wait for a fill, and which purges concern its waiters."""
+"""Fill leases: which requests may wait for a fill, and which purges concern its waiters."""
 
 from rig_node import PART
 
@@ -11,12 +11,11 @@
     lease = leases.begin(PART, FillPath(5, ("n",)), 0.0, "first")
     older = FillPath(4, ("m",))
     younger = FillPath(6, ("m",))
-    assert (
-        leases.decide(PART, younger) is LeaseDecision.JOIN
-    )  # it asks for a cached copy, which waits for none
+    # The fill only asks for a cached copy yet, so it waits for no other node's fill.
+    assert leases.decide(PART, younger) is LeaseDecision.JOIN
     leases.join(PART, "second", younger)
     path = lease.wait_for(SourceKind.NODE, "x")
-    assert path.started_us == 7  # younger than all that wait for it
+    assert path.started_us == 7  # younger than all fills that wait for this one
     assert leases.decide(PART, older) is LeaseDecision.JOIN
     assert leases.decide(PART, FillPath(9, ("m",))) is LeaseDecision.ABORT
     assert leases.decide(PART, None) is LeaseDecision.JOIN
--- a/tests/hierarchy/test_fill_path.py
+++ b/tests/hierarchy/test_fill_path.py
@@ -1,4 +1,4 @@
-"""Signed paths of fills: which are decoded, and which are rejected."""
+"""Signed fill paths: which ones are decoded, and which are rejected."""
 
 from typing import Any
 
@@ -17,10 +17,10 @@
     text = ring.encode(PATH, "id object 3", now)
     assert ring.decode(text, "id object 3", now) == PATH
     assert text.startswith("k1" if now < 100 else "k2") and not set(text) & set(" ,=\r\n")
-    # A node with only one of the two keys accepts what is signed while both are valid.
-    later = Keyring([NEW])
+    # A node that has only the new key accepts paths once the new key signs.
+    new_only = Keyring([NEW])
     if now > 100:
-        assert later.decode(text, "id object 3", now) == PATH
+        assert new_only.decode(text, "id object 3", now) == PATH
 
 
 def forged(change: Any) -> str:
@@ -52,7 +52,7 @@
         Keyring([OLD]).decode(text, "x", 50)
 
 
-def test_a_path_is_valid_for_its_own_request_only_and_an_expired_key_for_none() -> None:
+def test_path_is_valid_only_for_its_own_request_and_until_its_key_expires() -> None:
     text = Keyring([OLD]).encode(PATH, "x", 50)
     for context, now in (("y", 50), ("x", 201)):
         with pytest.raises(FillPathError):
--- a/tests/hierarchy/test_migration.py
+++ b/tests/hierarchy/test_migration.py
@@ -10,26 +10,26 @@
 HASH_KEY = 5
 
 
-def anybody(_: str) -> bool:
+def may_ask_all(_: str) -> bool:
     return True
 
 
-def nobody(_: str) -> bool:
+def may_ask_none(_: str) -> bool:
     return False
 
 
-def test_earlier_homes_expire_stay_within_bounds_and_survive_a_restart() -> None:
+def test_earlier_homes_expire_are_limited_in_number_and_survive_a_restart() -> None:
     plan = MigrationPlan("c", MigrationLimits(earlier_home_s=60.0))
     plan.follow(topology(1, "a"), "aimag", 0.0)
     assert plan.follow(topology(2, "a", "c"), "aimag", 1.0)
     assert not plan.follow(topology(3, "a", "c"), "aimag", 2.0)
-    assert plan.earlier_homes(HASH_KEY, anybody, False, 3.0) == ["a"]
-    assert plan.earlier_homes(HASH_KEY, nobody, False, 3.0) == []
+    assert plan.earlier_homes(HASH_KEY, may_ask_all, False, 3.0) == ["a"]
+    assert plan.earlier_homes(HASH_KEY, may_ask_none, False, 3.0) == []
     restarted = MigrationPlan("c", MigrationLimits(earlier_home_s=60.0))
     restarted.restore_state(plan.export_state(), 3.0)
     restarted.follow(topology(3, "a", "c"), "aimag", 3.0)
-    assert restarted.earlier_homes(HASH_KEY, anybody, False, 3.0) == ["a"]
-    assert plan.earlier_homes(HASH_KEY, anybody, False, 62.0) == []
+    assert restarted.earlier_homes(HASH_KEY, may_ask_all, False, 3.0) == ["a"]
+    assert plan.earlier_homes(HASH_KEY, may_ask_all, False, 62.0) == []
     for version in range(4, 40):
         plan.follow(topology(version, "a", "c", a=float(version)), "aimag", 70.0)
     assert len(plan.earlier_groups) == MAX_EARLIER_GROUPS
@@ -45,7 +45,7 @@
     assert rate.admits("b", 0.0)
 
 
-def test_a_claim_holds_by_its_version_and_for_its_lifetime() -> None:
+def test_ownership_claim_with_the_latest_version_is_valid_until_it_expires() -> None:
     claims = OwnershipClaims("a", lifetime_s=10.0)
     claims.topology_version = 5
     key = PartKey("x", 0)
--- a/tests/hierarchy/test_node.py
+++ b/tests/hierarchy/test_node.py
@@ -1,15 +1,15 @@
-"""One node without sockets: coalesced fills, purges, loops, failures, limits and stale copies."""
+"""One cache node without sockets: coalesced fills, purges, loops, failures, limits and stale copies."""
 
 import pytest
-from rig_node import begin_fill, cached_copy, fill_request, fills, node_alone, replies
+from rig_node import begin_fill, cached_copy, fill_request, fills, replies, single_node
 
 from paddlequay.hierarchy.fill_path import MAX_HOPS, FillPath
 from paddlequay.hierarchy.fill_requests import FillRequest, FillResult, ReplyReason, ReplyStatus, StartFill
 from paddlequay.routing.interface import ReplyDetail
 
 
-def test_one_fill_serves_all_requests_that_come_meanwhile_and_its_copy_the_later_ones() -> None:
-    node = node_alone()
+def test_one_fill_answers_all_requests_that_arrive_during_it_and_its_copy_answers_later_ones() -> None:
+    node = single_node()
     fill = begin_fill(node, fill_request("1"))
     step = node.next_source(fill.number)
     assert step is not None
@@ -36,7 +36,7 @@
 def test_a_copy_purged_during_its_fill_serves_earlier_requests_only_and_is_not_cached(
     group: int | None,
 ) -> None:
-    node = node_alone()
+    node = single_node()
     fill = begin_fill(node, fill_request("before"))
     node.purge(None if group else "x", group, 100.5, 100.6)
     assert node.handle_request(fill_request("after"), 100.7) == []
@@ -51,8 +51,8 @@
     assert len(node.cache.copies) == 1 and node.waiting_count == 0
 
 
-def test_a_fill_that_brings_a_copy_from_after_the_purge_serves_all_without_a_second_fill() -> None:
-    node = node_alone()
+def test_copy_generated_after_the_purge_answers_all_waiters_without_a_second_fill() -> None:
+    node = single_node()
     fill = begin_fill(node, fill_request("before"))
     node.purge("x", None, 99.9, 100.1)
     node.handle_request(fill_request("after"), 100.2)
@@ -62,7 +62,7 @@
 
 
 def test_a_node_rejects_a_fill_that_has_passed_it_or_has_too_many_hops() -> None:
-    node = node_alone()
+    node = single_node()
     for hops in (("b", "a"), tuple(f"n{i}" for i in range(MAX_HOPS))):
         actions = node.handle_request(fill_request(path=FillPath(1, hops)), 100.0)
         assert replies(actions) == [("t", ReplyStatus.MISS, ReplyReason.LOOP)]
@@ -78,17 +78,17 @@
         (FillResult(), ReplyStatus.MISS, ReplyReason.SOURCE_UNREACHABLE),
     ],
 )
-def test_a_failed_fill_is_replied_to_at_once_with_its_reason(
+def test_failed_fill_answers_its_request_at_once_with_the_reason(
     result: FillResult, status: ReplyStatus, reason: ReplyReason
 ) -> None:
-    node = node_alone()
+    node = single_node()
     fill = begin_fill(node, fill_request())
     assert replies(node.on_fill_ended(fill.number, result, 100.1)) == [("t", status, reason)]
     assert node.waiting_count == 0
 
 
-def test_requests_that_joined_a_failed_fill_begin_a_few_of_their_own() -> None:
-    node = node_alone()
+def test_requests_that_joined_a_failed_fill_begin_a_limited_number_of_new_fills() -> None:
+    node = single_node()
     fill: StartFill | None = begin_fill(node, fill_request("1"))
     for requester in ("2", "3"):
         node.handle_request(fill_request(requester), 100.0)
@@ -103,8 +103,8 @@
     assert rounds <= 4 and node.waiting_count == 0
 
 
-def test_requests_past_the_limits_are_rejected_and_late_ones_time_out_while_the_fill_goes_on() -> None:
-    node = node_alone(max_fills=1, max_waiters=2, max_waiting=3)
+def test_requests_above_the_limits_are_rejected_and_late_ones_time_out_while_the_fill_continues() -> None:
+    node = single_node(max_fills=1, max_waiters=2, max_waiting=3)
     fill = begin_fill(node, fill_request("1", deadline=100.5))
     assert node.handle_request(fill_request("2"), 100.0) == []
     rejected = (ReplyStatus.REJECTED, ReplyReason.FILL_REJECTED)
@@ -118,8 +118,8 @@
     assert served == [("5", ReplyStatus.HIT, ReplyReason.CACHED)]
 
 
-def test_deadlines_of_answered_requests_do_not_pile_up() -> None:
-    node = node_alone()
+def test_deadlines_of_answered_requests_are_removed_from_the_heap() -> None:
+    node = single_node()
     for number in range(5000):
         fill = begin_fill(node, fill_request(str(number), object_name=f"o{number}", deadline=1e6))
         node.on_fill_ended(fill.number, FillResult(cached_copy(size=1)), 100.0)
@@ -127,12 +127,12 @@
 
 
 def stale_request() -> FillRequest:
-    """A request that a copy generated at 100 serves only within its grace."""
+    """A request for which a copy generated at 100 is stale but within the grace period."""
     return fill_request(min_generated_at=105.0, stale_grace_s=10.0, refreshes_stale=True)
 
 
 def test_a_stale_copy_is_served_within_its_grace_while_one_fill_refreshes_it() -> None:
-    node = node_alone()
+    node = single_node()
     fill = begin_fill(node, fill_request())
     node.on_fill_ended(fill.number, FillResult(cached_copy(generated_at=100.0)), 100.1)
     actions = node.handle_request(stale_request(), 113.0)
--- a/tests/hierarchy/test_tier.py
+++ b/tests/hierarchy/test_tier.py
@@ -1,4 +1,4 @@
-"""The real tier as a process, between boxes, other nodes, a store and a feed that the test plays."""
+"""The tier as a real process; the test plays its clients, the other nodes, the origin and the feed."""
 
 import os
 import signal
@@ -21,34 +21,34 @@
 def test_one_fill_serves_many_requests_and_no_copy_from_before_a_purge_is_served(ready: Rig) -> None:
     client = ready.connect()
     for number in range(40):
-        client.ask(f"q{number}")
+        client.send_request(f"q{number}")
     words = ready.answer_as_origin("old")
-    assert not told(words).keys() & {"hops", "claim", "via"}  # the store is told what any cache tells it
-    answers = [client.answer() for _ in range(40)]
+    assert not told(words).keys() & {"hops", "claim", "via"}  # an origin gets no fields of the hierarchy
+    answers = [client.read_answer() for _ in range(40)]
     assert {each[1] for each in answers} == {"HIT"} and {each[3] for each in answers} == {b"old"}
     assert sorted(each[2]["detail"] for each in answers) == ["COLLAPSED"] * 39 + ["MISS_ORIGIN"]
-    client.ask("again", known="old")
-    assert client.answer()[1:2] == ("VALID",)
+    client.send_request("again", known="old")
+    assert client.read_answer()[1:2] == ("VALID",)
     ready.feed.publish(recall={"item": f"{7:016x}", "issued": round(time.time() * 1000) + 1})
-    until(lambda: ready.page()["copies"] == 0, "the copy is gone")
-    client.ask("after")
+    until(lambda: ready.hierarchy_page()["copies"] == 0, "the copy is gone")
+    client.send_request("after")
     ready.answer_as_origin("new", time.time() + 0.01)
-    assert client.answer()[3] == b"new" and ready.store.lines.empty()
+    assert client.read_answer()[3] == b"new" and ready.origin.lines.empty()
 
 
 def test_requests_for_cached_copies_only_are_answered_at_once_without_a_fill(ready: Rig) -> None:
     client = ready.connect()
-    client.ask("q1", via="")
-    assert client.answer()[1] == "NONE"
-    client.ask("q2", opts="held")
-    assert client.answer()[1] == "NONE"
-    client.ask("q3")
+    client.send_request("q1", via="")
+    assert client.read_answer()[1] == "NONE"
+    client.send_request("q2", opts="held")
+    assert client.read_answer()[1] == "NONE"
+    client.send_request("q3")
     ready.answer_as_origin()
-    assert client.answer()[1] == "HIT"
-    client.ask("q4", opts="held+join")
-    assert client.answer()[1] == "HIT" and ready.store.lines.empty()
+    assert client.read_answer()[1] == "HIT"
+    client.send_request("q4", opts="held+join")
+    assert client.read_answer()[1] == "HIT" and ready.origin.lines.empty()
     client.socket.sendall(b"NOOP n1\r\nINFO i1\r\n")
-    assert [client.answer()[:2] for _ in range(2)] == [("n1", "PONG"), ("i1", "PONG")]
+    assert [client.read_answer()[:2] for _ in range(2)] == [("n1", "PONG"), ("i1", "PONG")]
 
 
 @pytest.mark.parametrize(
@@ -67,11 +67,11 @@
     ready: Rig, fields: dict[str, str], detail: str
 ) -> None:
     client = ready.connect()
-    client.ask("good")
-    client.ask("bad", **fields)
-    assert client.answer()[:3:2] == ("bad", {"detail": detail})
+    client.send_request("good")
+    client.send_request("bad", **fields)
+    assert client.read_answer()[:3:2] == ("bad", {"detail": detail})
     ready.answer_as_origin()
-    assert client.answer()[0] == "good"
+    assert client.read_answer()[0] == "good"
 
 
 @pytest.mark.parametrize(
@@ -83,53 +83,59 @@
     if noise.endswith(b"xy"):
         bad.socket.shutdown(socket.SHUT_WR)
     assert bad.file.read() == b""
-    client.ask("q")
+    client.send_request("q")
     ready.answer_as_origin()
-    assert client.answer()[1] == "HIT"
+    assert client.read_answer()[1] == "HIT"
 
 
-def test_two_nodes_that_name_each_other_as_parents_serve_with_one_fill_each_object(rig: Rig) -> None:
+def test_two_nodes_that_are_each_others_parents_serve_each_object_with_one_fill(rig: Rig) -> None:
     rig.publish_topology(node("a", rig.address("a"), "b", "store"), node("b", rig.address("b"), "store"))
     rig.start("a")
     rig.wait_for_version(1, "a")
-    rig.feed.stop()  # `a` stays with the first shape, `b` has the second from a feed of its own
-    first, rig.feed = rig.feed, FeedServer()
-    rig.feed.events = first.events[:]
+    rig.feed.stop()  # `a` keeps the first topology; `b` gets the second one from another feed
+    first_feed, rig.feed = rig.feed, FeedServer()
+    rig.feed.events = first_feed.events[:]
     rig.publish_topology(node("a", rig.address("a"), "store"), node("b", rig.address("b"), "a", "store"))
     rig.start("b")
     rig.wait_for_version(2, "b")
-    assert rig.page("a")["version"] == 1
-    began = time.monotonic()
+    assert rig.hierarchy_page("a")["version"] == 1
+    started_at = time.monotonic()
     clients = [rig.connect("a"), rig.connect("b")]
     names = [f"{number:016x}" for number in range(20)]
     for name in names:
         for client in clients:
-            client.ask(f"q{name}", name=name)
+            client.send_request(f"q{name}", name=name)
     for _ in names:
         rig.answer_as_origin()
     for client in clients:
-        assert {client.answer()[1] for _ in names} == {"HIT"}
-    assert time.monotonic() - began < 3 and rig.store.lines.empty()
-    assert sum(rig.page(name)["loops_found"] + rig.page(name)["rings_refused"] for name in "ab") >= 1
+        assert {client.read_answer()[1] for _ in names} == {"HIT"}
+    assert time.monotonic() - started_at < 3 and rig.origin.lines.empty()
+    assert (
+        sum(
+            rig.hierarchy_page(name)["loops_found"] + rig.hierarchy_page(name)["rings_refused"]
+            for name in "ab"
+        )
+        >= 1
+    )
 
 
-def test_a_home_that_dies_during_a_fill_with_forty_waiters_is_passed_over_at_once(rig: Rig) -> None:
+def test_fill_with_forty_waiters_goes_to_the_origin_at_once_when_its_home_dies(rig: Rig) -> None:
     peer = Party()
     rig.publish_topology(node("a", rig.address("a"), "store"), node("b", peer.address, "store", weight=1e6))
     rig.start()
     rig.wait_for_version(1)
     client = rig.connect()
     for number in range(40):
-        client.ask(f"q{number}")
+        client.send_request(f"q{number}")
     connection, words = peer.line()
-    trail = Keyring([SigningKey("k1", SECRET)]).decode(
+    path = Keyring([SigningKey("k1", SECRET)]).decode(
         told(words)["hops"], f"{words[1]} video {7:016x} 0 ", time.time()
     )
-    assert trail.hops == ("a",) and "via" in told(words)
+    assert path.hops == ("a",) and "via" in told(words)
     connection.shutdown(socket.SHUT_RDWR)
     connection.close()
     rig.answer_as_origin()
-    assert {client.answer()[1] for _ in range(40)} == {"HIT"} and rig.store.lines.empty()
+    assert {client.read_answer()[1] for _ in range(40)} == {"HIT"} and rig.origin.lines.empty()
     peer.listener.close()
 
 
@@ -142,79 +148,81 @@
     rig.publish_topology(node("a", rig.address("a"), "store", weight=1e5), b)
     rig.wait_for_version(2)
     client = rig.connect()
-    client.ask("q1")
+    client.send_request("q1")
     words = peer.answer("HIT", f"tag=held,minted={round(time.time() * 1000)}", b"held")
     assert told(words)["opts"] == "join+held" and "via" not in told(words)
     assert told(words)["claim"] == f"2@{rig.address('a')}"
-    assert client.answer()[3] == b"held"
-    client.ask("q2", name=f"{8:016x}")
+    assert client.read_answer()[3] == b"held"
+    client.send_request("q2", name=f"{8:016x}")
     peer.answer("NONE", "detail=UP_MISS")
     rig.answer_as_origin()
-    assert client.answer()[1] == "HIT" and rig.store.lines.empty()
+    assert client.read_answer()[1] == "HIT" and rig.origin.lines.empty()
 
 
 def test_a_fill_that_has_passed_the_node_is_rejected_as_a_loop(ready: Rig) -> None:
     client = ready.connect()
-    trail = Keyring([SigningKey("k1", SECRET)]).encode(
+    encoded_path = Keyring([SigningKey("k1", SECRET)]).encode(
         FillPath(1, ("a", "b")), f"q1 video {7:016x} 0 ", time.time()
     )
-    client.ask("q1", hops=trail)
-    word, fields = client.answer()[1:3]
+    client.send_request("q1", hops=encoded_path)
+    status, fields = client.read_answer()[1:3]
     use = dict(pair.split(":") for pair in fields.pop("use").split(";"))
-    assert 0.0 <= float(use.pop("util")) <= 1.0  # of a core that others use too
-    assert (word, fields, use) == ("NONE", {"detail": "LOOP"}, {"inflight": "0", "x0": "0.00", "x1": "0"})
+    assert 0.0 <= float(use.pop("util")) <= 1.0  # not a fixed value, as other processes use the core too
+    assert (status, fields, use) == ("NONE", {"detail": "LOOP"}, {"inflight": "0", "x0": "0.00", "x1": "0"})
 
 
-def test_operators_eject_and_restore_a_node_and_drain_this_one(rig: Rig) -> None:
+def test_operators_can_eject_and_restore_another_node_and_drain_this_one(rig: Rig) -> None:
     peer = Party()
     rig.publish_topology(node("a", rig.address("a"), "store"), node("b", peer.address, "store", weight=1e6))
     rig.start()
     rig.wait_for_version(1)
     client = rig.connect()
-    assert rig.call("/-/caches/b/disable") == (200, "out; left out now: b\n")
-    assert rig.page()["left_out"] == ["b"]
-    client.ask("q1")
+    assert rig.call_console("/-/caches/b/disable") == (200, "out; left out now: b\n")
+    assert rig.hierarchy_page()["left_out"] == ["b"]
+    client.send_request("q1")
     rig.answer_as_origin()
-    assert client.answer()[1] == "HIT" and peer.lines.empty()
-    assert rig.call("/-/caches/b/enable")[0] == 200
-    client.ask("q2", name=f"{8:016x}")
+    assert client.read_answer()[1] == "HIT" and peer.lines.empty()
+    assert rig.call_console("/-/caches/b/enable")[0] == 200
+    client.send_request("q2", name=f"{8:016x}")
     peer.answer("HIT", f"tag=p,minted={round(time.time() * 1000)}", b"p")
-    assert client.answer()[3] == b"p"
-    assert rig.call("/-/caches/nobody/disable")[0] == 404 and rig.call("/-/hierarchy")[0] == 405
-    assert rig.call("/-/drain")[0] == 200 and rig.call("/-/ready", "GET")[0] == 503
-    assert client.file.read() == b""  # nothing is owed: closed
-    assert rig.call("/-/resume")[0] == 200 and rig.call("/-/ready", "GET")[0] == 200
+    assert client.read_answer()[3] == b"p"
+    assert (
+        rig.call_console("/-/caches/nobody/disable")[0] == 404 and rig.call_console("/-/hierarchy")[0] == 405
+    )
+    assert rig.call_console("/-/drain")[0] == 200 and rig.call_console("/-/ready", "GET")[0] == 503
+    assert client.file.read() == b""  # closed, as no request is open
+    assert rig.call_console("/-/resume")[0] == 200 and rig.call_console("/-/ready", "GET")[0] == 200
     peer.listener.close()
 
 
-def test_keys_change_while_serving_and_the_shutdown_answers_open_requests(ready: Rig) -> None:
+def test_reload_adds_a_signing_key_and_shutdown_answers_open_requests(ready: Rig) -> None:
     (ready.folder / "new.key").write_bytes(b"another secret, much newer")
     old = 'hop_key { id: "k1" file: "hop.key" }'
-    ready.settings("a", **{old: f'{old}\n  hop_key {{ id: "k2" file: "new.key" since_unix: 1 }}'})
+    ready.write_settings("a", **{old: f'{old}\n  hop_key {{ id: "k2" file: "new.key" since_unix: 1 }}'})
     ready.processes["a"].send_signal(signal.SIGHUP)
-    ready.logged("event=reloaded")
+    ready.wait_for_log_line("event=reloaded")
     client = ready.connect()
     for id, key in (
         ("q1", SigningKey("k1", SECRET)),
         ("q2", SigningKey("k2", b"another secret, much newer")),
     ):
-        trail = Keyring([key]).encode(FillPath(1, ("a",)), f"{id} video {7:016x} 0 ", time.time())
-        client.ask(id, hops=trail)
-        assert client.answer()[2]["detail"] == "LOOP"
-    ready.settings("a", listen="lisn")
+        encoded_path = Keyring([key]).encode(FillPath(1, ("a",)), f"{id} video {7:016x} 0 ", time.time())
+        client.send_request(id, hops=encoded_path)
+        assert client.read_answer()[2]["detail"] == "LOOP"
+    ready.write_settings("a", listen="lisn")
     ready.processes["a"].send_signal(signal.SIGHUP)
-    assert "a.txtpb:4" in ready.logged("reload_refused")
-    client.ask("open")
-    until(lambda: ready.page()["waiting"] == 1, "it waits")
+    assert "a.txtpb:4" in ready.wait_for_log_line("reload_refused")
+    client.send_request("open")
+    until(lambda: ready.hierarchy_page()["waiting"] == 1, "the request waits")
     ready.processes["a"].terminate()
-    ready.logged("event=shutdown_started")
+    ready.wait_for_log_line("event=shutdown_started")
     ready.answer_as_origin()
-    assert client.answer()[1] == "HIT" and ready.processes["a"].wait(timeout=WAIT) == 0
-    ready.logged("event=counters")
+    assert client.read_answer()[1] == "HIT" and ready.processes["a"].wait(timeout=WAIT) == 0
+    ready.wait_for_log_line("event=counters")
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected_error"),
     [
         ("listen", "lisn", ":4:3: "),
         ('group: "aimag"', 'group: "a b"', ":3: tier.group: expected 1 to 64 letters"),
@@ -227,8 +235,8 @@
         ("tier {", "", ""),
     ],
 )
-def test_check_names_file_line_and_field(rig: Rig, old: str, new: str, said: str) -> None:
-    path = rig.settings("a", **{old: new})
+def test_check_command_reports_file_line_and_field(rig: Rig, old: str, new: str, expected_error: str) -> None:
+    path = rig.write_settings("a", **{old: new})
 
     def check(file: Path) -> tuple[int, str]:
         done = subprocess.run(
@@ -237,9 +245,9 @@
         return done.returncode, done.stdout + done.stderr
 
     code, text = check(path)
-    if said or old == "tier {":
-        assert code == 2 and said in text and str(path) in text and text.count("\n") == 1
-    assert check(rig.settings("a")) == (0, f"{path}: tier a of aimag: can be used\n")
+    if expected_error or old == "tier {":
+        assert code == 2 and expected_error in text and str(path) in text and text.count("\n") == 1
+    assert check(rig.write_settings("a")) == (0, f"{path}: tier a of aimag: can be used\n")
     assert check(rig.folder / "none")[0] == 2
 
 
--- a/tests/hierarchy/test_topology.py
+++ b/tests/hierarchy/test_topology.py
@@ -1,4 +1,4 @@
-"""Topologies: which deltas are applied, kept or rejected, in any order, and their JSON."""
+"""Topologies: which deltas are applied, kept pending or rejected, in any order, and their JSON format."""
 
 import json
 import random
@@ -23,8 +23,8 @@
 LIMITS = TopologyLimits()
 
 
-def node(name: str, *parents: str, **also: Any) -> NodeSpec:
-    return NodeSpec(name, ("127.0.0.1", 9), parents=parents, is_origin=not parents, **also)
+def node(name: str, *parents: str, **fields: Any) -> NodeSpec:
+    return NodeSpec(name, ("127.0.0.1", 9), parents=parents, is_origin=not parents, **fields)
 
 
 START = TopologyDelta(1, None, (node("o"), node("r", "o"), node("a", "r", "o"), node("b", "r", "o")))
@@ -73,7 +73,7 @@
     assert set(tracker.topology.nodes) == {"o", "r", "a", "b", "d"} and not tracker.pending
 
 
-def test_deltas_in_any_order_and_twice_lead_to_the_same_topology() -> None:
+def test_deltas_in_any_order_with_duplicates_lead_to_the_same_topology() -> None:
     deltas = [START]
     topology = apply_delta(Topology(), START, LIMITS)
     for version in range(2, 30):
@@ -149,7 +149,7 @@
         ({"version": 1, "drop": ["a=b"]}, "drop: expected 1 to 64 letters"),
     ],
 )
-def test_json_that_is_no_delta_is_rejected_with_its_field(item: Any, reason: str) -> None:
+def test_invalid_delta_json_is_rejected_with_the_name_of_the_field(item: Any, reason: str) -> None:
     with pytest.raises(TopologyError, match=r"^[^\n]{1,200}$") as error:
         decode_delta(item, LIMITS)
     assert reason in str(error.value)
--- a/tests/hierarchy/test_topology_feed.py
+++ b/tests/hierarchy/test_topology_feed.py
@@ -1,4 +1,4 @@
-"""A tier's topology feed that breaks off, restarts or falls silent, and the saved topology."""
+"""A tier whose topology feed disconnects, restarts or is silent, and the saved topology."""
 
 import socket
 
@@ -13,38 +13,38 @@
 ready = pytest.fixture(rig_with_ready_tier, name="ready")
 
 
-def test_a_feed_may_break_off_restart_and_send_invalid_deltas(ready: Rig) -> None:
-    loop = [node("a", ready.address("a"), "b"), node("b", ready.address("b"), "a")]
-    ready.publish_topology(*loop)
-    assert "a cycle" in ready.logged("shape_refused")
-    assert ready.page()["version"] == 1
+def test_tier_keeps_serving_while_its_feed_disconnects_restarts_and_sends_invalid_deltas(ready: Rig) -> None:
+    cycle = [node("a", ready.address("a"), "b"), node("b", ready.address("b"), "a")]
+    ready.publish_topology(*cycle)
+    assert "a cycle" in ready.wait_for_log_line("shape_refused")
+    assert ready.hierarchy_page()["version"] == 1
     followers = len(ready.feed.followers)
     ready.feed.send(b'{"no": 3, "shape": {"ver')
     for connection in list(ready.feed.followers):
         connection.shutdown(socket.SHUT_RDWR)
-    until(lambda: len(ready.feed.followers) > followers, "the feed is requested again")
+    until(lambda: len(ready.feed.followers) > followers, "the tier reconnects")
     ready.feed.send(b"garbage\n")
-    until(lambda: len(ready.feed.followers) > followers + 1, "and once more")
+    until(lambda: len(ready.feed.followers) > followers + 1, "the tier reconnects once more")
     ready.feed.events = [{"no": 1, "shape": {"version": 9, "put": ready.feed.events[0]["shape"]["put"]}}]
     ready.feed.send(b'{"no": 1}\n')
     ready.wait_for_version(9)
     ready.feed.publish(shape={"version": 12, "base": 11, "drop": ["b"]})
-    ready.logged("shape_held")
+    ready.wait_for_log_line("shape_held")
     client = ready.connect()
-    client.ask("q")
+    client.send_request("q")
     ready.answer_as_origin()
-    assert client.answer()[1] == "HIT"
+    assert client.read_answer()[1] == "HIT"
 
 
-def test_a_feed_that_falls_silent_while_open_is_requested_again(ready: Rig) -> None:
+def test_tier_reconnects_to_an_open_feed_that_sends_no_heartbeat(ready: Rig) -> None:
     followers = len(ready.feed.followers)
-    until(lambda: len(ready.feed.followers) > followers, "no heartbeat comes: requested again")
+    until(lambda: len(ready.feed.followers) > followers, "no heartbeat comes, so the tier reconnects")
     ready.publish_topology(node("a", ready.address("a"), "store"))
     ready.wait_for_version(2)
 
 
-@pytest.mark.parametrize("spoil", ["", "torn", "altered", "kind", "form"])
-def test_a_restart_without_a_feed_begins_with_the_saved_topology(ready: Rig, spoil: str) -> None:
+@pytest.mark.parametrize("damage", ["", "truncated", "altered", "kind", "version"])
+def test_tier_that_restarts_without_a_feed_uses_the_saved_topology(ready: Rig, damage: str) -> None:
     ready.publish_topology(node("a", ready.address("a"), "store"), node("b", ready.address("b"), "store"))
     ready.wait_for_version(2)
     saved = ready.folder / "shape-a"
@@ -56,27 +56,27 @@
     saved.write_bytes(
         {
             "": data,
-            "torn": data[:-5],
+            "truncated": data[:-5],
             "altered": data.replace(b"aimag", b"gaima"),
             "kind": encode("other", 1, body),
-            "form": encode("shape", 2, body),
-        }[spoil]
+            "version": encode("shape", 2, body),
+        }[damage]
     )
     ready.feed.stop()
     ready.start()
-    if spoil:
-        ready.logged("shape_unreadable")
-        assert ready.page()["version"] == 0 and ready.call("/-/ready", "GET")[0] == 503
+    if damage:
+        ready.wait_for_log_line("shape_unreadable")
+        assert ready.hierarchy_page()["version"] == 0 and ready.call_console("/-/ready", "GET")[0] == 503
     else:
-        ready.logged("shape_from_file")
-        assert ready.page()["version"] == 2 and ready.page()["moves"]
+        ready.wait_for_log_line("shape_from_file")
+        assert ready.hierarchy_page()["version"] == 2 and ready.hierarchy_page()["moves"]
         client = ready.connect()
-        client.ask("q")
+        client.send_request("q")
         ready.answer_as_origin()
-        assert client.answer()[1] == "HIT"
+        assert client.read_answer()[1] == "HIT"
 
 
-def test_a_feed_that_was_set_up_anew_replaces_the_saved_topology(ready: Rig) -> None:
+def test_reset_feed_with_lower_versions_replaces_the_saved_topology(ready: Rig) -> None:
     for _ in range(3):
         ready.publish_topology(
             node("a", ready.address("a"), "store"), node("gone", ready.address("gone"), "store")
@@ -90,8 +90,8 @@
     ready.feed = FeedServer()
     ready.publish_topology(node("a", ready.address("a"), "store"))
     ready.start()
-    ready.logged("shape_replaced had=4 now=1")
-    assert list(ready.page()["home_shares"]) == ["a"]
+    ready.wait_for_log_line("shape_replaced had=4 now=1")
+    assert list(ready.hierarchy_page()["home_shares"]) == ["a"]
 
 
 @pytest.mark.parametrize("data", [b"", b"paddlequay shape 1 3", encode("shape", 1, b"abc") + b"d"])
