--- a/paddlequay/placement/__init__.py
+++ b/paddlequay/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Where objects belong among members, for routers and tiers alike."""
+"""Placement of objects on members, by hashing or by rules of the operator; used by routers and tiers."""
--- a/paddlequay/placement/homes.py
+++ b/paddlequay/placement/homes.py
@@ -1,12 +1,12 @@
 """The homes of objects: the order in which members are tried for a key, without a visit to all of them.
 
 This is weighted rendezvous hashing over slots. A key falls into one of `SLOT_COUNT` slots. For each slot
-every member draws an exponential arrival, and the order of the arrivals is the order of the homes (Thaler
+every member draws an exponential arrival time, and the members are the homes in order of arrival (Thaler
 and Ravishankar, "Using name-based mappings to increase hit rates", 1998; weights by exponential arrivals as
 in Efraimidis and Spirakis, 2006). The order is a pure function of the key, the members and their weights,
-so that routers agree without communication, and a change moves only the objects that it must.
+so that routers agree without communication, and a change of the members moves as few objects as possible.
 
-The first members of a slot are cached, and updated at the next look-up by the changes since, so that
+The first members of a slot are cached. The next look-up in the slot applies the changes made since, so that
 neither a look-up nor a change visits all members. docs/hierarchy.md compares this with other ways.
 """
 
@@ -23,50 +23,52 @@
 M = TypeVar("M")
 
 SLOT_BITS = 16
-SLOT_COUNT = 1 << SLOT_BITS  # part of the fleet's agreement: another number moves every object
-CACHED_SLOT_SIZE = 8  # members cached for a slot
-MAX_UNCACHED_SIZE = 12  # up to so many members sorting is cheaper than caching
-MAX_CHANGES = 256  # changes kept for updating slots; an older slot is ranked anew
+SLOT_COUNT = 1 << SLOT_BITS  # the same at all routers: another number would move every object
+MAX_MEMBERS_PER_SLOT = 8  # members that are cached for one slot
+MAX_UNCACHED_MEMBERS = 12  # for up to this many members, sorting is cheaper than caching
+MAX_CHANGES = 256  # recorded to update cached slots; a slot older than these changes is ranked anew
 MAX_CACHED_SLOTS = 32_768
-MIN_WEIGHT = 1e-6  # a member of weight 0 stays last and divides nothing by zero
+MIN_WEIGHT = 1e-6  # replaces a weight of 0, which would divide by zero; such a member is ranked last
 
 MASK_64 = (1 << 64) - 1
 
-# Constants of the 64-bit hashes below, part of the fleet's agreement as well. The hashes multiply and
-# xor-shift as the finalizer of SplitMix64 does (Steele, Lea and Flood, "Fast splittable pseudorandom number
-# generators", 2014), with one round.
+# Constants of the 64-bit hashes below, also the same at all routers. The hashes multiply and xor-shift as the
+# finalizer of SplitMix64 does (Steele, Lea and Flood, "Fast splittable pseudorandom number generators",
+# 2014), with one round.
 GOLDEN_RATIO_64 = 0x9E3779B97F4A7C15  # 2**64 divided by the golden ratio: the increment of SplitMix64
 MIX_MULTIPLIER = 0xBF58476D1CE4E5B9  # the first multiplier of SplitMix64
 MIX_SHIFT_BITS = 29
 FINAL_SHIFT_BITS = 32
-SLOT_MULTIPLIER = 0xD6E8FEB86659FD93  # odd, so that no two slots of a seed have the same input
+SLOT_MULTIPLIER = 0xD6E8FEB86659FD93  # odd, so that all slots give different hash inputs for one seed
 DRAW_OFFSET = 0x632BE59BD9B4E019  # keeps an input of 0 from being hashed to 0
-PART_MULTIPLIER = 0xA0761D6478BD642F  # odd, so that no two parts of an object have the same key
+PART_MULTIPLIER = 0xA0761D6478BD642F  # odd, so that all parts of an object have different keys
 
 Entry = tuple[float, str]  # a member's arrival and name
 
 
 def digest(text: str) -> int:
-    """Returns 64 bits that are the same for a text in every process, unlike the builtin hash."""
+    """Returns the 64-bit hash of a text, which is the same in every process, unlike the builtin hash."""
     return xxh3_64_intdigest(text)
 
 
 def arrival(seed: int, slot: int, weight: float) -> float:
-    """Returns a member's draw for a slot: exponential with rate `weight`. The lowest draw is the home.
+    """Returns a member's arrival time at a slot, a draw from the exponential distribution of rate `weight`.
+
+    The member with the earliest arrival is the first home of the slot.
 
     Args:
         seed: The `digest` of the member's name.
         slot: The slot, or the shard of a table.
         weight: The member's weight, above 0.
     """
-    unit = ((seed ^ (slot * SLOT_MULTIPLIER)) * GOLDEN_RATIO_64 + DRAW_OFFSET) & MASK_64
-    unit = ((unit ^ (unit >> MIX_SHIFT_BITS)) * MIX_MULTIPLIER) & MASK_64
-    unit ^= unit >> FINAL_SHIFT_BITS
-    return -math.log((unit + 1) / 2.0**64) / weight
+    mixed = ((seed ^ (slot * SLOT_MULTIPLIER)) * GOLDEN_RATIO_64 + DRAW_OFFSET) & MASK_64
+    mixed = ((mixed ^ (mixed >> MIX_SHIFT_BITS)) * MIX_MULTIPLIER) & MASK_64
+    mixed ^= mixed >> FINAL_SHIFT_BITS
+    return -math.log((mixed + 1) / 2.0**64) / weight
 
 
 def object_key(name: str) -> int:
-    """Returns the 64-bit key of an object by its name: its hexadecimal value, else its digest."""
+    """Returns the 64-bit key of an object: its name read as a hexadecimal number, else the name's digest."""
     try:
         return int(name, 16) & MASK_64
     except ValueError:
@@ -74,7 +76,7 @@
 
 
 def placement_key(key: int | None, part: int | None = None) -> int:
-    """Returns the 64-bit key by which an object, or one part of it, is placed."""
+    """Returns the 64-bit key that decides the placement of an object or of one part of it."""
     if part is None:
         return key or 0
     return (key or 0) ^ (((part + 1) * PART_MULTIPLIER) & MASK_64)
@@ -87,43 +89,42 @@
     return mixed >> (64 - SLOT_BITS)
 
 
-def full_weight(_: object) -> float:
-    """Returns the weight factor of a member that is not in slow start."""
+def full_weight_factor(_: object) -> float:
+    """Returns 1, the weight factor of a member that is not in slow start."""
     return 1.0
 
 
 class Homes(Generic[M]):
     """Members by name, and the order in which they are the homes of a key.
 
-    Memory: `max_cached_slots` slots of `CACHED_SLOT_SIZE` entries, and `MAX_CHANGES` changes.
+    Memory: up to `max_cached_slots` slots of `MAX_MEMBERS_PER_SLOT` entries, and `MAX_CHANGES` changes.
     """
 
     def __init__(
-        self, max_uncached_size: int = MAX_UNCACHED_SIZE, max_cached_slots: int | None = None
+        self, max_uncached_members: int = MAX_UNCACHED_MEMBERS, max_cached_slots: int | None = None
     ) -> None:
-        """Makes homes without members.
+        """Creates homes without members.
 
         Args:
-            max_uncached_size: The number of members up to which nothing is cached.
-            max_cached_slots: The bound on cached slots; None means `MAX_CACHED_SLOTS`.
+            max_uncached_members: The number of members up to which slots are not cached.
+            max_cached_slots: The maximum number of cached slots; None means `MAX_CACHED_SLOTS`.
         """
-        self.max_uncached_size = max_uncached_size
+        self.max_uncached_members = max_uncached_members
         self.max_cached_slots = MAX_CACHED_SLOTS if max_cached_slots is None else max_cached_slots
         self.members: dict[str, M] = {}
         self.weights: dict[str, float] = {}
         self.seeds: dict[str, int] = {}
-        self.slots: dict[int, tuple[int, list[Entry]]] = {}  # the change up to which entries hold, entries
-        self.changes: list[str] = []  # names of members that were added, removed or weighted anew
-        self.first_change = 0  # the number of the earliest change kept
-        self.full_rankings = 0  # look-ups that visited all members, for measurements
+        # By slot: the number of changes that the entries take into account, and the entries.
+        self.slots: dict[int, tuple[int, list[Entry]]] = {}
+        self.changes: list[str] = []  # names of members that were added or removed, or whose weight changed
+        self.first_change = 0  # the number of the earliest change in `changes`
+        self.full_rankings = 0  # how often all members were ranked, for measurements
 
     def __len__(self) -> int:
         return len(self.members)
 
-    # --- members ---
-
     def put(self, name: str, member: M, weight: float = 1.0) -> None:
-        """Adds a member, or replaces the one of that name; a new weight moves its objects."""
+        """Adds a member or replaces the one of that name; another weight moves some of its objects."""
         weight = max(MIN_WEIGHT, weight)
         if self.weights.get(name) != weight:
             self.weights[name] = weight
@@ -138,46 +139,44 @@
             self.record_change(name)
 
     def reset(self, members: Iterable[tuple[str, M, float]]) -> None:
-        """Sets all members, by name, member and weight; an unchanged member keeps its cached slots."""
-        listed = {name: (member, weight) for name, member, weight in members}
-        for name in [name for name in self.members if name not in listed]:
+        """Replaces all members by those given as name, member and weight; unchanged ones stay cached."""
+        new_members = {name: (member, weight) for name, member, weight in members}
+        for name in [name for name in self.members if name not in new_members]:
             self.remove(name)
-        for name, (member, weight) in listed.items():
+        for name, (member, weight) in new_members.items():
             self.put(name, member, weight)
 
     def record_change(self, name: str) -> None:
-        """Notes a change; drops the older half once there are too many, which makes older slots stale."""
+        """Records a change; past `MAX_CHANGES` drops the older half, and older cached slots become stale."""
         self.changes.append(name)
         if len(self.changes) > MAX_CHANGES:
             dropped = MAX_CHANGES // 2
             del self.changes[:dropped]
             self.first_change += dropped
 
-    # --- the order of a slot ---
-
     def rank_all(self, slot: int, depth: int) -> list[Entry]:
-        """Returns the first `depth` entries of a slot by the draws of all members."""
+        """Returns the first `depth` entries of a slot, from the arrivals of all members."""
         self.full_rankings += 1
         seeds, weights = self.seeds, self.weights
         entries = [(arrival(seeds[name], slot, weights[name]), name) for name in seeds]
         return sorted(entries) if depth >= len(entries) else heapq.nsmallest(depth, entries)
 
     def first_entries(self, slot: int) -> tuple[list[Entry], bool]:
-        """Returns the first entries of a slot, from the cache if possible, and whether they are all."""
-        if len(self.members) <= self.max_uncached_size:
+        """Returns the first entries of a slot, cached if possible, and whether they include all members."""
+        if len(self.members) <= self.max_uncached_members:
             return self.rank_all(slot, len(self.members)), True
         current = self.first_change + len(self.changes)
         cached = self.slots.get(slot)
         if cached is not None and cached[0] >= self.first_change:
-            changed_at, entries = cached
-            if changed_at == current:
+            change, entries = cached
+            if change == current:
                 return entries, False
-            entries = self.apply_changes(slot, entries, self.changes[changed_at - self.first_change :])
-            if len(entries) >= CACHED_SLOT_SIZE // 2:
-                entries = entries[:CACHED_SLOT_SIZE]
+            entries = self.apply_changes(slot, entries, self.changes[change - self.first_change :])
+            if len(entries) >= MAX_MEMBERS_PER_SLOT // 2:
+                entries = entries[:MAX_MEMBERS_PER_SLOT]
                 self.slots[slot] = (current, entries)
                 return entries, False
-        entries = self.rank_all(slot, CACHED_SLOT_SIZE)
+        entries = self.rank_all(slot, MAX_MEMBERS_PER_SLOT)
         self.slots.pop(slot, None)
         while len(self.slots) >= self.max_cached_slots:
             del self.slots[next(iter(self.slots))]
@@ -185,9 +184,9 @@
         return entries, False
 
     def apply_changes(self, slot: int, entries: list[Entry], changes: list[str]) -> list[Entry]:
-        """Returns a slot's entries after changes, as a new list: readers may iterate over the old one."""
+        """Returns a slot's entries after changes as a new list: readers may still iterate over the old."""
         entries = entries.copy()
-        # Beyond the last cached arrival there may be members that are not cached.
+        # Members that are not cached may arrive after the last cached arrival, so nothing is added there.
         last_arrival = entries[-1][0] if entries else -math.inf
         for name in dict.fromkeys(changes):
             entries = [entry for entry in entries if entry[1] != name]
@@ -197,19 +196,21 @@
                     insort(entries, (at, name))
         return entries
 
-    def order(self, key: int, weight_factor: Callable[[M], float] = full_weight) -> Iterator[M]:
-        """Yields the members from the first home of a key on, lazily.
+    def order(self, key: int, weight_factor: Callable[[M], float] = full_weight_factor) -> Iterator[M]:
+        """Yields the members lazily, in the order in which they are the homes of a key.
 
         Args:
             key: The key of the object, by `lookup_key`.
-            weight_factor: The factor in (0, 1] on a member's weight now, below 1 in slow start. Its arrivals
-                come later by that much and move back as the factor grows, so that each object moves to a new
-                member once.
+            weight_factor: Returns the current factor in (0, 1] on a member's weight, below 1 in slow start.
+                The member's arrivals are divided by it: they come later, and move back as the factor grows,
+                so that each object moves to a new member only once.
         """
         return self.order_in_slot(slot_of(key), weight_factor)
 
-    def order_in_slot(self, slot: int, weight_factor: Callable[[M], float] = full_weight) -> Iterator[M]:
-        """Yields the members in the order of a slot, or of a shard of a table, as `order` does for a key."""
+    def order_in_slot(
+        self, slot: int, weight_factor: Callable[[M], float] = full_weight_factor
+    ) -> Iterator[M]:
+        """Yields the members in the order of a slot, or of a table's shard, as `order` does for a key."""
         members = self.members
         entries, complete = self.first_entries(slot)
         delayed: list[Entry] = []
@@ -220,7 +221,7 @@
             member = members.get(name)
             visited += 1
             if member is None:
-                continue  # removed during the iteration
+                continue  # the member was removed during the iteration
             factor = weight_factor(member)
             if factor < 1.0:
                 heapq.heappush(delayed, (at / max(MIN_WEIGHT, factor), name))
@@ -235,18 +236,16 @@
             if name in members:
                 yield members[name]
 
-    # --- look-ups ---
-
     def lookup_key(self, request: Request) -> int:
         """Returns the key by which `order` finds the homes of a request."""
         return placement_key(request.key, request.part)
 
     def first_home(self, key: int) -> M | None:
-        """Returns the first home of a key with all members at full weight, None without members."""
+        """Returns the first home of a key if all members have full weight; None if there are no members."""
         return next(self.order(key), None)
 
     def first_home_names(self, key: int, count: int) -> list[str]:
-        """Returns the names of the first `count` homes with all members at full weight, or of all."""
+        """Returns the names of up to `count` first homes of a key if all members have full weight."""
         entries, complete = self.first_entries(slot_of(key))
         if count > len(entries) and not complete:
             entries = self.rank_all(slot_of(key), count)
--- a/paddlequay/placement/table.py
+++ b/paddlequay/placement/table.py
@@ -1,9 +1,9 @@
-"""Lookup tables of shards: where an object is placed, and why.
+"""Placement tables: look-ups of the shard and the members that an object is placed on, with the rule applied.
 
 A table has one shard map for each rule, and one more for each cell whose tenants the rule is for. A look-up
-finds the shard map by class, tenant and group, and the shard by the object; the shard's members stand in the
-shard map. Tables are immutable: a change of rules or members makes another one (`compiler.py`), and routers
-compare them by `digest`.
+finds the shard map by class, tenant and group, and the shard by the object's key; the shard map lists the
+members of each shard. Tables are immutable: after a change of rules or members another one is compiled
+(`compiler.py`). Routers compare tables by `digest`.
 """
 
 import json
@@ -19,22 +19,22 @@
 from paddlequay.placement.regions import ANY
 from paddlequay.placement.rules import Rule, RuleSet, ShardMapKey
 
-DIGEST_HEADER = b"paddlequay placement 1\n"  # of the bytes that the digest is made from
-NO_MEMBER = 0xFFFF  # stands for a copy that no member could have
+DIGEST_HEADER = b"paddlequay placement 1\n"  # begins the bytes over which the digest is computed
+NO_MEMBER = 0xFFFF  # written for a copy that is missing because too few members are allowed
 MAX_CACHED_SHARD_MAPS = 4_096  # combinations of class, tenant and group
 
-RequestKind = tuple[str | None, str | None, int | None]  # class, tenant, group
+RequestAttributes = tuple[str | None, str | None, int | None]  # class, tenant, group
 
 
-class Draw(NamedTuple):
-    """A member's part in the draws of a shard map: its weight, and its zone or kind if copies are spread."""
+class ShardMapMember(NamedTuple):
+    """A member that may have shards of a shard map; `domain` is its zone or kind if copies are spread."""
 
     weight: float
     domain: str | None
 
 
 class FoundShard(NamedTuple):
-    """Where an object is placed: `members` in order, the first its home; empty if no member may have it."""
+    """The placement of an object: `members` in order, with its home first; empty if no member may have it."""
 
     rule: str
     cell: str | None
@@ -48,16 +48,17 @@
 
     rule: Rule
     cell: str | None
-    draws: dict[str, Draw]  # of the members that may have its shards, by name in order
-    homes: list[tuple[str, ...]]  # by shard
-    reach: "array[float]"  # by shard, the latest arrival that its members depend on; infinite: all members
+    members: dict[str, ShardMapMember]  # those that may have its shards, by name, in order of the names
+    homes: list[tuple[str, ...]]  # names of the members that have a shard, by shard
+    # By shard, the latest arrival on which its homes depend; infinite if they depend on all members.
+    reach: "array[float]"
 
     def incomplete_shards(self) -> int:
-        """Returns how many shards have fewer copies, or over fewer zones or kinds, than the rule asks for."""
+        """Returns how many shards have fewer copies, or fewer zones or kinds, than the rule asks for."""
         count = 0
-        for members in self.homes:
-            domains = {self.draws[name].domain for name in members} - {None}
-            has_copies = len(members) >= self.rule.copies
+        for names in self.homes:
+            domains = {self.members[name].domain for name in names} - {None}
+            has_copies = len(names) >= self.rule.copies
             is_spread = self.rule.spread is None or len(domains) >= self.rule.min_domains
             count += not (has_copies and is_spread)
         return count
@@ -65,30 +66,28 @@
 
 @dataclass(frozen=True, eq=False)
 class Table:
-    """All placement at one time; `epoch` is the number of its list or file."""
+    """The placement of all objects; `epoch` is the number of the list or file that it was compiled from."""
 
     rules: RuleSet
     epoch: int
-    names: tuple[str, ...]  # of all members, in order
+    names: tuple[str, ...]  # of all members, sorted
     shard_maps: dict[ShardMapKey, ShardMap]
-    cached_shard_maps: dict[RequestKind, ShardMap | None] = field(default_factory=dict)
-
-    # --- comparison ---
+    cached_shard_maps: dict[RequestAttributes, ShardMap | None] = field(default_factory=dict)
 
     @cached_property
     def packed(self) -> bytes:
-        """Bytes that are equal for equal rules and members, in any order of the list."""
-        number = {name: n for n, name in enumerate(self.names)}
+        """The bytes over which the digest is computed, equal for equal rules and members in any order."""
+        member_numbers = {name: n for n, name in enumerate(self.names)}
         parts = [DIGEST_HEADER]
         for block in (self.rules.canonical(), json.dumps(self.names).encode()):
             parts += [len(block).to_bytes(4, "big"), block]
         for shard_map in self.shard_maps.values():
-            parts.append(pack_homes(shard_map, number))
+            parts.append(pack_homes(shard_map, member_numbers))
         return b"".join(parts)
 
     @cached_property
     def digest(self) -> str:
-        """The 32 hexadecimal digits that routers compare: equal if all objects are placed alike."""
+        """The digest that routers compare, 32 hexadecimal digits; equal if all objects are placed alike."""
         return xxh3_128_hexdigest(self.packed)
 
     @cached_property
@@ -96,11 +95,9 @@
         """The names of all members."""
         return frozenset(self.names)
 
-    # --- look-ups ---
-
     @cached_property
-    def distinguished(self) -> tuple[frozenset[Any], frozenset[Any], frozenset[Any]]:
-        """The classes, tenants and groups that any rule tells apart; all others are treated alike."""
+    def distinguished_values(self) -> tuple[frozenset[Any], frozenset[Any], frozenset[Any]]:
+        """The classes, tenants and groups that rules or cells name; all other values are treated alike."""
         requests = [rule.requests for rule in self.rules.rules]
         classes, tenants, groups = (
             frozenset[Any]().union(*(conjunction[index].values for conjunction in requests))
@@ -109,31 +106,31 @@
         return classes, tenants | frozenset(self.rules.tenants), groups
 
     def shard_map(self, class_name: str | None, tenant: str | None, group: int | None) -> ShardMap | None:
-        """Returns the shard map for a kind of request, None if no rule is for it."""
-        classes, tenants, groups = self.distinguished
-        kind = (
+        """Returns the shard map for requests of these attributes, None if no rule matches them."""
+        classes, tenants, groups = self.distinguished_values
+        attributes = (
             class_name if class_name in classes else None,
             tenant if tenant in tenants else None,
             group if group in groups else None,
         )
         try:
-            return self.cached_shard_maps[kind]
+            return self.cached_shard_maps[attributes]
         except KeyError:
             pass
-        shard_map = self.find_shard_map(kind)
+        shard_map = self.find_shard_map(attributes)
         if len(self.cached_shard_maps) >= MAX_CACHED_SHARD_MAPS:
             self.cached_shard_maps.clear()
-        self.cached_shard_maps[kind] = shard_map
+        self.cached_shard_maps[attributes] = shard_map
         return shard_map
 
-    def find_shard_map(self, kind: RequestKind) -> ShardMap | None:
-        """Returns the shard map of the first rule that matches a kind of request, None if none does."""
-        _, tenant, _ = kind
+    def find_shard_map(self, attributes: RequestAttributes) -> ShardMap | None:
+        """Returns the shard map of the first rule that matches the request attributes, None if none does."""
+        _, tenant, _ = attributes
         for rule in self.rules.rules:
-            conditions = zip(kind, rule.requests, strict=True)
+            conditions = zip(attributes, rule.requests, strict=True)
             if all(value in values for value, values in conditions if values is not ANY):
-                confined = self.rules.tenants.get(tenant or "")
-                return self.shard_maps[rule.name, None if confined is None else confined.cell]
+                confined_tenant = self.rules.tenants.get(tenant or "")
+                return self.shard_maps[rule.name, None if confined_tenant is None else confined_tenant.cell]
         return None
 
     def lookup(
@@ -144,7 +141,7 @@
         key: int | None,
         part: int | None = None,
     ) -> FoundShard | None:
-        """Returns where an object is placed, None if no rule is for it: then it is placed without rules."""
+        """Returns where an object is placed; None if no rule matches: then it is placed by hash alone."""
         shard_map = self.shard_map(class_name, tenant, group)
         if shard_map is None:
             return None
@@ -159,8 +156,6 @@
         shard = (slot_of(key or 0) * rule.shards) // SLOT_COUNT
         return FoundShard(rule.name, shard_map.cell, shard, shard_map.homes[shard])
 
-    # --- for the console ---
-
     def explain(
         self,
         class_name: str | None,
@@ -169,7 +164,7 @@
         key: int | None,
         part: int | None = None,
     ) -> dict[str, object]:
-        """Returns the result of a look-up as JSON values, with the rule that applied."""
+        """Returns the result of a look-up and the rule applied, as JSON values for the console."""
         found = self.lookup(class_name, tenant, group, key, part)
         explanation: dict[str, object] = {"epoch": self.epoch, "digest": self.digest}
         if found is None:
@@ -190,21 +185,21 @@
         }
 
     def incomplete_shards(self) -> dict[str, int]:
-        """Returns by rule how many shards have less than the rule asks for, without rules that have none."""
+        """Returns the number of incomplete shards by rule, without rules that have none."""
         counts: dict[str, int] = {}
         for shard_map in self.shard_maps.values():
             counts[shard_map.rule.name] = counts.get(shard_map.rule.name, 0) + shard_map.incomplete_shards()
         return {name: count for name, count in counts.items() if count}
 
 
-def pack_homes(shard_map: ShardMap, number: dict[str, int]) -> bytes:
-    """Returns the numbers of a shard map's members by shard, 16 bits each, big-endian."""
+def pack_homes(shard_map: ShardMap, member_numbers: dict[str, int]) -> bytes:
+    """Returns the numbers of the members of each shard in turn, as big-endian 16-bit integers."""
     copies = shard_map.rule.copies
-    rows = {
-        members: [number[name] for name in members] + [NO_MEMBER] * (copies - len(members))
-        for members in set(shard_map.homes)
+    numbers_by_names = {
+        names: [member_numbers[name] for name in names] + [NO_MEMBER] * (copies - len(names))
+        for names in set(shard_map.homes)
     }
-    numbers = array("H", [n for members in shard_map.homes for n in rows[members]])
+    numbers = array("H", [n for names in shard_map.homes for n in numbers_by_names[names]])
     if sys.byteorder == "little":
         numbers.byteswap()
     return numbers.tobytes()
