--- a/paddlequay/placement/migration.py
+++ b/paddlequay/placement/migration.py
@@ -1,7 +1,7 @@
-"""Decides which shards migrate to another table, and when each does: so many in a second.
+"""Decides which shards migrate to another table, and when, at the pace that the rules set.
 
-A shard that waits for its migration stays with its previous members. Once it has migrated, its previous
-members are named for a while, so that requests can ask them for the objects that they hold.
+A shard that waits for its migration stays with its previous members. For some time after it has migrated,
+look-ups also return its previous members, so that requests can ask them for the objects that they hold.
 """
 
 from collections.abc import Iterator
@@ -13,16 +13,16 @@
 from paddlequay.placement.rules import MAX_RESOLVE_STEPS, ShardMapKey, shard_map_key
 from paddlequay.placement.table import FoundShard, Table
 
-LINGER_S = 60.0  # previous homes are named for so long: as long as in `hierarchy.migration`
+PREVIOUS_HOME_S = 60.0  # as long as `earlier_home_s` of `hierarchy.migration`
 
-ShardKey = tuple[ShardMapKey, int]  # a shard map and a shard of it
+ShardKey = tuple[ShardMapKey, int]  # a shard map and the number of one of its shards
 
 
 class ShardMove(NamedTuple):
-    """A shard that another table places differently.
+    """A shard that a newer table places differently, with its members by the older and the newer table.
 
-    `before` is None if the shard is new or holds objects of other shards: each object comes from where the
-    previous table had it.
+    `before` is None if the shard is new or includes objects of other shards: then the older table decides
+    for each object where it was.
     """
 
     key: ShardMapKey
@@ -32,17 +32,17 @@
 
 
 class ScheduledMove(NamedTuple):
-    """The time at which a shard follows the newer table, and its previous members as in `ShardMove`."""
+    """The time from which a shard follows the newer table, and its previous members as in `ShardMove`."""
 
-    due: float
+    due_at: float
     before: tuple[str, ...] | None
 
 
 class CurrentPlacement(NamedTuple):
     """Where an object is placed now.
 
-    `previous` are the members that had it and may hold it, in order. `pending`: its shard has yet to
-    migrate, and `found` gives the members where it still is.
+    `previous` are the members that had the object before and may still hold it, in order. `pending` is True
+    if its shard has not migrated yet: then `found` has the members that it is still placed on.
     """
 
     found: FoundShard
@@ -51,19 +51,19 @@
 
 
 class MigrationPendingError(PaddlequayError, ValueError):
-    """Shards wait for their migrations; a table that cuts shards differently has to wait, too.
+    """A table that divides objects into shards differently was given while shards wait for their migration.
 
     Attributes:
         remaining_s: The seconds until the last shard has migrated.
     """
 
     def __init__(self, remaining_s: float) -> None:
-        super().__init__(f"shards wait for their turns for {remaining_s:.1f} s more")
+        super().__init__(f"shards are waiting to migrate for {remaining_s:.1f} s more")
         self.remaining_s = remaining_s
 
 
 def unchanged_shard_maps(old: Table, new: Table) -> set[ShardMapKey]:
-    """Returns the shard maps whose shards hold no object that was in another shard before."""
+    """Returns the shard maps in which each object was in the same shard before."""
     if old.rules is new.rules:
         return set(new.shard_maps)
     work = WorkBudget(MAX_RESOLVE_STEPS)
@@ -82,15 +82,14 @@
             if not subtract_region(requests, old_requests, work):
                 unchanged.add(key)
     except WorkLimitError:
-        pass  # all other shard maps migrate object by object, which is correct for any
+        pass  # the remaining shard maps migrate object by object, which is correct for any shard map
     return unchanged
 
 
 def moved_shards(old: Table, new: Table) -> Iterator[ShardMove]:
-    """Yields all shards of `new` that move. Rules are identified by their names.
+    """Yields all shards that `new` places differently from `old`. Rules are the same if their names are.
 
-    A shard that also holds objects which another rule, or another number of shards, placed before moves
-    whole.
+    A shard always moves if it includes objects that another rule, or another number of shards, placed before.
     """
     unchanged = unchanged_shard_maps(old, new)
     for key, shard_map in new.shard_maps.items():
@@ -105,87 +104,84 @@
 
 
 class Migration:
-    """The table in use, and the shards that still follow the previous one or have just left it.
+    """The table in use, and the shards that still follow the previous one or have recently migrated.
 
-    Memory: one scheduled move for each shard of the table in use, all forgotten `linger_s` after the last
-    is due, and the previous table. Without a pace in the rules all shards migrate at once.
+    Memory: up to one scheduled move for each shard of the table in use, and the previous table. All moves
+    are removed `previous_home_s` after the last one is due. Without a pace in the rules all shards migrate
+    at once.
     """
 
-    def __init__(self, table: Table, linger_s: float = LINGER_S) -> None:
+    def __init__(self, table: Table, previous_home_s: float = PREVIOUS_HOME_S) -> None:
         self.table = table
-        self.linger_s = linger_s
+        self.previous_home_s = previous_home_s
         self.scheduled: dict[ShardKey, ScheduledMove] = {}
-        self.previous_table: Table | None = None  # where a shard without `before` has its objects from
-        self.next_free_at = 0.0  # from then on another shard may migrate
-        self.ends_at = 0.0  # all shards have migrated, and the previous homes are forgotten
-
-    # --- changes ---
+        self.previous_table: Table | None = None  # has the previous homes of moves without `before`
+        self.paced_until = 0.0  # when the last move that was scheduled at the pace is due
+        self.ends_at = 0.0  # from then on no scheduled move affects a look-up
 
     def change_table(self, table: Table, now: float) -> int:
-        """Follows another table from now on, shard by shard, and returns how many are yet to migrate.
+        """Puts another table into use, shard by shard, and returns how many shards have yet to migrate.
 
-        A shard that waits keeps its time and goes straight to its newest members. A shard whose home has
-        left the list migrates at once, beyond the pace, since that home cannot serve it. A change of the
-        list alone is always accepted.
+        A shard that already waits keeps its time, and then goes directly to its newest members. A shard whose
+        home has left the list migrates at once, regardless of the pace, since that home cannot serve it. A
+        change of only the list is always accepted.
 
         Raises:
-            MigrationPendingError: The table cuts shards differently while others wait.
+            MigrationPendingError: The table divides objects into shards differently while shards wait.
         """
         self.forget_finished(now)
         moves = list(moved_shards(self.table, table))
         if any(move.before is None for move in moves):
-            self._begin_recut(now)
+            self._begin_resharding(now)
         self.scheduled = {key: move for key, move in self.scheduled.items() if key[0] in table.shard_maps}
-        # In a hashed order, so that all members give and take evenly: neighbouring shards are unrelated.
+        # The order is hashed, so that at any time all members lose and gain shards about evenly.
         moves.sort(key=lambda move: (slot_of(move.shard + 1), move.shard, str(move.key)))
         self.table = table
         self._schedule(moves, now)
         return self.pending_count(now)
 
-    def _begin_recut(self, now: float) -> None:
-        """Prepares for shards that hold objects of others; raises while any shard waits."""
+    def _begin_resharding(self, now: float) -> None:
+        """Prepares for shards that include objects of other shards; raises while any shard waits."""
         if self.pending_count(now):
-            last_due = max(move.due for move in self.scheduled.values())
+            last_due = max(move.due_at for move in self.scheduled.values())
             raise MigrationPendingError(last_due - now)
-        # Objects of an earlier cut are where the table in use has them.
+        # No shard waits, so the table in use now says where the objects of all earlier shards are.
         self.scheduled = {key: move for key, move in self.scheduled.items() if move.before is not None}
         self.previous_table = self.table
 
     def _schedule(self, moves: list[ShardMove], now: float) -> None:
-        """Sets the time of each move, in order and at the pace of the rules."""
+        """Sets the time of each move, in the given order and at the pace of the rules."""
         pace = self.table.rules.shards_per_s
-        start = max(self.next_free_at, now)
+        start = max(self.paced_until, now)
         paced_count = 0
         for move in moves:
             key = (move.key, move.shard)
             waiting = self.scheduled.get(key)
-            if waiting is not None and waiting.due > now:
+            if waiting is not None and waiting.due_at > now:
                 if waiting.before == move.after:
-                    del self.scheduled[key]  # it is back where it still is
+                    del self.scheduled[key]  # the shard has not moved, and its members are the same again
                 continue
-            due = now
+            due_at = now
             if pace is not None and (move.before is None or self.is_home_listed(move.before)):
                 paced_count += 1
-                due = start + paced_count / pace
-                self.next_free_at = due
-            self.scheduled[key] = ScheduledMove(due, move.before)
-            self.ends_at = max(self.ends_at, due + self.linger_s)
+                due_at = start + paced_count / pace
+                self.paced_until = due_at
+            self.scheduled[key] = ScheduledMove(due_at, move.before)
+            self.ends_at = max(self.ends_at, due_at + self.previous_home_s)
 
     def forget_finished(self, now: float) -> None:
-        """Forgets all moves and the previous table once the last previous homes are no longer named."""
+        """Removes all moves and the previous table once no look-up returns previous homes any more."""
         if now >= self.ends_at:
             self.scheduled.clear()
             self.previous_table = None
 
-    # --- questions ---
-
     def is_home_listed(self, members: tuple[str, ...]) -> bool:
-        """Returns whether the home of a shard with these members is still listed."""
+        """Returns whether the home of a shard, the first of these members, is still listed."""
         return bool(members) and members[0] in self.table.name_set
 
     def pending_count(self, now: float) -> int:
         """Returns how many shards have yet to migrate."""
-        return sum(move.due > now for move in self.scheduled.values())
+        return sum(move.due_at > now for move in self.scheduled.values())
 
     def lookup(
         self,
@@ -196,20 +192,20 @@
         part: int | None,
         now: float,
     ) -> CurrentPlacement | None:
-        """Returns where an object is placed now, None if no rule is for it."""
+        """Returns where an object is placed now, None if no rule matches it."""
         found = self.table.lookup(class_name, tenant, group, key, part)
         if found is None:
             return None
         move = self.scheduled.get(((found.rule, found.cell), found.shard)) if self.scheduled else None
-        if move is None or now >= move.due + self.linger_s:
+        if move is None or now >= move.due_at + self.previous_home_s:
             return CurrentPlacement(found, (), False)
         before = move.before
         if before is None and self.previous_table is not None:
-            earlier = self.previous_table.lookup(class_name, tenant, group, key, part)
-            before = None if earlier is None else earlier.members
+            found_before = self.previous_table.lookup(class_name, tenant, group, key, part)
+            before = None if found_before is None else found_before.members
         before = before or ()
         listed = [name for name in before if name in self.table.name_set]
-        if now < move.due and self.is_home_listed(before):
+        if now < move.due_at and self.is_home_listed(before):
             return CurrentPlacement(found._replace(members=tuple(listed)), (), True)
         previous = tuple(name for name in listed if name not in found.members)
         return CurrentPlacement(found, previous, False)
--- a/paddlequay/placement/regions.py
+++ b/paddlequay/placement/regions.py
@@ -1,9 +1,9 @@
 """Sets of members or requests by their attributes, with exact intersection, difference and emptiness.
 
-An item is a tuple of values, one for each attribute. A conjunction names for each attribute which values it
-contains: some values, or all but some; a region is a union of conjunctions. With these it is decided
-without trying any list whether a rule is ever reached, or whether a member can be in a cell. All work is
-counted in steps, so that no file takes longer than its `WorkBudget` allows.
+An item is a tuple of values, one for each attribute. A conjunction has one set of values for each attribute:
+either the given values or all others. A region is a union of conjunctions. These operations decide without a
+list of members whether any request can reach a rule, or any member can be in a cell. All work is counted in
+steps, so that no file takes longer than its `WorkBudget` allows.
 """
 
 from collections.abc import Iterable, Sequence
@@ -13,14 +13,14 @@
 
 Value = str | int | None
 
-VALUES_PER_STEP = 64  # so many values take about as long to compare as the rest of a step
+VALUES_PER_STEP = 64  # comparing this many values takes about as long as the rest of a step
 
 
 class WorkLimitError(PaddlequayError, ValueError):
-    """A file of rules asks for more work than it may.
+    """Processing a file of rules takes more steps than its `WorkBudget` allows.
 
     Attributes:
-        max_steps: The steps that were allowed.
+        max_steps: The number of steps that were allowed.
     """
 
     def __init__(self, max_steps: int) -> None:
@@ -29,7 +29,7 @@
 
 
 class WorkBudget:
-    """The steps that may still be taken; counted, not timed, so that all machines refuse the same files."""
+    """The number of steps left. Steps are counted, not timed, so that all machines refuse the same files."""
 
     def __init__(self, max_steps: int) -> None:
         self.max_steps = max_steps
@@ -83,12 +83,12 @@
 
 
 def attribute_region(attribute_count: int, index: int, values: ValueSet) -> Region:
-    """Returns the items whose attribute `index` of `attribute_count` has one of some values."""
+    """Returns the items whose attribute `index`, of `attribute_count`, has one of the values."""
     return (tuple(values if n == index else ANY for n in range(attribute_count)),)
 
 
 def comparison_steps(*conjunctions: Conjunction) -> int:
-    """Returns the steps to compare conjunctions, of about 3 µs each."""
+    """Returns the number of steps to compare conjunctions; one step takes about 3 µs."""
     return (
         1
         + sum(len(values.values) for conjunction in conjunctions for values in conjunction) // VALUES_PER_STEP
@@ -103,7 +103,7 @@
 
 
 def subtract_conjunction(conjunction: Conjunction, other: Conjunction, work: WorkBudget) -> list[Conjunction]:
-    """Returns `conjunction` less `other` as disjoint conjunctions, at most one for each attribute."""
+    """Returns `conjunction` minus `other` as disjoint conjunctions, at most one for each attribute."""
     common = intersect_conjunctions(conjunction, other, work)
     if common is None:
         return [conjunction]
@@ -121,7 +121,7 @@
 
 
 def subtract_region(a: Region, b: Region, work: WorkBudget) -> Region:
-    """Returns region `a` less region `b`."""
+    """Returns region `a` minus region `b`."""
     rest = list(a)
     for other in b:
         rest = [piece for conjunction in rest for piece in subtract_conjunction(conjunction, other, work)]
@@ -137,7 +137,7 @@
 
 
 def max_value_count(region: Region, index: int) -> int | None:
-    """Returns how many values of attribute `index` a region can have at most, None if unbounded."""
+    """Returns how many values of attribute `index` a region has at most, None if unbounded."""
     if any(conjunction[index].complement for conjunction in region):
         return None
     return len(frozenset[Value]().union(*(conjunction[index].values for conjunction in region)))
--- a/paddlequay/placement/rules.py
+++ b/paddlequay/placement/rules.py
@@ -1,8 +1,8 @@
-"""Placement rules with all names resolved, as look-ups use them; `checks.py` decides if they can be used.
+"""Placement rules with all names resolved, as look-ups use them; `checks.py` checks that they are usable.
 
-A rule is for a set of requests (class, tenant, group). It says into how many shards their objects fall, how
-many copies a shard has and among which members. Of the rules that match a request, the one with the highest
-precedence holds; `otherwise`, the fallback, holds where none matches.
+A rule matches requests by class, tenant and group. It defines into how many shards their objects are divided,
+how many copies each shard has and which members may have them. If several rules match a request, the one of
+the highest precedence applies; if none does, the fallback (`otherwise`) applies.
 """
 
 import json
@@ -20,7 +20,7 @@
 )
 from paddlequay.placement.syntax_tree import Name, Spread
 
-MAX_RESOLVE_STEPS = 400_000  # to resolve and check one file: about a second
+MAX_RESOLVE_STEPS = 400_000  # to resolve and check one file, which takes about 1 s
 
 MEMBER_ATTRIBUTES = ("name", "zone", "kind", "cell")
 REQUEST_ATTRIBUTES = ("class", "tenant", "group")
@@ -28,34 +28,34 @@
 TENANT_INDEX = 1
 ALL_MEMBERS: Region = ((ANY,) * len(MEMBER_ATTRIBUTES),)
 
-ShardMapKey = tuple[str, str | None]  # rule and cell
+ShardMapKey = tuple[str, str | None]  # names of the rule and the cell
 
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """One rule; without `precedence` it is the fallback."""
+    """One rule; if `precedence` is None, it is the fallback."""
 
     name: str
     precedence: int | None
-    requests: Conjunction  # by `REQUEST_ATTRIBUTES`
+    requests: Conjunction  # the requests that it matches, by `REQUEST_ATTRIBUTES`
     shards: int
-    shard_by: str
+    shard_by: str  # the attribute that decides the shard, as the file has it
     copies: int
-    min_domains: int  # the least number of different zones or kinds of a shard's copies
-    spread: Spread | None  # what its copies are spread over
-    members: Region  # that may have its shards
+    min_domains: int  # the minimum number of different zones or kinds among a shard's copies
+    spread: Spread | None  # the attribute over which copies are spread
+    members: Region  # those that may have its shards
     weights: tuple[tuple[Region, float], ...]  # factors on the weights of some members
-    pins: dict[int, str]  # first home by shard
-    positions: dict[str, Position] = field(compare=False)  # of its words, for errors
+    pins: dict[int, str]  # name of the first home by shard
+    positions: dict[str, Position] = field(compare=False)  # of its name and keywords, for error messages
 
-    def position(self, word: str) -> Position:
-        """Returns the position of a word of the rule, or of its name if the rule lacks the word."""
-        return self.positions.get(word, self.positions["rule"])
+    def position(self, keyword: str) -> Position:
+        """Returns the position of a keyword in the rule, or of the rule's name if it lacks the keyword."""
+        return self.positions.get(keyword, self.positions["rule"])
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """A part of the members to which tenants are confined."""
+    """A set of members to which tenants can be confined."""
 
     name: str
     members: Region
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant that is confined to a cell; `load_share` is its share of the load of all, from 0 to 1."""
+    """A tenant that is confined to a cell; `load_share` is its share of the total load, from 0 to 1."""
 
     name: str
     cell: str
@@ -74,19 +74,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleSet:
-    """The rules of a file, in the order in which they are tried."""
+    """The rules of a file, in the order in which they are matched."""
 
     source: Source = field(compare=False)
     rules: tuple[Rule, ...]
     cells: dict[str, Cell]
     tenants: dict[str, Tenant]
-    shards_per_s: int | None  # that may migrate; None: all at once
-    classes: tuple[Name, ...] | None  # all that the file may name, None: any
+    shards_per_s: int | None  # the pace of migration; None: all shards migrate at once
+    classes: tuple[Name, ...] | None  # those that the file may name, None: any; likewise zones and kinds
     zones: tuple[Name, ...] | None
     kinds: tuple[Name, ...] | None
 
     def shard_maps(self) -> list[tuple[Rule, Cell | None]]:
-        """Returns each rule with each cell whose tenants it is for, and without a cell for all others."""
+        """Returns each rule with each cell whose tenants it matches, and with None for all other requests."""
         shard_maps: list[tuple[Rule, Cell | None]] = []
         for rule in self.rules:
             tenants = rule.requests[TENANT_INDEX]
@@ -97,9 +97,9 @@
         return shard_maps
 
     def effective_requests(self, rule: Rule, cell: Cell | None, work: WorkBudget) -> Region:
-        """Returns the requests that a rule holds for, in a cell or outside all: those of no earlier rule."""
-        confined = [t.name for t in self.tenants.values() if cell is None or t.cell == cell.name]
-        tenants = ValueSet(frozenset(confined), complement=cell is None)
+        """Returns the requests that a rule, but no earlier one, matches, in a cell or outside all cells."""
+        tenant_names = [t.name for t in self.tenants.values() if cell is None or t.cell == cell.name]
+        tenants = ValueSet(frozenset(tenant_names), complement=cell is None)
         common = intersect_conjunctions(rule.requests, (ANY, tenants, ANY), work)
         region: Region = () if common is None else (common,)
         for earlier in self.rules[: self.rules.index(rule)]:
@@ -107,7 +107,7 @@
         return region
 
     def canonical(self) -> bytes:
-        """Returns bytes that are equal for equal rules, whatever the spelling; part of a table's digest."""
+        """Returns bytes that are equal for equal rules however they are spelt; part of a table's digest."""
         data = {
             "pace": self.shards_per_s,
             "cells": {cell.name: canonical_region(cell.members) for cell in self.cells.values()},
@@ -123,7 +123,7 @@
 
 
 def canonical_rule(rule: Rule) -> dict[str, object]:
-    """Returns a rule as JSON values. The names are part of the digest that routers compare."""
+    """Returns a rule as JSON values. The field names are part of the digest that routers compare."""
     return {
         "name": rule.name,
         "precedence": rule.precedence,
--- a/tests/placement/test_table_homes.py
+++ b/tests/placement/test_table_homes.py
@@ -1,4 +1,4 @@
-"""Homes that follow a placement table: the default rule gives the plain homes, and other rules hold."""
+"""Tests of homes that follow a placement table: the default rule gives plain homes, and other rules apply."""
 
 import random
 from collections.abc import Callable
@@ -30,8 +30,10 @@
 ]
 
 
-def finder(migration: Migration) -> Callable[[HomeKey], tuple[ShardMap, CurrentPlacement] | None]:
-    def find(key: HomeKey) -> tuple[ShardMap, CurrentPlacement] | None:
+def make_find_placement(
+    migration: Migration,
+) -> Callable[[HomeKey], tuple[ShardMap, CurrentPlacement] | None]:
+    def find_placement(key: HomeKey) -> tuple[ShardMap, CurrentPlacement] | None:
         placement = migration.lookup(key.class_name, key.tenant, key.group, key.key, key.part, 0.0)
         table = migration.table
         return (
@@ -40,15 +42,17 @@
             else (table.shard_maps[placement.found.rule, placement.found.cell], placement)
         )
 
-    return find
+    return find_placement
 
 
-def homes_by(text: str, zone: str = "a", members: list[Member] = MEMBERS) -> tuple[TableHomes[str], Table]:
-    """Returns the homes of a router in a zone, by a table over all zones, and that table."""
+def make_table_homes(
+    text: str, zone: str = "a", members: list[Member] = MEMBERS
+) -> tuple[TableHomes[str], Table]:
+    """Returns the homes at a router that uses one zone, by a table over all zones, and that table."""
     homes: TableHomes[str] = TableHomes()
     homes.reset((m.name, m.name, m.weight or 1.0) for m in members if m.zone == zone)
     table = compile_rules(read_rules("t", text.encode()), members)
-    homes.find_placement = finder(Migration(table))
+    homes.find_placement = make_find_placement(Migration(table))
     return homes, table
 
 
@@ -57,34 +61,36 @@
 
 
 @pytest.mark.parametrize("copies", [1, 3])
-def test_the_rule_that_states_the_default_placement_gives_the_plain_homes(copies: int) -> None:
+def test_rule_equivalent_to_the_default_placement_gives_plain_homes(copies: int) -> None:
     text = DEFAULT if copies == 1 else DEFAULT.replace("1 copy", "3 copies")
     rng = random.Random(copies)
     members, compared = list(MEMBERS), 0
-    followed, _ = homes_by(text)
+    table_homes, _ = make_table_homes(text)
     plain: Homes[str] = Homes()
     for step in range(40):
         if step % 2:
-            gone = rng.choice(members)
-            members.remove(gone)
+            removed = rng.choice(members)
+            members.remove(removed)
         else:
             members.append(Member(f"n{step}", zone=rng.choice("ab"), weight=rng.choice((0.5, 1.0, 4.0))))
-        followed.find_placement = finder(Migration(compile_rules(read_rules("t", text.encode()), members)))
-        for homes in (followed, plain):
+        table_homes.find_placement = make_find_placement(
+            Migration(compile_rules(read_rules("t", text.encode()), members))
+        )
+        for homes in (table_homes, plain):
             homes.reset((m.name, m.name, m.weight or 1.0) for m in members if m.zone == "a")
-        cold = {m.name: rng.uniform(0.05, 1.0) for m in members if rng.random() < 0.3 and step > 10}
-        share = partial(lambda cold, name: cold.get(name, 1.0), cold)
+        weight_factors = {m.name: rng.uniform(0.05, 1.0) for m in members if rng.random() < 0.3 and step > 10}
+        weight_factor = partial(lambda factors, name: factors.get(name, 1.0), weight_factors)
         for _ in range(50):
             key, part = rng.getrandbits(64), rng.choice((None, rng.randrange(100)))
-            by_table = list(followed.order(key_of("video", key, part), share))
-            by_hash = list(plain.order(placement_key(key, part), share))
+            by_table = list(table_homes.order(key_of("video", key, part), weight_factor))
+            by_hash = list(plain.order(placement_key(key, part), weight_factor))
             assert by_table == by_hash and len(by_hash) > 2
             compared += 1
     assert compared == 2000
 
 
-def test_copies_come_first_and_then_all_members_that_the_rule_allows() -> None:
-    homes, table = homes_by(RULES)
+def test_order_has_the_copies_and_then_all_members_that_the_rule_allows() -> None:
+    homes, table = make_table_homes(RULES)
     for key in range(200):
         order = list(homes.order(key_of("video", key)))
         found = table.lookup("video", None, None, key)
@@ -93,35 +99,37 @@
         assert order[: len(copies)] == copies
 
 
-def test_a_tenant_stays_in_its_cell_and_a_rule_for_other_zones_leaves_plain_homes() -> None:
-    homes, _ = homes_by(RULES)
-    mine, _ = homes_by(CELL_RULES)
-    other, _ = homes_by(CELL_RULES, zone="b")
+def test_tenant_stays_in_its_cell_and_rule_without_local_members_gives_plain_homes() -> None:
+    homes, _ = make_table_homes(RULES)
+    cell_homes, _ = make_table_homes(CELL_RULES)
+    other_zone_homes, _ = make_table_homes(CELL_RULES, zone="b")
     plain: Homes[str] = Homes()
     plain.reset((m.name, m.name, m.weight or 1.0) for m in MEMBERS if m.zone == "a")
     for key in range(100):
-        assert set(mine.order(key_of("page", key, tenant="acme"))) == {"a0", "a2", "a4", "a6", "a8"}
-        assert list(other.order(key_of("page", key, tenant="acme"))) == []
+        assert set(cell_homes.order(key_of("page", key, tenant="acme"))) == {"a0", "a2", "a4", "a6", "a8"}
+        assert list(other_zone_homes.order(key_of("page", key, tenant="acme"))) == []
         assert list(homes.order(key_of("photo", key))) == list(plain.order(placement_key(key)))
-        assert list(homes.order(key_of("charge", key))) == list(plain.order(placement_key(key)))  # by no rule
+        assert list(homes.order(key_of("charge", key))) == list(plain.order(placement_key(key)))  # no rule
 
 
-def test_a_pinned_member_in_slow_start_has_its_factor_of_objects_and_each_returns_once() -> None:
-    homes, _ = homes_by(RULES)
+def test_pinned_member_in_slow_start_is_home_to_its_factor_of_objects_and_each_returns_once() -> None:
+    homes, _ = make_table_homes(RULES)
     keys = range(4000)
-    first: dict[float, set[int]] = {}
-    for share in (0.1, 0.5, 0.9, 1.0):
-        cold = lambda name, share=share: share if name == "a3" else 1.0  # noqa: E731
-        first[share] = {key for key in keys if next(homes.order(key_of("video", key), cold)) == "a3"}
-    whole = len(first[1.0])
-    assert whole > 1500
-    for share in (0.1, 0.5, 0.9):
-        assert abs(len(first[share]) / whole - share) < 0.06
-    assert first[0.1] < first[0.5] < first[0.9] < first[1.0]
-
-
-def test_homes_are_plain_at_once_without_a_table_and_lack_members_that_left() -> None:
-    homes, _ = homes_by(RULES)
+    keys_by_factor: dict[float, set[int]] = {}
+    for factor in (0.1, 0.5, 0.9, 1.0):
+        weight_factor = lambda name, factor=factor: factor if name == "a3" else 1.0  # noqa: E731
+        keys_by_factor[factor] = {
+            key for key in keys if next(homes.order(key_of("video", key), weight_factor)) == "a3"
+        }
+    full_count = len(keys_by_factor[1.0])
+    assert full_count > 1500
+    for factor in (0.1, 0.5, 0.9):
+        assert abs(len(keys_by_factor[factor]) / full_count - factor) < 0.06
+    assert keys_by_factor[0.1] < keys_by_factor[0.5] < keys_by_factor[0.9] < keys_by_factor[1.0]
+
+
+def test_homes_are_plain_without_a_table_and_lack_removed_members() -> None:
+    homes, _ = make_table_homes(RULES)
     key = next(key for key in range(100) if next(homes.order(key_of("video", key))) == "a3")
     homes.remove("a3")
     assert "a3" not in list(homes.order(key_of("video", key)))
@@ -129,18 +137,18 @@
     assert list(homes.order(key_of("video", key))) == list(homes.order(placement_key(key)))
 
 
-def test_orders_are_cached_for_few_sheets() -> None:
+def test_number_of_shard_maps_with_cached_orders_is_bounded() -> None:
     text = "\n".join(
         f"rule r{n}, precedence {n}, for class c{n}: 8 shards by object; 1 copy." for n in range(20)
     )
-    homes, _ = homes_by(text)
+    homes, _ = make_table_homes(text)
     for n in range(20):
         assert len(list(homes.order(key_of(f"c{n}", n)))) == 9
     assert len(homes.shard_maps) == MAX_CACHED_SHARD_MAPS
 
 
-def test_a_member_added_after_a_sheet_was_cached_is_in_its_order() -> None:
-    homes, table = homes_by(RULES)
+def test_member_added_after_a_shard_map_was_cached_is_in_its_order() -> None:
+    homes, table = make_table_homes(RULES)
     homes.remove("a3")
     copies = {key: table.lookup("video", None, None, key) for key in range(100)}
     key = next(key for key, found in copies.items() if found is not None and "a3" not in found.members)
