--- a/paddlequay/placement/checks.py
+++ b/paddlequay/placement/checks.py
@@ -1,9 +1,9 @@
 """Reads files of placement rules, and checks them before a table is compiled.
 
-A rule that is never reached, a pin to a member that the rule excludes or copies that no list of members
-could hold are mistakes whatever the list is (`check_rule_set`). Copies, zones and cells that a given list
-is too small for are refused when rules are adopted (`check_members`), not when members leave later: then a
-shard has the copies that are possible.
+Some mistakes make rules invalid for any list of members (`check_rule_set`): a rule that no request can reach,
+a pin to a member that the rule excludes, or more copies than any list could place. A list that is too small
+for the copies, zones or cells of the rules is refused when the rules are adopted (`check_members`), but not
+when members leave later: then a shard has as many copies as possible.
 """
 
 from collections import Counter
@@ -39,28 +39,25 @@
 from paddlequay.placement.syntax_tree_builder import parse_rules
 from paddlequay.routing.interface import Member
 
-MAX_SHARD_MAPS = 1_024  # a rule has one, and one for each cell whose tenants it is for
-MAX_TOTAL_SHARDS = 262_144  # of all shard maps; one rule has 65,536 at most
+MAX_SHARD_MAPS = 1_024  # a rule has one, and another for each cell whose tenants it matches
+MAX_TOTAL_SHARDS = 262_144  # of all shard maps; one rule has at most 65,536
 MAX_MEMBERS = 10_000
-MAX_SHOWN_CLASSES = 8  # in an error
-SHARE_TOLERANCE_RATIO = 1e-9  # for sums of decimal fractions
-NAME_INDEX = 0  # in `MEMBER_ATTRIBUTES`
-
-
-# --- reading ---
+MAX_SHOWN_CLASSES = 8  # that an error lists
+SHARE_TOLERANCE_RATIO = 1e-9  # for the rounding of sums
+NAME_INDEX = 0  # of `name` in `MEMBER_ATTRIBUTES`
 
 
 def read_rules(name: str, data: bytes, classes: Iterable[str] | None = None) -> RuleSet:
     """Returns the checked rules of a file's bytes.
 
     Args:
-        name: The file's name, for errors.
+        name: The file's name, for error messages.
         data: The file's bytes.
-        classes: The classes of the settings, if they are known.
+        classes: The classes of the settings; None if they are not known.
 
     Raises:
-        ConfigError: The rules cannot be used; the error has file, line, column, what was expected, and a
-            caret under the position.
+        ConfigError: The rules are invalid. The error has the file, line and column, what was expected there,
+            and a caret under the position.
     """
     source = decode_source(name, data)
     work = WorkBudget(MAX_RESOLVE_STEPS)
@@ -68,13 +65,13 @@
         rules = RuleBuilder(source, work).build(parse_rules(source))
         check_rule_set(rules, work, classes)
     except WorkLimitError as error:
-        message = f"expected rules that are looked up with less work, got {error}"
+        message = f"expected rules that take less work to resolve, got {error}"
         raise source.error(FILE_START, message) from None
     return rules
 
 
 def read_rules_file(path: str | Path, classes: Iterable[str] | None = None) -> RuleSet:
-    """Returns the checked rules of a file; raises `ConfigError` also if it cannot be read."""
+    """Returns the checked rules of a file; raises `ConfigError` if it is invalid or cannot be read."""
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
@@ -84,7 +81,7 @@
 
 
 def check_rules(path: str | Path) -> str:
-    """Returns one line on what a file of rules holds; raises `ConfigError` if it cannot be used."""
+    """Returns a summary of a file of rules in one line; raises `ConfigError` as `read_rules_file` does."""
     rules = read_rules_file(path)
     shards = sum(rule.shards for rule, _ in rules.shard_maps())
     pace = "all at once" if rules.shards_per_s is None else f"{rules.shards_per_s} shards a second"
@@ -97,15 +94,12 @@
 
 
 def describe_count(items: Mapping[str, object] | tuple[object, ...], noun: str) -> str:
-    """Returns a number of items in words."""
+    """Returns the number of items with the noun in singular or plural."""
     return f"{len(items)} {noun}{'' if len(items) == 1 else 's'}"
 
 
-# --- checks that hold for any list of members ---
-
-
 def check_rule_set(rules: RuleSet, work: WorkBudget, classes: Iterable[str] | None = None) -> None:
-    """Raises `ConfigError` for a mistake that no list of members can mend."""
+    """Raises `ConfigError` if the rules are invalid for any list of members."""
     if not rules.rules:
         raise rules.source.error(FILE_START, "expected at least one rule")
     if classes is not None:
@@ -120,7 +114,7 @@
 
 
 def check_shard_maps(rules: RuleSet, work: WorkBudget) -> None:
-    """Raises `ConfigError` for too many shard maps or shards, or copies that no list can hold."""
+    """Raises `ConfigError` for too many shard maps or shards, or copies that no list can satisfy."""
     shards = 0
     for number, (rule, cell) in enumerate(rules.shard_maps(), 1):
         if number > MAX_SHARD_MAPS:
@@ -136,7 +130,7 @@
 
 
 def check_classes(rules: RuleSet, known: set[str]) -> None:
-    """Raises `ConfigError` for a class that the settings lack."""
+    """Raises `ConfigError` for a class that is not in the settings."""
     shown = ", ".join(sorted(known)[:MAX_SHOWN_CLASSES])
     for name in rules.classes or ():
         if name.text not in known:
@@ -151,25 +145,26 @@
 
 
 def check_reachable(rules: RuleSet, work: WorkBudget) -> None:
-    """Raises `ConfigError` if a rule holds for no request, or if two of one precedence match the same."""
+    """Raises `ConfigError` for a rule that no request reaches, or equal precedence for the same requests."""
     for index, rule in enumerate(rules.rules):
-        rest: list[Conjunction] = [rule.requests]
+        remaining: list[Conjunction] = [rule.requests]
         for earlier in rules.rules[:index]:
             check_precedence(rules, rule, earlier, work)
-            rest = [
+            remaining = [
                 piece
-                for conjunction in rest
+                for conjunction in remaining
                 for piece in subtract_conjunction(conjunction, earlier.requests, work)
             ]
-            if not rest:
+            if not remaining:
                 message = (
-                    f"expected a rule that is reached; {earlier.name!r} is the last to take its requests"
+                    f"expected a rule that a request can reach; the rules up to {earlier.name!r}"
+                    " match all its requests"
                 )
                 raise rules.source.error(rule.position("rule"), message)
 
 
 def check_precedence(rules: RuleSet, rule: Rule, earlier: Rule, work: WorkBudget) -> None:
-    """Raises `ConfigError` if two rules of one precedence match the same requests."""
+    """Raises `ConfigError` if two rules of the same precedence match the same requests."""
     if earlier.precedence != rule.precedence:
         return
     if intersect_conjunctions(rule.requests, earlier.requests, work) is None:
@@ -180,17 +175,17 @@
 
 
 def check_load_shares(rules: RuleSet) -> None:
-    """Raises `ConfigError` if the tenants' shares of all load are over 100 % in all."""
+    """Raises `ConfigError` if the tenants' shares of the total load exceed 100 % in sum."""
     total = 0.0
     for tenant in rules.tenants.values():
         total += tenant.load_share or 0.0
         if total > 1 + SHARE_TOLERANCE_RATIO:
-            message = f"expected shares of 100% in all, got {total * 100:g}%"
+            message = f"expected tenants' shares of at most 100% in all, got {total * 100:g}%"
             raise rules.source.error(tenant.position, message)
 
 
 def check_shard_map(rules: RuleSet, rule: Rule, cell: Cell | None, work: WorkBudget) -> None:
-    """Raises `ConfigError` if no list could hold the copies of a rule, in a cell or without one."""
+    """Raises `ConfigError` if no list could satisfy a rule's copies, in a cell or without one."""
     source = rules.source
     where = describe_cell(cell)
     region = rule.members if cell is None else intersect_regions(rule.members, cell.members, work)
@@ -199,7 +194,9 @@
         raise source.error(position, f"expected members left for rule {rule.name!r}{where}, got none")
     members = max_value_count(region, NAME_INDEX)
     if members is not None and members < rule.copies:
-        message = f"expected at most {members} copies, as many as rule {rule.name!r} can have members{where}"
+        message = (
+            f"expected at most {members} copies, one for each member that rule {rule.name!r} can use{where}"
+        )
         raise source.error(rule.position("copies"), f"{message}, got {rule.copies}")
     if rule.spread is not None:
         check_spread(rules, rule, rule.spread, region, where, work)
@@ -215,14 +212,15 @@
         raise rules.source.error(rule.position("over"), message)
     domains = max_domain_count(rules, spread, region, work)
     if domains is not None and domains < rule.min_domains:
-        message = f"expected copies over at most {domains} {spread}(s), all that there are{where}"
+        message = f"expected copies over at most {domains} {spread}(s), all that the rule can use{where}"
         raise rules.source.error(rule.position("over"), f"{message}, got {rule.min_domains}")
 
 
 def check_pins(rules: RuleSet, rule: Rule, work: WorkBudget) -> None:
     """Raises `ConfigError` for a pin to a member that its rule excludes.
 
-    A cell goes before a pin: its tenants have the shard in the cell, all others where it is pinned.
+    A cell takes precedence over a pin: tenants of a cell have the shard in the cell, all others where it is
+    pinned.
     """
     for name in sorted(set(rule.pins.values())):
         only_member = (value_set([name]), *(ANY,) * (len(MEMBER_ATTRIBUTES) - 1))
@@ -232,7 +230,7 @@
 
 
 def max_domain_count(rules: RuleSet, spread: Spread, region: Region, work: WorkBudget) -> int | None:
-    """Returns how many zones or kinds a region can have at most, None if unbounded."""
+    """Returns how many zones or kinds a region has at most, None if unbounded."""
     declared = rules.zones if spread == "zone" else rules.kinds
     index = MEMBER_ATTRIBUTES.index(spread)
     if declared is not None:
@@ -242,21 +240,18 @@
     return max_value_count(region, index)
 
 
-# --- checks of a given list of members ---
-
-
 def member_attributes(member: Member) -> tuple[Value, ...]:
     """Returns the values of `MEMBER_ATTRIBUTES` of a member."""
     return member.name, member.zone, member.kind, member.cell
 
 
 def member_weight(member: Member) -> float:
-    """Returns a member's weight relative to others; without weights all members are alike."""
+    """Returns a member's weight relative to others: 1 if it has none, and at least 0."""
     return 1.0 if member.weight is None else max(0.0, member.weight)
 
 
 def sorted_members(members: Iterable[Member]) -> list[Member]:
-    """Returns the members of a list by name; raises `ConfigError` for too many or a name listed twice."""
+    """Returns the members sorted by name; raises `ConfigError` for too many or a duplicate name."""
     listed = sorted(members, key=lambda member: member.name)
     if len(listed) > MAX_MEMBERS:
         raise ConfigError(f"members: expected at most {MAX_MEMBERS}, got {len(listed)}")
@@ -290,7 +285,9 @@
     """Raises `ConfigError` if the members that a rule may use are too few, or of too few zones or kinds."""
     where = describe_cell(cell)
     if len(eligible) < rule.copies:
-        message = f"expected at most {len(eligible)} copies, as many as the list has members{where}"
+        message = (
+            f"expected at most {len(eligible)} copies, one for each member in the list for the rule{where}"
+        )
         raise rules.source.error(rule.position("copies"), f"{message}, got {rule.copies}")
     if rule.spread is None:
         return
@@ -301,16 +298,16 @@
 
 
 def check_cell_weight(rules: RuleSet, cell: Cell, listed: list[Member], total: float) -> None:
-    """Raises `ConfigError` if a cell's share of all weight is below its tenants' share of all load."""
+    """Raises `ConfigError` if a cell's share of the total weight is below its tenants' share of the load."""
     tenants = [tenant for tenant in rules.tenants.values() if tenant.cell == cell.name]
     needed = sum(tenant.load_share or 0.0 for tenant in tenants)
     weight = sum(member_weight(each) for each in listed if contains(cell.members, member_attributes(each)))
     available = weight / total if total else 0.0
     if needed > available + SHARE_TOLERANCE_RATIO:
-        message = f"expected a cell with {needed * 100:g}% of all weight, the share of its tenants"
+        message = f"expected a cell with at least {needed * 100:g}% of all weight, the share of its tenants"
         raise rules.source.error(cell.position, f"{message}, got {available * 100:.3g}%")
 
 
 def describe_cell(cell: Cell | None) -> str:
-    """Returns the words that name a cell in an error."""
+    """Returns the phrase that names a cell in an error, empty without a cell."""
     return "" if cell is None else f" in cell {cell.name!r}"
--- a/paddlequay/placement/grammar.py
+++ b/paddlequay/placement/grammar.py
@@ -1,7 +1,8 @@
 """The language of placement rules: its grammar and parser, and errors that show the position in the file.
 
-The grammar is LALR(1) and reserves all its words (a name that is one of them stands in quotes), so that a
-mistake shows at the first word that cannot follow. docs/placement.md describes the language for operators.
+The grammar is LALR(1), and all its keywords are reserved (a name that equals one is written in quotes), so
+that an error is reported at the first token that cannot follow. docs/placement.md describes the language for
+operators.
 """
 
 from collections.abc import Iterable
@@ -15,11 +16,11 @@
 from paddlequay.errors import ConfigError, PaddlequayError
 
 MAX_FILE_BYTES = 65_536
-MAX_SHOWN_CHARS = 100  # of a line in an error
+MAX_SHOWN_CHARS = 100  # of a line that an error shows
 MAX_NAME_CHARS = 128
-MAX_NUMBER_DIGITS = 9  # before and after the point together
-MAX_TOKEN_CHARS = 40  # of an unexpected token in an error
-MAX_ALTERNATIVES = 8  # of what is expected, in an error
+MAX_NUMBER_DIGITS = 9  # before and after the decimal point together
+MAX_TOKEN_CHARS = 40  # of an unexpected token that an error shows
+MAX_ALTERNATIVES = 8  # expected tokens that an error lists
 
 GRAMMAR = r"""
 start: statement*
@@ -104,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """Where something stands in a file: line and column from 1, column and length in characters."""
+    """A position in a file: line and column, counted from 1, and length; columns and length in characters."""
 
     line: int
     column: int
@@ -120,10 +121,10 @@
 
 
 class RuleTextError(PaddlequayError, ValueError):
-    """A mistake at a position of a file of rules, before the file's name is known.
+    """An error at a position in a file of rules, raised where the file's name is not known.
 
     Attributes:
-        position: Where the mistake is.
+        position: The position of the error.
         message: What was expected there, and what was found.
     """
 
@@ -135,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """A file's name and text, for errors."""
+    """A file's name and text, for error messages."""
 
     name: str
     text: str
@@ -172,18 +173,20 @@
 
 
 class RuleParser:
-    """The parser. `transformer` turns each sentence into its node while parsing, without recursion."""
+    """The parser. `transformer` builds the node of each grammar rule while parsing, without recursion."""
 
     def __init__(self, transformer: Transformer[Token, Any]) -> None:
         self.lark = Lark(GRAMMAR, parser="lalr", lexer="basic", transformer=transformer)
-        words = {t.name: t.pattern.value for t in self.lark.terminals if isinstance(t.pattern, PatternStr)}
-        self.words = {name: f'"{value}"' for name, value in words.items()} | TOKEN_DESCRIPTIONS
+        keywords = {t.name: t.pattern.value for t in self.lark.terminals if isinstance(t.pattern, PatternStr)}
+        self.token_descriptions = {
+            name: f'"{value}"' for name, value in keywords.items()
+        } | TOKEN_DESCRIPTIONS
 
     def parse(self, source: Source) -> Any:
-        """Returns what the transformer makes of a text.
+        """Returns the transformer's result for a text.
 
         Raises:
-            ConfigError: The text is not of the language; the error shows the position.
+            ConfigError: The text does not conform to the language; the error shows the position.
         """
         try:
             return self.lark.parse(source.text)
@@ -197,26 +200,26 @@
             raise self.unexpected_end(source, error.expected) from None
 
     def unexpected_token(self, source: Source, error: UnexpectedToken) -> ConfigError:
-        """Returns the error for a token that cannot follow."""
+        """Returns the error for a token that is not allowed at its position."""
         token = error.token
         expected = error.accepts or error.expected
         if token.type == "$END":
             return self.unexpected_end(source, expected)
         message = f"expected {self.describe(expected)}, got {str(token)[:MAX_TOKEN_CHARS]!r}"
         if "WORD" in expected and str(token).isalpha():
-            message += " (a word of the language: in quotes where it is a name)"
+            message += " (a keyword of the language; write it in quotes to use it as a name)"
         return source.error(token_position(token), message)
 
     def unexpected_end(self, source: Source, expected: Iterable[str]) -> ConfigError:
-        """Returns the error for a text that ends within a sentence."""
+        """Returns the error for a text that ends within a statement."""
         text = source.text.rstrip()
         position = Position(text.count("\n") + 1, len(text) - text.rfind("\n"))
         return source.error(position, f"expected {self.describe(expected)}, got the end of the file")
 
     def describe(self, token_types: Iterable[str]) -> str:
-        """Returns the words for token types, `MAX_ALTERNATIVES` of them at most."""
-        names = {self.words.get(name, name) for name in set(token_types)}
-        listed = sorted(names - {TOKEN_DESCRIPTIONS["QUOTED"]})
+        """Returns a list in words of token types, of at most `MAX_ALTERNATIVES`."""
+        descriptions = {self.token_descriptions.get(name, name) for name in set(token_types)}
+        listed = sorted(descriptions - {TOKEN_DESCRIPTIONS["QUOTED"]})
         if len(listed) > MAX_ALTERNATIVES:
             listed = [*listed[:MAX_ALTERNATIVES], f"{len(listed) - MAX_ALTERNATIVES} more"]
         if len(listed) <= 1:
@@ -225,8 +228,8 @@
 
 
 def unexpected_character(source: Source, error: UnexpectedCharacters) -> ConfigError:
-    """Returns the error for a character that begins no token."""
-    expected = "a word, a number or a sign of the language"
+    """Returns the error for a character with which no token can begin."""
+    expected = "a word, a number or a punctuation mark of the language"
     if error.char == '"':
         expected = "a name of at least one character and its closing quote on the same line"
     position = Position(error.line, error.column)
--- a/paddlequay/placement/rule_builder.py
+++ b/paddlequay/placement/rule_builder.py
@@ -1,4 +1,4 @@
-"""Resolves the names of a syntax tree, and builds the rules from it."""
+"""Resolves the names in a syntax tree, and builds the rules from it."""
 
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
@@ -49,15 +49,15 @@
 MAX_RULES = 256
 MAX_CELLS = 64
 MAX_TENANTS = 1_024
-MAX_SHOWN_NAMES = 8  # of declared names, in an error
+MAX_SHOWN_NAMES = 8  # declared names that an error lists
 
-# The order in which statements are resolved; only cells have to stand before others use them.
+# The order in which statements are resolved. Only cells have to be defined before statements that use them.
 RESOLUTION_ORDER = (Declaration, PaceStatement, CellStatement, TenantStatement, RuleStatement)
 
 
 @dataclass(slots=True)
 class RuleClauses:
-    """The clauses of a rule while it is built, and the positions of its words."""
+    """The clauses of a rule that is being built, and the positions of its name and keywords."""
 
     positions: dict[str, Position]
     shards: ShardsClause | None = None
@@ -68,7 +68,7 @@
 
 
 class NameResolver:
-    """What a file declares and defines so far; every mistake is a `ConfigError` with its position."""
+    """The names that a file declares and defines so far; each error is a `ConfigError` with its position."""
 
     def __init__(self, source: Source, work: WorkBudget) -> None:
         self.source = source
@@ -77,45 +77,45 @@
         self.cells: dict[str, Cell] = {}
 
     def declare(self, declaration: Declaration) -> None:
-        """Notes all classes, zones or kinds that the file may name."""
-        what = declaration.what
+        """Records a list of all classes, zones or kinds that the file may name."""
+        category = declaration.category
         names = declaration.names
-        if what in self.declared:
-            raise self.source.error(names[0].position, f"expected {what} to be listed once")
-        self.require_unique(names, f"of the {what}")
-        self.declared[what] = names
+        if category in self.declared:
+            raise self.source.error(names[0].position, f"expected {category} to be listed once")
+        self.require_unique(names, f"of the {category}")
+        self.declared[category] = names
 
-    def require_new(self, name: Name, what: str, known: Collection[str], max_count: int) -> None:
-        """Raises if a name is defined a second time, or if there are too many of its kind."""
+    def require_new(self, name: Name, noun: str, known: Collection[str], max_count: int) -> None:
+        """Raises if a name of a rule, cell or tenant (`noun`) is defined twice, or if there are too many."""
         if name.text in known:
-            message = f"expected a new name, got {what} {name.text!r} a second time"
+            message = f"expected a new name, got {noun} {name.text!r} a second time"
             raise self.source.error(name.position, message)
         if len(known) >= max_count:
-            raise self.source.error(name.position, f"expected at most {max_count} of {what}")
+            raise self.source.error(name.position, f"expected at most {max_count} {noun}s")
 
-    def require_unique(self, names: Iterable[Name], what: str) -> None:
-        """Raises if a list has a name twice."""
-        seen: set[str] = set()
+    def require_unique(self, names: Iterable[Name], noun: str) -> None:
+        """Raises if a list has a name twice; `noun` says in the error what the names are."""
+        texts: set[str] = set()
         for name in names:
-            if name.text in seen:
-                message = f"expected each {what} once, got {name.text!r} again"
+            if name.text in texts:
+                message = f"expected each {noun} once, got {name.text!r} again"
                 raise self.source.error(name.position, message)
-            seen.add(name.text)
+            texts.add(name.text)
 
-    def require_declared(self, names: Iterable[Name], what: str) -> None:
-        """Raises for a name that the file's declaration of classes, zones or kinds lacks."""
-        declared = self.declared.get(what)
+    def require_declared(self, names: Iterable[Name], category: str) -> None:
+        """Raises for a name that is missing from the file's list of that category, if it has such a list."""
+        declared = self.declared.get(category)
         if declared is None:
             return
         texts = [name.text for name in declared]
         for name in names:
             if name.text not in texts:
                 shown = ", ".join(texts[:MAX_SHOWN_NAMES])
-                message = f"expected one of the {what} ({shown}), got {name.text!r}"
+                message = f"expected one of the {category} ({shown}), got {name.text!r}"
                 raise self.source.error(name.position, message)
 
     def cell(self, name: Name) -> Cell:
-        """Returns the cell of a name; raises if it is not defined."""
+        """Returns the cell of a name; raises if that is not defined yet."""
         cell = self.cells.get(name.text)
         if cell is None:
             message = f"expected the name of a cell that is defined above, got {name.text!r}"
@@ -123,7 +123,7 @@
         return cell
 
     def region(self, expression: MemberExpression) -> Region:
-        """Returns the members of an expression; `MAX_NESTING` bounds the recursion."""
+        """Returns the region of an expression; `MAX_NESTING` bounds the recursion."""
         match expression:
             case CellTerm(name):
                 return self.cell(name).members
@@ -133,7 +133,7 @@
                 return self.combined_region(expression)
 
     def attribute_region(self, term: AttributeTerm) -> Region:
-        """Returns the members whose attribute has one of some values."""
+        """Returns the region of members whose attribute has one of the values."""
         names = [value for value in term.values if isinstance(value, Name)]
         if term.attribute in ("zone", "kind"):
             self.require_declared(names, f"{term.attribute}s")
@@ -144,7 +144,7 @@
         return attribute_region(len(MEMBER_ATTRIBUTES), index, value_set(values))
 
     def combined_region(self, combination: Combination) -> Region:
-        """Returns the union, intersection or complement of expressions."""
+        """Returns the region of a union, intersection or complement of expressions."""
         regions = [self.region(part) for part in combination.parts]
         if combination.operator == "not":
             return subtract_region(ALL_MEMBERS, regions[0], self.work)
@@ -173,12 +173,12 @@
         """Returns the rules of a file's statements.
 
         Raises:
-            ConfigError: A name is unknown, or something is defined twice or too often.
+            ConfigError: A name is unknown or defined twice, or there are too many definitions.
             WorkLimitError: Resolving takes more work than the budget allows.
         """
-        for kind in RESOLUTION_ORDER:
+        for statement_type in RESOLUTION_ORDER:
             for statement in statements:
-                if isinstance(statement, kind):
+                if isinstance(statement, statement_type):
                     self.add(statement)
         ranked = [(r.precedence is None, -(r.precedence or 0), r.name) for r in self.rules.values()]
         declared = self.names.declared
@@ -194,7 +194,7 @@
         )
 
     def add(self, statement: Statement) -> None:
-        """Adds one statement."""
+        """Adds what one statement declares or defines."""
         match statement:
             case Declaration():
                 self.names.declare(statement)
@@ -224,7 +224,7 @@
         shards = clauses.shards
         copies = clauses.copies
         if shards is None:
-            message = 'expected a rule that says its shards ("64 shards by object")'
+            message = 'expected a rule with a number of shards ("64 shards by object")'
             raise self.source.error(statement.name.position, message)
         return Rule(
             name=statement.name.text,
@@ -242,12 +242,12 @@
         )
 
     def resolve_requests(self, statement: RuleStatement) -> tuple[Conjunction, dict[str, Position]]:
-        """Returns the requests that a rule is for, and the positions of its name and conditions."""
+        """Returns the requests that a rule matches, and the positions of its name and conditions."""
         parts: dict[str, ValueSet] = {}
         positions: dict[str, Position] = {"rule": statement.name.position}
         for match in statement.matches:
             if match.attribute in parts:
-                message = f"expected one list of {match.attribute} in a rule, got a second"
+                message = f"expected one {match.attribute} condition in a rule, got a second"
                 raise self.source.error(match.position, message)
             parts[match.attribute] = self.resolve_match(match)
             positions[match.attribute] = match.position
@@ -266,33 +266,33 @@
         """Adds a clause to those of its rule."""
         match clause:
             case ShardsClause():
-                self.require_first(clause.WORD, clause.position, clauses)
+                self.require_first(clause.KEYWORD, clause.position, clauses)
                 clauses.shards = clause
             case CopiesClause():
-                self.require_first(clause.WORD, clause.position, clauses)
+                self.require_first(clause.KEYWORD, clause.position, clauses)
                 clauses.copies = clause
                 if clause.min_domains is not None:
                     clauses.positions["over"] = clause.min_domains.position
-            case MembersClause(word, members):
-                self.require_first(word, clause.position, clauses)
+            case MembersClause(keyword, members):
+                self.require_first(keyword, clause.position, clauses)
                 region = self.names.region(members)
-                combine = intersect_regions if word == "among" else subtract_region
+                combine = intersect_regions if keyword == "among" else subtract_region
                 clauses.members = combine(clauses.members, region, self.work)
             case WeightClause(members, factor):
                 clauses.weights.append((self.names.region(members), factor))
             case PinClause():
                 clauses.pins.append(clause)
 
-    def require_first(self, word: str, position: Position, clauses: RuleClauses) -> None:
-        """Notes the position of a clause; raises if its rule has one of that word already."""
-        if word in clauses.positions:
-            raise self.source.error(position, f'expected "{word}" once in a rule, got a second')
-        clauses.positions[word] = position
+    def require_first(self, keyword: str, position: Position, clauses: RuleClauses) -> None:
+        """Records the position of a clause; raises if its rule already has a clause of that keyword."""
+        if keyword in clauses.positions:
+            raise self.source.error(position, f'expected "{keyword}" once in a rule, got a second')
+        clauses.positions[keyword] = position
 
     def resolve_pins(
         self, pins: list[PinClause], shards: int, positions: dict[str, Position]
     ) -> dict[int, str]:
-        """Returns the first homes of a rule's pinned shards."""
+        """Returns the names of the first homes of a rule's pinned shards, by shard."""
         pinned: dict[int, str] = {}
         for pin in pins:
             positions[f"pin {pin.member.text}"] = pin.member.position
--- a/paddlequay/placement/syntax_tree.py
+++ b/paddlequay/placement/syntax_tree.py
@@ -1,4 +1,4 @@
-"""The syntax tree of a file of placement rules: typed sentences with positions, names not yet resolved."""
+"""The syntax tree of a file of placement rules: typed statements with positions, with names unresolved."""
 
 from dataclasses import dataclass, field
 from typing import ClassVar, Literal
@@ -9,9 +9,6 @@
 Spread = Literal["zone", "kind"]
 
 
-# --- words ---
-
-
 @dataclass(frozen=True, slots=True)
 class Name:
     """A name, without its quotes."""
@@ -28,12 +25,9 @@
     position: Position = field(compare=False)
 
 
-# --- expressions that choose members ---
-
-
 @dataclass(frozen=True, slots=True)
 class AttributeTerm:
-    """The members whose attribute has one of some values."""
+    """The members whose attribute has one of the values."""
 
     attribute: Attribute
     values: tuple[Name | WholeNumber, ...]
@@ -50,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Combination:
-    """The union, intersection or complement of other expressions; `depth` counts the nesting."""
+    """The union, intersection or complement of other expressions; `depth` is the depth of nesting."""
 
     operator: Literal["or", "and", "not"]
     parts: "tuple[MemberExpression, ...]"
@@ -60,12 +54,9 @@
 MemberExpression = AttributeTerm | CellTerm | Combination
 
 
-# --- clauses of a rule ---
-
-
 @dataclass(frozen=True, slots=True)
 class RequestMatch:
-    """One condition on the requests that a rule is for."""
+    """One condition on the requests that a rule matches."""
 
     attribute: Literal["class", "tenant", "group"]
     values: tuple[Name, ...] | frozenset[int]
@@ -76,7 +67,7 @@
 class ShardsClause:
     """`64 shards by object`."""
 
-    WORD: ClassVar[str] = "shards"  # that names the clause in errors
+    KEYWORD: ClassVar[str] = "shards"  # names the clause in errors
 
     count: WholeNumber
     by: str
@@ -87,7 +78,7 @@
 class CopiesClause:
     """`2 copies over 2 zones`."""
 
-    WORD: ClassVar[str] = "copies"
+    KEYWORD: ClassVar[str] = "copies"
 
     count: WholeNumber
     min_domains: WholeNumber | None
@@ -99,7 +90,7 @@
 class MembersClause:
     """`among zone north` or `avoid kind small`."""
 
-    word: Literal["among", "avoid"]
+    keyword: Literal["among", "avoid"]
     members: MemberExpression
     position: Position
 
@@ -124,14 +115,11 @@
 Clause = ShardsClause | CopiesClause | MembersClause | WeightClause | PinClause
 
 
-# --- statements ---
-
-
 @dataclass(frozen=True, slots=True)
 class Declaration:
-    """All classes, zones or kinds that the file may name."""
+    """The list of all classes, zones or kinds that the file may name."""
 
-    what: Literal["classes", "zones", "kinds"]
+    category: Literal["classes", "zones", "kinds"]
     names: tuple[Name, ...]
 
 
@@ -153,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantStatement:
-    """A tenant that is confined to a cell, with its share of all load (of 1) if that is given."""
+    """A tenant that is confined to a cell; `load_share` is its share of the total load, from 0 to 1."""
 
     name: Name
     cell: Name
@@ -162,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleStatement:
-    """A rule; without `precedence` it is the fallback."""
+    """A rule; if `precedence` is None, it is the fallback."""
 
     name: Name
     precedence: WholeNumber | None
