--- a/paddlequay/cluster/evidence_reports.py
+++ b/paddlequay/cluster/evidence_reports.py
@@ -35,7 +35,7 @@
     def report(self, subject: NameDigest, record: SubjectRecord, now: float) -> list[Action]:
         """Sends this router's evidence on a subject if it is due; otherwise sets when it will be due."""
         record.report_at = NEVER
-        own = record.own
+        own = record.own_observation
         if own is None or not self._may_report(subject, own, now):
             return []
         other_members = self._store.other_serving_members(record, now)
@@ -105,7 +105,9 @@
 
     def _is_outweighed(self, record: SubjectRecord, now: float) -> bool:
         valid = self._store.valid_evidence(record, now)
-        return is_outweighed([observation for observation in valid if observation is not record.own])
+        return is_outweighed(
+            [observation for observation in valid if observation is not record.own_observation]
+        )
 
     @staticmethod
     def _has_changed(own: Observation, previous: Observation | None) -> bool:
--- a/paddlequay/cluster/evidence_store.py
+++ b/paddlequay/cluster/evidence_store.py
@@ -29,7 +29,7 @@
 
     kind: str = ""
     start_ms: int = 0  # Unix time of the subject's start in this router's endpoint list
-    own: Observation | None = None
+    own_observation: Observation | None = None
     last_served_at: float = -NEVER  # when it last served this router
     by_peer: dict[Peer, Observation] = field(default_factory=dict)
     last_report: Observation | None = None  # what was last sent to peers; `observed_at` is when it was sent
@@ -84,9 +84,11 @@
             record.last_served_at = now
         observed = self._observed_fault(served, fault)
         count = 1
-        if record.own is not None and self._continues(record, record.own, observed, now):
-            count = min(record.own.attempt_count + 1, MAX_ATTEMPT_COUNT)
-        record.own = Observation(0, record.start_ms, observed, count, now, 0)
+        if record.own_observation is not None and self._continues(
+            record, record.own_observation, observed, now
+        ):
+            count = min(record.own_observation.attempt_count + 1, MAX_ATTEMPT_COUNT)
+        record.own_observation = Observation(0, record.start_ms, observed, count, now, 0)
 
     @staticmethod
     def _observed_fault(served: bool, fault: Fault | None) -> int:
@@ -153,8 +155,8 @@
             other is not record
             and other.kind == record.kind
             and now - other.last_served_at <= self._max_age_s
-            and other.own is not None
-            and other.own.fault not in DOWN_FAULTS
+            and other.own_observation is not None
+            and other.own_observation.fault not in DOWN_FAULTS
             for other in self._records.values()
         )
 
@@ -167,7 +169,7 @@
             and self.accepts_incarnation(peer, observation.incarnation)
             and self.is_fresh(observation, now)
         ]
-        own = record.own
+        own = record.own_observation
         if own is not None and not self.is_isolated and self.is_own_fresh(own, now):
             own.other_member_count = self.other_serving_members(record, now)
             valid.append(own)
--- a/paddlequay/cluster/incarnations.py
+++ b/paddlequay/cluster/incarnations.py
@@ -20,16 +20,16 @@
     return incarnation >> REFUTATION_BITS
 
 
-def refuting_incarnation(own: int, reported: int) -> int:
+def refuting_incarnation(own_incarnation: int, reported_incarnation: int) -> int:
     """Returns the incarnation with which a router refutes a report about itself.
 
     Args:
-        own: the router's current incarnation.
-        reported: the incarnation in the report, possibly of an earlier process whose clock was ahead.
+        own_incarnation: the router's current incarnation.
+        reported_incarnation: the reported one, possibly of an earlier process whose clock was ahead.
     """
-    if process_start_ms(reported) > process_start_ms(own):
-        return first_incarnation(process_start_ms(reported) + 1)
-    return reported + 1
+    if process_start_ms(reported_incarnation) > process_start_ms(own_incarnation):
+        return first_incarnation(process_start_ms(reported_incarnation) + 1)
+    return reported_incarnation + 1
 
 
 def is_valid_incarnation(incarnation: int) -> bool:
--- a/paddlequay/cluster/suspicion.py
+++ b/paddlequay/cluster/suspicion.py
@@ -131,7 +131,7 @@
             if update.incarnation == record.incarnation:
                 return []
             return self.confirm_alive(update.peer, update.incarnation, now)
-        return self._apply_fault(update, state, record, now)
+        return self._apply_suspect_or_dead(update, state, record, now)
 
     def _apply_update_about_self(self, incarnation: int, state: PeerState) -> None:
         is_higher = incarnation > self.incarnation
@@ -139,7 +139,7 @@
         if is_higher or is_suspected:
             self.refute(incarnation)
 
-    def _apply_fault(
+    def _apply_suspect_or_dead(
         self, update: MembershipUpdate, state: PeerState, record: PeerRecord, now: float
     ) -> list[Action]:
         """Applies an update that a peer is suspect or dead in its known incarnation or a higher one."""
--- a/paddlequay/cluster/verdicts.py
+++ b/paddlequay/cluster/verdicts.py
@@ -191,7 +191,7 @@
 
     def _was_served_since(self, record: SubjectRecord, since: float, now: float) -> bool:
         """Returns whether this router's last attempt on a subject was served and ended after `since`."""
-        own = record.own
+        own = record.own_observation
         if own is None or own.fault or not self._store.is_own_fresh(own, now):
             return False
         return own.observed_at > since
@@ -202,7 +202,9 @@
         if witnesses is None:
             return None
         age_s = max(
-            now - witness.observed_at if witness is record.own else self._store.age_s(witness, now)
+            now - witness.observed_at
+            if witness is record.own_observation
+            else self._store.age_s(witness, now)
             for witness in witnesses
         )
         return Verdict(most_common_fault(witnesses), len(witnesses), age_s)
