--- a/tests/cluster/test_outbox.py
+++ b/tests/cluster/test_outbox.py
@@ -173,7 +173,7 @@
 
 
 def test_evidence_is_dropped_before_its_transit_allowance_ends() -> None:
-    """The stated age is fixed when a message is packed, so a receiver would not notice a longer wait."""
+    """The age is fixed when a message is packed; after a longer wait, evidence would count for too long."""
     for wait_s, sent_count in ((0.2, 1), (0.3, 0), (TRANSIT_ALLOWANCE_S, 0)):
         outbox = make_outbox()
         outbox.tokens, outbox.bytes_per_s = 0.0, 1e-9
