--- a/paddlequay/hierarchy/fencing_tokens.py
+++ b/paddlequay/hierarchy/fencing_tokens.py
@@ -17,7 +17,7 @@
     """The highest token of a channel, and when a fill was last accepted under it (seconds)."""
 
     token: int
-    last_seen: float
+    last_accepted_at: float
 
 
 class FencingTokens:
@@ -59,5 +59,5 @@
 
     def _forget_expired(self, now: float) -> None:
         """Drops the channels that had no accepted fill for `memory_s` seconds."""
-        while self.highest and now - next(iter(self.highest.values())).last_seen > self.memory_s:
+        while self.highest and now - next(iter(self.highest.values())).last_accepted_at > self.memory_s:
             self.highest.popitem(last=False)
--- a/paddlequay/hierarchy/migration.py
+++ b/paddlequay/hierarchy/migration.py
@@ -47,7 +47,7 @@
     """A group before a change: topology version, time of the change (Unix seconds), weights and homes."""
 
     version: int
-    left_at: float
+    replaced_at: float
     weights: dict[str, float]
     homes: Homes[str]
 
@@ -144,7 +144,7 @@
 
     def forget_expired(self, now: float) -> None:
         """Drops the earlier groups that were replaced too long ago; `now` is in Unix seconds."""
-        while self.earlier_groups and now - self.earlier_groups[-1].left_at > self.limits.earlier_home_s:
+        while self.earlier_groups and now - self.earlier_groups[-1].replaced_at > self.limits.earlier_home_s:
             self.earlier_groups.pop()
 
     def export_state(self) -> list[dict[str, Any]]:
@@ -152,7 +152,7 @@
         return [
             {
                 "version": earlier_group.version,
-                "left": earlier_group.left_at,
+                "left": earlier_group.replaced_at,
                 "members": earlier_group.weights,
             }
             for earlier_group in self.earlier_groups
--- a/paddlequay/hierarchy/source_selection.py
+++ b/paddlequay/hierarchy/source_selection.py
@@ -165,7 +165,7 @@
                 return source
         if not lease.sources:
             return None
-        return self._late_claimant(lease) or lease.sources.popleft()
+        return self._claimant_before_origin(lease) or lease.sources.popleft()
 
     def _earlier_homes(self, hash_key: int, path: FillPath, now: float) -> list[str]:
         """Returns the earlier homes, which may hold a copy of an object whose home this node is now."""
@@ -197,7 +197,7 @@
         lease.extra_source_count += REPEATED_LOOKUP_COST
         return FillSource(lease.source, only_if_cached=True)
 
-    def _late_claimant(self, lease: FillLease[FillRequest]) -> FillSource | None:
+    def _claimant_before_origin(self, lease: FillLease[FillRequest]) -> FillSource | None:
         """Returns the object's claimant if an origin would be next; the claim may be newer than the fill."""
         if not lease.sources[0].is_origin:
             return None
--- a/paddlequay/programs/tier_page.py
+++ b/paddlequay/programs/tier_page.py
@@ -27,7 +27,7 @@
         "home_shares": _home_shares(selector.migration),
         "left_out": sorted(selector.ejected),
         "moves": [
-            {"from_version": earlier_group.version, "since_s": round(now - earlier_group.left_at, 3)}
+            {"from_version": earlier_group.version, "since_s": round(now - earlier_group.replaced_at, 3)}
             for earlier_group in selector.migration.earlier_groups
         ],
         "claims": len(selector.claims),
