--- a/paddlequay/placement/checks.py
+++ b/paddlequay/placement/checks.py
@@ -43,7 +43,7 @@
 MAX_TOTAL_SHARDS = 262_144  # of all shard maps; one rule has at most 65,536
 MAX_MEMBERS = 10_000
 MAX_SHOWN_CLASSES = 8  # that an error lists
-SHARE_TOLERANCE_RATIO = 1e-9  # for the rounding of sums
+SHARE_TOLERANCE_RATIO = 1e-9  # for rounding errors in sums of decimal fractions
 NAME_INDEX = 0  # of `name` in `MEMBER_ATTRIBUTES`
 
 
--- a/paddlequay/placement/homes.py
+++ b/paddlequay/placement/homes.py
@@ -1,4 +1,4 @@
-"""The homes of objects: the order in which members are tried for a key, without a visit to all of them.
+"""The homes of objects: the order in which members are tried for a key, without visiting all of them.
 
 This is weighted rendezvous hashing over slots. A key falls into one of `SLOT_COUNT` slots. For each slot
 every member draws an exponential arrival time, and the members are the homes in order of arrival (Thaler
@@ -24,11 +24,11 @@
 
 SLOT_BITS = 16
 SLOT_COUNT = 1 << SLOT_BITS  # the same at all routers: another number would move every object
-MAX_MEMBERS_PER_SLOT = 8  # members that are cached for one slot
+CACHED_MEMBERS_PER_SLOT = 8  # members that are cached for one slot
 MAX_UNCACHED_MEMBERS = 12  # for up to this many members, sorting is cheaper than caching
 MAX_CHANGES = 256  # recorded to update cached slots; a slot older than these changes is ranked anew
 MAX_CACHED_SLOTS = 32_768
-MIN_WEIGHT = 1e-6  # replaces a weight of 0, which would divide by zero; such a member is ranked last
+MIN_WEIGHT = 1e-6  # replaces lower weights, since 0 would divide by zero; such a member is ranked last
 
 MASK_64 = (1 << 64) - 1
 
@@ -97,7 +97,7 @@
 class Homes(Generic[M]):
     """Members by name, and the order in which they are the homes of a key.
 
-    Memory: up to `max_cached_slots` slots of `MAX_MEMBERS_PER_SLOT` entries, and `MAX_CHANGES` changes.
+    Memory: up to `max_cached_slots` slots of `CACHED_MEMBERS_PER_SLOT` entries, and `MAX_CHANGES` changes.
     """
 
     def __init__(
@@ -172,11 +172,11 @@
             if change == current:
                 return entries, False
             entries = self.apply_changes(slot, entries, self.changes[change - self.first_change :])
-            if len(entries) >= MAX_MEMBERS_PER_SLOT // 2:
-                entries = entries[:MAX_MEMBERS_PER_SLOT]
+            if len(entries) >= CACHED_MEMBERS_PER_SLOT // 2:
+                entries = entries[:CACHED_MEMBERS_PER_SLOT]
                 self.slots[slot] = (current, entries)
                 return entries, False
-        entries = self.rank_all(slot, MAX_MEMBERS_PER_SLOT)
+        entries = self.rank_all(slot, CACHED_MEMBERS_PER_SLOT)
         self.slots.pop(slot, None)
         while len(self.slots) >= self.max_cached_slots:
             del self.slots[next(iter(self.slots))]
--- a/paddlequay/placement/migration.py
+++ b/paddlequay/placement/migration.py
@@ -13,7 +13,7 @@
 from paddlequay.placement.rules import MAX_RESOLVE_STEPS, ShardMapKey, shard_map_key
 from paddlequay.placement.table import FoundShard, Table
 
-PREVIOUS_HOME_S = 60.0  # as long as `earlier_home_s` of `hierarchy.migration`
+PREVIOUS_HOME_S = 60.0  # look-ups return previous homes for this long, as in `hierarchy.migration`
 
 ShardKey = tuple[ShardMapKey, int]  # a shard map and the number of one of its shards
 
--- a/paddlequay/placement/table_homes.py
+++ b/paddlequay/placement/table_homes.py
@@ -45,7 +45,7 @@
 
 
 class CachedHomes(NamedTuple):
-    """The homes of a shard map's shards, valid for one number of changes of the members."""
+    """The homes of a shard map's shards, valid as of `change`, the number of changes of the members."""
 
     shard_map: "ShardMap"  # referenced, so that no other shard map can have its `id` while it is cached
     change: int
@@ -70,7 +70,7 @@
         return home_key(request) if self.find_placement is not None else super().lookup_key(request)
 
     def order(self, key: int, weight_factor: Callable[[M], float] = full_weight_factor) -> Iterator[M]:
-        """Yields members from the first home on; in slow start, one is home to only some of its objects."""
+        """Yields members from the first home on; those in slow start get only part of their objects."""
         found = None
         if self.find_placement is not None and isinstance(key, HomeKey):
             found = self.find_placement(key)
--- a/tests/placement/test_homes.py
+++ b/tests/placement/test_homes.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from paddlequay.placement.homes import MAX_CHANGES, MAX_MEMBERS_PER_SLOT, Homes, arrival, digest, slot_of
+from paddlequay.placement.homes import CACHED_MEMBERS_PER_SLOT, MAX_CHANGES, Homes, arrival, digest, slot_of
 
 RNG = random.Random(7)
 KEYS = [RNG.getrandbits(64) for _ in range(4000)]
@@ -95,7 +95,7 @@
     for step in range(3 * MAX_CHANGES):
         homes.put("n1", "n1", 1.0 + step % 2)
     assert len(homes.slots) <= 64 and len(homes.changes) <= MAX_CHANGES
-    assert all(len(entries) <= MAX_MEMBERS_PER_SLOT for _, entries in homes.slots.values())
+    assert all(len(entries) <= CACHED_MEMBERS_PER_SLOT for _, entries in homes.slots.values())
     assert all(list(homes.order(key)) == sorted_order(homes, key, {}) for key in KEYS[:500])
 
 
