--- a/paddlequay/cli/lookups.py
+++ b/paddlequay/cli/lookups.py
@@ -10,7 +10,7 @@
 from paddlequay.config.values import Address
 from paddlequay.discovery.reports import ReportedMember
 from paddlequay.discovery.resolver import Resolver
-from paddlequay.discovery.resolver_types import RecordSetKnown, RecordType
+from paddlequay.discovery.resolver_types import RecordSetUpdate, RecordType
 from paddlequay.discovery.srv import Service, ServiceWatch
 from paddlequay.net.endpoints.dns import ResolverDriver
 from paddlequay.observability.counters import Counters
@@ -30,7 +30,7 @@
     def __init__(self, name: str, servers: Iterable[Address]) -> None:
         self.service = ServiceWatch(Service(dns.name.from_text(name), MEMBER_KIND))
         self.resolver = Resolver(servers, random.SystemRandom())
-        self.known: list[RecordSetKnown] = []
+        self.known: list[RecordSetUpdate] = []
 
     async def run(self, seconds: float) -> None:
         """Queries until all record sets that the service needs are known, for `seconds` at most."""
--- a/paddlequay/discovery/__init__.py
+++ b/paddlequay/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Sources of members, and the one membership made of what they say; drivers are in `net/`."""
+"""Merges the members that several sources report into one membership; the I/O is in `net/endpoints/`."""
--- a/paddlequay/discovery/address_rules.py
+++ b/paddlequay/discovery/address_rules.py
@@ -1,4 +1,4 @@
-"""Explains why a member stands at an address, or why none does."""
+"""Names the rule by which an address has a member or has none."""
 
 from paddlequay.discovery.flapping import FlapGuard
 from paddlequay.discovery.report_index import ReportIndex
@@ -7,11 +7,11 @@
 
 
 def explain_absence(index: ReportIndex, flaps: FlapGuard, address: Address, now: float) -> Explanation:
-    """Returns the rule by which no member stands at an address, with the reason in words for operators.
+    """Returns the rule by which an address has no member, with the reason as text for operators.
 
     Args:
         index: The reports and removals of all sources.
-        flaps: The addresses that are kept out for flapping.
+        flaps: The addresses that may not rejoin yet because they flapped.
         address: Host and port.
         now: The time in seconds of the membership's clock.
     """
@@ -31,7 +31,7 @@
 
 
 def find_drain(index: ReportIndex, address: Address, reports: list[SourceReport]) -> Explanation | None:
-    """Returns the last drain among the reports about an address; None if no source drains it."""
+    """Returns the explanation of a drain that applies to an address; None if no source drains it."""
     drain = None
     for report in index.reports_about(address, reports):
         if report.member.state is MemberState.DRAINING:
@@ -40,6 +40,6 @@
 
 
 def explain_presence(source: SourceState, report: SourceReport, now: float) -> Explanation:
-    """Returns why the report of the first source that may add makes a member."""
+    """Returns why a source's report adds a member: the source is authoritative, or its report is retained."""
     retained = source.explain_retention(report, now)
     return retained or Explanation(MembershipRule.AUTHORITY, f"{report.source} says so")
--- a/paddlequay/discovery/dns_servers.py
+++ b/paddlequay/discovery/dns_servers.py
@@ -1,18 +1,18 @@
-"""The servers of the resolver: the health of each, and the choice of the next one to query."""
+"""Tracks the health of the DNS servers, and chooses the server for the next query."""
 
 import math
 import random
 from collections.abc import Iterable
 
-from paddlequay.discovery.resolver_types import Lookup, ResolverLimits, Server, ServerHealth
+from paddlequay.discovery.resolver_types import PendingQuery, ResolverLimits, Server, ServerHealth
 
-LATENCY_GAIN = 0.3  # the weight of the newest latency in the smoothed one
-JITTER = (0.75, 1.25)  # factors of a backoff, so that routers do not retry in step
+LATENCY_GAIN = 0.3  # weight of the latest sample in the smoothed latency
+JITTER = (0.75, 1.25)  # range of factors of a backoff, so that routers do not retry in step
 MAX_DOUBLINGS = 10
 MIN_LATENCY_S = 0.001
 MS_PER_S = 1000
-LATENCY_BAND_OCTAVES = 2  # servers within a factor of four keep the order of the settings
-MIN_FAILURES_FOR_BACKOFF = 2  # in a row
+LATENCY_BAND_OCTAVES = 2  # latencies within a factor of four rank equal
+MIN_FAILURES_FOR_BACKOFF = 2  # consecutive
 
 
 class DnsServers:
@@ -30,7 +30,7 @@
     def __init__(self, addresses: Iterable[Server], rng: random.Random, limits: ResolverLimits) -> None:
         self.addresses = list(dict.fromkeys(addresses))
         if not self.addresses:
-            raise ValueError("expected at least one server")
+            raise ValueError("expected at least one DNS server, got none")
         self.rng = rng
         self.limits = limits
         self.health = {address: ServerHealth() for address in self.addresses}
@@ -41,8 +41,8 @@
     def choose(self, tried_servers: list[Server], now: float) -> Server:
         """Returns the best server not tried yet, or the best of all if each was tried.
 
-        Servers without backoff come first, then those with the lower latency, in bands; within a band the
-        order of the settings decides.
+        Servers that are not in backoff come first. Among these, the server in the lowest band of latency is
+        preferred; within a band, the order of the settings decides.
         """
 
         def rank(server: Server) -> tuple[bool, bool, int, int]:
@@ -53,18 +53,18 @@
 
         return min(self.addresses, key=rank)
 
-    def record_success(self, lookup: Lookup, now: float) -> None:
-        """Records that the server of a lookup has answered, with the latency of the answer."""
-        health = self.health[lookup.question.server]
-        latency = max(0.0, now - lookup.sent_at)
+    def record_success(self, query: PendingQuery, now: float) -> None:
+        """Records that the server of a query has answered, and updates its smoothed latency."""
+        health = self.health[query.question.server]
+        latency = max(0.0, now - query.sent_at)
         health.smoothed_latency += LATENCY_GAIN * (latency - health.smoothed_latency)
         health.failures = 0
         health.backoff_until = -math.inf
 
-    def record_failure(self, lookup: Lookup, why: str, now: float) -> None:
-        """Records that the server of a lookup has failed; after two failures in a row it backs off."""
+    def record_failure(self, query: PendingQuery, why: str, now: float) -> None:
+        """Records that the server of a query has failed; from the second failure in a row, it backs off."""
         limits = self.limits
-        health = self.health[lookup.question.server]
+        health = self.health[query.question.server]
         health.failures += 1
         health.counts[why] += 1
         if health.failures >= MIN_FAILURES_FOR_BACKOFF:
--- a/paddlequay/discovery/explanation.py
+++ b/paddlequay/discovery/explanation.py
@@ -1,4 +1,4 @@
-"""Explains to operators what each source reports of a member, and which rule decided about it."""
+"""Explains to operators what each source reports about a member, and which rule decided on it."""
 
 from typing import Any
 
@@ -6,11 +6,11 @@
 from paddlequay.discovery.membership import Membership
 from paddlequay.discovery.reports import Address, MembershipChange, SourceReport, SourceState
 
-MAX_SHOWN = 2000  # members on one page of the console
+MAX_SHOWN_MEMBERS = 2000  # members on one page of the console
 
 
 def explain(membership: Membership, id: str, now: float) -> list[str]:
-    """Returns one line for each report on an id or on its addresses, and one for each decision."""
+    """Returns one line for each report on an id or at one of its addresses, and one for each address."""
     index = membership.index
     addresses = set(index.addresses_by_id.get(id, ()))
     if id in membership.address_by_id:
@@ -24,7 +24,7 @@
 
 
 def explain_address(membership: Membership, address: Address, now: float) -> list[str]:
-    """Returns one line for each report at an address, and one for the member that stands there."""
+    """Returns one line for each report at an address, and one for the member there or its absence."""
     where = f"{address[0]}:{address[1]}"
     index = membership.index
     reports = index.reports_at(address)
@@ -41,7 +41,7 @@
 
 
 def explain_report(membership: Membership, report: SourceReport, now: float) -> str:
-    """Returns a line on one report: its source, whether that is live, the state and the age."""
+    """Returns a line on one report: its source, whether the source is live, the state and the age."""
     live = "live" if membership.sources[report.source].is_live(now) else "silent"
     missing = "" if report.missing_since is None else f", left out for {now - report.missing_since:.0f} s"
     member = report.member
@@ -50,12 +50,12 @@
 
 
 def membership_page(membership: Membership, now: float) -> dict[str, Any]:
-    """Returns the console's page of all sources and of the first `MAX_SHOWN` members."""
+    """Returns the console's page with all sources and the first `MAX_SHOWN_MEMBERS` members."""
     changes = list(membership.members.values())
     return {
         "sources": {name: source_page(source, now) for name, source in membership.sources.items()},
         "count": len(changes),
-        "members": [member_page(change) for change in changes[:MAX_SHOWN]],
+        "members": [member_page(change) for change in changes[:MAX_SHOWN_MEMBERS]],
     }
 
 
--- a/paddlequay/discovery/flapping.py
+++ b/paddlequay/discovery/flapping.py
@@ -1,4 +1,4 @@
-"""Keeps out members that are added and removed too often, for a pause that doubles each time."""
+"""Holds back members that are added and removed too often, for a pause that doubles each time."""
 
 import math
 from collections import OrderedDict, deque
@@ -7,12 +7,12 @@
 from paddlequay.discovery.reports import Address, MembershipLimits
 
 MAX_HISTORIES = 20_000
-CHANGES_PER_FLAP_COUNT = 2  # an addition and a removal
+CHANGES_PER_FLAP = 2  # an addition and a removal
 
 
 @dataclass(slots=True)
 class FlapHistory:
-    """When an address was added and removed lately, and until when it is kept out; times are seconds."""
+    """The recent additions and removals of an address, and its pause; all times are seconds."""
 
     changed_at: deque[float] = field(default_factory=deque)
     pause: float = 0.0
@@ -20,28 +20,28 @@
 
 
 class FlapGuard:
-    """Decides which addresses flap, of the latest `MAX_HISTORIES`; times are seconds of one clock."""
+    """Detects flapping among the last `MAX_HISTORIES` changed addresses; times are seconds of one clock."""
 
     def __init__(self, limits: MembershipLimits) -> None:
         self.limits = limits
         self.histories: OrderedDict[Address, FlapHistory] = OrderedDict()
 
     def record(self, address: Address, now: float) -> None:
-        """Counts an addition or removal; too many of them within `flap_window` start a pause."""
+        """Records an addition or removal; more than `max_flaps` of each in `flap_window` start a pause."""
         limits = self.limits
-        flaps = self.histories.setdefault(address, FlapHistory())
+        history = self.histories.setdefault(address, FlapHistory())
         self.histories.move_to_end(address)
         while len(self.histories) > MAX_HISTORIES:
             self.histories.popitem(last=False)
-        flaps.changed_at.append(now)
-        while now - flaps.changed_at[0] > limits.flap_window:
-            flaps.changed_at.popleft()
-        if len(flaps.changed_at) > CHANGES_PER_FLAP_COUNT * limits.max_flaps:
-            flaps.pause = min(limits.max_flap_pause, max(limits.flap_pause, 2 * flaps.pause))
-            flaps.paused_until = now + flaps.pause
-            flaps.changed_at.clear()
+        history.changed_at.append(now)
+        while now - history.changed_at[0] > limits.flap_window:
+            history.changed_at.popleft()
+        if len(history.changed_at) > CHANGES_PER_FLAP * limits.max_flaps:
+            history.pause = min(limits.max_flap_pause, max(limits.flap_pause, 2 * history.pause))
+            history.paused_until = now + history.pause
+            history.changed_at.clear()
 
     def paused_until(self, address: Address, now: float) -> float | None:
-        """Returns until when an address is kept out; None if it is not."""
-        flaps = self.histories.get(address)
-        return None if flaps is None or now >= flaps.paused_until else flaps.paused_until
+        """Returns when the pause of an address ends; None if it has no pause."""
+        history = self.histories.get(address)
+        return None if history is None or now >= history.paused_until else history.paused_until
--- a/paddlequay/discovery/reconfiguration.py
+++ b/paddlequay/discovery/reconfiguration.py
@@ -1,4 +1,4 @@
-"""Replaces the sources of a membership that is in service."""
+"""Replaces the sources of a membership while it is in service."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -14,11 +14,11 @@
     """Returns a membership with other sources, and the changes that follow.
 
     The reports of sources that remain are carried over; those of the others are dropped. Members known
-    before and after are not announced anew, so that no connection in use is closed.
+    before and after are not announced again, so that no connection in use is closed.
 
     Args:
         old: The membership in service.
-        rules: The new sources, by priority.
+        rules: The new sources, in order of priority.
         limits: The limits of the new membership.
         now: The time in seconds of the membership's clock.
     """
@@ -31,13 +31,13 @@
     for (name, id), removal in old.index.removals.items():
         if name in new.sources and id not in new.sources[name].reports:
             new.index.record_removal(removal)
-    new.settle(dict.fromkeys([*new.index.reports_by_address]), now)
+    new.update_members(dict.fromkeys([*new.index.reports_by_address]), now)
     new.start_times.first_report_at = old.start_times.first_report_at
     return new, changes_between(old, new)
 
 
 def changes_between(old: Membership, new: Membership) -> list[MembershipChange]:
-    """Returns the members that left, then those that were added or changed."""
+    """Returns the removals of members that left, then the members that were added or changed."""
     before = {change.member.id: change for change in old.members.values()}
     after = {change.member.id: change for change in new.members.values()}
     changes = []
--- a/paddlequay/discovery/report_index.py
+++ b/paddlequay/discovery/report_index.py
@@ -1,6 +1,6 @@
-"""Indexes reports and removals by source and id, and by address; it decides nothing.
+"""Indexes the reports and removals of all sources by id and by address.
 
-The cost of a call is that of the entries it touches; no call walks through all reports.
+The cost of a call depends on the entries that it affects; no call iterates over all reports.
 """
 
 from collections import OrderedDict
@@ -8,7 +8,7 @@
 
 from paddlequay.discovery.reports import Address, ReportKey, SourceReport, SourceState
 
-MAX_REMOVALS = 20_000  # the latest of all sources
+MAX_REMOVALS = 20_000  # of all sources; the oldest are dropped
 
 
 class ReportIndex:
@@ -20,7 +20,7 @@
     def __init__(self, sources: Mapping[str, SourceState]) -> None:
         self.sources = sources
         self.reports_by_address: dict[Address, dict[ReportKey, SourceReport]] = {}
-        self.addresses_by_id: dict[str, set[Address]] = {}  # all addresses that any source gives an id
+        self.addresses_by_id: dict[str, set[Address]] = {}  # all addresses at which any source reports the id
         self.removals: OrderedDict[ReportKey, SourceReport] = OrderedDict()
         self.removals_by_address: dict[Address, dict[ReportKey, SourceReport]] = {}
 
@@ -34,11 +34,11 @@
         """Removes a report from its address."""
         address = report.member.address
         id = report.member.id
-        here = self.reports_by_address.get(address, {})
-        here.pop((report.source, id), None)
-        if not here:
+        reports_here = self.reports_by_address.get(address, {})
+        reports_here.pop((report.source, id), None)
+        if not reports_here:
             self.reports_by_address.pop(address, None)
-        if any(other == id for _, other in here):
+        if any(other == id for _, other in reports_here):
             return
         addresses = self.addresses_by_id.get(id)
         if addresses is not None:
@@ -47,7 +47,7 @@
                 del self.addresses_by_id[id]
 
     def record_removal(self, report: SourceReport) -> None:
-        """Remembers that a source has removed a member, and forgets the oldest of too many removals."""
+        """Records that a source has removed a member; drops the oldest removals beyond `MAX_REMOVALS`."""
         key = (report.source, report.member.id)
         self.forget_removal(key)
         self.removals[key] = report
@@ -56,12 +56,12 @@
             self.forget_removal(next(iter(self.removals)))
 
     def forget_removal(self, key: ReportKey) -> None:
-        """Forgets a removal; an unknown one is no error."""
+        """Drops a removal; ignores an unknown one."""
         report = self.removals.pop(key, None)
         if report is not None:
-            here = self.removals_by_address[report.member.address]
-            del here[key]
-            if not here:
+            removals_here = self.removals_by_address[report.member.address]
+            del removals_here[key]
+            if not removals_here:
                 del self.removals_by_address[report.member.address]
 
     def reports_at(self, address: Address) -> list[SourceReport]:
@@ -79,29 +79,29 @@
                     yield other
 
     def removals_at(self, address: Address, reports: list[SourceReport]) -> Iterator[SourceReport]:
-        """Yields the removals that hold at an address, by the address or by the ids of its reports.
+        """Yields the removals that apply to an address: those at the address or of the ids reported there.
 
-        A source that reports a member at the address has revoked its removals there.
+        A source that reports a member at the address has thereby revoked its own removals.
         """
-        naming = {report.source for report in reports}
-        found = dict(self.removals_by_address.get(address, {}))
+        reporting_sources = {report.source for report in reports}
+        applicable = dict(self.removals_by_address.get(address, {}))
         for id in {report.member.id for report in reports}:
             for name in self.sources:
                 removal = self.removals.get((name, id))
                 if removal is not None:
-                    found[name, id] = removal
-        for (source, _), removal in found.items():
-            if source not in naming:
+                    applicable[name, id] = removal
+        for (source, _), removal in applicable.items():
+            if source not in reporting_sources:
                 yield removal
 
     def is_shadowed(self, report: SourceReport) -> bool:
-        """Returns whether a source of higher priority that may add places the same id at another address."""
-        own = self.sources[report.source].priority
+        """Returns whether a source of higher priority that may add members has the id at another address."""
+        own_priority = self.sources[report.source].priority
         for address in self.addresses_by_id.get(report.member.id, ()):
             if address == report.member.address:
                 continue
             for source, id in self.reports_by_address.get(address, {}):
                 state = self.sources[source]
-                if id == report.member.id and state.rule.adds and state.priority < own:
+                if id == report.member.id and state.rule.may_add and state.priority < own_priority:
                     return True
         return False
--- a/paddlequay/discovery/reports.py
+++ b/paddlequay/discovery/reports.py
@@ -1,4 +1,4 @@
-"""Reports of sources on members, the settings by which they count, and the changes that follow from them."""
+"""Types of the membership: reports of sources, settings of sources, limits, and changes of members."""
 
 import math
 from collections import deque
@@ -13,11 +13,11 @@
 
 
 class MembershipRule(StrEnum):
-    """The rule that decided about an address; the values are shown to operators."""
+    """The rule that decided on an address; the values are shown to operators."""
 
     DRAIN = "drain"
     AUTHORITY = "authority"
-    RETENTION = "kept"  # a silent source's reports hold for a while
+    RETENTION = "kept"  # the reports of a silent source stay valid for `retain_for`
     MASS_REMOVAL = "mass"
     FLAPPING = "flapping"
     ADDRESS = "address"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """Why an address has a member or none: the rule that decided, and the reason in words for operators."""
+    """Why an address has a member or none: the rule that decided, and the reason as text for operators."""
 
     rule: MembershipRule
     reason: str
@@ -50,27 +50,27 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceRule:
-    """The settings of one source. Sources are ordered: the first one wins if two contradict each other."""
+    """The settings of one source. Sources are ordered by priority: the first wins a contradiction."""
 
     name: str
-    adds: bool = True
-    retain_for: float = 300.0  # seconds for which the reports of a silent source hold
+    may_add: bool = True
+    retain_for: float = 300.0  # seconds for which the reports of a silent source stay valid
     silent_after: float = 10.0  # seconds without a heartbeat after which the source is silent
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipLimits:
-    """Bounds of the membership: times in seconds, shares in 0 to 1."""
+    """Limits of the membership: times are seconds, shares are fractions from 0 to 1."""
 
     max_members: int = 20_000  # of one source
-    mass_share: float = 0.3  # of a source's members: omitting more at once is a mass removal
-    mass_window: float = 10.0  # in which omissions are counted together
-    min_mass: int = 3  # fewer members are no mass removal
-    confirm_after: float = 30.0  # until an omission in a mass removal is believed
-    expiry_interval: float = 2.0  # between two members that leave because a source's reports expire
-    max_flaps: int = 3  # within `flap_window`
+    mass_share: float = 0.3  # share of a source's members beyond which omissions are a mass removal
+    mass_window: float = 10.0  # over which omissions are counted together
+    min_mass: int = 3  # omitting fewer members is never a mass removal
+    confirm_after: float = 30.0  # after which an omission in a mass removal takes effect
+    expiry_interval: float = 2.0  # between two expiries of reports of the same silent source
+    max_flaps: int = 3  # additions with their removals in `flap_window`; more start a pause
     flap_window: float = 60.0
-    flap_pause: float = 5.0  # the first pause of a flapping member; each further one is twice as long
+    flap_pause: float = 5.0  # first pause of a flapping member; doubles each time
     max_flap_pause: float = 300.0
 
 
@@ -81,7 +81,7 @@
     member: ReportedMember
     source: str
     reported_at: float
-    missing_since: float | None = None  # omitted by its source since then, not confirmed yet
+    missing_since: float | None = None  # when its source began to omit it; not confirmed yet
 
     def as_removed(self) -> "SourceReport":
         """Returns a report of the member's removal, by the same source at the same time."""
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True)
 class SourceState:
-    """The reports and the health of one source."""
+    """The reports of one source, and when it was last heard."""
 
     rule: SourceRule
     priority: int
@@ -116,11 +116,11 @@
         return now - self.last_heard_at <= self.rule.silent_after
 
     def record_omissions(self, ids: list[str], limits: MembershipLimits, now: float) -> bool:
-        """Records the ids that a complete report omits.
+        """Records the ids that a full report omits.
 
         Returns:
-            Whether the source has omitted so many members within the window that a fault of the source is
-            likelier than their removal.
+            Whether the omissions within `mass_window` are a mass removal: so many members that a fault of
+            the source is more likely than their removal.
         """
         omissions = self.omissions
         while omissions and now - omissions[0][0] > limits.mass_window:
@@ -133,7 +133,7 @@
         return missing_count >= limits.min_mass and missing_count > limits.mass_share * total_count
 
     def explain_retention(self, report: SourceReport, now: float) -> Explanation | None:
-        """Returns the rule by which an omitted or outdated report still holds; None for a current one."""
+        """Returns the rule by which an omitted or outdated report is still valid; None for a current one."""
         if report.missing_since is not None:
             reason = f"{report.source} leaves it out since {now - report.missing_since:.0f} s"
             return Explanation(MembershipRule.MASS_REMOVAL, reason)
--- a/paddlequay/discovery/resolver.py
+++ b/paddlequay/discovery/resolver.py
@@ -1,9 +1,9 @@
-"""A stub resolver without sockets: decides what is queried when, at which server, and how long answers hold.
+"""A stub resolver without sockets: decides when to query which server, and how long answers are used.
 
-Subscribed names are looked up again before the shortest lifetime of their records ends, at a random time, so
-that a fleet does not query in step. No record is used past its lifetime unless no server can be reached, and
-then for `stale` seconds at most (RFC 8767). Servers are chosen by their health, and failures are cached for a
-time (RFC 9520). Truncated answers are queried again over TCP (RFC 7766).
+Subscribed record sets are looked up again at a random time before the shortest lifetime of their records
+ends, so that the routers of a fleet do not query in step. Expired records are used only while no server
+answers, for `stale` seconds at most (RFC 8767). Servers are chosen by their health. After a failed lookup,
+the next one waits for a backoff (RFC 9520). A truncated answer is queried again over TCP (RFC 7766).
 
 Events (`subscribe`, `received`, `failed`, `tick`) return actions (`SendQuery`, `RecordSetKnown`).
 """
@@ -27,9 +27,9 @@
 from paddlequay.discovery.record_cache import RecordCache
 from paddlequay.discovery.resolver_types import (
     CacheEntry,
-    Key,
-    Lookup,
-    RecordSetKnown,
+    PendingQuery,
+    RecordSetKey,
+    RecordSetUpdate,
     RecordType,
     ResolverAction,
     ResolverLimits,
@@ -37,24 +37,25 @@
     Server,
 )
 
-TCP_TIMEOUT_FACTOR = 3  # of the timeout of UDP
-MAX_ATTEMPTS_PER_SERVER = 2  # more queries would only add to the load of an overloaded server
+TCP_TIMEOUT_FACTOR = 3  # relative to the UDP timeout
+MAX_ATTEMPTS_PER_SERVER = 2  # per lookup; more would only add load to an overloaded server
 
 
 class Resolver:
-    """All lookups of one process. Times are seconds of one clock, passed to each method.
+    """Looks up record sets for one process. Times are seconds of one clock, passed to each method.
 
     Args:
         servers: The host and port of each server, in order of preference.
-        rng: Draws ids, letter case and jitter; seeded in tests only.
+        rng: Draws query ids, letter case and jitter; seeded in tests only.
         limits: The bounds of the resolver.
 
     Attributes:
-        lookups: The queries in flight, by number.
-        referenced_names: The number of subscribed record sets.
-        timers: A heap of times at which record sets are looked at, with a number for their order.
+        pending_queries: The queries in flight, by number.
+        last_serial: The last number that was given to a query or timer.
+        subscribed_count: The number of subscribed record sets.
+        timers: A heap of the times at which `tick` checks record sets, with a number that breaks ties.
         counts: The counts of answers, queries and failures.
-        actions: The actions of the event being handled.
+        actions: The actions that result from the event being handled.
     """
 
     def __init__(
@@ -64,28 +65,26 @@
         self.rng = rng
         self.servers = DnsServers(servers, rng, self.limits)
         self.cache = RecordCache(rng, self.limits)
-        self.lookups: dict[int, Lookup] = {}
-        self.last_number = 0
-        self.referenced_names = 0
-        self.timers: list[tuple[float, int, Key]] = []
+        self.pending_queries: dict[int, PendingQuery] = {}
+        self.last_serial = 0
+        self.subscribed_count = 0
+        self.timers: list[tuple[float, int, RecordSetKey]] = []
         self.counts: Counter[str] = Counter()
         self.actions: list[ResolverAction] = []
 
-    # --- subscriptions ---
-
-    def subscribe(self, name: Name, kind: RecordType, now: float) -> list[ResolverAction]:
-        """Keeps a record set looked up until as many calls of `unsubscribe`.
+    def subscribe(self, name: Name, record_type: RecordType, now: float) -> list[ResolverAction]:
+        """Adds a subscriber of a record set, which is refreshed until its last subscriber unsubscribes.
 
         Raises:
-            ValueError: If `max_names` record sets are subscribed.
+            ValueError: `max_names` record sets are already subscribed.
         """
         self.actions = []
-        key = (name.canonicalize(), kind)
+        key = (name.canonicalize(), record_type)
         entry = self.cache.get(key)
         if entry is None or not entry.references:
-            if self.referenced_names >= self.limits.max_names:
-                raise ValueError(f"more than {self.limits.max_names} names are wanted")
-            self.referenced_names += 1
+            if self.subscribed_count >= self.limits.max_names:
+                raise ValueError(f"more than {self.limits.max_names} record sets are subscribed")
+            self.subscribed_count += 1
         entry = self.cache.entry(key)
         entry.references += 1
         if entry.announced is not None and now < entry.expires_at:
@@ -94,151 +93,147 @@
             self.start_lookup(key, now)
         return self.actions
 
-    def unsubscribe(self, name: Name, kind: RecordType) -> None:
+    def unsubscribe(self, name: Name, record_type: RecordType) -> None:
         """Removes one subscriber; ignores an unknown record set."""
-        entry = self.cache.get((name.canonicalize(), kind))
+        entry = self.cache.get((name.canonicalize(), record_type))
         if entry is not None and entry.references:
             entry.references -= 1
-            self.referenced_names -= not entry.references
+            self.subscribed_count -= not entry.references
 
-    def known(self, name: Name, kind: RecordType) -> RecordSetKnown | None:
-        """Returns what was announced last of a record set; None if nothing was."""
-        entry = self.cache.get((name.canonicalize(), kind))
+    def known(self, name: Name, record_type: RecordType) -> RecordSetUpdate | None:
+        """Returns the last announcement of a record set; None if there was none."""
+        entry = self.cache.get((name.canonicalize(), record_type))
         return None if entry is None else entry.announced
 
-    # --- queries ---
-
-    def start_lookup(self, key: Key, now: float) -> None:
-        """Looks up a record set, unless it is in flight; later, if too many lookups are."""
+    def start_lookup(self, key: RecordSetKey, now: float) -> None:
+        """Starts a lookup unless one is in flight; postpones it if too many queries are pending."""
         entry = self.cache.entries[key]
         if entry.in_flight:
             return
-        if len(self.lookups) >= self.limits.max_lookups:
+        if len(self.pending_queries) >= self.limits.max_pending_queries:
             self.counts["put_off"] += 1
             self.schedule(key, now + self.limits.min_lifetime)
             return
         entry.in_flight = True
         self.send_query(key, now, [], 0, False)
 
-    def send_query(self, key: Key, now: float, tried_servers: list[Server], attempts: int, tcp: bool) -> None:
-        """Queries a server, and schedules the timeout.
+    def send_query(
+        self, key: RecordSetKey, now: float, tried_servers: list[Server], attempts: int, tcp: bool
+    ) -> None:
+        """Sends a query of a lookup to a server, and schedules its timeout.
 
         Args:
             key: The record set.
             now: The time in seconds.
-            tried_servers: The servers queried before.
-            attempts: The number of queries before.
+            tried_servers: The servers that this lookup has queried so far.
+            attempts: The number of queries that this lookup has sent so far.
             tcp: Whether to query the last server again over TCP; otherwise the best server is queried.
         """
         server = tried_servers[-1] if tcp else self.servers.choose(tried_servers, now)
         health = self.servers.health[server]
-        self.last_number += 1
+        self.last_serial += 1
         name = randomize_case(key[0], self.rng)
         question = DnsQuestion(name, key[1], self.rng.getrandbits(16), server)
         timeout = self.limits.udp_timeout * (TCP_TIMEOUT_FACTOR if tcp else 1)
-        lookup = Lookup(
+        query = PendingQuery(
             key, question, tcp, now, attempts + 1, [*tried_servers, server], health.edns, now + timeout
         )
-        self.lookups[self.last_number] = lookup
+        self.pending_queries[self.last_serial] = query
         self.counts["sent_tcp" if tcp else "sent_udp"] += 1
         health.counts["asked"] += 1
-        query = build_query(question, health.edns)
-        self.actions.append(SendQuery(self.last_number, server, query, tcp, timeout))
-        self.schedule(key, lookup.times_out_at)
+        query_bytes = build_query(question, health.edns)
+        self.actions.append(SendQuery(self.last_serial, server, query_bytes, tcp, timeout))
+        self.schedule(key, query.times_out_at)
 
-    def schedule(self, key: Key, when: float) -> None:
-        """Schedules a look at a record set."""
-        self.last_number += 1
-        heapq.heappush(self.timers, (when, self.last_number, key))
-
-    # --- answers ---
+    def schedule(self, key: RecordSetKey, when: float) -> None:
+        """Schedules a check of a record set by `tick`."""
+        self.last_serial += 1
+        heapq.heappush(self.timers, (when, self.last_serial, key))
 
     def received(self, number: int, data: bytes, server: Server, now: float) -> list[ResolverAction]:
-        """Handles bytes that were received for a query; they may be no answer to it."""
+        """Handles bytes that were received for a query; they may be unrelated to it."""
         self.actions = []
-        lookup = self.lookups.get(number)
-        if lookup is None:
+        query = self.pending_queries.get(number)
+        if query is None:
             self.counts["late"] += 1
             return self.actions
-        answer = parse_answer(lookup.question, data, server)
+        answer = parse_answer(query.question, data, server)
         self.counts[f"answers.{answer.kind.value.replace(' ', '_')}"] += 1
-        if answer.kind is AnswerKind.NOT_OURS:
+        if answer.kind is AnswerKind.MISMATCHED:
             return self.actions  # the genuine answer may still be received
-        del self.lookups[number]
-        if answer.kind is AnswerKind.TRUNCATED and not lookup.tcp:
-            # Not counted as an attempt, nor for or against the server.
-            self.send_query(lookup.key, now, lookup.tried_servers, lookup.attempts - 1, True)
+        del self.pending_queries[number]
+        if answer.kind is AnswerKind.TRUNCATED and not query.tcp:
+            # Truncation counts neither as an attempt nor as a success or failure of the server.
+            self.send_query(query.key, now, query.tried_servers, query.attempts - 1, True)
             return self.actions
         if answer.kind is AnswerKind.TRUNCATED:
-            answer = DnsAnswer(AnswerKind.GARBAGE, reason="truncated by TCP")
-        self.handle_answer(lookup, answer, now)
+            answer = DnsAnswer(AnswerKind.MALFORMED, reason="truncated by TCP")
+        self.handle_answer(query, answer, now)
         return self.actions
 
-    def handle_answer(self, lookup: Lookup, answer: DnsAnswer, now: float) -> None:
+    def handle_answer(self, query: PendingQuery, answer: DnsAnswer, now: float) -> None:
         """Stores a usable answer, or treats it as a failure of its server."""
         if answer.kind in (AnswerKind.RECORDS, AnswerKind.NO_DATA, AnswerKind.NO_NAME):
-            self.servers.record_success(lookup, now)
-            self.store_with_extras(lookup.key, answer, now)
+            self.servers.record_success(query, now)
+            self.store_with_additional_records(query.key, answer, now)
             return
-        if answer.kind is AnswerKind.FAILED and lookup.edns and answer.reason in ("FORMERR", "NOTIMP"):
-            self.servers.health[lookup.question.server].edns = False  # RFC 6891, section 7
-        self.record_failure(lookup, answer.reason or answer.kind.value, now)
+        if answer.kind is AnswerKind.FAILED and query.edns and answer.reason in ("FORMERR", "NOTIMP"):
+            self.servers.health[query.question.server].edns = False  # RFC 6891, section 7
+        self.record_failure(query, answer.reason or answer.kind.value, now)
 
     def failed(self, number: int, why: str, now: float) -> list[ResolverAction]:
-        """Handles a query without an answer, as its server refused it or is unreachable."""
+        """Handles a query that cannot be answered, because its server is unreachable or refused it."""
         self.actions = []
-        lookup = self.lookups.pop(number, None)
-        if lookup is not None:
-            self.record_failure(lookup, why, now)
+        query = self.pending_queries.pop(number, None)
+        if query is not None:
+            self.record_failure(query, why, now)
         return self.actions
 
-    def record_failure(self, lookup: Lookup, why: str, now: float) -> None:
-        """Queries another server, or ends the lookup until its backoff is over."""
-        self.servers.record_failure(lookup, why, now)
-        if lookup.attempts < min(self.limits.max_attempts, MAX_ATTEMPTS_PER_SERVER * len(self.servers)):
-            self.send_query(lookup.key, now, lookup.tried_servers, lookup.attempts, False)
+    def record_failure(self, query: PendingQuery, why: str, now: float) -> None:
+        """Queries another server; after too many attempts, ends the lookup and backs off."""
+        self.servers.record_failure(query, why, now)
+        if query.attempts < min(self.limits.max_attempts, MAX_ATTEMPTS_PER_SERVER * len(self.servers)):
+            self.send_query(query.key, now, query.tried_servers, query.attempts, False)
             return
-        entry = self.cache.get(lookup.key)
+        entry = self.cache.get(query.key)
         if entry is None:
             return
-        self.cache.postpone(entry, now)
+        self.cache.back_off(entry, now)
         self.counts["failed"] += 1
-        self.schedule(lookup.key, entry.refresh_at)
-        self.announce(lookup.key, entry, now, why)
+        self.schedule(query.key, entry.refresh_at)
+        self.announce(query.key, entry, now, why)
 
-    def store_with_extras(self, key: Key, answer: DnsAnswer, now: float) -> None:
-        """Stores an answer, and its additional records for which nothing valid is known."""
+    def store_with_additional_records(self, key: RecordSetKey, answer: DnsAnswer, now: float) -> None:
+        """Stores an answer, and those of its additional records for which the cache has no valid entry."""
         self.store(key, answer, now)
-        for extra in answer.extras:
-            other = (extra.name.canonicalize(), extra.type)
+        for additional in answer.additional_records:
+            other = (additional.name.canonicalize(), additional.type)
             known = self.cache.get(other)
             if known is None or (known.expires_at <= now and not known.in_flight):
-                ttl = min(record.ttl for record in extra.records)
+                ttl = min(record.ttl for record in additional.records)
                 self.counts["extras"] += 1
-                self.store(other, DnsAnswer(AnswerKind.RECORDS, extra.records, ttl), now)
+                self.store(other, DnsAnswer(AnswerKind.RECORDS, additional.records, ttl), now)
 
-    def store(self, key: Key, answer: DnsAnswer, now: float) -> None:
-        """Stores an answer for its lifetime, and schedules its refresh and its end."""
+    def store(self, key: RecordSetKey, answer: DnsAnswer, now: float) -> None:
+        """Stores an answer for its lifetime, and schedules its refresh and its expiry."""
         entry = self.cache.store(key, answer, now)
         self.schedule(key, entry.refresh_at)
         self.schedule(key, entry.expires_at)
         self.announce(key, entry, now, answer.reason)
 
-    def announce(self, key: Key, entry: CacheEntry, now: float, why: str) -> None:
-        """Announces what is known of a record set, if that has changed."""
+    def announce(self, key: RecordSetKey, entry: CacheEntry, now: float, why: str) -> None:
+        """Announces the state of a record set, unless the cache finds it already announced."""
         known = self.cache.announcement(key, entry, now, why)
         if known is not None:
             self.actions.append(known)
 
-    # --- time ---
-
     def tick(self, now: float) -> list[ResolverAction]:
-        """Ends queries that have timed out, refreshes record sets and announces the ends of lifetimes."""
+        """Handles timed-out queries, starts due refreshes and announces expired record sets."""
         self.actions = []
-        for number in [n for n, lookup in self.lookups.items() if lookup.times_out_at <= now]:
+        for number in [n for n, query in self.pending_queries.items() if query.times_out_at <= now]:
             self.counts["timeouts"] += 1
-            self.record_failure(self.lookups.pop(number), "timeout", now)
-        keys: dict[Key, None] = {}
+            self.record_failure(self.pending_queries.pop(number), "timeout", now)
+        keys: dict[RecordSetKey, None] = {}
         while self.timers and self.timers[0][0] <= now:
             keys[heapq.heappop(self.timers)[2]] = None
         for key in keys:
@@ -251,8 +246,8 @@
                 self.announce_expiry(key, entry, now)
         return self.actions
 
-    def announce_expiry(self, key: Key, entry: CacheEntry, now: float) -> None:
-        """Announces that a lifetime has ended, or that stale records are too old."""
+    def announce_expiry(self, key: RecordSetKey, entry: CacheEntry, now: float) -> None:
+        """Announces that records have expired, or that stale records are too old to be used."""
         announced = entry.announced
         if announced is None:
             return
@@ -261,7 +256,7 @@
         elif announced.stale and now >= entry.expires_at + self.limits.stale:
             self.announce(key, entry, now, "too old")
 
-    def next_due(self) -> float:
-        """Returns when `tick` is due next, in seconds; infinity if never."""
+    def next_tick_at(self) -> float:
+        """Returns the time in seconds at which `tick` is due next; infinity if it is not due."""
         first = self.timers[0][0] if self.timers else math.inf
-        return min([first, *(lookup.times_out_at for lookup in self.lookups.values())])
+        return min([first, *(query.times_out_at for query in self.pending_queries.values())])
--- a/paddlequay/discovery/resolver_types.py
+++ b/paddlequay/discovery/resolver_types.py
@@ -9,32 +9,32 @@
 from paddlequay.discovery.answers import DnsAnswer, DnsQuestion, Name, Record
 
 RecordType = dns.rdatatype.RdataType
-Key = tuple[Name, RecordType]
+RecordSetKey = tuple[Name, RecordType]
 Server = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class ResolverLimits:
-    """The bounds of a resolver. Times are seconds; a spread is a range of factors of a lifetime.
+    """The limits of a resolver. Times are seconds.
 
     The first refresh is spread more widely, because all routers may have started or recovered at once.
 
     Attributes:
-        max_names: Record sets subscribed at the same time.
-        max_cached: Record sets kept.
-        min_lifetime: No record set is looked up more often than this, whatever its lifetime.
-        max_lifetime: No record set is kept for longer.
-        max_negative_lifetime: No negative answer is kept for longer.
-        stale: How long records are used past their lifetime while no server answers.
-        udp_timeout: For the answer of one server over UDP.
-        max_attempts: Queries of one lookup, over all servers.
-        failure_backoff: From a lookup that failed everywhere to the next; doubles with each failure.
+        max_names: The most record sets that are subscribed at the same time.
+        max_cached: The number of cached record sets beyond which idle ones are evicted.
+        min_lifetime: The shortest time for which an answer is cached, whatever its TTL.
+        max_lifetime: The longest time for which records are cached.
+        max_negative_lifetime: The longest time for which a negative answer is cached.
+        stale: How long expired records are used while no server answers.
+        udp_timeout: The time to wait for an answer over UDP.
+        max_attempts: The most queries of one lookup, over all servers.
+        failure_backoff: The wait after a failed lookup; doubles with each consecutive failure.
         max_failure_backoff: The bound of that backoff.
-        refresh: When in its lifetime a record set is looked up again.
-        first_refresh: The same for its first answer, and the first after a failure.
-        min_server_backoff: How long a failing server is avoided; doubles with each failure.
+        refresh: The range, as fractions of the lifetime, within which a record set is refreshed.
+        first_refresh: The same after the first answer, and after the first answer that follows a failure.
+        min_server_backoff: How long a failing server is avoided; doubles with each consecutive failure.
         max_server_backoff: The bound of that backoff.
-        max_lookups: Queries in flight.
+        max_pending_queries: The number of queries in flight at which no new lookup starts.
     """
 
     max_names: int = 4096
@@ -51,19 +51,19 @@
     first_refresh: tuple[float, float] = (0.15, 0.95)
     min_server_backoff: float = 1.0
     max_server_backoff: float = 60.0
-    max_lookups: int = 256
+    max_pending_queries: int = 256
 
 
 @dataclass(frozen=True, slots=True)
 class SendQuery:
-    """Orders a query over TCP, or from a new UDP port; its answer or failure is reported under its number.
+    """An action: send a query over TCP or from a new UDP port, and report the result under its number.
 
     Attributes:
-        number: The number of the lookup.
+        number: The number of the query.
         server: The host and port of the server.
         data: The bytes of the query.
         tcp: Whether the query must use TCP.
-        timeout: For the answer, in seconds.
+        timeout: How long to wait for the answer, in seconds.
     """
 
     number: int
@@ -74,15 +74,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RecordSetKnown:
-    """What is known of a record set.
+class RecordSetUpdate:
+    """An action: announces the current state of a record set.
 
     Attributes:
         name: The canonical name.
         type: The type of the records.
-        records: Empty if the name or the type does not exist; None if nothing is known.
-        until: When that ends, in seconds of the resolver's clock.
-        stale: Whether the lifetime is over and no server answers.
+        records: The records; empty if the name has none of the type, None if no answer is valid.
+        until: When this state ends, in seconds of the resolver's clock.
+        stale: Whether the records have expired and are used because no server answers.
         reason: Why there are no records, or why the lookup failed.
     """
 
@@ -94,7 +94,7 @@
     reason: str = ""
 
 
-ResolverAction = SendQuery | RecordSetKnown
+ResolverAction = SendQuery | RecordSetUpdate
 
 
 @dataclass(slots=True)
@@ -102,10 +102,10 @@
     """The health of one server.
 
     Attributes:
-        smoothed_latency: In seconds.
-        failures: Failures in a row.
+        smoothed_latency: The smoothed latency of its answers, in seconds.
+        failures: The number of consecutive failures.
         backoff_until: Until when the server is avoided, in seconds of the resolver's clock.
-        edns: Whether it is queried with EDNS.
+        edns: Whether the server is queried with EDNS.
         counts: The queries sent (`asked`) and the failures by reason.
     """
 
@@ -126,9 +126,9 @@
         expires_at: When its lifetime ends.
         refresh_at: When the next lookup is due.
         references: The number of subscribers.
-        failures: Failed lookups in a row.
-        in_flight: Whether a lookup is under way.
-        announced: What was announced last.
+        failures: The number of consecutive failed lookups.
+        in_flight: Whether a lookup is in flight.
+        announced: The last announcement.
     """
 
     answer: DnsAnswer | None = None
@@ -138,30 +138,30 @@
     references: int = 0
     failures: int = 0
     in_flight: bool = False
-    announced: RecordSetKnown | None = None
+    announced: RecordSetUpdate | None = None
 
     @property
     def is_idle(self) -> bool:
-        """Whether it has no subscriber and no lookup is under way."""
+        """Whether the entry has no subscriber and no lookup in flight."""
         return not self.references and not self.in_flight
 
 
 @dataclass(slots=True, eq=False)
-class Lookup:
+class PendingQuery:
     """One query in flight. Times are seconds of the resolver's clock.
 
     Attributes:
         key: The record set that is looked up.
-        question: What the answer must repeat.
+        question: The question, and the values that the answer must match.
         tcp: Whether the query was sent over TCP.
         sent_at: When the query was sent.
-        attempts: The queries sent for this lookup so far.
-        tried_servers: Their servers, in order.
+        attempts: The number of queries of this lookup, including this one.
+        tried_servers: The servers that the lookup has queried, in order.
         edns: Whether the query was sent with EDNS.
-        times_out_at: When the server is given up.
+        times_out_at: When the query times out.
     """
 
-    key: Key
+    key: RecordSetKey
     question: DnsQuestion
     tcp: bool
     sent_at: float
--- a/paddlequay/discovery/snapshot.py
+++ b/paddlequay/discovery/snapshot.py
@@ -1,4 +1,4 @@
-"""The stored form of members, kept over a restart: lists of plain values whose order is fixed."""
+"""Converts members to and from the form in which they are saved: one list of values per member."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -8,7 +8,7 @@
 
 
 def members_to_data(members: Iterable[ReportedMember]) -> dict[str, Any]:
-    """Returns members in their stored form, as values of JSON."""
+    """Returns members in their stored form, as JSON values."""
     return {
         "members": [
             [m.id, m.address[0], m.address[1], m.kind, m.zone, m.cell, m.weight, m.started, m.state.value]
@@ -25,4 +25,4 @@
             for i, h, p, k, z, c, w, s, state in data["members"]
         ]
     except (KeyError, TypeError, ValueError) as error:
-        raise ValueError(f"members that cannot be read: {type(error).__name__} {error}") from None
+        raise ValueError(f"saved members cannot be read: {type(error).__name__} {error}") from None
--- a/paddlequay/discovery/start_times.py
+++ b/paddlequay/discovery/start_times.py
@@ -4,15 +4,15 @@
 
 
 class StartTimes:
-    """Takes members of the first reports for long started, and members added later for new.
+    """Assumes that members of the first reports started long ago, and that members added later are new.
 
-    A member taken for new gets slow start.
+    A new member gets slow start.
     """
 
     def __init__(self, limits: MembershipLimits) -> None:
         self.limits = limits
         self.first_report_at: float | None = None
-        # Members of the last run by id: their start times are known.
+        # The saved members of the last run by id, with their start times.
         self.recovered: dict[str, ReportedMember] = {}
 
     def note_report(self, now: float) -> None:
@@ -28,7 +28,7 @@
         Args:
             report: The report of the source that adds the member.
             address: The address of the member.
-            announced: The member announced last at that address.
+            announced: The member that was last announced at that address.
             now: The current time in Unix seconds.
         """
         if report.member.started is not None:
--- a/paddlequay/lab/sources.py
+++ b/paddlequay/lab/sources.py
@@ -227,7 +227,7 @@
                     ((_, wire),) = server.answers(action.data, False)
                     heapq.heappush(events, (now + 0.005, serial, number, wire, action.number))
         serial += 1
-        heapq.heappush(events, (max(now + 0.001, fleet[number].next_due()), serial, number, b"", 0))
+        heapq.heappush(events, (max(now + 0.001, fleet[number].next_tick_at()), serial, number, b"", 0))
 
     for number, resolver in enumerate(fleet):
         carry(number, resolver.subscribe(dns.name.from_text("a.plaza.example."), dns.rdatatype.A, 0.0), 0.0)
@@ -236,7 +236,7 @@
         resolver = fleet[number]
         if wire:
             carry(number, resolver.received(lookup, wire, where, now), now)
-        elif now >= resolver.next_due():
+        elif now >= resolver.next_tick_at():
             carry(number, resolver.tick(now), now)
     return counts
 
--- a/paddlequay/net/endpoints/__init__.py
+++ b/paddlequay/net/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Drivers of the sources of members: the endpoint list's watch, DNS and the saved file."""
+"""The I/O of the member sources: watches of the endpoint list, DNS and the saved file."""
--- a/paddlequay/net/endpoints/dns.py
+++ b/paddlequay/net/endpoints/dns.py
@@ -1,4 +1,4 @@
-"""Carries out the resolver's actions: each query over UDP from a socket of its own, or over TCP."""
+"""Executes the actions of the resolver: sends each query over UDP or TCP from a socket of its own."""
 
 import asyncio
 import contextlib
@@ -10,9 +10,9 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from paddlequay.discovery.answers import MAX_ANSWER
+from paddlequay.discovery.answers import MAX_ANSWER_BYTES
 from paddlequay.discovery.resolver import Resolver
-from paddlequay.discovery.resolver_types import RecordSetKnown, ResolverAction, SendQuery
+from paddlequay.discovery.resolver_types import RecordSetUpdate, ResolverAction, SendQuery
 from paddlequay.lifecycle.background import TaskSupervisor
 from paddlequay.observability import log
 from paddlequay.observability.counters import Counters
@@ -20,9 +20,9 @@
 LOGGER = logging.getLogger(__name__)
 
 LENGTH_PREFIX = struct.Struct("!H")
-MAX_DATAGRAMS = 64  # for one query: forged ones must not occupy the resolver without end
-MIN_PAUSE_S = 0.01
-MAX_PAUSE_S = 1.0
+MAX_DATAGRAMS_PER_QUERY = 64  # further datagrams are ignored, as forged ones must not occupy the resolver
+MIN_TICK_INTERVAL_S = 0.01
+MAX_TICK_INTERVAL_S = 1.0
 
 
 class QueryProtocol(asyncio.DatagramProtocol):
@@ -40,16 +40,16 @@
         self.transport.sendto(self.send.data)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Passes a datagram to the resolver, which judges whether it is the answer."""
+        """Passes a datagram to the resolver, which checks whether it is the answer."""
         self.datagrams_read += 1
         driver = self.driver
-        if self.datagrams_read <= MAX_DATAGRAMS:
+        if self.datagrams_read <= MAX_DATAGRAMS_PER_QUERY:
             driver.execute(driver.resolver.received(self.send.number, data, self.send.server, driver.now()))
-        if self.send.number not in driver.resolver.lookups:
+        if self.send.number not in driver.resolver.pending_queries:
             self.close()
 
     def error_received(self, exc: Exception) -> None:
-        """Reports to the resolver that the server is unreachable."""
+        """Reports a socket error, such as an unreachable server, to the resolver."""
         self.close()
         why = type(exc).__name__
         self.driver.execute(self.driver.resolver.failed(self.send.number, why, self.driver.now()))
@@ -62,17 +62,17 @@
 
 
 class ResolverDriver:
-    """Runs the sockets and the clock of a resolver.
+    """Sends the queries of a resolver, passes it the answers, and calls its `tick` when it is due.
 
     Args:
-        resolver: Decides what is queried and when.
+        resolver: Decides which queries to send and when.
         counters: The counters of the program.
         now: Returns the time of the resolver's clock, in seconds.
-        on_known: Receives each announced record set.
+        on_record_set: Called with each announced record set.
 
     Attributes:
         sockets: The open UDP sockets, by the number of their query.
-        wake_up: Set when the time of the next tick may have changed.
+        wake_up: Set when the time of the next `tick` may have changed.
     """
 
     def __init__(
@@ -80,28 +80,28 @@
         resolver: Resolver,
         counters: Counters,
         now: Callable[[], float],
-        on_known: Callable[[RecordSetKnown], None],
+        on_record_set: Callable[[RecordSetUpdate], None],
     ) -> None:
         self.resolver = resolver
         self.counters = counters
         self.now = now
-        self.on_known = on_known
+        self.on_record_set = on_record_set
         self.sockets: dict[int, QueryProtocol] = {}
         self.background = TaskSupervisor(counters)
         self.wake_up = asyncio.Event()
 
     def execute(self, actions: list[ResolverAction]) -> None:
-        """Carries out the resolver's actions."""
+        """Executes the actions of the resolver."""
         for action in list(actions):
             if isinstance(action, SendQuery):
                 work = self.query_by_tcp(action) if action.tcp else self.query_by_udp(action)
                 self.background.spawn("resolver_question", work)
             else:
-                self.on_known(action)
+                self.on_record_set(action)
         self.wake_up.set()
 
     async def query_by_udp(self, send: SendQuery) -> None:
-        """Sends one query over UDP, from a socket of its own."""
+        """Sends one query over UDP from a socket of its own."""
         loop = asyncio.get_running_loop()
         try:
             _, protocol = await loop.create_datagram_endpoint(
@@ -112,12 +112,15 @@
             self.execute(self.resolver.failed(send.number, type(error).__name__, self.now()))
 
     async def query_by_tcp(self, send: SendQuery) -> None:
-        """Sends one query on a TCP connection of its own; RFC 7766 allows more, but few are needed."""
+        """Sends one query over a TCP connection of its own.
+
+        RFC 7766 allows several queries per connection, but TCP queries are rare.
+        """
         family = socket.AF_INET6 if ":" in send.server[0] else socket.AF_INET
         stream: IOStream | None = None
         try:
-            # Without a free descriptor, the query fails like any other.
-            stream = IOStream(socket.socket(family, socket.SOCK_STREAM), max_buffer_size=2 * MAX_ANSWER)
+            # If no file descriptor is free, the query fails as for any other error.
+            stream = IOStream(socket.socket(family, socket.SOCK_STREAM), max_buffer_size=2 * MAX_ANSWER_BYTES)
             async with asyncio.timeout(send.timeout):
                 await stream.connect(send.server)
                 await stream.write(LENGTH_PREFIX.pack(len(send.data)) + send.data)
@@ -133,25 +136,25 @@
         self.execute(self.resolver.received(send.number, data, send.server, self.now()))
 
     async def run(self) -> None:
-        """Ticks the resolver whenever it is due, until cancelled."""
+        """Calls `tick` of the resolver whenever it is due, until cancelled."""
         while True:
             self.wake_up.clear()
-            pause = self.resolver.next_due() - self.now()
+            pause = self.resolver.next_tick_at() - self.now()
             if pause > 0:
                 with contextlib.suppress(TimeoutError):
-                    timeout = min(MAX_PAUSE_S, max(MIN_PAUSE_S, pause))
+                    timeout = min(MAX_TICK_INTERVAL_S, max(MIN_TICK_INTERVAL_S, pause))
                     await asyncio.wait_for(self.wake_up.wait(), timeout)
             try:
                 self.execute(self.resolver.tick(self.now()))
-            except Exception:  # the edge of one tick: its error must not end the resolver's task
+            except Exception:  # an error of one tick must not end the resolver's task
                 if self.counters.add_once("resolver_errors"):
                     LOGGER.exception("resolver_failed")
-            for number in [each for each in self.sockets if each not in self.resolver.lookups]:
+            for number in [each for each in self.sockets if each not in self.resolver.pending_queries]:
                 self.sockets[number].close()
-            await asyncio.sleep(MIN_PAUSE_S)
+            await asyncio.sleep(MIN_TICK_INTERVAL_S)
 
     def print(self) -> None:
-        """Logs the resolver's counts, and the health of each server."""
+        """Logs the counts of the resolver and the health of each server."""
         log.event(LOGGER, logging.INFO, "resolver", **dict(sorted(self.resolver.counts.items())))
         for (host, port), health in self.resolver.servers.health.items():
             counts = {key.replace(" ", "_").lower(): count for key, count in health.counts.items()}
--- a/paddlequay/net/endpoints/dns_source.py
+++ b/paddlequay/net/endpoints/dns_source.py
@@ -1,4 +1,4 @@
-"""DNS as a source of members: follows the services of the settings and reports their members."""
+"""DNS as a member source: follows the services in the settings and reports their members."""
 
 import logging
 import random
@@ -7,7 +7,7 @@
 from paddlequay.discovery.answers import Name
 from paddlequay.discovery.reports import ReportedMember
 from paddlequay.discovery.resolver import Resolver
-from paddlequay.discovery.resolver_types import RecordSetKnown, RecordType
+from paddlequay.discovery.resolver_types import RecordSetUpdate, RecordType
 from paddlequay.discovery.srv import ServiceWatch
 from paddlequay.lifecycle.background import TaskSupervisor
 from paddlequay.net.endpoints.dns import ResolverDriver
@@ -21,10 +21,10 @@
 
 
 class DnsSource:
-    """Follows the services of one router with a resolver; does nothing without DNS servers.
+    """Follows the services of one router with a resolver; does nothing if the settings name no DNS server.
 
     Attributes:
-        subscribed: The record sets that the resolver keeps looked up.
+        subscribed: The record sets that this source subscribes to at the resolver.
         has_changed: Whether a record set has changed since the last report.
         reported_at: When the last report was made, in seconds of the clock `now`.
     """
@@ -42,7 +42,7 @@
             self.driver = ResolverDriver(resolver, counters, now, self.on_record_set)
 
     def start(self, background: TaskSupervisor) -> None:
-        """Starts the resolver and its first lookups."""
+        """Starts the resolver and the first lookups."""
         if self.driver is not None:
             background.supervise("resolver", self.driver.run)
             self.update_subscriptions()
@@ -52,10 +52,10 @@
         if self.driver is not None:
             self.driver.close()
 
-    def on_record_set(self, known: RecordSetKnown) -> None:
+    def on_record_set(self, record_set: RecordSetUpdate) -> None:
         """Passes a changed record set to the services."""
         for service in self.services:
-            if service.update(known):
+            if service.update(record_set):
                 self.has_changed = True
 
     def update_subscriptions(self) -> None:
@@ -66,34 +66,39 @@
         now = self.now()
         needed = (service.required_names() for service in self.services)
         required: set[tuple[Name, RecordType]] = set().union(*needed)
-        for name, kind in self.subscribed - required:
-            resolver.unsubscribe(name, kind)
-        for name, kind in required - self.subscribed:
+        for name, record_type in self.subscribed - required:
+            resolver.unsubscribe(name, record_type)
+        for name, record_type in required - self.subscribed:
             try:
-                self.driver.execute(resolver.subscribe(name, kind, now))
+                self.driver.execute(resolver.subscribe(name, record_type, now))
             except ValueError as error:
                 if self.counters.add_once("names_refused"):
                     log.event(LOGGER, logging.WARNING, "names_refused", why=str(error))
         self.subscribed = required
 
     def is_fresh(self) -> bool:
-        """Returns whether valid answers describe all services; otherwise DNS is silent as a source."""
+        """Returns whether the SRV records of all services are valid; otherwise DNS counts as silent."""
         now = self.now()
         for service in self.services:
-            known = service.srv
-            if known is None or known.records is None or known.stale or now >= known.until:
+            record_set = service.srv
+            if (
+                record_set is None
+                or record_set.records is None
+                or record_set.stale
+                or now >= record_set.until
+            ):
                 return False
         return True
 
     def is_report_due(self) -> bool:
-        """Returns whether something has changed, or the last report is `REPORT_INTERVAL_S` old.
+        """Returns whether a record set has changed or `REPORT_INTERVAL_S` has passed since the last report.
 
-        The interval is for SRV priorities, which may also change with time alone.
+        The interval is needed because the SRV priority in use may change with time alone.
         """
         return self.has_changed or self.now() - self.reported_at > REPORT_INTERVAL_S
 
     def report(self) -> list[ReportedMember]:
-        """Returns the members of all services now."""
+        """Returns the current members of all services."""
         now = self.now()
         self.has_changed = False
         self.reported_at = now
--- a/paddlequay/net/endpoints/endpoint_watch.py
+++ b/paddlequay/net/endpoints/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Watches the endpoint list, and applies its lists of members and its purges in order."""
+"""Watches the event stream of endpoint lists and purges, and applies the events in order."""
 
 import logging
 from collections.abc import Callable, Iterable, Mapping
@@ -25,15 +25,16 @@
 
 LOGGER = logging.getLogger(__name__)
 
-MAX_QUOTED_CHARS = 40  # of an invalid value, in an error
+MAX_QUOTED_CHARS = 40  # of an invalid value that an error quotes
 
 
 class EndpointWatch(WatchClient[EndpointList | PurgeEvent]):
-    """Keeps the exchange and the pool up to date with the endpoint list.
+    """Updates the exchange and the pool from the endpoint list.
 
     Attributes:
-        on_endpoint_list: Applies a list; the membership takes its place where there are other sources.
-        on_alive: Called at each heartbeat that finds all events applied.
+        on_endpoint_list: Called with each list. Applies it directly, unless `MemberSources` sets it to report
+            the list to the membership.
+        on_heartbeat: Called at each heartbeat at which all published events are applied.
     """
 
     gapless = True
@@ -45,14 +46,14 @@
         self.exchange = exchange
         self.pool = pool
         self.on_endpoint_list: Callable[[EndpointList], None] = self.apply_endpoint_list
-        self.on_alive: Callable[[], None] = lambda: None
+        self.on_heartbeat: Callable[[], None] = lambda: None
 
     def make_parser(self) -> EventParser[EndpointList | PurgeEvent | WatchHeartbeat | UnusableLine]:
         """Returns a parser for a new connection."""
         return wire.WatchEventParser(self.limits.max_bulletin_line)
 
     def start_from(self, known: Mapping[str, Any]) -> None:
-        """Applies the events of the configuration. Raises `EndpointWatchError` if they are invalid."""
+        """Applies the events in the configuration. Raises `EndpointWatchError` if they are invalid."""
         number = known.get("no", 0)
         if not wire.is_number(number):
             raise wire.EndpointWatchError(f"no: expected a number, got {str(number)[:MAX_QUOTED_CHARS]!r}")
@@ -64,8 +65,8 @@
         self.last_number = max(self.last_number, number)
 
     def heartbeat(self, number: int) -> None:
-        """Reports that the source is alive and all its events are applied."""
-        self.on_alive()
+        """Calls `on_heartbeat`, as the source is alive and all its events are applied."""
+        self.on_heartbeat()
 
     def apply_event(self, event: EndpointList | PurgeEvent) -> None:
         """Applies a list or a purge."""
@@ -87,9 +88,9 @@
         self.counters.add("endpoint_lists")
 
     def apply_endpoint_list(self, item: EndpointList) -> None:
-        """Applies a list to the pool and the exchange, where no other source names members.
+        """Applies a list directly to the pool and the exchange, for a router without other sources.
 
-        The pool comes first, as a decision that follows may send to any listed member.
+        The pool is updated first, because a request may be sent to any member once the exchange knows it.
         """
         listed = (*item.endpoints, *self.as_draining(item.draining_ids))
         self.pool.update_endpoints(listed, item.full)
@@ -99,13 +100,13 @@
         """Applies the valid entries of a list that failed as a whole."""
         if isinstance(event, EndpointList):
             listed = [*event.endpoints, *self.as_draining(event.draining_ids)]
-            has_membership = self.on_endpoint_list != self.apply_endpoint_list
-            if has_membership:  # it alone adds members
+            has_other_sources = self.on_endpoint_list != self.apply_endpoint_list
+            if has_other_sources:  # then only the membership may add members
                 listed = [entry for entry in listed if entry.member.state is not MemberState.READY]
             apply_one_by_one(self.pool, self.exchange, listed)
 
     def as_draining(self, names: Iterable[str]) -> Iterable[Endpoint]:
-        """Returns known members as draining; ignores unknown names."""
+        """Yields known members as draining; ignores unknown names."""
         for name in names:
             member = self.exchange.members.get(name)
             instance = self.pool.instances.get(name)
@@ -116,18 +117,18 @@
 def apply_one_by_one(pool: ConnectionPool, exchange: Exchange, listed: Iterable[Endpoint]) -> set[str]:
     """Applies the entries of a list that failed as a whole; returns the names of those that failed again.
 
-    A drain or a removal applies to the decisions and the writes even if the pool cannot follow it.
+    A drain or removal is applied to the exchange even if the pool fails to apply it.
     """
     failed = set()
     for entry in listed:
         try:
             pool.update_endpoints((entry,), False)
-        except Exception:  # the edge of one entry: its error must not keep the others from being applied
+        except Exception:  # an error of one entry must not keep the others from being applied
             failed.add(entry.member.name)
             if entry.member.state is MemberState.READY:
                 continue
         try:
             exchange.update_members((entry.member,), False)
-        except Exception:  # the edge of one entry, as above
+        except Exception:  # as above
             failed.add(entry.member.name)
     return failed
--- a/paddlequay/net/endpoints/member_changes.py
+++ b/paddlequay/net/endpoints/member_changes.py
@@ -16,10 +16,10 @@
 
 
 class MemberChanges:
-    """Applies changes of members, and keeps those that fail for the next time.
+    """Applies changes of members, and retries those that failed at the next call.
 
     Attributes:
-        pending: The changes that are not applied yet, by member; bounded by the members.
+        pending: The changes that have failed, by member id; at most one per member.
     """
 
     def __init__(self, pool: ConnectionPool, exchange: Exchange, counters: Counters) -> None:
@@ -31,7 +31,7 @@
     def apply(self, changes: Iterable[MembershipChange]) -> bool:
         """Applies changes, and those that failed before; returns whether there were any.
 
-        A change that fails is kept, as the membership contains it already.
+        A failed change is retried, because the membership already contains it and does not report it again.
         """
         for change in changes:
             self.pending.pop(change.member.id, None)
@@ -48,22 +48,22 @@
                 self.log_change(change)
         return True
 
-    def announce(self, listed: tuple[Endpoint, ...]) -> set[str]:
+    def announce(self, endpoints: tuple[Endpoint, ...]) -> set[str]:
         """Passes endpoints to the pool and the exchange; returns the names of those that failed.
 
-        The pool comes first, as a decision that follows may send to any listed member.
+        The pool is updated first, because a request may be sent to any member once the exchange knows it.
         """
         try:
-            self.pool.update_endpoints(listed, False)
-            self.exchange.update_members(tuple(entry.member for entry in listed), False)
-        except Exception:  # the edge of one change of members: the other members must still be applied
+            self.pool.update_endpoints(endpoints, False)
+            self.exchange.update_members(tuple(entry.member for entry in endpoints), False)
+        except Exception:  # the other members must still be applied
             if self.counters.add_once("members_errors"):
                 LOGGER.exception("members_failed")
-            return apply_one_by_one(self.pool, self.exchange, listed)
+            return apply_one_by_one(self.pool, self.exchange, endpoints)
         return set()
 
     def log_change(self, change: MembershipChange) -> None:
-        """Counts and logs a change that is applied."""
+        """Counts and logs an applied change."""
         member = change.member
         self.counters.add(f"members.{change.rule}")
         log.event(
--- a/paddlequay/net/endpoints/members.py
+++ b/paddlequay/net/endpoints/members.py
@@ -1,4 +1,4 @@
-"""Connects the sources of members to the membership, and its changes to the pool and the exchange."""
+"""Passes the reports of member sources to the membership, and its changes to the pool and the exchange."""
 
 import asyncio
 import json
@@ -25,7 +25,7 @@
 
 LOGGER = logging.getLogger(__name__)
 
-# The sources, as the settings name them.
+# The names of the sources in the settings.
 LIST_SOURCE = "list"
 DNS_SOURCE = "dns"
 SAVED_SOURCE = "kept"
@@ -35,13 +35,13 @@
 
 
 class MemberSources:
-    """All sources of members of one router: the endpoint list, DNS and the saved file.
+    """The member sources of one router: the endpoint list, DNS and the saved file.
 
     Attributes:
         membership: Decides which reported members are in service.
         changes: Applies the changes of the membership.
         needs_save: Whether the membership has changed since it was saved.
-        saved_at: When it was saved last, in seconds of the clock `now`.
+        saved_at: When the membership was last saved, in seconds of the clock `now`.
     """
 
     def __init__(
@@ -61,30 +61,30 @@
         self.settings = settings
         self.membership = Membership(settings.rules, settings.limits)
         self.dns = DnsSource(settings, counters, self.now)
-        self.saved = self.make_saved()
+        self.saved = self.make_saved_members()
         self.changes = MemberChanges(pool, exchange, counters)
         self.needs_save = False
         self.saved_at = 0.0
         self.background = TaskSupervisor(counters)
         endpoint_watch.on_endpoint_list = self.on_endpoint_list
-        endpoint_watch.on_alive = self.on_alive
+        endpoint_watch.on_heartbeat = self.on_heartbeat
         self.recover()
 
     def now(self) -> float:
-        """Returns the time of the decisions' clock: Unix seconds that never go back."""
+        """Returns the time of the routing policy's clock: Unix seconds that never go back."""
         return self.exchange.scheduler.monotonic() + self.exchange.attempts.clock_offset
 
     def has_source(self, source: str) -> bool:
-        """Returns whether the settings name a source."""
+        """Returns whether the settings contain a source."""
         return source in self.membership.sources
 
-    def make_saved(self) -> SavedMembers | None:
-        """Returns the file of members; None if the settings name no folder."""
+    def make_saved_members(self) -> SavedMembers | None:
+        """Returns the file of saved members; None if the settings name no folder."""
         folder = self.settings.folder
         return None if folder is None else SavedMembers(folder, self.name, self.counters)
 
     def recover(self) -> None:
-        """Starts with the members of the last run, in case no source can be reached."""
+        """Restores the saved members of the last run, in case no source can be reached."""
         data = self.saved.load() if self.saved is not None else None
         if self.saved is None or data is None:
             return
@@ -97,7 +97,7 @@
         log.event(LOGGER, logging.INFO, "members_from_file", count=count)
 
     def start(self) -> None:
-        """Starts the clock and the DNS lookups."""
+        """Starts the periodic ticks and the DNS lookups."""
         self.background.supervise("members", self.tick_periodically)
         self.dns.start(self.background)
 
@@ -107,10 +107,8 @@
             task.cancel()
         self.dns.close()
 
-    # --- reports of the sources ---
-
     def report(self, source: str, members: Iterable[ReportedMember], full: bool) -> None:
-        """Applies a report of a source; of one with too many members, only the part about known members."""
+        """Applies a report of a source; if it has too many members, only the part about known members."""
         if not self.has_source(source):
             return
         members = tuple(members)
@@ -120,13 +118,13 @@
         except TooManyMembersError as error:
             if self.counters.add_once("members_refused"):
                 log.event(LOGGER, logging.WARNING, "members_refused", why=str(error))
-            # Reports about known members still apply, above all drains and removals.
+            # Reports on known members must still be applied, above all drains and removals.
             reports = self.membership.sources[source].reports
             known = [member for member in members if member.id in reports]
             self.apply(self.membership.report(source, known, False, now))
 
     def on_endpoint_list(self, item: EndpointList) -> None:
-        """Reports a changed endpoint list."""
+        """Reports the members of an endpoint list to the membership."""
         if not self.has_source(LIST_SOURCE):
             return
         reports = self.membership.sources[LIST_SOURCE].reports
@@ -137,23 +135,23 @@
         ]
         self.report(LIST_SOURCE, [*map(reported_member, item.endpoints), *drained], item.full)
 
-    def on_alive(self) -> None:
-        """Reports that the endpoint list is alive and unchanged."""
+    def on_heartbeat(self) -> None:
+        """Reports a heartbeat of the endpoint list to the membership."""
         if self.has_source(LIST_SOURCE):
-            self.apply(self.membership.alive(LIST_SOURCE, self.now()))
+            self.apply(self.membership.record_heartbeat(LIST_SOURCE, self.now()))
 
     async def tick_periodically(self) -> None:
-        """Ticks every `TICK_INTERVAL_S` until cancelled."""
+        """Calls `tick` every `TICK_INTERVAL_S` seconds until cancelled."""
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             try:
                 self.tick()
-            except Exception:  # the edge of one tick: its error must not end the task
+            except Exception:  # an error of one tick must not end the task
                 if self.counters.add_once("members_errors"):
                     LOGGER.exception("members_failed")
 
     def tick(self) -> None:
-        """Applies what changes with time alone, and the report of DNS if it is due."""
+        """Applies the report of DNS if it is due, and the changes that come with time; saves the members."""
         now = self.now()
         if self.dns.driver is not None:
             self.tick_dns(now)
@@ -165,52 +163,51 @@
             self.background.spawn("members_save", self.saved.save(self.membership.snapshot()))
 
     def tick_dns(self, now: float) -> None:
-        """Reports the members of DNS; while DNS is silent, the rules bound how long its reports hold."""
+        """Reports the members of DNS, or a heartbeat if no report is due.
+
+        While DNS answers are not valid, DNS is silent: `retain_for` limits how long its reports stay valid.
+        """
         self.dns.update_subscriptions()
         if not self.dns.is_fresh():
             return
         if self.dns.is_report_due():
             self.report(DNS_SOURCE, self.dns.report(), True)
         else:
-            self.apply(self.membership.alive(DNS_SOURCE, now))
+            self.apply(self.membership.record_heartbeat(DNS_SOURCE, now))
 
     def apply(self, changes: list[MembershipChange]) -> None:
         """Applies changes of the membership, and those that failed before."""
         if self.changes.apply(changes):
             self.needs_save = True
 
-    # --- reload ---
-
     def reload(self, settings: DiscoverySettings) -> None:
         """Replaces the sources.
 
-        Reports of sources that stay are kept, all others are forgotten. Members known before and after are
-        not announced again, so that their connections stay open.
+        The reports of sources that remain are carried over; those of the others are dropped. Members known
+        before and after are not announced again, so that their connections stay open.
         """
         membership, changes = with_sources(self.membership, settings.rules, settings.limits, self.now())
         dns_changed = (settings.servers, settings.services) != (self.settings.servers, self.settings.services)
         self.settings = settings
         self.membership = membership
-        self.saved = self.make_saved()
+        self.saved = self.make_saved_members()
         if dns_changed:
             self.stop()
             self.dns = DnsSource(settings, self.counters, self.now)
             self.start()
         self.apply(changes)
 
-    # --- for operators ---
-
     def page(self) -> str:
         """Returns the sources and members as one line of JSON, for `GET /-/members`."""
         return json.dumps(membership_page(self.membership, self.now()))
 
     def explain(self, id: str) -> str:
-        """Returns the reports about a member and the rule that decided, for `GET /-/members/ID`."""
+        """Returns the reports on a member and the rule that decided on it, for `GET /-/members/ID`."""
         return "\n".join(explain(self.membership, id, self.now()))
 
 
 def reported_member(listed: Endpoint) -> ReportedMember:
-    """Returns an endpoint as the report of a source."""
+    """Returns an endpoint as a reported member."""
     member = listed.member
     return ReportedMember(
         member.name,
--- a/paddlequay/net/endpoints/saved_members.py
+++ b/paddlequay/net/endpoints/saved_members.py
@@ -1,4 +1,4 @@
-"""The file of members, by which a router starts with the members of its last run."""
+"""The file of saved members, from which a router restores the members of its last run."""
 
 import asyncio
 import json
@@ -15,11 +15,11 @@
 
 RECORD_KIND = "members"
 RECORD_FORMAT = 1
-MAX_REASON_CHARS = 200  # of an error, in a log line
+MAX_REASON_CHARS = 200  # of an error that a log line quotes
 
 
 class SavedMembers:
-    """One router's file of members. Failures are counted and logged, and never raised."""
+    """The file of saved members of one router. Failures are counted and logged, and never raised."""
 
     def __init__(self, folder: Path, router: str, counters: Counters) -> None:
         self.path = folder / f"members-{router}"
@@ -41,7 +41,7 @@
         log.event(LOGGER, logging.WARNING, "members_unreadable", path=self.path, why=why)
 
     async def save(self, snapshot: dict[str, Any]) -> None:
-        """Replaces the file in a thread, as a disk may take long to flush."""
+        """Replaces the file, in a thread because flushing a disk may take long."""
         body = json.dumps(snapshot, separators=(",", ":")).encode()
         try:
             await asyncio.to_thread(record_files.save, self.path, RECORD_KIND, RECORD_FORMAT, body)
--- a/paddlequay/net/endpoints/spare_socket.py
+++ b/paddlequay/net/endpoints/spare_socket.py
@@ -1,4 +1,4 @@
-"""A socket held in reserve, to open a connection when no file descriptor is left."""
+"""A reserved socket, so that a connection can be opened when no file descriptor is free."""
 
 import contextlib
 import socket
@@ -11,21 +11,21 @@
         self.socket: socket.socket | None = None
 
     def reserve(self) -> None:
-        """Reserves a socket if there is a descriptor for it."""
+        """Reserves a socket if none is reserved and a file descriptor is free."""
         if self.socket is None:
             with contextlib.suppress(OSError):
                 self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
 
-    def take(self) -> socket.socket:
-        """Returns the reserved socket, or a new one, and reserves another if there is a descriptor for it.
+    def take_socket(self) -> socket.socket:
+        """Returns the reserved socket, or else a new one, and reserves another if a file descriptor is free.
 
         Raises:
-            OSError: If there is no descriptor at all.
+            OSError: No socket is reserved and no file descriptor is free.
         """
-        taken = self.socket or socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        reserved = self.socket or socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.socket = None
         self.reserve()
-        return taken
+        return reserved
 
     def close(self) -> None:
         """Closes the reserved socket."""
--- a/paddlequay/net/endpoints/watch_connection.py
+++ b/paddlequay/net/endpoints/watch_connection.py
@@ -1,4 +1,4 @@
-"""The connection of one watch, and the events and the parser that a watch needs."""
+"""The connection of one watch, and the interfaces of events and parsers."""
 
 import socket
 from collections.abc import Callable, Iterator
@@ -10,11 +10,11 @@
 
 
 class NumberedEvent(Protocol):
-    """An event of a stream whose numbers increase."""
+    """An event of a stream in which the event numbers increase."""
 
     @property
     def number(self) -> int:
-        """The place of the event in its stream."""
+        """The number of the event in its stream."""
         ...
 
 
@@ -22,14 +22,14 @@
     """Parses the received bytes of one connection. Raises nothing."""
 
     def feed(self, data: bytes) -> Iterator[EventT]:
-        """Returns the events that are complete with these bytes."""
+        """Yields the events that these bytes complete."""
         ...
 
 
 class WatchConnection(IOStream):
-    """One connection of a watch client, which is notified in the same iteration in which it closes.
+    """One connection of a watch client, which it notifies in the event loop iteration in which it closes.
 
-    Other connections wait for the file descriptor, so the client must reserve it at once.
+    The client must reserve the file descriptor at once, as other connections may be waiting for one.
 
     Args:
         connecting: The unconnected socket.
@@ -37,8 +37,8 @@
         now: The time in seconds of the event loop's clock.
 
     Attributes:
-        read_at: When bytes were last received, or the connection was begun, by the event loop's clock.
-        is_dropped: Whether its events and its end are ignored.
+        read_at: When bytes were last received, at first the time of creation, by the event loop's clock.
+        is_dropped: Whether the client ignores its events and its end.
     """
 
     def __init__(self, connecting: socket.socket, on_closed: Callable[[], None], now: float) -> None:
--- a/paddlequay/schema/discovery.py
+++ b/paddlequay/schema/discovery.py
@@ -71,7 +71,7 @@
 def check_sources(discovery: schema.Discovery, rules: tuple[SourceRule, ...], checker: FieldChecker) -> None:
     """Checks that the sources have what they need, and that nothing is given without its source."""
     names = {rule.name for rule in rules}
-    if not any(rule.adds and rule.name != "kept" for rule in rules):
+    if not any(rule.may_add and rule.name != "kept" for rule in rules):
         raise checker.error("discovery.source", "expected one that takes members in")
     uses_dns = "dns" in names
     if uses_dns != bool(discovery.service) or uses_dns != bool(discovery.server):
--- a/tests/discovery/test_membership.py
+++ b/tests/discovery/test_membership.py
@@ -91,7 +91,7 @@
 
 
 def test_only_a_source_that_may_add_adds_a_member_and_any_may_drain_it() -> None:
-    members = Membership((SourceRule("list"), SourceRule("dns", adds=False)))
+    members = Membership((SourceRule("list"), SourceRule("dns", may_add=False)))
     assert members.report("dns", [box("b")], True, 0.0) == []
     assert explain(members, "b", 0.0)[-1].endswith("authority: only sources that may not add name it")
     members.report("list", [box("b")], True, 0.0)
@@ -104,7 +104,7 @@
     members.report("list", [box("b0", 100)], True, 0.0)
     gone = []
     for now in range(1, 200):
-        members.alive("list", float(now))
+        members.record_heartbeat("list", float(now))
         left = 10 - len(members.members)
         gone.append(left)
     assert max(gone[:64]) == 0 and gone[-1] == 9  # the list still names one of them
@@ -156,14 +156,14 @@
     assert outs < 40
     members.report("list", [box("b")], True, now + 1)
     for wait in range(400):
-        members.alive("list", now + 1 + wait)
+        members.record_heartbeat("list", now + 1 + wait)
     assert held(members) == {"b": READY}
 
 
 def test_the_clock_going_back_neither_ends_nor_admits_anything() -> None:
     members = Membership(RULES)
     members.report("list", [box("a", 1), box("b", 2, DRAINING)], True, 4000.0)
-    members.alive("list", 400.0)
+    members.record_heartbeat("list", 400.0)
     members.report("dns", [box("b", 2)], True, 401.0)
     assert held(members) == {"a": READY, "b": DRAINING}
 
--- a/tests/discovery/test_resolver.py
+++ b/tests/discovery/test_resolver.py
@@ -13,7 +13,7 @@
 
 from paddlequay.discovery.answers import AnswerKind, DnsQuestion, build_query, parse_answer, randomize_case
 from paddlequay.discovery.resolver import Resolver
-from paddlequay.discovery.resolver_types import RecordSetKnown, ResolverLimits, SendQuery
+from paddlequay.discovery.resolver_types import RecordSetUpdate, ResolverLimits, SendQuery
 from paddlequay.lab.dns import DnsServer
 from paddlequay.net.endpoints.dns import ResolverDriver
 from paddlequay.observability.counters import Counters
@@ -36,7 +36,7 @@
         self.by_address = dict(zip(addresses, self.servers, strict=True))
         self.resolver = Resolver(addresses, random.Random(seed), ResolverLimits(**limits))
         self.now = 100.0
-        self.known: list[RecordSetKnown] = []
+        self.known: list[RecordSetUpdate] = []
         self.coming: list[tuple[float, int, bytes, tuple[str, int]]] = []
         self.down: set[tuple[str, int]] = set()
         self.tcp_refused = False
@@ -48,7 +48,7 @@
 
     def carry(self, actions: list[Any]) -> None:
         for action in list(actions):
-            if isinstance(action, RecordSetKnown):
+            if isinstance(action, RecordSetUpdate):
                 self.known.append(action)
                 continue
             self.sent.append((self.now, action))
@@ -66,7 +66,7 @@
         while True:
             self.coming.sort(key=lambda each: each[0])
             first = self.coming[0][0] if self.coming else end + 1
-            due = min(first, max(self.now, self.resolver.next_due()))
+            due = min(first, max(self.now, self.resolver.next_tick_at()))
             if due > end:
                 break
             self.now = max(self.now, due)
@@ -295,7 +295,7 @@
 
 @pytest.mark.parametrize("fault", ["", "truncated", "spoofed-first"])
 def test_the_resolver_over_sockets(fault: str) -> None:
-    async def play() -> list[RecordSetKnown]:
+    async def play() -> list[RecordSetUpdate]:
         server = DnsServer()
         await server.start()
         server.fault = fault
@@ -303,7 +303,7 @@
             str(NAME), "SRV", 60, *(f"1 1 9 b{n}.plaza.example." for n in range(200 if not fault else 2))
         )
         resolver = Resolver([server.address], random.Random(1))
-        found: list[RecordSetKnown] = []
+        found: list[RecordSetUpdate] = []
         driver = ResolverDriver(resolver, Counters(), time.monotonic, found.append)
         running = asyncio.ensure_future(driver.run())
         driver.execute(resolver.subscribe(NAME, SRV, time.monotonic()))
--- a/tests/discovery/test_srv_services.py
+++ b/tests/discovery/test_srv_services.py
@@ -8,7 +8,7 @@
 import pytest
 
 from paddlequay.discovery.answers import DnsQuestion, build_query, parse_answer
-from paddlequay.discovery.resolver_types import RecordSetKnown
+from paddlequay.discovery.resolver_types import RecordSetUpdate
 from paddlequay.discovery.srv import Service, ServiceWatch, TierLimits, member_id
 from paddlequay.lab.dns import DnsServer
 
@@ -21,13 +21,13 @@
     return dns.name.from_text(text)
 
 
-def known(name: dns.name.Name, kind: dns.rdatatype.RdataType, *data: str) -> RecordSetKnown:
+def known(name: dns.name.Name, kind: dns.rdatatype.RdataType, *data: str) -> RecordSetUpdate:
     server = DnsServer()
     if data:
         server.put(str(name), dns.rdatatype.to_text(kind), 60, *data)
     question = DnsQuestion(name.canonicalize(), kind, 1, ("127.0.0.1", 53))
     answer = parse_answer(question, server.answers(build_query(question, True), True)[0][1], question.server)
-    return RecordSetKnown(name.canonicalize(), kind, answer.records, 100.0)
+    return RecordSetUpdate(name.canonicalize(), kind, answer.records, 100.0)
 
 
 def follower(*srv: str, **also: Any) -> ServiceWatch:
--- a/tests/race_conditions/test_endpoint_events.py
+++ b/tests/race_conditions/test_endpoint_events.py
@@ -182,7 +182,7 @@
                 if failing.pop() if failing else False:
                     raise RuntimeError("fails once")
 
-            follower.on_alive = alive
+            follower.on_heartbeat = alive
             async with follower:
                 await follower.has(1, 2, 3)
 
@@ -209,6 +209,6 @@
                     turns.append(len(follower.had))
                 await asyncio.sleep(0)
             longest = max(later - sooner for sooner, later in itertools.pairwise(turns))
-            assert longest <= 2 * lines.MAX_TURN_S / 0.002 + 1, longest
+            assert longest <= 2 * lines.MAX_TIME_SLICE_S / 0.002 + 1, longest
 
     play(work())
--- a/tests/race_conditions/test_endpoint_updates.py
+++ b/tests/race_conditions/test_endpoint_updates.py
@@ -105,9 +105,9 @@
     assert states(exchange) == {"a": MemberState.READY, "b": MemberState.DRAINING, "c": MemberState.READY}
     tell(follower, roster(3, entry("a", lifecycle="terminated")))
     assert states(exchange) == {"b": MemberState.DRAINING, "c": MemberState.READY}
-    follower.on_alive()
+    follower.on_heartbeat()
     pool.poison = None
-    follower.on_alive()
+    follower.on_heartbeat()
     assert pool.instances.keys() == {"b", "c"}
 
 
--- a/tests/race_conditions/test_endpoint_watches.py
+++ b/tests/race_conditions/test_endpoint_watches.py
@@ -55,7 +55,7 @@
             def slow(news: EndpointList) -> None:
                 if news.number == 3:
                     asyncio.get_running_loop().call_soon(follower.change_address, second.address)
-                    end = time.perf_counter() + 2 * lines.MAX_TURN_S
+                    end = time.perf_counter() + 2 * lines.MAX_TIME_SLICE_S
                     while time.perf_counter() < end:
                         pass
 
