--- a/paddlequay/discovery/membership.py
+++ b/paddlequay/discovery/membership.py
@@ -107,11 +107,11 @@
         touched.update(dict.fromkeys(self.index.addresses_by_id.get(member.id, ())))
         if member.state is MemberState.REMOVED:
             # A removal is recorded at the address that the source reported last.
-            last = known.member if known is not None else member
+            last_reported = known.member if known is not None else member
             if known is not None:
                 self.drop(known, source, touched)
-            self.index.record_removal(SourceReport(last, name, now).as_removed())
-            touched[last.address] = None
+            self.index.record_removal(SourceReport(last_reported, name, now).as_removed())
+            touched[last_reported.address] = None
             return
         removal = self.index.removals.get((name, member.id))
         if removal is not None:
@@ -200,21 +200,21 @@
     def decide(self, address: Address, now: float) -> MembershipChange | None:
         """Returns the member that the rules give an address, and the rule; None if they give none."""
         reports = self.index.reports_at(address)
-        adding = [report for report in reports if self.sources[report.source].rule.may_add]
-        if not adding or self.index.is_shadowed(adding[0]):
+        adding_reports = [report for report in reports if self.sources[report.source].rule.may_add]
+        if not adding_reports or self.index.is_shadowed(adding_reports[0]):
             return None
         if next(self.index.removals_at(address, reports), None) is not None:
             return None
         if address not in self.members and self.is_paused(address, now):
             return None
-        first = adding[0]
+        authoritative = adding_reports[0]
         drain = find_drain(self.index, address, reports)
         state = MemberState.READY if drain is None else MemberState.DRAINING
-        explanation = drain or explain_presence(self.sources[first.source], first, now)
+        explanation = drain or explain_presence(self.sources[authoritative.source], authoritative, now)
         announced = self.members.get(address)
-        last = None if announced is None else announced.member
-        started = self.start_times.start_time(first, address, last, now)
-        member = replace(first.member, state=state, started=started)
+        last_announced = None if announced is None else announced.member
+        started = self.start_times.start_time(authoritative, address, last_announced, now)
+        member = replace(authoritative.member, state=state, started=started)
         if announced is not None and announced.member == member:
             return replace(announced, rule=explanation.rule, reason=explanation.reason)
         return MembershipChange(member, explanation.rule, explanation.reason)
--- a/paddlequay/discovery/srv.py
+++ b/paddlequay/discovery/srv.py
@@ -187,7 +187,7 @@
         for target in tier.targets:
             if target.address is None:
                 continue
-            # Weights are relative to the mean, so that they are comparable with those of other sources.
+            # Relative to the mean, so that one service does not outweigh the members of other sources.
             weight = max(MIN_WEIGHT_RATIO, target.srv.weight / mean_weight) if total_weight else 1.0
             members.append(self.member(target, target.address, weight))
         ids = {member.id for member in members}
@@ -218,7 +218,7 @@
         return []
 
     def choose_tier(self, now: float) -> None:
-        """Chooses the tier in use: falls back at once, but returns only after `return_after` seconds."""
+        """Chooses the tier in use: falls back at once, returns after `return_after` seconds of recovery."""
         better = self.recovered_tier()
         if better is None:
             self.recovered_since = None
--- a/paddlequay/net/endpoints/dns.py
+++ b/paddlequay/net/endpoints/dns.py
@@ -114,7 +114,7 @@
     async def query_by_tcp(self, send: SendQuery) -> None:
         """Sends one query over a TCP connection of its own.
 
-        RFC 7766 allows several queries per connection, but TCP queries are rare.
+        RFC 7766 allows several queries on one connection, but few queries need TCP.
         """
         family = socket.AF_INET6 if ":" in send.server[0] else socket.AF_INET
         stream: IOStream | None = None
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -1,4 +1,4 @@
-"""The real router with the box list and DNS as its sources, played by the test."""
+"""Runs the router program with the endpoint list and DNS as member sources; the test serves both."""
 
 import asyncio
 import contextlib
@@ -21,8 +21,8 @@
 SERVICE = "_box._tcp.plaza.example."
 
 
-class Zone:
-    """The DNS stand-in on a loop of its own."""
+class DnsZone:
+    """A DNS server for tests, on an event loop of its own."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -30,25 +30,25 @@
         self.server = DnsServer()
         asyncio.run_coroutine_threadsafe(self.server.start(), self.loop).result(5)
 
-    def boxes(self, ttl: int = 1, **at: Party | str) -> None:
-        """Publish exactly these targets: name and where it listens."""
-        places = {name: (p.address if isinstance(p, Party) else p) for name, p in at.items()}
-        for name, place in places.items():
-            self.server.put(f"{name}.plaza.example.", "A", ttl, place.split(":")[0])
-        data = [f"1 1 {place.split(':')[1]} {name}.plaza.example." for name, place in places.items()]
+    def publish(self, ttl: int = 1, **at: Party | str) -> None:
+        """Publish exactly these targets, given by name and listening address."""
+        addresses = {name: (p.address if isinstance(p, Party) else p) for name, p in at.items()}
+        for name, address in addresses.items():
+            self.server.put(f"{name}.plaza.example.", "A", ttl, address.split(":")[0])
+        data = [f"1 1 {address.split(':')[1]} {name}.plaza.example." for name, address in addresses.items()]
         self.server.put(SERVICE, "SRV", ttl, *data)
 
     def close(self) -> None:
         self.loop.call_soon_threadsafe(self.server.close)
 
 
-class Both(Platform):
-    """A router that follows the bulletin and the zone."""
+class DiscoveryPlatform(Platform):
+    """A router that follows the endpoint list and the DNS zone."""
 
-    def __init__(self, zone: Zone, folder: Path, text: str) -> None:
+    def __init__(self, zone: DnsZone, folder: Path, text: str) -> None:
         self.file = folder / "discovery.txtpb"
         host, port = zone.server.address
-        self.followers: list[Any] = []
+        self.watch_connections: list[Any] = []
         self.text = text.replace("SERVER", f"{host}:{port}")
         self.file.write_text(self.text)
         os.environ["PADDLEQUAY_DISCOVERY"] = str(self.file)
@@ -57,35 +57,36 @@
         finally:
             del os.environ["PADDLEQUAY_DISCOVERY"]
 
-    def tell(self, *events: Any) -> None:
-        """Write to each connection to the bulletin: silent ones are made anew, and only the last one is
-        read."""
+    def send_events(self, *events: Any) -> None:
+        """Write events to all watch connections; the router replaces silent ones and reads only the last."""
         for _ in range(self.bulletin.accepted.qsize()):
-            self.followers.append(self.bulletin.accepted.get())
-        for connection in self.followers:
+            self.watch_connections.append(self.bulletin.accepted.get())
+        for connection in self.watch_connections:
             for event in events:
                 with contextlib.suppress(OSError):
                     connection.sendall(json.dumps(event).encode() + b"\n")
 
-    def tell_until(self, event: Any, name: str, state: str | None) -> None:
-        """Tell an event until a member is so (None: gone): written just as the router connects anew it is
-        lost, and a repeat is no news."""
+    def send_event_until(self, event: Any, name: str, state: str | None) -> None:
+        """Send an event until a member has a state (None: until it is removed).
+
+        An event that is written while the router reconnects is lost; a repeated event is ignored.
+        """
 
         def known() -> bool:
-            self.tell(event)
+            self.send_events(event)
             return self.states().get(name) == state
 
         until(known, f"{name} is {state}")
 
     def page(self) -> dict[str, Any]:
-        found: dict[str, Any] = json.loads(self.call("/-/members", "GET")[1])
-        return found
+        page: dict[str, Any] = json.loads(self.call("/-/members", "GET")[1])
+        return page
 
     def states(self) -> dict[str, str]:
         return {member["id"]: member["state"] for member in self.page()["members"]}
 
 
-TEXT = """discovery {
+DISCOVERY_SETTINGS = """discovery {
   source { type: BULLETIN silent_s: 3600 }
   source { type: DNS silent_s: 2 keep_s: 3600 }
   server: "SERVER"
@@ -95,60 +96,60 @@
 
 
 @pytest.fixture
-def zone() -> Iterator[Zone]:
-    made = Zone()
+def zone() -> Iterator[DnsZone]:
+    made = DnsZone()
     yield made
     made.close()
 
 
 @pytest.fixture
-def start(zone: Zone, tmp_path: Path) -> Iterator[Callable[..., Both]]:
-    made: list[Both] = []
+def start_platform(zone: DnsZone, tmp_path: Path) -> Iterator[Callable[..., DiscoveryPlatform]]:
+    made: list[DiscoveryPlatform] = []
 
-    def begin(text: str = TEXT) -> Both:
-        made.append(Both(zone, tmp_path, text))
+    def start(text: str = DISCOVERY_SETTINGS) -> DiscoveryPlatform:
+        made.append(DiscoveryPlatform(zone, tmp_path, text))
         made[-1].ready()
         return made[-1]
 
-    yield begin
+    yield start
     for each in made:
         each.close()
 
 
-def asked_at(p: Platform, client: Client, parties: dict[str, Party], count: int = 24) -> set[str]:
-    """At which parties so many objects are asked for."""
-    found = set()
+def parties_asked(p: Platform, client: Client, parties: dict[str, Party], count: int = 24) -> set[str]:
+    """The parties that receive at least one of `count` requests."""
+    asked_parties = set()
     for number in range(count):
         call = time.time_ns() + number
         client.ask(call=f"{call:016x}", row=f"{call:016x}")
 
-        def somewhere() -> str:
+        def party_with_request() -> str:
             return next((name for name, party in parties.items() if not party.lines.empty()), "")
 
-        name = until(somewhere, "somebody is asked")
+        name = until(party_with_request, "a party is asked")
         assert "via=box" not in parties[name].answer("HIT", "detail=HIT", b"x")[2]
         assert client.answer()[3][0] == b"x"
-        found.add(name)
-    return found
+        asked_parties.add(name)
+    return asked_parties
 
 
-def test_dns_adds_members_and_a_drained_one_gets_nothing_though_dns_lists_it(
-    zone: Zone, start: Callable[..., Both]
+def test_dns_adds_a_member_and_a_member_drained_by_the_list_gets_no_requests(
+    zone: DnsZone, start_platform: Callable[..., DiscoveryPlatform]
 ) -> None:
     extra = Party()
-    p = start()
-    # The list's box is published too, under DNS's own name: one box, by its address.
-    zone.boxes(host1=p.box, host2=extra)
+    p = start_platform()
+    # DNS also publishes the box of the list under another name; by its address, it is the same member.
+    zone.publish(host1=p.box, host2=extra)
     until(lambda: len(p.states()) == 4, "DNS's box is a member")
     assert p.states()["box-1"] == "ready" and "host2_plaza_example" in " ".join(p.states())
     client = p.client()
     parties = {"box": p.box, "extra": extra}
-    assert asked_at(p, client, parties) == {"box", "extra"}
+    assert parties_asked(p, client, parties) == {"box", "extra"}
     drained = p.entry("box-1", p.box, lifecycle="terminating")
-    p.tell_until({"no": 2, "roster": {"reset": False, "instances": [drained]}}, "box-1", "draining")
-    assert asked_at(p, client, parties) == {"extra"}
+    p.send_event_until({"no": 2, "roster": {"reset": False, "instances": [drained]}}, "box-1", "draining")
+    assert parties_asked(p, client, parties) == {"extra"}
     assert p.states()["box-1"] == "draining"
-    said = subprocess.run(
+    explanation = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -163,18 +164,18 @@
         capture_output=True,
         text=True,
     )
-    assert "by drain: list drains box-1" in said.stdout and "dns (live): host1" in said.stdout
+    assert "by drain: list drains box-1" in explanation.stdout and "dns (live): host1" in explanation.stdout
     extra.listener.close()
 
 
-def test_a_removed_record_leaves_and_an_empty_zone_or_an_outage_changes_nothing(
-    zone: Zone, start: Callable[..., Both]
+def test_a_removed_record_removes_its_member_but_an_empty_zone_or_an_outage_does_not(
+    zone: DnsZone, start_platform: Callable[..., DiscoveryPlatform]
 ) -> None:
     extra, other = Party(), Party()
-    p = start()
-    zone.boxes(host2=extra, host3=other, host4="127.0.0.1:9", host5="127.0.0.1:10")
+    p = start_platform()
+    zone.publish(host2=extra, host3=other, host4="127.0.0.1:9", host5="127.0.0.1:10")
     until(lambda: len(p.states()) == 7, "DNS's boxes are members")
-    zone.boxes(host2=extra, host3=other, host4="127.0.0.1:9")
+    zone.publish(host2=extra, host3=other, host4="127.0.0.1:9")
     until(lambda: len(p.states()) == 6, "one leaves at its lifetime")
     zone.server.negative_ttl = 1
     zone.server.fault = "empty"
@@ -189,49 +190,49 @@
         party.listener.close()
 
 
-def test_a_member_that_moves_with_requests_in_flight_is_used_at_its_new_address(
-    zone: Zone, start: Callable[..., Both]
+def test_a_request_in_flight_to_a_member_that_moves_is_retried_elsewhere_at_once(
+    zone: DnsZone, start_platform: Callable[..., DiscoveryPlatform]
 ) -> None:
     old, new = Party(), Party()
-    p = start()
+    p = start_platform()
     until(lambda: not p.bulletin.accepted.empty(), "the bulletin is followed")
     ended = p.entry("box-1", p.box, lifecycle="terminated")
-    p.tell_until({"no": 2, "roster": {"reset": False, "instances": [ended]}}, "box-1", None)
-    zone.boxes(host2=old)
+    p.send_event_until({"no": 2, "roster": {"reset": False, "instances": [ended]}}, "box-1", None)
+    zone.publish(host2=old)
     port = old.address.split(":")[1]
     alone = {f"host2_plaza_example_{port}", "parent-1", "origin-1"}
     until(lambda: set(p.states()) == alone, "DNS's box is the only one")
     client = p.client()
     client.ask(call="00000000000000aa")
     old.line()
-    zone.boxes(host2=f"127.0.0.2:{port}")
+    zone.publish(host2=f"127.0.0.2:{port}")
     moved = [f"127.0.0.2:{port}"]
     until(lambda: [m["at"] for m in p.page()["members"] if "host2" in m["id"]] == moved, "it has moved")
-    # The old address answers no more; the request goes elsewhere at once rather than at its time-out.
+    # The old address no longer answers: the request is retried elsewhere at once, not after its timeout.
     assert p.parent.line() or p.origin.line()
     new.listener.close()
     old.listener.close()
 
 
-def test_sources_are_swapped_by_sighup_under_load_and_the_last_members_are_kept(
-    zone: Zone, start: Callable[..., Both], tmp_path: Path
+def test_sighup_replaces_sources_under_load_and_a_restart_restores_the_members(
+    zone: DnsZone, start_platform: Callable[..., DiscoveryPlatform], tmp_path: Path
 ) -> None:
     extra = Party()
-    kept = TEXT.replace("}\n}", '}\n  source { type: KEPT keep_s: 3600 }\n  folder: "."\n}')
-    p = start(kept)
-    zone.boxes(host2=extra)
+    text = DISCOVERY_SETTINGS.replace("}\n}", '}\n  source { type: KEPT keep_s: 3600 }\n  folder: "."\n}')
+    p = start_platform(text)
+    zone.publish(host2=extra)
     until(lambda: len(p.states()) == 4, "DNS's box is a member")
     client = p.client()
-    assert asked_at(p, client, {"box": p.box, "extra": extra}) == {"box", "extra"}
-    open_ = {f"{number:016x}" for number in range(0xA00, 0xA0A)}
-    for call in open_:
+    assert parties_asked(p, client, {"box": p.box, "extra": extra}) == {"box", "extra"}
+    call_ids = {f"{number:016x}" for number in range(0xA00, 0xA0A)}
+    for call in call_ids:
         client.ask(call=call, row=call)
     until(lambda: p.box.lines.qsize() + extra.lines.qsize() == 10, "ten requests are out")
     p.file.write_text("discovery { source { type: BULLETIN } }")
     p.process.send_signal(signal.SIGHUP)
     until(lambda: len(p.states()) == 3, "DNS's box is none any more")
     served = 0
-    while served < 10:  # those that were out where DNS's box stood are asked for again at the other one
+    while served < 10:  # requests in flight to the box that only DNS named are retried at the other box
         until(lambda: client.answered() or not p.box.lines.empty(), "an answer, or a cache is asked")
         if client.answered():
             assert client.answer()[2] is None
@@ -243,7 +244,7 @@
     asked = extra.lines.qsize()
     client.ask(call="00000000000000bb", row="00000000000000bb")
     until(lambda: client.answered() or not p.box.lines.empty(), "an answer, or the other cache is asked")
-    assert extra.lines.qsize() == asked  # DNS's box gets nothing new
+    assert extra.lines.qsize() == asked  # the box that only DNS named gets no new request
     p.file.write_text("discovery { source { type: DNS } }")
     p.process.send_signal(signal.SIGHUP)
     assert "discovery.service" in p.logged("reload_refused")
@@ -266,7 +267,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("replaced", "replacement", "expected"),
     [
         ("SERVER", "nowhere", ":4: discovery.server: expected host:port"),
         ('kind: "box"', "", "discovery.service[0].kind: is missing"),
@@ -279,18 +280,22 @@
         ("type: BULLETIN", "type: NOTHING", ":2:"),
     ],
 )
-def test_settings_of_sources_are_checked(tmp_path: Path, old: str, new: str, said: str) -> None:
+def test_settings_of_sources_are_checked(
+    tmp_path: Path, replaced: str, replacement: str, expected: str
+) -> None:
     path = tmp_path / "d.txtpb"
-    path.write_text(TEXT.replace(old, new).replace("SERVER", "127.0.0.1:53"))
+    path.write_text(DISCOVERY_SETTINGS.replace(replaced, replacement).replace("SERVER", "127.0.0.1:53"))
     done = subprocess.run(
         [sys.executable, "-m", "paddlequay", "check", str(path)], cwd=ROOT, capture_output=True, text=True
     )
     text = done.stdout + done.stderr
-    assert said in text and text.count("\n") == 1 and done.returncode == (0 if "can be" in said else 2)
+    assert (
+        expected in text and text.count("\n") == 1 and done.returncode == (0 if "can be" in expected else 2)
+    )
 
 
-def test_resolve_prints_the_members_that_the_router_would_use(zone: Zone) -> None:
-    zone.boxes(60, host1="127.0.0.1:9")
+def test_resolve_prints_the_members_that_the_router_would_use(zone: DnsZone) -> None:
+    zone.publish(60, host1="127.0.0.1:9")
     words = [sys.executable, "-m", "paddlequay", "discovery", "resolve", SERVICE]
     at = "{}:{}".format(*zone.server.address)
     done = subprocess.run([*words, "--server", at], cwd=ROOT, capture_output=True, text=True)
--- a/tests/discovery/test_srv_services.py
+++ b/tests/discovery/test_srv_services.py
@@ -1,4 +1,4 @@
-"""SRV services: members, weights, priorities and locations from records, without sockets."""
+"""SRV services without sockets: members, weights, priorities and attributes from DNS records."""
 
 import re
 from typing import Any
@@ -21,7 +21,7 @@
     return dns.name.from_text(text)
 
 
-def known(name: dns.name.Name, kind: dns.rdatatype.RdataType, *data: str) -> RecordSetUpdate:
+def record_set(name: dns.name.Name, kind: dns.rdatatype.RdataType, *data: str) -> RecordSetUpdate:
     server = DnsServer()
     if data:
         server.put(str(name), dns.rdatatype.to_text(kind), 60, *data)
@@ -30,28 +30,28 @@
     return RecordSetUpdate(name.canonicalize(), kind, answer.records, 100.0)
 
 
-def follower(*srv: str, **also: Any) -> ServiceWatch:
-    made = ServiceWatch(Service(NAME, "box", "plaza", **also), TierLimits(return_after=30.0))
-    assert made.update(known(NAME, SRV, *srv))
+def service_watch(*srv: str, **settings: Any) -> ServiceWatch:
+    watch = ServiceWatch(Service(NAME, "box", "plaza", **settings), TierLimits(return_after=30.0))
+    assert watch.update(record_set(NAME, SRV, *srv))
     for number in range(1, 7):
-        made.update(known(name(f"b{number}.plaza.example."), A, f"127.0.0.{number}"))
-    return made
+        watch.update(record_set(name(f"b{number}.plaza.example."), A, f"127.0.0.{number}"))
+    return watch
 
 
-def ids(boxes: list[Any]) -> list[str]:
-    return [box.id.split("_")[0] for box in boxes]
+def target_names(members: list[Any]) -> list[str]:
+    return [member.id.split("_")[0] for member in members]
 
 
 def test_weights_are_shares_with_a_minimum_for_0_and_ids_outlive_address_changes() -> None:
-    made = follower("1 30 9 b1.plaza.example.", "1 10 9 b2.plaza.example.", "1 0 9 b3.plaza.example.")
-    weights = [box.weight for box in made.members(0.0)]
+    watch = service_watch("1 30 9 b1.plaza.example.", "1 10 9 b2.plaza.example.", "1 0 9 b3.plaza.example.")
+    weights = [member.weight for member in watch.members(0.0)]
     assert weights[0] == pytest.approx(3 * (weights[1] or 0)) and weights[2] == 0.01
-    assert [box.weight for box in follower("1 0 9 b1.plaza.example.").members(0.0)] == [1.0]
-    (before, *_) = made.members(1.0)
-    made.update(known(name("b1.plaza.example."), A, "127.0.0.1", "127.0.0.0"))
-    assert made.members(2.0)[0].address == before.address  # still an answer: it does not move
-    made.update(known(name("b1.plaza.example."), A, "127.0.0.99"))
-    moved = made.members(3.0)[0]
+    assert [member.weight for member in service_watch("1 0 9 b1.plaza.example.").members(0.0)] == [1.0]
+    (before, *_) = watch.members(1.0)
+    watch.update(record_set(name("b1.plaza.example."), A, "127.0.0.1", "127.0.0.0"))
+    assert watch.members(2.0)[0].address == before.address  # still an answer, so it is kept
+    watch.update(record_set(name("b1.plaza.example."), A, "127.0.0.99"))
+    moved = watch.members(3.0)[0]
     assert (
         moved.id == before.id == member_id(name("B1.plaza.example."), 9) and moved.address[0] == "127.0.0.99"
     )
@@ -59,55 +59,52 @@
 
 @pytest.mark.parametrize(("family", "host"), [("v4", "127.0.0.1"), ("v6", "::1"), ("both", "127.0.0.1")])
 def test_targets_are_resolved_by_the_configured_address_family(family: str, host: str) -> None:
-    made = follower("1 1 9 b1.plaza.example.", family=family)
-    made.update(known(name("b1.plaza.example."), dns.rdatatype.AAAA, "::1"))
-    assert [box.address for box in made.members(0.0)] == [(host, 9)]
-    made.update(known(name("b1.plaza.example."), A))
-    assert [box.address for box in made.members(1.0)] == ([] if family == "v4" else [("::1", 9)])
+    watch = service_watch("1 1 9 b1.plaza.example.", family=family)
+    watch.update(record_set(name("b1.plaza.example."), dns.rdatatype.AAAA, "::1"))
+    assert [member.address for member in watch.members(0.0)] == [(host, 9)]
+    watch.update(record_set(name("b1.plaza.example."), A))
+    assert [member.address for member in watch.members(1.0)] == ([] if family == "v4" else [("::1", 9)])
 
 
 def test_priorities_fall_back_at_once_and_return_once_the_recovery_lasts() -> None:
-    made = follower(
+    watch = service_watch(
         "1 1 9 b1.plaza.example.",
         "1 1 9 b2.plaza.example.",
         "5 1 9 b3.plaza.example.",
         "9 1 9 b4.plaza.example.",
     )
-    assert ids(made.members(0.0)) == ["b1", "b2"]
+    assert target_names(watch.members(0.0)) == ["b1", "b2"]
     for number in (1, 2):
-        made.update(known(name(f"b{number}.plaza.example."), A))
-    assert ids(made.members(1.0)) == ["b3"]
-    made.update(known(name("b1.plaza.example."), A, "127.0.0.1"))
-    assert ids(made.members(2.0)) == ["b3"]
-    made.update(known(name("b2.plaza.example."), A, "127.0.0.2"))
-    assert ids(made.members(3.0)) == ["b3"] and ids(made.members(20.0)) == ["b3"]
-    made.update(known(name("b2.plaza.example."), A))
-    made.members(25.0)
-    made.update(known(name("b2.plaza.example."), A, "127.0.0.2"))
-    assert ids(made.members(34.0)) == ["b3"] and ids(made.members(63.0)) == ["b3"]
-    assert ids(made.members(64.1)) == ["b1", "b2"]
-
-
-def test_ports_of_0_duplicates_and_too_many_targets_are_not_offered() -> None:
-    made = follower("0 0 0 .")
-    assert made.not_offered and made.members(0.0) == []
-    made = follower("1 1 0 b1.plaza.example.", "1 1 9 b2.plaza.example.", "1 5 9 b2.plaza.example.")
-    assert ids(made.members(0.0)) == ["b2"]
-    assert {kind for _, kind in made.required_names()} == {SRV, A}
+        watch.update(record_set(name(f"b{number}.plaza.example."), A))
+    assert target_names(watch.members(1.0)) == ["b3"]
+    watch.update(record_set(name("b1.plaza.example."), A, "127.0.0.1"))
+    assert target_names(watch.members(2.0)) == ["b3"]
+    watch.update(record_set(name("b2.plaza.example."), A, "127.0.0.2"))
+    assert target_names(watch.members(3.0)) == ["b3"] and target_names(watch.members(20.0)) == ["b3"]
+    watch.update(record_set(name("b2.plaza.example."), A))
+    watch.members(25.0)
+    watch.update(record_set(name("b2.plaza.example."), A, "127.0.0.2"))
+    assert target_names(watch.members(34.0)) == ["b3"] and target_names(watch.members(63.0)) == ["b3"]
+    assert target_names(watch.members(64.1)) == ["b1", "b2"]
+
+
+def test_a_root_target_a_port_of_0_and_a_duplicate_add_no_member() -> None:
+    watch = service_watch("0 0 0 .")
+    assert watch.not_offered and watch.members(0.0) == []
+    watch = service_watch("1 1 0 b1.plaza.example.", "1 1 9 b2.plaza.example.", "1 5 9 b2.plaza.example.")
+    assert target_names(watch.members(0.0)) == ["b2"]
+    assert {kind for _, kind in watch.required_names()} == {SRV, A}
 
 
 def test_zone_cell_and_kind_come_from_the_name_or_a_txt_record() -> None:
-    made = follower(
+    watch = service_watch(
         "1 1 9 b1.plaza.example.",
         "1 1 9 b2.plaza.example.",
         txt=True,
         naming=re.compile(r"b(?P<cell>\d+)\.(?P<zone>\w+)"),
     )
-    told = 'zone=east cell=7 started=1700000000 junk=1 "kind=parent"'
-    made.update(known(name("b2.plaza.example."), TXT, told.replace('"', "").join('""')))
-    one, two = made.members(0.0)
+    txt = 'zone=east cell=7 started=1700000000 junk=1 "kind=parent"'
+    watch.update(record_set(name("b2.plaza.example."), TXT, txt.replace('"', "").join('""')))
+    one, two = watch.members(0.0)
     assert (one.kind, one.zone, one.cell, one.started) == ("box", "plaza", 1, None)
     assert (two.kind, two.zone, two.cell, two.started) == ("parent", "east", 7, 1700000000.0)
-
-
-# --- over sockets ---
--- a/tests/golden/test_golden_pages.py
+++ b/tests/golden/test_golden_pages.py
@@ -10,7 +10,7 @@
 from golden_samples import DATA
 from harness import until
 from rig_tier import Rig, rig_with_ready_tier, tier_rig
-from test_discovery import TEXT, Both, Zone
+from test_discovery import DISCOVERY_SETTINGS, DiscoveryPlatform, DnsZone
 
 from paddlequay.lab.cluster import CLUSTER_RULES
 from paddlequay.lab.fleet_rig import FleetRig
@@ -49,17 +49,17 @@
 
 
 def test_the_page_of_members_keeps_its_fields(tmp_path: Path) -> None:
-    zone = Zone()
-    both = Both(zone, tmp_path, TEXT)
+    zone = DnsZone()
+    router = DiscoveryPlatform(zone, tmp_path, DISCOVERY_SETTINGS)
     try:
-        both.ready()
+        router.ready()
         until(
-            lambda: len(both.states()) > 1 and both.page()["sources"]["dns"]["heard_s_ago"] is not None,
+            lambda: len(router.states()) > 1 and router.page()["sources"]["dns"]["heard_s_ago"] is not None,
             "members are known",
         )
-        same("members", both.page())
+        same("members", router.page())
     finally:
-        both.close()
+        router.close()
         zone.close()
 
 
