--- a/paddlequay/protocol/__init__.py
+++ b/paddlequay/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""State machines of the protocols: fed bytes, they give messages back; they know no socket."""
+"""Parsers and formatters of the wire protocols: they work on bytes and messages, and use no sockets."""
--- a/paddlequay/protocol/caches.py
+++ b/paddlequay/protocol/caches.py
@@ -7,12 +7,13 @@
 
 LINE_END = b"\r\n"
 HEAD_WORD_COUNT = 4  # id, status, fields, length of the body
-MAX_QUOTED_FIELD_CHARS = 60  # of an invalid field, in an error
+# The parts of invalid input that error messages quote.
+MAX_QUOTED_FIELD_CHARS = 60
 MAX_QUOTED_LINE_BYTES = 80
 
 
 class CacheProtocolError(ValueError):
-    """The bytes are no answer; nothing after them on this connection can be parsed."""
+    """The bytes are not a message; nothing after them on this connection can be parsed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,12 +27,12 @@
 
 
 def format_fields(fields: Mapping[str, str]) -> str:
-    """Returns fields in the form of a line; `-` for none."""
+    """Returns fields as `name=value` pairs separated by commas; `-` if there are none."""
     return ",".join(f"{name}={value}" for name, value in fields.items()) or "-"
 
 
 def request_line(id: str, fields: Mapping[str, str], length: int) -> bytes:
-    """Returns the line before a body of `length` bytes, which CR LF must follow."""
+    """Returns the line of a request; a body of `length` bytes and CR LF must follow it."""
     return f"ASK {id} {format_fields(fields)} {length}\r\n".encode()
 
 
@@ -57,15 +58,15 @@
     """Parses answers from bytes as they are received; a body is copied once, into its final buffer.
 
     Args:
-        max_line: The most bytes of a line.
-        max_body: The most bytes of a body.
+        max_line: The largest allowed line in bytes.
+        max_body: The largest allowed body in bytes.
 
     Attributes:
         line: The received part of an incomplete line.
         head: The id, the status and the fields of the incomplete answer; None before its line is complete.
         body: The buffer of its body.
-        filled: The received bytes of its body.
-        trailer_read: The received bytes of the CR LF after its body.
+        received_body_bytes: How many bytes of its body have been received.
+        received_trailer_bytes: How many bytes of the CR LF after its body have been received.
     """
 
     def __init__(self, max_line: int, max_body: int) -> None:
@@ -74,20 +75,20 @@
         self.line = bytearray()
         self.head: tuple[str, str, dict[str, str]] | None = None
         self.body = bytearray()
-        self.filled = 0
-        self.trailer_read = 0
+        self.received_body_bytes = 0
+        self.received_trailer_bytes = 0
 
     @property
     def has_begun(self) -> bool:
-        """Whether an answer has begun and is not complete."""
+        """Whether the received bytes end inside an answer."""
         return self.head is not None or bool(self.line)
 
     @property
     def progress(self) -> float:
-        """The received share of the incomplete answer, from 0 to 1; 0 while its length is unknown."""
+        """The received fraction of the incomplete answer, from 0 to 1; 0 while its length is unknown."""
         if self.head is None:
             return 0.0
-        return (self.filled + self.trailer_read) / (len(self.body) + len(LINE_END))
+        return (self.received_body_bytes + self.received_trailer_bytes) / (len(self.body) + len(LINE_END))
 
     @property
     def current_id(self) -> str | None:
@@ -97,51 +98,57 @@
     def feed(self, data: bytes) -> Iterator[CacheAnswer]:
         """Returns the answers that are complete with these bytes. Raises `CacheProtocolError`."""
         view = memoryview(data)
-        at = 0
-        while at < len(view):
+        position = 0
+        while position < len(view):
             if self.head is None:
-                at = self.read_line(data, at)
-            elif self.filled < len(self.body):
-                count = min(len(self.body) - self.filled, len(view) - at)
-                self.body[self.filled : self.filled + count] = view[at : at + count]
-                self.filled += count
-                at += count
+                position = self.read_line(data, position)
+            elif self.received_body_bytes < len(self.body):
+                count = min(len(self.body) - self.received_body_bytes, len(view) - position)
+                self.body[self.received_body_bytes : self.received_body_bytes + count] = view[
+                    position : position + count
+                ]
+                self.received_body_bytes += count
+                position += count
             else:
-                if data[at] != LINE_END[self.trailer_read]:
-                    raise CacheProtocolError("expected CR LF after a body")
-                self.trailer_read += 1
-                at += 1
-            if self.head is not None and self.filled == len(self.body) and self.trailer_read == 2:
+                if data[position] != LINE_END[self.received_trailer_bytes]:
+                    raise CacheProtocolError("expected CR LF after the body of an answer")
+                self.received_trailer_bytes += 1
+                position += 1
+            if (
+                self.head is not None
+                and self.received_body_bytes == len(self.body)
+                and self.received_trailer_bytes == 2
+            ):
                 yield self.finish_answer()
 
-    def read_line(self, data: bytes, at: int) -> int:
-        """Reads a part of the line of an answer; returns the place in `data` after it."""
-        end = data.find(b"\n", at)
-        self.line += data[at : end + 1 if end >= 0 else len(data)]
+    def read_line(self, data: bytes, position: int) -> int:
+        """Reads the line of an answer, or a part of it; returns the position in `data` after what it read."""
+        end = data.find(b"\n", position)
+        self.line += data[position : end + 1 if end >= 0 else len(data)]
         if len(self.line) > self.max_line:
-            raise CacheProtocolError("a line is longer than allowed")
+            raise CacheProtocolError(f"the line is longer than {self.max_line} bytes")
         if end < 0:
             return len(data)
         try:
             words = self.line.decode("ascii").split()
         except UnicodeDecodeError:
-            raise CacheProtocolError("a line is not ASCII") from None
+            raise CacheProtocolError("the line is not ASCII") from None
         is_head = self.line.endswith(LINE_END) and len(words) == HEAD_WORD_COUNT and words[3].isdigit()
         if not is_head:
             quoted = bytes(self.line[:MAX_QUOTED_LINE_BYTES])
-            raise CacheProtocolError(f"expected ID WORD FIELDS LENGTH, got {quoted!r}")
+            raise CacheProtocolError(f"expected ID STATUS FIELDS LENGTH, got {quoted!r}")
         length = int(words[3])
         if length > self.max_body:
-            raise CacheProtocolError(f"a body of {length} bytes")
+            raise CacheProtocolError(f"expected a body of at most {self.max_body} bytes, got {length}")
         self.head = (words[0], words[1], parse_fields(words[2]))
         self.body = bytearray(length)
-        self.filled = 0
-        self.trailer_read = 0
+        self.received_body_bytes = 0
+        self.received_trailer_bytes = 0
         self.line.clear()
         return end + 1
 
     def finish_answer(self) -> CacheAnswer:
-        """Returns the complete answer, and prepares for the next one."""
+        """Returns the complete answer, and resets the parser for the next one."""
         assert self.head is not None
         answer = CacheAnswer(*self.head, self.body)
         self.head = None
--- a/paddlequay/protocol/clients.py
+++ b/paddlequay/protocol/clients.py
@@ -13,7 +13,7 @@
 NOTIFICATION = 2
 REJECTED = "TryLater"
 FAILED = "Aborted"
-CANCEL = b"cancelRequest"  # part of every message that cancels requests
+CANCEL = b"cancelRequest"  # every message that cancels requests contains these bytes
 SERVED_HEAD = b"\x94\x01"  # an array of four values, the first of which is RESPONSE
 NO_ERROR_AND_PAIR = b"\xc0\x92"  # nil for the error, and an array of two values: body and fields
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadinessQuery:
-    """A client asks whether this router accepts requests."""
+    """A client's query whether this router accepts requests."""
 
     number: int
 
@@ -49,7 +49,7 @@
     """Parses messages from bytes as they are received.
 
     Args:
-        max_message: The most bytes of a message.
+        max_message: The largest allowed message in bytes.
 
     Attributes:
         partial: The received part of an incomplete message.
@@ -63,16 +63,16 @@
         """Returns the messages that are complete with these bytes. Raises `MalformedMessageError`."""
         data = self.partial + data if self.partial else data
         self.partial = b""
-        at = 0
+        position = 0
         try:
-            while at < len(data):
-                value, at = msgpack.unpack(data, at, self.max_message)
+            while position < len(data):
+                value, position = msgpack.unpack(data, position, self.max_message)
                 yield parse_message(value)
         except IncompleteMessageError:
-            self.partial = data[at:]
+            self.partial = data[position:]
 
     def completes(self, data: bytes) -> bool:
-        """Returns whether `data`, not fed yet, completes a message; malformed bytes do not."""
+        """Returns whether `data`, which is not fed yet, completes a message; malformed bytes do not."""
         try:
             msgpack.unpack(self.partial + data, 0, self.max_message)
         except (IncompleteMessageError, MalformedMessageError):
@@ -80,7 +80,10 @@
         return True
 
     def cancelled_in(self, data: bytes) -> set[int]:
-        """Returns the numbers of requests that `data`, not fed yet, cancels before any malformed bytes."""
+        """Returns the numbers of the requests that `data` cancels, up to the first malformed bytes.
+
+        `data` follows the bytes that were fed, and is not fed yet itself.
+        """
         parser = ClientMessageParser(self.max_message)
         numbers: set[int] = set()
         with contextlib.suppress(MalformedMessageError):
@@ -91,12 +94,12 @@
 
 
 def is_number(value: Any) -> bool:
-    """Returns whether a value may be the number of a message."""
+    """Returns whether a value is a valid message number."""
     return isinstance(value, int) and not isinstance(value, bool) and value >= 0
 
 
 def parse_message(value: Any) -> ClientMessage:
-    """Returns an unpacked value as a message. Raises `MalformedMessageError`."""
+    """Returns the message that an unpacked value represents. Raises `MalformedMessageError`."""
     match value:
         case [0, number, "alive", [*_]] if is_number(number):
             return ReadinessQuery(number)
@@ -106,7 +109,7 @@
             return ClientCall(number, method, fields, b"")
         case [2, "cancelRequest", [*numbers]] if all(map(is_number, numbers)):
             return CallsCancelled(tuple(numbers))
-    raise MalformedMessageError("not a request, nor a notification that is known")
+    raise MalformedMessageError("expected a request or a cancelRequest notification")
 
 
 def readiness_answer(number: int, ready: bool) -> bytes:
@@ -115,11 +118,11 @@
 
 
 def error_answer(number: int, error: str, fields: Mapping[str, str]) -> bytes:
-    """Returns an answer with an error."""
+    """Returns the answer to a request that was rejected or has failed."""
     return msgpack.pack([RESPONSE, number, [error, dict(fields)], None])
 
 
 def served_answer(number: int, body: Buffer, fields: Mapping[str, str]) -> tuple[bytes, Buffer, bytes]:
-    """Returns the head, the body and the tail of a served answer; the body is not copied."""
+    """Returns the head, the body and the fields of a successful answer; the body is not copied."""
     head = SERVED_HEAD + msgpack.pack(number) + NO_ERROR_AND_PAIR + msgpack.bin_head(len(body))
     return head, body, msgpack.pack(dict(fields))
--- a/paddlequay/protocol/console.py
+++ b/paddlequay/protocol/console.py
@@ -10,28 +10,28 @@
 
 
 class ConsoleProtocolError(ValueError):
-    """The bytes are no call."""
+    """The bytes are not a valid call."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConsoleCall:
-    """One call: its method, and the unescaped parts of its path."""
+    """One call: its method, and the segments of its path without percent-encoding."""
 
     method: str
     path: tuple[str, ...]
 
 
 class ConsoleCallParser:
-    """Parses one call from bytes as they are received, and drops its body.
+    """Parses one call from bytes as they are received, and discards its body.
 
     Args:
-        max_head: The most bytes of the head.
-        max_body: The most bytes of the body.
+        max_head: The largest allowed head in bytes.
+        max_body: The largest allowed body in bytes.
 
     Attributes:
         head: The received part of the head.
         call: The call; None before its head is complete.
-        body_left: The bytes of the body not received yet.
+        body_left: How many bytes of the body have not been received yet.
     """
 
     def __init__(self, max_head: int, max_body: int) -> None:
@@ -42,9 +42,10 @@
         self.body_left = 0
 
     def feed(self, data: bytes) -> ConsoleCall | None:
-        """Returns the call once it is complete; None before that. Raises `ConsoleProtocolError`."""
+        """Returns the call if it is complete, else None. Raises `ConsoleProtocolError`."""
         if self.call is None:
-            # Search the new bytes only, and those that may begin the end: a head may arrive byte by byte.
+            # A head may arrive byte by byte: search only the new bytes and the last ones before them, in
+            # which the end of the head may have begun.
             start = max(0, len(self.head) - len(HEAD_END) + 1)
             self.head += data
             end = self.head.find(HEAD_END, start)
@@ -73,44 +74,46 @@
 
     @staticmethod
     def parse_length(lines: list[str]) -> int:
-        """Returns the length of the body by the headers, or 0. Raises `ConsoleProtocolError`."""
+        """Returns the length of the body in bytes, 0 without a header. Raises `ConsoleProtocolError`."""
         length: int | None = None
         for line in lines:
             name, colon, value = line.partition(":")
             if not colon or not name or name != name.strip():
-                raise ConsoleProtocolError("a header line that cannot be read")
+                raise ConsoleProtocolError("expected header lines of the form NAME: VALUE")
             if name.lower() == "transfer-encoding":
-                raise ConsoleProtocolError("a body is told by Content-Length, not by Transfer-Encoding")
+                raise ConsoleProtocolError(
+                    "Transfer-Encoding is not supported; give the length of the body by Content-Length"
+                )
             if name.lower() == "content-length":
                 text = value.strip()
                 is_length = text.isascii() and text.isdigit() and len(text) <= MAX_LENGTH_DIGITS
                 if not is_length or length not in (None, int(text)):
-                    raise ConsoleProtocolError("Content-Length cannot be used")
+                    raise ConsoleProtocolError("Content-Length: expected one length in digits")
                 length = int(text)
         return length or 0
 
     @staticmethod
     def parse_path(target: str) -> tuple[str, ...]:
-        """Returns the unescaped parts of a path. Raises `ConsoleProtocolError`."""
+        """Returns the segments of a path without percent-encoding. Raises `ConsoleProtocolError`."""
         try:
             path = urlsplit(target).path
         except ValueError:
-            raise ConsoleProtocolError("a path that cannot be read") from None
+            raise ConsoleProtocolError("the path is not valid") from None
         if not path.startswith("/"):
-            raise ConsoleProtocolError("a path that cannot be read")
+            raise ConsoleProtocolError("expected a path that begins with /")
         return tuple(map(unquote, path[1:].split("/")))
 
 
-def format_answer(status: int, why: str, allow: str = "", head_only: bool = False) -> bytes:
+def format_answer(status: int, message: str, allow: str = "", head_only: bool = False) -> bytes:
     """Returns a complete answer.
 
     Args:
         status: The HTTP status.
-        why: The line of the body.
-        allow: The allowed methods, if they must be listed.
+        message: The line of the body.
+        allow: The value of the `Allow` header; without that header if it is empty.
         head_only: Whether to leave out the body.
     """
-    body = f"{why}\n".encode()
+    body = f"{message}\n".encode()
     lines = [
         f"HTTP/1.1 {status} {HTTPStatus(status).phrase}",
         "Content-Type: text/plain; charset=utf-8",
--- a/paddlequay/protocol/endpoint_watch.py
+++ b/paddlequay/protocol/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The protocol of the endpoint list: parses numbered lines of JSON and formats `after N` requests."""
+"""The protocol of the endpoint watch: parses numbered lines of JSON and formats `after N` requests."""
 
 import json
 import re
@@ -13,15 +13,18 @@
     "terminating": MemberState.DRAINING,
     "terminated": MemberState.REMOVED,
 }
-MAX_NUMBER = 1 << 53  # of JSON's integers; after a larger number, all later events would count as applied
+# Exclusive bound of numbers, as JSON integers are exact up to here. If an event with a larger number were
+# applied, all later events would count as applied already.
+MAX_NUMBER = 1 << 53
 MS_PER_S = 1000.0
 MAX_PORT = 65_535
 MAX_OCTET = 255
-MAX_QUOTED_CHARS = 40  # of an invalid value, in an error
+# The parts of invalid input that error messages quote.
+MAX_QUOTED_CHARS = 40
 MAX_QUOTED_ENTRY_CHARS = 60
 MAX_QUOTED_EVENT_CHARS = 80
 MAX_REASON_CHARS = 200
-ID = re.compile(r"[!-+\--~]{1,200}")  # without space and comma, as it is a field's value on the wire
+ID = re.compile(r"[!-+\--~]{1,200}")  # without space and comma, which separate fields on the wire to a cache
 HEX_64_BITS = re.compile(r"[0-9a-fA-F]{1,16}")
 ADDRESS = re.compile(r"((?:0|[1-9][0-9]{0,2})(?:\.(?:0|[1-9][0-9]{0,2})){3}):([0-9]{1,5})")
 
@@ -29,12 +32,12 @@
 
 
 class EndpointWatchError(ValueError):
-    """The line is neither an event nor a heartbeat, or cannot follow the ones before it."""
+    """The line is neither a valid event nor a heartbeat, or its number does not follow the previous ones."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A member with the address at which it listens."""
+    """A member and the address at which it listens."""
 
     member: Member
     address: tuple[str, int]
@@ -42,15 +45,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """The endpoint list or changes to it, with at most one entry of an id: its last.
+    """The endpoint list or changes to it. Of several entries with the same id only the last is kept.
 
     Attributes:
         number: The number of the event.
-        full: Whether it is the complete list.
+        full: Whether it is the complete list; else it holds changes.
         endpoints: The valid entries.
-        draining_ids: The ids of invalid entries that are not in service.
+        draining_ids: The ids of invalid entries that are not in service; these members drain.
         unusable_count: The number of invalid entries.
-        unusable_reason: Why the last of them is invalid.
+        unusable_reason: Why the last invalid entry is invalid; empty if there is none.
     """
 
     number: int
@@ -63,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeEvent:
-    """A purge of an object, or of a group; `issued_at` in Unix seconds."""
+    """A purge of one object or one group; the other one is None. `issued_at` is in Unix seconds."""
 
     number: int
     issued_at: float
@@ -73,14 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchHeartbeat:
-    """A heartbeat with the number of the last event."""
+    """A heartbeat; `number` is that of the last event."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class UnusableLine:
-    """An invalid line; with its number if it is an event with one."""
+    """An invalid line; `number` is None unless the line is an event with a valid number."""
 
     number: int | None
     reason: str
@@ -90,23 +93,23 @@
 
 
 def resume_request(number: int) -> bytes:
-    """Returns the request for the events after a number."""
+    """Returns the request for the events that follow the one with a number."""
     return f"after {number}\n".encode()
 
 
 def is_number(value: Any) -> bool:
-    """Returns whether a value may be the number of an event."""
+    """Returns whether a value is a valid event number."""
     return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < MAX_NUMBER
 
 
-def number_of(item: Any) -> int | None:
-    """Returns the number of an event; None without a valid one."""
+def event_number(item: Any) -> int | None:
+    """Returns the number of an event; None if it has no valid one."""
     number = item.get("no") if isinstance(item, dict) else None
     return number if is_number(number) else None
 
 
 def parse_number(value: Any, name: str) -> float:
-    """Returns a number from 0 to below `MAX_NUMBER`. Raises `EndpointWatchError` for others and NaN."""
+    """Returns a number as a float. Raises `EndpointWatchError` unless it is in [0, `MAX_NUMBER`)."""
     if type(value) not in (int, float) or not 0 <= value < MAX_NUMBER:
         raise EndpointWatchError(f"{name}: expected a number, got {str(value)[:MAX_QUOTED_CHARS]!r}")
     return float(value)
@@ -116,24 +119,24 @@
     """Returns the id of an entry. Raises `EndpointWatchError`."""
     name = item.get("instanceId")
     if not isinstance(name, str) or not ID.fullmatch(name):
-        raise EndpointWatchError(f"instanceId: cannot be used: {str(name)[:MAX_QUOTED_CHARS]!r}")
+        raise EndpointWatchError(f"instanceId: expected an id, got {str(name)[:MAX_QUOTED_CHARS]!r}")
     return name
 
 
-def parse_address(at: Any) -> tuple[str, int]:
+def parse_address(text: Any) -> tuple[str, int]:
     """Returns an IPv4 address and a port. Raises `EndpointWatchError`.
 
-    Host names are invalid, as their lookup would block the event loop.
+    Host names are invalid, because resolving them would block the event loop.
     """
-    match = ADDRESS.fullmatch(at) if isinstance(at, str) else None
+    match = ADDRESS.fullmatch(text) if isinstance(text, str) else None
     port = int(match[2]) if match else 0
     if (
         match is None
         or not 0 < port <= MAX_PORT
-        or any(int(each) > MAX_OCTET for each in match[1].split("."))
+        or any(int(octet) > MAX_OCTET for octet in match[1].split("."))
     ):
         raise EndpointWatchError(
-            f"hostPort: expected an address and a port, got {str(at)[:MAX_QUOTED_ENTRY_CHARS]!r}"
+            f"hostPort: expected an address and a port, got {str(text)[:MAX_QUOTED_ENTRY_CHARS]!r}"
         )
     return match[1], port
 
@@ -141,7 +144,7 @@
 def parse_endpoint(item: Any) -> Endpoint:
     """Returns one entry of the list. Raises `EndpointWatchError`."""
     if not isinstance(item, dict):
-        raise EndpointWatchError(f"an entry that is no object: {str(item)[:MAX_QUOTED_CHARS]}")
+        raise EndpointWatchError(f"instances: expected objects, got {str(item)[:MAX_QUOTED_CHARS]}")
     name = parse_id(item)
     lifecycle = item.get("lifecycle")
     state = STATES.get(lifecycle) if isinstance(lifecycle, str) else None
@@ -152,7 +155,7 @@
     zone = item.get("zone")
     kind = item.get("machineType")
     cell = item.get("cell")
-    # No calls for these checks: thousands of entries are parsed in one iteration of the event loop.
+    # Checked without function calls, as thousands of entries are parsed in one iteration of the event loop.
     if not ((zone is None or type(zone) is str) and (kind is None or type(kind) is str)):
         raise EndpointWatchError(
             f"zone, machineType: expected text, got {str((zone, kind))[:MAX_QUOTED_ENTRY_CHARS]}"
@@ -176,20 +179,21 @@
 
 
 def parse_endpoint_list(number: int, roster: Any) -> EndpointList:
-    """Returns the event of a list. Raises `EndpointWatchError` if it is no list.
+    """Returns the event that holds an endpoint list. Raises `EndpointWatchError` without a list.
 
-    An invalid entry does not affect the others. If it has an id and is not in service, its member drains.
+    An invalid entry does not affect the others. If it has an id and is not in service, the member with this
+    id drains.
     """
     instances = roster.get("instances") if isinstance(roster, dict) else None
     if not isinstance(instances, list):
-        raise EndpointWatchError("a list without instances")
+        raise EndpointWatchError("roster: expected an object with a list of instances")
     listed: dict[str, Endpoint] = {}
     drained: dict[str, None] = {}
     unusable_count = 0
     unusable_reason = ""
     for item in instances:
         try:
-            entry = parse_endpoint(item)
+            endpoint = parse_endpoint(item)
         except EndpointWatchError as error:
             unusable_count += 1
             unusable_reason = str(error)
@@ -198,22 +202,22 @@
                 listed.pop(name, None)
                 drained[name] = None
             continue
-        name = entry.member.name
+        name = endpoint.member.name
         drained.pop(name, None)
         listed.pop(name, None)
-        listed[name] = entry
+        listed[name] = endpoint
     full = bool(roster.get("reset")) or number == 1
     return EndpointList(number, full, tuple(listed.values()), tuple(drained), unusable_count, unusable_reason)
 
 
 def parse_purge(number: int, recall: Any) -> PurgeEvent:
-    """Returns the event of a purge. Raises `EndpointWatchError`."""
+    """Returns a purge event. Raises `EndpointWatchError`."""
     if not isinstance(recall, dict):
-        raise EndpointWatchError("neither a list nor a purge")
+        raise EndpointWatchError("expected an event with roster or recall")
     key = recall.get("item")
     group = recall.get("lot")
     if (key is None) == (group is None):
-        raise EndpointWatchError("a purge names an object or a group")
+        raise EndpointWatchError("recall: expected either item or lot")
     issued = parse_number(recall.get("issued"), "issued") / MS_PER_S
     if key is None:
         if not is_number(group):
@@ -225,14 +229,16 @@
 
 
 def parse_event(item: Any) -> WatchEvent:
-    """Returns an event or a heartbeat. Raises `EndpointWatchError`."""
+    """Returns the event or the heartbeat that a line holds. Raises `EndpointWatchError`."""
     if is_number(item):
         return WatchHeartbeat(item)
-    number = number_of(item)
+    number = event_number(item)
     if number is None:
-        raise EndpointWatchError(f"neither an event nor a heartbeat: {str(item)[:MAX_QUOTED_EVENT_CHARS]}")
+        raise EndpointWatchError(
+            f"expected an event or a heartbeat, got {str(item)[:MAX_QUOTED_EVENT_CHARS]}"
+        )
     if item.keys() == {"no"}:
-        return WatchHeartbeat(number)  # the other form of a heartbeat, beside the plain number
+        return WatchHeartbeat(number)  # a heartbeat is an object with nothing but `no`, or a plain number
     if "roster" in item:
         return parse_endpoint_list(number, item["roster"])
     return parse_purge(number, item.get("recall"))
@@ -242,11 +248,11 @@
     """Parses lines from bytes as they are received; an invalid line becomes an `UnusableLine`.
 
     Args:
-        max_line: The most bytes of a line; a longer one is skipped to its end.
+        max_line: The largest allowed line in bytes; a longer one is skipped to its end.
 
     Attributes:
         buffer: The received part of an incomplete line.
-        skipping: Whether that line is too long.
+        skipping: Whether that line is too long, so that the rest of it is skipped.
     """
 
     def __init__(self, max_line: int) -> None:
@@ -255,8 +261,8 @@
         self.skipping = False
 
     def lines(self, data: bytes) -> Iterator[bytes | None]:
-        """Returns the lines that are complete with these bytes; None in place of one that is too long."""
-        # Search the new bytes only: thousands of members are one line, received in many parts.
+        """Returns the lines that are complete with these bytes; None instead of a line that is too long."""
+        # Search only the new bytes: a list of thousands of members is one line, received in many parts.
         start = len(self.buffer)
         self.buffer += data
         end = self.buffer.find(b"\n", start)
@@ -274,17 +280,17 @@
             self.skipping = True
 
     def events(self, data: bytes, parse: Callable[[Any], T]) -> Iterator[T | UnusableLine]:
-        """Returns what `parse` makes of each line that is complete with these bytes."""
+        """Returns the result of `parse` for each line that is complete with these bytes."""
         for line in self.lines(data):
             if line is None:
-                yield UnusableLine(None, "a line is longer than allowed")
+                yield UnusableLine(None, f"the line is longer than {self.max_line} bytes")
                 continue
             item: Any = None
             try:
                 item = json.loads(line)
                 event: T | UnusableLine = parse(item)
-            except Exception as error:  # the edge of one line: any error, RecursionError too, is its own
-                event = UnusableLine(number_of(item), f"{type(error).__name__} {error}"[:MAX_REASON_CHARS])
+            except Exception as error:  # error boundary of one line: not even RecursionError affects another
+                event = UnusableLine(event_number(item), f"{type(error).__name__} {error}"[:MAX_REASON_CHARS])
             yield event
 
 
--- a/paddlequay/protocol/fill_messages.py
+++ b/paddlequay/protocol/fill_messages.py
@@ -1,4 +1,7 @@
-"""Fill requests and replies as fields of the caches' protocol; the one place that maps the wire's words."""
+"""Converts fill requests and replies to and from fields of the caches' protocol.
+
+No other module knows the names of these fields on the wire.
+"""
 
 import re
 from collections.abc import Mapping
@@ -22,12 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestDecoder:
-    """Decodes fill requests.
+    """Decodes fill requests from messages of the caches' protocol.
 
     Attributes:
         classes: The request classes by name.
         keyring: Verifies the paths of requests.
-        max_part: The highest number of a part.
+        max_part: The largest allowed part number.
     """
 
     classes: Mapping[str, RequestClass]
@@ -39,18 +42,20 @@
 
         Args:
             message: The message.
-            requester: Identifies the requester to the driver.
+            requester: Identifies the requester to the driver, which sends it the reply.
             now: The time in Unix seconds.
 
         Raises:
-            RequestFieldError: A field cannot be used.
-            FillPathError: The path cannot be read, or its signature does not hold.
+            RequestFieldError: A field is missing or invalid.
+            FillPathError: The path is malformed, or its signature is invalid.
         """
         fields = message.fields
         request_class = self._request_class(fields)
         name = _object_name(fields)
         if request_class.uncacheable:
-            raise RequestFieldError(f"{request_class.name} passes no cache", "queue")
+            raise RequestFieldError(
+                f"requests of the class {request_class.name} are never sent to a cache", "queue"
+            )
         budget_s = _seconds(fields, "budget", MAX_BUDGET_MS) or request_class.deadline
         max_age_s = _seconds(fields, "fresh", MAX_FRESHNESS_MS) or request_class.freshness_lifetime
         options = fields.get("opts", "").split("+")
@@ -78,26 +83,29 @@
         name = fields.get("queue", "")
         request_class = self.classes.get(name)
         if request_class is None:
-            raise RequestFieldError("not known", "queue", name)
+            raise RequestFieldError("expected a known request class", "queue", name)
         return request_class
 
     def _path(self, message: CacheRequest, now: float) -> FillPath | None:
-        """Returns the verified path of a request; a claim without one is rejected, as it is not signed."""
+        """Returns the verified path of a request; None without one.
+
+        A claim without a path is rejected, because only the signature of a path covers the claim.
+        """
         fields = message.fields
         if "hops" in fields:
             return self.keyring.decode(fields["hops"], signing_context(message.id, fields), now)
         if "claim" in fields:
-            raise RequestFieldError("nobody has signed for it", "claim")
+            raise RequestFieldError("expected a signed path (hops) along with it", "claim")
         return None
 
 
 def signing_context(id: str, fields: Mapping[str, str]) -> str:
-    """Returns the text that a path is signed for: one request, its object and part, and its claim."""
+    """Returns the text that the signature of a path covers: the request's id and its `SIGNED_FIELDS`."""
     return " ".join((id, *(fields.get(name, "") for name in SIGNED_FIELDS)))
 
 
 def decode_claim(text: str) -> OwnershipClaim:
-    """Returns an ownership claim from its field, VERSION@HOST:PORT; raises `RequestFieldError`."""
+    """Returns the ownership claim in a field VERSION@HOST:PORT. Raises `RequestFieldError`."""
     version, at, address = text.partition("@")
     host, colon, port = address.rpartition(":")
     is_version = version.isdigit() and len(version) <= MAX_VERSION_DIGITS
@@ -107,13 +115,15 @@
 
 
 def encode_claim(claim: OwnershipClaim) -> str:
-    """Returns the field of an ownership claim."""
+    """Returns an ownership claim as a field VERSION@HOST:PORT."""
     host, port = claim.address
     return f"{claim.topology_version}@{host}:{port}"
 
 
 def decode_channel_token(fields: Mapping[str, str]) -> ChannelToken | None:
-    """Returns the channel that a fill is a prefetch for, and its owner's fencing token.
+    """Returns the channel for which a fill is a prefetch, and the fencing token of the channel's owner.
+
+    Returns None if the request has neither field.
 
     Raises:
         RequestFieldError: One of the fields is missing, or is not 64 bits in hex digits.
@@ -128,7 +138,7 @@
 
 
 def reply_fields(reply: Reply, load_report: str) -> dict[str, str]:
-    """Returns the fields of a reply, in the order in which they are written."""
+    """Returns the fields of a reply in the order in which they are sent."""
     fields: dict[str, str] = {}
     if reply.reason is not None:
         fields["detail"] = reply.reason.value
@@ -154,7 +164,7 @@
 
 
 def _number(fields: Mapping[str, str], name: str, maximum: int) -> int | None:
-    """Returns a whole number; None where the field is absent."""
+    """Returns the whole number in a field; None if the field is absent."""
     text = fields.get(name)
     if text is None:
         return None
@@ -165,5 +175,5 @@
 
 
 def _seconds(fields: Mapping[str, str], name: str, max_ms: int) -> float:
-    """Returns a duration in seconds, which the wire gives in milliseconds; 0 where it is absent."""
+    """Returns a duration in seconds from a field in milliseconds; 0 if the field is absent."""
     return (_number(fields, name, max_ms) or 0) / 1000.0
--- a/paddlequay/protocol/hot_restart.py
+++ b/paddlequay/protocol/hot_restart.py
@@ -1,4 +1,4 @@
-"""The protocol between two processes of one router: lines of JSON."""
+"""The protocol between two processes of one router during a hot restart: lines of JSON."""
 
 import json
 import math
@@ -9,16 +9,16 @@
 from paddlequay.lifecycle.operator_state import Override, read_overrides
 from paddlequay.requests.quotas import QuotaInUse
 
-MAX_QUOTED_LINE_BYTES = 80  # of an invalid line, in an error
+MAX_QUOTED_LINE_BYTES = 80  # the part of an invalid line that an error message quotes
 
 
 class LinkProtocolError(ValueError):
-    """The line is no message."""
+    """The line is not a valid message."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateMessage:
-    """The first message in both directions: overrides, known caches and learned state."""
+    """The first message in both directions: overrides, ids of known caches and learned state."""
 
     overrides: dict[str, Override]
     known_ids: tuple[str, ...]
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideMessage:
-    """One override, to be confirmed by its number once it is applied."""
+    """An override. The receiver confirms its number once the override is applied."""
 
     number: int
     name: str
@@ -36,21 +36,21 @@
 
 @dataclass(frozen=True, slots=True)
 class OverrideConfirmed:
-    """The override with this number is applied."""
+    """Confirms that the override with this number is applied."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorReady:
-    """The successor accepts clients."""
+    """Reports that the successor accepts clients."""
 
 
 LinkMessage = StateMessage | OverrideMessage | OverrideConfirmed | SuccessorReady | QuotaInUse
 
 
 def pack(message: LinkMessage) -> bytes:
-    """Returns a message as a line. Other versions read its keys, which must not change."""
+    """Returns a message as a line. Its keys must not change, as processes of other versions read them."""
     match message:
         case StateMessage():
             overrides = {name: [each.issued_ns, each.active] for name, each in message.overrides.items()}
@@ -72,11 +72,11 @@
 
 
 def unpack(line: bytes) -> LinkMessage:
-    """Returns the message of a line. Raises `LinkProtocolError`."""
+    """Returns the message that a line holds. Raises `LinkProtocolError`."""
     try:
         match json.loads(line):
             case {"state": dict(overrides), "listed": [*listed], "knowledge": dict(knowledge)}:
-                learned = parse_learned(knowledge)
+                learned = parse_learned_state(knowledge)
                 return StateMessage(read_overrides(overrides), tuple(map(str, listed)), learned)
             case {"order": dict(order), "number": int(number)} if len(order) == 1:
                 ((name, override),) = read_overrides(order).items()
@@ -89,14 +89,14 @@
                 return QuotaInUse(clients, caches)
     except (TypeError, ValueError) as error:
         raise LinkProtocolError(str(error)) from None
-    raise LinkProtocolError(f"no message: {line[:MAX_QUOTED_LINE_BYTES]!r}")
+    raise LinkProtocolError(f"expected a message, got {line[:MAX_QUOTED_LINE_BYTES]!r}")
 
 
-def parse_learned(values: dict[Any, Any]) -> dict[str, float]:
-    """Returns learned state: finite numbers by name, 0 or more. Raises `LinkProtocolError`."""
+def parse_learned_state(values: dict[Any, Any]) -> dict[str, float]:
+    """Returns learned state by name. Raises `LinkProtocolError` unless it is finite and at least 0."""
     learned = {str(name): float(value) for name, value in values.items()}
     if not all(map(math.isfinite, learned.values())) or min(learned.values(), default=0) < 0:
-        raise LinkProtocolError("knowledge that cannot be used")
+        raise LinkProtocolError("knowledge: expected finite numbers of at least 0")
     return learned
 
 
@@ -104,7 +104,10 @@
     """Parses messages from bytes as they are received.
 
     Args:
-        max_line: The most bytes of a line.
+        max_line: The largest allowed line in bytes.
+
+    Attributes:
+        partial: The received part of an incomplete line.
     """
 
     def __init__(self, max_line: int) -> None:
@@ -115,5 +118,5 @@
         """Returns the messages that are complete with these bytes. Raises `LinkProtocolError`."""
         *lines, self.partial = (self.partial + data).split(b"\n")
         if len(self.partial) > self.max_line:
-            raise LinkProtocolError("a line is longer than allowed")
+            raise LinkProtocolError(f"the line is longer than {self.max_line} bytes")
         yield from map(unpack, lines)
--- a/paddlequay/protocol/load_reports.py
+++ b/paddlequay/protocol/load_reports.py
@@ -1,4 +1,4 @@
-"""Maps the names of load reports on the wire and in the settings to fields."""
+"""Maps the names in load reports on the wire and in the settings to the fields of `LoadReport`."""
 
 from collections.abc import Iterable
 
@@ -13,5 +13,5 @@
 
 
 def load_report(values: Iterable[tuple[str, float]]) -> LoadReport:
-    """Returns the load report of named values; ignores unknown names, and uses the last value of a name."""
+    """Returns the load report of named values; ignores unknown names, uses the last value of each name."""
     return LoadReport(**{FIELDS[name]: value for name, value in values if name in FIELDS})
--- a/paddlequay/protocol/topology_feed.py
+++ b/paddlequay/protocol/topology_feed.py
@@ -1,8 +1,8 @@
-"""The protocol of the topology feed: the endpoint watch's numbered lines of JSON, with topology deltas.
+"""The protocol of the topology feed: numbered lines of JSON like the endpoint watch's, with topology deltas.
 
     {"no":7,"shape":{"version":3,"base":2,"put":[{"id":"a","at":"h:1","parents":["s"]}],"drop":["b"]}}
 
-Purges and heartbeats are those of the endpoint watch. Knows no socket.
+Purges and heartbeats have the same form as in the endpoint watch.
 """
 
 from collections.abc import Iterator
@@ -17,14 +17,14 @@
     LineParser,
     UnusableLine,
     WatchEvent,
-    number_of,
+    event_number,
     parse_event,
 )
 
 
 @dataclass(frozen=True, slots=True)
 class TopologyEvent:
-    """A topology delta, or the reason why what came as one cannot be read."""
+    """A topology delta; None if it is invalid, and then `reason` says why."""
 
     number: int
     delta: TopologyDelta | None
@@ -32,11 +32,11 @@
 
 
 class TopologyFeedParser(LineParser):
-    """Parses events from bytes as they arrive.
+    """Parses events from bytes as they are received.
 
     Args:
-        max_line: The most bytes of a line.
-        limits: Bounds of a delta.
+        max_line: The largest allowed line in bytes; a longer one is skipped to its end.
+        limits: Limits on a delta.
     """
 
     def __init__(self, max_line: int, limits: TopologyLimits) -> None:
@@ -49,16 +49,16 @@
 
 
 def parse_feed_event(item: Any, limits: TopologyLimits) -> WatchEvent | TopologyEvent:
-    """Returns the event that a line holds. An unusable delta is an event too: it must not end the feed.
+    """Returns the event that a line holds. An invalid delta is an event as well, as it must not end the feed.
 
     Raises:
         EndpointWatchError: The line holds no event.
     """
     if not isinstance(item, dict) or "shape" not in item:
         return parse_event(item)
-    number = number_of(item)
+    number = event_number(item)
     if number is None:
-        raise EndpointWatchError(f"a shape without a number: {str(item)[:80]}")
+        raise EndpointWatchError(f"shape: expected an event with a number, got {str(item)[:80]}")
     try:
         return TopologyEvent(number, decode_delta(item["shape"], limits))
     except TopologyError as error:
