--- a/paddlequay/net/__init__.py
+++ b/paddlequay/net/__init__.py
@@ -1,1 +1,1 @@
-"""Thin drivers between sockets and the state machines, one module a peer."""
+"""Thin drivers between sockets and the state machines of the protocols, one module or package per peer."""
--- a/paddlequay/net/console.py
+++ b/paddlequay/net/console.py
@@ -1,4 +1,4 @@
-"""The operators' console: answers one HTTP call per connection, within a second."""
+"""The operators' console: answers one HTTP call per connection, within one second."""
 
 import asyncio
 import logging
@@ -26,7 +26,7 @@
 LOGGER = logging.getLogger(__name__)
 
 BACKLOG = 64
-MAX_LINGER_READS = 16  # of what the caller still sends after the answer
+MAX_LINGER_READS = 16  # reads of what the caller still sends after the answer
 
 
 class ConsoleAnswer(NamedTuple):
@@ -35,7 +35,7 @@
     Attributes:
         status: The HTTP status.
         text: The line of the body.
-        allow: The allowed methods, if the call's method is not one of them.
+        allow: The allowed methods, if the method of the call is not one of them; else empty.
     """
 
     status: int
@@ -44,13 +44,18 @@
 
 
 class ConsoleFront(Protocol):
-    """The front that serves clients."""
+    """The server for clients, as the console uses it.
+
+    Attributes:
+        shutting_down: Whether this process ends.
+        replaced: Whether a successor accepts clients instead of this process.
+    """
 
     shutting_down: bool
     replaced: bool
 
     def closed_reason(self) -> str:
-        """Returns why this process accepts no clients; empty while it does."""
+        """Returns why this process accepts no clients; empty while it accepts them."""
         ...
 
     @property
@@ -63,17 +68,17 @@
     """The other processes of the same router, if there are any."""
 
     async def confirm(self, name: str, override: Override) -> bool:
-        """Returns whether they all apply an override."""
+        """Sends an override to them; returns whether they have all applied it."""
         ...
 
 
 class Console:
-    """Answers operators' calls from the state of its owners, and passes overrides on to them.
+    """Answers operators' calls, and passes their overrides to this and the other process of the router.
 
     Attributes:
-        pages: Functions by name, each of which returns one line of JSON.
-        queries: Functions by name, each of which explains the state of an id.
-        incomplete_calls: The connections without a complete call, the oldest first.
+        pages: Functions by name of a page; each returns one line of JSON.
+        queries: Functions by name of a query; each returns an explanation of the state of an id.
+        incomplete_calls: The connections whose call is not complete yet, the oldest first.
         save_lock: Held while the overrides are saved.
         open_calls: The number of open connections.
     """
@@ -104,7 +109,10 @@
         Acceptor(listener, self.on_accept, lambda: self.limits.console_connections)
 
     def on_accept(self, connection: socket.socket) -> None:
-        """Serves an accepted connection; closes the oldest incomplete call for it if there are too many."""
+        """Serves an accepted connection.
+
+        If too many are open, closes the one with the oldest incomplete call, or else the accepted one.
+        """
         stream = IOStream(connection, max_buffer_size=2 * self.limits.max_console_head)
         if self.open_calls >= self.limits.console_connections:
             if not self.incomplete_calls:
@@ -127,7 +135,7 @@
             self.counters.add("console_half_calls")
         except (StreamClosedError, OSError):
             pass
-        except Exception:  # the edge of one connection: its error must not affect another
+        except Exception:  # error boundary of one connection: no other one is affected
             self.counters.add("console_errors")
             LOGGER.exception("console_failed")
         finally:
@@ -157,14 +165,14 @@
         await self.linger(stream)
 
     async def linger(self, stream: IOStream) -> None:
-        """Reads what the caller still sends, as closing over unread bytes resets the connection."""
+        """Reads what the caller still sends, because a close with unread bytes would reset the connection."""
         stream.socket.shutdown(socket.SHUT_WR)
         async with asyncio.timeout(self.limits.console_linger):
             for _ in range(MAX_LINGER_READS):
                 await stream.read_bytes(self.limits.read_size, partial=True)
 
     async def answer(self, call: wire.ConsoleCall) -> ConsoleAnswer:
-        """Returns the answer to a call, and logs a call that changes something."""
+        """Returns the answer to a call; logs the call if its method is POST."""
         match call.path:
             case ("-", page) if page == "ready" or page in self.pages:
                 allow = "GET, HEAD"
@@ -183,7 +191,7 @@
         return answer
 
     async def execute(self, call: wire.ConsoleCall) -> ConsoleAnswer:
-        """Executes a call whose path and method are known to be valid."""
+        """Executes a call whose path and method have been validated, and returns its answer."""
         match call.path:
             case ("-", "ready"):
                 return self.readiness()
@@ -192,44 +200,44 @@
             case ("-", page, id) if page in self.queries:
                 return ConsoleAnswer(200, self.queries[page](id))
             case ("-", command):
-                return await self.drain(command == "drain")
+                return await self.set_draining(command == "drain")
             case ("-", "caches", cache, command):
-                return await self.eject(cache, command == "disable")
+                return await self.set_ejected(cache, command == "disable")
         raise AssertionError(call.path)
 
     async def save(self) -> None:
-        """Saves the overrides in a thread, as a slow disk would look like overload."""
+        """Saves the overrides in a thread, as a slow disk in the event loop would look like overload."""
         async with self.save_lock:
             await asyncio.to_thread(self.operator_state.write, self.operator_state.serialize_ejections())
 
     def readiness(self) -> ConsoleAnswer:
         """Returns whether this process accepts clients."""
-        why = self.front.closed_reason()
-        return ConsoleAnswer(503, why) if why else ConsoleAnswer(200, "ready")
+        reason = self.front.closed_reason()
+        return ConsoleAnswer(503, reason) if reason else ConsoleAnswer(200, "ready")
 
-    async def drain(self, on: bool) -> ConsoleAnswer:
-        """Starts to drain the router (`on`), or resumes it."""
-        if not on and self.front.shutting_down and not self.front.replaced:
+    async def set_draining(self, draining: bool) -> ConsoleAnswer:
+        """Starts to drain the router (`draining`), or lets it accept clients again."""
+        if not draining and self.front.shutting_down and not self.front.replaced:
             return ConsoleAnswer(409, "this process is ending")
-        override = self.operator_state.set_override(DRAIN, on)
+        override = self.operator_state.set_override(DRAIN, draining)
         if not await self.other_process.confirm(DRAIN, override):
             return ConsoleAnswer(503, "obeyed here, but the other process has not confirmed it; call again")
-        return ConsoleAnswer(200, f"draining: {self.front.open_summary}" if on else "taking clients")
+        return ConsoleAnswer(200, f"draining: {self.front.open_summary}" if draining else "taking clients")
 
-    async def eject(self, cache: str, on: bool) -> ConsoleAnswer:
-        """Ejects a cache (`on`), or admits it again.
+    async def set_ejected(self, cache: str, ejected: bool) -> ConsoleAnswer:
+        """Ejects a cache (`ejected`), or admits it again.
 
-        The answer is positive once the other processes have applied it and it is saved.
+        The answer is positive if the other processes have applied the override and it is saved.
         """
         if not self.operator_state.is_known(cache):
             return ConsoleAnswer(404, "no cache of that id was ever listed")
         try:
-            override = self.operator_state.set_override(EJECTED_PREFIX + cache, on)
+            override = self.operator_state.set_override(EJECTED_PREFIX + cache, ejected)
         except TooManyOverridesError as error:
             return ConsoleAnswer(409, str(error))
         confirmed = await self.other_process.confirm(EJECTED_PREFIX + cache, override)
         try:
-            # Shielded from the timeout of the call: the next save must not meet a half-written file.
+            # Shielded from the timeout of the call, so that the next save cannot meet a half-written file.
             await asyncio.shield(asyncio.ensure_future(self.save()))
         except OSError as error:
             return ConsoleAnswer(
@@ -237,5 +245,5 @@
             )
         if not confirmed:
             return ConsoleAnswer(503, "obeyed here, but the other process has not confirmed it; call again")
-        ejected = ", ".join(self.operator_state.ejected_ids) or "none"
-        return ConsoleAnswer(200, f"{'out' if on else 'back'}; left out now: {ejected}")
+        ejected_ids = ", ".join(self.operator_state.ejected_ids) or "none"
+        return ConsoleAnswer(200, f"{'out' if ejected else 'back'}; left out now: {ejected_ids}")
--- a/paddlequay/net/hot_restart.py
+++ b/paddlequay/net/hot_restart.py
@@ -1,8 +1,8 @@
-"""Hot restart: the link between two processes of one router, while a successor replaces its predecessor.
+"""Hot restart: the link between two processes of one router while a successor replaces its predecessor.
 
-The predecessor listens on a socket file in its folder for temporary files; the successor connects to it.
-Operators' overrides are sent both ways, and confirmed once they are applied. The predecessor reports how much
-of the quotas it still uses.
+The predecessor listens on a Unix socket in its folder for temporary files; the successor connects to it.
+Each process sends operators' overrides to the other one, which confirms them once they are applied. The
+predecessor reports how much of the router's quotas it still uses.
 """
 
 import asyncio
@@ -25,20 +25,20 @@
 
 LOGGER = logging.getLogger(__name__)
 
-LINK_BACKLOG = 4  # a successor, and other processes that look for this one
+LINK_BACKLOG = 4  # for a successor, and for other processes that look for a predecessor
 SOCKET_FILE_MODE = 0o600
-SEARCH_INTERVAL_S = 0.02
+SEARCH_INTERVAL_S = 0.02  # between two checks whether there is a predecessor
 
 
 class ProcessLink:
-    """The connection to the predecessor or the successor.
+    """The connection of this process to its predecessor or its successor.
 
     Attributes:
-        owner: The links of this process.
+        owner: The hot restart of this process, which has all its links.
         state_received: Set once the other process has sent its state, or the link has ended.
         successor_ready: Whether the other process is a successor that accepts clients.
         has_state: Whether the other process has sent its state.
-        awaiting_confirmation: The overrides sent and not confirmed yet, by number.
+        awaiting_confirmation: Futures of the overrides that are sent and not confirmed yet, by number.
     """
 
     def __init__(self, owner: "HotRestart", stream: IOStream) -> None:
@@ -51,28 +51,28 @@
         self.awaiting_confirmation: dict[int, asyncio.Future[bool]] = {}
 
     def send(self, message: wire.LinkMessage) -> None:
-        """Sends a message. A failure ends `run`, which reads the same stream."""
+        """Sends a message. If that fails, `run` ends, because it reads from the same stream."""
         if not self.stream.closed():
-            self.stream.write(wire.pack(message)).add_done_callback(lambda done: done.exception())
+            self.stream.write(wire.pack(message)).add_done_callback(lambda written: written.exception())
 
     async def confirm(self, name: str, override: Override) -> bool:
-        """Sends an override; returns whether the other process has applied it or has ended."""
+        """Sends an override; returns whether the other process has applied it in time or has ended."""
         if self.stream.closed():
             return True
-        self.owner.last_number += 1
-        number = self.owner.last_number
-        done: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self.awaiting_confirmation[number] = done
+        self.owner.last_override_number += 1
+        number = self.owner.last_override_number
+        confirmed: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self.awaiting_confirmation[number] = confirmed
         self.send(wire.OverrideMessage(number, name, override))
         try:
-            return await asyncio.wait_for(done, self.owner.limits.confirm_timeout)
+            return await asyncio.wait_for(confirmed, self.owner.limits.confirm_timeout)
         except TimeoutError:
             return False
         finally:
             del self.awaiting_confirmation[number]
 
     async def run(self) -> None:
-        """Sends the state of this process, then reads until the link ends."""
+        """Sends the state of this process, then handles messages until the link ends."""
         operator_state = self.owner.operator_state
         learned = self.owner.export_state() if self is self.owner.successor else {}
         known_ids = tuple(operator_state.known_ids)
@@ -86,18 +86,18 @@
             pass
         except wire.LinkProtocolError as error:
             log.event(LOGGER, logging.WARNING, "bad_link_line", why=str(error))
-        except Exception:  # the edge of one link: it must end in order, and not count as open for good
+        except Exception:  # error boundary of the link: it is closed, and no longer counts as open
             self.owner.counters.add("hot_restart_errors")
             LOGGER.exception("hot_restart_failed")
         finally:
             self.stream.close()
             self.state_received.set()
-            for done in self.awaiting_confirmation.values():
-                if not done.done():
-                    done.set_result(True)
+            for confirmed in self.awaiting_confirmation.values():
+                if not confirmed.done():
+                    confirmed.set_result(True)
 
     def handle(self, message: wire.LinkMessage) -> None:
-        """Handles one message of the other process."""
+        """Handles one message from the other process."""
         operator_state = self.owner.operator_state
         match message:
             case wire.StateMessage():
@@ -112,35 +112,36 @@
                 self.owner.counters.add("overrides_from_other_process")
                 self.owner.background.spawn("twin", self.relay(message))
             case wire.OverrideConfirmed():
-                done = self.awaiting_confirmation.get(message.number)
-                if done is not None and not done.done():
-                    done.set_result(True)
+                confirmed = self.awaiting_confirmation.get(message.number)
+                if confirmed is not None and not confirmed.done():
+                    confirmed.set_result(True)
             case wire.SuccessorReady():
                 self.successor_ready = True
-                self.owner.successor_ready()
+                self.owner.report_successor_ready()
             case QuotaInUse():
                 self.owner.quotas.use_rest_of(message)
 
     async def relay(self, message: wire.OverrideMessage) -> None:
-        """Confirms an override once a third process, if there is one, has applied it as well."""
-        if await self.owner.confirm(message.name, message.override, but=self):
+        """Confirms an override to its sender once a third process, if there is one, has applied it too."""
+        if await self.owner.confirm(message.name, message.override, excluded=self):
             self.send(wire.OverrideConfirmed(message.number))
 
 
 class HotRestart:
-    """The links of one process: finds its predecessor at the start, and accepts its successor later.
+    """The links of one process: it finds its predecessor when it starts, and accepts a successor later.
 
     Attributes:
-        path: The socket file.
-        last_number: The number of the last override sent.
-        quota_given: The quotas that this process keeps, as last sent to the successor.
+        path: The path of the Unix socket.
+        last_override_number: The number of the last override sent.
+        last_reported_quota: The quotas that this process keeps, as last reported to the successor; None
+            without a report.
         closed: Whether this process ends.
         search_done: Set once it is known whether there is a predecessor.
         export_state: Returns the learned state for the successor.
         on_inherited_state: Receives the learned state of the predecessor.
         on_successor: Called once a successor has connected.
         on_replaced: Called once the successor accepts clients.
-        on_successor_gone: Called once the successor has ended.
+        on_successor_gone: Called once the link to the successor has ended.
     """
 
     def __init__(
@@ -158,8 +159,8 @@
         self.counters = counters
         self.predecessor: ProcessLink | None = None
         self.successor: ProcessLink | None = None
-        self.last_number = 0
-        self.quota_given: QuotaInUse | None = None
+        self.last_override_number = 0
+        self.last_reported_quota: QuotaInUse | None = None
         self.background = TaskSupervisor(counters)
         self.closed = False
         self.search_done = asyncio.Event()
@@ -177,13 +178,13 @@
         return self.successor is not None and self.successor.successor_ready
 
     async def find_predecessor(self) -> bool:
-        """Looks for a predecessor and receives its state, then listens in its place.
+        """Looks for a predecessor, receives its state, and then listens for successors in its place.
 
         Returns:
-            Whether there is a predecessor that has not ended.
+            Whether there is a predecessor, and its link has not ended.
         """
         now = asyncio.get_running_loop().time
-        until = now() + self.limits.link_connect_timeout
+        deadline = now() + self.limits.link_connect_timeout
         while (link := await self.connect()) is not None:
             self.predecessor = link
             self.background.spawn("twin", self.follow_predecessor(link))
@@ -191,9 +192,10 @@
                 await asyncio.wait_for(link.state_received.wait(), self.limits.link_connect_timeout)
             except TimeoutError:
                 log.event(LOGGER, logging.WARNING, "predecessor_unresponsive")
-            if link.has_state or not link.stream.closed() or now() >= until:
+            if link.has_state or not link.stream.closed() or now() >= deadline:
                 break
-            # It ended before its first message: it exits, or a newer process is about to listen in its place.
+            # The link ended before the first message: the process exits, or a newer one is about to listen
+            # in its place.
             await asyncio.sleep(SEARCH_INTERVAL_S)
         self.search_done.set()
         self.listen()
@@ -219,7 +221,8 @@
     def listen(self) -> None:
         """Listens at the path.
 
-        The socket listens under a temporary name first, so that whoever finds the path can connect.
+        The socket first listens under a temporary name and is then renamed, so that a process that finds the
+        path can always connect.
         """
         temporary = self.path.with_name(f"{self.path.name}.{os.getpid()}")
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -231,13 +234,13 @@
             listener.listen(LINK_BACKLOG)
             temporary.replace(self.path)
         except OSError as error:
-            # A successor still starts, with the overrides from the file.
+            # A successor starts all the same, with the overrides from the saved file.
             listener.close()
             log.event(LOGGER, logging.WARNING, "link_not_listening", path=self.path, why=str(error))
             return
         self.stop()
         self.listener = listener
-        self.acceptor = Acceptor(listener, self.accepted, lambda: LINK_BACKLOG)
+        self.acceptor = Acceptor(listener, self.on_accept, lambda: LINK_BACKLOG)
 
     async def wait_until_alone(self) -> None:
         """Waits until the predecessor has ended."""
@@ -252,10 +255,11 @@
             self.acceptor = None
             self.listener = None
 
-    def accepted(self, connection: socket.socket) -> None:
-        """Links to a successor that has connected."""
+    def on_accept(self, connection: socket.socket) -> None:
+        """Starts the link to a successor that has connected."""
         if self.successor is not None:
-            connection.close()  # one successor at a time; the path leads to it by now
+            # A process has one successor at a time; others find that successor at the path by now.
+            connection.close()
             return
         self.successor = ProcessLink(self, IOStream(connection))
         self.counters.add("successors")
@@ -264,42 +268,47 @@
         self.background.spawn("twin", self.follow_successor(self.successor))
 
     async def follow_successor(self, link: ProcessLink) -> None:
-        """Runs the link until the successor has ended, then listens again."""
+        """Runs the link until the successor has ended, then listens for another one."""
         await link.run()
         self.successor = None
-        self.quota_given = None
+        self.last_reported_quota = None
         self.quotas.take_all()
         self.on_successor_gone()
         log.event(LOGGER, logging.INFO, "successor_ended")
-        if not self.closed:  # an ending process must not listen in place of the one that remains
+        if not self.closed:  # an ending process must not take the path from the one that remains
             self.listen()
 
-    def successor_ready(self) -> None:
-        """Reports that the successor accepts clients."""
+    def report_successor_ready(self) -> None:
+        """Reports to this process that the successor accepts clients."""
         self.on_replaced()
         log.event(LOGGER, logging.INFO, "successor_ready")
 
-    def give_quota(self, used: QuotaInUse) -> None:
-        """Limits this process to the quotas that it uses, never raising them, and tells the successor."""
+    def report_quota(self, used: QuotaInUse) -> None:
+        """Limits this process to the quotas that it uses, and reports them to the successor.
+
+        During one hot restart these quotas are never raised again.
+        """
         if self.successor is None:
             return
-        if self.quota_given is not None:
+        if self.last_reported_quota is not None:
             used = QuotaInUse(
-                min(used.client_connections, self.quota_given.client_connections),
-                min(used.cache_connections, self.quota_given.cache_connections),
+                min(used.client_connections, self.last_reported_quota.client_connections),
+                min(used.cache_connections, self.last_reported_quota.cache_connections),
             )
-        if used != self.quota_given:
-            self.quota_given = used
+        if used != self.last_reported_quota:
+            self.last_reported_quota = used
             self.quotas.limit_to(used)
             self.successor.send(used)
 
-    async def confirm(self, name: str, override: Override, but: ProcessLink | None = None) -> bool:
-        """Sends an override to every other process except `but`; returns whether all have applied it."""
+    async def confirm(self, name: str, override: Override, excluded: ProcessLink | None = None) -> bool:
+        """Sends an override to all other processes but `excluded`; returns whether all have applied it."""
         try:
             await asyncio.wait_for(self.search_done.wait(), self.limits.confirm_timeout)
         except TimeoutError:
             return False
-        links = [link for link in (self.predecessor, self.successor) if link is not None and link is not but]
+        links = [
+            link for link in (self.predecessor, self.successor) if link is not None and link is not excluded
+        ]
         return all(await asyncio.gather(*(link.confirm(name, override) for link in links)))
 
     def announce_ready(self) -> None:
--- a/paddlequay/net/listener.py
+++ b/paddlequay/net/listener.py
@@ -1,8 +1,8 @@
-"""The listening socket, and how it passes from one process to the next without a lost connection.
+"""The listening socket, and its handover from one process to the next without a lost connection.
 
 Predecessor and successor both listen on the address (SO_REUSEPORT), and the kernel distributes connections
-between them. A connection assigned to a listener that then closes is reset, even if that listener accepts
-until its queue is empty. So the successor steers all new connections to itself as soon as it listens.
+between them. A connection that is assigned to a listener which then closes is reset, even if its process
+accepts until the queue is empty. So the successor steers all new connections to itself as soon as it listens.
 """
 
 import ctypes
@@ -20,18 +20,20 @@
 LOGGER = logging.getLogger(__name__)
 
 BACKLOG = 1024
-FULL_PAUSE_S = 0.05  # an interval of heartbeats: short for clients, and little work
-LOG_INTERVAL_S = 5.0  # between logged faults of one listener
-# A classic BPF program of one instruction, which returns the index of a listener (linux/filter.h).
+# As long as a heartbeat interval: a short wait for clients, and little work for the event loop.
+FULL_PAUSE_S = 0.05
+LOG_INTERVAL_S = 5.0  # at least, between two logged faults of one listener
+# A classic BPF program of one instruction, which returns the index of the listener that gets a connection
+# (linux/filter.h).
 BPF_INSTRUCTION = struct.Struct("HBBI")  # code, two jump offsets, constant
-BPF_PROGRAM = struct.Struct("HP")  # the number of instructions, and their address
+BPF_PROGRAM = struct.Struct("HP")  # the number of instructions, and the address of the first
 BPF_RETURN_CONSTANT = 0x06  # BPF_RET | BPF_K
 SO_ATTACH_REUSEPORT_CBPF = getattr(socket, "SO_ATTACH_REUSEPORT_CBPF", 51)
-NEWEST_LISTENER = 1  # the index of the later of two listeners
+NEWEST_LISTENER_INDEX = 1  # the later of two listeners
 
 
 def bind(address: Address) -> socket.socket:
-    """Returns a socket bound to an address, which another process may share; it does not listen yet.
+    """Returns a socket bound to an address, which another process may bind as well; it does not listen yet.
 
     Raises:
         OSError: If the address cannot be bound.
@@ -54,8 +56,9 @@
     """Accepts the connections of one listener from its creation until `stop`.
 
     At most `capacity()` connections are accepted in one iteration of the event loop, to stay within the
-    limit on descriptors and to read their requests soon. Without capacity or descriptors, accepting pauses
-    for `FULL_PAUSE_S`, as a readable listener would keep the event loop busy; the backlog waits.
+    limit on descriptors and to read the accepted connections' requests soon. Without capacity or descriptors,
+    accepting pauses for `FULL_PAUSE_S`, because a readable listener would keep the event loop busy; new
+    connections wait in the backlog.
 
     Args:
         listener: The listening socket.
@@ -82,7 +85,7 @@
         self.start()
 
     def start(self) -> None:
-        """Starts to accept, for the first time or after a pause."""
+        """Starts to accept connections, for the first time or after a pause."""
         self.resume_timer = None
         self.loop.add_handler(self.listener, self.accept, IOLoop.READ)
 
@@ -98,7 +101,7 @@
         """Accepts waiting connections up to the capacity."""
         capacity = self.capacity()
         if capacity < 1:
-            self.pause("no room")
+            self.pause("no capacity")
             return
         for _ in range(capacity):
             try:
@@ -110,7 +113,7 @@
                 return
             try:
                 self.on_accept(connection)
-            except Exception:  # the edge of one connection: its error must not affect another
+            except Exception:  # error boundary of one connection: no other one is affected
                 connection.close()
                 if self.may_log():
                     LOGGER.exception("connection_not_taken")
@@ -123,7 +126,7 @@
             log.event(LOGGER, logging.WARNING, "accept_paused", why=why)
 
     def may_log(self) -> bool:
-        """Returns whether a fault may be logged now; if so, the next one only after `LOG_INTERVAL_S`."""
+        """Returns whether a fault may be logged now; if so, returns False for the next `LOG_INTERVAL_S`."""
         if self.loop.time() - self.logged_at < LOG_INTERVAL_S:
             return False
         self.logged_at = self.loop.time()
@@ -133,12 +136,12 @@
 def accept_backlog(
     listener: socket.socket, on_accept: Callable[[socket.socket], None], free_descriptor: Callable[[], bool]
 ) -> bool:
-    """Accepts all waiting connections; returns False if no descriptor can be freed for some.
+    """Accepts all waiting connections; returns False if one is left because no descriptor can be freed.
 
     Args:
         listener: The listening socket.
         on_accept: Receives each accepted connection.
-        free_descriptor: Closes something else; returns whether that was possible.
+        free_descriptor: Closes another socket to free a descriptor; returns whether that was possible.
     """
     while True:
         try:
@@ -157,10 +160,10 @@
 def steer_to_newest(listener: socket.socket) -> None:
     """Steers all new connections to the newer of two listeners on one address.
 
-    The program applies to both listeners. Once the older one has closed, its index is invalid, and the
-    kernel distributes connections as without it.
+    The BPF program applies to both listeners. Once the older one has closed, the index that it returns is
+    invalid, and the kernel distributes connections as if there were no program.
     """
-    code = ctypes.create_string_buffer(BPF_INSTRUCTION.pack(BPF_RETURN_CONSTANT, 0, 0, NEWEST_LISTENER))
+    code = ctypes.create_string_buffer(BPF_INSTRUCTION.pack(BPF_RETURN_CONSTANT, 0, 0, NEWEST_LISTENER_INDEX))
     program = BPF_PROGRAM.pack(1, ctypes.addressof(code))
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
--- a/paddlequay/net/scheduler.py
+++ b/paddlequay/net/scheduler.py
@@ -1,4 +1,4 @@
-"""The clocks of the system and the timers of the event loop, for the exchange."""
+"""The clocks of the system and the timers of the event loop, for the modules in `requests`."""
 
 import asyncio
 import time
@@ -8,7 +8,7 @@
 
 
 class LoopScheduler:
-    """Provides `monotonic` for durations, `unix` for points in time, and timers."""
+    """Provides a monotonic clock for durations, Unix time for points in time, and timers."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -22,5 +22,5 @@
         return time.time()
 
     def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
-        """Calls back after `delay` seconds; the returned timer can be cancelled."""
+        """Calls `call` after `delay` seconds; the returned timer can be cancelled."""
         return self.loop.call_later(delay, call)
--- a/paddlequay/net/socket_state.py
+++ b/paddlequay/net/socket_state.py
@@ -7,10 +7,11 @@
 
 
 def peek_unread(connection: socket.socket, max_size: int) -> bytes | None:
-    """Returns the first `max_size` unread bytes; None once the peer has closed or the connection broke.
+    """Returns up to `max_size` unread bytes; None once the peer has closed or the connection is broken.
 
-    Costs one system call if nothing is unread. A close is hidden behind unread bytes: if there are some, a
-    second call checks for it. Where the system does not report it, the close shows once they are read.
+    Costs one system call if nothing is unread. Unread bytes hide a close of the peer, so if there are some,
+    another system call checks for it. Where the system does not report it, the close is noticed once the
+    bytes are read.
     """
     try:
         unread = connection.recv(max_size, socket.MSG_PEEK)
@@ -32,7 +33,7 @@
 
 
 def is_hung_up(connection: socket.socket) -> bool:
-    """Returns whether the peer has closed or the connection broke."""
+    """Returns whether the peer has closed or the connection is broken."""
     poll = select.poll()
     try:
         poll.register(connection, END_EVENTS)
--- a/paddlequay/programs/handover.py
+++ b/paddlequay/programs/handover.py
@@ -100,14 +100,14 @@
         client_connections = (session_count + limits.client_connections + 1) // 2
         free_for_caches = limits.all_cache_connections - limits.reserved_descriptors
         cache_connections = max(MIN_CACHE_CONNECTIONS, free_for_caches // 2)
-        self.hot_restart.give_quota(QuotaInUse(client_connections, cache_connections))
+        self.hot_restart.report_quota(QuotaInUse(client_connections, cache_connections))
 
     def yield_to_successor(self) -> None:
         """Closes connections step by step beside a successor that accepts clients, and opens no new ones."""
         self.clients.handing_over = True
         if self.cluster is not None:
             self.cluster.yield_to_successor()
-        self.hot_restart.give_quota(QuotaInUse(len(self.clients.sessions), len(self.pool.connections())))
+        self.hot_restart.report_quota(QuotaInUse(len(self.clients.sessions), len(self.pool.connections())))
 
     def update(self) -> None:
         """Decides whether clients' connections must close; called at each heartbeat.
