--- a/paddlequay/config/__init__.py
+++ b/paddlequay/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration of a router: environment, JSON file, platform settings and the limits that follow."""
+"""The configuration of a router: environment, JSON file, platform settings and derived limits."""
--- a/paddlequay/config/loader.py
+++ b/paddlequay/config/loader.py
@@ -15,24 +15,24 @@
 from paddlequay.errors import ConfigError
 from paddlequay.routing.interface import RoutingSettings
 
-MAX_NAME_CHARS = 60  # of a router's name, in the names of its files
+MAX_NAME_CHARS = 60  # the part of a router's name in the names of its files
 
 
 @dataclass(frozen=True, slots=True)
 class Peering:
-    """How a router reaches the others of its tier.
+    """How a router reaches the other routers of its tier.
 
     Attributes:
-        me: The index of this router among the peers.
-        listen: The address at which it receives.
-        peers: The addresses of all routers.
-        to_all: The address that reaches all of them; None if there is none.
+        own_index: The index of this router among the peers.
+        listen: The address at which this router receives messages of peers.
+        peers: The addresses of all routers, this one included.
+        broadcast_address: The address that reaches all of them; None if there is none.
     """
 
-    me: int
+    own_index: int
     listen: Address
     peers: tuple[Address, ...]
-    to_all: Address | None
+    broadcast_address: Address | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,58 +42,58 @@
     Attributes:
         name: The name of the router.
         listen: The address for clients.
-        bulletin: The address of the endpoint list.
-        seed: The seed of the decisions.
-        settings: The settings of the decisions.
-        known: The events of the endpoint list so far, unparsed.
-        limits: Sizes, counts and times of the program.
+        endpoint_watch_address: The address of the server of the endpoint list.
+        seed: The seed of the routing policy's random numbers.
+        settings: The settings of the routing policy.
+        known_events: The events of the endpoint list so far, not parsed yet.
+        limits: The limits of the program.
         console: The address of the operators' console; None without one.
         peering: How peers are reached; None if the platform names none or does not allow them.
-        folder: For files that outlive this process.
+        folder: The folder of files that outlive this process.
     """
 
     name: str
     listen: Address
-    bulletin: Address
+    endpoint_watch_address: Address
     seed: int
     settings: RoutingSettings
-    known: Mapping[str, Any]
+    known_events: Mapping[str, Any]
     limits: Limits = field(default_factory=Limits)
     console: Address | None = None
     peering: Peering | None = None
     folder: Path = Path(tempfile.gettempdir())
 
     def file(self, suffix: str) -> Path:
-        """Returns the path of a file of this router by its suffix."""
+        """Returns the path of this router's file with a suffix."""
         return self.folder / f"paddlequay-{quote(self.name, safe='')[:MAX_NAME_CHARS]}.{suffix}"
 
 
 def read_peering(data: Mapping[str, Any]) -> Peering | None:
-    """Returns the peers; None unless the platform names them and the settings allow them.
+    """Returns how peers are reached; None unless the platform names peers and the settings allow them.
 
     Raises:
         ConfigError: If an address or the index of this router is invalid.
     """
     allowed = section(data, "settings.limits").get("peers")
     peers = data.get("peers")
-    me = data["settings"].get("me")
+    own_index = data["settings"].get("me")
     if allowed is not True or peers is None:
         return None
     if not isinstance(peers, list):
         raise ConfigError(f"peers: expected a list of addresses, got {abbreviated(peers)}")
-    if isinstance(me, bool) or not isinstance(me, int) or not 0 <= me < len(peers):
-        raise ConfigError(f"settings.me: expected a number under {len(peers)}, got {abbreviated(me)}")
-    to_all = data.get("peers_all")
+    if isinstance(own_index, bool) or not isinstance(own_index, int) or not 0 <= own_index < len(peers):
+        raise ConfigError(f"settings.me: expected a number under {len(peers)}, got {abbreviated(own_index)}")
+    broadcast_address = data.get("peers_all")
     return Peering(
-        me,
+        own_index,
         address(data.get("peer_listen"), "peer_listen"),
-        tuple(address(each, f"peers[{place}]") for place, each in enumerate(peers)),
-        None if to_all is None else address(to_all, "peers_all"),
+        tuple(address(each, f"peers[{index}]") for index, each in enumerate(peers)),
+        None if broadcast_address is None else address(broadcast_address, "peers_all"),
     )
 
 
 def read_seed(data: Mapping[str, Any]) -> int:
-    """Returns the seed, given in hex digits; 0 if there is none. Raises `ConfigError`."""
+    """Returns the seed, which is given in hex digits; 0 if there is none. Raises `ConfigError`."""
     digits = text(data, "seed", "0")
     try:
         return int(digits, 16)
@@ -101,8 +101,8 @@
         raise ConfigError(f"seed: expected hex digits, got {abbreviated(digits)}") from None
 
 
-def read_known(data: Mapping[str, Any]) -> Mapping[str, Any]:
-    """Returns the events so far, unparsed, and the number of the last one. Raises `ConfigError`."""
+def read_known_events(data: Mapping[str, Any]) -> Mapping[str, Any]:
+    """Returns the events so far, not parsed yet, and the number of the last one. Raises `ConfigError`."""
     known = data.get("known")
     if known is None:
         return {"no": 0, "items": []}
@@ -115,7 +115,7 @@
 
 
 def read_json(path: str) -> dict[str, Any]:
-    """Returns the JSON object of a file, with its settings object. Raises `ConfigError`."""
+    """Returns the JSON object in a file. Raises `ConfigError` if it is invalid or has no settings object."""
     try:
         with open(path, encoding="utf-8") as file:
             data = json.load(file)
@@ -127,13 +127,13 @@
 
 
 def read_config(environment: Mapping[str, str], peers: bool = False) -> Config:
-    """Returns the configuration of the file that `ROUTER_CONFIG` names.
+    """Returns the configuration in the file that `ROUTER_CONFIG` names.
 
     `ROUTER_NAME`, `ROUTER_LISTEN` and `ROUTER_CONSOLE` take precedence over the file.
 
     Args:
         environment: The environment variables.
-        peers: Whether to read how the other routers are reached.
+        peers: Whether to read how peers are reached.
 
     Raises:
         ConfigError: If the file cannot be read, or a value is invalid.
@@ -154,10 +154,10 @@
     return Config(
         name=environment.get("ROUTER_NAME") or text(data, "name", "router"),
         listen=address(environment.get("ROUTER_LISTEN") or data.get("listen"), "listen"),
-        bulletin=address(data.get("bulletin"), "bulletin"),
+        endpoint_watch_address=address(data.get("bulletin"), "bulletin"),
         seed=read_seed(data),
         settings=settings,
-        known=read_known(data),
+        known_events=read_known_events(data),
         limits=limits_from(data, settings),
         console=None if console is None else address(console, "console"),
         peering=read_peering(data) if peers else None,
--- a/paddlequay/config/settings.py
+++ b/paddlequay/config/settings.py
@@ -1,4 +1,4 @@
-"""Parses the platform's settings, which are alike on the simulator's wire and in the configuration file."""
+"""Parses the platform's settings, which have the same form on the simulator's wire and in a configuration."""
 
 from typing import Any, TypeVar
 
@@ -14,61 +14,61 @@
 
 
 class SettingsReader:
-    """Reads typed values from nested JSON objects by dotted path; an absent one is None.
+    """Reads typed values from nested JSON objects by dotted path; absent values are None.
 
-    Its methods raise `SettingsError` with the path if a value has another type.
+    Its methods raise `SettingsError`, which names the path, if a value has another type than expected.
     """
 
     def __init__(self, data: Any) -> None:
         self.data = data
 
-    def get(self, path: str, kind: type[T]) -> T | None:
+    def get(self, path: str, expected_type: type[T]) -> T | None:
         """Returns the value at a path; an integer is valid where a float is expected."""
         value: Any = self.data
         for step in path.split("."):
             value = value.get(step) if isinstance(value, dict) else None
         if value is None:
             return None
-        if kind is float and isinstance(value, int) and not isinstance(value, bool):
+        if expected_type is float and isinstance(value, int) and not isinstance(value, bool):
             value = float(value)
-        if not isinstance(value, kind) or (kind is not bool and isinstance(value, bool)):
-            raise SettingsError(f"settings: {path}: expected {kind.__name__}, got {value!r}")
+        if not isinstance(value, expected_type) or (expected_type is not bool and isinstance(value, bool)):
+            raise SettingsError(f"settings: {path}: expected {expected_type.__name__}, got {value!r}")
         return value
 
-    def need(self, path: str, kind: type[T]) -> T:
+    def require(self, path: str, expected_type: type[T]) -> T:
         """Returns the value at a path, which must exist."""
-        value = self.get(path, kind)
+        value = self.get(path, expected_type)
         if value is None:
             raise SettingsError(f"settings: {path} is missing")
         return value
 
-    def item(self, path: str, place: int, kind: type[T]) -> T | None:
-        """Returns an item of the list at a path; None if the list is shorter."""
+    def item(self, path: str, index: int, expected_type: type[T]) -> T | None:
+        """Returns the item at an index of the list at a path; None if there is none."""
         values = self.get(path, list)
-        if not values or not 0 <= place < len(values):
+        if not values or not 0 <= index < len(values):
             return None
-        return SettingsReader({"item": values[place]}).get("item", kind)
+        return SettingsReader({"item": values[index]}).get("item", expected_type)
 
     def kind_name(self, path: str) -> str | None:
-        """Returns the kind of member whose index among `kinds` is the value at a path."""
-        place = self.get(path, int)
-        return None if place is None else self.item("kinds", place, str)
+        """Returns the kind of member whose index in the list `kinds` is the value at a path, or None."""
+        index = self.get(path, int)
+        return None if index is None else self.item("kinds", index, str)
 
     def slow_start(self, *paths: str) -> SlowStart:
-        """Returns a slow start from the paths of its fields, in their order."""
+        """Returns a slow start; the paths of its fields are given in the order of the fields."""
         return SlowStart(*(self.get(path, float) for path in paths))
 
 
 def parse_settings(data: Any) -> RoutingSettings:
-    """Returns the settings of the decisions; ignores unknown keys. Raises `SettingsError`."""
+    """Returns the settings of the routing policy; ignores unknown keys. Raises `SettingsError`."""
     if not isinstance(data, dict):
         raise SettingsError("settings: expected a JSON object")
     reader = SettingsReader(data)
     classes = tuple(
-        parse_class(reader, item, place) for place, item in enumerate(reader.need("classes", list))
+        parse_class(reader, item, index) for index, item in enumerate(reader.require("classes", list))
     )
     discovery = reader.get("discovery", str)
-    zone = reader.need("locality", str)
+    zone = reader.require("locality", str)
     zones = reader.get("localities", list) or []
     here = zones.index(zone) if zone in zones else -1
     detail = reader.get("extra.detail", str)
@@ -85,7 +85,7 @@
         coalesces_fills=reader.get("extra.mergesFills", bool),
         detailed_replies=None if detail is None else detail == "all",
         flow_kb_per_s=reader.get("extra.oneFlowKbPerS", float),
-        link_kb_per_s=reader.item("extra.inletKbPerS", here, float) or None,  # 0: unknown
+        link_kb_per_s=reader.item("extra.inletKbPerS", here, float) or None,  # 0 means unknown
         weights=reader.get("weights", str),
         parallel_attempts=reader.get("limits.parallelTries", bool),
         can_cancel=reader.get("limits.cancel", bool),
@@ -101,26 +101,26 @@
     )
 
 
-def parse_class(settings: SettingsReader, item: Any, place: int) -> RequestClass:
-    """Returns a class from its own object and, by its place, from the lists of the settings."""
-    own = SettingsReader(item)
+def parse_class(settings: SettingsReader, item: Any, index: int) -> RequestClass:
+    """Returns a request class from its own object, and by its index from lists of the settings."""
+    class_reader = SettingsReader(item)
     return RequestClass(
-        name=own.need("name", str),
-        latency_objective=own.need("aim", float),
-        deadline=own.need("deadline", float),
-        idempotency=parse_idempotency(own.need("idempotency", str)),
-        priority_weight=own.get("worth", float),
-        objective_per_work=own.get("aimStretch", float),
-        dedup_scope=own.get("dedupScope", str),
-        dedup_window=own.get("window", float),
-        freshness_lifetime=settings.item("extra.classFresh", place, float),
-        stale_if_error=settings.item("extra.staleFor", place, float),
-        uncacheable=settings.item("extra.goesThrough", place, bool),
+        name=class_reader.require("name", str),
+        latency_objective=class_reader.require("aim", float),
+        deadline=class_reader.require("deadline", float),
+        idempotency=parse_idempotency(class_reader.require("idempotency", str)),
+        priority_weight=class_reader.get("worth", float),
+        objective_per_work=class_reader.get("aimStretch", float),
+        dedup_scope=class_reader.get("dedupScope", str),
+        dedup_window=class_reader.get("window", float),
+        freshness_lifetime=settings.item("extra.classFresh", index, float),
+        stale_if_error=settings.item("extra.staleFor", index, float),
+        uncacheable=settings.item("extra.goesThrough", index, bool),
     )
 
 
 def parse_idempotency(name: str) -> Idempotency:
-    """Returns the idempotency of a name in the settings. Raises `SettingsError` for an unknown name."""
+    """Returns the idempotency that a name in the settings means. Raises `SettingsError` if it is unknown."""
     if name not in IDEMPOTENCY_BY_NAME:
         expected = ", ".join(IDEMPOTENCY_BY_NAME)
         raise SettingsError(f"settings: idempotency: expected one of {expected}, got {name!r}")
@@ -128,11 +128,13 @@
 
 
 def check_settings(settings: RoutingSettings) -> None:
-    """Raises `SettingsError`, with the name of the field, for contradictory settings."""
+    """Raises `SettingsError`, which names the field, if the settings are invalid as a whole."""
     if not settings.classes:
         raise SettingsError("settings: classes: expected at least one class")
     if min(settings.router_count or 0, settings.zone_router_count or 0) < 0:
-        raise SettingsError("settings: routers: expected no count below 0")
-    for kind in settings.classes:
-        if not (kind.latency_objective > 0 and kind.deadline > 0):
-            raise SettingsError(f"settings: {kind.name}: expected aim and deadline above 0, got {kind}")
+        raise SettingsError("settings: routers: expected counts of at least 0")
+    for request_class in settings.classes:
+        if not (request_class.latency_objective > 0 and request_class.deadline > 0):
+            raise SettingsError(
+                f"settings: {request_class.name}: expected aim and deadline above 0, got {request_class}"
+            )
--- a/paddlequay/config/validation.py
+++ b/paddlequay/config/validation.py
@@ -1,4 +1,4 @@
-"""Checks that parsed settings can be used by the decisions and the protocols."""
+"""Checks that the routing policy and the protocols can use parsed settings."""
 
 import re
 from dataclasses import fields
@@ -11,7 +11,7 @@
 # On the wire to a cache, words are separated by spaces and fields by commas.
 CLASS_NAME = re.compile(r"[^\s,]+")
 
-# The names of fields in errors, where they differ: operators' tools look for these.
+# The names of fields in error messages, where they differ from the code; operators' tools match them.
 REPORTED_NAMES = {
     "latency_objective": "aim",
     "priority_weight": "worth",
@@ -31,34 +31,35 @@
 
 
 def check_usable(settings: RoutingSettings) -> RoutingSettings:
-    """Returns the settings if the decisions and the caches' protocol can use them.
+    """Returns the settings if the routing policy and the caches' protocol can use them.
 
     Raises:
-        ConfigError: If a number is not finite or negative, or the name of a class is invalid or not unique.
+        ConfigError: If a number is negative, too large or not finite, or the name of a class is invalid or
+            not unique.
     """
     check_settings(settings)
-    check_class_names([kind.name for kind in settings.classes])
+    check_class_names([request_class.name for request_class in settings.classes])
     check_numbers("", settings)
     check_numbers("cold_edge.", settings.edge_slow_start)
     check_numbers("cold_parent.", settings.parent_slow_start)
-    for kind in settings.classes:
-        check_numbers(f"{abbreviated(kind.name)}.", kind)
+    for request_class in settings.classes:
+        check_numbers(f"{abbreviated(request_class.name)}.", request_class)
     return settings
 
 
 def check_class_names(names: list[str]) -> None:
-    """Raises `ConfigError` unless each name is unique and can be a word of the caches' protocol."""
-    for place, name in enumerate(names):
+    """Raises `ConfigError` unless each name is unique and a valid word of the caches' protocol."""
+    for index, name in enumerate(names):
         if not CLASS_NAME.fullmatch(name):
             raise ConfigError(
                 f"settings: classes: expected a name without space or comma, got {abbreviated(name)}"
             )
-        if name in names[:place]:
+        if name in names[:index]:
             raise ConfigError(f"settings: classes: {abbreviated(name)} is named twice")
 
 
 def check_numbers(path: str, record: RoutingSettings | SlowStart | RequestClass) -> None:
-    """Raises `ConfigError`, with the path and the name of the field, for a number out of bounds."""
+    """Raises `ConfigError`, which gives the path and the field, if a number is out of bounds."""
     for each in fields(record):
         value = getattr(record, each.name)
         if isinstance(value, int | float) and not 0 <= value <= MAX_NUMBER:
--- a/paddlequay/config/values.py
+++ b/paddlequay/config/values.py
@@ -1,4 +1,4 @@
-"""Reads single values of a configuration, each with its bounds; errors name the place and the value."""
+"""Reads single values of a configuration and checks them; errors name the path and the value."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -7,24 +7,24 @@
 
 Address = tuple[str, int]
 
-MAX_NUMBER = 1e9  # any larger number is a mistake, and may become an infinity in a mean
+MAX_NUMBER = 1e9  # larger numbers are mistakes, and may make a mean infinite
 MAX_PORT = 65_535
 MAX_ERROR_CHARS = 300
-MAX_QUOTED_CHARS = 60  # of an invalid value, in an error
+MAX_QUOTED_CHARS = 60  # the part of an invalid value that an error message quotes
 
 
-def one_line(why: object) -> str:
-    """Returns an error as one line of at most `MAX_ERROR_CHARS` characters."""
-    return " ".join(str(why).split())[:MAX_ERROR_CHARS]
+def one_line(error: object) -> str:
+    """Returns the text of an error as one line of at most `MAX_ERROR_CHARS` characters."""
+    return " ".join(str(error).split())[:MAX_ERROR_CHARS]
 
 
 def abbreviated(value: object) -> str:
-    """Returns an invalid value in at most `MAX_QUOTED_CHARS` characters."""
+    """Returns the representation of an invalid value, cut to `MAX_QUOTED_CHARS` characters."""
     return repr(value)[:MAX_QUOTED_CHARS]
 
 
 def address(text: Any, name: str) -> Address:
-    """Returns the host and the port of `host:port`. Raises `ConfigError`."""
+    """Returns the host and the port of an address `host:port`. Raises `ConfigError`."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not (colon and host and port.isdecimal() and 0 <= int(port) <= MAX_PORT):
         raise ConfigError(f"{name}: expected host:port, got {abbreviated(text)}")
@@ -51,10 +51,10 @@
         data: The configuration.
         path: The names of the objects and of the value, separated by dots.
         default: Returned if there is no value.
-        lowest: The lowest valid number; if 0, the number must be above it.
+        lowest: The lowest valid number; if it is 0, the number must be above 0.
 
     Raises:
-        ConfigError: If the value is no number, or out of its bounds.
+        ConfigError: If the value is not a number, or out of bounds.
     """
     parent, _, name = path.rpartition(".")
     value = section(data, parent).get(name)
@@ -68,7 +68,7 @@
 
 
 def text(data: Mapping[str, Any], name: str, default: str) -> str:
-    """Returns a text that is not empty, or the default if there is none. Raises `ConfigError`."""
+    """Returns the non-empty text of a name, or the default if there is none. Raises `ConfigError`."""
     value = data.get(name)
     if value is None:
         return default
--- a/paddlequay/errors/__init__.py
+++ b/paddlequay/errors/__init__.py
@@ -1,24 +1,24 @@
-"""The errors of the program, in one small hierarchy.
+"""The base classes of the program's errors.
 
-Each message is one line that says what was wrong, where, and the value that was found.
+Each message is one line that says what is wrong, where, and which value was found.
 """
 
 
 class PaddlequayError(Exception):
-    """The base of all errors that this program raises for its callers to handle."""
+    """The base of the errors that this program raises for callers to handle."""
 
 
 class ConfigError(PaddlequayError, ValueError):
-    """A configuration, a settings file or an option that cannot be used."""
+    """A configuration, a settings file or an option is invalid."""
 
 
 class SettingsError(PaddlequayError, ValueError):
-    """Platform settings that cannot be used, with the path of the field and what was expected there."""
+    """Platform settings are invalid; the message gives the path of the field and what was expected."""
 
 
 class ProtocolError(PaddlequayError, ValueError):
-    """Bytes or a message that do not follow a protocol; nothing after them on that connection can be read."""
+    """Bytes or a message violate a protocol; nothing after them on that connection can be read."""
 
 
 class RecordError(PaddlequayError, ValueError):
-    """A stored record that is torn, altered, or of another kind or format than the one asked for."""
+    """A stored record is incomplete or altered, or of another kind or format than the expected one."""
--- a/paddlequay/net/clients/client_front.py
+++ b/paddlequay/net/clients/client_front.py
@@ -196,7 +196,7 @@
         """Returns how many connections may be accepted now; closes an idle one if the quota is exhausted."""
         free = self.quotas.client_connections - len(self.sessions)
         if free > 0:
-            return min(self.limits.accepts_per_turn, free)
+            return min(self.limits.accepts_per_iteration, free)
         return int(self.close_one_idle())
 
     def on_accept(self, connection: socket.socket) -> None:
@@ -223,7 +223,7 @@
 
     def close_one_idle(self) -> bool:
         """Closes one idle connection, and returns whether there was one."""
-        closed = self.idle_sessions.close_one(self.now(), self.limits.recent_progress)
+        closed = self.idle_sessions.close_one(self.now(), self.limits.recent_progress_window)
         if closed is None:
             return False
         if isinstance(closed.session, ClientSession):
--- a/paddlequay/net/cluster/driver.py
+++ b/paddlequay/net/cluster/driver.py
@@ -37,7 +37,7 @@
     acceptors = settings.acceptors
     if any(number >= len(peering.peers) for number in acceptors):
         raise ValueError(f"acceptors {list(acceptors)}: there are {len(peering.peers)} peers")
-    return Fleet(peering.me, len(peering.peers), acceptors, zone)
+    return Fleet(peering.own_index, len(peering.peers), acceptors, zone)
 
 
 class ClusterDriver:
--- a/paddlequay/net/cluster/session.py
+++ b/paddlequay/net/cluster/session.py
@@ -40,7 +40,7 @@
         self.transport = PeerTransport(
             peering.listen,
             peering.peers,
-            peering.to_all,
+            peering.broadcast_address,
             self.node.wire,
             self.node.outbox,
             counters,
--- a/paddlequay/net/endpoints/endpoint_watch.py
+++ b/paddlequay/net/endpoints/endpoint_watch.py
@@ -49,7 +49,7 @@
 
     def make_parser(self) -> EventParser[EndpointList | PurgeEvent | WatchHeartbeat | UnusableLine]:
         """Returns a parser for a new connection."""
-        return wire.WatchEventParser(self.limits.max_bulletin_line)
+        return wire.WatchEventParser(self.limits.max_watch_line)
 
     def start_from(self, known: Mapping[str, Any]) -> None:
         """Applies the events of the configuration. Raises `EndpointWatchError` if they are invalid."""
--- a/paddlequay/net/hierarchy/tier_front.py
+++ b/paddlequay/net/hierarchy/tier_front.py
@@ -82,7 +82,7 @@
         listener.listen(LISTEN_BACKLOG_SIZE)
         self.address = listener.getsockname()[:2]
         self.fills.own_address = self.address
-        self.acceptor = Acceptor(listener, self._on_accept, lambda: self.limits.accepts_per_turn)
+        self.acceptor = Acceptor(listener, self._on_accept, lambda: self.limits.accepts_per_iteration)
 
     def sweep(self) -> None:
         """Closes sessions that stopped inside a message, have long been idle, or are done while draining."""
--- a/paddlequay/net/hierarchy/topology_feed.py
+++ b/paddlequay/net/hierarchy/topology_feed.py
@@ -71,7 +71,7 @@
 
     def make_parser(self) -> EventParser[FeedEvent | WatchHeartbeat | UnusableLine]:
         """Returns a parser for a new connection."""
-        return TopologyFeedParser(self.limits.max_bulletin_line, self.topology_limits)
+        return TopologyFeedParser(self.limits.max_watch_line, self.topology_limits)
 
     def handle(self, event: FeedEvent | WatchHeartbeat | UnusableLine) -> None:
         """Handles one line; a feed whose numbers go back is requested from its beginning."""
--- a/paddlequay/net/upstreams/connection_health.py
+++ b/paddlequay/net/upstreams/connection_health.py
@@ -34,7 +34,7 @@
     if now - received_at <= limits.silence_check_after:
         return False
     unanswered = unanswered_since(connection, received_at)
-    if len(unanswered) < limits.connection_unanswered:
+    if len(unanswered) < limits.min_unanswered_per_connection:
         return False
     return connection.instance.is_unresponsive(unanswered, now)
 
--- a/paddlequay/net/upstreams/instance.py
+++ b/paddlequay/net/upstreams/instance.py
@@ -170,7 +170,8 @@
     def is_silent(self, now: float) -> bool:
         """Returns whether the instance has answered on none of its connections for too long.
 
-        At least `instance_unanswered` attempts must have been written since it last answered on any of them.
+        At least `min_unanswered_per_instance` attempts must have been written since it last answered on any
+        of them.
         """
         limits = self.pool.limits
         read_at = max((connection.last_read_at for connection in self.connections), default=now)
@@ -179,7 +180,7 @@
         unanswered = [
             attempt for connection in self.connections for attempt in unanswered_since(connection, read_at)
         ]
-        return len(unanswered) >= limits.instance_unanswered and self.is_unresponsive(unanswered, now)
+        return len(unanswered) >= limits.min_unanswered_per_instance and self.is_unresponsive(unanswered, now)
 
     def cause_to_close(self, connection: UpstreamConnection, is_silent: bool, now: float) -> str | None:
         """Returns the name of the counter for the cause to close a connection; None if it may stay open."""
--- a/paddlequay/observability/log.py
+++ b/paddlequay/observability/log.py
@@ -4,14 +4,14 @@
 import sys
 import time
 
-MAX_VALUE_CHARS = 4000  # of one value, of which the two ends are kept
+MAX_VALUE_CHARS = 4000  # a longer value is cut in the middle, so that both ends are kept
 
 
 class KeyValueFormatter(logging.Formatter):
     """Formats a record as `ts=... level=... part=... event=...`, followed by its fields."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Returns a record as one line."""
+        """Returns a record as one line without a line break."""
         second = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         pairs = {
             "ts": f"{second}.{int(record.msecs):03d}Z",
@@ -26,9 +26,9 @@
 
 
 def quoted(value: object) -> str:
-    """Returns a value as one word, quoted if necessary, and shortened to `MAX_VALUE_CHARS`.
+    """Returns a value as text, quoted if necessary, and shortened to about `MAX_VALUE_CHARS`.
 
-    The value may contain what strangers have sent: it must neither end the line nor make it too long.
+    The value may contain input from untrusted peers: it must neither break the line nor make it too long.
     """
     text = f"{value:.6g}" if isinstance(value, float) else str(value)
     if len(text) > MAX_VALUE_CHARS:
@@ -40,7 +40,7 @@
 
 
 def set_up(level: int = logging.INFO) -> None:
-    """Installs the one handler of the program, which writes to standard error."""
+    """Installs the program's only handler, which writes to standard error, and sets the log level."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     root = logging.getLogger()
@@ -49,5 +49,5 @@
 
 
 def event(logger: logging.Logger, level: int, name: str, **fields: object) -> None:
-    """Logs the event `name` with its fields."""
+    """Logs the event `name` with the given fields."""
     logger.log(level, name, extra={"fields": fields})
--- a/paddlequay/programs/router.py
+++ b/paddlequay/programs/router.py
@@ -77,7 +77,9 @@
         exchange = Exchange(router, operator_state, quotas, limits, scheduler, counters)
         self.exchange = exchange
         self.pool = ConnectionPool(exchange, quotas, limits, counters)
-        self.endpoint_watch = EndpointWatch(config.bulletin, exchange, self.pool, limits, counters)
+        self.endpoint_watch = EndpointWatch(
+            config.endpoint_watch_address, exchange, self.pool, limits, counters
+        )
         self.overload = OverloadGuard(limits, config.seed)
         self.clients = ClientFront(exchange, operator_state, quotas, limits, counters, self.overload)
         self.hot_restart = HotRestart(config.file("sock"), operator_state, quotas, limits, counters)
@@ -98,7 +100,7 @@
     def apply_known_events(self) -> None:
         """Applies the endpoint list of the configuration. Raises `ConfigError` if it is invalid."""
         try:
-            self.endpoint_watch.start_from(self.config.known)
+            self.endpoint_watch.start_from(self.config.known_events)
         except EndpointWatchError as error:
             raise ConfigError(f"known: {error}") from None
 
@@ -145,7 +147,7 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
-        loop.add_signal_handler(signal.SIGUSR1, self.counters.print, "signal")
+        loop.add_signal_handler(signal.SIGUSR1, self.counters.log_all, "signal")
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         signals.release()
 
@@ -168,8 +170,8 @@
             log.event(LOGGER, logging.WARNING, "reload_refused", why=str(error))
             return
         self.counters.add("reloads")
-        self.endpoint_watch.change_address(config.bulletin)
-        host, port = config.bulletin
+        self.endpoint_watch.change_address(config.endpoint_watch_address)
+        host, port = config.endpoint_watch_address
         log.event(LOGGER, logging.INFO, "reloaded", bulletin=f"{host}:{port}")
 
     async def sweep_periodically(self) -> None:
@@ -181,7 +183,7 @@
             self.clients.sweep()
             if time.monotonic() - printed_at >= self.limits.counters_interval:
                 printed_at = time.monotonic()
-                self.counters.print("period")
+                self.counters.log_all("period")
 
     async def heartbeat(self) -> None:
         """Checks the handover, the load of this process and unresponsive caches at each heartbeat."""
@@ -242,7 +244,7 @@
         if self.cluster is not None:
             self.cluster.stop()
         self.hot_restart.close()
-        self.counters.print("exit")
+        self.counters.log_all("exit")
         signals.ignore(asyncio.get_running_loop())
 
 
--- a/paddlequay/programs/tier.py
+++ b/paddlequay/programs/tier.py
@@ -225,7 +225,7 @@
         for name, count in self.node.counters.counts.items():
             self.counters.counts[f"node.{name}"] = count
         self.counters.counts["node.evicted"] = self.node.cache.copies.evicted
-        self.counters.print(reason)
+        self.counters.log_all(reason)
 
     async def run_heartbeats(self) -> None:
         """At each heartbeat: times out requests, and closes upstream connections that no longer answer."""
--- a/paddlequay/protocol/load_reports.py
+++ b/paddlequay/protocol/load_reports.py
@@ -4,7 +4,7 @@
 
 from paddlequay.routing.interface import LoadReport
 
-FIELDS = {
+FIELDS_BY_NAME = {
     "active": "active_requests",
     "cpu": "utilization",
     "x0": "hit_ratio",
@@ -14,4 +14,4 @@
 
 def load_report(values: Iterable[tuple[str, float]]) -> LoadReport:
     """Returns the load report of named values; ignores unknown names, uses the last value of each name."""
-    return LoadReport(**{FIELDS[name]: value for name, value in values if name in FIELDS})
+    return LoadReport(**{FIELDS_BY_NAME[name]: value for name, value in values if name in FIELDS_BY_NAME})
