--- a/paddlequay/observability/log.py
+++ b/paddlequay/observability/log.py
@@ -11,7 +11,7 @@
     """Formats a record as `ts=... level=... part=... event=...`, followed by its fields."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Returns a record as one line without a line break."""
+        """Returns a record as one line."""
         second = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         pairs = {
             "ts": f"{second}.{int(record.msecs):03d}Z",
@@ -26,7 +26,7 @@
 
 
 def quoted(value: object) -> str:
-    """Returns a value as text, quoted if necessary, and shortened to about `MAX_VALUE_CHARS`.
+    """Returns a value as text without line breaks, quoted unless it is one plain word, and shortened if long.
 
     The value may contain input from untrusted peers: it must neither break the line nor make it too long.
     """
--- a/tests/protocol/test_msgpack.py
+++ b/tests/protocol/test_msgpack.py
@@ -1,4 +1,4 @@
-"""MessagePack both ways, whole and in pieces."""
+"""Encoding and decoding of MessagePack, and parsing of client messages that are received in parts."""
 
 from typing import Any
 
@@ -43,12 +43,12 @@
     list(range(20)),
     {},
     {"k": b"v", 3: None},
-    {str(n): n for n in range(40)},
+    {str(number): number for number in range(40)},
 ]
 
 
 @pytest.mark.parametrize("value", VALUES, ids=lambda value: repr(value)[:20])
-def test_a_value_comes_back_and_every_beginning_of_it_is_incomplete(value: Any) -> None:
+def test_packed_value_unpacks_to_itself_and_its_prefixes_are_incomplete(value: Any) -> None:
     raw = pack(value)
     assert unpack(b"\xc0" + raw + b"\xc0", 1, 1 << 20) == (value, len(raw) + 1)
     for end in {0, 1, len(raw) // 2, len(raw) - 1} - {len(raw)}:
@@ -59,26 +59,26 @@
 @pytest.mark.parametrize(
     "raw", [b"\xc1", b"\xd4\x01\x02", b"\xa1\xff", b"\x81\x90\x01", b"\x91" * 20, b"\xdd\xff" * 3]
 )
-def test_what_no_further_bytes_can_mend_is_malformed(raw: bytes) -> None:
+def test_bytes_that_no_further_bytes_can_complete_are_malformed(raw: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         unpack(raw, 0, 1 << 20)
 
 
-def test_a_frame_over_the_limit_is_malformed_before_it_has_come() -> None:
+def test_message_over_the_limit_is_malformed_before_all_of_it_is_received() -> None:
     with pytest.raises(MalformedMessageError):
         unpack(b"\xc6\x00\x02\x00\x00", 0, 1000)
 
 
-def test_messages_come_whole_from_any_pieces_and_answers_read_as_written() -> None:
+def test_messages_received_byte_by_byte_are_parsed_and_packed_answers_unpack() -> None:
     raw = (
         pack([0, 7, "video", [{"call": "x"}, b"body"]])
         + pack([2, "cancelRequest", [7]])
         + pack([0, 8, "alive", []])
     )
-    whole = list(ClientMessageParser(1000).feed(raw))
-    reader = ClientMessageParser(1000)
-    pieces = [message for n in range(len(raw)) for message in reader.feed(raw[n : n + 1])]
-    assert pieces == whole and [type(message).__name__ for message in whole] == [
+    expected = list(ClientMessageParser(1000).feed(raw))
+    parser = ClientMessageParser(1000)
+    messages = [message for index in range(len(raw)) for message in parser.feed(raw[index : index + 1])]
+    assert messages == expected and [type(message).__name__ for message in expected] == [
         "ClientCall",
         "CallsCancelled",
         "ReadinessQuery",
