--- a/paddlequay/config/limits.py
+++ b/paddlequay/config/limits.py
@@ -61,7 +61,7 @@
     max_reuse_idle: float = 0.1  # a connection idle for longer is not used for non-idempotent requests
     requests_per_connection: int = 4  # in flight on each connection before another one is opened
     all_cache_connections: int = 650
-    cache_stall_timeout: float = 0.2  # without a byte inside an answer, which caches send without interruption
+    cache_stall_timeout: float = 0.2  # without a byte inside an answer, which caches send without pauses
     # With at least this many unanswered requests on one connection, or on all connections to one instance,
     # and nothing received there for `silence_check_after`, policy/failure_detector.py checks the instance.
     min_unanswered_per_connection: int = 4
