--- a/paddlequay/protocol/console.py
+++ b/paddlequay/protocol/console.py
@@ -79,16 +79,14 @@
         for line in lines:
             name, colon, value = line.partition(":")
             if not colon or not name or name != name.strip():
-                raise ConsoleProtocolError("expected header lines of the form NAME: VALUE")
+                raise ConsoleProtocolError("a header line that cannot be read")
             if name.lower() == "transfer-encoding":
-                raise ConsoleProtocolError(
-                    "Transfer-Encoding is not supported; give the length of the body by Content-Length"
-                )
+                raise ConsoleProtocolError("a body is told by Content-Length, not by Transfer-Encoding")
             if name.lower() == "content-length":
                 text = value.strip()
                 is_length = text.isascii() and text.isdigit() and len(text) <= MAX_LENGTH_DIGITS
                 if not is_length or length not in (None, int(text)):
-                    raise ConsoleProtocolError("Content-Length: expected one length in digits")
+                    raise ConsoleProtocolError("Content-Length cannot be used")
                 length = int(text)
         return length or 0
 
@@ -98,9 +96,9 @@
         try:
             path = urlsplit(target).path
         except ValueError:
-            raise ConsoleProtocolError("the path is not valid") from None
+            raise ConsoleProtocolError("a path that cannot be read") from None
         if not path.startswith("/"):
-            raise ConsoleProtocolError("expected a path that begins with /")
+            raise ConsoleProtocolError("a path that cannot be read")
         return tuple(map(unquote, path[1:].split("/")))
 
 
