--- a/paddlequay/protocol/fill_messages.py
+++ b/paddlequay/protocol/fill_messages.py
@@ -1,6 +1,6 @@
 """Converts fill requests and replies to and from fields of the caches' protocol.
 
-No other module knows the names of these fields on the wire.
+Only this module maps the names of these fields on the wire to the terms of the program.
 """
 
 import re
