--- a/tests/cluster/test_quotas.py
+++ b/tests/cluster/test_quotas.py
@@ -1,4 +1,4 @@
-"""The division of a limit: sums are exact, and shares are max-min fair."""
+"""The division of a limit: its parts sum exactly to the limit, and shares are max-min fair."""
 
 import pytest
 from hypothesis import given, settings
@@ -23,17 +23,17 @@
     pool: int, demands: dict[int, int], unit: int
 ) -> None:
     shares = max_min_shares(pool, demands, unit)
-    asking = {peer: -(-demand // unit) * unit for peer, demand in demands.items() if demand}
-    assert set(shares) == set(asking)
-    assert sum(shares.values()) == (pool // unit * unit if asking else 0)
+    rounded_demands = {peer: -(-demand // unit) * unit for peer, demand in demands.items() if demand}
+    assert set(shares) == set(rounded_demands)
+    assert sum(shares.values()) == (pool // unit * unit if rounded_demands else 0)
     assert all(share >= 0 and share % unit == 0 for share in shares.values())
-    if sum(asking.values()) <= pool // unit * unit:
-        assert all(shares[peer] >= demand for peer, demand in asking.items())
+    if sum(rounded_demands.values()) <= pool // unit * unit:
+        assert all(shares[peer] >= demand for peer, demand in rounded_demands.items())
         return
-    for peer, demand in asking.items():
+    for peer, demand in rounded_demands.items():
         assert shares[peer] <= demand
         if shares[peer] < demand:
-            # A router below its demand has no less than any other, but for the unit that cannot be split.
+            # A router below its demand has at most one unit, which cannot be split, less than any other.
             assert all(other <= shares[peer] + unit for other in shares.values())
 
 
@@ -57,14 +57,14 @@
     for field in ("amount_milli", "burst_milli"):
         limit, pool = getattr(division.limit, field), getattr(division.pool, field)
         assert size * getattr(division.floor, field) + pool == limit and pool >= 0
-        assert size * getattr(division.isolated, field) <= (open_factor - 1) * limit + 1e-6
+        assert size * getattr(division.max_retained, field) <= (open_factor - 1) * limit + 1e-6
     assert division.floor.amount_milli <= floor * division.limit.amount_milli / size + 1e-6
     if max_in_flight is None:
         assert division.floor == NO_QUOTA or division.floor.burst_milli >= MILLI_PER_REQUEST
     else:
         assert (
             division.floor.amount_milli % MILLI_PER_REQUEST == 0
-            and division.isolated.amount_milli % MILLI_PER_REQUEST == 0
+            and division.max_retained.amount_milli % MILLI_PER_REQUEST == 0
         )
 
 
