--- a/paddlequay/discovery/answers.py
+++ b/paddlequay/discovery/answers.py
@@ -122,7 +122,7 @@
 
 
 def effective_ttl(ttl: int) -> int:
-    """Returns a TTL in seconds; 0 for one outside 0 to `MAX_TTL`."""
+    """Returns a TTL in seconds; 0 for one outside 0 to `MAX_TTL_S`."""
     return ttl if 0 <= ttl <= MAX_TTL_S else 0
 
 
--- a/paddlequay/discovery/resolver.py
+++ b/paddlequay/discovery/resolver.py
@@ -5,7 +5,7 @@
 answers, for `stale` seconds at most (RFC 8767). Servers are chosen by their health. After a failed lookup,
 the next one waits for a backoff (RFC 9520). A truncated answer is queried again over TCP (RFC 7766).
 
-Events (`subscribe`, `received`, `failed`, `tick`) return actions (`SendQuery`, `RecordSetKnown`).
+Events (`subscribe`, `received`, `failed`, `tick`) return actions (`SendQuery`, `RecordSetUpdate`).
 """
 
 import heapq
