--- a/paddlequay/programs/__init__.py
+++ b/paddlequay/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The long-running programs: the wiring of their parts, their start and their graceful shutdown."""
+"""The long-running programs (router and tier node): construction, start-up and graceful shutdown."""
--- a/paddlequay/programs/handover.py
+++ b/paddlequay/programs/handover.py
@@ -1,4 +1,4 @@
-"""The handover of a hot restart: this process replaces its predecessor, and is replaced by its successor."""
+"""The handover of a hot restart: this process takes over from a predecessor, and yields to a successor."""
 
 import asyncio
 import contextlib
@@ -26,12 +26,12 @@
 
 
 class Handover:
-    """Prepares this process beside a predecessor, and yields to a successor.
+    """Takes over from a predecessor process, and later yields to a successor process.
 
-    It owns no connection, and directs the clients' front, the cluster and the link between the processes.
+    It owns no connections: it tells the client front, the cluster driver and the hot-restart link what to do.
 
     Attributes:
-        cluster: The driver of the cluster; None if the settings name no peers.
+        cluster: The cluster driver; None if this router is not part of a cluster.
     """
 
     def __init__(
@@ -58,23 +58,21 @@
         hot_restart.on_replaced = self.yield_to_successor
         hot_restart.on_successor_gone = self.update
 
-    # --- as the successor ---
-
     async def take_over(self, listener: socket.socket) -> None:
-        """Starts to serve: at once, or beside a predecessor once this process is warmed up."""
-        began_at = time.monotonic()
+        """Starts to accept clients: at once, or after the warm-up if a predecessor is still serving."""
+        started_at = time.monotonic()
         beside_predecessor = await self.hot_restart.find_predecessor()
         if beside_predecessor:
             with contextlib.suppress(TimeoutError):
-                # If the predecessor ends first, this process alone can serve clients.
+                # If the predecessor ends first, no other process serves clients, so the warm-up is cut short.
                 async with asyncio.timeout(self.limits.warm_up_timeout):
                     await self.first_of(self.warm_up(), self.hot_restart.wait_until_alone())
         self.clients.listen(listener)
         if self.hot_restart.predecessor is not None:
             listeners.steer_to_newest(listener)
             self.hot_restart.announce_ready()
-        after = time.monotonic() - began_at
-        log.event(LOGGER, logging.INFO, "serving", beside_predecessor=beside_predecessor, after=after)
+        elapsed_s = time.monotonic() - started_at
+        log.event(LOGGER, logging.INFO, "serving", beside_predecessor=beside_predecessor, after=elapsed_s)
 
     async def warm_up(self) -> None:
         """Opens a connection to each edge cache, and waits for the complete endpoint list."""
@@ -82,7 +80,7 @@
         await self.endpoint_watch.is_current.wait()
 
     async def first_of(self, *work: Coroutine[Any, Any, None]) -> None:
-        """Waits for the first coroutine that is done, and cancels the others."""
+        """Runs the coroutines until one of them ends, then cancels the others."""
         tasks = [self.background.spawn("take_over", each) for each in work]
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -91,10 +89,8 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    # --- as the predecessor ---
-
     def reserve_for_successor(self) -> None:
-        """Leaves half of the free descriptors to a successor that is not ready yet."""
+        """Reserves half of the unused descriptors for a successor that is not ready yet."""
         limits = self.limits
         session_count = len(self.clients.sessions)
         client_connections = (session_count + limits.client_connections + 1) // 2
@@ -103,16 +99,17 @@
         self.hot_restart.give_quota(QuotaInUse(client_connections, cache_connections))
 
     def yield_to_successor(self) -> None:
-        """Closes connections step by step beside a successor that accepts clients, and opens no new ones."""
+        """Closes client connections gradually and opens no new ones, as a successor accepts the clients."""
         self.clients.handing_over = True
         if self.cluster is not None:
             self.cluster.yield_to_successor()
         self.hot_restart.give_quota(QuotaInUse(len(self.clients.sessions), len(self.pool.connections())))
 
     def update(self) -> None:
-        """Decides whether clients' connections must close; called at each heartbeat.
+        """Updates whether client connections are to be closed; called at each heartbeat.
 
-        Also called once a successor has died: connections accepted before the next heartbeat must stay open.
+        Also called as soon as a successor has died: connections that are accepted before the next heartbeat
+        must stay open.
         """
         self.clients.handing_over = self.clients.served_late_connections or self.hot_restart.replaced
         self.clients.close_quiet_connections()
--- a/paddlequay/programs/router.py
+++ b/paddlequay/programs/router.py
@@ -43,21 +43,21 @@
 
 DISCOVERY_VARIABLE = "PADDLEQUAY_DISCOVERY"
 CLUSTER_VARIABLE = "PADDLEQUAY_CLUSTER"
-# Requests leave no reference cycles, and a full collection visits all objects of the decisions.
-COLLECTOR_THRESHOLDS = (20_000, 20, 50)
+# Requests create no reference cycles, and a full collection traverses every object of the routing policy.
+GC_THRESHOLDS = (20_000, 20, 50)
 EXIT_INVALID_CONFIG = 2
 
 
 class RouterProgram:
-    """All parts of one router, from their creation to the end of the process.
+    """Owns all components of one router, from their creation to the end of the process.
 
     Raises:
         ConfigError: If a setting is invalid or an address cannot be bound.
 
     Attributes:
-        members: The further sources of members; None if no settings file names them.
-        cluster: What the routers share; None if no settings file names it or peers are not allowed.
-        listener: The bound socket for clients, which listens once this process takes over.
+        members: The member sources besides the endpoint list; None if `PADDLEQUAY_DISCOVERY` is not set.
+        cluster: The cluster driver; None if `PADDLEQUAY_CLUSTER` is not set or peers are not allowed.
+        listener: The bound socket for clients; it starts to listen when this process takes over.
         stop: Set by SIGTERM or SIGINT.
     """
 
@@ -103,7 +103,7 @@
             raise ConfigError(f"known: {error}") from None
 
     def make_members(self) -> "MemberSources | None":
-        """Returns the further sources of members, if a settings file of the installation names them."""
+        """Returns the member sources besides the endpoint list; None if `PADDLEQUAY_DISCOVERY` is not set."""
         path = os.environ.get(DISCOVERY_VARIABLE)
         if not path:
             return None
@@ -118,7 +118,7 @@
         return members
 
     def make_cluster(self) -> "ClusterDriver | None":
-        """Returns the cluster, if a settings file of the installation names it and peers are allowed."""
+        """Returns the cluster driver; None if `PADDLEQUAY_CLUSTER` is not set or peers are not allowed."""
         path = os.environ.get(CLUSTER_VARIABLE)
         if not path:
             return None
@@ -141,7 +141,7 @@
         return cluster
 
     def handle_signals(self) -> None:
-        """Handles signals, those received during the start too."""
+        """Installs the signal handlers, then unblocks the signals that were held back during start-up."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
@@ -152,8 +152,8 @@
     def reload(self) -> None:
         """Reads the configuration again, on SIGHUP.
 
-        The address of the endpoint list, the sources of members and the placement rules change in service,
-        all else at the next start. An invalid configuration changes nothing.
+        The endpoint list's address, the member sources and the placement rules change while the router
+        serves; all other settings change at the next start. An invalid configuration is refused and logged.
         """
         try:
             config = read_config(os.environ)
@@ -173,7 +173,7 @@
         log.event(LOGGER, logging.INFO, "reloaded", bulletin=f"{host}:{port}")
 
     async def sweep_periodically(self) -> None:
-        """Closes connections that were idle for too long, and logs the counters periodically."""
+        """Periodically closes connections that have been idle for too long, and logs the counters."""
         printed_at = time.monotonic()
         while True:
             await asyncio.sleep(self.limits.sweep_interval)
@@ -184,29 +184,30 @@
                 self.counters.print("period")
 
     async def heartbeat(self) -> None:
-        """Checks the handover, the load of this process and unresponsive caches at each heartbeat."""
+        """At each heartbeat, updates the handover, samples the load and closes unresponsive caches."""
         while True:
             self.handover.update()
             if self.hot_restart.replaced:
                 self.handover.yield_to_successor()
-            # After a late heartbeat, received answers are not read yet and caches look unresponsive.
+            # After a late heartbeat, answers that have arrived may still be unread, so that caches only look
+            # unresponsive.
             is_on_time = self.overload.sample(time.monotonic(), time.process_time())
             if is_on_time:
                 self.pool.close_unresponsive()
             await asyncio.sleep(self.limits.heartbeat_interval)
 
     async def run_until_stop(self, work: Coroutine[Any, Any, None]) -> bool:
-        """Runs `work` until it ends or the program stops, which cancels it.
+        """Runs `work` until it ends, or cancels it when the program is stopped.
 
         Returns:
-            Whether it ended by itself; an error of it is raised.
+            Whether `work` ended by itself; if it failed, its error is raised.
         """
         task = asyncio.ensure_future(work)
-        stopped = asyncio.ensure_future(self.stop.wait())
+        stop_task = asyncio.ensure_future(self.stop.wait())
         try:
-            await asyncio.wait((task, stopped), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((task, stop_task), return_when=asyncio.FIRST_COMPLETED)
         finally:
-            stopped.cancel()
+            stop_task.cancel()
             if not task.done():
                 task.cancel()
         await asyncio.wait((task,))
@@ -230,12 +231,12 @@
             await self.stop.wait()
         if self.cluster is not None:
             self.cluster.release()
-        if self.clients.listener is not None:  # otherwise this process never served
+        if self.clients.listener is not None:  # otherwise this process never accepted clients
             await shut_down(self.clients, self.hot_restart, self.limits)
         await self.close()
 
     async def close(self) -> None:
-        """Ends all tasks and links, after the clients' connections."""
+        """Stops all tasks and links; called after the client connections are closed."""
         await self.background.stop()
         if self.members is not None:
             self.members.stop()
@@ -247,7 +248,7 @@
 
 
 def load_operator_state(path: Path) -> OperatorState:
-    """Returns the saved state of the operators' overrides; logs a file that cannot be read."""
+    """Returns the saved operator overrides; if the file cannot be read, logs that and returns none."""
     state = OperatorState(path)
     try:
         state.load()
@@ -257,7 +258,7 @@
 
 
 def bind_setting(name: str, address: Address) -> socket.socket:
-    """Returns a socket bound to the address of a setting. Raises `ConfigError` with its name."""
+    """Returns a socket bound to the address of a setting. Raises `ConfigError` that names the setting."""
     try:
         return listeners.bind(address)
     except OSError as error:
@@ -270,9 +271,9 @@
 
 
 def run_router() -> int:
-    """Runs the router until its end; returns the exit code, 2 for an invalid configuration."""
+    """Runs the router until it is stopped; returns the exit code: 0, or 2 for an invalid configuration."""
     log.set_up()
-    gc.set_threshold(*COLLECTOR_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
     try:
         config = read_config(os.environ, peers=bool(os.environ.get(CLUSTER_VARIABLE)))
         asyncio.run(serve(config))
--- a/paddlequay/programs/tier.py
+++ b/paddlequay/programs/tier.py
@@ -1,4 +1,4 @@
-"""The program of a hierarchy's node: reads its settings, wires its parts, serves, and shuts down in order."""
+"""The program of a tier node in the hierarchy: reads its settings, connects the parts, serves, shuts down."""
 
 import asyncio
 import contextlib
@@ -52,15 +52,15 @@
 
 
 class NoOtherProcess:
-    """Stands for the other process of the same name, which a tier does not have."""
+    """Replaces the hot-restart link for the console: a tier node has no second process to ask."""
 
-    async def confirm(self, name: str, mark: Override) -> bool:
-        """Returns whether an override may be applied: always."""
+    async def confirm(self, name: str, override: Override) -> bool:
+        """Returns that the override may be applied, which is always so."""
         return True
 
 
 def routing_settings(settings: TierSettings, limits: Limits) -> RoutingSettings:
-    """Returns the settings of the routing policy of a node's fills."""
+    """Returns the routing policy settings for a node's fills."""
     return RoutingSettings(
         zone="",
         classes=settings.classes,
@@ -78,11 +78,11 @@
 
 
 class TierProgram:
-    """All parts of one node.
+    """Owns all components of one tier node.
 
     Args:
         settings: The node's settings.
-        path: The file that they were read from, which is read again on SIGHUP.
+        path: The settings file, which is read again on SIGHUP.
 
     Raises:
         ConfigError: An address cannot be bound.
@@ -131,7 +131,7 @@
             raise ConfigError(f"{self.path}: {name}: {address[0]}:{address[1]}: {error.strerror}") from None
 
     def install_signal_handlers(self) -> None:
-        """SIGTERM and SIGINT shut down, SIGUSR1 prints the counters, SIGHUP reads the settings again."""
+        """Makes SIGTERM and SIGINT shut down, SIGUSR1 print the counters and SIGHUP reload the settings."""
         loop = asyncio.get_running_loop()
         for name in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(name, self.stop.set)
@@ -139,13 +139,13 @@
         loop.add_signal_handler(signal.SIGHUP, self.reload)
 
     def on_topology(self, topology: Topology) -> None:
-        """Acts on a topology from now on, and saves it for the next start."""
+        """Adopts a topology from the feed, and saves it for the next start."""
         self.adopt_topology(topology)
         if self.saved_topology is not None:
             self.saved_topology.save_soon(self.snapshot)
 
     def adopt_topology(self, topology: Topology) -> None:
-        """Acts on a topology; the pool learns of members first, as decisions may send to them at once."""
+        """Adopts a topology; updates the pool before the exchange, which may send to new members at once."""
         self.node.follow(topology, self.scheduler.unix())
         sources = possible_sources(topology, self.node.name, self.node.source_selector.group)
         endpoints = tuple(
@@ -164,12 +164,12 @@
         self.exchange.record_purge(event.key, event.group, event.issued_at)
 
     def on_override(self, name: str) -> None:
-        """Follows operators' overrides: no fill asks an ejected node, as home or otherwise."""
+        """Applies an operator override: fills ask an ejected node neither as home nor as another source."""
         if name.startswith(EJECTED_PREFIX):
             self.node.source_selector.ejected = set(self.operator_state.ejected_ids)
 
     def make_feed(self) -> TopologyFeed:
-        """Returns the connection to the feed, which reports to this program."""
+        """Returns the topology feed, which calls this program for each topology and purge."""
         topology_limits = self.settings.topology
         monotonic = self.scheduler.monotonic
         feed = TopologyFeed(
@@ -180,7 +180,7 @@
         return feed
 
     def load_state(self, folder: Path) -> SavedTopology:
-        """Starts with the overrides and the topology of the last run, in case the feed is away."""
+        """Restores the overrides and the topology of the last run, in case the feed is not reachable."""
         with contextlib.suppress(OSError, ValueError):
             self.operator_state.load()
         self.node.source_selector.ejected = set(self.operator_state.ejected_ids)
@@ -194,15 +194,15 @@
         return saved
 
     def restore_migration(self, snapshot: TopologySnapshot) -> None:
-        """Goes on with the migration of the last run; raises `ValueError` where it cannot be read."""
+        """Resumes the migration of the last run; raises `ValueError` if its state cannot be read."""
         self.node.source_selector.migration.restore_state(snapshot.epochs, self.scheduler.unix())
 
     def snapshot(self) -> TopologySnapshot:
-        """Returns what is saved for the next start."""
+        """Returns the topology and the migration state that are saved for the next start."""
         return TopologySnapshot(self.tracker.topology, self.node.source_selector.migration.export_state())
 
     def reload(self) -> None:
-        """Reads the settings again: the keys and the feed's address change while serving."""
+        """Reads the settings again, on SIGHUP; only the keys and the feed's address change while serving."""
         try:
             settings = read_tier(self.path)
         except ConfigError as error:
@@ -217,18 +217,18 @@
         log.event(LOGGER, logging.INFO, RELOADED_EVENT, feed=f"{host}:{port}", keys=keys)
 
     def page(self) -> str:
-        """Returns the console's page of the hierarchy."""
+        """Returns the console page that shows the hierarchy."""
         return tier_page(self.node, self.tracker, self.scheduler.unix())
 
     def print_counters(self, reason: str) -> None:
-        """Logs the program's counters and the node's own."""
+        """Logs the counters of the program and of the node."""
         for name, count in self.node.counters.counts.items():
             self.counters.counts[f"node.{name}"] = count
         self.counters.counts["node.evicted"] = self.node.cache.copies.evicted
         self.counters.print(reason)
 
     async def run_heartbeats(self) -> None:
-        """At each heartbeat: times out requests, and closes upstream connections that no longer answer."""
+        """At each heartbeat, times out requests and closes upstream connections that no longer answer."""
         limits = self.limits
         previous = time.monotonic()
         previous_cpu = time.process_time()
@@ -244,7 +244,7 @@
                 self.pool.close_unresponsive()
 
     async def run_sweeps(self) -> None:
-        """Now and then: closes connections that are idle or stalled."""
+        """Periodically closes connections that are idle or stalled."""
         while True:
             await asyncio.sleep(self.limits.sweep_interval)
             self.pool.sweep()
@@ -265,5 +265,5 @@
 
 
 async def serve(path: Path) -> None:
-    """Runs the node whose settings a file holds, until it is told to stop."""
+    """Runs the node with the settings in a file until a signal stops it."""
     await TierProgram(read_tier(path), path).run()
--- a/paddlequay/programs/tier_limits.py
+++ b/paddlequay/programs/tier_limits.py
@@ -1,4 +1,4 @@
-"""The limits of a tier's parts, derived from its settings."""
+"""Derives the limits of a tier node's components from its settings."""
 
 from paddlequay.config.limits import RESERVED_DESCRIPTORS, Limits
 from paddlequay.schema.tier import TierSettings
@@ -6,13 +6,13 @@
 MIN_CACHE_CONNECTIONS = 4
 MAX_BODY_BYTES = 1024 * 1024
 MAX_ATTEMPTS = 32
-SILENCE_CHECK_FACTOR = 1.1  # of the classes' mean latency objective
+SILENCE_CHECK_FACTOR = 1.1  # multiple of the classes' mean latency objective
 MAX_SHUTDOWN_S = 3.0
 SHUTDOWN_SLACK_S = 0.5
 
 
 def tier_limits(settings: TierSettings) -> Limits:
-    """Returns the limits of the parts that a tier shares with the router."""
+    """Returns the limits of the components that a tier node has in common with the router."""
     classes = settings.classes
     client_connections = max(1, int(settings.sockets / 2) - 1)
     cache_connections = settings.sockets - client_connections - RESERVED_DESCRIPTORS
--- a/paddlequay/programs/tier_page.py
+++ b/paddlequay/programs/tier_page.py
@@ -1,4 +1,4 @@
-"""The console's page of a tier's node, `GET /-/hierarchy`: one line of JSON."""
+"""The console page of a tier node, `GET /-/hierarchy`: one line of JSON."""
 
 import json
 from typing import Any
@@ -45,7 +45,7 @@
 
 
 def _home_shares(migration: MigrationPlan) -> dict[str, float]:
-    """Returns the share of sampled objects that each member of the group is the home of."""
+    """Returns, for each member of the group, the share of sampled objects that it is the home of."""
     home_counts = dict.fromkeys(migration.weights, 0)
     for sample in range(SAMPLED_KEY_COUNT):
         home = migration.homes.first_home(sample * KEY_STEP % KEY_LIMIT)
--- a/paddlequay/programs/tier_shutdown.py
+++ b/paddlequay/programs/tier_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown of a tier's node."""
+"""The graceful shutdown of a tier node."""
 
 import asyncio
 import logging
@@ -20,12 +20,12 @@
 async def shut_down(
     front: TierFront, listener: socket.socket, saved_topology: SavedTopology | None, limits: Limits
 ) -> None:
-    """Takes no new connections; answers open requests, or abandons them once the time is over.
+    """Stops accepting, answers open requests until the time-out, then abandons the rest and flushes.
 
     Args:
-        front: The front, whose sessions are flushed last.
-        listener: Its listening socket, which is closed.
-        saved_topology: The file whose save in progress is waited for; None where the node has none.
+        front: The front, whose sessions are flushed at the end.
+        listener: The front's listening socket, which is closed.
+        saved_topology: The saved topology, whose last save is waited for; None if the node saves none.
         limits: How long open requests and unsent bytes may take, in seconds.
     """
     monotonic = asyncio.get_running_loop().time
@@ -35,13 +35,13 @@
     if front.acceptor is not None:
         front.acceptor.stop()
     listener.close()
-    answered_by = started_at + limits.shutdown_timeout
-    while monotonic() < answered_by and (front.node.waiting_count or front.has_unsent):
+    answer_deadline = started_at + limits.shutdown_timeout
+    while monotonic() < answer_deadline and (front.node.waiting_count or front.has_unsent):
         await asyncio.sleep(POLL_INTERVAL_S)
     front.exchange.abandon_all()
     front.execute(front.node.expire(math.inf))
-    flushed_by = monotonic() + limits.flush_timeout
-    while monotonic() < flushed_by and front.has_unsent:
+    flush_deadline = monotonic() + limits.flush_timeout
+    while monotonic() < flush_deadline and front.has_unsent:
         await asyncio.sleep(POLL_INTERVAL_S)
     if saved_topology is not None:
         await saved_topology.flush()
