--- a/paddlequay/__init__.py
+++ b/paddlequay/__init__.py
@@ -1,1 +1,1 @@
-"""paddlequay: an edge router for a two-tier cache; `paddlequay.policy.Router` makes its decisions."""
+"""paddlequay: an edge router for a two-tier cache; `paddlequay.policy.Router` is its routing policy."""
--- a/paddlequay/__main__.py
+++ b/paddlequay/__main__.py
@@ -1,4 +1,4 @@
-"""Start of the program: the router, or with words on the command line one of its sub-commands."""
+"""Entry point: runs the router, or a sub-command if the command line has arguments."""
 
 import os
 import sys
@@ -7,24 +7,25 @@
 
 
 def main() -> int:
-    """Run the router, or a sub-command; the exit code."""
+    """Runs the router or a sub-command; returns the exit code."""
     if len(sys.argv) > 1:
-        # Everything but the router itself: what that needs is not loaded where it only routes.
+        # The sub-commands' libraries are imported here only, so that the router does not load them.
         try:
             from paddlequay.cli import main as cli
 
             return cli.main()
         except ModuleNotFoundError as error:
             if error.name is None or error.name.partition(".")[0] == __package__:
-                raise  # ours: a fault, and nothing to install
+                raise  # a module of this package: a bug, not a library that can be installed
             why = f"{error.name} is missing: pip install -r requirements-lab.txt"
             print(f"paddlequay: {why}", file=sys.stderr)
             return 2
     signals.block()
-    # Tornado reads all of the system's certificates as it loads, a quarter of a start; there is no TLS here.
+    # Tornado reads all system certificates when it is imported, which takes a quarter of the start-up time.
+    # The router uses no TLS, so these variables point to an empty file.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
     os.environ.setdefault("SSL_CERT_DIR", os.devnull)
-    # Only now: loading takes time, in which signals come as well.
+    # Imported only after the signals are blocked: the import takes time, and signals may arrive meanwhile.
     from paddlequay.programs.router import run_router
 
     return run_router()
--- a/paddlequay/adapter.py
+++ b/paddlequay/adapter.py
@@ -1,4 +1,4 @@
-"""Entry of the simulator's adapter: `python -m paddlequay.adapter`."""
+"""Entry point of the simulator adapter: `python -m paddlequay.adapter`."""
 
 import sys
 
--- a/paddlequay/simulator/__init__.py
+++ b/paddlequay/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: one process that hosts many routers."""
+"""Runs the routing policy of many routers in one process, driven by a simulator."""
--- a/paddlequay/simulator/adapter.py
+++ b/paddlequay/simulator/adapter.py
@@ -1,4 +1,7 @@
-"""The simulator's wire on standard input and output; hosts many routers. It decides nothing."""
+"""Connects the routing policy of many routers to a simulator, by a line protocol on stdin and stdout.
+
+The adapter only translates between lines and the events and actions of the policy.
+"""
 
 import json
 import math
@@ -45,8 +48,8 @@
     MakeCluster = Callable[["Fields", Router, float], SimulatorCluster | None]
 
 T = TypeVar("T")
-CLUSTER = "cluster"  # the nonce of a cluster's alarms
-STATES = {"IN": MemberState.READY, "LAME": MemberState.DRAINING, "OUT": MemberState.REMOVED}
+CLUSTER_ALARM_NONCE = "cluster"  # the nonce of alarms that are set for a cluster
+MEMBER_STATES = {"IN": MemberState.READY, "LAME": MemberState.DRAINING, "OUT": MemberState.REMOVED}
 OUTCOMES = {
     "served": Outcome.SERVED,
     "server_error": Outcome.ERROR,
@@ -58,8 +61,8 @@
     "not_sent": Outcome.NOT_SENT,
     "not_stored": Outcome.MISS,
 }
-NOTES = {str(note.value): note for note in ReplyDetail}
-MODES = {  # (complete list, failed call)
+REPLY_DETAILS = {str(detail.value): detail for detail in ReplyDetail}
+UPDATE_MODES = {  # mode: (the list is complete, the call failed)
     "update": (False, False),
     "replace": (True, False),
     "restored": (True, False),
@@ -69,13 +72,13 @@
 
 
 class WireError(ValueError):
-    """Malformed input, with what was expected; `router` is the instance it concerns, if known."""
+    """Input that violates the line protocol; `router` is the id of the instance that it is for, if known."""
 
     router: str | None = None
 
 
 def read_settings(text: str) -> RoutingSettings:
-    """The JSON object of `provision`."""
+    """Returns the settings in the JSON object of a `provision` line; raises `WireError`."""
     try:
         return parse_settings(json.loads(text))
     except json.JSONDecodeError as error:
@@ -85,7 +88,7 @@
 
 
 class Fields:
-    """The name=value pairs of one line, read with a type each."""
+    """The event name and the name=value fields of one line; each field is parsed when it is read."""
 
     def __init__(self, line: str) -> None:
         self.name, _, rest = line.partition("\t")
@@ -98,8 +101,8 @@
                 raise WireError(f"{self.name}: expected name=value, got {pair[:60]!r}")
             self.values[key] = value
 
-    def maybe(self, key: str, read: Callable[[str], T]) -> T | None:
-        """The field's value, or None where the wire leaves it out."""
+    def optional(self, key: str, read: Callable[[str], T]) -> T | None:
+        """Returns the parsed value of a field; None if the field is missing or empty."""
         value = self.values.get(key)
         if value is None or value == "":
             return None
@@ -108,115 +111,119 @@
         except WireError:
             raise
         except (ValueError, KeyError):
-            expected = EXPECTED.get(read, "one of the words of the wire")
+            expected = EXPECTED_VALUES.get(read, "one of the words of the wire")
             raise WireError(f"{self.name}: field {key}: expected {expected}, got {value[:60]!r}") from None
 
-    def need(self, key: str, read: Callable[[str], T]) -> T:
-        """A field that the wire never leaves out."""
-        value = self.maybe(key, read)
+    def required(self, key: str, read: Callable[[str], T]) -> T:
+        """Returns the parsed value of a field; raises `WireError` if the field is missing or empty."""
+        value = self.optional(key, read)
         if value is None:
             raise WireError(f"{self.name}: field {key} is missing")
         return value
 
 
-def number(text: str) -> float:
-    """Returns a finite number; raises ValueError for any other text."""
+def parse_number(text: str) -> float:
+    """Returns a finite number; raises `ValueError` for any other text."""
     value = float(text)
     if not math.isfinite(value):
         raise ValueError
     return value
 
 
-def flag(text: str) -> bool:
-    """1 or 0."""
+def parse_flag(text: str) -> bool:
+    """Returns the boolean that `1` or `0` stands for; raises `KeyError` for any other text."""
     return {"1": True, "0": False}[text]
 
 
-def load(text: str) -> LoadReport:
+def parse_load_report(text: str) -> LoadReport:
     """Returns the load report of `name:value` pairs separated by commas."""
     pairs = (pair.partition(":") for pair in text.split(","))
-    return load_report([(name, number(value)) for name, _, value in pairs])
+    return load_report([(name, parse_number(value)) for name, _, value in pairs])
 
 
-EXPECTED: dict[Callable[[str], Any], str] = {
-    number: "a number",
+EXPECTED_VALUES: dict[Callable[[str], Any], str] = {
+    parse_number: "a number",
     int: "a whole number",
-    flag: "1 or 0",
-    load: "name:value pairs",
+    parse_flag: "1 or 0",
+    parse_load_report: "name:value pairs",
 }
 
 
-def read_note(text: str) -> ReplyDetail | None:
-    """0 and figures not known are no note."""
+def read_reply_detail(text: str) -> ReplyDetail | None:
+    """Returns the reply detail of a number; None for 0 and unknown numbers."""
     int(text)
-    return NOTES.get(text)
+    return REPLY_DETAILS.get(text)
 
 
 def read_member(fields: Fields) -> Member:
-    """One `entry` line."""
+    """Returns the member that an `entry` line describes."""
     return Member(
-        name=fields.need("cache", str),
-        zone=fields.maybe("rackZone", str),
-        kind=fields.maybe("shape", str),
-        cell=fields.maybe("cluster", int),
-        state=fields.maybe("status", STATES.__getitem__),
-        weight=fields.maybe("units", number),
-        started=fields.maybe("bootTime", number),
+        name=fields.required("cache", str),
+        zone=fields.optional("rackZone", str),
+        kind=fields.optional("shape", str),
+        cell=fields.optional("cluster", int),
+        state=fields.optional("status", MEMBER_STATES.__getitem__),
+        weight=fields.optional("units", parse_number),
+        started=fields.optional("bootTime", parse_number),
     )
 
 
 def read_event(fields: Fields, entries: list[Member]) -> Event | None:
-    """The interface's event for one line, or None where it has none for it."""
+    """Returns the routing policy's event for one line; None for lines that the policy has no event for."""
     match fields.name:
         case "update":
-            full, failed = fields.need("mode", MODES.__getitem__)
+            full, failed = fields.required("mode", UPDATE_MODES.__getitem__)
             return MembersChanged(tuple(entries), full, failed)
         case "query":
             return Request(
-                id=fields.need("rid", str),
-                class_name=fields.need("grade", str),
-                time_left=fields.need("timeBudget", number),
-                key=fields.maybe("item", int),
-                part=fields.maybe("piece", int),
-                group=fields.maybe("purgeGroup", int),
-                size_kb=fields.maybe("bytesK", number),
-                tenant=fields.maybe("party", str),
-                retry=fields.maybe("resent", flag),
-                write=fields.maybe("update", flag),
+                id=fields.required("rid", str),
+                class_name=fields.required("grade", str),
+                time_left=fields.required("timeBudget", parse_number),
+                key=fields.optional("item", int),
+                part=fields.optional("piece", int),
+                group=fields.optional("purgeGroup", int),
+                size_kb=fields.optional("bytesK", parse_number),
+                tenant=fields.optional("party", str),
+                retry=fields.optional("resent", parse_flag),
+                write=fields.optional("update", parse_flag),
             )
         case "head_received":
-            return ResponseStarted(fields.need("rid", str), fields.need("try", int))
+            return ResponseStarted(fields.required("rid", str), fields.required("try", int))
         case "returned":
             return AttemptEnded(
-                request=fields.need("rid", str),
-                attempt=fields.need("try", int),
-                target=fields.need("cache", str),
-                outcome=fields.need("result", OUTCOMES.__getitem__),
-                latency=fields.need("delaySeen", number),
-                final=bool(fields.maybe("last", flag)),
-                detail=fields.maybe("info", read_note),
-                source_wait=fields.maybe("fillWait", number),
-                load_report=fields.maybe("feedback", load) or NO_LOAD_REPORT,
+                request=fields.required("rid", str),
+                attempt=fields.required("try", int),
+                target=fields.required("cache", str),
+                outcome=fields.required("result", OUTCOMES.__getitem__),
+                latency=fields.required("delaySeen", parse_number),
+                final=bool(fields.optional("last", parse_flag)),
+                detail=fields.optional("info", read_reply_detail),
+                source_wait=fields.optional("fillWait", parse_number),
+                load_report=fields.optional("feedback", parse_load_report) or NO_LOAD_REPORT,
             )
         case "withdrawn":
-            return ClientDisconnected(fields.need("rid", str))
+            return ClientDisconnected(fields.required("rid", str))
         case "invalidated":
-            return Purged(fields.need("age", number), fields.maybe("group", int), fields.maybe("item", int))
+            return Purged(
+                fields.required("age", parse_number),
+                fields.optional("group", int),
+                fields.optional("item", int),
+            )
         case "alarm":
-            return TimerFired(fields.need("nonce", str))
+            return TimerFired(fields.required("nonce", str))
     return None
 
 
 def write_action(router: str, action: Action) -> str:
-    """One reply line."""
+    """Returns the reply line for one action."""
 
     def line(name: str, **values: str | float | None) -> str:
-        shown = {key: f"{v:.6f}" if isinstance(v, float) else v for key, v in values.items() if v is not None}
-        return "\t".join([name, f"router={router}", *(f"{key}={value}" for key, value in shown.items())])
+        texts = {key: f"{v:.6f}" if isinstance(v, float) else v for key, v in values.items() if v is not None}
+        return "\t".join([name, f"router={router}", *(f"{key}={value}" for key, value in texts.items())])
 
     match action:
         case Fetch():
-            bits = action.coalesce + 2 * action.only_if_cached + 8 * action.refresh
+            option_bits = action.coalesce + 2 * action.only_if_cached + 8 * action.refresh
             return line(
                 "obtain",
                 rid=action.request,
@@ -225,7 +232,7 @@
                 storeAs=action.retention,
                 maxWait=action.timeout,
                 age=action.max_age,
-                opts=bits,
+                opts=option_bits,
             )
         case Cancel():
             return line("revoke", rid=action.request, **{"try": action.attempt})
@@ -241,48 +248,52 @@
             return line("log", text=action.text)
 
 
-class Host:
-    """All routers of one process. They share nothing but messages; `make_cluster` makes their clusters."""
+class RouterHost:
+    """All routers of one process; they share no state.
+
+    Args:
+        make_cluster: Returns the cluster of a new router; None if no router has one.
+    """
 
     def __init__(self, make_cluster: "MakeCluster | None" = None) -> None:
         self.routers: dict[str, Router | None] = {}
         self.make_cluster = make_cluster
         self.clusters: dict[str, SimulatorCluster] = {}
 
-    def batch(self, lines: list[str]) -> list[str]:
-        """The reply to one batch, its closing line left off."""
+    def handle_batch(self, lines: list[str]) -> list[str]:
+        """Returns the reply lines to one batch, without the closing `ack`; raises `WireError`."""
         tick = Fields(lines[0] if lines else "")
         if tick.name != "tick":
             raise WireError(f"expected a tick line first, got {tick.name[:60]!r}")
-        now = tick.need("ts", number)
+        now = tick.required("ts", parse_number)
         reply: list[str] = []
-        place = 1
-        while place < len(lines):
+        line_index = 1
+        while line_index < len(lines):
             try:
-                fields = Fields(lines[place])
-                count = fields.maybe("membersList", int) or 0
-                if not 0 <= count < len(lines) - place:
+                fields = Fields(lines[line_index])
+                count = fields.optional("membersList", int) or 0
+                if not 0 <= count < len(lines) - line_index:
                     raise WireError(f"update: field membersList: expected {count} entry lines, got fewer")
-                entries = [Fields(line) for line in lines[place + 1 : place + 1 + count]]
+                entries = [Fields(line) for line in lines[line_index + 1 : line_index + 1 + count]]
                 for entry in entries:
                     if entry.name != "entry":
                         raise WireError(f"update: expected an entry line, got {entry.name[:60]!r}")
                 reply.extend(self.deliver(fields, [read_member(entry) for entry in entries], now))
             except ValueError as error:
                 failure = error if isinstance(error, WireError) else WireError(str(error))
-                named = re.search(r"\trouter=(\d+)(\t|$)", lines[place])
-                failure.router = named[1] if named else None
+                router_match = re.search(r"\trouter=(\d+)(\t|$)", lines[line_index])
+                failure.router = router_match[1] if router_match else None
                 raise failure from None
-            place += 1 + count
+            line_index += 1 + count
         return reply
 
     def deliver(self, fields: Fields, entries: list[Member], now: float) -> list[str]:
-        """One event to its router."""
-        router = str(fields.need("router", int))
+        """Delivers one event to the router that it names; returns the reply lines."""
+        router = str(fields.required("router", int))
         if fields.name == "provision":
-            made = Router(fields.need("settings", read_settings), fields.need("salt", int))
-            self.routers[router] = made
-            cluster = self.make_cluster(fields, made, now) if self.make_cluster is not None else None
+            new_router = Router(fields.required("settings", read_settings), fields.required("salt", int))
+            self.routers[router] = new_router
+            cluster = self.make_cluster(fields, new_router, now) if self.make_cluster is not None else None
             if cluster is None:
                 return []
             self.clusters[router] = cluster
@@ -304,13 +315,13 @@
     def deliver_to_cluster(
         self, router: str, cluster: "SimulatorCluster", fields: Fields, entries: list[Member], now: float
     ) -> list[str]:
-        """Handles an event of a router in a cluster, and the reports that the cluster makes of it."""
+        """Delivers an event to a router in a cluster, then the outlier reports that result from it."""
         instance = self.routers[router]
         assert instance is not None
         events: list[Event] = []
         if fields.name == "note_from":
-            events += cluster.receive(fields.need("srcPeer", int), fields.need("content", str), now)
-        elif fields.name == "alarm" and fields.need("nonce", str) == CLUSTER:
+            events += cluster.receive(fields.required("srcPeer", int), fields.required("content", str), now)
+        elif fields.name == "alarm" and fields.required("nonce", str) == CLUSTER_ALARM_NONCE:
             events += cluster.tick(now)
         else:
             event = read_event(fields, entries)
@@ -332,44 +343,44 @@
 
 
 def write_posts(router: str, cluster: "SimulatorCluster", now: float) -> list[str]:
-    """Returns the lines of a cluster's messages, and of its next alarm."""
+    """Returns the lines that send a cluster's messages and set its next alarm."""
     reply = [
         f"post\trouter={router}\tpeer={post.peer}\tcontent={post.content}" for post in cluster.take_posts(now)
     ]
     wait = cluster.set_alarm(now)
-    return reply if wait is None else [*reply, write_action(router, SetTimer(wait, CLUSTER))]
+    return reply if wait is None else [*reply, write_action(router, SetTimer(wait, CLUSTER_ALARM_NONCE))]
 
 
 def cluster_factory(path: str) -> "MakeCluster":
-    """Returns a function that makes an instance's cluster, where the instance's settings allow peers."""
+    """Returns a function that makes the cluster of an instance whose settings allow peers, else None."""
     from paddlequay.schema.cluster import read_cluster
     from paddlequay.simulator.cluster import SimulatorCluster
 
     settings = read_cluster(Path(path))
 
     def make_cluster(fields: Fields, router: Router, now: float) -> SimulatorCluster | None:
-        told = json.loads(fields.need("settings", str))
-        allowed = (told.get("limits") or {}).get("peers") is True
-        me, size, salt = told.get("me"), told.get("groupSize"), fields.need("salt", int)
-        if not allowed or not isinstance(me, int) or not isinstance(size, int) or not 0 <= me < size:
+        values = json.loads(fields.required("settings", str))
+        allowed = (values.get("limits") or {}).get("peers") is True
+        number, size, salt = values.get("me"), values.get("groupSize"), fields.required("salt", int)
+        if not allowed or not isinstance(number, int) or not isinstance(size, int) or not 0 <= number < size:
             return None
-        return SimulatorCluster(settings, me, size, router, salt, now)
+        return SimulatorCluster(settings, number, size, router, salt, now)
 
     return make_cluster
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
-    """Answer batches until the input ends; 1 after malformed input."""
+    """Answers batches until the input ends; returns the exit code, 1 after malformed input."""
     path = os.environ.get("PADDLEQUAY_CLUSTER")
-    host = Host(cluster_factory(path) if path else None)
+    host = RouterHost(cluster_factory(path) if path else None)
     lines: list[str] = []
-    for raw in source:
-        line = raw.rstrip("\r\n")
+    for raw_line in source:
+        line = raw_line.rstrip("\r\n")
         if line != "your_turn":
             lines.append(line)
             continue
         try:
-            reply = host.batch(lines)
+            reply = host.handle_batch(lines)
         except WireError as error:
             print(f"paddlequay: {error}", file=sys.stderr)
             if error.router is not None:
--- a/paddlequay/simulator/cluster.py
+++ b/paddlequay/simulator/cluster.py
@@ -1,7 +1,7 @@
-"""The cluster of one simulated instance: datagrams as messages between instances, time as alarms.
+"""The cluster of one simulated instance: the simulator carries its datagrams and sets its timers.
 
-The adapter uses it only where PADDLEQUAY_CLUSTER names settings and the instance's own settings allow peers.
-It carries verdicts alone; leases and limits are tested on real processes.
+The adapter uses it only if PADDLEQUAY_CLUSTER names a settings file and the instance's settings allow peers.
+It runs verdicts only; leases and limits are tested on real processes.
 """
 
 from dataclasses import replace
@@ -15,30 +15,28 @@
 from paddlequay.routing.interface import Action, AttemptEnded, Fetch, Member, OutlierReported
 from paddlequay.simulator.peer_messages import Post, SimulatorTransport
 
-MIN_ALARM_S = 0.002  # between two alarms, as batches come no closer
+MIN_ALARM_S = 0.002  # the shortest time between two batches, and so between two alarms
 MAX_ATTEMPTS_IN_FLIGHT = 20_000
 
 
 class SimulatorCluster:
-    """The cluster of one instance. Calls return outlier reports for the decisions. Times are seconds."""
+    """The cluster of one instance. Calls return outlier reports for the policy. Times are in seconds."""
 
     def __init__(
-        self, settings: ClusterSettings, me: int, size: int, router: Router, salt: int, now: float
+        self, settings: ClusterSettings, own_number: int, size: int, router: Router, salt: int, now: float
     ) -> None:
         verdicts_only = replace(settings, acceptors=(), limits=(), channels=None, placement_rules=None)
         self.router = router
-        # The simulator's clock stands for Unix time: an instance that restarts does so later.
-        self.node = ClusterNode(verdicts_only, Fleet(me, size), 1.0 + now, salt, now)
+        # The simulator's time replaces Unix time as the incarnation: it has grown when an instance restarts.
+        self.node = ClusterNode(verdicts_only, Fleet(own_number, size), 1.0 + now, salt, now)
         self.transport = SimulatorTransport(self.node.wire, self.node.outbox)
-        self._in_flight: dict[tuple[str, int], Fetch] = {}  # by request and number of the attempt
+        self._in_flight: dict[tuple[str, int], Fetch] = {}  # by request and attempt number
         self._attempt_counts: dict[str, int] = {}  # by request
         self._names: dict[NameDigest, str] = {}
-        self._alarm_at = NEVER  # when the earliest alarm that was set is due
-
-    # --- datagrams and time ---
+        self._alarm_at = NEVER  # the time of the earliest alarm that is set
 
     def receive(self, sender: int, content: str, now: float) -> list[OutlierReported]:
-        """Handles a message of another instance."""
+        """Handles a message from another instance; returns outlier reports."""
         received = self.transport.receive(sender, content)
         if received is None:
             return []
@@ -46,7 +44,7 @@
         return self._report_outliers(events, now)
 
     def tick(self, now: float) -> list[OutlierReported]:
-        """Handles an alarm that was set for the cluster."""
+        """Handles an alarm that was set for the cluster; returns outlier reports."""
         self._alarm_at = NEVER
         return self._report_outliers(self.node.tick(now), now)
 
@@ -55,17 +53,15 @@
         return self.transport.take_posts(now)
 
     def set_alarm(self, now: float) -> float | None:
-        """Returns the seconds to a new alarm; None where the one that is set is early enough."""
+        """Returns the delay in seconds of an alarm to set; None if an alarm that is set is early enough."""
         due = max(now + MIN_ALARM_S, min(self.node.due(), self.node.outbox.due()))
         if due >= self._alarm_at - MIN_ALARM_S or due == NEVER:
             return None
         self._alarm_at = due
         return due - now
 
-    # --- requests ---
-
     def record_actions(self, actions: list[Action]) -> None:
-        """Records the attempts that the decisions make, which are numbered in order for each request."""
+        """Records the attempts among the policy's actions, numbered in order for each request."""
         for action in actions:
             if isinstance(action, Fetch):
                 number = self._attempt_counts.get(action.request, 0)
@@ -74,7 +70,7 @@
                     self._in_flight[action.request, number] = action
 
     def handle_attempt_end(self, event: AttemptEnded, now: float) -> list[OutlierReported]:
-        """Gives the verdicts what the end of an attempt shows."""
+        """Records the evidence from the end of an attempt for the verdicts; returns outlier reports."""
         fetch = self._in_flight.pop((event.request, event.attempt), None)
         if event.final:
             self.forget_request(event.request)
@@ -87,11 +83,9 @@
         return self._report_outliers(self.node.execute(actions, now), now)
 
     def forget_request(self, request: str) -> None:
-        """Forgets the numbers of a request's attempts, after its final answer."""
+        """Deletes the attempt count of a request that has ended."""
         self._attempt_counts.pop(request, None)
 
-    # --- members ---
-
     def _find_member(self, name: str) -> Member | None:
         upstream = self.router.state.members.upstreams.get(name)
         return upstream.member if upstream is not None else None
@@ -107,7 +101,7 @@
         return self._names.get(subject)
 
     def _report_outliers(self, events: list[ClusterEvent], now: float) -> list[OutlierReported]:
-        """Returns reports on the members whose verdicts have changed and hold now."""
+        """Returns outlier reports on the members whose verdict has changed and calls for an early probe."""
         verdicts = self.node.verdicts
         if verdicts is None:
             return []
--- a/paddlequay/simulator/peer_messages.py
+++ b/paddlequay/simulator/peer_messages.py
@@ -1,6 +1,6 @@
-"""The same datagrams as messages between the simulator's instances, as base64 text.
+"""Carries the cluster's datagrams as base64 text in messages between simulated instances.
 
-There the sender's number comes with the message, as on sockets it follows from the sender's address.
+The simulator tells the sender's number with each message; on sockets it follows from the sender's address.
 """
 
 import base64
@@ -19,19 +19,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Post:
-    """A message that the simulator is to carry: `peer` is a number or `*`, `content` base64."""
+    """A message for the simulator to deliver: `peer` is a router number or `*` for all, `content` base64."""
 
     peer: str
     content: str
 
 
 def encode_content(data: bytes) -> str:
-    """Returns a datagram as the simulator carries it."""
+    """Returns the message content for a datagram."""
     return base64.b64encode(data).decode() or EMPTY_CONTENT
 
 
 def decode_content(content: str) -> bytes:
-    """Returns the datagram of a message. Raises `ValueError` for what is not base64 with its padding."""
+    """Returns the datagram in a message content. Raises `ValueError` if it is not padded base64."""
     if content == EMPTY_CONTENT:
         return b""
     try:
@@ -49,7 +49,7 @@
         self.rejected: Counter[RejectReason] = Counter()
 
     def receive(self, sender: Peer, content: str) -> ReceivedDatagram | None:
-        """Returns the datagram of a message; None, and counted by its reason, where it is rejected."""
+        """Returns the datagram of a message; counts a rejected one by its reason and returns None."""
         received = self._read(sender, content)
         if isinstance(received, RejectReason):
             self.rejected[received] += 1
--- a/tests/simulator/test_simulator_cluster.py
+++ b/tests/simulator/test_simulator_cluster.py
@@ -31,7 +31,7 @@
     def __init__(self, folder: Path, peers: bool = True) -> None:
         file = folder / "cluster.txtpb"
         file.write_text('cluster { name: "here" verdicts: true }')
-        self.host = adapter.Host(adapter.cluster_factory(str(file)))
+        self.host = adapter.RouterHost(adapter.cluster_factory(str(file)))
         self.now, self.posts, self.tries = 1.0, 0, 0
         self.alarms: list[tuple[float, str, str]] = []
         self.sent: list[tuple[str, str, str]] = []  # instance, request, source
@@ -44,21 +44,21 @@
     def batch(self, *lines: str) -> None:
         waiting = [list(lines)]
         while waiting:
-            for line in self.host.batch([f"tick\tts={self.now:.6f}", *waiting.pop(0)]):
+            for line in self.host.handle_batch([f"tick\tts={self.now:.6f}", *waiting.pop(0)]):
                 told = adapter.Fields(line)
-                router = told.need("router", str)
+                router = told.required("router", str)
                 if told.name == "post":
                     self.posts += 1
-                    peer = told.need("peer", str)
+                    peer = told.required("peer", str)
                     for to in range(3) if peer == "*" else [int(peer)]:
                         if str(to) != router:
-                            content = told.need("content", str)
+                            content = told.required("content", str)
                             waiting.append([f"note_from\trouter={to}\tsrcPeer={router}\tcontent={content}"])
                 elif told.name == "wake_at":
-                    due = self.now + told.need("offset", float)
-                    self.alarms.append((due, router, told.need("nonce", str)))
+                    due = self.now + told.required("offset", float)
+                    self.alarms.append((due, router, told.required("nonce", str)))
                 elif told.name == "obtain":
-                    self.sent.append((router, told.need("rid", str), told.need("feeder", str)))
+                    self.sent.append((router, told.required("rid", str), told.required("feeder", str)))
 
     def pass_time(self, seconds: float) -> None:
         end = self.now + seconds
