--- a/paddlequay/cli/__init__.py
+++ b/paddlequay/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: everything but the router itself, which needs none of this."""
+"""The sub-commands of the command line. The router runs without these modules."""
--- a/paddlequay/cli/discovery.py
+++ b/paddlequay/cli/discovery.py
@@ -1,4 +1,4 @@
-"""The commands `paddlequay discovery`: resolve a service as the router would, and explain a member."""
+"""The commands `paddlequay discovery`: look up a service as the router does, and explain a member."""
 
 import asyncio
 import sys
@@ -16,7 +16,7 @@
 
 @click.group()
 def discovery() -> None:
-    """Where a router's members come from."""
+    """Show where a router's members come from."""
 
 
 def parse_address(text: str) -> Address:
@@ -32,7 +32,7 @@
 @click.option("--server", "servers", multiple=True, required=True, help="host:port of a DNS server")
 @click.option("--seconds", default=5.0, show_default=True, type=click.FloatRange(0.1, 60))
 def resolve(name: str, servers: tuple[str, ...], seconds: float) -> None:
-    """Look up the SRV service NAME and its targets; exit 1 where that comes to nothing."""
+    """Look up the SRV service NAME and its targets; exit 1 if that yields no members."""
     import dns.exception
 
     from paddlequay.cli.lookups import ServiceLookup
@@ -54,7 +54,7 @@
 @click.argument("id")
 @click.option("--console", required=True, help="host:port of a router's console")
 def explain(id: str, console: str) -> None:
-    """Print what each source reports of member ID, and which rule decides."""
+    """Print what each source reports about member ID, and which rule decides."""
     host, port = parse_address(console)
     url = f"http://{host}:{port}/-/members/{urllib.parse.quote(id, safe='')}"
     try:
--- a/paddlequay/cli/lab.py
+++ b/paddlequay/cli/lab.py
@@ -1,4 +1,4 @@
-"""The commands `paddlequay lab`: a small zone to watch, and experiments with assertions."""
+"""The commands `paddlequay lab`: run a small zone, and run experiments with assertions."""
 
 import asyncio
 import sys
@@ -10,11 +10,13 @@
 
 @click.group()
 def lab() -> None:
-    """Rehearse on this machine: everything stays on loopback."""
+    """Run trials on this machine; all traffic stays on the loopback interface."""
 
 
 @lab.command()
-@click.option("--seconds", default=8.0, show_default=True, type=click.FloatRange(1, 600), help="of traffic")
+@click.option(
+    "--seconds", default=8.0, show_default=True, type=click.FloatRange(1, 600), help="duration of the traffic"
+)
 @click.option("--rate", default=150.0, show_default=True, type=click.FloatRange(1, 2000), help="requests/s")
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0, 1 << 31))
 def up(seconds: float, rate: float, seed: int) -> None:
@@ -44,16 +46,16 @@
 
 @lab.command("run")
 @click.argument("name", type=click.Choice(EXPERIMENTS))
-@click.option("--quick", is_flag=True, help="within 40 seconds")
+@click.option("--quick", is_flag=True, help="take at most 40 seconds")
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0, 1 << 31))
 @click.option("--out", type=click.Path(path_type=Path, file_okay=False), help="folder for the results")
 @click.option(
     "--base",
     type=click.Path(path_type=Path, exists=True, file_okay=False),
-    help="root of an earlier version to compare with, a git worktree of it",
+    help="root of a git worktree with an earlier version to compare with",
 )
 def run_experiment(name: str, quick: bool, seed: int, out: Path | None, base: Path | None) -> None:
-    """Run experiment NAME; exit 0 when all its assertions hold, 1 when not."""
+    """Run experiment NAME; exit 0 if all its assertions hold, else 1."""
     from paddlequay.lab import (
         cluster,
         cluster_model,
--- a/paddlequay/cli/logs.py
+++ b/paddlequay/cli/logs.py
@@ -1,4 +1,4 @@
-"""Formats the log records of the sub-commands as key=value lines, by structlog."""
+"""Formats the log records of the sub-commands as key=value lines, with structlog."""
 
 import logging
 import sys
@@ -9,7 +9,7 @@
 
 
 def add_fields(_: Any, __: str, event: EventDict) -> EventDict:
-    """Adds the module and the fields of a record by `log.event`, and shortens numbers."""
+    """Adds the module name and the fields that `log.event` put into a record, and shortens numbers."""
     record: logging.LogRecord = event["_record"]
     event["part"] = record.name.removeprefix("paddlequay.")
     event.update(getattr(record, "fields", {}))
@@ -20,7 +20,7 @@
 
 
 def set_up(level: int = logging.INFO) -> None:
-    """Installs the one log handler of the program, on standard error."""
+    """Installs the only log handler of the program, which writes to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
--- a/paddlequay/cli/lookups.py
+++ b/paddlequay/cli/lookups.py
@@ -1,4 +1,4 @@
-"""Looks an SRV service up as the router would, for `paddlequay discovery resolve`."""
+"""Looks up an SRV service as the router does, for `paddlequay discovery resolve`."""
 
 import asyncio
 import random
@@ -20,11 +20,14 @@
 
 
 class ServiceLookup:
-    """One lookup of a service and of its targets; raises what dnspython raises for an invalid name.
+    """One lookup of a service and of its targets.
 
     Args:
         name: The name of the service, `_service._proto.zone`.
         servers: The DNS servers to query.
+
+    Raises:
+        dns.exception.DNSException, UnicodeError: The name is invalid.
     """
 
     def __init__(self, name: str, servers: Iterable[Address]) -> None:
@@ -33,7 +36,7 @@
         self.known: list[RecordSetKnown] = []
 
     async def run(self, seconds: float) -> None:
-        """Queries until all record sets that the service needs are known, for `seconds` at most."""
+        """Queries for at most `seconds`, until all record sets that the service needs are known."""
         driver = ResolverDriver(self.resolver, Counters(), time.monotonic, self.known.append)
         driver_task = asyncio.ensure_future(driver.run())
         subscribed: set[tuple[dns.name.Name, RecordType]] = set()
--- a/paddlequay/cli/main.py
+++ b/paddlequay/cli/main.py
@@ -1,6 +1,7 @@
 """The command line `python -m paddlequay COMMAND`.
 
-Exit codes: 0 for success, 1 if an assertion of an experiment does not hold, 2 for wrong use.
+Exit codes: 0 for success, 1 if a lookup finds no members or an assertion of an experiment fails, 2 for
+errors.
 """
 
 import asyncio
@@ -19,7 +20,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 def cli() -> None:
-    """The edge router and what stands round it. Without a command: the router of the deploy file."""
+    """Run the edge router's tools. Without a command, the router itself runs, configured by environment."""
 
 
 def exit_with_error(error: Exception) -> NoReturn:
@@ -40,7 +41,7 @@
 
 
 def check_lines(file: Path) -> Iterator[str]:
-    """Yields the lines that describe a usable file; raises `ConfigError` for any other."""
+    """Yields the lines that describe a valid file; raises `ConfigError` if it is invalid."""
     from paddlequay.placement.checks import check_rules
     from paddlequay.schema.cluster import read_cluster
     from paddlequay.schema.discovery import read_discovery
@@ -70,7 +71,7 @@
 @cli.command()
 @click.argument("file", type=click.Path(path_type=Path))
 def tier(file: Path) -> None:
-    """Run a node in the middle of the hierarchy with the settings in FILE."""
+    """Run a tier node of the hierarchy with the settings in FILE."""
     from paddlequay.cli import logs
     from paddlequay.programs import tier as program
 
@@ -93,7 +94,7 @@
 
 
 def main() -> int:
-    """Runs the command line and prints errors of use; returns the exit code."""
+    """Runs the command line and prints usage errors; returns the exit code."""
     try:
         return run()
     except click.ClickException as error:
--- a/paddlequay/schema/__init__.py
+++ b/paddlequay/schema/__init__.py
@@ -1,1 +1,1 @@
-"""Settings files in protobuf text format: their schema, and readers that check every field."""
+"""Settings files in protobuf text format: the schema, and readers that validate every field."""
--- a/paddlequay/schema/cluster.py
+++ b/paddlequay/schema/cluster.py
@@ -1,4 +1,4 @@
-"""Reads the settings of a cluster of routers: acceptors of leases, time bounds, limits and channels."""
+"""Reads the settings of a router cluster: lease acceptors, time bounds, limits and channels."""
 
 import math
 from pathlib import Path
@@ -9,9 +9,9 @@
 from paddlequay.schema.text_settings import FieldChecker, parse_role
 
 MAX_LIMITS = 64
-MAX_ACCEPTORS = 9  # each lease costs datagrams to all; five failures at once are unlikely already
+MAX_ACCEPTORS = 9  # a lease sends datagrams to every acceptor, and 5 of 9 are unlikely to fail at once
 MAX_RATE_PER_S = 1e6
-MAX_MATCH_SIZE = 200  # characters
+MAX_MATCH_CHARS = 200
 SCOPES = {
     schema.Limit.CLASS: LimitScope.CLASS,
     schema.Limit.TENANT: LimitScope.TENANT,
@@ -30,14 +30,14 @@
     acceptors = read_acceptors(cluster, checker)
     bounds = read_bounds(cluster.bounds, checker)
     if len(cluster.limit) > MAX_LIMITS:
-        raise checker.error("cluster.limit", f"at most {MAX_LIMITS}, got {len(cluster.limit)}")
+        raise checker.error("cluster.limit", f"expected at most {MAX_LIMITS}, got {len(cluster.limit)}")
     checker.unique_names((limit.name for limit in cluster.limit), "cluster.limit.name")
     limits = tuple(read_limit(limit, f"cluster.limit[{n}]", checker) for n, limit in enumerate(cluster.limit))
     channels = read_channels(cluster.channels, checker) if cluster.HasField("channels") else None
     if (limits or channels or cluster.rules) and not acceptors:
-        raise checker.error("cluster.acceptor", "limits, channels and rules need leases, and they acceptors")
+        raise checker.error("cluster.acceptor", "limits, channels and rules use leases, which need acceptors")
     if "\0" in cluster.rules:
-        raise checker.error("cluster.rules", "expected a path, got one with a NUL character")
+        raise checker.error("cluster.rules", "expected a path without NUL characters")
     return ClusterSettings(
         name=cluster.name,
         acceptors=acceptors,
@@ -54,10 +54,10 @@
 
 
 def read_acceptors(cluster: schema.Cluster, checker: FieldChecker) -> tuple[int, ...]:
-    """Returns the numbers of the routers that vote on leases: none, or an odd number of them."""
+    """Returns the numbers of the routers that vote on leases: an odd count of them, or none."""
     acceptors = tuple(cluster.acceptor)
     if len(set(acceptors)) < len(acceptors):
-        raise checker.error("cluster.acceptor", "a number stands there twice")
+        raise checker.error("cluster.acceptor", "expected each number once")
     if len(acceptors) > MAX_ACCEPTORS or (acceptors and len(acceptors) % 2 == 0):
         raise checker.error("cluster.acceptor", f"expected 1, 3, 5, 7 or 9 numbers, got {len(acceptors)}")
     if any(number >= MAX_PEERS for number in acceptors):
@@ -66,7 +66,7 @@
 
 
 def read_bounds(message: schema.ClusterBounds, checker: FieldChecker) -> ClusterBounds:
-    """Returns the time bounds that all routers share; a grant must not outlast the lease it comes from."""
+    """Returns the time bounds, the same at all routers; a grant must not outlast the lease that backs it."""
     default = ClusterBounds()
 
     def between(field: str, default_value: float, lowest: float, highest: float) -> float:
@@ -88,25 +88,29 @@
 
 
 def read_limit(message: schema.Limit, where: str, checker: FieldChecker) -> LimitRule:
-    """Returns one limit: a rate with its burst, or a number of requests in flight."""
-    if not message.match or len(message.match) > MAX_MATCH_SIZE:
-        raise checker.error(f"{where}.match", 'expected what it is for, or "*"', message.match)
+    """Returns one limit: either a rate with its burst, or a maximum of requests in flight."""
+    if not message.match or len(message.match) > MAX_MATCH_CHARS:
+        raise checker.error(
+            f"{where}.match", f'expected a text of 1 to {MAX_MATCH_CHARS} characters, or "*"', message.match
+        )
     for field, known in (("by", SCOPES), ("mode", MODES)):
         value = getattr(message, field)
         if value not in known:
-            raise checker.error(f"{where}.{field}", f"expected a name of the schema, got {value}", str(value))
+            raise checker.error(
+                f"{where}.{field}", f"expected a name that the schema defines, got {value}", str(value)
+            )
     scope = SCOPES[message.by]
-    whole = message.match.isdecimal() and str(int(message.match)) == message.match
-    if scope is LimitScope.GROUP and message.match != "*" and not whole:
+    is_number = message.match.isdecimal() and str(int(message.match)) == message.match
+    if scope is LimitScope.GROUP and message.match != "*" and not is_number:
         raise checker.error(
             f"{where}.match", f"expected a group's number, got {message.match!r}", message.match
         )
     if bool(message.rate) == bool(message.at_once):
         raise checker.error(f"{where}.rate", f"{message.name}: expected either rate or at_once")
     if message.at_once and message.burst:
-        raise checker.error(f"{where}.burst", f"{message.name}: goes with rate only")
+        raise checker.error(f"{where}.burst", f"{message.name}: burst is only allowed with rate")
     if message.over and message.mode != schema.Limit.OPEN:
-        raise checker.error(f"{where}.over", f"{message.name}: goes with mode OPEN only")
+        raise checker.error(f"{where}.over", f"{message.name}: over is only allowed with mode OPEN")
     rate = checker.between(message.rate, f"{where}.rate", 0.0, 0.001, MAX_RATE_PER_S)
     return LimitRule(
         name=message.name,
@@ -122,7 +126,7 @@
 
 
 def read_channels(message: schema.Channels, checker: FieldChecker) -> ChannelRule:
-    """Returns which request classes form channels, and how channels are spread."""
+    """Returns which request classes form channels, and how channels are distributed over routers."""
     classes = tuple(getattr(message, "class"))
     if not classes:
         raise checker.error("cluster.channels.class", "expected at least one class")
--- a/paddlequay/schema/discovery.py
+++ b/paddlequay/schema/discovery.py
@@ -1,4 +1,4 @@
-"""Reads the settings of discovery: the sources of members, in their order, and how far each is trusted."""
+"""Reads the settings of discovery: the member sources by precedence, and how far each one is trusted."""
 
 import re
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 MAX_SERVICES = 64
 MAX_SERVERS = 8
-MAX_NAMING_SIZE = 200  # characters of a pattern for names
+MAX_NAMING_CHARS = 200
 MIN_SERVICE_LABELS = 3  # _service._proto.zone
 SOURCES = {schema.Source.BULLETIN: "list", schema.Source.DNS: "dns", schema.Source.KEPT: "kept"}
 ADDRESS_FAMILIES = ("", "v4", "v6", "both")
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoverySettings:
-    """The settings of discovery; `folder` is where members are saved, None if they are not."""
+    """The settings of discovery; members are saved in `folder`, or not at all if it is None."""
 
     rules: tuple[SourceRule, ...]
     servers: tuple[Address, ...]
@@ -55,13 +55,13 @@
 
 
 def read_sources(discovery: schema.Discovery, checker: FieldChecker) -> tuple[SourceRule, ...]:
-    """Returns the rules of the sources, each type once."""
+    """Returns the rules of the sources; each type may occur once."""
     rules: list[SourceRule] = []
     for index, source in enumerate(discovery.source):
         where = f"discovery.source[{index}]"
         name = SOURCES[source.type]
         if name in {rule.name for rule in rules}:
-            raise checker.error(f"{where}.type", "stands there twice")
+            raise checker.error(f"{where}.type", "this type of source is listed more than once")
         retain_for = checker.positive(source.keep_s, f"{where}.keep_s", 300.0)
         silent_after = checker.positive(source.silent_s, f"{where}.silent_s", 10.0)
         rules.append(SourceRule(name, not source.only_drains, retain_for, silent_after))
@@ -69,19 +69,21 @@
 
 
 def check_sources(discovery: schema.Discovery, rules: tuple[SourceRule, ...], checker: FieldChecker) -> None:
-    """Checks that the sources have what they need, and that nothing is given without its source."""
+    """Checks that each source has the settings it needs, and that no settings lack their source."""
     names = {rule.name for rule in rules}
     if not any(rule.adds and rule.name != "kept" for rule in rules):
-        raise checker.error("discovery.source", "expected one that takes members in")
+        raise checker.error("discovery.source", "expected at least one source besides KEPT that adds members")
     uses_dns = "dns" in names
     if uses_dns != bool(discovery.service) or uses_dns != bool(discovery.server):
-        why = "a source of type DNS needs services and servers, and they it"
+        why = "a source of type DNS, services and servers are only allowed together"
         raise checker.error("discovery.service", why)
     if ("kept" in names) != bool(discovery.folder):
-        why = "a source of type KEPT needs a folder, and a folder needs it"
+        why = "a source of type KEPT and a folder are only allowed together"
         raise checker.error("discovery.folder", why)
     if len(discovery.service) > MAX_SERVICES or len(discovery.server) > MAX_SERVERS:
-        raise checker.error("discovery", f"at most {MAX_SERVICES} services and {MAX_SERVERS} servers")
+        raise checker.error(
+            "discovery", f"expected at most {MAX_SERVICES} services and {MAX_SERVERS} servers"
+        )
 
 
 def read_server(text: str, checker: FieldChecker) -> Address:
@@ -93,7 +95,7 @@
 
 
 def read_mass_removal(message: schema.MassRemoval, checker: FieldChecker) -> MembershipLimits:
-    """Returns the limits of the membership; only those of mass removals can be set."""
+    """Returns the membership limits; only those for mass removals can be configured."""
     return MembershipLimits(
         mass_share=checker.positive(message.share, "discovery.mass_removal.share", 0.3, 1.0),
         mass_window=checker.positive(message.window_s, "discovery.mass_removal.window_s", 10.0),
@@ -106,7 +108,7 @@
     try:
         name = dns.name.from_text(message.name)
     except (dns.exception.DNSException, UnicodeError) as error:
-        why = f"no name of DNS: {type(error).__name__}"
+        why = f"invalid DNS name: {type(error).__name__}"
         raise checker.error(f"{where}.name", why, message.name) from None
     if len(name.labels) < MIN_SERVICE_LABELS:
         why = f"expected _service._proto.zone, got {message.name!r}"
@@ -121,11 +123,15 @@
 
 
 def read_naming(pattern: str, field: str, checker: FieldChecker) -> re.Pattern[str]:
-    """Returns the pattern by which names of targets give zone, cell and kind."""
+    """Returns the pattern that extracts zone, cell and kind from the names of targets."""
     try:
         naming = re.compile(pattern)
     except re.error as error:
         raise checker.error(field, f"{error}", pattern) from None
-    if len(pattern) > MAX_NAMING_SIZE or not set(naming.groupindex) <= NAMING_GROUPS:
-        raise checker.error(field, "expected groups named zone, cell, kind only", pattern)
+    if len(pattern) > MAX_NAMING_CHARS or not set(naming.groupindex) <= NAMING_GROUPS:
+        raise checker.error(
+            field,
+            f"expected at most {MAX_NAMING_CHARS} characters, and only groups named zone, cell, kind",
+            pattern,
+        )
     return naming
--- a/paddlequay/schema/tier.py
+++ b/paddlequay/schema/tier.py
@@ -1,4 +1,4 @@
-"""Reads the settings of a node in the hierarchy of caches."""
+"""Reads the settings of a tier node in the cache hierarchy."""
 
 import math
 from dataclasses import dataclass
@@ -20,15 +20,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TierSettings:
-    """The settings of one node.
+    """The settings of one tier node.
 
     Attributes:
         name: The node's own name.
         group: The group of nodes that it belongs to.
-        listen: Where it serves fills.
-        console: Where it serves operators; None for no console.
-        feed: Where it follows the topology.
-        folder: Where it saves its state; None to save nothing.
+        listen: The address on which it serves fills.
+        console: The address of its operators' console; None for no console.
+        feed: The address of the topology feed that it follows.
+        folder: The folder in which it saves its state; None to save nothing.
         sockets: The limit on open descriptors.
         cores: The processor cores that it may use.
     """
@@ -78,7 +78,7 @@
 
 
 def read_classes(tier: schema.Tier, checker: FieldChecker) -> tuple[RequestClass, ...]:
-    """Returns the request classes, each with a name of its own."""
+    """Returns the request classes; their names must be unique."""
     messages = getattr(tier, "class")
     if not messages:
         raise checker.error("tier.class", "expected at least one class")
@@ -87,14 +87,14 @@
         where = f"tier.class[{index}]"
         if not message.name or message.name in {each.name for each in classes}:
             raise checker.error(
-                f"{where}.name", f"expected a name of its own, got {message.name!r}", message.name
+                f"{where}.name", f"expected a unique name, got {message.name!r}", message.name
             )
         classes.append(read_class(message, where, checker))
     return tuple(classes)
 
 
 def read_class(message: schema.Class, where: str, checker: FieldChecker) -> RequestClass:
-    """Returns one request class: deadlines above 0, lifetimes of 0 or more."""
+    """Returns one request class; its deadlines must be above 0, its lifetimes 0 or more."""
     for name in ("aim_s", "deadline_s"):
         value = getattr(message, name)
         if not 0 < value < math.inf:
@@ -114,7 +114,7 @@
 
 
 def read_keys(tier: schema.Tier, checker: FieldChecker, folder: Path) -> tuple[SigningKey, ...]:
-    """Returns the keys that sign fill paths, read from their files."""
+    """Returns the keys that sign fill paths; reads their secrets from files."""
     keys: list[SigningKey] = []
     for index, message in enumerate(tier.hop_key):
         where = f"tier.hop_key[{index}]"
@@ -129,15 +129,15 @@
         except FillPathError as error:
             raise checker.error(f"{where}.id", str(error), message.id) from None
     if len({key.id for key in keys}) < len(keys):
-        raise checker.error("tier.hop_key", "two keys with one id")
+        raise checker.error("tier.hop_key", "expected keys with different ids")
     return tuple(keys)
 
 
 def read_slow_start(tier: schema.Tier, checker: FieldChecker) -> SlowStart:
-    """Returns the slow start of restarted nodes; none if the settings leave it out."""
+    """Returns the slow start of restarted nodes; without slow start if the settings have no `cold`."""
     cold = tier.cold
     if not 0 <= cold.start <= 1:
-        raise checker.error("tier.cold.start", f"expected a share up to 1, got {cold.start:g}")
+        raise checker.error("tier.cold.start", f"expected a share from 0 to 1, got {cold.start:g}")
     if not tier.HasField("cold"):
         return SlowStart()
     return SlowStart(
@@ -149,7 +149,7 @@
 
 
 def read_migration(message: schema.Moves, checker: FieldChecker) -> MigrationLimits:
-    """Returns the limits of migrations between homes."""
+    """Returns the limits on migrations of objects between homes."""
     return MigrationLimits(
         earlier_home_s=checker.positive(message.window_s, "tier.moves.window_s", 60.0),
         claim_s=checker.positive(message.claim_s, "tier.moves.claim_s", 10.0),
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -270,11 +270,15 @@
     [
         ("SERVER", "nowhere", ":4: discovery.server: expected host:port"),
         ('kind: "box"', "", "discovery.service[0].kind: is missing"),
-        ("_box._tcp.plaza.example", "a..b", ":5: discovery.service[0].name: no name of DNS"),
-        ("type: BULLETIN", "type: DNS", "stands there twice"),
+        ("_box._tcp.plaza.example", "a..b", ":5: discovery.service[0].name: invalid DNS name"),
+        ("type: BULLETIN", "type: DNS", "this type of source is listed more than once"),
         ("silent_s: 2", "silent_s: -2", "discovery.source[1].silent_s: expected a number above 0, got -2"),
         ('zone: "here"', 'naming: "("', "discovery.service[0].naming:"),
-        ('zone: "here"', 'naming: "(?P<x>a)"', "expected groups named zone, cell, kind only"),
+        (
+            'zone: "here"',
+            'naming: "(?P<x>a)"',
+            "expected at most 200 characters, and only groups named zone, cell, kind",
+        ),
         ("type: DNS", "type: DNS only_drains: true", "can be used"),
         ("type: BULLETIN", "type: NOTHING", ":2:"),
     ],
