--- a/paddlequay/lab/limit_search.py
+++ b/paddlequay/lab/limit_search.py
@@ -13,7 +13,7 @@
 from paddlequay.cluster.fleet_limits import FleetLimits
 from paddlequay.cluster.settings import LimitRule, LimitScope, PartitionMode
 from paddlequay.lab.limit_guards import WITHOUT_GUARD
-from paddlequay.lab.limit_world import LimitWorld, SimulatedRouter
+from paddlequay.lab.limit_world import LimitRouter, LimitWorld
 
 WORLD_S = 12.0
 FAULTS_PER_S = 3.0
@@ -74,7 +74,7 @@
             case 1:
                 self._split()
             case 2:
-                router.loss = self.rng.choice((0.0, 0.3, 0.7))
+                router.loss_ratio = self.rng.choice((0.0, 0.3, 0.7))
                 router.extra_delay_s = self.rng.choice((0.0, 0.3, 0.7))
             case 3:
                 self.world.stall(router, self.rng.choice((0.1, 0.5, 0.8, 2.0, 4.0)))
@@ -90,7 +90,7 @@
                 self._change_demand()
         if self.rng.random() < 0.5:
             self.world.surge(self.rng.choice((4, SURGE_REQUESTS)))
-            self.world.at(self.world.now + self.rng.random() * 0.7, self._surge)
+            self.world.schedule(self.world.now + self.rng.random() * 0.7, self._surge)
 
     def _surge(self) -> None:
         self.world.surge(SURGE_REQUESTS)
@@ -99,16 +99,16 @@
         heal(self.world)
 
     def _heal_later(self) -> None:
-        self.world.at(self.world.now + self.rng.choice((1.0, 2.5, 4.0)), self._heal)
+        self.world.schedule(self.world.now + self.rng.choice((1.0, 2.5, 4.0)), self._heal)
 
     def _isolate_all(self) -> None:
         for router in self.world.routers:
-            router.side = router.me
+            router.partition_side = router.me
         self._heal_later()
 
     def _split(self) -> None:
         for router in self.world.routers:
-            router.side = self.rng.randrange(2)
+            router.partition_side = self.rng.randrange(2)
         self._heal_later()
 
     def _restart_half_after_a_surge(self) -> None:
@@ -116,9 +116,9 @@
         world = self.world
         self._surge()
         for router in self.rng.sample(world.routers, max(1, len(world.routers) // 2)):
-            world.at(world.now + 0.02, partial(world.start, router))
+            world.schedule(world.now + 0.02, partial(world.start, router))
         for wait_s in (0.04, 0.1, 0.2):
-            world.at(world.now + wait_s, self._surge)
+            world.schedule(world.now + wait_s, self._surge)
 
     def _stall_holders(self) -> None:
         """Stalls the holders: their grants stay valid while others take over."""
@@ -127,20 +127,22 @@
             holder = world.routers[record.holder]
             world.stall(holder, 2.0)
             if self.rng.random() < 0.5:
-                world.at(world.now + self.rng.random() * 2, partial(world.start, holder))
+                world.schedule(world.now + self.rng.random() * 2, partial(world.start, holder))
 
     def _change_links(self) -> None:
-        self.world.loss, self.world.duplicates = self.rng.choice(((0.0, 0.0), (0.1, 0.1), (0.4, 0.3)))
-        self.world.long_delays = self.rng.choice((0.0, 0.02, 0.2))
+        self.world.loss_ratio, self.world.duplicate_ratio = self.rng.choice(
+            ((0.0, 0.0), (0.1, 0.1), (0.4, 0.3))
+        )
+        self.world.long_delay_ratio = self.rng.choice((0.0, 0.02, 0.2))
 
-    def _isolate_the_busiest(self, other: SimulatedRouter) -> None:
+    def _isolate_the_busiest(self, other: LimitRouter) -> None:
         """Isolates the busiest router, whose messages were late, while another needs its quota."""
         world = self.world
         busiest = max(world.routers, key=lambda each: each.demand_per_s)
         busiest.extra_delay_s = self.rng.choice((0.0, 0.5))
         other.demand_per_s = max(other.demand_per_s, busiest.demand_per_s, 40.0)
-        world.at(world.now + 0.3, lambda: setattr(busiest, "side", ISOLATED_SIDE))
-        world.at(world.now + 2.5, self._heal)
+        world.schedule(world.now + 0.3, lambda: setattr(busiest, "partition_side", ISOLATED_SIDE))
+        world.schedule(world.now + 2.5, self._heal)
 
     def _change_demand(self) -> None:
         """Demands more than the limit, at few routers: others still have the quotas."""
@@ -154,7 +156,7 @@
 def heal(world: LimitWorld) -> None:
     """Ends partitions and extra delays."""
     for router in world.routers:
-        router.side = 0
+        router.partition_side = 0
         router.extra_delay_s = 0.0
 
 
@@ -172,7 +174,7 @@
     fault_at = 0.0
     while fault_at < WORLD_S:
         fault_at += rng.expovariate(FAULTS_PER_S)
-        world.at(fault_at, disturbance.next_fault)
+        world.schedule(fault_at, disturbance.next_fault)
     return world.run(WORLD_S)
 
 
--- a/paddlequay/lab/limit_world.py
+++ b/paddlequay/lab/limit_world.py
@@ -1,7 +1,8 @@
-"""A fleet's limits under faults: routers with clocks of their own, late and lost messages, stalls, restarts.
+"""A simulation of fleet limits under faults: clock drift, late and lost messages, stalls and restarts.
 
-Seeded and driven by events. The lease is a stand-in: one holder at a time in true time, each of which
-believes so for less. What was admitted is judged from outside, in true time and without a look at any ledger.
+The simulation is event-driven and seeded. Leases are simulated, not negotiated: at each instant of true time
+a lease has at most one holder, which considers it expired before its true end. `LimitAudit` checks the
+admitted requests in true time, without reading the routers' own ledgers.
 """
 
 import heapq
@@ -28,14 +29,14 @@
 
 REQUEST_KEYS = ((LimitScope.CLASS, "c"), (LimitScope.TENANT, "t"), (LimitScope.SOURCE, "s"))
 LEASE_CHECK_S = 0.1
-IDLE_CHECK_S = 0.05  # after which a router without demand looks whether it has some
+IDLE_CHECK_S = 0.05  # interval at which a router without demand checks whether it has got any
 USUAL_DELAY_S = 0.01
 LONG_DELAY_S = 2.5
 
 
 @dataclass(frozen=True, slots=True)
 class HeldLease:
-    """A lease that a process believes to hold, until a moment of its clock."""
+    """A lease that a process believes it holds, until a time of its own clock."""
 
     term: int
     until: float
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRecord:
-    """The true holder of a lease, until a moment of true time."""
+    """The true holder of a lease, until a point of true time."""
 
     holder: Peer
     incarnation: int
@@ -58,25 +59,25 @@
 
 
 @dataclass(slots=True)
-class SimulatedRouter:
+class LimitRouter:
     """A router's machine, and the process that runs on it.
 
     Attributes:
-        clock_rate: Of its clock to true time.
-        offset: Of its clock at the true time 0.
-        stalled_until: True time; the process does nothing before.
-        demand_per_s: Requests that arrive.
-        duration_s: How long a request lasts at most.
-        next_tick_at: True time; below 0 where none is scheduled.
-        side: Routers of different sides cannot reach each other.
-        loss: The share of its messages that are lost, either way.
-        extra_delay_s: By how much messages to it are late at most.
-        admitted: Requests that it has admitted.
+        clock_rate: Seconds of its clock in a true second.
+        clock_offset_s: The time of its clock at true time 0.
+        stalled_until: The true time until which the process is stalled.
+        demand_per_s: The rate at which requests arrive.
+        duration_s: The longest time that a request takes.
+        next_tick_at: The true time of the next tick; negative if none is scheduled.
+        partition_side: The side of a network partition; routers on different sides cannot reach each other.
+        loss_ratio: The share of messages to and from the router that are lost.
+        extra_delay_s: The longest additional delay of messages to the router.
+        admitted: The number of requests that it has admitted.
     """
 
     me: Peer
     clock_rate: float
-    offset: float
+    clock_offset_s: float
     limits: FleetLimits = field(init=False)
     incarnation: int = 0
     stalled_until: float = 0.0
@@ -84,30 +85,30 @@
     duration_s: float = 0.3
     leases: dict[NameDigest, HeldLease] = field(default_factory=dict)
     next_tick_at: float = -1.0
-    side: int = 0
-    loss: float = 0.0
+    partition_side: int = 0
+    loss_ratio: float = 0.0
     extra_delay_s: float = 0.0
     admitted: int = 0
 
     def clock(self, true_time: float) -> float:
-        """Returns what its clock shows at a true time."""
-        return self.offset + self.clock_rate * true_time
+        """Returns the time of its clock at a true time."""
+        return self.clock_offset_s + self.clock_rate * true_time
 
     def held_term(self, lease: NameDigest, now: float) -> int | None:
-        """Returns the term under which the process believes to hold a lease at a moment of its clock."""
+        """Returns the term under which the process believes it holds a lease at a time of its clock."""
         held = self.leases.get(lease, NOT_HELD)
         return held.term if now < held.until else None
 
 
-Link = Callable[[SimulatedRouter, SimulatedRouter, SendMessage], float | None]
+LinkDelay = Callable[[LimitRouter, LimitRouter, SendMessage], float | None]
 
 
 class SimulatedLeases:
-    """Stands in for the leases: one holder at a time in true time, on a side with a majority only.
+    """Simulates the leases: each has at most one holder in true time, on a partition side with a majority.
 
     Attributes:
-        records: The true holders, by lease.
-        first_holder: The router that acquires the leases first, None for a drawn one.
+        records: The true holder of each lease.
+        first_holder: The router that acquires the leases first, None for a random one.
     """
 
     def __init__(self, world: "LimitWorld") -> None:
@@ -117,19 +118,19 @@
         self._term = 0
 
     def renew(self) -> None:
-        """Renews leases, or gives those that have run out to others; schedules itself again."""
+        """Renews leases, or assigns expired ones to another router; then schedules the next renewal."""
         world = self.world
-        world.at(world.now + LEASE_CHECK_S, self.renew)
-        sides = Counter(router.side for router in world.routers)
+        world.schedule(world.now + LEASE_CHECK_S, self.renew)
+        sides = Counter(router.partition_side for router in world.routers)
         eligible = [
             router
             for router in world.routers
-            if router.stalled_until <= world.now and sides[router.side] * 2 > len(world.routers)
+            if router.stalled_until <= world.now and sides[router.partition_side] * 2 > len(world.routers)
         ]
         for lease in world.routers[0].limits.leases:
             self._renew_one(lease, eligible)
 
-    def _renew_one(self, lease: NameDigest, eligible: list[SimulatedRouter]) -> None:
+    def _renew_one(self, lease: NameDigest, eligible: list[LimitRouter]) -> None:
         record = self.records.get(lease, NO_HOLDER)
         term = record.term
         holders = [
@@ -147,10 +148,8 @@
         for router in holders:
             self._hold(lease, router, term, eligible)
 
-    def _hold(
-        self, lease: NameDigest, router: SimulatedRouter, term: int, eligible: list[SimulatedRouter]
-    ) -> None:
-        """Lets a router hold a lease for its whole length, and tells the others of a new holder."""
+    def _hold(self, lease: NameDigest, router: LimitRouter, term: int, eligible: list[LimitRouter]) -> None:
+        """Has a router hold a lease for its full duration; most other routers observe a new holder."""
         bounds = self.world.bounds
         now = router.clock(self.world.now)
         is_new = router.leases.get(lease, NOT_HELD).term != term
@@ -168,17 +167,17 @@
 
 
 class LimitWorld:
-    """A fleet, its load and its faults.
+    """A simulated fleet with its limits, its load and its faults.
 
     Args:
-        seed: Of all draws.
+        seed: The seed of all random draws.
         size: The number of routers.
         rules: The limits.
-        kind: The limits' class, the product's or one without a guard.
-        clock_error: The most by which clocks run fast or slow.
-        max_request_s: As `FleetLimits` takes it.
-        slot_grant_extension_s: As `FleetLimits` takes it.
-        fast_ratio: As `FleetLimits` takes it.
+        limits_class: `FleetLimits`, or a subclass of it that lacks a guard.
+        clock_error: The largest deviation of a clock's rate from 1.
+        max_request_s: Passed to `FleetLimits`.
+        slot_grant_extension_s: Passed to `FleetLimits`.
+        fast_ratio: Passed to `FleetLimits`.
     """
 
     def __init__(
@@ -186,7 +185,7 @@
         seed: int,
         size: int,
         rules: tuple[LimitRule, ...],
-        kind: type[FleetLimits] = FleetLimits,
+        limits_class: type[FleetLimits] = FleetLimits,
         clock_error: float = 0.05,
         max_request_s: float = 1.0,
         slot_grant_extension_s: float = 0.0,
@@ -194,36 +193,36 @@
     ) -> None:
         self.rng = random.Random(seed)
         self.rules = rules
-        self.kind = kind
+        self.limits_class = limits_class
         self.max_request_s = max_request_s
         self.slot_grant_extension_s = slot_grant_extension_s
         self.fast_ratio = fast_ratio
         self.bounds = ClusterBounds()
         self.now = 0.0
         self.steps = 0
-        self.loss = 0.0
-        self.duplicates = 0.0
-        self.long_delays = 0.02  # the share of messages that are late by up to `LONG_DELAY_S`
-        self.link: Link = self.draw_delay
+        self.loss_ratio = 0.0
+        self.duplicate_ratio = 0.0
+        self.long_delay_ratio = 0.02  # share of messages with a delay of up to `LONG_DELAY_S`
+        self.link_delay: LinkDelay = self.draw_delay
         self.audits = {rule.name: LimitAudit(rule) for rule in rules}
         self.leases = SimulatedLeases(self)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
         self.routers = [
-            SimulatedRouter(me, 1 + self.rng.uniform(-clock_error, clock_error), self.rng.uniform(0, 1e4))
+            LimitRouter(me, 1 + self.rng.uniform(-clock_error, clock_error), self.rng.uniform(0, 1e4))
             for me in range(size)
         ]
         for router in self.routers:
             self.start(router, is_first_process=True)
-            self.at(self.rng.random() * 0.01, partial(self.arrive, router))
-        self.at(0.0, self.leases.renew)
+            self.schedule(self.rng.random() * 0.01, partial(self.arrive, router))
+        self.schedule(0.0, self.leases.renew)
 
-    def at(self, when: float, call: Callable[[], None]) -> None:
+    def schedule(self, when: float, call: Callable[[], None]) -> None:
         """Schedules a call at a true time."""
         heapq.heappush(self._events, (max(when, self.now), next(self._order), call))
 
     def run(self, until: float) -> "LimitWorld":
-        """Runs until a true time; returns itself."""
+        """Runs the events until a true time, and returns the world."""
         while self._events and self._events[0][0] <= until:
             self.now, _, call = heapq.heappop(self._events)
             self.steps += 1
@@ -231,15 +230,13 @@
         self.now = until
         return self
 
-    # --- processes ---
-
-    def start(self, router: SimulatedRouter, is_first_process: bool = False) -> None:
-        """Starts a process in place of the one before, whose requests may stay in flight."""
+    def start(self, router: LimitRouter, is_first_process: bool = False) -> None:
+        """Starts a new process in place of the former one, whose requests may still be in flight."""
         router.incarnation += 1
         router.leases = {}
         router.stalled_until = 0.0
         router.next_tick_at = -1.0
-        router.limits = self.kind(
+        router.limits = self.limits_class(
             Fleet(router.me, len(self.routers)),
             self.bounds,
             self.rules,
@@ -252,35 +249,33 @@
             fast_ratio=self.fast_ratio,
         )
 
-    def stall(self, router: SimulatedRouter, seconds: float) -> None:
-        """Stops a process for a while."""
+    def stall(self, router: LimitRouter, seconds: float) -> None:
+        """Stalls a process for a number of true seconds."""
         router.stalled_until = max(router.stalled_until, self.now + seconds)
 
-    def _is_running(self, router: SimulatedRouter, call: Callable[[], None]) -> bool:
-        """Returns whether the process runs; else schedules the call for when it continues."""
+    def _is_running(self, router: LimitRouter, call: Callable[[], None]) -> bool:
+        """Returns whether the process runs; if not, schedules the call for the end of the stall."""
         if router.stalled_until > self.now:
-            self.at(router.stalled_until + self.rng.random() * 0.002, call)
+            self.schedule(router.stalled_until + self.rng.random() * 0.002, call)
             return False
         return True
 
-    # --- load ---
-
-    def arrive(self, router: SimulatedRouter) -> None:
-        """Has a request arrive at a router, and schedules the next one."""
+    def arrive(self, router: LimitRouter) -> None:
+        """Sends a request to a router if it has demand, and schedules the next arrival."""
         if not self._is_running(router, partial(self.arrive, router)):
             return
         wait = self.rng.expovariate(router.demand_per_s) if router.demand_per_s else IDLE_CHECK_S
-        self.at(self.now + wait, partial(self.arrive, router))
+        self.schedule(self.now + wait, partial(self.arrive, router))
         if router.demand_per_s:
             self.request(router)
 
     def surge(self, per_router: int) -> None:
-        """Sends so many requests to every router at once: all that the fleet has tokens and slots for."""
+        """Sends `per_router` requests to each router within a millisecond, to use up its tokens and slots."""
         for router in self.routers * per_router:
-            self.at(self.now + self.rng.random() * 0.001, partial(self.request, router))
+            self.schedule(self.now + self.rng.random() * 0.001, partial(self.request, router))
 
-    def request(self, router: SimulatedRouter) -> None:
-        """Sends a request to a router; an admitted one ends by its time-out, or earlier."""
+    def request(self, router: LimitRouter) -> None:
+        """Sends a request to a router; an admitted request ends at its time-out or earlier."""
         if not self._is_running(router, partial(self.request, router)):
             return
         duration_s = router.duration_s
@@ -291,47 +286,41 @@
             true_duration_s = duration_s * self.rng.choice((0.2, 0.6, 1.0)) / router.clock_rate
             for audit in self.audits.values():
                 audit.add(self.now, self.now + true_duration_s)
-            self.at(self.now + true_duration_s, lambda: limits.release(answer, router.clock(self.now)))
+            self.schedule(self.now + true_duration_s, lambda: limits.release(answer, router.clock(self.now)))
         self._schedule_tick(router)
 
-    # --- time and messages ---
-
-    def _schedule_tick(self, router: SimulatedRouter) -> None:
-        due = (router.limits.due() - router.offset) / router.clock_rate
+    def _schedule_tick(self, router: LimitRouter) -> None:
+        due = (router.limits.due() - router.clock_offset_s) / router.clock_rate
         if due < float("inf") and not (self.now <= router.next_tick_at <= due):
             router.next_tick_at = max(due, self.now)
-            self.at(router.next_tick_at, partial(self._tick, router))
+            self.schedule(router.next_tick_at, partial(self._tick, router))
 
-    def _tick(self, router: SimulatedRouter) -> None:
+    def _tick(self, router: LimitRouter) -> None:
         if self._is_running(router, partial(self._tick, router)):
             router.next_tick_at = -1.0
             self._send(router, router.limits.tick(router.clock(self.now)))
             self._schedule_tick(router)
 
-    def _send(self, router: SimulatedRouter, actions: list[Action]) -> None:
+    def _send(self, router: LimitRouter, actions: list[Action]) -> None:
         for action in actions:
             assert isinstance(action, SendMessage)
             for other in self.routers:
                 is_receiver = action.to in (None, other.me) and other is not router
-                if not is_receiver or other.side != router.side:
+                if not is_receiver or other.partition_side != router.partition_side:
                     continue
-                for _ in range(2 if self.rng.random() < self.duplicates else 1):
-                    delay_s = self.link(router, other, action)
+                for _ in range(2 if self.rng.random() < self.duplicate_ratio else 1):
+                    delay_s = self.link_delay(router, other, action)
                     if delay_s is not None:
                         self._carry(router, other, action, delay_s)
 
-    def draw_delay(
-        self, router: SimulatedRouter, other: SimulatedRouter, action: SendMessage
-    ) -> float | None:
-        """Draws the delay of a message in seconds, None for a lost one."""
-        if self.rng.random() < max(self.loss, router.loss, other.loss):
+    def draw_delay(self, router: LimitRouter, other: LimitRouter, action: SendMessage) -> float | None:
+        """Draws the delay of a message in seconds; returns None if the message is lost."""
+        if self.rng.random() < max(self.loss_ratio, router.loss_ratio, other.loss_ratio):
             return None
-        max_delay_s = LONG_DELAY_S if self.rng.random() < self.long_delays else USUAL_DELAY_S
+        max_delay_s = LONG_DELAY_S if self.rng.random() < self.long_delay_ratio else USUAL_DELAY_S
         return self.rng.random() * max_delay_s + other.extra_delay_s * self.rng.uniform(0.5, 1)
 
-    def _carry(
-        self, router: SimulatedRouter, other: SimulatedRouter, action: SendMessage, delay_s: float
-    ) -> None:
+    def _carry(self, router: LimitRouter, other: LimitRouter, action: SendMessage, delay_s: float) -> None:
         sender = router.me
         incarnation = router.incarnation
 
@@ -342,4 +331,4 @@
                 self._send(other, answers)
                 self._schedule_tick(other)
 
-        self.at(self.now + delay_s, deliver)
+        self.schedule(self.now + delay_s, deliver)
--- a/paddlequay/lab/tables.py
+++ b/paddlequay/lab/tables.py
@@ -19,7 +19,7 @@
 
     def __init__(self, size: int, seed: int) -> None:
         self.world = TableWorld(size, seed, delay_s=(LINK_DELAY_S, LINK_DELAY_S))
-        self.world.loss = LOSS_RATIO
+        self.world.loss_ratio = LOSS_RATIO
         self.size = size
 
     def seconds_until(self, is_done: Callable[[], bool]) -> float:
--- a/tests/cluster/test_channels.py
+++ b/tests/cluster/test_channels.py
@@ -14,7 +14,7 @@
 from paddlequay.cluster.prefetch import ChannelDetector, DecayingRate, Prefetch, channel_id
 from paddlequay.cluster.settings import ChannelRule
 from paddlequay.cluster.types import Action, Fleet, PeerChanged, PeerState, SendMessage
-from paddlequay.lab.channel_world import BOUNDS, CACHE, World
+from paddlequay.lab.channel_world import BOUNDS, CACHE, ChannelWorld
 
 RULE = ChannelRule(("video",), bundles=8)
 MAX_GAP_S = BOUNDS.lease_s + 1.0
@@ -72,10 +72,10 @@
     assert not hints.channels
 
 
-def zone_with_one_owner(rule: ChannelRule, channels: int) -> tuple[World, list[int]]:
+def zone_with_one_owner(rule: ChannelRule, channels: int) -> tuple[ChannelWorld, list[int]]:
     """Returns a zone that all routers read and whose bundles router 4 owns, and the bundles with channels."""
     names = tuple(f"cam{number}" for number in range(channels))
-    world = World(3, names=names, rule=rule)
+    world = ChannelWorld(3, names=names, rule=rule)
     used_bundles = sorted({channel_id("here", name) % rule.bundles for name in names})
     world.readers = {4}
     assert world.run(20.0, lambda: all(world.owners(number) for number in used_bundles))
@@ -87,7 +87,7 @@
 
 def test_planned_handoffs_overlap_within_the_bound_and_never_have_three_owners() -> None:
     for seed in range(PLANNED_RUNS):
-        world = World(seed, loss_ratio=0.05 * (seed % 2))
+        world = ChannelWorld(seed, loss_ratio=0.05 * (seed % 2))
         owner = world.settle()
         world.apply(owner, world.processes[owner].channels.drain(world.processes[owner].clock))
         assert world.run(4.0, lambda world=world, owner=owner: world.has_moved_from(owner)), seed  # type: ignore[misc]
@@ -100,7 +100,7 @@
 
 def test_followers_find_the_new_owner_soon_after_a_handoff() -> None:
     for seed in range(20):
-        world = World(seed, delay_s=(0.001, 0.02))
+        world = ChannelWorld(seed, delay_s=(0.001, 0.02))
         owner = world.settle()
         world.apply(owner, world.processes[owner].channels.drain(world.processes[owner].clock))
         assert world.run(4.0, lambda world=world, owner=owner: world.has_moved_from(owner))  # type: ignore[misc]
@@ -111,7 +111,7 @@
         ), seed
 
 
-def assert_terms_grow(world: World) -> None:
+def assert_terms_grow(world: ChannelWorld) -> None:
     """Asserts that the tier accepts no fill under a lower term than that of an earlier fill."""
     for channel in {fill.prefetch.channel for fill in world.fills}:
         terms = [
@@ -122,11 +122,11 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_overlap_of_a_delayed_handoff_ends_by_the_previous_owners_clock(seed: int) -> None:
-    world = World(seed)
+    world = ChannelWorld(seed)
     owner = world.settle()
     others = set(range(5)) - {owner, 0, 1, 2}
     successor = min(others)
-    world.processes[owner].rate, world.processes[successor].rate = 0.95, 1.05
+    world.processes[owner].clock_rate, world.processes[successor].clock_rate = 0.95, 1.05
     for reader in set(range(5)) - {owner, successor}:
         world.processes[owner].channels.handle_event(
             PeerChanged(reader, 1, PeerState.SUSPECT), world.processes[owner].clock
@@ -163,7 +163,7 @@
 @pytest.mark.parametrize("failure", ["killed", "stopped", "cut off"])
 def test_a_lost_owner_is_replaced_without_overlap_within_a_lease_and_a_second(failure: str) -> None:
     for seed in range(UNPLANNED_RUNS // 3 + 1):
-        world = World(seed, delay_s=(0.001, 0.02))
+        world = ChannelWorld(seed, delay_s=(0.001, 0.02))
         owner = world.settle()
         process = world.processes[owner]
         process.dead, process.stopped = failure == "killed", failure == "stopped"
@@ -180,7 +180,7 @@
 
 
 def test_an_owner_that_dies_before_it_reports_a_fill_leaves_others_without_a_hint() -> None:
-    world = World(5)
+    world = ChannelWorld(5)
     owner = world.settle()
     process = world.processes[owner]
     world.before_report = lambda me: setattr(process, "dead", me == owner or process.dead)
@@ -199,7 +199,7 @@
 
 
 def test_an_owner_stopped_during_a_fill_writes_and_reports_nothing_under_its_old_term() -> None:
-    world = World(6)
+    world = ChannelWorld(6)
     owner = world.settle()
     process = world.processes[owner]
     prefetch = [fill for fill in world.fills if fill.router == owner][-1].prefetch
@@ -217,7 +217,7 @@
 
 
 def test_followers_receive_hints_and_ignore_reports_under_a_lower_term() -> None:
-    world = World(7)
+    world = ChannelWorld(7)
     owner = world.settle()
     prefetch = world.fills[-1].prefetch
     world.run(0.2)
@@ -401,7 +401,7 @@
 
 
 def test_router_that_does_not_own_the_bundle_answers_a_follower_with_a_denial() -> None:
-    world = World(11)
+    world = ChannelWorld(11)
     owner = world.settle()
     other = (owner + 1) % 5
     channels, now = world.processes[other].channels, world.processes[other].clock
--- a/tests/cluster/test_fleet_limits.py
+++ b/tests/cluster/test_fleet_limits.py
@@ -9,7 +9,7 @@
 from paddlequay.cluster.settings import LimitRule, LimitScope, PartitionMode
 from paddlequay.cluster.types import SendMessage
 from paddlequay.lab import limit_guards, limit_search
-from paddlequay.lab.limit_world import LimitWorld, SimulatedRouter
+from paddlequay.lab.limit_world import LimitRouter, LimitWorld
 
 RATE = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=100.0, burst=30.0, floor_ratio=0.0)
 SLOW = LimitRule("slow", LimitScope.CLASS, "c", rate_per_s=10.0, burst=30.0, floor_ratio=0.0)
@@ -27,7 +27,7 @@
     open_factor=1.2,
 )
 
-Link = Callable[[SimulatedRouter, SimulatedRouter, SendMessage], float | None]
+Link = Callable[[LimitRouter, LimitRouter, SendMessage], float | None]
 
 
 def make_world(
@@ -36,7 +36,7 @@
     """Makes a world with exact clocks and links without loss, in which router 0 holds the lease first."""
     world = LimitWorld(seed, size, (rule,), limits_class, clock_error=0.0, **options)
     world.leases.first_holder = 0
-    world.long_delays = 0.0
+    world.long_delay_ratio = 0.0
     return world
 
 
@@ -50,7 +50,7 @@
     """Makes a link that from now on loses all messages of one type from and to a router."""
     start = world.now
 
-    def link(router: SimulatedRouter, other: SimulatedRouter, send: SendMessage) -> float | None:
+    def link(router: LimitRouter, other: LimitRouter, send: SendMessage) -> float | None:
         if isinstance(send.message, message_type) and peer in (router.me, other.me) and world.now >= start:
             return None
         return grant_delay_s if isinstance(send.message, QuotaGrant) and other.me == peer else 0.001
@@ -61,11 +61,11 @@
 def delayed_grants(limits_class: type[FleetLimits], rule: LimitRule = RATE) -> LimitWorld:
     """Grants reach a router after half a second, and its later requests are lost; another needs the share."""
     world = make_world(limits_class, rule, 3)
-    world.link = (
+    world.link_delay = (
         lambda router, other, send: 0.5 if isinstance(send.message, QuotaGrant) and other.me == 1 else 0.001
     )
     set_demand(world, 0, 300, 0)
-    world.run(2.0).link = make_lossy_link(world, 1, QuotaRequest, grant_delay_s=0.5)
+    world.run(2.0).link_delay = make_lossy_link(world, 1, QuotaRequest, grant_delay_s=0.5)
     world.run(2.3)
     set_demand(world, 0, 300, 300)
     return world.run(4.0)
@@ -75,7 +75,7 @@
     """A router's share is reduced, and the grant that tells it so is lost."""
     world = make_world(limits_class, STEEP, 3)
     set_demand(world, 0, 4000, 0)
-    world.run(2.0).link = make_lossy_link(world, 1, QuotaGrant)
+    world.run(2.0).link_delay = make_lossy_link(world, 1, QuotaGrant)
     set_demand(world, 0, 4000, 4000)
     return world.run(3.0)
 
@@ -86,8 +86,8 @@
     set_demand(world, 0, 300, 0, 300, 0)
     world.run(2.0)
     for router in world.routers:
-        router.side = router.me // 2
-    world.routers[4].side = 1
+        router.partition_side = router.me // 2
+    world.routers[4].partition_side = 1
     world.run(6.0)
     limit_search.heal(world)
     return world.run(9.0)
@@ -101,7 +101,7 @@
             router.clock_rate = rate
         world.run(0.8)
         set_demand(world, 0, 4000, 0)
-        world.run(1.3).link = make_lossy_link(world, 1, QuotaRequest)
+        world.run(1.3).link_delay = make_lossy_link(world, 1, QuotaRequest)
         world.run(1.7 + step * 0.01)
         set_demand(world, 0, 4000, 4000)
         world.arrive(world.routers[2])
@@ -182,7 +182,7 @@
     """An isolated router has demand for requests that would end after its grant."""
     world = make_world(limits_class, SLOTS, 3)
     set_demand(world, 0, 100, duration_s=0.1)
-    world.run(2.0).link = make_lossy_link(world, 1, QuotaRequest)
+    world.run(2.0).link_delay = make_lossy_link(world, 1, QuotaRequest)
     set_demand(world, 0, 100, duration_s=1.0)
     world.run(2.2)
     set_demand(world, 0, 100, 100, duration_s=1.0)
@@ -196,7 +196,7 @@
     set_demand(world, 0, 300, 0, 300)
     world.routers[3].demand_per_s = 0
     world.run(2.0)
-    world.routers[1].side = 1
+    world.routers[1].partition_side = 1
     set_demand(world, 0, 300, 0, 300)
     return world.run(8.0)
 
@@ -258,7 +258,7 @@
     world.run(4.0)
     assert admitted_per_s(world, 2.0, 4.0) > 93
     for router in world.routers:
-        router.side = router.me
+        router.partition_side = router.me
     world.run(10.0)
     # Leases and grants have expired: each router uses its floor, a quarter of a fifth of the limit.
     assert 17 < admitted_per_s(world, 7.0, 10.0) <= 20
@@ -288,7 +288,7 @@
     """At most 5 % of the limit stays unused; filling slowed by the drift of `ClusterBounds` adds 4.8 %."""
     rule = LimitRule("rate", LimitScope.CLASS, "c", rate_per_s=400.0, burst=400.0)
     world = LimitWorld(3, 4, (rule,), clock_error=0.0, fast_ratio=fast_ratio)
-    world.long_delays = 0.0
+    world.long_delay_ratio = 0.0
     set_demand(world, 300, 40, 40, 300)
     world.run(6.0)
     set_demand(world, 40, 600, 40, 40)
@@ -314,7 +314,7 @@
         for peer in (4, 3, 2, 1):
             world.routers[peer].demand_per_s = 400
             world.run(world.now + 3.0)
-            world.routers[peer].side = peer
+            world.routers[peer].partition_side = peer
         world.run(world.now + 4.0)
         assert world.audits["open"].is_exceeded is is_exceeded
         if not is_exceeded:
--- a/tests/cluster/test_lease_search.py
+++ b/tests/cluster/test_lease_search.py
@@ -27,7 +27,9 @@
 def test_random_walks_find_the_fault_of_each_removed_guard(guard: str) -> None:
     report = search(20_000, SEARCH_START_SEEDS.get(guard, 1), guard, depth=0)
     assert report.faults, guard
-    assert ("go back" if guard.split()[0] in ("ballot", "clock", "floor") else "two hold") in report.faults[0]
+    assert (
+        "decreased" if guard.split()[0] in ("ballot", "clock", "floor") else "more than one holder"
+    ) in report.faults[0]
 
 
 @pytest.mark.parametrize(("guard", "starts_held"), [("majority", False), ("no overwriting of a lock", True)])
@@ -36,7 +38,7 @@
 ) -> None:
     report = Report()
     small_world(1, 5, report, starts_held, WITHOUT_GUARD[guard])
-    assert "two hold" in report.faults[0]
+    assert "more than one holder" in report.faults[0]
 
 
 def test_the_same_seed_gives_the_same_walks() -> None:
--- a/tests/cluster/test_leases.py
+++ b/tests/cluster/test_leases.py
@@ -175,7 +175,7 @@
         world.request(3, 1)
         world.request(4, 1)
         elapsed.append(seconds_until_held(world, 6.0, loss=0.3))
-        world.run(20.0, loss=0.3)
+        world.run(20.0, loss_ratio=0.3)
         terms += world.acquisitions
     assert max(elapsed) <= 2.0
     assert terms <= len(SEEDS) + 3  # in 600 seconds
--- a/tests/cluster/test_placement_epochs.py
+++ b/tests/cluster/test_placement_epochs.py
@@ -39,11 +39,11 @@
     rng = world.rng
     endpoints = rules = 1
     for _ in range(int(seconds)):
-        world.loss = rng.choice((0.0, 0.2, 0.5))
+        world.loss_ratio = rng.choice((0.0, 0.2, 0.5))
         kind_of_fault, me = rng.randrange(8), rng.randrange(5)
         if kind_of_fault == 0:
             others = [peer for peer in range(5) if rng.random() < 0.5]
-            world.part(others, [peer for peer in range(5) if peer not in others])
+            world.partition(others, [peer for peer in range(5) if peer not in others])
         elif kind_of_fault == 1:
             world.heal()
         elif kind_of_fault == 2:
@@ -59,7 +59,7 @@
             rules += 1
             world.change([peer for peer in range(5) if rng.random() < 0.6], rules, endpoints, within_s=1.0)
         world.run(rng.uniform(0.2, 1.8))
-    world.loss = 0.0
+    world.loss_ratio = 0.0
     world.run(2.0)
     world.change(range(5), rules, endpoints)
     world.run(0.01)
@@ -68,7 +68,7 @@
 
 
 def seconds_until_agreement(world: TableWorld) -> float | None:
-    digest = world.own[0].digest
+    digest = world.own_tables[0].digest
     return world.run(AGREEMENT_S, lambda: world.agree(digest=digest))
 
 
@@ -145,7 +145,7 @@
 
 def test_a_router_two_epochs_behind_skips_to_the_current_one_at_once() -> None:
     world = agreed_world(5, 2)
-    world.part([4], range(4))
+    world.partition([4], range(4))
     for endpoints in (2, 3):
         world.change(range(4), 1, endpoints)
         assert world.run(AGREEMENT_S, lambda: world.agree(range(4))) is not None
@@ -162,7 +162,7 @@
 def test_isolated_routers_keep_their_epoch_for_its_validity_and_then_use_none() -> None:
     world = agreed_world(9, 3)
     old, isolated = world.processes[8].in_use(), [6, 7, 8]
-    world.part(isolated, range(6))
+    world.partition(isolated, range(6))
     world.change(range(6), 2, 1, within_s=3.0)
     assert world.run(AGREEMENT_S, lambda: world.agree(range(6), digest_of(2, 1))) is not None
     world.run(10.0)
