--- a/paddlequay/lab/lease_guards.py
+++ b/paddlequay/lab/lease_guards.py
@@ -1,4 +1,4 @@
-"""Leases with one rule of the product taken out each: a search has to find the fault it prevents."""
+"""Variants of the leases that lack one guard each; the search must find the fault that it prevents."""
 
 from dataclasses import dataclass
 
@@ -12,15 +12,15 @@
 
 
 class CachedProcess(LeaseProcess):
-    """Does not ask at the moment of use, but believes its last event."""
+    """A process relies on its last event instead of asking for the lease at the moment of use."""
 
     def holds(self, lease: NameDigest) -> int | None:
-        """Returns the term of the last event."""
+        """Returns the term of the last event, None after the lease was lost."""
         return self.acquired.get(lease)
 
 
 class WithoutRestartDelay(Leases):
-    """A restarted acceptor votes at once."""
+    """A restarted acceptor votes without waiting for its restart delay."""
 
     class acceptor_class(LeaseAcceptor):  # noqa: N801
         def seconds_until_voting(self, now: float) -> float:
@@ -28,7 +28,7 @@
 
 
 class WithoutAcceptorDrift(Leases):
-    """An acceptor locks a lease for no longer than the holder counts true time."""
+    """An acceptor locks a lease without allowing for the drift of its own clock."""
 
     class acceptor_class(LeaseAcceptor):  # noqa: N801
         def lock_end(self, duration_s: float, now: float) -> float:
@@ -36,7 +36,7 @@
 
 
 class WithoutHolderDrift(Leases):
-    """A holder counts its lease by a clock that it takes for true."""
+    """A holder computes the end of its lease without allowing for the drift of its own clock."""
 
     class elections_class(Elections):  # noqa: N801
         def lease_end(self, sent_at: float, now: float) -> float:
@@ -44,7 +44,7 @@
 
 
 class CountingFromAnswer(Leases):
-    """A holder counts its lease from the answers of a majority."""
+    """A holder counts its lease from the answers of a majority instead of from before its request."""
 
     class elections_class(Elections):  # noqa: N801
         def lease_end(self, sent_at: float, now: float) -> float:
@@ -52,7 +52,7 @@
 
 
 class WithoutMajority(Leases):
-    """One acceptance is enough."""
+    """A bidder needs one acceptance instead of a majority."""
 
     class elections_class(Elections):  # noqa: N801
         def required_acceptances(self) -> int:
@@ -60,7 +60,7 @@
 
 
 class WithoutBallotCheck(Leases):
-    """An acceptor accepts any ballot."""
+    """An acceptor accepts a proposal of any ballot, whatever it has promised."""
 
     class acceptor_class(LeaseAcceptor):  # noqa: N801
         def may_accept(self, vote: Vote, message: Propose, now: float) -> bool:
@@ -68,7 +68,7 @@
 
 
 class OverwritingLocks(Leases):
-    """An acceptor gives a running lock to another owner."""
+    """An acceptor lets another owner overwrite a lock that has not ended."""
 
     class acceptor_class(LeaseAcceptor):  # noqa: N801
         def is_locked_by_other(self, vote: Vote, ballot: int, now: float) -> bool:
@@ -76,7 +76,7 @@
 
 
 class WithoutFloor(Leases):
-    """A restarted acceptor promises any ballot."""
+    """A restarted acceptor promises any ballot, without a lower bound."""
 
     class acceptor_class(LeaseAcceptor):  # noqa: N801
         def floor_after_restart(self, highest_counter: int) -> int:
@@ -84,7 +84,7 @@
 
 
 class WithoutEnd(Leases):
-    """A holder believes in its lease until it looks at the time."""
+    """A holder believes it holds its lease until its next tick, also after the end of the lease."""
 
     class elections_class(Elections):  # noqa: N801
         def is_held(self, bid: Bid, now: float) -> bool:
@@ -92,7 +92,7 @@
 
 
 class WithoutHeaderCounter(Leases):
-    """The ballot counter in headers of datagrams is ignored."""
+    """A process ignores the ballot counters in the headers of datagrams."""
 
     def observe_counter(self, counter: int) -> None:
         """Ignores the counter."""
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """The classes that a search runs."""
+    """The classes of leases and processes that a search runs."""
 
     leases: type[Leases] = Leases
     process: type[LeaseProcess] = LeaseProcess
--- a/paddlequay/lab/limit_audit.py
+++ b/paddlequay/lab/limit_audit.py
@@ -1,4 +1,4 @@
-"""Whether a limit was exceeded, judged from outside: by when requests were admitted, in true time."""
+"""Checks from outside whether a limit was exceeded, by the true times at which requests were admitted."""
 
 import heapq
 
@@ -8,14 +8,15 @@
 
 
 class LimitAudit:
-    """Checks that admitted <= burst + rate * w over every window of w seconds, or the requests in flight.
+    """Checks one limit: on the rate, or on the requests in flight.
 
-    Both checks are exact: a bucket that drains at the rate overflows if and only if some window has too many.
+    For a rate, admitted <= burst + rate * w must hold in every window of w seconds. Both checks are exact: a
+    bucket that drains at the rate overflows if and only if some window has too many requests.
 
     Attributes:
         allowed_ratio: The multiple of the limit that may be used.
-        max_ratio: The multiple of the limit that was used at most.
-        admitted: When requests were admitted.
+        max_ratio: The highest multiple of the limit that was used.
+        admitted: The true times at which requests were admitted.
     """
 
     def __init__(self, rule: LimitRule) -> None:
@@ -28,7 +29,7 @@
         self._ends: list[float] = []
 
     def add(self, now: float, ends_at: float) -> None:
-        """Records an admitted request, and when it ends."""
+        """Records a request that is admitted at `now` and ends at `ends_at`."""
         self.admitted.append(now)
         if self.rule.max_in_flight is not None:
             self._add_in_flight(now, ends_at, self.rule.max_in_flight)
@@ -37,7 +38,7 @@
 
     @property
     def is_exceeded(self) -> bool:
-        """Whether more than the allowed multiple was used."""
+        """Whether more than the allowed multiple of the limit was used."""
         return self.max_ratio > self.allowed_ratio + ROUNDING_RATIO
 
     def _add_in_flight(self, now: float, ends_at: float, max_in_flight: int) -> None:
--- a/paddlequay/lab/limit_guards.py
+++ b/paddlequay/lab/limit_guards.py
@@ -1,4 +1,4 @@
-"""Fleet limits with one rule of the product taken out each: a search has to find the limit exceeded."""
+"""Variants of the fleet limits that lack one guard each; the search must find an exceeded limit."""
 
 from dataclasses import replace
 
@@ -15,7 +15,7 @@
 
 
 class ValidFromReceipt(FleetLimits):
-    """A grant is valid from its receipt."""
+    """A grant is valid from its receipt instead of from the request that it answers."""
 
     class client_class(QuotaClient):  # noqa: N801
         def valid_from(self, limit: LocalLimit, grant: QuotaGrant, now: float) -> float | None:
@@ -23,7 +23,7 @@
 
 
 class AnyRequestAnswered(FleetLimits):
-    """A grant counts as the answer to the last request, whichever it answers."""
+    """A grant is taken as the answer to the last request, whichever request it answers."""
 
     class client_class(QuotaClient):  # noqa: N801
         def valid_from(self, limit: LocalLimit, grant: QuotaGrant, now: float) -> float | None:
@@ -31,14 +31,14 @@
 
 
 class FilledByFastClock(FleetLimits):
-    """Buckets fill by a clock that may be fast."""
+    """Buckets are filled without allowing for a clock that runs fast."""
 
     def min_clock_rate(self) -> float:
         return 1.0
 
 
 class LowerShareAtOnce(FleetLimits):
-    """A lower share counts as soon as it is granted."""
+    """The holder counts only the last grant of a router, although an earlier, higher one is still valid."""
 
     class granter_class(Granter):  # noqa: N801
         def issue(
@@ -51,7 +51,7 @@
 
 
 class FormerProcessForgotten(FleetLimits):
-    """The grants of a router's former process are forgotten when the next one requests."""
+    """The holder forgets the grants of a router's former process when the new process sends a request."""
 
     class granter_class(Granter):  # noqa: N801
         def granted_to_others(self, ledger: Ledger, sender: Peer, incarnation: int, now: float) -> Quota:
@@ -64,7 +64,7 @@
 
 
 class WithoutWait(FleetLimits):
-    """A new holder grants at once."""
+    """A new holder grants without waiting for the former holder's grants to expire."""
 
     class granter_class(Granter):  # noqa: N801
         def wait_after_acquisition(self, limit: FleetLimit) -> float:
@@ -72,7 +72,7 @@
 
 
 class WithoutDriftOfGrants(FleetLimits):
-    """The holder counts a grant's validity by its own clock, without the drift."""
+    """The holder counts a grant's validity by its own clock without allowing for drift."""
 
     class granter_class(Granter):  # noqa: N801
         def outstanding_for(self, grant_validity_s: float) -> float:
@@ -80,7 +80,7 @@
 
 
 class FormerTermRemembered(FleetLimits):
-    """A router that has held the lease once goes on granting under its term."""
+    """A router that has lost the lease continues to grant under its former term."""
 
     class granter_class(Granter):  # noqa: N801
         def granting_term(self, lease: NameDigest, now: float) -> int | None:
@@ -97,7 +97,7 @@
 
 
 class RaisedWithTokens(FleetLimits):
-    """A raised quota brings its burst, and an expired one leaves its tokens."""
+    """A higher quota adds the tokens of its larger burst at once."""
 
     class rate_bucket_class(RateBucket):  # noqa: N801
         def change_grant(self, grant: ActiveGrant) -> None:
@@ -106,7 +106,7 @@
 
 
 class WithoutClipping(FleetLimits):
-    """An expired quota leaves its tokens."""
+    """A lower or expired quota does not reduce the tokens that the bucket holds."""
 
     class rate_bucket_class(RateBucket):  # noqa: N801
         def fill(self, now: float) -> None:
@@ -120,7 +120,7 @@
 
 
 class ExpiryFoundLate(FleetLimits):
-    """The end of a grant is found when its router requests again, not at use."""
+    """The expiry of a grant is noticed up to 10 s late instead of at the next use."""
 
     class rate_bucket_class(RateBucket):  # noqa: N801
         def advance(self, now: float, isolated: bool) -> None:
@@ -131,7 +131,7 @@
 
 
 class EndingAfterGrant(FleetLimits):
-    """Requests that end after the grant may start on it."""
+    """Requests that end after the grant expires may use one of its slots."""
 
     class slot_bucket_class(SlotBucket):  # noqa: N801
         def free_slot(self, now: float, duration_s: float) -> SlotKind | None:
@@ -141,7 +141,7 @@
 
 
 class FloorsNeverBlocked(FleetLimits):
-    """Floor slots of a new process are open at once."""
+    """Floor slots of a new process are available at once."""
 
     class slot_bucket_class(SlotBucket):  # noqa: N801
         def is_floor_open(self, now: float) -> bool:
@@ -149,7 +149,7 @@
 
 
 class WholeGrantRetained(FleetLimits):
-    """A router that is isolated in the open mode retains all it had."""
+    """A router that is isolated in the open mode retains its whole quota."""
 
     class rate_bucket_class(RateBucket):  # noqa: N801
         def __init__(self, division: LimitDivision, timing: BucketTiming, now: float) -> None:
--- a/paddlequay/lab/limit_search.py
+++ b/paddlequay/lab/limit_search.py
@@ -1,7 +1,7 @@
-"""A search for a limit that is exceeded: random fleets, loads and faults by seed, and each guard taken out.
+"""A search for exceeded fleet limits, with seeded random fleets, loads and faults.
 
-python -m paddlequay.lab.limit_search [STEPS] [FIRST_SEED]
-python -m paddlequay.lab.limit_search guards [STEPS]
+`python -m paddlequay.lab.limit_search [STEPS] [FIRST_SEED]` searches the production code.
+`python -m paddlequay.lab.limit_search guards [STEPS]` searches each variant that lacks a guard.
 """
 
 import random
@@ -22,7 +22,7 @@
 
 
 def draw_rules(rng: random.Random) -> tuple[LimitRule, ...]:
-    """Draws two limits on rates and one on requests in flight, now and then in the open mode."""
+    """Draws one limit, or two on rates and one on requests in flight; some are in the open mode."""
     mode = rng.choice((PartitionMode.STRICT, PartitionMode.STRICT, PartitionMode.OPEN))
     open_factor = rng.choice((1.2, 1.5, 2.0))
     floor_ratio = rng.choice((0.0, 0.2, 0.5, 1.0))
@@ -54,19 +54,19 @@
         floor_ratio=floor_ratio,
         open_factor=open_factor,
     )
-    # Alone, each comes closer to its limit.
+    # A limit without others beside it is used more fully.
     return rng.choice(((outer, inner, in_flight), (outer,), (outer,), (outer,), (in_flight,)))
 
 
-class Disturbance:
-    """Draws one fault after another for a world, or the end of one."""
+class LimitFaultInjector:
+    """Applies random faults to a world, and ends some of them."""
 
     def __init__(self, world: LimitWorld, rng: random.Random) -> None:
         self.world = world
         self.rng = rng
 
-    def next_fault(self) -> None:
-        """Causes one fault, and now and then a surge of requests with it."""
+    def apply_next(self) -> None:
+        """Applies one random fault, in half of the cases together with a surge of requests."""
         router = self.rng.choice(self.world.routers)
         match self.rng.randrange(12):
             case 0:
@@ -112,7 +112,7 @@
         self._heal_later()
 
     def _restart_half_after_a_surge(self) -> None:
-        """Restarts routers just after all tokens were used, which the new processes do not know."""
+        """Restarts half of the routers after all tokens were used, which the new processes do not know."""
         world = self.world
         self._surge()
         for router in self.rng.sample(world.routers, max(1, len(world.routers) // 2)):
@@ -121,7 +121,7 @@
             world.schedule(world.now + wait_s, self._surge)
 
     def _stall_holders(self) -> None:
-        """Stalls the holders: their grants stay valid while others take over."""
+        """Stalls the holders, whose grants stay valid while other routers take over their leases."""
         world = self.world
         for record in list(world.leases.records.values()):
             holder = world.routers[record.holder]
@@ -136,7 +136,7 @@
         self.world.long_delay_ratio = self.rng.choice((0.0, 0.02, 0.2))
 
     def _isolate_the_busiest(self, other: LimitRouter) -> None:
-        """Isolates the busiest router, whose messages were late, while another needs its quota."""
+        """Isolates the busiest router, after delays of its messages, while another router needs its quota."""
         world = self.world
         busiest = max(world.routers, key=lambda each: each.demand_per_s)
         busiest.extra_delay_s = self.rng.choice((0.0, 0.5))
@@ -145,7 +145,7 @@
         world.schedule(world.now + 2.5, self._heal)
 
     def _change_demand(self) -> None:
-        """Demands more than the limit, at few routers: others still have the quotas."""
+        """Moves demand above the limit to a few routers, while others still have the quotas."""
         world = self.world
         total = 2 * (world.rules[0].rate_per_s or 40.0)
         for router in world.routers:
@@ -160,39 +160,41 @@
         router.extra_delay_s = 0.0
 
 
-def search(seed: int, kind: type[FleetLimits] = FleetLimits) -> LimitWorld:
-    """Runs one world to its end."""
+def run_world(seed: int, limits_class: type[FleetLimits] = FleetLimits) -> LimitWorld:
+    """Runs the world of a seed to its end, with random rules, load and faults."""
     rng = random.Random(seed)
     slot_grant_extension_s = rng.choice((0.0, 0.0, 1.0))
     size = rng.randint(2, 6)
-    world = LimitWorld(seed, size, draw_rules(rng), kind, slot_grant_extension_s=slot_grant_extension_s)
-    disturbance = Disturbance(world, rng)
+    world = LimitWorld(
+        seed, size, draw_rules(rng), limits_class, slot_grant_extension_s=slot_grant_extension_s
+    )
+    fault_injector = LimitFaultInjector(world, rng)
     for router in world.routers:
         router.demand_per_s = 40.0
-        # The bounds of clock rates are the hardest.
+        # Clock rates at their bounds are the hardest case.
         router.clock_rate = rng.choice((0.95, 1.05, router.clock_rate))
     fault_at = 0.0
     while fault_at < WORLD_S:
         fault_at += rng.expovariate(FAULTS_PER_S)
-        world.schedule(fault_at, disturbance.next_fault)
+        world.schedule(fault_at, fault_injector.apply_next)
     return world.run(WORLD_S)
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """How many worlds and steps were searched, and the limits that the last world exceeded."""
+    """The number of worlds and steps searched, and the limits that the last world exceeded."""
 
     worlds: int
     steps: int
     exceeded: tuple[str, ...] = ()
 
 
-def search_until_exceeded(kind: type[FleetLimits], max_steps: int, first_seed: int = 0) -> Finding:
-    """Searches worlds until one exceeds a limit, or for `max_steps`."""
+def search_until_exceeded(limits_class: type[FleetLimits], max_steps: int, first_seed: int = 0) -> Finding:
+    """Runs worlds until one exceeds a limit, or for `max_steps` steps in total."""
     steps = 0
     worlds = 0
     while steps < max_steps:
-        world = search(first_seed + worlds, kind)
+        world = run_world(first_seed + worlds, limits_class)
         worlds += 1
         steps += world.steps
         exceeded = tuple(
@@ -204,36 +206,39 @@
 
 
 def search_without_guards(max_steps: int) -> None:
-    """Searches with each guard taken out, and prints whether the fault is found."""
-    for kind in WITHOUT_GUARD:
-        finding = search_until_exceeded(kind, max_steps)
-        seen = f"exceeded: {finding.exceeded[0]}" if finding.exceeded else "NOT FOUND"
-        print(f"{kind.__name__:24} {seen:24} {finding.worlds} worlds {finding.steps} steps", flush=True)
+    """Searches each variant that lacks a guard, and prints whether it exceeded a limit."""
+    for limits_class in WITHOUT_GUARD:
+        finding = search_until_exceeded(limits_class, max_steps)
+        outcome = f"exceeded: {finding.exceeded[0]}" if finding.exceeded else "NOT FOUND"
+        print(
+            f"{limits_class.__name__:24} {outcome:24} {finding.worlds} worlds {finding.steps} steps",
+            flush=True,
+        )
 
 
 def search_and_print(max_steps: int, first_seed: int) -> bool:
-    """Searches the whole code, and prints the most of each limit that was used; returns whether all held."""
-    began = time.monotonic()
+    """Searches the production code, prints the highest use of each limit, and returns whether all held."""
+    started_at = time.monotonic()
     steps = 0
     worlds = 0
     exceeded = 0
     max_ratios: dict[tuple[str, str], float] = {}
     while steps < max_steps:
-        world = search(first_seed + worlds)
+        world = run_world(first_seed + worlds)
         worlds += 1
         steps += world.steps
         for audit in world.audits.values():
             exceeded += audit.is_exceeded
             key = audit.rule.name, f"{audit.rule.mode.value} {audit.allowed_ratio:g}"
             max_ratios[key] = max(max_ratios.get(key, 0.0), audit.max_ratio)
-    print(f"{worlds} worlds, {steps} steps, exceeded {exceeded}, {time.monotonic() - began:.0f} s")
+    print(f"{worlds} worlds, {steps} steps, exceeded {exceeded}, {time.monotonic() - started_at:.0f} s")
     for (name, mode), max_ratio in sorted(max_ratios.items()):
         print(f"  {name:6} {mode:10} largest {max_ratio:.4f}")
     return exceeded == 0
 
 
 def main(arguments: list[str]) -> int:
-    """Runs the search that the arguments name; returns the exit status."""
+    """Runs the search that the command line asks for; returns the exit status."""
     if arguments[:1] == ["guards"]:
         search_without_guards(int(arguments[1]) if len(arguments) > 1 else 300_000)
         return 0
--- a/paddlequay/lab/table_world.py
+++ b/paddlequay/lab/table_world.py
@@ -167,7 +167,7 @@
                 f"epoch of router {self.me} did not increase: {self.epoch:x} to {event.epoch:x}"
             )
         if self.world.digests.setdefault(event.epoch, event.digest) != event.digest:
-            raise TableFaultError(f"epoch {event.epoch:x} stands for two different tables")
+            raise TableFaultError(f"two different tables have epoch {event.epoch:x}")
         self.epoch = event.epoch
         self.changes.append(event)
 
--- a/tests/cluster/test_fleet_limits.py
+++ b/tests/cluster/test_fleet_limits.py
@@ -324,7 +324,7 @@
 
 def test_random_worlds_exceed_no_limit() -> None:
     for seed in range(4):
-        world = limit_search.search(seed)
+        world = limit_search.run_world(seed)
         assert not [name for name, audit in world.audits.items() if audit.is_exceeded], seed
 
 
--- a/tests/cluster/test_lease_search.py
+++ b/tests/cluster/test_lease_search.py
@@ -3,7 +3,7 @@
 import pytest
 
 from paddlequay.lab.lease_guards import WITHOUT_GUARD
-from paddlequay.lab.lease_search import Report, search, small_world
+from paddlequay.lab.lease_search import Report, search, search_small_world
 
 # By guard: a seed shortly before the first walk that shows its fault, which keeps the search in a test short.
 SEARCH_START_SEEDS = {
@@ -20,7 +20,7 @@
     report = search(40_000, seed=900_000, depth=3)
     assert report.faults == []
     assert report.steps >= 40_000 and report.acquisitions > 250 and report.states > 400
-    assert min(report.kinds[kind] for kind in ("restart", "cut", "stop", "release", "duplicate")) > 100
+    assert min(report.step_counts[kind] for kind in ("restart", "cut", "stop", "release", "duplicate")) > 100
 
 
 @pytest.mark.parametrize("guard", WITHOUT_GUARD)
@@ -37,14 +37,14 @@
     guard: str, starts_held: bool
 ) -> None:
     report = Report()
-    small_world(1, 5, report, starts_held, WITHOUT_GUARD[guard])
+    search_small_world(1, 5, report, starts_held, WITHOUT_GUARD[guard])
     assert "more than one holder" in report.faults[0]
 
 
 def test_the_same_seed_gives_the_same_walks() -> None:
     first, second = search(4_000, 5, depth=0), search(4_000, 5, depth=0)
-    assert (first.kinds, first.acquisitions, first.max_healing_s) == (
-        second.kinds,
+    assert (first.step_counts, first.acquisitions, first.max_healing_s) == (
+        second.step_counts,
         second.acquisitions,
         second.max_healing_s,
     )
