--- a/paddlequay/simulator/adapter.py
+++ b/paddlequay/simulator/adapter.py
@@ -249,7 +249,7 @@
 
 
 class RouterHost:
-    """All routers of one process; they share no state.
+    """All routers of one process; they share no state and interact only by messages.
 
     Args:
         make_cluster: Returns the cluster of a new router; None if no router has one.
--- a/tests/programs/test_console.py
+++ b/tests/programs/test_console.py
@@ -1,4 +1,4 @@
-"""The operators' console: parsing of calls, errors, and connections that never complete one."""
+"""The operators' console: parsing of calls, errors, and connections that never complete a call."""
 
 import contextlib
 import socket
@@ -13,8 +13,8 @@
 
 @pytest.fixture
 def p() -> Iterator[Platform]:
-    with platform() as made:
-        yield made
+    with platform() as running:
+        yield running
 
 
 CALL = b"POST http://a/-/caches/s%2D1/disable?x=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
@@ -49,8 +49,8 @@
         ConsoleCallParser(1000, 1000).feed(head)
 
 
-def raw(p: Platform, data: bytes) -> bytes:
-    """All that the console answers to some bytes, until it closes."""
+def send_raw(p: Platform, data: bytes) -> bytes:
+    """Sends bytes to the console; returns all that it answers until it closes the connection."""
     with socket.create_connection(p.console, timeout=WAIT) as connection:
         connection.sendall(data)
         return connection.makefile("rb").read()
@@ -60,18 +60,18 @@
     p.ready()
     assert p.call("/-/ready", "GET") == (200, "ready\n")
     assert p.call("/-/nothing", "GET")[0] == 404 and p.call("/-/ready")[0] == 405
-    assert raw(p, b"nonsense\r\n\r\n").startswith(b"HTTP/1.1 400 ")
-    head, _, body = raw(p, b"POST /-/ready HTTP/1.1\r\n\r\n").partition(b"\r\n\r\n")
+    assert send_raw(p, b"nonsense\r\n\r\n").startswith(b"HTTP/1.1 400 ")
+    head, _, body = send_raw(p, b"POST /-/ready HTTP/1.1\r\n\r\n").partition(b"\r\n\r\n")
     lines = head.decode().split("\r\n")
     assert {"Connection: close", f"Content-Length: {len(body)}", "Allow: GET, HEAD"} <= set(lines) and body
 
 
 def test_incomplete_console_calls_do_not_delay_a_complete_one(p: Platform) -> None:
     p.ready()
-    with contextlib.ExitStack() as held:
-        for _ in range(60):  # far more than the console's own share of descriptors
-            half = held.enter_context(socket.create_connection(p.console, timeout=WAIT))
-            half.sendall(b"GET /-/ready HTT")
+    with contextlib.ExitStack() as open_connections:
+        for _ in range(60):  # far more than the console's quota of descriptors
+            connection = open_connections.enter_context(socket.create_connection(p.console, timeout=WAIT))
+            connection.sendall(b"GET /-/ready HTT")
         assert p.call("/-/ready", "GET")[0] == 200
-        until(lambda: p.counted("console_half_calls") >= 44, "the oldest make room")
+        until(lambda: p.counted("console_half_calls") >= 44, "the oldest incomplete calls are closed")
         assert len(list(Path(f"/proc/{p.process.pid}/fd").iterdir())) < 60
--- a/tests/programs/test_drains.py
+++ b/tests/programs/test_drains.py
@@ -1,4 +1,4 @@
-"""What the operators' standing page asks of the real program at its edges: the end, the list, and silence."""
+"""Shutdown, drains by the endpoint list, and silent connections, on the real program."""
 
 import contextlib
 import copy
@@ -11,17 +11,17 @@
 import pytest
 from harness import SETTINGS, WAIT, Platform, platform, until
 
-TOLD_AT_LATEST = 7.0  # the page: what the bulletin has to tell counts as told so long after
+MAX_ANNOUNCEMENT_DELAY_S = 7.0  # an event counts as known to the router so long after its publication
 
 
 @pytest.fixture
 def p() -> Iterator[Platform]:
-    with platform() as made:
-        yield made
+    with platform() as running:
+        yield running
 
 
-def test_requests_on_open_connections_are_served_for_as_long_as_they_come_after_sigterm(p: Platform) -> None:
-    """Connections keep coming for up to 0.4 s after SIGTERM, and requests on open ones for 0.2 s more."""
+def test_requests_that_arrive_on_open_connections_after_sigterm_are_served(p: Platform) -> None:
+    """New connections may arrive until 0.4 s after SIGTERM, requests on open ones until 0.6 s after it."""
     clients = [p.client(), p.client()]
     clients[0].ask()
     p.box.answer("HIT", "-", b"before")
@@ -37,7 +37,7 @@
         time.sleep(0.02)
     clients[1].ask(row="00000000000000ff")
     connection, words = p.box.line()
-    time.sleep(0.6)  # past the time in which requests come: what was taken is owed its answer all the same
+    time.sleep(0.6)  # past the time in which requests arrive; accepted requests must still be answered
     connection.sendall(f"{words[1]} HIT - 4\r\nlast\r\n".encode())
     assert clients[1].answer()[3][0] == b"last" and served > 2
     assert all(client.answer() is None for client in clients)
@@ -48,21 +48,21 @@
 def test_a_drain_written_to_a_silent_endpoint_source_applies_before_its_deadline(
     p: Platform, silent: int
 ) -> None:
-    """The list's word may stand unread behind a connection that fell silent, and behind the one made anew."""
+    """A drain may be sent on a connection that has fallen silent, and again on the one that replaces it."""
     client = p.client()
     client.ask()
     p.box.answer("HIT", "-", b"x")
     assert client.answer()[3][0] == b"x"
     p.publish({"no": 1})
-    out_at = time.monotonic()  # the drain is in the bulletin from here on, and nothing comes of it
+    published_at = time.monotonic()  # from now on the bulletin has the drain, but sends nothing
     for _ in range(silent):
         p.bulletin.accepted.get(timeout=WAIT)
         assert p.bulletin.line()[1] == ["after", "1"]
     drained = p.entry("box-1", p.box, lifecycle="terminating")
     event = {"no": 2, "roster": {"reset": False, "instances": [drained, p.entry("box-2", p.parent)]}}
     p.publish(event, {"no": 2})
-    until(lambda: p.counted("endpoint_lists") == 2, "the drain is taken in")
-    assert time.monotonic() - out_at < TOLD_AT_LATEST
+    until(lambda: p.counted("endpoint_lists") == 2, "the drain is applied")
+    assert time.monotonic() - published_at < MAX_ANNOUNCEMENT_DELAY_S
     client.ask(row="00000000000000aa")
     p.parent.answer("HIT", "-", b"y")
     assert client.answer()[3][0] == b"y" and p.box.lines.empty()
@@ -70,7 +70,7 @@
 
 @contextlib.contextmanager
 def full_listener() -> Iterator[socket.socket]:
-    """A listener whose queue is full: who connects comes up at a repeated try, 1 s later."""
+    """Yields a listener whose queue is full: connections are established at a retransmission, 1 s later."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind(("127.0.0.1", 0))
@@ -85,10 +85,11 @@
 
 
 def test_a_drain_stops_requests_that_wait_for_their_connection() -> None:
-    """join+mass: connections come up as late as 1 s, and sends to what drains must end within 0.5 s."""
+    """Connections may take 1 s to establish, but sends to a draining member must end within 0.5 s."""
     settings = copy.deepcopy(SETTINGS)
     settings["limits"]["dialTimeout"] = 4.0
-    settings["classes"][0] |= {"aim": 2.0, "deadline": 6}  # its time-out is past the connection
+    # The attempt must not time out before the connection is established.
+    settings["classes"][0] |= {"aim": 2.0, "deadline": 6}
     with full_listener() as listener, platform(settings=settings) as p:
         host, port = listener.getsockname()
         late = p.entry("box-2", p.box, hostPort=f"{host}:{port}")
@@ -97,21 +98,22 @@
         bulletin = p.publish({"no": 2, "roster": away})
         until(lambda: p.counted("endpoint_lists") == 2, "box-2 alone is in service")
         client.ask(ttl="5000")
-        until(lambda: p.counted("requests") == 1, "it waits for its connection")
+        until(lambda: p.counted("requests") == 1, "the request waits for its connection")
         back = {"reset": False, "instances": [p.entry("box-1", p.box), late | {"lifecycle": "terminating"}]}
         bulletin.sendall(json.dumps({"no": 3, "roster": back}).encode() + b"\n")
         until(lambda: p.counted("endpoint_lists") == 3, "box-2 drains")
         listener.setblocking(False)
-        came = []
+        accepted = []
         end = time.monotonic() + WAIT
         while not p.box.lines.qsize() and time.monotonic() < end:
             with contextlib.suppress(BlockingIOError):
-                came.append(listener.accept()[0])  # the router's try is among those that filled the queue
+                # The router's connection is among those that filled the queue.
+                accepted.append(listener.accept()[0])
             time.sleep(0.01)
         p.box.answer("HIT", "-", b"x")
         assert client.answer()[3][0] == b"x"
         assert p.counted("not_sent") == 1
-        for connection in came:
+        for connection in accepted:
             connection.setblocking(False)
             with contextlib.suppress(BlockingIOError, ConnectionError):
                 assert connection.recv(1) == b""
@@ -119,7 +121,7 @@
 
 
 def test_a_timeout_from_a_client_deadline_does_not_count_as_a_silent_connection(p: Platform) -> None:
-    """join+mass: clients that gave 0.1 to 0.5 s got connections given up, and each cost a handshake."""
+    """Deadlines of 0.1 to 0.5 s must not make the router close connections: each costs a handshake."""
     client = p.client()
     client.ask(ttl="150")
     first, asked = p.box.line()
--- a/tests/programs/test_program.py
+++ b/tests/programs/test_program.py
@@ -1,4 +1,4 @@
-"""The real program as a process, spoken to as a client, as caches and as the bulletin would."""
+"""The real program as a process; the tests act as its client, its caches and the bulletin."""
 
 import json
 import signal
@@ -100,21 +100,21 @@
 
 
 def test_a_write_uses_no_connection_that_has_been_idle(p: Platform) -> None:
-    """wide+reset+stale: 25 of 27 writes that were lost met the reset of a connection long idle."""
+    """Writes on connections that had long been idle met resets, which caused 25 of 27 lost writes."""
     client = p.client()
-    used = []
-    for number in range(12):  # more than there may be connections to one instance
+    connection_ids = []
+    for number in range(12):  # more than the limit of connections to one instance
         client.ask("charge", row=f"{number:016x}")
         connection, words = p.origin.line()
         connection.sendall(f"{words[1]} HIT - 0\r\n\r\n".encode())
         assert client.answer()[2] is None
-        used.append(id(connection))
-        time.sleep(0.15)  # the time that makes it idle, not one that something may take
-    assert len(set(used)) == 12
+        connection_ids.append(id(connection))
+        time.sleep(0.15)  # long enough for the connection to count as idle
+    assert len(set(connection_ids)) == 12
 
 
 def test_a_connection_used_only_for_writes_closes_once_it_is_too_old_for_the_next(p: Platform) -> None:
-    """disco+vast: forty routers' idle ones filled the origin's table, and it refused every charge."""
+    """Idle connections of forty routers filled the origin's connection table, so it refused every charge."""
     client, made = p.client(), {}
     for method, party in (("charge", p.origin), ("video", p.box)):
         client.ask(method)
@@ -148,7 +148,7 @@
     connection, words = p.box.line()
     client.socket.sendall(pack([2, "cancelRequest", [number]]))
     assert p.box.line()[1] == ["QUIT", words[1]]
-    # The answer that crossed the QUIT is passed over, and so is the id on this connection from now on.
+    # The answer that crossed the QUIT is ignored, and the id is not used on this connection any more.
     connection.sendall(f"{words[1]} HIT - 1\r\nx\r\n".encode())
     client.ask(row="00000000000000aa")
     p.box.answer("HIT", "-", b"y")
@@ -161,19 +161,19 @@
     client.ask(ttl="700")
     p.box.line()
     answer = client.answer()
-    assert 0.6 < time.monotonic() - began < 0.7 + 0.05  # the rules' slack
+    assert 0.6 < time.monotonic() - began < 0.7 + 0.05  # the tolerance in the rules
     assert answer[2][0] == "TryLater" and int(answer[2][1]["pushback"]) > 0
 
 
 def test_rejections_are_counted_by_whether_an_attempt_was_sent(p: Platform) -> None:
-    """calm+mass: 23.6% refused; the counts split 7,314 never sent on from 3,194 given up after attempts."""
+    """In one run 23.6% were rejected; the counters tell the 7,314 never sent from the 3,194 attempted."""
     client = p.client()
     client.ask(ttl="700")
     p.box.line()
     assert client.answer()[2][0] == "TryLater"
     until(
         lambda: p.counted("rejected.attempted.retries_exhausted") == 1,
-        "the refusal after an attempt is counted",
+        "the rejection after an attempt is counted",
     )
     drained = [
         p.entry(name, party, kind, zone, lifecycle="terminating")
@@ -185,21 +185,21 @@
     ]
     p.publish({"no": 2, "roster": {"reset": False, "instances": drained}})
 
-    def refused_untried() -> bool:
+    def is_rejected_unattempted() -> bool:
         client.ask()
         return bool(client.answer()[2][0] == "TryLater" and p.counted("rejected.unattempted.no_edge") > 0)
 
-    until(refused_untried, "a refusal with no candidate is counted as never sent on")
+    until(is_rejected_unattempted, "a rejection without a candidate is counted as never sent")
 
 
 def test_unsolicited_answers_are_ignored_and_ids_are_never_reused(p: Platform) -> None:
-    """rude+garble+fleet: a second copy, or an answer under an unknown id, ended all good answers after it."""
+    """A repeated answer, or one with an unknown id, must not end the connection with the answers after it."""
     client = p.client()
     client.ask()
     connection, words = p.box.line()
     connection.sendall(b"00aa HIT - 1\r\nu\r\n" + 2 * f"{words[1]} HIT - 1\r\nx\r\n".encode())
     assert client.answer()[3][0] == b"x"
-    client.ask(call=words[1], row="00000000000000aa")  # the same id again: on a connection of its own
+    client.ask(call=words[1], row="00000000000000aa")  # the same id again, which needs another connection
     other, _ = p.box.line()
     assert other is not connection
     assert p.counted("unexpected_answers") == 2 and p.counted("ended.reset") == 0
@@ -225,13 +225,13 @@
     client.ask()
     connection, _ = p.box.line()
     connection.sendall(line)
-    p.parent.answer("HIT", "-", b"parent's")  # the next rung goes round the only box
+    p.parent.answer("HIT", "-", b"parent's")  # the next attempt bypasses the only box
     assert client.answer()[3][0] == b"parent's"
     assert p.counted("bad_cache_lines") == 1 and p.counted("ended.reset") == 1
 
 
 def test_a_connection_silent_under_many_requests_closes_before_their_timeouts(p: Platform) -> None:
-    """r969070: its time-outs were blamed on the parents, and their limits were cut."""
+    """The time-outs would otherwise be attributed to the parents, and reduce their limits."""
     client = p.client()
     for number in range(8):
         client.ask(row=f"{number:016x}", ttl="3000")
@@ -245,14 +245,14 @@
 
 
 def test_a_malformed_answer_fails_few_other_requests(p: Platform) -> None:
-    """garble+fleet: up to 32 requests went out on one connection, and each spoilt answer ended them all."""
+    """With up to 32 requests on one connection, each malformed answer ended all of them."""
     client = p.client()
     for number in range(12):
         client.ask(row=f"{number:016x}")
     asked = [p.box.line() for _ in range(12)]
-    spoilt = asked[0][0]
-    spoilt.sendall(b"\xff\r\n")
-    rest = [(connection, words) for connection, words in asked if connection is not spoilt]
+    broken = asked[0][0]
+    broken.sendall(b"\xff\r\n")
+    rest = [(connection, words) for connection, words in asked if connection is not broken]
     assert len(rest) == 8
     for connection, words in rest:
         connection.sendall(f"{words[1]} HIT - 1\r\nx\r\n".encode())
@@ -262,7 +262,7 @@
 
 @pytest.mark.parametrize("part", [b"0000000000000001 HIT - 5\r\nab", b"00000000000"])
 def test_an_incomplete_answer_closes_its_connection_before_the_timeout(p: Platform, part: bytes) -> None:
-    """What came next on it would be read as the rest of that answer."""
+    """Bytes that arrive later on it would be read as the rest of that answer."""
     client = p.client()
     client.ask(ttl="3000")
     connection, _ = p.box.line()
@@ -283,7 +283,7 @@
     connection = p.publish({"no": 1}, 1, {"no": 2, "recall": {"lot": 1, "issued": 1}}, {"no": 2})
     until(lambda: p.counted("purges") == 1, "the purge is taken in")
     assert p.bulletin.accepted.empty() and p.counted("bad_endpoint_watch_lines") == 0
-    p.bulletin.accepted.get(timeout=WAIT)  # no heartbeat any more, though the connection stays open
+    p.bulletin.accepted.get(timeout=WAIT)  # no more heartbeats, though the connection stays open
     assert p.bulletin.line()[1] == ["after", "2"]
     connection.close()
 
@@ -313,7 +313,7 @@
         {"no": 2, "roster": {"reset": False, "instances": [later]}},
         {"no": 3, "recall": {"lot": 1, "issued": 1}},
     )
-    until(lambda: p.counted("purges") == 1, "the new start is taken in")
+    until(lambda: p.counted("purges") == 1, "the restarted instance is applied")
     client.ask(row="00000000000000aa")
     new, _ = p.box.line()
     assert new is not old
@@ -343,15 +343,15 @@
         "locality": "here",
         "classes": [{"name": "a", "aim": 1, "deadline": 2, "idempotency": "read_like"}],
     }
-    good = '{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","seed":"1","settings":%s,"known":%s}'
+    valid_config = '{"listen":"127.0.0.1:0","bulletin":"127.0.0.1:1","seed":"1","settings":%s,"known":%s}'
     known = '{"no":1,"items":[{"no":1,"roster":{}}]}' if fault == "known" else "null"
-    text = good % (str(settings).replace("'", '"') if fault != "settings" else "{}", known)
+    text = valid_config % (str(settings).replace("'", '"') if fault != "settings" else "{}", known)
     changes = {"json": ("{", "["), "listen": ("127.0.0.1:0", "nowhere"), "seed": ('"1"', '"xyz"')}
     changes["console"] = ('{"listen"', '{"console":"nowhere","listen"')
     path = tmp_path / "config.json"
     path.write_text(text.replace(*changes[fault], 1) if fault in changes else text)
     name = {"none": "", "missing": "/nonexistent/config.json"}.get(fault, str(path))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "paddlequay"],
         cwd=ROOT,
         capture_output=True,
@@ -359,12 +359,12 @@
         env={"ROUTER_CONFIG": name},
         timeout=WAIT,
     )
-    assert done.returncode == 2 and done.stdout == ""
-    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("paddlequay: ")
+    assert completed.returncode == 2 and completed.stdout == ""
+    assert len(completed.stderr.splitlines()) == 1 and completed.stderr.startswith("paddlequay: ")
 
 
 def test_sighup_watches_the_new_endpoint_source_and_fails_no_request(p: Platform) -> None:
-    """Unhandled, the signal ended the program and lost what it held."""
+    """An unhandled SIGHUP would end the program and lose its open requests."""
     client = p.client()
     client.ask()
     p.box.line()
@@ -380,7 +380,7 @@
     connection, words = moved.line()
     assert words == ["after", "2"]
     connection.sendall(b'{"no":3,"recall":{"lot":2,"issued":1}}\n')
-    until(lambda: p.counted("purges") == 2, "the new bulletin is followed")
+    until(lambda: p.counted("purges") == 2, "an event of the new bulletin is applied")
     client.ask(row="00000000000000aa")
     p.box.answer("HIT", "-", b"x")
     assert client.answer()[3][0] == b"x" and p.process.poll() is None
@@ -388,10 +388,10 @@
 
 
 def test_a_command_without_its_libraries_names_them_in_one_line() -> None:
-    """In the environment that `build` makes, `--help` and every command died with a traceback."""
+    """The environment made by `build` lacks click; commands must not end with a traceback there."""
     code = "import sys; sys.modules['click'] = None; sys.argv[1:] = ['--help']\n"
     code += "from paddlequay.__main__ import main; sys.exit(main())"
     command = [sys.executable, "-c", code]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=WAIT, cwd=ROOT)
-    assert done.returncode == 2 and done.stdout == ""
-    assert done.stderr == "paddlequay: click is missing: pip install -r requirements-lab.txt\n"
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=WAIT, cwd=ROOT)
+    assert completed.returncode == 2 and completed.stdout == ""
+    assert completed.stderr == "paddlequay: click is missing: pip install -r requirements-lab.txt\n"
--- a/tests/programs/test_program_clients.py
+++ b/tests/programs/test_program_clients.py
@@ -1,4 +1,4 @@
-"""The real program and its clients: bad, slow, many, silent and without end."""
+"""The real program with clients that are faulty, slow, numerous, silent or send endlessly."""
 
 import contextlib
 import signal
@@ -16,8 +16,8 @@
 
 @pytest.fixture
 def p() -> Iterator[Platform]:
-    with platform() as made:
-        yield made
+    with platform() as running:
+        yield running
 
 
 @pytest.mark.parametrize(
@@ -64,10 +64,10 @@
     assert client.answer()[3][0] == b"x"
 
 
-def test_an_id_that_is_open_serves_no_second_request(p: Platform) -> None:
-    """The second may name another object: the answer to the first must not serve it."""
+def test_a_second_request_with_an_open_id_is_rejected(p: Platform) -> None:
+    """The second request may be for another object, which the answer to the first must not be used for."""
     good, bad = p.client(), p.client()
-    # Of a class that is never shed: on a busy machine a shed request is not checked for its id.
+    # This class is never shed: on a busy machine, a request could be shed before its id is checked.
     good.ask("charge")
     bad.ask("charge", row="00000000000000aa")
     assert bad.answer()[2][0] == "Aborted"
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("start", [b"", b"\x94\x00\x01\xa5vi", b"\xc4"])
 def test_clients_without_a_complete_message_are_closed_and_displace_no_other(start: bytes) -> None:
-    """Connections come by the hundreds and say nothing, and may hold a third of the descriptors."""
+    """Hundreds of silent connections may arrive; clients may use a third of the descriptors."""
     with platform() as p:
         usual = p.client()
         usual.ask()
@@ -98,10 +98,10 @@
 
 
 def test_a_cache_with_slow_answers_does_not_count_as_silent(p: Platform) -> None:
-    """upgrade+hand: in a jam connections were ended as silent, and what was out on them was sent again."""
+    """Connections to an overloaded cache must not be closed as silent: their requests would be sent again."""
     client = p.client()
     first = 1
-    for pause in (0.5, 0.5, 0.5, 0.84):  # the cache's own pace; from 0.72 s on it passed for silent
+    for pause in (0.5, 0.5, 0.5, 0.84):  # answer times of the cache; from 0.72 s on it was considered silent
         for number in range(first, first + 5):
             client.ask(call=f"{number:016x}", row=f"{number:016x}")
         first += 5
@@ -113,10 +113,10 @@
     assert p.counted("unresponsive_connections") == 0
 
 
-def test_a_request_sent_with_the_connect_is_answered_however_many_connect_at_once(p: Platform) -> None:
-    """crowd+term: counted as mute until its first read, it made room for the next and was closed unread."""
+def test_requests_sent_on_connecting_are_answered_when_many_clients_connect_at_once(p: Platform) -> None:
+    """A connection must not be closed in favour of a newer one before its first bytes have been read."""
     p.client()
-    p.process.send_signal(signal.SIGSTOP)  # all of them wait to be accepted
+    p.process.send_signal(signal.SIGSTOP)  # all connections wait to be accepted
     clients = [Client(p.address) for _ in range(60)]  # of 60 descriptors, clients hold 19
     for number, client in enumerate(clients, 1):
         client.ask("nosuch", call=f"{number:016x}")
@@ -124,8 +124,8 @@
     assert [client.answer()[2][0] for client in clients] == ["Aborted"] * 60
 
 
-def test_a_request_in_slow_pieces_is_served_whoever_connects_meanwhile(p: Platform) -> None:
-    """It was closed 1.5 s after its first byte, however it moved, or made room for who said nothing."""
+def test_a_request_in_slow_pieces_is_served_while_other_clients_connect(p: Platform) -> None:
+    """A connection on which bytes arrive must not be closed after 1.5 s, nor in favour of silent ones."""
     client = p.client()
     fields = {"call": f"{9:016x}", "ttl": "2000", "row": f"{9:016x}", "slice": "0", "set": "17"}
     message = pack([0, 1, "video", [fields, b""]])
@@ -136,14 +136,15 @@
             silent.append(p.client())
             if number % 2:
                 silent[-1].socket.sendall(b"\x94\x00")
-        time.sleep(0.3)  # the client's own pace
-    assert len(message) > 9 * 8 and len(silent) > 32  # over 2.4 s; of 60 descriptors, clients hold 19
+        time.sleep(0.3)  # the pace at which the client sends
+    # The message takes more than 2.4 s; of 60 descriptors, clients hold 19.
+    assert len(message) > 9 * 8 and len(silent) > 32
     p.box.answer("HIT", "-", b"x")
     assert client.answer()[3][0] == b"x"
 
 
 def test_a_client_that_reads_slowly_gets_all_its_answers() -> None:
-    """With no more than a bound on unsent bytes it was closed on, and lost all that it had open."""
+    """If only a limit on unsent bytes applied, the client would be closed and lose its open requests."""
     with platform(limits={"sockets": 60, "memory_mb": 8}) as p:
         client = p.client()
         body = bytes(200_000)
@@ -154,18 +155,18 @@
 
         threading.Thread(target=ask, daemon=True).start()
         for _ in range(8):
-            p.box.answer("HIT", "-", body)  # while the client takes nothing
+            p.box.answer("HIT", "-", body)  # while the client reads nothing
         until(lambda: p.counted("answer_bytes") > 1_500_000, "answers wait")
         served = 0
         while served < 8:
-            answer = client.answer()  # among refusals of what was too much for one cache
+            answer = client.answer()  # others are rejected, as they were too many for one cache
             assert answer is not None
             served += answer[2] is None and answer[3][0] == body
         assert p.counted("slow_readers") == 0
 
 
-def test_a_client_that_sends_without_end_does_not_hold_up_another(p: Platform) -> None:
-    """A read of bytes that are there already does not yield: the loop belonged to whoever sent fastest."""
+def test_a_client_that_sends_endlessly_does_not_delay_another(p: Platform) -> None:
+    """A read of bytes that have already arrived does not yield: a fast sender could occupy the event loop."""
     usual, flood = p.client(), p.client()
     message = pack([0, 1, "nosuch", [{}, b""]])
 
@@ -176,15 +177,15 @@
     def read() -> None:
         with contextlib.suppress(OSError):
             while flood.socket.recv(65536):
-                begun.set()
+                first_bytes_read.set()
 
-    begun = threading.Event()
+    first_bytes_read = threading.Event()
     for work in (send, read):
         threading.Thread(target=work, daemon=True).start()
-    assert begun.wait(WAIT)
+    assert first_bytes_read.wait(WAIT)
     for number in range(5):
         began = time.monotonic()
-        usual.ask("charge", row=f"{number + 100:016x}")  # which a router short of its core turns away last
+        usual.ask("charge", row=f"{number + 100:016x}")  # the class that an overloaded router sheds last
         p.origin.answer("HIT", "-", b"x")
         assert usual.answer()[3][0] == b"x" and time.monotonic() - began < 1.0
     flood.socket.shutdown(socket.SHUT_RDWR)
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a real process on the simulator's wire."""
+"""The simulator adapter, run as a process that is driven by the line protocol."""
 
 import json
 import os
@@ -53,24 +53,26 @@
     return f"query\trouter={router}\trid=rq_{router}_{number}\t{fields}"
 
 
-def run(text: str, hash_seed: str = "0") -> tuple[int, str, str]:
+def run_adapter(text: str, hash_seed: str = "0") -> tuple[int, str, str]:
     environment = os.environ | {"PYTHONHASHSEED": hash_seed}
     command = [sys.executable, "-m", "paddlequay.adapter"]
     done = subprocess.run(command, input=text, capture_output=True, text=True, cwd=ROOT, env=environment)
     return done.returncode, done.stdout, done.stderr
 
 
-def day(routers: list[int]) -> str:
-    """A scripted day: lists, requests, every kind of end, a purge, a kill with a new start in one batch."""
+def scripted_batches(routers: list[int]) -> str:
+    """Returns batches with member lists, requests, every outcome, purges, and a restart within one batch."""
     batches = [batch(1.0, *[line for router in routers for line in provision(router)])]
-    ends = ["turned_away", "no_answer", "no_connection", "connection_lost", "server_error", "not_stored"]
+    outcomes = ["turned_away", "no_answer", "no_connection", "connection_lost", "server_error", "not_stored"]
     for step in range(40):
         lines = []
         for router in routers:
             lines.append(query(router, step))
-            end = ends[step % len(ends)]
-            done = f"returned\trouter={router}\trid=rq_{router}_{step - 1}\ttry=0\tcache={ENTRIES[0][0]}"
-            lines.append(f"{done}\tresult={end}\tdelaySeen=0.1\tinfo={step % 11}\tfeedback=cpu:0.5,active:3")
+            outcome = outcomes[step % len(outcomes)]
+            fields = f"returned\trouter={router}\trid=rq_{router}_{step - 1}\ttry=0\tcache={ENTRIES[0][0]}"
+            lines.append(
+                f"{fields}\tresult={outcome}\tdelaySeen=0.1\tinfo={step % 11}\tfeedback=cpu:0.5,active:3"
+            )
             lines.append(f"invalidated\trouter={router}\tgroup=1\tage=0.1\titem={step % 7}")
             lines.append(f"withdrawn\trouter={router}\trid=rq_{router}_{step - 3}")
             lines.append(f"unheard_of\trouter={router}\tthing=1")
@@ -79,34 +81,34 @@
     return "".join(batches)
 
 
-def of_router(output: str, router: int) -> list[str]:
+def lines_of_router(output: str, router: int) -> list[str]:
     return [line for line in output.splitlines() if f"router={router}\t" in line]
 
 
-def test_one_process_and_three_act_alike_whatever_the_hash_seed() -> None:
-    code, together, _ = run(day([0, 1, 2]), "1")
+def test_one_process_and_three_give_the_same_lines_for_any_hash_seed() -> None:
+    code, together, _ = run_adapter(scripted_batches([0, 1, 2]), "1")
     assert code == 0 and together.count("ack") == 42
     for router in range(3):
-        code, alone, _ = run(day([router]), str(router + 2))
-        own = of_router(alone, router)
-        expected = of_router(together, router)
+        code, alone, _ = run_adapter(scripted_batches([router]), str(router + 2))
+        own = lines_of_router(alone, router)
+        expected = lines_of_router(together, router)
         assert code == 0 and own
-        # The last batch restarts the first router of each day, so only what came before is compared.
+        # The last batch restarts the first router of each run, so only the lines before it are compared.
         shared = [line for line in own if "_99" not in line]
         assert shared == [line for line in expected if "_99" not in line]
 
 
-def test_an_attempt_names_edge_parent_rank_and_age_limit_on_the_wire() -> None:
+def test_an_obtain_line_holds_edge_parent_retention_and_age_limit() -> None:
     purge = "invalidated\trouter=0\tgroup=1\tage=0.25"
-    _, output, _ = run(batch(1.0, *provision(0), purge, query(0, 0)))
-    (line,) = of_router(output, 0)
+    _, output, _ = run_adapter(batch(1.0, *provision(0), purge, query(0, 0)))
+    (line,) = lines_of_router(output, 0)
     fields = dict(pair.split("=") for pair in line.split("\t")[1:])
     assert line.startswith("obtain\t") and fields["rid"] == "rq_0_0"
     assert fields["feeder"] == ENTRIES[2][0] and fields["storeAs"] == "1" and float(fields["age"]) == 0.25
 
 
 @pytest.mark.parametrize(
-    ("lines", "complaint"),
+    ("lines", "error_text"),
     [
         (["returned\trouter=0\trid=r\ttry=0\tcache=c\tresult=odd\tdelaySeen=1"], "field result"),
         (["query\trouter=0\trid=r\tgrade=pages\ttimeBudget=soon"], "field timeBudget: expected a number"),
@@ -119,20 +121,20 @@
         (provision(0, SETTINGS | {"groupSize": "three"}), "groupSize: expected int"),
     ],
 )
-def test_malformed_input_gets_one_plain_message_and_a_non_zero_exit(lines: list[str], complaint: str) -> None:
-    code, output, errors = run(batch(1.0, *provision(0)) + batch(2.0, *lines))
+def test_malformed_input_prints_one_message_and_exits_with_code_1(lines: list[str], error_text: str) -> None:
+    code, output, errors = run_adapter(batch(1.0, *provision(0)) + batch(2.0, *lines))
     assert code == 1 and len(errors.splitlines()) == 1
-    assert complaint in errors and "Traceback" not in errors
-    assert f"bug\trouter={lines[0].split('router=')[1][0]}" in output and complaint in output
+    assert error_text in errors and "Traceback" not in errors
+    assert f"bug\trouter={lines[0].split('router=')[1][0]}" in output and error_text in output
 
 
 def test_input_that_ends_inside_a_batch_or_starts_without_a_tick_is_refused() -> None:
-    assert run("tick\tts=1\n")[0] == 1
-    code, _, errors = run("query\trouter=0\nyour_turn\n")
+    assert run_adapter("tick\tts=1\n")[0] == 1
+    code, _, errors = run_adapter("query\trouter=0\nyour_turn\n")
     assert code == 1 and "expected a tick line" in errors
 
 
-def test_the_count_of_routers_in_the_own_zone_and_the_notes_are_read() -> None:
+def test_zone_router_count_and_reply_details_are_read_from_the_settings() -> None:
     extra = {"extra": {"countByZone": [0, 5], "detail": "all"}}
     settings = read_settings(json.dumps(SETTINGS | extra))
     assert (settings.router_count, settings.zone_router_count, settings.detailed_replies) == (3, 5, True)
