--- a/paddlequay/lab/cluster_model.py
+++ b/paddlequay/lab/cluster_model.py
@@ -1,6 +1,7 @@
-"""`lab run cluster-model`: the cost of the cluster in a fleet, its detection times, and the effect of faults.
+"""`lab run cluster-model`: the cost of the cluster protocol, its detection times, and the effects of faults.
 
-Real nodes on a simulated clock. Claims over several seeds are on the largest figure. CPU is this machine's.
+Runs production nodes in virtual time. Assertions over several seeds apply to the largest figure. CPU times
+are measured on the machine that runs the model.
 """
 
 import time
@@ -12,36 +13,32 @@
 from paddlequay.lab.cluster_model_fleet import FleetSimulation
 from paddlequay.lab.cluster_model_runs import GRAY_FAILURES, make_fleet, run_day, run_gray_failure
 
-START_S = 8.0  # until all routers know each other and grants flow, at 200 routers
-STEADY_S = 6.0
-SIZES = (3, 40, 200, 1000)
-LARGE_SIZE = 200  # beyond it the model needs longer to start, and makes fewer attempts
+START_S = 8.0  # time until 200 routers know each other and receive grants
+STEADY_STATE_S = 6.0
+FLEET_SIZES = (3, 40, 200, 1000)
+LARGE_SIZE = 200  # larger fleets take longer to start, and make fewer attempts at each router
 SMALL_SIZE = 40
-MAX_SIZE_WITH_DEMAND = (
-    200  # a holder's work grows with the routers that request; beyond it the model takes hours
-)
-# Leases and quotas cost a router about the same in any fleet: among few routers it goes to few.
+# A holder's work grows with the number of requesting routers; with more of them the model takes hours.
+MAX_SIZE_WITH_DEMAND = 200
+# Leases and quotas cost a router about the same in any fleet, so in a small one each pair carries more bytes.
 MIN_SIZE_OF_PAIR_OBJECTIVE = 40
 MAX_PAIR_BYTES_PER_S = 64.0
 MAX_CPU_PERCENT = 2.0
 MAX_VERDICT_S = 1.0
 MAX_UNUSED_RATIO = 0.05
 LEASE_S = 1.5
-# Beside the lease: the acceptors' drift, the bidders' spread of a fifth of a lease, and an election.
+# Time beyond the lease: the acceptors' drift, the random delay of bids (a fifth of a lease), and an election.
 MAX_ELECTION_S = 1.0
-# The part of a rate that routers use whose clocks may run fast, by the limits' allowance for drift.
+# Share of a rate that routers can use, because the limits allow for clocks that run fast.
 USABLE_RATE_RATIO = 1 / 1.05
-NEVER_S = 86_400.0  # stands for a time that never came
-
-
-# --- measurements ---
+NEVER_S = 86_400.0  # in place of the time of an event that did not happen
 
 
 def measure_steady_state(
-    seed: int, size: int, demand_ratio: float, seconds: float = STEADY_S
+    seed: int, size: int, demand_ratio: float, seconds: float = STEADY_STATE_S
 ) -> dict[str, Any]:
-    """Returns the costs of a fleet without faults, under demand for `demand_ratio` of a limit."""
-    # Fewer attempts at each router of the largest fleet, so that the model itself ends in minutes.
+    """Returns the costs of a fleet without faults, with demand for `demand_ratio` of a limit."""
+    # Routers of the largest fleet make fewer attempts, so that the model ends within minutes.
     attempts_per_s = 10.0 if size <= LARGE_SIZE else 1.0
     rate_per_s = 2.0 * size + 100
     auditor = make_fleet(
@@ -70,7 +67,7 @@
 
 
 def measure_costs(simulation: FleetSimulation, seconds: float) -> dict[str, Any]:
-    """Returns bytes a second and CPU of the routers, since their counts were reset."""
+    """Returns the routers' bytes per second and CPU shares since their counters were reset."""
     routers = simulation.routers
     size = simulation.size
     sent_bytes = sum(router.sent_bytes for router in routers)
@@ -86,7 +83,7 @@
 
 
 def max_bytes_over_limit(simulation: FleetSimulation) -> float:
-    """Returns by how many bytes a router has exceeded its outbox's limit at most; below 0 where none has."""
+    """Returns the most bytes that a router sent above its outbox's limit; negative if none exceeded it."""
     return max(
         router.node.outbox.counts["sent.bytes"]
         - router.node.outbox.burst_bytes
@@ -97,7 +94,7 @@
 
 
 def count_dropped(simulation: FleetSimulation) -> int:
-    """Returns how many messages the outboxes have dropped."""
+    """Returns the number of messages that the outboxes have dropped."""
     return sum(
         count
         for router in simulation.routers
@@ -108,7 +105,7 @@
 
 
 def measure_detection(seed: int, size: int) -> dict[str, Any]:
-    """Ends a router, then a parent, and returns the seconds until the fleet knows."""
+    """Kills a router, then stops a parent, and returns the seconds until the fleet has detected each."""
     auditor = make_fleet(seed, size, demand_ratio=0.0, attempts_per_s=40.0 if size <= SMALL_SIZE else 10.0)
     simulation = auditor.simulation
     simulation.run(START_S)
@@ -132,7 +129,7 @@
 
 
 def measure_demand_shift(seed: int, size: int = 8) -> dict[str, Any]:
-    """Moves the demand from half of the routers to the others, then kills the lease's holder."""
+    """Moves the demand from half of the routers to the others, then kills the holder of a lease."""
     rate_per_s = 400.0
     auditor = make_fleet(
         seed,
@@ -147,7 +144,7 @@
     workload = auditor.workload
     first_half = simulation.routers[::2]
     second_half = simulation.routers[1::2]
-    # A floor without demand is unused on purpose; this demand uses it, so that it does not count.
+    # Floors stay reserved without demand. A low demand uses them, so that they do not count as unused.
     low_per_s = 1.5 * 0.2 * rate_per_s / size
     for router in second_half:
         workload.set_demand(router, low_per_s)
@@ -173,7 +170,7 @@
 
 
 def time_until_takeover(auditor: Auditor, holder: Peer, killed: float) -> float | None:
-    """Returns the seconds until others have acquired all leases of a killed router; None: never."""
+    """Returns the seconds until other routers have acquired all leases of a killed one; None: never."""
     times = []
     for acquisitions in auditor.acquisitions.values():
         earlier = [acquisition.router for acquisition in acquisitions if acquisition.at <= killed]
@@ -185,15 +182,12 @@
     return max(times, default=None)
 
 
-# --- the experiment ---
-
-
 def run(setup: Setup) -> Results:
-    """Runs the whole experiment; a quick one has fewer seeds, sizes and failures."""
+    """Runs the whole experiment; a quick one uses fewer seeds, sizes and failures."""
     results = Results("cluster-model", x="routers", y="bytes a second from one router to another")
     results.logarithmic = True
     seeds = range(setup.seed, setup.seed + (2 if setup.quick else 5))
-    report_steady_states(setup, results, SIZES[:2] if setup.quick else SIZES)
+    report_steady_states(setup, results, FLEET_SIZES[:2] if setup.quick else FLEET_SIZES)
     report_detection(setup, results, seeds, (12, 40) if setup.quick else (12, 40, 200))
     report_demand_shifts(setup, results, seeds)
     report_gray_failures(setup, results)
@@ -202,7 +196,7 @@
 
 
 def report_steady_states(setup: Setup, results: Results, sizes: tuple[int, ...]) -> None:
-    """Measures fleets without demand, and with demand for twice the limit."""
+    """Measures fleets without demand and with demand for twice the limit."""
     for demand_ratio in (0.0, 2.0):
         for size in sizes:
             if demand_ratio and size > MAX_SIZE_WITH_DEMAND:
@@ -215,7 +209,7 @@
 
 
 def claim_steady_state(results: Results, size: int, demand_ratio: float, row: dict[str, Any]) -> None:
-    """States the claims on one fleet without faults."""
+    """Adds the assertions and figures on one fleet without faults to the results."""
     label = f"{size} routers, {'no demand' if not demand_ratio else 'twice the limit asked'}"
     results.lines.setdefault(f"load {demand_ratio:g}", []).append((size, row["pair_bytes_s"]))
     if size >= MIN_SIZE_OF_PAIR_OBJECTIVE:
@@ -230,7 +224,7 @@
 
 
 def report_detection(setup: Setup, results: Results, seeds: range, sizes: tuple[int, ...]) -> None:
-    """Measures how fast a dead router and a dead parent are detected."""
+    """Measures how fast the fleet detects a dead router and a dead parent."""
     for size in sizes:
         seed_count = 1 if setup.quick else 5
         if size > SMALL_SIZE:
@@ -247,7 +241,7 @@
 
 
 def report_demand_shifts(setup: Setup, results: Results, seeds: range) -> None:
-    """Measures how fast quotas follow the demand, and a lease its killed holder."""
+    """Measures how fast quotas follow the demand, and how fast the lease of a killed holder is acquired."""
     rows = [measure_demand_shift(seed) for seed in seeds]
     setup.say(f"demand moved and holder killed over {len(rows)} seeds")
     add_rows(results, "moved", rows)
@@ -259,7 +253,7 @@
 
 
 def report_gray_failures(setup: Setup, results: Results) -> None:
-    """Runs the gray failures, a quick experiment every fourth."""
+    """Runs all gray failures, or every fourth in a quick experiment."""
     names = tuple(GRAY_FAILURES)
     rows = [run_gray_failure(name, setup.seed) for name in (names[::4] if setup.quick else names)]
     setup.say(f"{len(rows)} gray failures")
@@ -271,7 +265,7 @@
 
 
 def report_days(setup: Setup, results: Results, count: int) -> None:
-    """Runs days of faults, the first one twice."""
+    """Runs `count` days of random faults, and the first one a second time to compare the histories."""
     first = run_day(setup.seed)
     again = run_day(setup.seed)
     results.claim("a day twice is the same story", first.digest == again.digest, "==", 1)
@@ -284,11 +278,11 @@
 
 
 def claim_maximum(results: Results, rows: list[dict[str, Any]], key: str, maximum: float, name: str) -> None:
-    """Claims the largest figure over the seeds; None stands for a time that never came."""
+    """Asserts a maximum of the largest figure over all seeds; None: the event did not happen."""
     largest = max(NEVER_S if row[key] is None else row[key] for row in rows)
     results.claim(name, largest, "<=", maximum)
 
 
 def add_rows(results: Results, part: str, rows: Any) -> None:
-    """Adds rows to the results' table, marked with the part of the experiment."""
+    """Adds rows, marked with the part of the experiment, to the table of the results."""
     results.rows += [{"part": part} | dict(row) for row in rows]
--- a/paddlequay/lab/cluster_model_auditor.py
+++ b/paddlequay/lab/cluster_model_auditor.py
@@ -1,8 +1,8 @@
-"""Checks the guarantees of the simulated fleet from outside, by true time.
+"""Checks the guarantees of the simulated fleet from outside, in true time.
 
-The auditor asks no router whether a guarantee holds: charges are counted when they are admitted, the state of
-parents is known, and each router is asked for its leases at each instant at which one of them could have
-acquired one. Between two calls of a router its hold on a lease can only end.
+The auditor does not rely on the routers' own view of a guarantee: it counts charges when they are admitted,
+it knows the state of the parents, and it asks all acceptors for their leases after each call in which one of
+them could have acquired a lease. Between two calls of a router, its hold on a lease can only end.
 """
 
 from collections import defaultdict
@@ -25,14 +25,14 @@
 from paddlequay.lab.cluster_model_router import SimulatedRouter
 from paddlequay.lab.cluster_model_workload import Parent, Workload
 
-# The age of evidence with drift, and for how long a change waits in an outbox: a parent that has been up for
-# longer must have no verdict.
+# The maximum age of evidence with drift, and the time that a change waits in an outbox. There must be no
+# verdict against a parent that has been up for longer.
 MAX_VERDICT_DELAY_S = 2.4
 
 
 @dataclass(frozen=True, slots=True)
 class Acquisition:
-    """A router has acquired a lease under a term. Times are true seconds."""
+    """A router acquired a lease under a term, at a true time in seconds."""
 
     at: float
     router: Peer
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """A router has changed what it believes about a peer."""
+    """A router changed the state that it assumes for a peer."""
 
     at: float
     router: Peer
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IsolationChange:
-    """A router has found that it is isolated, or connected again."""
+    """A router detected that it is isolated, or that it is connected again."""
 
     at: float
     router: Peer
@@ -59,7 +59,7 @@
 
 
 class Auditor:
-    """Watches a simulation and its workload, and counts violations."""
+    """Observes a simulation and its workload, and counts the violations of guarantees."""
 
     def __init__(self, simulation: FleetSimulation, rules: Sequence[LimitRule]) -> None:
         self.simulation = simulation
@@ -77,22 +77,18 @@
 
     @property
     def violations(self) -> int:
-        """Returns the violations: exceeded limits, two holders, decreasing terms and wrong deaths."""
+        """Returns the number of violations: exceeded limit, two holders, decreasing terms, wrong deaths."""
         limit_exceeded = self.workload.max_limit_ratio > 1 + 1e-6
         return limit_exceeded + self.double_holders + self.decreasing_terms + self.wrong_deaths
 
-    # --- faults ---
-
     def set_parent_state(self, parent: Parent, is_up: bool, is_silent: bool = True) -> None:
-        """Ends a parent or starts it again; one that is down is silent or refuses connections."""
+        """Stops or starts a parent; a stopped one is silent or refuses connections."""
         parent.is_up = is_up
         parent.changed_at = self.simulation.now
         parent.is_silent = is_silent
         self._verdict_since[parent.subject].clear()
         self.simulation.log_event("parent", parent.name, is_up)
 
-    # --- events ---
-
     def _observe(self, router: SimulatedRouter, events: Sequence[ClusterEvent]) -> None:
         for event in events:
             match event:
@@ -115,7 +111,7 @@
         earlier.append(Acquisition(self.simulation.now, router.number, event.term))
 
     def _check_holders(self, router: SimulatedRouter) -> None:
-        """Asks all acceptors, also stalled ones, for the leases that a router holds at this instant."""
+        """Counts the other acceptors, also stalled ones, that hold a lease that a router holds now."""
         simulation = self.simulation
         node = router.node
         assert node is not None
@@ -140,9 +136,9 @@
             self.false_verdicts += 1
 
     def _is_false_verdict(self, router: SimulatedRouter, parent: Parent) -> bool:
-        """Returns whether a parent has served for long, to this router and to most of the fleet.
+        """Returns whether a router has a verdict against a parent that it and most of the fleet can use.
 
-        All parents are dead to the routers of a separated zone, and to the fleet if those are most of it.
+        Routers of a separated zone reach no parent. If they are most of the fleet, a verdict is correct.
         """
         delayed_since = self.simulation.now - MAX_VERDICT_DELAY_S
         separated = [
@@ -163,14 +159,12 @@
         if event.state is PeerState.DEAD and is_up and not is_excused:
             self.wrong_deaths += 1
 
-    # --- measurements ---
-
     def time_until_state(
         self, peer: Peer, state: PeerState, since: float, ratio: float | None = None
     ) -> float | None:
-        """Returns the seconds until a ratio of the other routers believe a peer in a state; None: never.
+        """Returns the seconds until a ratio of the other routers assume a state for a peer; None: never.
 
-        Without a ratio it is the first router that counts.
+        Without a ratio, returns the seconds until the first router does.
         """
         first_seen: dict[Peer, float] = {}
         for change in self.state_changes:
@@ -182,7 +176,7 @@
         return times[needed - 1] if len(times) >= needed else None
 
     def time_until_verdict(self, parent: Parent, ratio: float) -> float | None:
-        """Returns the seconds from a parent's death until a ratio of the running routers have the verdict."""
+        """Returns the seconds from a parent's stop until a ratio of the running routers have the verdict."""
         times = sorted(at - parent.changed_at for at in self._verdict_since[parent.subject].values())
         running_count = sum(router.node is not None for router in self.simulation.routers)
         needed = int(ratio * running_count + 0.999)
--- a/paddlequay/lab/cluster_model_fleet.py
+++ b/paddlequay/lab/cluster_model_fleet.py
@@ -1,9 +1,9 @@
-"""A fleet of real cluster nodes on one simulated clock: machines, processes and what happens to them.
+"""A simulated fleet of production cluster nodes in virtual time.
 
-Each router is a `cluster.node.ClusterNode` with its wire and outbox, driven as
-`net/cluster/peer_transport.py` does it: one datagram at a time, one timer. Datagrams are bytes. Each
-machine's clock has a rate (within the drift) and an offset of its own, and runs on while its process is
-stalled. All random draws come from one seed.
+Each router is a `cluster.node.ClusterNode` with its wire and outbox. The simulation calls it as
+`net/cluster/peer_transport.py` does: for one datagram at a time, and for one timer. Datagrams are bytes. Each
+machine's clock has its own rate (within the drift) and offset, and continues while its process is stalled.
+All random draws come from one seed.
 """
 
 import random
@@ -17,32 +17,32 @@
 from paddlequay.cluster.types import NEVER, Fleet, Peer
 from paddlequay.cluster.wire import VERSION, Codec, Header, RejectReason
 from paddlequay.lab.cluster_model_network import LinkModel, SimulatedNetwork
-from paddlequay.lab.cluster_model_router import EventQueue, History, SimulatedRouter
+from paddlequay.lab.cluster_model_router import CallScheduler, History, SimulatedRouter
 
 START_UNIX_S = 1_700_000_000.0  # Unix time at true time 0
-MAX_UNIX_OFFSET_S = 0.2  # by which machines' calendars differ at the first start
+MAX_UNIX_OFFSET_S = 0.2  # largest error of a machine's Unix time at its first start
 MAX_CLOCK_OFFSET_S = 1e6
-MIN_TIMER_S = 0.001  # between two calls of the timer, as in net/cluster/peer_transport.py
-READ_S = 0.0002  # that a process takes for a datagram that waited
-WAKE_SPREAD_S = 0.001  # after a stall, until the process is called
-MAX_BUFFERED_DATAGRAMS = 256  # a kernel's 208 KiB at some 800 bytes each
+MIN_TIMER_S = 0.001  # shortest time between two calls of the timer, as in net/cluster/peer_transport.py
+READ_S = 0.0002  # time that a process takes to read a datagram from its socket buffer
+WAKE_SPREAD_S = 0.001  # longest time from the end of a stall to the next call of the process
+MAX_BUFFERED_DATAGRAMS = 256  # a kernel buffer of 208 KiB, at about 800 bytes a datagram
 ZONES = ("east", "west", "south")
 
 Observer = Callable[[SimulatedRouter, Sequence[ClusterEvent]], None]
 
 
 class FleetSimulation:
-    """`size` routers that start within a second. Observers see each call's events.
+    """A fleet of `size` routers that start within a second. Observers receive the events of each call.
 
     Args:
-        seed: of all random draws.
-        settings: the cluster's settings, the same for all routers.
+        seed: the seed of all random draws.
+        settings: the cluster's settings, which all routers share.
         size: the number of routers.
-        links: what links do to datagrams.
+        links: the delay, loss and duplication on links.
         max_request_s: the longest time that a request takes.
-        configure: alters a machine before its first process.
+        configure: changes a machine before its first process starts.
         node_class: the class of the routers' nodes.
-        max_clock_drift: by how much clocks are off true time, a ratio; None: as the settings allow.
+        max_clock_drift: the largest deviation of a clock's rate from 1; None: as the settings allow.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.size = size
         self.max_request_s = max_request_s
         self._node_class = node_class
-        self.events = EventQueue()
+        self.scheduler = CallScheduler()
         self.message_counts: Counter[str] = Counter()  # by type, while `counts_messages`
         self.counts_messages = False
         self.rejected: Counter[str] = Counter()
@@ -72,7 +72,7 @@
         drift = settings.bounds.drift_ratio if max_clock_drift is None else max_clock_drift
         self.routers = [self._make_router(number, drift) for number in range(size)]
         self.network = SimulatedNetwork(
-            self.events, self.rng, links or LinkModel(), self.routers, self.deliver, self.log_event
+            self.scheduler, self.rng, links or LinkModel(), self.routers, self.deliver, self.log_event
         )
         for router in self.routers:
             configure(router)
@@ -83,27 +83,23 @@
         clock_offset_s = self.rng.uniform(0, MAX_CLOCK_OFFSET_S)
         return SimulatedRouter(number, ZONES[number % len(ZONES)], clock_rate, clock_offset_s)
 
-    # --- time ---
-
     @property
     def now(self) -> float:
         """Returns the true time in seconds."""
-        return self.events.now
+        return self.scheduler.now
 
     def schedule(self, when: float, call: Callable[..., None], *arguments: object) -> None:
         """Schedules a call at a true time."""
-        self.events.schedule(when, call, *arguments)
+        self.scheduler.schedule(when, call, *arguments)
 
     def run(self, until: float) -> None:
         """Runs the simulation until a true time."""
-        self.events.run(until)
+        self.scheduler.run(until)
 
     def log_event(self, *values: object) -> None:
-        """Adds an event to the history, at the present time."""
+        """Adds an event at the present time to the history."""
         self.history.add(self.now, values)
 
-    # --- processes ---
-
     def start_process(self, router: SimulatedRouter, is_first: bool = False) -> None:
         """Starts a new process without any state."""
         router.process_count += 1
@@ -128,19 +124,17 @@
         router.socket_buffer.clear()
 
     def stall(self, router: SimulatedRouter, seconds: float) -> None:
-        """Stalls a process; its clock and its socket go on."""
+        """Stalls a process; its clock continues, and its socket still receives datagrams."""
         self.log_event("stop", router.number, seconds)
         router.stalled_until = max(router.stalled_until, self.now + seconds)
 
-    # --- calls, as net/cluster/peer_transport.py makes them ---
-
     def _schedule_call(self, router: SimulatedRouter, when: float) -> None:
         if when < router.next_call_at:
             router.next_call_at = when
             self.schedule(when, self._call, router, router.process_count, when)
 
     def _call(self, router: SimulatedRouter, process_count: int, when: float) -> None:
-        """Calls the timer, or handles a datagram that waited in the socket; either may be first."""
+        """Calls the timer or handles a buffered datagram; if both are due, a random one comes first."""
         is_obsolete = router.process_count != process_count or router.next_call_at != when
         if is_obsolete or router.node is None:
             return
@@ -161,7 +155,7 @@
         self.flush(router, events)
 
     def deliver(self, router: SimulatedRouter, data: bytes, sender: Peer) -> None:
-        """Gives a datagram to a router's process, or to its socket while the process does not run."""
+        """Delivers a datagram to a router's process, or buffers it while the process does not run."""
         if router.node is None:
             self.network.lost["killed"] += 1
         elif router.socket_buffer or router.next_run_time(self.now) > self.now:
@@ -190,7 +184,7 @@
         return node.handle_datagram(header.sender, header, received.messages, router.local_time(self.now))
 
     def flush(self, router: SimulatedRouter, events: Sequence[ClusterEvent]) -> None:
-        """Reports the events of a call, sends datagrams, and schedules the next call."""
+        """Reports the events of a call, sends the outbox's datagrams, and schedules the next call."""
         node = router.node
         assert node is not None
         for event in events:
@@ -225,7 +219,7 @@
         self.message_counts["datagrams"] += receiver_count
 
     def inject_foreign(self, router: SimulatedRouter, per_s: float, until: float) -> None:
-        """Gives a router datagrams of another installation, from peers' addresses, until a true time."""
+        """Delivers datagrams of another cluster to a router, from peers' addresses, until a true time."""
         if self.now >= until:
             return
         sender = self.rng.randrange(self.size)
--- a/paddlequay/lab/cluster_model_network.py
+++ b/paddlequay/lab/cluster_model_network.py
@@ -6,22 +6,22 @@
 from dataclasses import dataclass
 
 from paddlequay.cluster.types import Peer
-from paddlequay.lab.cluster_model_router import EventQueue, SimulatedRouter
+from paddlequay.lab.cluster_model_router import CallScheduler, SimulatedRouter
 
-FLAP_S = 2.0  # for so long a flapping zone is separated, and for so long connected
+FLAP_INTERVAL_S = 2.0  # a flapping zone is alternately separated and connected, each for this time
 
 Deliver = Callable[[SimulatedRouter, bytes, Peer], None]
 
 
 @dataclass(frozen=True, slots=True)
 class LinkModel:
-    """What links do to a datagram. Times are seconds one way, ratios are of all datagrams."""
+    """Delay, loss and duplication on links. Times are one-way, in seconds; ratios are of all datagrams."""
 
     same_zone_s: float = 0.0005
     cross_zone_s: float = 0.008
     mean_jitter_s: float = 0.002
     loss_ratio: float = 0.0
-    repeat_ratio: float = 0.0
+    duplicate_ratio: float = 0.0
 
 
 class SimulatedNetwork:
@@ -29,39 +29,41 @@
 
     def __init__(
         self,
-        events: EventQueue,
+        scheduler: CallScheduler,
         rng: random.Random,
         links: LinkModel,
         routers: Sequence[SimulatedRouter],
         deliver: Deliver,
         log_event: Callable[..., None],
     ) -> None:
-        self._events = events
+        self._scheduler = scheduler
         self._rng = rng
         self._links = links
         self._routers = routers
         self._deliver = deliver
         self._log_event = log_event
-        self.cuts: set[tuple[Peer, Peer]] = set()  # one-way: from a sender to a receiver
+        self.blocked_links: set[tuple[Peer, Peer]] = set()  # (sender, receiver)
         self.lost: Counter[str] = Counter()
 
     def transmit(self, sender: SimulatedRouter, receiver: SimulatedRouter, data: bytes) -> None:
-        """Sends a datagram, which may be lost, delayed or repeated."""
+        """Sends a datagram, which may be lost or duplicated, and is delayed otherwise."""
         sender.sent_bytes += len(data)
-        if self._loses(sender, receiver):
+        if self._is_lost(sender, receiver):
             self.lost["link"] += 1
             return
         links = self._links
         delay_s = links.same_zone_s if sender.zone == receiver.zone else links.cross_zone_s
-        repeats = links.repeat_ratio and self._rng.random() < links.repeat_ratio
-        for _ in range(2 if repeats else 1):
+        is_duplicated = links.duplicate_ratio and self._rng.random() < links.duplicate_ratio
+        for _ in range(2 if is_duplicated else 1):
             jitter_s = self._rng.expovariate(1 / links.mean_jitter_s)
             total_s = delay_s + jitter_s + sender.extra_delay_s + receiver.extra_delay_s
-            self._events.schedule(self._events.now + total_s, self._deliver, receiver, data, sender.number)
+            self._scheduler.schedule(
+                self._scheduler.now + total_s, self._deliver, receiver, data, sender.number
+            )
 
-    def _loses(self, sender: SimulatedRouter, receiver: SimulatedRouter) -> bool:
-        """Returns whether a datagram is lost; draws only where the routers are connected."""
-        if (sender.number, receiver.number) in self.cuts:
+    def _is_lost(self, sender: SimulatedRouter, receiver: SimulatedRouter) -> bool:
+        """Returns whether a datagram is lost; draws a random number only if the routers are connected."""
+        if (sender.number, receiver.number) in self.blocked_links:
             return True
         if sender.partition_side != receiver.partition_side:
             return True
@@ -72,16 +74,16 @@
         return self._rng.random() < loss_ratio
 
     def flap_zone(self, zone: str, until: float) -> None:
-        """Separates a zone from the others and connects it again, by turns."""
-        now = self._events.now
+        """Alternately separates a zone from the others and connects it again, until a true time."""
+        now = self._scheduler.now
         if now < until:
             self._change_zone_partition(zone, 1)
-            self._events.schedule(now + FLAP_S, self._change_zone_partition, zone, -1)
-            self._events.schedule(now + 2 * FLAP_S, self.flap_zone, zone, until)
+            self._scheduler.schedule(now + FLAP_INTERVAL_S, self._change_zone_partition, zone, -1)
+            self._scheduler.schedule(now + 2 * FLAP_INTERVAL_S, self.flap_zone, zone, until)
 
     def _change_zone_partition(self, zone: str, change: int) -> None:
         self._log_event("part", zone, change)
         for router in self._routers:
             if router.zone == zone:
                 router.zone_partition_count += change
-                router.zone_partition_ended_at = self._events.now
+                router.zone_partition_ended_at = self._scheduler.now
--- a/paddlequay/lab/cluster_model_router.py
+++ b/paddlequay/lab/cluster_model_router.py
@@ -1,4 +1,4 @@
-"""A simulated machine with one router's process, and a simulation's scheduled calls and history."""
+"""A simulated machine with a router's process, and the scheduled calls and the history of a simulation."""
 
 import hashlib
 import heapq
@@ -11,13 +11,13 @@
 from paddlequay.cluster.types import NEVER, Peer
 
 LONG_AGO_S = -1e9
-SLICE_S = 0.25  # a process on a shared core runs for a part of each slice
+SLICE_S = 0.25  # period in which a process on a shared core runs once, for `SLICE_RUN_RATIO` of it
 SLICE_RUN_RATIO = 0.2
-SLICE_PHASE_S = 0.037  # by which the slices of two routers are apart
+SLICE_PHASE_S = 0.037  # offset between the slices of routers with consecutive numbers
 
 
-class EventQueue:
-    """Scheduled calls in true time, seconds from 0. Calls at one time run in order of scheduling."""
+class CallScheduler:
+    """Runs scheduled calls in true time, from 0 s. Calls at the same time run in order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -25,11 +25,11 @@
         self._calls: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
 
     def schedule(self, when: float, call: Callable[..., None], *arguments: object) -> None:
-        """Schedules a call, at once where `when` has passed."""
+        """Schedules a call at a true time, or now if that time has passed."""
         heapq.heappush(self._calls, (max(when, self.now), next(self._order), call, arguments))
 
     def run(self, until: float) -> None:
-        """Runs all calls that are due until a time, and sets the time to it."""
+        """Runs all calls that are due by a true time, and advances the present time to it."""
         while self._calls and self._calls[0][0] <= until:
             self.now, _, call, arguments = heapq.heappop(self._calls)
             call(*arguments)
@@ -37,7 +37,7 @@
 
 
 class History:
-    """A digest over all events of a simulation, by which two runs are compared."""
+    """The digest and the number of all events of a simulation, by which two runs are compared."""
 
     def __init__(self) -> None:
         self._hash = hashlib.blake2b(digest_size=16)
@@ -55,37 +55,37 @@
 
 @dataclass(slots=True, eq=False)
 class SimulatedRouter:
-    """A machine with a clock of its own, and the process that runs on it. Times are true seconds."""
+    """A machine with its own clock, and the process that runs on it. Times are true seconds."""
 
     number: Peer
     zone: str
-    clock_rate: float  # seconds of its clock in a true second
+    clock_rate: float  # seconds of the clock in a true second
     clock_offset_s: float
-    node: ClusterNode | None = None  # None: killed
+    node: ClusterNode | None = None  # None: no process runs
     process_count: int = 0
     stalled_until: float = 0.0
     shares_core: bool = False  # runs for a part of each scheduling slice only
-    extra_delay_s: float = 0.0  # of each datagram, either way
+    extra_delay_s: float = 0.0  # of each datagram to or from the router
     loss_ratio: float = 0.0
-    zone_partition_count: int = 0  # faults that separate its zone from the others now
+    zone_partition_count: int = 0  # faults that currently separate its zone from the others
     zone_partition_ended_at: float = LONG_AGO_S
     partition_side: int = 0
-    death_excused_until: float = 0.0  # until when others may declare it dead
+    death_excused_until: float = 0.0  # others may declare it dead until then
     socket_buffer: deque[tuple[bytes, Peer]] = field(default_factory=deque)
     next_call_at: float = NEVER
-    sent_bytes: int = 0  # each receiver counted
-    cpu_ns: int = 0  # of its calls
+    sent_bytes: int = 0  # counted once for each receiver
+    cpu_ns: int = 0  # CPU time of the calls of its process
 
     def local_time(self, true_time: float) -> float:
-        """Returns what its clock shows at a true time."""
+        """Returns the time of its clock at a true time."""
         return self.clock_offset_s + self.clock_rate * true_time
 
     def true_time(self, local_time: float) -> float:
-        """Returns the true time at which its clock shows a time."""
+        """Returns the true time that belongs to a time of its clock."""
         return (local_time - self.clock_offset_s) / self.clock_rate
 
     def next_run_time(self, now: float) -> float:
-        """Returns when its process runs next: now or later."""
+        """Returns the true time at which its process runs next, `now` or later."""
         when = max(now, self.stalled_until)
         if self.shares_core:
             phase_s = (when + self.number * SLICE_PHASE_S) % SLICE_S
@@ -94,9 +94,9 @@
         return when
 
     def is_running(self, now: float) -> bool:
-        """Returns whether its process runs at this instant."""
+        """Returns whether its process runs at a true time."""
         return self.node is not None and self.next_run_time(now) <= now
 
     def excuse_death(self, until: float) -> None:
-        """Allows others to declare it dead until a time, after a fault."""
+        """Allows others to declare it dead until a true time, because of a fault."""
         self.death_excused_until = max(self.death_excused_until, until)
--- a/paddlequay/lab/cluster_model_runs.py
+++ b/paddlequay/lab/cluster_model_runs.py
@@ -1,4 +1,4 @@
-"""Runs of the simulated fleet: one gray failure at a time, and whole days of faults drawn from a seed."""
+"""Runs of the simulated fleet: with one gray failure each, or with a whole day of seeded random faults."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 from paddlequay.lab.cluster_model_router import SimulatedRouter
 
 MAX_ACCEPTORS = 5
-# The holder answers each router above its floor 2.5 times a second with 70 bytes; others need less.
+# The holder sends 70 bytes 2.5 times a second to each router above its floor; other routers send less.
 BASE_BYTES_PER_S = 16_000
 BYTES_PER_S_FOR_EACH_ROUTER = 320
 LIMIT_PER_S = 200.0
@@ -22,26 +22,27 @@
 MEAN_CHARGE_S = 0.28
 FIRST_ATTEMPT_AT_S = 1.0
 
-VICTIM = 7  # the router that a gray failure hits
+VICTIM = 7  # number of the router that a gray failure affects
 FAILURE_BEGIN_S = 8.0
 FAILURE_END_S = 20.0
 STALL_S = 4.0
 
 DAY_S = 28.0
 FIRST_FAULT_AT_S = 3.0
-QUIET_S = 12.0  # at the end of a day, without new faults
-USED_SPAN_S = 3.0  # at the end of a day, in which the use of the limit is measured
+FAULT_FREE_S = 12.0  # time without new faults at the end of a day
+USED_SPAN_S = 3.0  # time at the end of a day over which the use of the limit is measured
 MIN_USED_RATIO = 0.6
 
 
 def make_rules(size: int, rate_per_s: float, burst: float, slot_ratio: float) -> tuple[LimitRule, ...]:
-    """Returns two strict limits: a rate, and requests in flight.
+    """Returns two strict limits: on the rate of charges, and on the requests in flight.
 
     Args:
         size: the number of routers.
-        rate_per_s: charges a second.
-        burst: for each router; five give it a floor, fewer do not.
-        slot_ratio: requests in flight as a ratio of the rate; below `MEAN_CHARGE_S` they bind.
+        rate_per_s: the limit of charges per second.
+        burst: the burst for each router; with 5 or more a router has a floor, with fewer it has none.
+        slot_ratio: the limit of requests in flight, as a ratio of the rate; below `MEAN_CHARGE_S` it is the
+            lower of the two limits.
     """
     return (
         LimitRule("charges", LimitScope.CLASS, "charge", rate_per_s, max(MIN_BURST, burst * size)),
@@ -50,7 +51,7 @@
 
 
 def make_settings(size: int, limits: tuple[LimitRule, ...]) -> ClusterSettings:
-    """Returns the settings of a fleet."""
+    """Returns the cluster settings of a fleet of `size` routers with these limits."""
     acceptors = tuple(range(min(MAX_ACCEPTORS, size)))
     bytes_per_s = BASE_BYTES_PER_S + BYTES_PER_S_FOR_EACH_ROUTER * size
     return ClusterSettings("quay", acceptors, limits=limits, bytes_per_s=bytes_per_s)
@@ -69,7 +70,7 @@
     burst: float = 5.0,
     slot_ratio: float = 0.5,
 ) -> Auditor:
-    """Returns an audited fleet with demand for `demand_ratio` of the limit, and attempts at each router."""
+    """Returns the auditor of a new fleet with demand for `demand_ratio` of the limit and with attempts."""
     limits = make_rules(size, rate_per_s, burst, slot_ratio)
     simulation = FleetSimulation(
         seed,
@@ -90,9 +91,6 @@
     return auditor
 
 
-# --- gray failures ---
-
-
 def _kill(simulation: FleetSimulation, victim: SimulatedRouter) -> None:
     simulation.kill_process(victim)
 
@@ -116,7 +114,7 @@
 
 
 def _leave_clock_fast(simulation: FleetSimulation, victim: SimulatedRouter) -> None:
-    """Changes nothing: the clock is fast from the start."""
+    """Changes nothing: the clock has been fast since the start of the run."""
 
 
 def _delay(simulation: FleetSimulation, victim: SimulatedRouter) -> None:
@@ -125,12 +123,12 @@
 
 def _cut_incoming(simulation: FleetSimulation, victim: SimulatedRouter) -> None:
     others = [other for other in simulation.routers if other is not victim]
-    simulation.network.cuts |= {(other.number, victim.number) for other in others}
+    simulation.network.blocked_links |= {(other.number, victim.number) for other in others}
 
 
 def _cut_outgoing(simulation: FleetSimulation, victim: SimulatedRouter) -> None:
     others = [other for other in simulation.routers if other is not victim]
-    simulation.network.cuts |= {(victim.number, other.number) for other in others}
+    simulation.network.blocked_links |= {(victim.number, other.number) for other in others}
 
 
 def _lose_half(simulation: FleetSimulation, victim: SimulatedRouter) -> None:
@@ -148,7 +146,7 @@
 
 FAST_CLOCK = "clock 2% fast"
 
-# The gray failures by their names in results.
+# The gray failures, by the names that results give them.
 GRAY_FAILURES: dict[str, Callable[[FleetSimulation, SimulatedRouter], None]] = {
     "killed": _kill,
     "restarted empty": _restart,
@@ -166,7 +164,7 @@
 
 
 def run_gray_failure(name: str, seed: int, size: int = 12) -> Mapping[str, Any]:
-    """Runs a failure of one router, or of its zone, and returns what the others find; times in seconds."""
+    """Runs a failure of one router or of its zone, and returns the row that describes it."""
 
     def configure(router: SimulatedRouter) -> None:
         if router.number == VICTIM and name == FAST_CLOCK:
@@ -182,7 +180,7 @@
 
 
 def describe_gray_failure(name: str, auditor: Auditor) -> Mapping[str, Any]:
-    """Returns what the fleet has found of a gray failure that has just ended."""
+    """Returns a row on how the fleet has detected and handled a gray failure; times are in seconds."""
     begin = FAILURE_BEGIN_S
     victim_zone = auditor.simulation.routers[VICTIM].zone
     deaths = [change for change in auditor.state_changes if change.state is PeerState.DEAD]
@@ -216,16 +214,13 @@
 
 
 def rounded(value: float | None) -> float | None:
-    """Returns a time to hundredths of a second."""
+    """Returns a time rounded to hundredths of a second."""
     return None if value is None else round(value, 2)
 
 
-# --- days ---
-
-
 @dataclass(frozen=True, slots=True)
 class DayResult:
-    """The result of a day, equal for equal seeds; `digest` is of its whole history."""
+    """The result of a day, equal for equal seeds; `digest` covers the whole history."""
 
     digest: str
     event_count: int
@@ -237,11 +232,11 @@
     false_verdicts: int
     admitted_count: int
     acquisition_count: int
-    recovered: bool  # after all faults: all routers alive to all, and the limit used
+    recovered: bool  # at the end all routers consider all alive, and the limit is used
 
     @property
     def violations(self) -> list[str]:
-        """Returns the guarantees that did not hold."""
+        """Returns the names of the violated guarantees."""
         checks = {
             "limit": self.max_limit_ratio > 1 + 1e-6,
             "holders": self.double_holders > 0,
@@ -258,12 +253,12 @@
     node_class: type[ClusterNode] = ClusterNode,
     demand_ratio: float = 1.5,
 ) -> DayResult:
-    """Runs a short day: faults of every kind until `QUIET_S` before its end, drawn from the seed."""
+    """Runs a simulated day with random faults of all kinds, until `FAULT_FREE_S` before its end."""
     burst, slot_ratio = ((5.0, 0.5), (1.0, 0.5), (5.0, 0.12))[seed % 3]
     auditor = make_fleet(
         seed,
         size,
-        LinkModel(loss_ratio=0.01, repeat_ratio=0.02),
+        LinkModel(loss_ratio=0.01, duplicate_ratio=0.02),
         demand_ratio,
         attempts_per_s=5.0,
         node_class=node_class,
@@ -271,7 +266,7 @@
         slot_ratio=slot_ratio,
     )
     simulation = auditor.simulation
-    faults = FaultInjector(auditor, seconds - QUIET_S)
+    faults = FaultInjector(auditor, seconds - FAULT_FREE_S)
     simulation.schedule(FIRST_FAULT_AT_S, faults.apply_next)
     simulation.run(seconds)
     workload = auditor.workload
@@ -291,7 +286,7 @@
 
 
 def has_recovered(auditor: Auditor, slot_ratio: float, end: float) -> bool:
-    """Returns whether all routers are alive to all, and the limit is used as far as it can be."""
+    """Returns whether all routers consider all routers alive, and the limit is used as far as possible."""
     routers = auditor.simulation.routers
     all_alive = all(
         router.node is not None and router.node.liveness.state_of(other.number) is PeerState.ALIVE
@@ -299,7 +294,7 @@
         for other in routers
     )
     demand_per_s = sum(auditor.workload.demand_per_s.values())
-    # With little burst for each router, up to a quarter stays unused besides.
+    # In addition, up to a quarter stays unused if each router has little burst.
     slots_per_s = slot_ratio * LIMIT_PER_S / MEAN_CHARGE_S * 0.8
     usable_per_s = min(demand_per_s, LIMIT_PER_S, slots_per_s)
     used_per_s = auditor.workload.admitted_per_s(end - USED_SPAN_S, end)
--- a/paddlequay/lab/cluster_model_workload.py
+++ b/paddlequay/lab/cluster_model_workload.py
@@ -1,4 +1,4 @@
-"""The load on the simulated fleet: charges under its limits, and attempts at parents that serve or do not."""
+"""The load on the simulated fleet: charges under its limits, and attempts at parents that are up or down."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -15,10 +15,10 @@
 
 CHARGE_SUBJECTS = ((LimitScope.CLASS, "charge"), (LimitScope.SOURCE, "parent"))
 PARENT_COUNT = 4
-REFUSED_S = 0.005  # after which an attempt at a dead parent ends that refuses connections
-TIMED_OUT_S = 0.25  # after which an attempt at a silent parent ends
-CHANCE_FAILURE_RATIO = 0.01  # of attempts at a parent that serves
-WAKE_SPREAD_S = 0.002  # after a stall, until a charge that waited is requested
+CONNECTION_REFUSED_S = 0.005  # until an attempt fails at a parent that refuses connections
+ATTEMPT_TIMEOUT_S = 0.25  # until an attempt at a silent parent times out
+CHANCE_FAILURE_RATIO = 0.01  # share of the attempts at a parent that is up
+WAKE_SPREAD_S = 0.002  # longest time from the end of a stall to the request of a delayed charge
 
 
 @dataclass(slots=True)
@@ -29,11 +29,11 @@
     subject: NameDigest
     is_up: bool = True
     changed_at: float = LONG_AGO_S
-    is_silent: bool = True  # while it is down: does not answer, instead of refusing connections
+    is_silent: bool = True  # while down, it does not answer instead of refusing connections
 
 
 class Workload:
-    """Requests charges and makes attempts at random times, and audits the limits by true time."""
+    """Requests charges and makes attempts at random times, and audits the limits in true time."""
 
     def __init__(self, simulation: FleetSimulation, rules: Sequence[LimitRule]) -> None:
         self.simulation = simulation
@@ -45,10 +45,8 @@
         names = [f"p{number}" for number in range(PARENT_COUNT)]
         self.parents = [Parent(name, digest(name)) for name in names]
 
-    # --- charges ---
-
     def set_demand(self, router: SimulatedRouter, per_s: float) -> None:
-        """Sets the rate at which a router gets charges, in place of the previous one; 0: none."""
+        """Sets the rate at which charges are requested at a router; 0 stops them."""
         is_running = self.demand_per_s.get(router.number, 0.0) > 0
         self.demand_per_s[router.number] = per_s
         if per_s and not is_running:
@@ -65,7 +63,7 @@
             self.request_charge(router)
 
     def request_charge(self, router: SimulatedRouter) -> None:
-        """Requests one charge; a stalled process gets the request when it runs again."""
+        """Requests one charge at a router; a stalled process receives the request when it runs again."""
         simulation = self.simulation
         node = router.node
         if node is None or node.limits is None:
@@ -101,26 +99,24 @@
             node.limits.release(permit, router.local_time(self.simulation.now))
 
     def admitted_per_s(self, begin: float, end: float) -> float:
-        """Returns the charges a second that were admitted in a span of true time."""
+        """Returns the mean number of charges admitted per second between two true times."""
         return sum(begin <= at < end for at in self.admitted_at) / (end - begin)
 
     @property
     def max_limit_ratio(self) -> float:
-        """Returns the highest use of any limit, as a multiple of what it allows; over 1 is a violation."""
+        """Returns the highest use of any limit, as a multiple of what it allows; above 1 it is exceeded."""
         ratios = (audit.max_ratio / audit.allowed_ratio for audit in self.audits.values())
         return max(ratios, default=0.0)
 
-    # --- attempts ---
-
     def attempt_repeatedly(self, router: SimulatedRouter, per_s: float) -> None:
-        """Makes attempts at random parents, until the end of the simulation."""
+        """Makes a router's attempts at random parents, until the end of the simulation."""
         next_at = self.simulation.now + self.rng.expovariate(per_s)
         self.simulation.schedule(next_at, self.attempt_repeatedly, router, per_s)
         if router.is_running(self.simulation.now):
             self._attempt(router, self.rng.choice(self.parents))
 
     def _attempt(self, router: SimulatedRouter, parent: Parent) -> None:
-        """Makes an attempt: served at once, or ended after a refused connection or a time-out."""
+        """Makes an attempt, which succeeds at once, or fails after a refused connection or a time-out."""
         zone_separated = bool(router.zone_partition_count)  # parents are in other zones
         fails_by_chance = self.rng.random() < CHANCE_FAILURE_RATIO
         process_count = router.process_count
@@ -129,7 +125,7 @@
             return
         silent = parent.is_silent or zone_separated
         fault = Fault.SILENT if silent else Fault.FAILING
-        end = self.simulation.now + (TIMED_OUT_S if silent else REFUSED_S)
+        end = self.simulation.now + (ATTEMPT_TIMEOUT_S if silent else CONNECTION_REFUSED_S)
         self.simulation.schedule(end, self._record_attempt, router, process_count, parent, False, fault)
 
     def _record_attempt(
