--- a/paddlequay/lab/cluster_model_network.py
+++ b/paddlequay/lab/cluster_model_network.py
@@ -42,7 +42,7 @@
         self._routers = routers
         self._deliver = deliver
         self._log_event = log_event
-        self.blocked_links: set[tuple[Peer, Peer]] = set()  # (sender, receiver)
+        self.blocked_links: set[tuple[Peer, Peer]] = set()  # one-way: (sender, receiver)
         self.lost: Counter[str] = Counter()
 
     def transmit(self, sender: SimulatedRouter, receiver: SimulatedRouter, data: bytes) -> None:
