--- a/paddlequay/lab/lease_search.py
+++ b/paddlequay/lab/lease_search.py
@@ -144,8 +144,10 @@
         Raises:
             LeaseFaultError: A requested lease is not held within `MAX_HEALING_S`.
         """
-        wanted = set().union(*self.world.wanted.values())
-        healing_s = self.world.settle(MAX_HEALING_S, lambda: all(self.world.holders(name) for name in wanted))
+        requested = set().union(*self.world.requested_leases.values())
+        healing_s = self.world.settle(
+            MAX_HEALING_S, lambda: all(self.world.holders(name) for name in requested)
+        )
         if healing_s is None:
             raise LeaseFaultError(f"a requested lease is not held {MAX_HEALING_S} s after all faults ended")
         return healing_s
--- a/paddlequay/lab/lease_world.py
+++ b/paddlequay/lab/lease_world.py
@@ -32,7 +32,7 @@
 Link = tuple[Peer, Peer]  # from a router to another
 
 
-class EdgeRandom(random.Random):
+class BoundsRandom(random.Random):
     """A random generator with 64 bits of state, whose `uniform` often returns one of its bounds.
 
     The shortest and the longest waiting times are the hardest cases for the leases.
@@ -41,8 +41,8 @@
     def __init__(self, state: int) -> None:
         self.state = state
 
-    def __reduce__(self) -> tuple[type["EdgeRandom"], tuple[int]]:
-        return EdgeRandom, (self.state,)
+    def __reduce__(self) -> tuple[type["BoundsRandom"], tuple[int]]:
+        return BoundsRandom, (self.state,)
 
     def getrandbits(self, k: int, /) -> int:
         """Returns the highest bits of the next state of a linear congruential generator."""
@@ -109,7 +109,7 @@
         names: tuple[NameDigest, ...] = (1,),
         acceptors: tuple[Peer, ...] = (0, 1, 2),
     ) -> None:
-        self.rng = EdgeRandom(seed)
+        self.rng = BoundsRandom(seed)
         self.leases_class = leases_class
         self.process_class = process_class
         self.acceptors = acceptors
@@ -117,7 +117,7 @@
         self.time = 0.0
         self.pending: list[PendingMessage] = []
         self.blocked_links: set[Link] = set()
-        self.wanted: dict[Peer, set[NameDigest]] = {each: set() for each in range(size)}
+        self.requested_leases: dict[Peer, set[NameDigest]] = {each: set() for each in range(size)}
         self.last_terms: dict[NameDigest, int] = {}
         self.acquisitions = 0
         self.forgotten_terms = 0
@@ -125,7 +125,7 @@
 
     def _new_process(self, me: Peer, size: int) -> LeaseProcess:
         clock = self.rng.uniform(0, 1000)
-        rng = EdgeRandom(self.rng.getrandbits(64))
+        rng = BoundsRandom(self.rng.getrandbits(64))
         leases = self.leases_class(Fleet(me, size, self.acceptors), BOUNDS, rng, clock)
         return self.process_class(leases, clock, self.draw_clock_rate())
 
@@ -136,12 +136,12 @@
 
     def request(self, me: Peer, name: NameDigest) -> None:
         """Has a router bid for a lease."""
-        self.wanted[me].add(name)
+        self.requested_leases[me].add(name)
         self._run(me, lambda leases, now: leases.request(name, now))
 
     def release(self, me: Peer, name: NameDigest, successor: Peer | None = None) -> None:
         """Has a router release a lease, and name a successor if one is given."""
-        self.wanted[me].discard(name)
+        self.requested_leases[me].discard(name)
         self._run(me, lambda leases, now: leases.release(name, now, successor))
 
     def tick(self, me: Peer) -> None:
@@ -212,7 +212,7 @@
     def restart(self, me: Peer) -> None:
         """Starts a new process without state, on a new clock; it requests the same leases as before."""
         self.processes[me] = self._new_process(me, len(self.processes))
-        for name in sorted(self.wanted[me]):
+        for name in sorted(self.requested_leases[me]):
             self.request(me, name)
 
     def holders(self, name: NameDigest) -> list[tuple[Peer, int]]:
@@ -256,7 +256,7 @@
         loss_ratio: float = 0.0,
         message_delay_s: float = MESSAGE_DELAY_S,
     ) -> float | None:
-        """Runs until `is_done`, at most for `seconds` of true time.
+        """Runs until `is_done` returns True, at most for `seconds` of true time.
 
         Args:
             seconds: How long to run at most.
--- a/paddlequay/lab/limit_search.py
+++ b/paddlequay/lab/limit_search.py
@@ -181,7 +181,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Finding:
+class LimitSearchResult:
     """The number of worlds and steps searched, and the limits that the last world exceeded."""
 
     worlds: int
@@ -189,7 +189,9 @@
     exceeded: tuple[str, ...] = ()
 
 
-def search_until_exceeded(limits_class: type[FleetLimits], max_steps: int, first_seed: int = 0) -> Finding:
+def search_until_exceeded(
+    limits_class: type[FleetLimits], max_steps: int, first_seed: int = 0
+) -> LimitSearchResult:
     """Runs worlds until one exceeds a limit, or for `max_steps` steps in total."""
     steps = 0
     worlds = 0
@@ -201,17 +203,17 @@
             f"{name} {audit.max_ratio:.3f}" for name, audit in world.audits.items() if audit.is_exceeded
         )
         if exceeded:
-            return Finding(worlds, steps, exceeded)
-    return Finding(worlds, steps)
+            return LimitSearchResult(worlds, steps, exceeded)
+    return LimitSearchResult(worlds, steps)
 
 
 def search_without_guards(max_steps: int) -> None:
     """Searches each variant that lacks a guard, and prints whether it exceeded a limit."""
     for limits_class in WITHOUT_GUARD:
-        finding = search_until_exceeded(limits_class, max_steps)
-        outcome = f"exceeded: {finding.exceeded[0]}" if finding.exceeded else "NOT FOUND"
+        result = search_until_exceeded(limits_class, max_steps)
+        outcome = f"exceeded: {result.exceeded[0]}" if result.exceeded else "NOT FOUND"
         print(
-            f"{limits_class.__name__:24} {outcome:24} {finding.worlds} worlds {finding.steps} steps",
+            f"{limits_class.__name__:24} {outcome:24} {result.worlds} worlds {result.steps} steps",
             flush=True,
         )
 
