--- a/paddlequay/lab/cluster.py
+++ b/paddlequay/lab/cluster.py
@@ -50,7 +50,7 @@
     @property
     def repeated_answer_count(self) -> int:
         """Returns how many answers came to a request that had one already."""
-        return sum(connection.twice for pool in self._pools for connection in pool)
+        return sum(connection.duplicate_answers for pool in self._pools for connection in pool)
 
     async def run(self) -> None:
         """Sends charges until cancelled; `drain` awaits those that are pending then."""
--- a/paddlequay/lab/hierarchy_experiment.py
+++ b/paddlequay/lab/hierarchy_experiment.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from paddlequay.lab.claims import Results, Setup
-from paddlequay.lab.load import Tally
+from paddlequay.lab.load import LoadSummary
 from paddlequay.lab.zone_cluster import RepeatedStep, ZoneCluster, ZonePlan
 
 PURGE_INTERVAL_S = 1.0
@@ -39,9 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RunRecord:
-    """What one run came to: the load's tally, the zone, and each tier's counters."""
+    """The results of one run: the load summary, the zone and the counters of each tier."""
 
-    tally: Tally
+    summary: LoadSummary
     cluster: ZoneCluster
     counters: dict[str, dict[str, int]]
 
@@ -75,13 +75,13 @@
         steps.append(RepeatedStep(plan.death_interval_s, kill_and_revive))
     running = [asyncio.ensure_future(step.run()) for step in steps]
     try:
-        tally = await cluster.load.run(seconds)
+        summary = await cluster.load.run(seconds)
     finally:
         for task in running:
             task.cancel()
         await cluster.down()
     counters = {name: exit_counters(folder / f"{name}.log") for name in cluster.tiers}
-    return RunRecord(tally, cluster, counters)
+    return RunRecord(summary, cluster, counters)
 
 
 def exit_counters(path: Path) -> dict[str, int]:
@@ -98,17 +98,17 @@
 
 def report(results: Results, name: str, record: RunRecord) -> None:
     """Adds a run's row, figures and line of fills to the results."""
-    tally = record.tally
+    summary = record.summary
     cluster = record.cluster
     origin = cluster.origin
     row: dict[str, Any] = {
         "run": name,
-        "asked": sum(tally.asked.values()),
-        "served": tally.verdicts["served"],
-        "worth": round(tally.served_share, 4),
-        "p50_ms": round(tally.percentile(50), 1),
-        "p99_ms": round(tally.percentile(99), 1),
-        "spoilt": tally.spoilt,
+        "asked": sum(summary.asked.values()),
+        "served": summary.verdicts["served"],
+        "worth": round(summary.served_share, 4),
+        "p50_ms": round(summary.percentile(50), 1),
+        "p99_ms": round(summary.percentile(99), 1),
+        "spoilt": summary.wrong_body_count,
         "store_fills": len(origin.fills),
         "second_fills": len(cluster.second_fills()),
         "versions": cluster.topology.version,
@@ -174,7 +174,7 @@
 
 def claim(results: Results, records: dict[str, RunRecord]) -> None:
     """Adds the experiment's claims to the results."""
-    plain_share = records["plain"].tally.served_share
+    plain_share = records["plain"].summary.served_share
     for row in results.rows:
         name = row["run"]
         has_deaths = name == "deaths"
--- a/paddlequay/lab/sources.py
+++ b/paddlequay/lab/sources.py
@@ -24,7 +24,7 @@
 from paddlequay.discovery.resolver_types import SendQuery
 from paddlequay.lab.claims import Results, Setup
 from paddlequay.lab.dns import DnsServer
-from paddlequay.lab.load import Tally
+from paddlequay.lab.load import LoadSummary
 from paddlequay.lab.zone_cluster import ZoneCluster, ZonePlan
 from paddlequay.routing.interface import MemberState
 
@@ -110,7 +110,9 @@
         self.zone.close()
 
 
-async def run_contradicting_sources(setup: Setup, dns_on: bool, seconds: float) -> tuple[Tally, DiscoveryRig]:
+async def run_contradicting_sources(
+    setup: Setup, dns_on: bool, seconds: float
+) -> tuple[LoadSummary, DiscoveryRig]:
     """Drives load while the endpoint list drains caches and DNS answers change and fail."""
     rig = DiscoveryRig(setup, "both" if dns_on else "list", dns_on)
     await rig.up()
@@ -126,22 +128,22 @@
 
     fault_task = asyncio.ensure_future(cycle_dns_faults())
     try:
-        tally = await rig.cluster.load.run(seconds)
+        summary = await rig.cluster.load.run(seconds)
     finally:
         drain_task.cancel()
         fault_task.cancel()
         await rig.down()
-    return tally, rig
+    return summary, rig
 
 
-def row(name: str, tally: Tally, **also: Any) -> dict[str, Any]:
+def row(name: str, summary: LoadSummary, **also: Any) -> dict[str, Any]:
     """Returns a result row with the figures of one run and the further columns `also`."""
     return {
         "run": name,
-        "asked": sum(tally.asked.values()),
-        "served": tally.verdicts["served"],
-        "worth": round(tally.served_share, 4),
-        "p99_ms": round(tally.percentile(99), 1),
+        "asked": sum(summary.asked.values()),
+        "served": summary.verdicts["served"],
+        "worth": round(summary.served_share, 4),
+        "p99_ms": round(summary.percentile(99), 1),
     } | also
 
 
@@ -153,19 +155,19 @@
     for dns_on in (False, True):
         name = "list and DNS" if dns_on else "list alone"
         setup.say(f"{name}: {seconds:g} s")
-        tally, rig = asyncio.run(run_contradicting_sources(setup, dns_on, seconds))
-        served_shares[name] = tally.served_share
+        summary, rig = asyncio.run(run_contradicting_sources(setup, dns_on, seconds))
+        served_shares[name] = summary.served_share
         results.rows.append(
             row(
                 name,
-                tally,
+                summary,
                 drains=len(rig.drained),
                 violations=rig.violations(),
                 dns_asked=rig.zone.asked.total(),
             )
         )
         results.figures[name] = str(results.rows[-1])
-        results.lines[name] = [(share, tally.percentile(share)) for share in (50, 75, 90, 95, 99, 99.9)]
+        results.lines[name] = [(share, summary.percentile(share)) for share in (50, 75, 90, 95, 99, 99.9)]
         results.claim(f"{name}: asked of a drained box after its time", rig.violations(), "==", 0)
         results.claim(f"{name}: drains played", len(rig.drained), ">=", 2)
     results.claim(
@@ -177,13 +179,13 @@
     return results
 
 
-async def outage(setup: Setup, seconds: float, fault: str) -> tuple[Tally, float]:
+async def outage(setup: Setup, seconds: float, fault: str) -> tuple[LoadSummary, float]:
     """Drives load on routers that learn the caches from DNS only, with or without an outage of DNS.
 
     In the outage the server shows `fault`, then the zone is empty, then it is back with one more cache.
 
     Returns:
-        The tally, and the seconds until the new cache got its first request: 0 without a fault, infinite if
+        The summary, and the seconds until the new cache got its first request: 0 without a fault, infinite if
         it got none.
     """
     rig = DiscoveryRig(setup, f"outage-{fault or 'none'}", True, listed=False)
@@ -207,10 +209,10 @@
             while not last.requests and not task.done():
                 await asyncio.sleep(0.05)
             learned = last.requests[0][0] - began if last.requests else float("inf")
-        tally = await task
+        summary = await task
     finally:
         await rig.down()
-    return tally, learned
+    return summary, learned
 
 
 def dns_outage(setup: Setup) -> Results:
@@ -221,11 +223,11 @@
         name = f"outage, {fault}" if fault else "no outage"
         seconds = (14.0 if fault else 5.0) if setup.quick else 120.0
         setup.say(f"{name}: {seconds:g} s")
-        tally, learned = asyncio.run(outage(setup, seconds, fault))
-        served_shares[name] = tally.served_share
-        results.rows.append(row(name, tally, learned_s=round(learned, 2)))
+        summary, learned = asyncio.run(outage(setup, seconds, fault))
+        served_shares[name] = summary.served_share
+        results.rows.append(row(name, summary, learned_s=round(learned, 2)))
         results.figures[name] = str(results.rows[-1])
-        results.lines[name] = [(share, tally.percentile(share)) for share in (50, 75, 90, 95, 99, 99.9)]
+        results.lines[name] = [(share, summary.percentile(share)) for share in (50, 75, 90, 95, 99, 99.9)]
         if fault:
             results.claim(f"{name}: seconds until a new box is used after it", learned, "<=", 45.0)
             ratio = served_shares[name] / served_shares["no outage"]
--- a/paddlequay/lab/up.py
+++ b/paddlequay/lab/up.py
@@ -27,20 +27,20 @@
         await asyncio.sleep(seconds / 2)
         await cluster.change(cluster.random_change())
         await cluster.purge(cluster.load.video[0])
-        tally = await running
+        summary = await running
         pages = await cluster.pages()
     finally:
         await cluster.down()
-    asked = sum(tally.asked.values())
+    asked = sum(summary.asked.values())
     charges = cluster.origin.charges
     twice = sum(count > 1 for count in charges.values())
     second = cluster.second_fills()
     rows = [
-        ("asked", f"{asked}  ({', '.join(f'{k} {n}' for k, n in sorted(tally.asked.items()))})"),
-        ("answers", ", ".join(f"{verdict} {count}" for verdict, count in tally.verdicts.most_common())),
-        ("worth served in time", f"{tally.served_share:.3f}"),
-        ("latency", f"p50 {tally.percentile(50):.1f} ms, p99 {tally.percentile(99):.1f} ms"),
-        ("spoilt answers", str(tally.spoilt)),
+        ("asked", f"{asked}  ({', '.join(f'{k} {n}' for k, n in sorted(summary.asked.items()))})"),
+        ("answers", ", ".join(f"{verdict} {count}" for verdict, count in summary.verdicts.most_common())),
+        ("worth served in time", f"{summary.served_share:.3f}"),
+        ("latency", f"p50 {summary.percentile(50):.1f} ms, p99 {summary.percentile(99):.1f} ms"),
+        ("spoilt answers", str(summary.wrong_body_count)),
         ("fills at the store", f"{len(cluster.origin.fills)}, second ones of a video part {len(second)}"),
         ("charges", f"{sum(charges.values())} run, {twice} twice"),
     ]
@@ -53,5 +53,5 @@
                 f"loops {page['loops_found']}, rings {page['rings_refused']}",
             )
         )
-    good = tally.spoilt == 0 and twice == 0 and tally.verdicts["served"] > 0.9 * asked
+    good = summary.wrong_body_count == 0 and twice == 0 and summary.verdicts["served"] > 0.9 * asked
     return table(rows), good
--- a/paddlequay/lab/zone_cluster.py
+++ b/paddlequay/lab/zone_cluster.py
@@ -27,7 +27,7 @@
 from paddlequay.hierarchy.topology_json import encode_delta
 from paddlequay.lab.cache_servers import EdgeCacheServer, OriginServer
 from paddlequay.lab.event_stream_server import EventStreamServer
-from paddlequay.lab.load import KINDS, Load
+from paddlequay.lab.load import LOAD_CLASSES, Load
 from paddlequay.lab.ports import free_port
 from paddlequay.lab.zone_settings import (
     KEY_FILE,
@@ -127,7 +127,7 @@
         for server in (self.origin, self.endpoint_list, self.feed):
             await server.start()
         for number in range(self.plan.boxes):
-            freshness_s = {kind.name: kind.fresh for kind in KINDS}
+            freshness_s = {kind.name: kind.freshness_s for kind in LOAD_CLASSES}
             edge_cache = EdgeCacheServer(f"box-{number}", self.address_of, ORIGIN, freshness_s)
             await edge_cache.start()
             self.edge_caches.append(edge_cache)
--- a/paddlequay/lab/zone_settings.py
+++ b/paddlequay/lab/zone_settings.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from paddlequay.lab.load import KINDS
+from paddlequay.lab.load import LOAD_CLASSES
 
 LOWER_GROUP = "aimag"
 UPPER_GROUP = "regional"
@@ -14,8 +14,11 @@
 
 def tier_settings(name: str, port: int, console: int, feed: tuple[str, int]) -> str:
     """Returns the settings file of a tier's node; its name begins with its group."""
-    class_format = '  class {{ name: "{0.name}" aim_s: {0.aim} deadline_s: {0.deadline} fresh_s: {0.fresh} }}'
-    classes = "\n".join(class_format.format(kind) for kind in KINDS if not kind.charge)
+    class_format = (
+        '  class {{ name: "{0.name}" aim_s: {0.target_s} deadline_s: {0.deadline_s}'
+        " fresh_s: {0.freshness_s} }}"
+    )
+    classes = "\n".join(class_format.format(kind) for kind in LOAD_CLASSES if not kind.charge)
     return (
         f'tier {{\n  name: "{name}"\n  group: "{name.split("-")[0]}"\n'
         f'  listen: "127.0.0.1:{port}"\n  console: "127.0.0.1:{console}"\n'
@@ -36,20 +39,20 @@
         "classes": [
             {
                 "name": kind.name,
-                "aim": kind.aim,
-                "deadline": kind.deadline,
+                "aim": kind.target_s,
+                "deadline": kind.deadline_s,
                 "idempotency": "non_idempotent" if kind.charge else "read_like",
                 "window": 5,
             }
-            for kind in KINDS
+            for kind in LOAD_CLASSES
         ],
         "limits": {"attemptsCap": 6, "cancel": True, "retryAfter": True, "maxRetryAfter": 2},
         "rules": {"coldFrom": 0.17, "cold": 15, "fall": 2, "fallMultiple": 2.5},
         "extra": {
             "parentKind": 1,
             "rootKind": 2,
-            "goesThrough": [kind.charge for kind in KINDS],
-            "classFresh": [kind.fresh for kind in KINDS],
+            "goesThrough": [kind.charge for kind in LOAD_CLASSES],
+            "classFresh": [kind.freshness_s for kind in LOAD_CLASSES],
             "countByZone": [0, router_count],
             "peersFill": "none",
             "mergesFills": True,
--- a/tests/cluster/test_sharing_tables.py
+++ b/tests/cluster/test_sharing_tables.py
@@ -88,8 +88,8 @@
             load = asyncio.ensure_future(fleet.rig.load.run(60.0))
             await script()
             load.cancel()
-            tally = fleet.rig.load.tally
-            assert tally.spoilt == 0 and tally.verdicts["Failed"] == 0
+            summary = fleet.rig.load.summary
+            assert summary.wrong_body_count == 0 and summary.verdicts["Failed"] == 0
         finally:
             for task in tasks:
                 task.cancel()
