--- a/paddlequay/cli/lab.py
+++ b/paddlequay/cli/lab.py
@@ -89,4 +89,4 @@
         click.echo(f"paddlequay: {folder}: {error.strerror}", err=True)
         sys.exit(2)
     click.echo(f"written to {folder}")
-    sys.exit(0 if results.kept else 1)
+    sys.exit(0 if results.all_hold else 1)
--- a/paddlequay/lab/claims.py
+++ b/paddlequay/lab/claims.py
@@ -1,4 +1,4 @@
-"""The results of an experiment: figures, claims that must hold, and their files (JSON, CSV and a chart)."""
+"""The results of an experiment: figures, assertions on them, and their files (JSON, CSV and a chart)."""
 
 import csv
 import json
@@ -10,7 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """An assertion on a figure: it must be `<=`, `>=` or `==` its bound."""
+    """An assertion on a figure.
+
+    Attributes:
+        name: The name of the figure.
+        figure: The measured value.
+        relation: How the value must compare with the bound: `<=`, `>=` or `==`.
+        bound: The bound.
+    """
 
     name: str
     figure: float
@@ -18,8 +25,8 @@
     bound: float
 
     @property
-    def kept(self) -> bool:
-        """Returns whether the claim holds."""
+    def holds(self) -> bool:
+        """Returns whether the figure meets its bound."""
         match self.relation:
             case "<=":
                 return self.figure <= self.bound
@@ -29,9 +36,9 @@
                 return self.figure == self.bound
 
     def data(self) -> dict[str, Any]:
-        """Returns the claim as values of JSON."""
+        """Returns the assertion as a JSON object."""
         bound = f"{self.relation} {self.bound:g}"
-        return {"name": self.name, "figure": self.figure, "bound": bound, "kept": self.kept}
+        return {"name": self.name, "figure": self.figure, "bound": bound, "kept": self.holds}
 
 
 @dataclass(slots=True)
@@ -59,25 +66,29 @@
     logarithmic: bool = False
 
     def claim(self, name: str, figure: float, relation: str, bound: float) -> None:
-        """Adds a claim; the figure is rounded to six digits."""
+        """Adds an assertion; the figure is rounded to six decimal places."""
         self.claims.append(Claim(name, round(float(figure), 6), relation, bound))
 
     @property
-    def kept(self) -> bool:
-        """Returns whether there are claims and all of them hold."""
-        return bool(self.claims) and all(claim.kept for claim in self.claims)
+    def all_hold(self) -> bool:
+        """Returns whether there are assertions and all of them hold."""
+        return bool(self.claims) and all(claim.holds for claim in self.claims)
 
     def text(self) -> str:
-        """Returns a table for the terminal."""
+        """Returns the figures and assertions as a table for the terminal."""
         lines = [f"{name:<48} {value}" for name, value in self.figures.items()]
         for claim in self.claims:
             bound = claim.data()["bound"]
-            verdict = "kept" if claim.kept else "NOT KEPT"
+            verdict = "kept" if claim.holds else "NOT KEPT"
             lines.append(f"{claim.name:<48} {claim.figure:<12g} {bound:<10} {verdict}")
         return "\n".join(lines)
 
     def write(self, folder: Path) -> None:
-        """Writes the claims as JSON, the rows as CSV and the chart as PNG; raises OSError."""
+        """Writes the assertions and figures as JSON, the rows as CSV and the chart as PNG.
+
+        Raises:
+            OSError: A file could not be written.
+        """
         folder.mkdir(parents=True, exist_ok=True)
         data = {
             "experiment": self.name,
@@ -118,7 +129,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """How to run an experiment: shortened or not, its seed, its folder, and how to report progress."""
+    """How to run an experiment.
+
+    Attributes:
+        quick: Whether to run a shortened version.
+        seed: The seed of all random draws.
+        folder: The folder for files of the run.
+        say: Reports a line of progress.
+    """
 
     quick: bool
     seed: int
--- a/paddlequay/lab/dns.py
+++ b/paddlequay/lab/dns.py
@@ -1,4 +1,4 @@
-"""A stand-in DNS server on loopback, UDP and TCP on one port: answers as it is told, well or badly."""
+"""A stand-in DNS server on loopback that can be told to answer wrongly; UDP and TCP share one port."""
 
 import asyncio
 import struct
@@ -18,9 +18,15 @@
     """A server for one zone.
 
     Attributes:
-        records: Lifetime in seconds and data by name and type.
-        fault: The way in which it misbehaves, one of the words in `answers`; empty for none.
-        additional: Further records as text, for any zone.
+        zone: The name of the zone.
+        records: TTL in seconds and data, by name and type.
+        fault: The fault that the server shows, one of the names in `answers` and `fill`; empty for none.
+        negative_ttl: The TTL in seconds of negative answers.
+        delay: The delay of each answer in seconds.
+        asked: The number of queries by transport and type, such as `udp A`.
+        address: The address on which the server listens.
+        extras: Whether an SRV answer carries the addresses of its targets.
+        additional: Records as text, of any zone, which are added to each positive answer.
     """
 
     def __init__(self, zone: str = "plaza.example.") -> None:
@@ -34,10 +40,10 @@
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
         self.extras = True
-        self.additional: list[str] = []  # further records, as text, whatever the zone
+        self.additional: list[str] = []
 
     def put(self, name: str, kind: str, ttl: int, *data: str) -> None:
-        """Set records; no data takes them off."""
+        """Sets the records of a name and type; removes them if there is no data."""
         key = (name.lower(), kind)
         if data:
             self.records[key] = (ttl, list(data))
@@ -45,7 +51,11 @@
             self.records.pop(key, None)
 
     async def start(self) -> None:
-        """Listens on a free port, by UDP and TCP; raises OSError if there is none."""
+        """Listens on a port that is free for both UDP and TCP.
+
+        Raises:
+            OSError: None of 20 ports was free for both.
+        """
         loop = asyncio.get_running_loop()
         for _ in range(20):
             self.server = await asyncio.start_server(self.connection, "127.0.0.1", 0)
@@ -58,10 +68,10 @@
                 self.server.close()
             else:
                 return
-        raise OSError("no port that is free for UDP and TCP")
+        raise OSError("found no loopback port that is free for both UDP and TCP in 20 attempts")
 
     def answers(self, data: bytes, tcp: bool) -> list[tuple[float, bytes]]:
-        """The datagrams that answer a question, each after a delay."""
+        """Returns the messages that answer a query, with their delays in seconds; none if it is malformed."""
         try:
             message = dns.message.from_wire(data)
             (question,) = message.question
@@ -101,22 +111,22 @@
         return [*forged, (1.2 if fault == "late" else self.delay, wire)]
 
     def forged(self, message: dns.message.Message, fault: str) -> bytes:
-        """An answer that names an address of an attacker, and does not match in one thing."""
-        false = dns.message.make_response(message)
+        """Returns an answer with an attacker's address, whose question or message id does not match."""
+        forgery = dns.message.make_response(message)
         name = message.question[0].name
         data = (
             ["0 0 6666 evil.example."] if message.question[0].rdtype == dns.rdatatype.SRV else ["127.6.6.6"]
         )
         kind = dns.rdatatype.to_text(message.question[0].rdtype)
-        false.answer = [dns.rrset.from_text_list(name, 999, "IN", kind, data)]
+        forgery.answer = [dns.rrset.from_text_list(name, 999, "IN", kind, data)]
         if fault == "spoofed-question":
-            false.question[0].name = dns.name.from_text("other.plaza.example.")
+            forgery.question[0].name = dns.name.from_text("other.plaza.example.")
         else:
-            false.id = (message.id + 1) % 65536
-        return false.to_wire()
+            forgery.id = (message.id + 1) % 65536
+        return forgery.to_wire()
 
     def fill(self, answer: dns.message.Message, question: dns.rrset.RRset, kind: str) -> None:
-        """Fills an answer with the records that the zone has for a question."""
+        """Fills an answer with the records of the zone for a question, or with a negative answer."""
         name = str(question.name).lower()
         answer.flags |= dns.flags.AA
         if self.fault == "loop":
@@ -143,8 +153,8 @@
             answer.authority = [dns.rrset.from_text(soa[0], int(soa[1]), "IN", "SOA", soa[4])]
             return
         ttl, data = found
-        own = question.name if not answer.answer else dns.name.from_text(name)
-        answer.answer.append(dns.rrset.from_text_list(own, ttl, "IN", kind, data))
+        owner = question.name if not answer.answer else dns.name.from_text(name)
+        answer.answer.append(dns.rrset.from_text_list(owner, ttl, "IN", kind, data))
         if kind == "SRV" and self.extras:
             for target in dict.fromkeys(each.split()[3].lower() for each in data):
                 extra = self.records.get((target, "A"))
@@ -157,6 +167,7 @@
             )
 
     async def connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answers the queries of one TCP connection until it ends."""
         try:
             while True:
                 (length,) = struct.unpack("!H", await reader.readexactly(2))
@@ -177,13 +188,17 @@
 
 
 class _Datagrams(asyncio.DatagramProtocol):
+    """Answers the queries that arrive over UDP."""
+
     def __init__(self, server: DnsServer) -> None:
         self.server = server
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
+        """Schedules the answers to a query."""
         for delay, wire in self.server.answers(data, False):
             asyncio.get_running_loop().call_later(delay, self.send, wire, addr)
 
     def send(self, wire: bytes, addr: tuple[str, int]) -> None:
+        """Sends a datagram, unless the server has been closed."""
         if self.server.transport is not None and not self.server.transport.is_closing():
             self.server.transport.sendto(wire, addr)
--- a/paddlequay/lab/hierarchy_search_experiment.py
+++ b/paddlequay/lab/hierarchy_search_experiment.py
@@ -1,4 +1,4 @@
-"""`lab run model`: a search through interleavings, with every guard and with each guard taken out."""
+"""`lab run model`: searches interleavings of the hierarchy with all guards, and with each guard disabled."""
 
 import time
 
@@ -7,7 +7,8 @@
 from paddlequay.lab.hierarchy_simulation import Guard
 
 
-def count(found: list[SearchResult]) -> dict[str, int]:
+def count_violations(found: list[SearchResult]) -> dict[str, int]:
+    """Returns the number of violations by kind, and of all fills."""
     return {
         "rings": sum("never answered" in violation for each in found for violation in each.violations),
         "stale": sum("before a purge" in violation for each in found for violation in each.violations),
@@ -17,16 +18,17 @@
 
 
 def run(setup: Setup) -> Results:
+    """Checks all orders of delivery in small worlds, and random worlds with and without each guard."""
     results = Results(
         "model", x="random worlds", y="worlds with a second fill while a living node held the object"
     )
     runs = 3000 if setup.quick else 60_000
     small = list(small_runs())
-    tally = count(small)
+    counts = count_violations(small)
     results.figures["orders of delivery in small worlds, all"] = len(small)
     results.claim(
         "small worlds with a ring, a second fill or staleness",
-        tally["rings"] + tally["second"] + tally["stale"],
+        counts["rings"] + counts["second"] + counts["stale"],
         "==",
         0,
     )
@@ -37,24 +39,24 @@
         for seed in range(runs):
             found.append(random_run(setup.seed * 1_000_000 + seed, max_deaths=deaths, may_remove=drops))
             if (seed + 1) % (runs // 10) == 0:
-                results.lines.setdefault(what, []).append((seed + 1, count(found)["second"]))
+                results.lines.setdefault(what, []).append((seed + 1, count_violations(found)["second"]))
                 setup.say(f"{what}: {seed + 1} of {runs} worlds")
-        tally = count(found)
+        counts = count_violations(found)
         took = time.monotonic() - began
         results.rows.append(
-            {"worlds": runs, "deaths": deaths, "drops": drops, "seconds": round(took, 1)} | tally
+            {"worlds": runs, "deaths": deaths, "drops": drops, "seconds": round(took, 1)} | counts
         )
         results.figures[f"{what}: second fills with a living holder"] = (
-            f"{tally['second']} of {tally['fills']}"
+            f"{counts['second']} of {counts['fills']}"
         )
-        results.claim(f"{what}: rings and stale answers", tally["rings"] + tally["stale"], "==", 0)
+        results.claim(f"{what}: rings and stale answers", counts["rings"] + counts["stale"], "==", 0)
         if not deaths:
             results.claim(
-                "no deaths: second fills over all fills", tally["second"] / tally["fills"], "<=", 0.0005
+                "no deaths: second fills over all fills", counts["second"] / counts["fills"], "<=", 0.0005
             )
     for guard in Guard:
-        tally = count([random_run(seed, disabled_guards=(guard,)) for seed in range(500)])
-        results.rows.append({"worlds": 500, "guard_out": guard.value} | tally)
-        found_any = tally["rings"] + tally["stale"] + tally["second"]
-        results.claim(f"faults found without the guard: {guard.value}", found_any, ">=", 1)
+        counts = count_violations([random_run(seed, disabled_guards=(guard,)) for seed in range(500)])
+        results.rows.append({"worlds": 500, "guard_out": guard.value} | counts)
+        violation_count = counts["rings"] + counts["stale"] + counts["second"]
+        results.claim(f"faults found without the guard: {guard.value}", violation_count, ">=", 1)
     return results
--- a/paddlequay/lab/up.py
+++ b/paddlequay/lab/up.py
@@ -1,4 +1,4 @@
-"""`lab up`: one zone, some seconds of load with a topology change and a purge, and a table."""
+"""`lab up`: drives load on one zone, with a topology change and a purge, and prints a table."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,7 +16,12 @@
 async def drive(
     seconds: float, rate: float, seed: int, folder: Path, say: Callable[[str], None]
 ) -> tuple[str, bool]:
-    """Drives a zone for some seconds; returns the table, and whether nearly all was served correctly."""
+    """Drives load on a zone for some seconds.
+
+    Returns:
+        The table, and whether more than 90% of the requests were served, no body was wrong and no charge
+        ran twice.
+    """
     cluster = ZoneCluster(ZonePlan(rate=rate, seed=seed), folder)
     plan = cluster.plan
     say(f"starting {plan.routers} routers, {plan.boxes} boxes, {plan.tiers + plan.regional} tiers, one store")
@@ -33,16 +38,19 @@
         await cluster.down()
     asked = sum(summary.asked.values())
     charges = cluster.origin.charges
-    twice = sum(count > 1 for count in charges.values())
-    second = cluster.second_fills()
+    repeated_charges = sum(count > 1 for count in charges.values())
+    second_fills = cluster.second_fills()
     rows = [
         ("asked", f"{asked}  ({', '.join(f'{k} {n}' for k, n in sorted(summary.asked.items()))})"),
         ("answers", ", ".join(f"{verdict} {count}" for verdict, count in summary.verdicts.most_common())),
         ("worth served in time", f"{summary.served_share:.3f}"),
         ("latency", f"p50 {summary.percentile(50):.1f} ms, p99 {summary.percentile(99):.1f} ms"),
         ("spoilt answers", str(summary.wrong_body_count)),
-        ("fills at the store", f"{len(cluster.origin.fills)}, second ones of a video part {len(second)}"),
-        ("charges", f"{sum(charges.values())} run, {twice} twice"),
+        (
+            "fills at the store",
+            f"{len(cluster.origin.fills)}, second ones of a video part {len(second_fills)}",
+        ),
+        ("charges", f"{sum(charges.values())} run, {repeated_charges} twice"),
     ]
     for name, page in pages.items():
         shares = ", ".join(f"{share:.2f}" for share in page["home_shares"].values())
@@ -53,5 +61,7 @@
                 f"loops {page['loops_found']}, rings {page['rings_refused']}",
             )
         )
-    good = summary.wrong_body_count == 0 and twice == 0 and summary.verdicts["served"] > 0.9 * asked
-    return table(rows), good
+    passed = (
+        summary.wrong_body_count == 0 and repeated_charges == 0 and summary.verdicts["served"] > 0.9 * asked
+    )
+    return table(rows), passed
