--- a/paddlequay/lab/cluster.py
+++ b/paddlequay/lab/cluster.py
@@ -15,7 +15,7 @@
 
 from paddlequay.lab import cluster_audit as audit
 from paddlequay.lab.claims import Results, Setup
-from paddlequay.lab.fleet_rig import FleetRig, Moment, watch
+from paddlequay.lab.fleet_rig import FleetRig, FleetSnapshot, watch
 from paddlequay.lab.load import Connection
 from paddlequay.lab.zone_cluster import ZonePlan
 
@@ -104,7 +104,7 @@
         self.rig = rig
         self.charges = charges
         self.rng = random.Random(seed)
-        self.size = len(rig.places)
+        self.size = len(rig.slots)
         # The times at which routers were killed or stopped: requests in flight then may have no answer.
         self._outages: dict[int, list[Outage]] = {}
         self.applied: list[str] = []
@@ -206,7 +206,7 @@
         self.begin_outage(holder)
         self.rig.stop(holder)
         await asyncio.sleep(FAULT_S)
-        self.rig.go_on(holder)
+        self.rig.resume(holder)
         self.end_outage(holder)
 
     async def kill_holder(self) -> None:
@@ -263,7 +263,7 @@
 
     rig: FleetRig
     charges: ChargeLoad
-    moments: list[Moment]
+    moments: list[FleetSnapshot]
     script: FaultScript
     verdict_times: VerdictTimes
     began: float
@@ -275,14 +275,14 @@
     await rig.kill(name)
     killed = time.time()
     known_after: dict[int, float] = {}
-    while time.time() - killed < timeout_s and len(known_after) < len(rig.places):
+    while time.time() - killed < timeout_s and len(known_after) < len(rig.slots):
         for number, page in (await rig.pages_of()).items():
             if name in page.get("words", {}):
                 known_after.setdefault(number, time.time() - killed)
         await asyncio.sleep(0.02)
     await rig.revive(name)
     times = sorted(known_after.values())
-    needed = max(1, round(0.95 * len(rig.places)))
+    needed = max(1, round(0.95 * len(rig.slots)))
     first_s = times[0] if times else timeout_s
     p95_s = times[needed - 1] if len(times) >= needed else timeout_s
     return VerdictTimes(len(times), first_s, p95_s)
@@ -294,7 +294,7 @@
     rig = FleetRig(plan, setup.folder / "plaza", CLUSTER_RULES, setup.seed)
     charges = ChargeLoad(rig.load.routers, 2.0 * LIMIT_PER_S, setup.seed)
     script = FaultScript(rig, charges, setup.seed)
-    moments: list[Moment] = []
+    moments: list[FleetSnapshot] = []
     tasks: list[asyncio.Task[Any]] = []
     try:
         await rig.up()
@@ -330,7 +330,7 @@
     used_ratio = len(origin.charged_at) / (LIMIT_PER_S * seconds)
     # Floors alone admit a quarter, and only where there is demand: without requests nothing is proven.
     results.claim("of the limit let through", used_ratio, ">=", FLOOR_RATIO)
-    pairs = len(record.rig.places) * (len(record.rig.places) - 1)
+    pairs = len(record.rig.slots) * (len(record.rig.slots) - 1)
     gap_s = audit.longest_without_holder(observations, record.began, record.ended)
     pair_bytes_per_s = sum(record.rig.links.bytes.values()) / seconds / pairs
     results.figures = {
@@ -344,8 +344,12 @@
         "bytes a second, router to router": round(pair_bytes_per_s, 1),
     }
     results.rows = [
-        {"at_s": round(did.at - record.began, 2), "what": did.what, "whom": " ".join(map(str, did.whom))}
-        for did in record.rig.did
+        {
+            "at_s": round(fault.at - record.began, 2),
+            "what": fault.action,
+            "whom": " ".join(map(str, fault.routers)),
+        }
+        for fault in record.rig.fault_actions
     ]
     return results
 
--- a/paddlequay/lab/cluster_audit.py
+++ b/paddlequay/lab/cluster_audit.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from paddlequay.lab.fleet_rig import Moment
+from paddlequay.lab.fleet_rig import FleetSnapshot
 
 
 def max_excess(times: Iterable[float], rate_per_s: float, burst: float, max_delay_s: float) -> float:
@@ -43,7 +43,7 @@
     term: int | None
 
 
-def observe_lease(moments: Iterable[Moment], lease: str) -> list[LeaseObservation]:
+def observe_lease(moments: Iterable[FleetSnapshot], lease: str) -> list[LeaseObservation]:
     """Returns all observations of a lease, in order of time."""
     observations = []
     for moment in moments:
--- a/tests/cluster/test_cluster_driver.py
+++ b/tests/cluster/test_cluster_driver.py
@@ -26,7 +26,7 @@
     VerdictTimes,
     kill_parent,
 )
-from paddlequay.lab.fleet_rig import FleetRig, Moment, watch
+from paddlequay.lab.fleet_rig import FleetRig, FleetSnapshot, watch
 from paddlequay.lab.zone_cluster import ZonePlan
 from paddlequay.net.cluster.event_log import EVENT_NAMES
 
@@ -41,7 +41,7 @@
         self.rig = FleetRig(plan, folder, CLUSTER_RULES, seed)
         self.charges = ChargeLoad(self.rig.load.routers, 2 * LIMIT_PER_S, seed)
         self.script = FaultScript(self.rig, self.charges, seed)
-        self.moments: list[Moment] = []
+        self.moments: list[FleetSnapshot] = []
 
     def observations(self) -> list[audit.LeaseObservation]:
         return audit.observe_lease(self.moments, LEASE)
@@ -132,7 +132,9 @@
         await cluster.until_lease_is_used()
 
     cluster = run_scenario(tmp_path, scenario, seed=2)
-    killed_at = next(fault_action.at for fault_action in cluster.rig.did if fault_action.what == "kill")
+    killed_at = next(
+        fault_action.at for fault_action in cluster.rig.fault_actions if fault_action.action == "kill"
+    )
     after = [
         observation
         for observation in cluster.observations()
@@ -186,12 +188,12 @@
         # Only this router reaches no cache and no parent.
         cluster.script.begin_outage(4)
         await cluster.rig.kill_router(4)
-        cluster.rig.blind.add(4)
+        cluster.rig.isolated_from_members.add(4)
         await cluster.rig.restart(4)
         await asyncio.sleep(2.0)
         pages = await cluster.rig.pages_of()
         assert {n: page["words"] for n, page in pages.items() if n != 4} == {n: {} for n in range(4)}
-        cluster.rig.blind.clear()
+        cluster.rig.isolated_from_members.clear()
         await cluster.rig.kill_router(4)
         await cluster.rig.restart(4)
         await asyncio.sleep(0.5)
--- a/tests/cluster/test_sharing_channels.py
+++ b/tests/cluster/test_sharing_channels.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from paddlequay.lab.cache_servers import body_of
-from paddlequay.lab.fleet_rig import FleetRig, Moment, watch
+from paddlequay.lab.fleet_rig import FleetRig, FleetSnapshot, watch
 from paddlequay.lab.load import Connection
 from paddlequay.lab.zone_cluster import ZonePlan
 
@@ -54,7 +54,7 @@
             await asyncio.sleep(PART_INTERVAL_S)
 
 
-def owners(moment: Moment) -> dict[int, int]:
+def owners(moment: FleetSnapshot) -> dict[int, int]:
     """Returns the routers whose consoles show that they own the bundle, with their terms."""
     found = {}
     for router, page in moment.pages.items():
@@ -64,7 +64,7 @@
     return found
 
 
-async def until_owned(moments: list[Moment], excluded: set[int], timeout_s: float) -> int:
+async def until_owned(moments: list[FleetSnapshot], excluded: set[int], timeout_s: float) -> int:
     """Waits until a router outside `excluded` owns the bundle, as seen from now on, and returns it."""
     started_at = time.time()
     while time.time() - started_at < timeout_s:
@@ -78,12 +78,12 @@
     raise AssertionError(f"no router owns the channel within {timeout_s} s")
 
 
-def counter_sum(moment: Moment, name: str) -> int:
+def counter_sum(moment: FleetSnapshot, name: str) -> int:
     return sum(page["counts"].get(name, 0) for page in moment.pages.values())
 
 
 def test_owner_prefetches_alone_and_is_replaced_after_a_drain_a_kill_and_a_stop(tmp_path: Path) -> None:
-    moments: list[Moment] = []
+    moments: list[FleetSnapshot] = []
     rig = FleetRig(
         ZonePlan(routers=4, boxes=2, tiers=1, regional=0, rate=20.0, seed=5), tmp_path, CHANNEL_SETTINGS, 5
     )
@@ -110,7 +110,7 @@
         readers.skipped_routers.add(third)
         rig.stop(third)
         await until_owned(moments, {third}, 1.5 + 1.0 + 1.5)
-        rig.go_on(third)
+        rig.resume(third)
         await asyncio.sleep(1.0)
 
     async def run() -> None:
--- a/tests/cluster/test_sharing_tables.py
+++ b/tests/cluster/test_sharing_tables.py
@@ -6,14 +6,14 @@
 from pathlib import Path
 from typing import Any
 
-from paddlequay.lab.fleet_rig import FleetRig, Moment, watch
+from paddlequay.lab.fleet_rig import FleetRig, FleetSnapshot, watch
 from paddlequay.lab.zone_cluster import ZonePlan
 
 FIRST_RULES = "otherwise: 256 shards by object and part; 1 copy.\n"
 SECOND_RULES = "move at most 100 shards per second.\notherwise: 256 shards by object; 2 copies.\n"
 
 
-def placement_pages(moment: Moment) -> dict[int, dict[str, Any]]:
+def placement_pages(moment: FleetSnapshot) -> dict[int, dict[str, Any]]:
     return {router: page["placement"] for router, page in moment.pages.items() if "placement" in page}
 
 
@@ -23,7 +23,7 @@
         self.rules_file = folder / "placement.rules"
         plan = ZonePlan(routers=3, boxes=4, tiers=0, regional=0, rate=40.0, seed=3)
         self.rig = FleetRig(plan, folder, '  rules: "placement.rules"\n  bounds { epoch_s: 2.5 }\n', 3)
-        self.moments: list[Moment] = []
+        self.moments: list[FleetSnapshot] = []
 
     async def wait_until(
         self, check: Callable[[dict[int, dict[str, Any]]], bool], expectation: str
