--- a/paddlequay/lab/fault_links.py
+++ b/paddlequay/lab/fault_links.py
@@ -1,9 +1,9 @@
-"""Links with faults on loopback between routers: every datagram from one to another passes one.
+"""Relays on loopback that forward datagrams between routers, and can lose, delay and repeat them.
 
-Each router is given sockets of the links as its peers' addresses: one for each router, and one for all of
-them. What router i sends to the socket that stands for router j leaves by the socket that stands for i
-towards j, so that senders keep the addresses which `peers` names. Faults are set for each direction apart and
-drawn from a seed; what passes is counted by direction, as the auditor's own record.
+Each router gets the addresses of relay sockets in place of its peers' addresses: one socket for each peer,
+and one for all of them. A datagram that router i sends to its socket for router j leaves through j's socket
+for router i, so that j sees the sender address that its own `peers` setting names. Faults are set for each
+direction separately and drawn from a seed. The forwarded datagrams are counted by direction, for the audit.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 Address = tuple[str, int]
 Direction = tuple[int, int]  # the numbers of the sender and the receiver
-ALL_ROUTERS = -1  # the number under which a router's socket for all others stands
+ALL_ROUTERS = -1  # the number of the socket through which a router sends to all others
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
 
 
 class RelaySocket(asyncio.DatagramProtocol):
-    """The socket that stands for router `far` towards router `near`, or for all others."""
+    """The socket by which router `near` reaches router `far`, or all others if that is `ALL_ROUTERS`."""
 
     def __init__(self, links: "FaultLinks", near: int, far: int) -> None:
         self.links = links
@@ -46,8 +46,8 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
-        # No `isinstance`: of Python 3.11's own transports for datagrams not all are of that class.
+        """Stores the transport, by which datagrams are sent."""
+        # A cast, since some datagram transports of Python 3.11 do not derive from `DatagramTransport`.
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: Any) -> None:
@@ -71,17 +71,18 @@
         self.size = size
         self.random = random.Random(seed)
         self.relays: dict[tuple[int, int], RelaySocket] = {}
-        self.homes: dict[int, Address] = {}  # where the routers listen
+        self.router_addresses: dict[int, Address] = {}  # by router number
         self.conditions: dict[Direction, LinkConditions] = {}
         self.passed: dict[Direction, int] = {}
-        self.bytes: dict[int, int] = dict.fromkeys(range(size), 0)  # sent by each, for each receiver
+        # Bytes sent by each router; a datagram to several receivers counts once for each.
+        self.bytes: dict[int, int] = dict.fromkeys(range(size), 0)
         self.lost = 0
         self.refused = 0
-        self.strange = 0  # datagrams from senders that are no routers
+        self.unknown_senders = 0  # datagrams that did not come from the router of the socket
 
-    async def up(self, homes: Iterable[Address]) -> None:
-        """Opens the sockets; `homes` are the routers' own addresses, by number."""
-        self.homes = dict(enumerate(homes))
+    async def up(self, router_addresses: Iterable[Address]) -> None:
+        """Opens the sockets; `router_addresses` are the routers' own addresses, by number."""
+        self.router_addresses = dict(enumerate(router_addresses))
         loop = asyncio.get_running_loop()
         for near in range(self.size):
             for far in (*range(self.size), ALL_ROUTERS):
@@ -96,15 +97,15 @@
                 relay.transport.close()
 
     def address(self, near: int, far: int) -> str:
-        """Returns where router `near` finds `far`, or with `ALL_ROUTERS` all others."""
+        """Returns the address by which router `near` reaches `far`, or with `ALL_ROUTERS` all others."""
         transport = self.relays[near, far].transport
         assert transport is not None
         host, port = transport.get_extra_info("sockname")[:2]
         return f"{host}:{port}"
 
     def config(self, number: int) -> dict[str, Any]:
-        """Returns what the platform's configuration tells a router of its peers."""
-        host, port = self.homes[number]
+        """Returns the settings of a router's peers in the platform's configuration."""
+        host, port = self.router_addresses[number]
         return {
             "peer_listen": f"{host}:{port}",
             "peers": [self.address(number, far) for far in range(self.size)],
@@ -113,8 +114,8 @@
 
     def on_datagram(self, near: int, far: int, data: bytes, address: Address) -> None:
         """Forwards a datagram from router `near` for `far`; counts one from any other sender."""
-        if address != self.homes[near]:
-            self.strange += 1
+        if address != self.router_addresses[near]:
+            self.unknown_senders += 1
             return
         for receiver in range(self.size) if far == ALL_ROUTERS else (far,):
             if receiver != near:
@@ -122,7 +123,7 @@
                 self.send(near, receiver, data)
 
     def send(self, sender: int, receiver: int, data: bytes) -> None:
-        """Loses, delays or repeats a datagram by the conditions of its direction."""
+        """Forwards, loses, delays or repeats a datagram according to the conditions of its direction."""
         conditions = self.conditions.get((sender, receiver), NO_FAULTS)
         if conditions.cut or self.random.random() < conditions.drop:
             self.lost += 1
@@ -135,11 +136,11 @@
                 self.arrive(sender, receiver, data)
 
     def arrive(self, sender: int, receiver: int, data: bytes) -> None:
-        """Hands a datagram to its receiver, which sees the address that stands for the sender."""
+        """Delivers a datagram to its receiver, from the receiver's socket for the sender."""
         transport = self.relays[receiver, sender].transport
         if transport is not None and not transport.is_closing():
             self.passed[sender, receiver] = self.passed.get((sender, receiver), 0) + 1
-            transport.sendto(data, self.homes[receiver])
+            transport.sendto(data, self.router_addresses[receiver])
 
     def set(self, directions: Iterable[Direction], **changed: Any) -> None:
         """Changes the conditions in some directions; `changed` are fields of `LinkConditions`."""
@@ -147,7 +148,7 @@
             self.conditions[direction] = replace(self.conditions.get(direction, NO_FAULTS), **changed)
 
     def one_way(self, sender: int, receivers: Iterable[int]) -> None:
-        """Cuts what a router sends to some others; what they send arrives."""
+        """Cuts the links from a router to some others; the opposite direction still works."""
         self.set(((sender, receiver) for receiver in receivers), cut=True)
 
     def part(self, *groups: Iterable[int]) -> None:
--- a/tests/cluster/test_cluster_driver.py
+++ b/tests/cluster/test_cluster_driver.py
@@ -216,7 +216,7 @@
         for _ in range(150):
             for number in range(5):
                 payload = rng.randbytes(rng.choice([0, 1, 30, 200, 255, 256]))
-                foreign_socket.sendto(payload, cluster.rig.links.homes[number])
+                foreign_socket.sendto(payload, cluster.rig.links.router_addresses[number])
                 cluster.rig.links.arrive((number + 1) % 5, number, payload)  # from the address of a peer
             await asyncio.sleep(0.01)
         foreign_socket.close()
