--- a/tests/golden/golden_samples.py
+++ b/tests/golden/golden_samples.py
@@ -1,8 +1,8 @@
-"""What the program writes to each wire and file, from fixed input, for comparison with the committed samples.
+"""Generates the program's output to each wire and file from fixed input, to compare with committed samples.
 
-Each function gives the lines of one file in `data/`. Run as a program, with `tests` and the root on the
-path, this module writes the files anew: for a deliberate change of a format alone, never to make a failing
-comparison pass.
+Each function in `SAMPLES` yields the lines of one file in `data/`. Run as a program, with `tests` and the
+repository root on the path, this module rewrites these files. Do so only when a format changes on purpose,
+never to make a failing comparison pass.
 """
 
 import json
@@ -34,8 +34,7 @@
 from paddlequay.net.clients.client_messages import format_answer
 from paddlequay.net.upstreams.cache_messages import request_fields
 from paddlequay.policy import Router
-from paddlequay.protocol import caches, clients, console
-from paddlequay.protocol import hot_restart as twin
+from paddlequay.protocol import caches, clients, console, hot_restart
 from paddlequay.requests.messages import AnswerStatus, CopyStamp, FinalAnswer, UpstreamRequest
 from paddlequay.requests.quotas import QuotaInUse
 from paddlequay.routing.interface import (
@@ -45,89 +44,89 @@
     MembersChanged,
     MemberState,
     Outcome,
+    ReplyDetail,
     Request,
 )
-from paddlequay.routing.interface import ReplyDetail as AnswerNote
 from paddlequay.store.record import encode
 
 ROOT = Path(__file__).parent.parent.parent
 DATA = Path(__file__).parent / "data"
-MARKS = {
+OVERRIDES = {
     "out:edge-1": Override(1_700_000_000_000_000_001, True),
     "drain": Override(1_700_000_000_000_000_002, False),
 }
 FLEET_SIZE = 12
 
 
-def link_messages() -> list[twin.LinkMessage]:
-    """Every message of the link between two processes of one router."""
+def link_messages() -> list[hot_restart.LinkMessage]:
+    """Returns messages of each type on the link between the two processes of a hot restart."""
     return [
-        twin.StateMessage({}, (), {}),
-        twin.StateMessage(
-            MARKS, ("edge-1", "edge-2"), {"edge_rate": 1.25, "limit edge-1": 10.0, "work pages": 0.15}
+        hot_restart.StateMessage({}, (), {}),
+        hot_restart.StateMessage(
+            OVERRIDES, ("edge-1", "edge-2"), {"edge_rate": 1.25, "limit edge-1": 10.0, "work pages": 0.15}
         ),
-        twin.OverrideMessage(7, "out:edge-1", MARKS["out:edge-1"]),
-        twin.OverrideMessage(8, "drain", MARKS["drain"]),
-        twin.OverrideConfirmed(7),
-        twin.SuccessorReady(),
+        hot_restart.OverrideMessage(7, "out:edge-1", OVERRIDES["out:edge-1"]),
+        hot_restart.OverrideMessage(8, "drain", OVERRIDES["drain"]),
+        hot_restart.OverrideConfirmed(7),
+        hot_restart.SuccessorReady(),
         QuotaInUse(341, 643),
     ]
 
 
-def link() -> Iterator[str]:
-    """The link's lines."""
+def link_lines() -> Iterator[str]:
+    """Yields the lines that the link carries."""
     for message in link_messages():
-        yield twin.pack(message).decode().removesuffix("\n")
+        yield hot_restart.pack(message).decode().removesuffix("\n")
 
 
-def note_samples() -> Iterator[tuple[PeerMessage, PeerMessage]]:
-    """Each datagram kind twice: with every field at its least, and at its greatest value."""
-    for format_ in Codec("golden", FLEET_SIZE).formats.values():
-        least = [field.minimum if field.type is int else field.type() for field in format_.fields]
-        most = [field.maximum if field.type is int else field.type() for field in format_.fields]
-        yield format_.message_type(*least), format_.message_type(*most)
+def message_samples() -> Iterator[tuple[PeerMessage, PeerMessage]]:
+    """Yields two messages per message type: all fields at their minimum, and all at their maximum."""
+    for message_format in Codec("golden", FLEET_SIZE).formats.values():
+        lowest = [field.minimum if field.type is int else field.type() for field in message_format.fields]
+        highest = [field.maximum if field.type is int else field.type() for field in message_format.fields]
+        yield message_format.message_type(*lowest), message_format.message_type(*highest)
 
 
 def datagrams() -> Iterator[str]:
-    """Kind, fields with type and range, and a whole datagram with two notes of the kind, in hex."""
+    """Yields per message type its number, its fields, and a datagram with two such messages, in hex."""
     codec = Codec("golden", FLEET_SIZE)
-    for number, (least, most) in zip(MESSAGE_TYPES, note_samples(), strict=True):
+    for number, (lowest, highest) in zip(MESSAGE_TYPES, message_samples(), strict=True):
         fields = [
             (field.type.__name__, field.minimum, field.maximum) for field in codec.formats[number].fields
         ]
         head = Header(1, 3, 5, 70 + number, 9)
-        data = codec.pack(head, [codec.pack_message(least), codec.pack_message(most)])
+        data = codec.pack(head, [codec.pack_message(lowest), codec.pack_message(highest)])
         yield json.dumps([number, codec.formats[number].required_count, fields, data.hex()])
 
 
-def left_out() -> Iterator[str]:
-    """The file of caches that operators have left out."""
+def ejected_caches() -> Iterator[str]:
+    """Yields the file of the caches that operators have ejected."""
     with tempfile.TemporaryDirectory() as folder:
         operation = OperatorState(Path(folder) / "marks.json")
-        operation.apply_all(MARKS)
+        operation.apply_all(OVERRIDES)
         yield operation.serialize_ejections()
 
 
-def membership() -> Membership:
-    """Two members, one of them draining."""
+def sample_membership() -> Membership:
+    """Returns a membership of two members, one of them draining."""
     members = Membership(
         (SourceRule("list", retain_for=60.0, silent_after=5.0), SourceRule("kept", retain_for=60.0))
     )
-    boxes = [
+    reported_members = [
         ReportedMember("s-1", ("127.0.0.1", 80), "cache", "here", 2, 1.5, 7.0),
         ReportedMember("s-2", ("127.0.0.2", 81), state=MemberState.DRAINING),
     ]
-    members.report("list", boxes, True, 10.0)
+    members.report("list", reported_members, True, 10.0)
     return members
 
 
 def saved_members() -> Iterator[str]:
-    """The members kept over a restart."""
-    yield json.dumps(membership().snapshot(), separators=(",", ":"))
+    """Yields the members as they are saved for a restart."""
+    yield json.dumps(sample_membership().snapshot(), separators=(",", ":"))
 
 
-def shape() -> Topology:
-    """A store, and two nodes of which one drains."""
+def sample_topology() -> Topology:
+    """Returns a topology of an origin and two nodes, one of them draining."""
     nodes = (
         NodeSpec("o", ("127.0.0.1", 9), is_origin=True, group="g"),
         NodeSpec("r", ("127.0.0.1", 10), parents=("o",), weight=2.0, started_at=3.5),
@@ -136,12 +135,12 @@
     return apply_delta(Topology(), TopologyDelta(4, None, nodes), TopologyLimits())
 
 
-def saved_shape() -> Iterator[str]:
-    """The shape of a hierarchy as a tier's node saves it, and a record's bytes."""
+def saved_topology() -> Iterator[str]:
+    """Yields the topology and migration state as a tier node saves them, and the header of their record."""
     migration = MigrationPlan("a", MigrationLimits())
     migration.restore_state([{"version": 3, "left": 1.5, "members": {"a": 1.0, "r": 2.0}}], 2.0)
     body = json.dumps(
-        {"shape": encode_delta(full_delta(shape())), "epochs": migration.export_state()},
+        {"shape": encode_delta(full_delta(sample_topology())), "epochs": migration.export_state()},
         separators=(",", ":"),
     )
     yield body
@@ -149,30 +148,30 @@
 
 
 def trained_router() -> Router:
-    """A router that has served some requests."""
+    """Returns a router that has learned from 40 requests."""
     router = Router(settings(), seed=1)
     router.handle(MembersChanged(EVERYBODY, full=True), 100.0)
     for number in range(40):
         now = 100.0 + number / 10
         actions = router.handle(Request(f"r{number}", "pages", 2.0, number % 9, 0, 1, size_kb=20.0), now)
         for fetch in [action for action in actions if isinstance(action, Fetch)]:
-            late = number % 8 == 0
+            is_slow = number % 8 == 0
             ended = AttemptEnded(
-                fetch.request, 0, fetch.target, Outcome.SERVED, 0.9 if late else 0.04, True,
-                AnswerNote.FILLED_FROM_ORIGIN if number % 3 else AnswerNote.HIT, 0.01,
+                fetch.request, 0, fetch.target, Outcome.SERVED, 0.9 if is_slow else 0.04, True,
+                ReplyDetail.FILLED_FROM_ORIGIN if number % 3 else ReplyDetail.HIT, 0.01,
                 LoadReport(3.0, 0.3, 0.5, 0.2),
             )  # fmt: skip
             router.handle(ended, now + 0.05)
     return router
 
 
-def knowledge() -> Iterator[str]:
-    """What a process hands to its successor, with its keys."""
+def learned_state() -> Iterator[str]:
+    """Yields the learned state that a process hands to its successor."""
     yield json.dumps(trained_router().export_state(), sort_keys=True)
 
 
-def orders() -> Iterator[UpstreamRequest]:
-    """Orders of every form."""
+def upstream_requests() -> Iterator[UpstreamRequest]:
+    """Yields upstream requests that lead to an `ASK` line of each form."""
     plain = UpstreamRequest(
         "id1", "pages", "00ff", None, b"", None, None, 1.5, None, 0, None, False, False, False, {}
     )
@@ -182,17 +181,22 @@
         {"route": "a.b", "num": "5"},
     )  # fmt: skip
     yield full
-    for join, held, renew in ((True, False, False), (False, True, False), (False, False, True)):
+    for coalesce, only_if_cached, refresh in (
+        (True, False, False),
+        (False, True, False),
+        (False, False, True),
+    ):
         yield UpstreamRequest(
-            "id3", "pages", "0a", 0, b"", None, None, 0.0001, "p", 1, 0.0001, join, held, renew, {}
+            "id3", "pages", "0a", 0, b"", None, None, 0.0001, "p", 1, 0.0001,
+            coalesce, only_if_cached, refresh, {},
         )  # fmt: skip
 
 
 def ask_lines() -> Iterator[str]:
-    """`ASK` lines of every form, and `QUIT`."""
-    for order in orders():
+    """Yields an `ASK` line of each form, and a `QUIT` line."""
+    for request in upstream_requests():
         yield (
-            caches.request_line(order.id, request_fields(order), len(order.body))
+            caches.request_line(request.id, request_fields(request), len(request.body))
             .decode()
             .removesuffix("\r\n")
         )
@@ -200,16 +204,16 @@
 
 
 def client_answers() -> Iterator[str]:
-    """Answers to clients, in hex."""
+    """Yields answers to clients, in hex."""
     stamp = CopyStamp("t", 1.0, 2)
     replies = [
-        FinalAnswer(AnswerStatus.SERVED, b"body", stamp=stamp, detail=AnswerNote.HIT, served_by="e"),
+        FinalAnswer(AnswerStatus.SERVED, b"body", stamp=stamp, detail=ReplyDetail.HIT, served_by="e"),
         FinalAnswer(AnswerStatus.SERVED),
         FinalAnswer(AnswerStatus.NOT_MODIFIED, stamp=stamp),
         FinalAnswer(AnswerStatus.REJECTED),
         FinalAnswer(AnswerStatus.REJECTED, retry_after=0.1),
         FinalAnswer(AnswerStatus.REJECTED, retry_after=0.0001),
-        FinalAnswer(AnswerStatus.FAILED, detail=AnswerNote.ORIGIN_FAILED),
+        FinalAnswer(AnswerStatus.FAILED, detail=ReplyDetail.ORIGIN_FAILED),
     ]
     for number, reply in enumerate(replies, 126):
         yield b"".join(map(bytes, format_answer(number, reply))).hex()
@@ -218,28 +222,28 @@
 
 
 def console_answers() -> Iterator[str]:
-    """The console's answers as bytes."""
-    for status, why, allow, head in (
+    """Yields whole HTTP answers of the console."""
+    for status, reason, allow, head in (
         (200, "ready", "", False),
         (405, "expected GET, HEAD", "GET, HEAD", False),
         (503, "draining", "", True),
     ):
-        yield json.dumps(console.format_answer(status, why, allow, head).decode())
+        yield json.dumps(console.format_answer(status, reason, allow, head).decode())
 
 
 def simulator_input() -> str:
-    """Batches of the simulator's wire with each line that a router reads."""
-    head = "returned\trouter=0\trid=rq_0_"
+    """Returns batches of the simulator's protocol that hold each line that a router reads."""
+    prefix = "returned\trouter=0\trid=rq_0_"
     return "".join(
         (
             batch(1.0, *provision(0)),
             batch(1.1, *(query(0, number) for number in range(4))),
             batch(
                 1.2,
-                f"{head}0\ttry=0\tcache=10.0.0.1:7001\tresult=served\tdelaySeen=0.1\tlast=1\tinfo=3"
+                f"{prefix}0\ttry=0\tcache=10.0.0.1:7001\tresult=served\tdelaySeen=0.1\tlast=1\tinfo=3"
                 "\tfillWait=0.02\tfeedback=active:3,cpu:0.5",
-                f"{head}1\ttry=0\tcache=10.0.0.2:7002\tresult=no_answer\tdelaySeen=0.5\tlast=0",
-                f"{head}2\ttry=0\tcache=10.0.0.1:7001\tresult=connection_lost\tdelaySeen=0.1",
+                f"{prefix}1\ttry=0\tcache=10.0.0.2:7002\tresult=no_answer\tdelaySeen=0.5\tlast=0",
+                f"{prefix}2\ttry=0\tcache=10.0.0.1:7001\tresult=connection_lost\tdelaySeen=0.1",
                 "withdrawn\trouter=0\trid=rq_0_3",
                 "invalidated\trouter=0\tage=0.5\titem=1",
                 "head_received\trouter=0\trid=rq_0_1\ttry=0",
@@ -248,7 +252,7 @@
             batch(
                 1.4,
                 *(
-                    f"{head}{n}\ttry=1\tcache=10.0.0.2:7002\tresult=turned_away\tdelaySeen=0.1"
+                    f"{prefix}{n}\ttry=1\tcache=10.0.0.2:7002\tresult=turned_away\tdelaySeen=0.1"
                     for n in (1, 2)
                 ),
             ),
@@ -258,32 +262,32 @@
     )
 
 
-def simulator() -> Iterator[str]:
-    """The answers of the simulator's adapter to `simulator_input`."""
-    done = subprocess.run(
+def simulator_output() -> Iterator[str]:
+    """Yields the lines that the simulator's adapter answers to `simulator_input`."""
+    completed = subprocess.run(
         [sys.executable, "-m", "paddlequay.adapter"],
         input=simulator_input(), capture_output=True, text=True, cwd=ROOT, check=True,
         env=os.environ | {"PYTHONHASHSEED": "0"},
     )  # fmt: skip
-    yield from done.stdout.splitlines()
+    yield from completed.stdout.splitlines()
 
 
 SAMPLES: dict[str, Callable[[], Iterator[str]]] = {
-    "link.jsonl": link,
+    "link.jsonl": link_lines,
     "datagrams.jsonl": datagrams,
-    "left_out.json": left_out,
+    "left_out.json": ejected_caches,
     "saved_members.json": saved_members,
-    "saved_shape.txt": saved_shape,
-    "knowledge.json": knowledge,
+    "saved_shape.txt": saved_topology,
+    "knowledge.json": learned_state,
     "ask_lines.txt": ask_lines,
     "client_answers.hex": client_answers,
     "console_answers.jsonl": console_answers,
-    "simulator.txt": simulator,
+    "simulator.txt": simulator_output,
 }
 
 
 def main() -> None:
-    """Write all samples anew."""
+    """Rewrites all sample files."""
     for name, lines in SAMPLES.items():
         (DATA / name).write_text("".join(f"{line}\n" for line in lines()), encoding="utf-8")
 
