--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""docs/decisions.md: each function and each test that its tables name exists."""
+"""Checks that each function and test that the tables of docs/decisions.md name exists."""
 
 import ast
 import re
@@ -8,13 +8,13 @@
 
 ROOT = Path(__file__).parent.parent
 HEADING = "| rule | inputs, with units | module and function | reason | test |"
-CELLS = 5
-FUNCTION = re.compile(r"`([\w/]+\.py)`: (`[\w.]+`(?:, `[\w.]+`)*)")
-TEST = re.compile(r"`([\w/]+\.py)`: (`test_\w+`(?:, `test_\w+`)*)")
+COLUMN_COUNT = 5
+FUNCTION_REFERENCE = re.compile(r"`([\w/]+\.py)`: (`[\w.]+`(?:, `[\w.]+`)*)")
+TEST_REFERENCE = re.compile(r"`([\w/]+\.py)`: (`test_\w+`(?:, `test_\w+`)*)")
 
 
-def rows() -> list[list[str]]:
-    """The cells of each row below a heading of the tables."""
+def table_rows() -> list[list[str]]:
+    """Returns the cells of each row of the tables, without the heading rows."""
     found = []
     for line in (ROOT / "docs" / "decisions.md").read_text(encoding="utf-8").splitlines():
         if line.startswith("|") and line != HEADING and not line.startswith("| ---"):
@@ -23,7 +23,7 @@
 
 
 def definitions(path: Path) -> set[str]:
-    """The functions, classes and methods of a module, methods as `Class.method`."""
+    """Returns the names of a module's functions, classes and methods, the last as `Class.method`."""
     found = set()
     for node in ast.parse(path.read_text(encoding="utf-8")).body:
         if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
@@ -37,29 +37,31 @@
     return found
 
 
-def missing(cell: str, pattern: re.Pattern[str], folder: Path) -> list[str]:
-    """The names in a cell that no module defines; the whole cell where it names none."""
-    named = pattern.findall(cell)
-    if not named:
-        return [f"names nothing: {cell}"]
-    absent = []
-    for module, names in named:
+def missing_names(cell: str, pattern: re.Pattern[str], folder: Path) -> list[str]:
+    """Returns the names in a cell that their modules do not define; an error text if it names nothing."""
+    references = pattern.findall(cell)
+    if not references:
+        return [f"no module and name found in: {cell}"]
+    missing = []
+    for module, names in references:
         path = folder / module
-        known = definitions(path) if path.exists() else set()
-        absent += [f"{module}: {name}" for name in re.findall(r"`([\w.]+)`", names) if name not in known]
-    return absent
+        defined = definitions(path) if path.exists() else set()
+        missing += [f"{module}: {name}" for name in re.findall(r"`([\w.]+)`", names) if name not in defined]
+    return missing
 
 
-@pytest.mark.parametrize("row", rows(), ids=lambda row: row[0])
+@pytest.mark.parametrize("row", table_rows(), ids=lambda row: row[0])
 def test_each_function_and_test_of_a_rule_exists(row: list[str]) -> None:
-    assert len(row) == CELLS and all(row)
-    assert missing(row[2], FUNCTION, ROOT / "paddlequay") == []
-    assert missing(row[4], TEST, ROOT / "tests") == []
+    assert len(row) == COLUMN_COUNT and all(row)
+    assert missing_names(row[2], FUNCTION_REFERENCE, ROOT / "paddlequay") == []
+    assert missing_names(row[4], TEST_REFERENCE, ROOT / "tests") == []
 
 
-def test_a_missing_function_or_test_is_found() -> None:
-    assert missing("`errors/__init__.py`: `NoSuchRule`", FUNCTION, ROOT / "paddlequay")
-    assert missing("`no_such_module.py`: `decide`", FUNCTION, ROOT / "paddlequay")
-    assert missing("in the router", FUNCTION, ROOT / "paddlequay")
-    assert missing("`test_decisions.py`: `test_that_nobody_wrote`", TEST, ROOT / "tests")
-    assert not missing("`errors/__init__.py`: `PaddlequayError`", FUNCTION, ROOT / "paddlequay")
+def test_missing_function_or_test_is_reported() -> None:
+    assert missing_names("`errors/__init__.py`: `NoSuchRule`", FUNCTION_REFERENCE, ROOT / "paddlequay")
+    assert missing_names("`no_such_module.py`: `decide`", FUNCTION_REFERENCE, ROOT / "paddlequay")
+    assert missing_names("in the router", FUNCTION_REFERENCE, ROOT / "paddlequay")
+    assert missing_names("`test_decisions.py`: `test_that_nobody_wrote`", TEST_REFERENCE, ROOT / "tests")
+    assert not missing_names(
+        "`errors/__init__.py`: `PaddlequayError`", FUNCTION_REFERENCE, ROOT / "paddlequay"
+    )
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""The layout of the package: imports go down only, no circles, and no file over 400 lines."""
+"""Checks the package layout: imports from lower layers only, no import cycles, at most 400 lines per file."""
 
 import ast
 from collections.abc import Iterator
@@ -10,8 +10,8 @@
 PACKAGE = ROOT / "paddlequay"
 Definition = ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef
 MAX_LINES = 400
-# From the bottom up: a package may import from itself and from those before it. Those on one line are peers,
-# which do not import each other.
+# Layers from the lowest to the highest: a package may import from itself and from packages of lower layers.
+# Packages of one layer do not import each other.
 LAYERS = (
     ("errors", "observability"),
     ("routing",),
@@ -30,8 +30,8 @@
 )
 RANK = {name: rank for rank, names in enumerate(LAYERS) for name in names}
 FILES = sorted(path for path in PACKAGE.rglob("*.py") if not path.name.endswith("_pb2.py"))
-# Names that the operators' list replaces, and that no module has again.
-TAKEN_BACK = {"asks", "bounds", "shares", "records", "tables", "door", "twin", "beliefs", "ending"}
+# Module names that the operators' list of names replaced; no module of a finished package may have one again.
+FORMER_MODULES = {"asks", "bounds", "shares", "records", "tables", "door", "twin", "beliefs", "ending"}
 FINISHED = (
     "errors", "observability", "routing", "config", "placement",
     "policy", "requests", "lifecycle", "discovery", "store", "hierarchy", "schema", "cli", "cluster",
@@ -40,15 +40,15 @@
 
 
 def module_of(path: Path) -> str:
-    """The dotted name of a module, without the package's own."""
+    """Returns the dotted name of a module, without the leading `paddlequay`."""
     parts = path.relative_to(PACKAGE).with_suffix("").parts
     return ".".join(part for part in parts if part != "__init__")
 
 
 def imports(path: Path) -> Iterator[tuple[str, bool]]:
-    """Modules of this package that a module imports, and whether it does so when it is loaded."""
+    """Yields each module of this package that a module imports, and whether it does so when it is loaded."""
     tree = ast.parse(path.read_text(encoding="utf-8"))
-    later = {
+    deferred_nodes = {
         id(node)
         for outer in ast.walk(tree)
         if isinstance(outer, (ast.FunctionDef, ast.AsyncFunctionDef))
@@ -61,11 +61,11 @@
             for alias in node.names:
                 name = f"{inner}.{alias.name}".strip(".")
                 is_module = (PACKAGE / Path(*name.split("."))).with_suffix(".py").exists()
-                yield (name if is_module else inner), id(node) not in later
+                yield (name if is_module else inner), id(node) not in deferred_nodes
 
 
 def public_items(scope: ast.Module | ast.ClassDef) -> Iterator[Definition]:
-    """Classes, functions and methods without a leading underscore, but for those inside functions."""
+    """Yields classes, functions and methods without a leading underscore, except those inside functions."""
     for node in scope.body:
         if isinstance(node, Definition) and not node.name.startswith("_"):
             yield node
@@ -83,31 +83,33 @@
         assert other == own or RANK[other] < RANK[own], f"{own} imports {name}"
 
 
-def test_no_module_imports_itself_by_way_of_others() -> None:
+def test_module_imports_have_no_cycles() -> None:
     graph = {module_of(path): {name for name, at_load in imports(path) if at_load} for path in FILES}
-    done: set[str] = set()
+    visited: set[str] = set()
 
     def visit(module: str, path: tuple[str, ...]) -> None:
         assert module not in path, " > ".join([*path, module])
-        if module in done or module not in graph:
+        if module in visited or module not in graph:
             return
         for other in graph[module]:
             visit(other, (*path, module))
-        done.add(module)
+        visited.add(module)
 
     for module in graph:
         visit(module, ())
 
 
-def test_no_file_of_the_program_is_over_its_lines() -> None:
-    long = {module_of(path): len(path.read_text(encoding="utf-8").splitlines()) for path in FILES}
-    assert {name: lines for name, lines in long.items() if lines > MAX_LINES} == {}
+def test_no_program_file_exceeds_the_line_limit() -> None:
+    line_counts = {module_of(path): len(path.read_text(encoding="utf-8").splitlines()) for path in FILES}
+    assert {name: lines for name, lines in line_counts.items() if lines > MAX_LINES} == {}
 
 
-def test_only_packages_and_the_entries_stand_at_the_top() -> None:
-    top = {path.stem for path in PACKAGE.glob("*.py")}
-    assert top == {"__init__", "__main__", "adapter"}
-    assert not TAKEN_BACK & {path.stem for path in FILES if path.relative_to(PACKAGE).parts[0] in FINISHED}
+def test_top_level_holds_only_packages_and_entry_points() -> None:
+    top_level_modules = {path.stem for path in PACKAGE.glob("*.py")}
+    assert top_level_modules == {"__init__", "__main__", "adapter"}
+    assert not FORMER_MODULES & {
+        path.stem for path in FILES if path.relative_to(PACKAGE).parts[0] in FINISHED
+    }
 
 
 @pytest.mark.parametrize("package", FINISHED)
--- a/tests/test_race_condition_table.py
+++ b/tests/test_race_condition_table.py
@@ -1,4 +1,4 @@
-"""docs/race-conditions.md: each method that its table names exists."""
+"""Checks that each method that the table of docs/race-conditions.md names exists."""
 
 import ast
 import re
@@ -9,7 +9,7 @@
 
 
 def class_members() -> dict[str, set[str]]:
-    """The names of methods and fields of every class of the program."""
+    """Returns the names of the methods and fields of every class of the program, by class name."""
     members: dict[str, set[str]] = {}
     for path in ROOT.glob("paddlequay/**/*.py"):
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example is run as it stands."""
+"""Runs the example in the README and compares its output with its comments."""
 
 import re
 from pathlib import Path
@@ -8,7 +8,7 @@
 README = Path(__file__).parent.parent / "README.md"
 
 
-def test_the_example_prints_what_its_comment_says(capsys: pytest.CaptureFixture[str]) -> None:
+def test_readme_example_prints_the_output_in_its_comments(capsys: pytest.CaptureFixture[str]) -> None:
     (example,) = re.findall(r"```python\n(.*?)```", README.read_text(), re.S)
     exec(example, {})
     expected = re.findall(r"print\(.*\)  # (.*)", example)
