--- a/paddlequay/cluster/evidence_store.py
+++ b/paddlequay/cluster/evidence_store.py
@@ -1,8 +1,8 @@
 """Stores the evidence on subjects, this router's own and that of peers, and decides which of it is valid now.
 
 Evidence of a peer is not valid while the peer is suspect or dead, or after the peer or the subject has
-restarted. Nor is a report of a failing or silent subject if no other member of its kind serves the peer,
-which may then be isolated itself.
+restarted. A peer's report that a subject is failing or silent is not valid either if no other member of the
+subject's kind serves that peer, because the peer itself may then be isolated.
 
 Clocks of different routers are not compared. The age of a peer's evidence is the stated age plus the time
 since it was received, both extended by the clock drift, plus `TRANSIT_ALLOWANCE_S`. The age is checked
@@ -16,7 +16,7 @@
 from paddlequay.cluster.types import NEVER, ClusterBounds, Fault, NameDigest, Peer, PeerChanged, PeerState
 from paddlequay.cluster.verdict_rules import DOWN_FAULTS, Observation, fault_group
 
-# Allowance for the time in the sender's outbox and on the network, by which evidence is valid for less time.
+# Time that a peer's evidence may spend in the peer's outbox and on the network; always added to its age.
 TRANSIT_ALLOWANCE_S = 0.5
 MAX_SUBJECTS = 256  # more than the endpoint list has members near one router
 MAX_WITNESSES_PER_SUBJECT = 64  # peers whose evidence is kept, per subject
@@ -34,14 +34,17 @@
     by_peer: dict[Peer, Observation] = field(default_factory=dict)
     last_report: Observation | None = None  # what was last sent to peers; `observed_at` is when it was sent
     report_at: float = NEVER  # when the next report is due
-    witnesses_since: float | None = None  # since when enough routers have observed a fault, of any weight
+    witnesses_since: float | None = None  # since when enough routers observe a fault, whatever their weight
     majority_since: float | None = None  # since when these routers have the majority of the weight
     published: Fault | None = None  # the verdict that was last reported to other components
     published_until: float = 0.0
 
 
 class EvidenceStore:
-    """Keeps records of the `MAX_SUBJECTS` most recently used subjects, and which peers' evidence counts."""
+    """Keeps the records of the `MAX_SUBJECTS` most recently used subjects.
+
+    It also keeps what decides whether a peer's evidence counts: the peer's incarnation and its state.
+    """
 
     def __init__(self, bounds: ClusterBounds) -> None:
         self._max_age_s = bounds.evidence_s
@@ -97,13 +100,13 @@
         return 0 if served else int(Fault.FAILING)
 
     def _continues(self, record: SubjectRecord, own: Observation, fault: int, now: float) -> bool:
-        """Returns whether an attempt had the same result as the one before, with no restart in between."""
+        """Returns whether an attempt repeats a fresh result, with no restart of the subject in between."""
         same_end = fault_group(own.fault) == fault_group(fault)
         same_start = own.subject_start_ms in (0, record.start_ms)
         return same_end and same_start and self.is_own_fresh(own, now)
 
     def accepts_incarnation(self, peer: Peer, incarnation: int) -> bool:
-        """Returns whether an incarnation is not below the highest known one of a peer."""
+        """Returns whether an incarnation of a peer is at least the highest known one."""
         return incarnation >= self._incarnations.get(peer, 0)
 
     def note_incarnation(self, peer: Peer, incarnation: int) -> None:
@@ -111,7 +114,11 @@
         self._incarnations[peer] = max(self._incarnations.get(peer, 0), incarnation)
 
     def add_of_peer(self, record: SubjectRecord, peer: Peer, observation: Observation) -> bool:
-        """Records a peer's evidence. Returns False if more recent evidence of the peer is recorded."""
+        """Records a peer's evidence.
+
+        Returns False, and records nothing, if the record has more recent evidence from the same incarnation
+        of the peer.
+        """
         previous = record.by_peer.get(peer)
         if previous is None and len(record.by_peer) >= MAX_WITNESSES_PER_SUBJECT:
             oldest = min(record.by_peer, key=lambda other: record.by_peer[other].observed_at)
@@ -123,7 +130,7 @@
         return True
 
     def apply_peer_state(self, event: PeerChanged) -> None:
-        """Records whether the evidence of a peer counts after a change of its state."""
+        """Records a peer's new state, which decides whether the peer's evidence counts."""
         self.note_incarnation(event.peer, event.incarnation)
         if event.state in (PeerState.SUSPECT, PeerState.DEAD):
             self._unreliable.add(event.peer)
@@ -182,5 +189,8 @@
 
     @staticmethod
     def _is_convincing(observation: Observation) -> bool:
-        """Returns False if the observing router may be isolated, since no other member serves it either."""
+        """Returns False for a failing or silent subject if no other member serves the observing router.
+
+        That router may then itself be isolated.
+        """
         return observation.other_member_count > 0 or observation.fault not in DOWN_FAULTS
--- a/paddlequay/cluster/lease_timing.py
+++ b/paddlequay/cluster/lease_timing.py
@@ -1,4 +1,4 @@
-"""The durations by which a router bids for leases, all in proportion to the longest lease."""
+"""The durations used in a router's bids for leases, all in proportion to the longest lease."""
 
 import random
 
@@ -8,7 +8,7 @@
 ELECTION_PHASE_RATIO = 0.2  # how long a phase waits for the answers of a majority
 RESEND_RATIO = 1 / 15  # how long to wait for an answer before a message is repeated
 BACKOFF_RATIO = 1 / 30  # mean wait after a lost election; doubles with each further loss
-UNLOCK_SPREAD_RATIO = 0.2  # span over which bidders waiting for the same lock are spread
+UNLOCK_SPREAD_RATIO = 0.2  # bidders blocked by one lock bid at random times in this span after its end
 PRIORITY_RATIO = 0.4  # how long a successor's bid bypasses the rate limit
 
 MAX_BACKOFF_DOUBLINGS = 4
@@ -24,7 +24,10 @@
         self.duration_ms = int(bounds.lease_s * 1000)
 
     def held_duration(self) -> float:
-        """Returns how long a holder relies on its lease: by the clock drift less than acceptors lock it."""
+        """Returns how long a holder relies on its lease.
+
+        That is shorter, by the clock drift, than the time for which acceptors lock it.
+        """
         return self.duration_ms / 1000 * (1 - self.bounds.drift_ratio)
 
     def renewal_interval(self) -> float:
@@ -44,7 +47,10 @@
         return self.bounds.lease_s * PRIORITY_RATIO
 
     def bounded_wait(self, milliseconds: int) -> float:
-        """Returns the wait that an acceptor asked for, in seconds, at most two leases: none needs more."""
+        """Returns the wait that an acceptor asked for, in seconds.
+
+        It is limited to twice the longest lease, as no acceptor needs a longer wait.
+        """
         return min(milliseconds / 1000, 2 * self.bounds.lease_s)
 
     def draw_jittered_backoff(self) -> float:
@@ -60,5 +66,5 @@
         return self.draw_jittered_backoff() / 2
 
     def draw_unlock_spread(self) -> float:
-        """Draws how long a bidder still waits after the end of the lock that blocked it."""
+        """Draws how long a bidder waits after the end of the lock that blocked it before it bids again."""
         return self.rng.uniform(0, UNLOCK_SPREAD_RATIO * self.bounds.lease_s)
--- a/paddlequay/cluster/limit_registry.py
+++ b/paddlequay/cluster/limit_registry.py
@@ -15,15 +15,15 @@
 
 
 def lease_of(rule: LimitRule) -> NameDigest:
-    """Returns the lease whose holder grants the quotas of a rule."""
+    """Returns the name of the lease whose holder grants the quotas of a rule."""
     return xxh3_64_intdigest(f"limit/{rule.name}")
 
 
 def limit_of(lease: NameDigest, value: str) -> NameDigest:
     """Returns the name of the limit that a rule sets for one value.
 
-    The name contains the digest of the rule, so that a holder finds the rule of a value that it has not seen
-    itself. Values of the same digest share a limit, which is therefore kept for each of them.
+    The name contains the digest of the rule, so that the lease's holder can find the rule of a value that it
+    has never seen. Values with the same digest share one limit, so none of them can exceed it.
     """
     return (lease & ~VALUE_MASK) | (xxh3_64_intdigest(value) & VALUE_MASK)
 
@@ -34,7 +34,7 @@
 
     Attributes:
         rule: The rule in the settings.
-        lease: The lease whose holder grants quotas of the limit.
+        lease: The name of the lease whose holder grants quotas of the limit.
         division: How the limit is divided over the fleet.
         grant_validity_s: How long a grant is valid, in seconds.
     """
@@ -65,10 +65,11 @@
             rules: The limits of the settings.
             fleet_size: The number of routers.
             bounds: The times that all routers share.
-            slot_grant_extension_s: How much longer grants of slots are valid than other grants, in seconds.
+            slot_grant_extension_s: How much longer a grant under a limit on requests in flight is valid than
+                another grant, in seconds.
 
         Raises:
-            ValueError: A rule is invalid, or the names of two rules have the same digest.
+            ValueError: A rule is invalid, or the digests of two rules' names have the same upper 24 bits.
         """
         self._by_scope: dict[LimitScope, list[FleetLimit]] = {}
         self._by_rule_bits: dict[int, FleetLimit] = {}
@@ -91,11 +92,11 @@
 
     @property
     def leases(self) -> tuple[NameDigest, ...]:
-        """The leases whose holders grant the quotas of the limits."""
+        """The names of the leases whose holders grant the quotas of the limits."""
         return tuple(limit.lease for limit in self)
 
     def of_name(self, limit: NameDigest) -> FleetLimit | None:
-        """Returns the fleet limit to which the limit of a value belongs; None if its rule is unknown."""
+        """Returns the fleet limit of a name that `limit_of` returned; None if its rule is unknown."""
         return self._by_rule_bits.get(limit >> VALUE_BITS)
 
     def matching(self, scope: LimitScope, value: str) -> Iterator[FleetLimit]:
--- a/paddlequay/discovery/report_index.py
+++ b/paddlequay/discovery/report_index.py
@@ -81,7 +81,8 @@
     def removals_at(self, address: Address, reports: list[SourceReport]) -> Iterator[SourceReport]:
         """Yields the removals that apply to an address: those at the address or of the ids reported there.
 
-        A source that reports a member at the address has thereby revoked its own removals.
+        Removals by a source that itself reports a member at the address are left out, as that report revokes
+        them.
         """
         reporting_sources = {report.source for report in reports}
         applicable = dict(self.removals_by_address.get(address, {}))
--- a/paddlequay/hierarchy/node.py
+++ b/paddlequay/hierarchy/node.py
@@ -126,7 +126,7 @@
     def min_generated_at(self, number: int) -> float | None:
         """Returns the earliest Unix second at which the copy for a fill may have been generated.
 
-        It includes purges that arrived since the fill began. It is None if the fill is unknown.
+        Takes account of purges that arrived after the fill began. Returns None if the fill is unknown.
         """
         lease = self.leases.by_number.get(number)
         if lease is None:
--- a/paddlequay/net/clients/client_messages.py
+++ b/paddlequay/net/clients/client_messages.py
@@ -11,7 +11,7 @@
 
 HEX_ID = re.compile(r"[0-9a-f]{16}")
 DECIMAL_NUMBER = re.compile(r"[0-9]{1,9}")
-# Characters that a cache's list of fields can carry: printable, without comma and equals sign.
+# Characters that a cache's list of fields can carry: printable ASCII except space, comma and equals sign.
 IDEMPOTENCY_KEY = re.compile(r"[!-+\--<>-~]{1,128}")
 FLAG = re.compile(r"[01]")
 
@@ -33,7 +33,7 @@
 
 
 def field_number(fields: Mapping[Any, Any], name: str, maximum: int, required: bool = False) -> int | None:
-    """Returns a field's number, from 0 to `maximum`; raises `FieldError`."""
+    """Returns a field's number; raises `FieldError` if invalid, above `maximum`, or required and missing."""
     text = field_text(fields, name, DECIMAL_NUMBER, required)
     if text is None:
         return None
--- a/paddlequay/policy/attempts.py
+++ b/paddlequay/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: starts them, and when they end, releases the capacity and the probes that they held."""
+"""Starts the attempts of requests; when an attempt ends, releases the capacity and the probes it held."""
 
 from paddlequay.policy.copy_age import max_copy_age
 from paddlequay.policy.retention import retention_rank
@@ -27,7 +27,7 @@
             state.retries.charge_retry(request)
         holders = state.hot_objects.holders(request.part_state, state.members.upstreams, now)
         fills = not is_cached_read and target.member.name not in holders
-        retry_bound = request.retry_bound  # set by an earlier attempt, so read before this one is registered
+        retry_bound = request.retry_bound  # of an earlier attempt, so it is read before `register`
         attempt = AttemptState(target, source, now, fills, state.retries.retry_bound(request, target, now))
         self.register(request, attempt)
         without_origin = self.must_avoid_origin(request, attempt, now)
--- a/paddlequay/policy/edge_selection.py
+++ b/paddlequay/policy/edge_selection.py
@@ -13,7 +13,12 @@
 
 @dataclass(slots=True)
 class EdgeChoice:
-    """The edge for a request, if any, and whether an edge preferred to it was busy."""
+    """The edge for a request, if any.
+
+    Attributes:
+        edge: The edge; None if no edge can take the request.
+        was_busy: Whether an edge preferred to `edge` was busy; without an `edge`, whether any was.
+    """
 
     edge: Upstream | None
     was_busy: bool
@@ -28,9 +33,9 @@
     def choose_edge(self, request: RequestState, now: float) -> EdgeChoice:
         """Returns the first edge in hash order that is available and not busy.
 
-        While the zone's link has no capacity, the search ends at a busy edge, as the next one would have to
-        fill the object through the link. Without such an edge, the first busy one is used if its own load
-        report shows capacity.
+        While the zone's link has no capacity for the request, the search ends at the first busy edge, as the
+        next one would have to fill the object through the link. If the search finds no edge that is not busy,
+        the first busy one is used, provided that its own load report shows capacity.
 
         Args:
             request: The request, with the edges that failed it.
--- a/paddlequay/programs/shutdown.py
+++ b/paddlequay/programs/shutdown.py
@@ -13,7 +13,8 @@
 # The first two are seconds before `limits.shutdown_timeout`, at which all pending requests are abandoned.
 DROP_PARTIAL_BEFORE_END_S = 1.0  # from then on, incomplete messages are not waited for
 REJECT_BEFORE_END_S = 0.9  # from then on, new requests on connections that are never idle are rejected
-# Seconds after that time-out, in which the last answers are sent; the process may be killed 0.2 s after it.
+# Seconds after `limits.shutdown_timeout` for sending the last answers; 0.2 s after that time-out, the process
+# may be killed.
 FLUSH_TIME_S = 0.15
 LINGER_TIME_S = 0.05  # the last part of `FLUSH_TIME_S`, in which clients close their side
 POLL_INTERVAL_S = 0.01
@@ -53,7 +54,11 @@
 async def stop_accepting(
     front: ClientFront, hot_restart: HotRestart, limits: Limits, started_at: float
 ) -> None:
-    """Accepts connections until none is expected, closes the listener, and reads on for a little longer."""
+    """Accepts connections until no more are expected, then closes the listener.
+
+    Without a successor, it then waits until `limits.serve_after_term`, while requests on open connections are
+    still read.
+    """
     now = asyncio.get_running_loop().time
     while not hot_restart.replaced and now() - started_at < limits.accept_after_term:
         await asyncio.sleep(POLL_INTERVAL_S)
@@ -65,7 +70,11 @@
 
 
 async def answer_pending(front: ClientFront, limits: Limits, started_at: float) -> None:
-    """Waits until no request is pending or partly received, or until the shutdown time-out."""
+    """Closes quiet connections until none is open and no request is pending, or until the shutdown time-out.
+
+    From `DROP_PARTIAL_BEFORE_END_S` before the time-out, it no longer waits for connections that hold an
+    incomplete message. From `REJECT_BEFORE_END_S` before it, new requests are rejected.
+    """
     now = asyncio.get_running_loop().time
     while now() - started_at < limits.shutdown_timeout:
         front.near_end = now() - started_at > limits.shutdown_timeout - REJECT_BEFORE_END_S
--- a/paddlequay/requests/messages.py
+++ b/paddlequay/requests/messages.py
@@ -52,7 +52,7 @@
     idempotency_key: str | None = None  # lets caches drop duplicates; forwarded unchanged
     tenant: str | None = None  # None if the front does not identify tenants
     fill: int | None = None  # the number of the fill, if a node of the hierarchy requests it
-    extra_fields: Callable[[str], Mapping[str, str]] | None = None  # further fields of a fill, for a target
+    extra_fields: Callable[[str], Mapping[str, str]] | None = None  # further fields of a fill, by target name
 
 
 @dataclass(slots=True)
@@ -93,7 +93,10 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended, with the contents of its answer if there was one; `source_wait` is in seconds."""
+    """How an attempt ended, with the contents of its answer if there was one.
+
+    `source_wait` (in seconds), `unresponsive` and `loop_hint` are described in `AttemptEnded`.
+    """
 
     outcome: Outcome
     body: Buffer = b""
@@ -142,7 +145,7 @@
         ...
 
     def abandon(self, attempt: "UpstreamAttempt") -> bool:
-        """Drops an attempt; returns whether the carrier has received nothing since it was written."""
+        """Drops an attempt; returns whether the carrier received nothing after the attempt was written."""
         ...
 
 
@@ -205,7 +208,7 @@
     send_answer: Callable[[FinalAnswer], None]
     received_at: float
     deadline: float
-    client_disconnected: Callable[[], bool] | None = None  # also detects a close that is unread
+    client_disconnected: Callable[[], bool] | None = None  # also detects a close not read from the socket yet
     deadline_timer: Timer | None = None
     attempts: list[UpstreamAttempt] = field(default_factory=list)
     last_detail: ReplyDetail | None = None
