--- a/paddlequay/cluster/buckets.py
+++ b/paddlequay/cluster/buckets.py
@@ -21,11 +21,11 @@
     """Times and durations that all buckets of a process share, in seconds of its clock.
 
     Attributes:
-        started_at: When the process started; its predecessor may have spent all tokens by then, and its
-            requests may still be in flight.
+        started_at: When the process started; its predecessor may have spent all tokens by then, and requests
+            of the predecessor may still be in flight.
         min_clock_rate: The least true time, in seconds, that passes in one second of this clock.
         retention_s: How long an isolated router retains a part of its grant, with `PartitionMode.OPEN`.
-        floor_blocked_s: How long after the start requests of the predecessor may still be in flight.
+        floor_blocked_s: How long after `started_at` the predecessor's requests may still be in flight.
         window_s: The length of a window in which demand is counted.
     """
 
@@ -51,7 +51,10 @@
     is_retained: bool = False
 
     def after_expiry(self, division: LimitDivision, timing: BucketTiming, isolated: bool) -> "ActiveGrant":
-        """Returns what replaces this grant at its end: in an isolated router a part of it, else no grant."""
+        """Returns what replaces this grant at its end.
+
+        In an isolated router a part of the grant is retained, but only once; otherwise there is no grant.
+        """
         if not isolated or self.is_retained or timing.retention_s <= 0:
             return NO_GRANT
         retained = self.quota.min_with(division.max_retained)
@@ -71,7 +74,7 @@
         """Advances the bucket to `now`; has to be called before every other method that takes `now`."""
 
     def receive_grant(self, quota: Quota, valid_until: float) -> None:
-        """Replaces the quota beside the floor by one that the holder has granted."""
+        """Replaces the quota that may be used beyond the floor by one that the lease holder has granted."""
 
     def admits(self, now: float, duration_s: float) -> bool:
         """Returns whether a request that ends within `duration_s` may start now."""
@@ -83,21 +86,21 @@
         """Frees the slot of a request that has ended."""
 
     def retry_after(self, now: float) -> float | None:
-        """Returns the seconds until a request is admitted; None if unknown or never with this grant."""
+        """Returns the seconds until a request is admitted; None if unknown, or if this grant admits none."""
 
     def demand_milli(self, now: float) -> int:
-        """Returns what the router would use, in thousandths of a request; starts a new observation."""
+        """Returns what the router would use, in thousandths of a request; starts a new observation period."""
 
     def is_unused(self) -> bool:
-        """Returns whether a bucket created later would have the same state as this one."""
+        """Returns whether a bucket created later would have the same state; this one may then be dropped."""
 
 
 class RateBucket:
     """A token bucket for a limit on a rate; tokens are thousandths of a request.
 
-    A new bucket starts with the tokens of a bucket that was empty when the process started and has been
-    unused since: the predecessor may have spent all tokens. So a full bucket without a grant may be dropped
-    and created again.
+    A new bucket starts with the tokens that its floor has gained since the process started, from zero because
+    the predecessor may have spent all tokens. A full bucket without a grant may therefore be dropped and
+    created again.
     """
 
     def __init__(self, division: LimitDivision, timing: BucketTiming, now: float) -> None:
@@ -144,7 +147,7 @@
         self.fill(now)
 
     def receive_grant(self, quota: Quota, valid_until: float) -> None:
-        """Replaces the quota beside the floor by one that the holder has granted."""
+        """Replaces the quota that may be used beyond the floor by one that the lease holder has granted."""
         self.change_grant(ActiveGrant(quota, valid_until))
 
     def admits(self, now: float, duration_s: float) -> bool:
@@ -152,7 +155,7 @@
         return self.tokens >= MILLI_PER_REQUEST
 
     def acquire(self, permit: int, now: float, duration_s: float) -> None:
-        """Spends the token of one request, and counts the request as demand, as rejected ones are."""
+        """Spends the token of one request and counts it as demand; rejected requests count as well."""
         self.tokens -= MILLI_PER_REQUEST
         self.demand.add(now)
 
@@ -209,7 +212,7 @@
             self.grant = self.grant.after_expiry(self.division, self.timing, isolated)
 
     def receive_grant(self, quota: Quota, valid_until: float) -> None:
-        """Replaces the quota beside the floor by one that the holder has granted."""
+        """Replaces the quota that may be used beyond the floor by one that the lease holder has granted."""
         self.grant = ActiveGrant(quota, valid_until)
 
     def is_floor_open(self, now: float) -> bool:
--- a/paddlequay/cluster/placement_epochs.py
+++ b/paddlequay/cluster/placement_epochs.py
@@ -1,12 +1,12 @@
-"""Decides which placement table is in use: routers follow one epoch, or stop following any in bounded time.
+"""Decides which placement table a router uses: that of the common epoch or, within bounded time, none.
 
 Each router compiles the rules with its own endpoint list into a table, and sends the table's digest to the
 holder of the lease `TABLES_LEASE`. Once a majority of all routers has a table, the holder declares it under
 an epoch. Each router follows a declared epoch as soon as it has compiled that table itself.
 docs/cluster/tables.md has the argument and the bounds.
 
-An epoch expires at a router `ClusterBounds.epoch_validity_s`, by the router's own clock, after the last
-message that confirmed it. Expiry is checked whenever the table is used. Without a valid epoch a router places
+At each router, an epoch expires when no message has confirmed it for `ClusterBounds.epoch_validity_s` by the
+router's own clock. Expiry is checked whenever the table is used. Without a valid epoch a router places
 objects as if it had no rules, which every router can do.
 """
 
@@ -62,8 +62,8 @@
 
     `held_term` returns the term under which this router holds `TABLES_LEASE`. `reacquire` releases that lease
     and bids for it again. It is needed when all acceptors have lost their state at once, since a new term can
-    then be lower than that of an epoch in use. `TableChanged.previous` is None if no table was in use before,
-    or the same one.
+    then be lower than that of an epoch in use. `TableChanged.previous` is None if no table, or the same
+    table, was in use before.
     """
 
     HANDLED_MESSAGES: ClassVar[tuple[type[PeerMessage], ...]] = (TableAnnouncement, TableAcknowledgement)
@@ -78,8 +78,8 @@
         self.proposer = self.proposer_class(fleet, bounds, held_term)
         self.follower = self.follower_class(bounds.epoch_validity_s)
         self.holder: Peer | None = None
-        self.highest_term = 0  # of any holder known so far
-        self.highest_epoch = 0  # of all epochs proposed or declared so far
+        self.highest_term = 0  # highest term of all holders known so far
+        self.highest_epoch = 0  # highest of all epochs proposed or declared so far
         self._acknowledge_at = NEVER
         self._acknowledged_at = -NEVER
         self._reacquired_at = -NEVER
--- a/paddlequay/discovery/dns_servers.py
+++ b/paddlequay/discovery/dns_servers.py
@@ -11,7 +11,7 @@
 MAX_DOUBLINGS = 10
 MIN_LATENCY_S = 0.001
 MS_PER_S = 1000
-LATENCY_BAND_OCTAVES = 2  # latencies within a factor of four rank equal
+LATENCY_BAND_OCTAVES = 2  # a band spans a factor of four; latencies in one band rank equal
 MIN_FAILURES_FOR_BACKOFF = 2  # consecutive
 
 
@@ -62,7 +62,10 @@
         health.backoff_until = -math.inf
 
     def record_failure(self, query: PendingQuery, why: str, now: float) -> None:
-        """Records that the server of a query has failed; from the second failure in a row, it backs off."""
+        """Records that the server of a query has failed.
+
+        From the second failure in a row, the server is in backoff.
+        """
         limits = self.limits
         health = self.health[query.question.server]
         health.failures += 1
--- a/paddlequay/hierarchy/fill_path.py
+++ b/paddlequay/hierarchy/fill_path.py
@@ -1,4 +1,4 @@
-"""The signed path of a fill: the nodes that it has passed, so that a node detects a loop when it closes.
+"""The signed path of a fill: the nodes that it has passed, so that a node detects a fill that returns to it.
 
 The path is a path vector like CDN-Loop (RFC 8586) in HTTP, but it is bound to one request, limited in length
 and authenticated. A node that finds itself in the path rejects the fill. A hop count alone would let a loop
--- a/paddlequay/hierarchy/topology.py
+++ b/paddlequay/hierarchy/topology.py
@@ -134,7 +134,7 @@
 
 
 def _check_parents(node: NodeSpec, nodes: Mapping[str, NodeSpec], where: str, limits: TopologyLimits) -> None:
-    """Raises `TopologyError` unless an origin has no parents, or a cache has valid ones."""
+    """Raises `TopologyError` if an origin has parents, or a cache has none, too many or invalid ones."""
     if node.is_origin and node.parents:
         raise TopologyError(f"store {node.name} has parents", where)
     if not node.is_origin and not node.parents:
@@ -153,8 +153,8 @@
 
     Only paths from `start` are visited, as any cycle that a delta closes contains a node that it lists. The
     search uses its own stack, because the graph may be deeper than the interpreter's recursion limit. The
-    depth of nodes below a changed node is checked only if the delta lists them; the limit of hops bounds
-    their paths as well.
+    depth of nodes below a changed node is checked only if the delta lists them; fills from the others are
+    still bounded by `MAX_HOPS` of the fill path.
     """
     depth: dict[str, int] = {}
     for first in start:
--- a/paddlequay/net/clients/idle_sessions.py
+++ b/paddlequay/net/clients/idle_sessions.py
@@ -81,10 +81,11 @@
     def close_one(self, now: float, recent_progress: float) -> ClosedSession | None:
         """Closes one idle connection, and returns it; None if there is none.
 
-        Silent connections are closed first, then those that have stopped inside a message, so that
-        connections without requests cannot displace clients with requests. The least recently used idle
-        connection follows; its client repeats a request that it sends while the connection closes. A
-        connection that has received more of its message within `recent_progress` seconds comes last.
+        Silent connections are closed first, then those with one read of an incomplete message, lingering
+        ones, and those that have received no more of their message for `recent_progress` seconds. So
+        connections without requests cannot displace clients with requests. The least recently used
+        connection in `idle` follows; its client repeats a request that it sends while the connection closes.
+        A connection that has received more of its message within `recent_progress` seconds comes last.
         """
         steps = (
             ClosingStep(self.silent, 0.0, lambda session: session.close_without_message()),
--- a/paddlequay/net/cluster/driver.py
+++ b/paddlequay/net/cluster/driver.py
@@ -100,7 +100,10 @@
         )
 
     async def start(self) -> None:
-        """Joins the cluster, or keeps trying while another process has the address; also after `stop`."""
+        """Joins the cluster, or keeps trying while another process has the address.
+
+        It may be called again after `stop`.
+        """
         self._is_stopped = False
         if self.placement is not None:
             self.placement.start()
@@ -113,7 +116,10 @@
             await asyncio.sleep(JOIN_INTERVAL_S)
 
     async def _join(self) -> bool:
-        """Joins if the peers' address is free; returns whether it was. Floors of limits fill from then on."""
+        """Joins if the peers' address is free; returns whether it was.
+
+        The floors of rate limits gain tokens from then on.
+        """
         session = self._make_session()
         try:
             await session.transport.start()
@@ -150,7 +156,7 @@
         )
 
     def release(self) -> None:
-        """Releases leases that other routers would have to wait for; all else continues, as in a drain."""
+        """Releases leases that other routers would have to wait for; the router remains in the cluster."""
         session = self.session
         if session is None:
             return
--- a/paddlequay/net/upstreams/connection_reader.py
+++ b/paddlequay/net/upstreams/connection_reader.py
@@ -11,11 +11,11 @@
 
 LOGGER = logging.getLogger(__name__)
 
-MAX_READS_PER_ITERATION = 4  # reads of bytes already received, before the event loop serves others
+MAX_READS_PER_ITERATION = 4  # reads of bytes already received, before the reader yields to the event loop
 
 
 class ConnectionReader:
-    """Connects and reads for one connection, and finishes it when it ends.
+    """Connects one connection, reads from it, and calls its `finish` when connecting or reading ends.
 
     The connection does not refer to its reader, because a reference cycle would delay the release of both.
     """
@@ -58,7 +58,7 @@
             if self.pool.counters.add_once("bad_cache_lines"):
                 name = connection.instance.name
                 log.event(LOGGER, logging.WARNING, "bad_cache_line", at=name, why=str(error))
-        except Exception:  # error boundary of one connection: its error must not end another
+        except Exception:  # error boundary: a failure of one connection must not end another
             self.pool.counters.add("cache_errors")
             LOGGER.exception("cache_connection_failed")
         connection.finish()
--- a/paddlequay/policy/hot_objects.py
+++ b/paddlequay/policy/hot_objects.py
@@ -14,8 +14,8 @@
 PartKey = tuple[int | None, int | None]  # the number of an object, and the number of a part of it
 
 HOT_WINDOW_S = 10.0  # longest time between two reads of a hot part; also how long a holder is remembered
-HOT_READS_COUNT = 1.0  # least number of earlier reads within the window that makes a part hot
-SPREAD_READS_COUNT = 40.0  # reads within the window above which two edges share a part
+HOT_READS_COUNT = 1.0  # least decayed count of earlier reads that makes a part hot
+SPREAD_READS_COUNT = 40.0  # decayed count of reads above which two edges share a part
 MAX_PARTS = 20000
 MAX_PART_AGE_S = 30.0  # longest time since the last read for which a part is remembered
 MAX_HOLDERS = 3
@@ -26,8 +26,9 @@
 
     Attributes:
         part_state: The state of the part, this read included.
-        earlier_reads: Reads before this one, decayed over `HOT_WINDOW_S` up to the last of them.
-        since_last: Seconds since the last of them.
+        earlier_reads: The count of reads before this one, as of the latest of them; it decays exponentially
+            with the time constant `HOT_WINDOW_S`.
+        since_last: Seconds from the latest earlier read to this one.
     """
 
     part_state: PartState
--- a/paddlequay/policy/route_selection.py
+++ b/paddlequay/policy/route_selection.py
@@ -12,7 +12,10 @@
 
 @dataclass(slots=True)
 class Route:
-    """The target and the source of an attempt; a target that is its own source only reads its cache."""
+    """The target and the source of an attempt.
+
+    If both are the same cache, it only reads its copies; if both are the origin, it is asked directly.
+    """
 
     target: Upstream
     source: Upstream
@@ -45,7 +48,7 @@
         members = self.state.members
         key = digest(request.received.id)
         sources = [*members.origins, *members.ranked(CacheTier.PARENT, key, now)]
-        # Ejected sources come last, because a request that must not run twice gets no second attempt.
+        # A request that must not run twice gets no second attempt, so ejected sources come last.
         for source in sorted(sources, key=lambda source: source.ejected):
             if source.member.name not in request.failed_members:
                 return Route(edge, source)
@@ -109,6 +112,7 @@
         if any(attempt.target is attempt.source for attempt in request.attempts):
             return False
         if request.link_full and self.state.members.capacity_share(edge, now) < 1.0:
-            # A cached read takes as much of an edge in slow start as a fill, and an empty edge has no copy.
+            # In slow start, a cached read uses as much of an edge's capacity as a fill, and the edge may not
+            # have a copy yet.
             return self.state.zone_load.likely_holds(edge.member.name, request.sampling_draw, now)
         return True
--- a/paddlequay/protocol/cache_server.py
+++ b/paddlequay/protocol/cache_server.py
@@ -77,7 +77,7 @@
         return self.head is not None or bool(self.buffer)
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Returns the messages that are complete with these bytes.
+        """Yields the messages that are complete with these bytes.
 
         Raises:
             CacheProtocolError: The bytes are not a message, and nothing after them can be parsed.
--- a/paddlequay/requests/write_checks.py
+++ b/paddlequay/requests/write_checks.py
@@ -70,9 +70,9 @@
     ) -> float | None:
         """Returns the maximum age in seconds of a copy that may serve the request; None for the default.
 
-        This is `chosen_limit`, or else the freshness lifetime of the class, or the time since the last
-        purge if that is shorter. A purge counts for as long as it is remembered, because a cache that hung
-        while the purge was announced may still hold an older copy.
+        This is the time since the last purge, if that is shorter than `chosen_limit` or, without one, than
+        the freshness lifetime of the class. Otherwise it is `chosen_limit`. A purge counts for as long as it
+        is remembered, because a cache that hung while the purge was announced may still hold an older copy.
 
         Args:
             request: The request, with the number of its object and group.
@@ -119,7 +119,7 @@
         return self.is_within_retry_bound(fetch, now)
 
     def is_within_retry_bound(self, fetch: Fetch, now: float) -> bool:
-        """Returns whether the target drops a duplicate if an earlier attempt may have been executed."""
+        """Returns whether the target drops duplicates, or no earlier attempt may have been executed."""
         bound = fetch.retry_bound
         if bound is None:
             return True
