--- a/paddlequay/lab/cluster_audit.py
+++ b/paddlequay/lab/cluster_audit.py
@@ -1,8 +1,8 @@
-"""Checks the guarantees of real routers from outside: by stand-ins, clients' answers and status pages.
+"""Audits the guarantees of real routers from the records of stand-ins, clients' answers and status pages.
 
-No router is asked whether a guarantee holds. Admitted requests are counted where they arrive, answers where
-they are awaited. Two holders of a lease are proven only by an observation of one between two observations of
-the other.
+The audit does not rely on a router's own claim that a guarantee holds. Admitted requests are counted where
+they arrive, and answers at the clients. Two routers count as holders of a lease at once only if one was
+observed to hold it between two observations of the other.
 """
 
 from collections import Counter
@@ -13,10 +13,10 @@
 
 
 def max_excess(times: Iterable[float], rate_per_s: float, burst: float, max_delay_s: float) -> float:
-    """Returns by how many requests a limit was exceeded at most, over all windows; 0 where it held.
+    """Returns the greatest number of requests by which a limit was exceeded in any window; 0 if it held.
 
-    One sweep: the greatest excess of a window that ends now is that of the previous one, less what the rate
-    allows since, and one more.
+    The requests are read once, as by a leaky bucket: the level falls at the limit's rate, and each request
+    adds one to it.
 
     Args:
         times: when requests arrived, in seconds.
@@ -36,18 +36,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseObservation:
-    """What one router's status page shows of a lease at a time; `term` is None where it does not hold it."""
+    """What a router's status page showed of a lease; `term` is None if the router did not hold it."""
 
     at: float
     router: int
     term: int | None
 
 
-def observe_lease(moments: Iterable[FleetSnapshot], lease: str) -> list[LeaseObservation]:
+def observe_lease(snapshots: Iterable[FleetSnapshot], lease: str) -> list[LeaseObservation]:
     """Returns all observations of a lease, in order of time."""
     observations = []
-    for moment in moments:
-        for router, page in moment.pages.items():
+    for snapshot in snapshots:
+        for router, page in snapshot.pages.items():
             shown = page.get("leases", {}).get(lease)
             if shown is not None:
                 observations.append(LeaseObservation(float(page["at"]), router, shown["term"]))
--- a/paddlequay/lab/tables.py
+++ b/paddlequay/lab/tables.py
@@ -1,4 +1,4 @@
-"""`lab run tables`: how soon routers agree on a table, in what bytes, on a simulated clock with losses."""
+"""`lab run tables`: the time and traffic until routers agree on a table, on a simulated lossy network."""
 
 from collections.abc import Callable
 from statistics import median
@@ -10,12 +10,12 @@
 LINK_DELAY_S = 0.01
 LOSS_RATIO = 0.2
 MAX_WAIT_S = 60.0
-QUIET_S = 20.0  # over which the bytes sent without any change are counted
+QUIET_S = 20.0  # time over which the bytes sent without any change are counted
 CHECK_S = 0.01
 
 
 class MeasuredFleet:
-    """One fleet, and how long it takes to agree."""
+    """A simulated fleet whose time and traffic until agreement are measured."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.world = TableWorld(size, seed, delay_s=(LINK_DELAY_S, LINK_DELAY_S))
@@ -23,7 +23,7 @@
         self.size = size
 
     def seconds_until(self, is_done: Callable[[], bool]) -> float:
-        """Returns the seconds until `is_done`, `MAX_WAIT_S` where it is not by then."""
+        """Returns the seconds until `is_done` returns true, or `MAX_WAIT_S` if it has not by then."""
         elapsed_s = self.world.run(MAX_WAIT_S, is_done, check_s=CHECK_S)
         return MAX_WAIT_S if elapsed_s is None else elapsed_s
 
@@ -32,7 +32,7 @@
         return [process.outbox.counts["sent.bytes"] for process in self.world.processes]
 
     def change(self, endpoints: int, within_s: float) -> float:
-        """Returns the seconds until all agree on another list, which comes to each within `within_s`."""
+        """Returns the seconds until all routers agree on a new list, which reaches each within `within_s`."""
         self.world.change(range(self.size), 1, endpoints, within_s)
         return self.seconds_until(lambda: self.world.agree(digest=digest_of(1, endpoints)))
 
@@ -57,7 +57,7 @@
 
 
 def run(setup: Setup) -> Results:
-    """Runs the experiment; all figures are of simulated time, so that a loaded machine changes none."""
+    """Runs the experiment; all figures are of simulated time, so the load of the machine has no effect."""
     results = Results("tables", x="routers", y="seconds until all are alike")
     for size, seeds in SEEDS_BY_SIZE.items():
         if setup.quick and size > 40:
