--- a/paddlequay/lab/hierarchy_experiment.py
+++ b/paddlequay/lab/hierarchy_experiment.py
@@ -12,9 +12,9 @@
 
 PURGE_INTERVAL_S = 1.0
 PURGED_OBJECTS_COUNT = 20
-# A warm tier's capacity over its mean load in the plain run; 1.1 to 1.6 in the brief.
+# Ratio of a warm tier's capacity to its mean load in the plain run; the specification gives 1.1 to 1.6.
 CAPACITY_FACTOR = 1.35
-COLD_SHARE = 0.062  # of its capacity, that a tier has at its start
+COLD_SHARE = 0.062  # share of its full capacity that a tier has when it starts
 WARM_AFTER_S = 20
 WINDOW_S = 2.0
 COUNTERS = (
@@ -46,7 +46,7 @@
     counters: dict[str, dict[str, int]]
 
 
-async def play(setup: Setup, plan: RunPlan, seconds: float, down_s: float) -> RunRecord:
+async def drive(setup: Setup, plan: RunPlan, seconds: float, down_s: float) -> RunRecord:
     """Drives a zone for some seconds; a killed tier is started again after `down_s`."""
     folder = setup.folder / "runs" / plan.name.replace(" ", "-")
     cluster = ZoneCluster(ZonePlan(seed=setup.seed), folder)
@@ -86,14 +86,14 @@
 
 def exit_counters(path: Path) -> dict[str, int]:
     """Returns the counters that a tier logged at its exit, summed over all its runs."""
-    found: dict[str, int] = {}
+    counters: dict[str, int] = {}
     for line in path.read_text().splitlines():
         if "event=counters" in line and "why=exit" in line:
             for pair in line.split():
                 key, _, value = pair.partition("=")
                 if value.isdigit():
-                    found[key] = found.get(key, 0) + int(value)
-    return found
+                    counters[key] = counters.get(key, 0) + int(value)
+    return counters
 
 
 def report(results: Results, name: str, record: RunRecord) -> None:
@@ -128,7 +128,7 @@
 
 
 def cold_peak(plain: ZoneCluster, with_deaths: ZoneCluster) -> float:
-    """Returns the most that edge caches asked of a cold tier within 2 s, over what it could do then."""
+    """Returns the greatest ratio of the fills from a cold tier within 2 s to its capacity at that time."""
     fills = [
         (at, source)
         for edge_cache in plain.edge_caches
@@ -143,17 +143,17 @@
         for age_s in range(WARM_AFTER_S):
             share = min(1.0, COLD_SHARE + (1 - COLD_SHARE) * (age_s + 1) / WARM_AFTER_S)
             window_start = started_at + age_s
-            asked = sum(
+            fill_count = sum(
                 source == name and window_start <= at < window_start + WINDOW_S
                 for edge_cache in with_deaths.edge_caches
                 for at, source in edge_cache.fill_sources
             )
-            peak = max(peak, asked / (share * capacity))
+            peak = max(peak, fill_count / (share * capacity))
     return peak
 
 
 def run(setup: Setup) -> Results:
-    """Plays the runs, one after another, and returns their figures and claims."""
+    """Carries out the runs, one after another, and returns their figures and assertions."""
     results = Results("hierarchy", x="seconds", y="fills a second at the store")
     seconds = 6.0 if setup.quick else 120.0
     down_s = 1.0 if setup.quick else 4.0
@@ -166,14 +166,14 @@
     records: dict[str, RunRecord] = {}
     for plan in plans:
         setup.say(f"{plan.name}: {seconds:g} s")
-        records[plan.name] = asyncio.run(play(setup, plan, seconds, down_s))
+        records[plan.name] = asyncio.run(drive(setup, plan, seconds, down_s))
         report(results, plan.name, records[plan.name])
-    claim(results, records)
+    add_assertions(results, records)
     return results
 
 
-def claim(results: Results, records: dict[str, RunRecord]) -> None:
-    """Adds the experiment's claims to the results."""
+def add_assertions(results: Results, records: dict[str, RunRecord]) -> None:
+    """Adds the assertions on all runs to the results."""
     plain_share = records["plain"].summary.served_share
     for row in results.rows:
         name = row["run"]
@@ -189,5 +189,5 @@
         results.claim(f"{name}: left waiting at a tier until too late", row["late"], "<=", max_late)
     peak = cold_peak(records["plain"].cluster, records["deaths"].cluster)
     results.claim("deaths: most asked of a cold tier over what it can do", peak, "<=", 2.0)
-    found = sum(row["loops_found"] + row["loops_cut"] + row["rings_refused"] for row in results.rows)
-    results.claim("loops and rings found and stopped", found, ">=", 1)
+    stopped = sum(row["loops_found"] + row["loops_cut"] + row["rings_refused"] for row in results.rows)
+    results.claim("loops and rings found and stopped", stopped, ">=", 1)
--- a/paddlequay/lab/placement.py
+++ b/paddlequay/lab/placement.py
@@ -1,4 +1,4 @@
-"""`lab run placement`: the cost of compiling placement rules, of a change of the list and of a look-up."""
+"""`lab run placement`: measures compiling placement rules, membership changes and table look-ups."""
 
 import gc
 import random
@@ -18,11 +18,11 @@
 MEMBERS_COUNT = 200
 SPREAD_RULES = b"otherwise: 4096 shards by object and part; 3 copies over 2 zones."
 DEFAULT_RULES = b"otherwise: 65536 shards by object and part; 1 copy."
-KEYS_COUNT = 4_000  # so few that all their homes are cached: the look-up compared with is at its best
+KEYS_COUNT = 4_000  # few enough that `Homes` caches them all, which is its fastest case
 
 
 def members(count: int) -> list[Member]:
-    """Returns members over 5 zones and 2 kinds."""
+    """Returns members that are spread over 5 zones and 2 kinds."""
     return [Member(f"e{n}", zone=f"z{n % 5}", kind=f"k{n % 2}", weight=1.0) for n in range(count)]
 
 
@@ -45,54 +45,60 @@
     return elapsed / len(keys)
 
 
-def compiled(results: Results, name: str, text: bytes, rounds: int) -> Table:
-    """Compiles a rule for all members, for one less and for that one back, and claims the costs."""
+def measure_compile(results: Results, name: str, text: bytes, rounds: int) -> Table:
+    """Measures a compile for all members, without one of them, and with it added again.
+
+    Returns:
+        The table for all members.
+    """
     rules = read_rules(name, text)
     listed = members(MEMBERS_COUNT)
     table = compile_rules(rules, listed)
-    whole, less, more, shares = [], [], [], []
+    all_s, removed_s, added_s, moved_ratios = [], [], [], []
     for n in range(rounds):
         out = n * 7 % MEMBERS_COUNT
         fewer = listed[:out] + listed[out + 1 :]
-        whole.append(elapsed_s(lambda: compile_rules(rules, listed).digest))
-        less.append(elapsed_s(lambda fewer=fewer: compile_rules(rules, fewer, old=table).digest))  # type: ignore[misc]
+        all_s.append(elapsed_s(lambda: compile_rules(rules, listed).digest))
+        removed_s.append(elapsed_s(lambda fewer=fewer: compile_rules(rules, fewer, old=table).digest))  # type: ignore[misc]
         after = compile_rules(rules, fewer, old=table)
-        more.append(elapsed_s(lambda after=after: compile_rules(rules, listed, old=after).digest))  # type: ignore[misc]
+        added_s.append(elapsed_s(lambda after=after: compile_rules(rules, listed, old=after).digest))  # type: ignore[misc]
         if after.digest != compile_rules(rules, fewer).digest:
-            raise AssertionError(f"{name}: a changed table is not that of a whole compile")
+            raise AssertionError(
+                f"{name}: the table after a membership change differs from that of a full compile"
+            )
         homes = table.shard_maps["otherwise", None].homes
         moved = sum(a != b for a, b in zip(homes, after.shard_maps["otherwise", None].homes, strict=True))
-        shares.append(moved / sum(listed[out].name in each for each in homes))
-    for what, times, most in (("all", whole, 1.0), ("one less", less, 0.1), ("one more", more, 0.1)):
+        moved_ratios.append(moved / sum(listed[out].name in each for each in homes))
+    for what, times, most in (("all", all_s, 1.0), ("one less", removed_s, 0.1), ("one more", added_s, 0.1)):
         figure = f"{np.median(times) * 1000:.2f} ms ({min(times) * 1000:.2f} to {max(times) * 1000:.2f})"
         results.figures[f"{name}, {MEMBERS_COUNT} members, {what}"] = figure
         results.claim(f"{name}, {what}: seconds", float(np.median(times)), "<=", most)
-    results.claim(f"{name}: shards moved over those of the member", max(shares), "<=", 1.2)
+    results.claim(f"{name}: shards moved over those of the member", max(moved_ratios), "<=", 1.2)
     tracemalloc.start()
-    kept = compile_rules(rules, listed)
+    measured = compile_rules(rules, listed)
     results.figures[f"{name}: MB of a table"] = f"{tracemalloc.get_traced_memory()[0] / 1e6:.2f}"
     tracemalloc.stop()
-    return kept
+    return measured
 
 
 def run(setup: Setup) -> Results:
-    """Runs the experiment; all that is compared takes turns within it."""
+    """Runs the experiment; the look-ups that are compared take turns in each round."""
     results = Results("placement", x="round", y="nanoseconds a look-up", logarithmic=False)
     rounds = 5 if setup.quick else 15
-    copied = compiled(results, "4,096 shards, 3 copies over 2 zones", SPREAD_RULES, rounds)
-    today = compiled(results, "65,536 shards", DEFAULT_RULES, rounds)
+    copied = measure_compile(results, "4,096 shards, 3 copies over 2 zones", SPREAD_RULES, rounds)
+    default = measure_compile(results, "65,536 shards", DEFAULT_RULES, rounds)
     homes: Homes[str] = Homes()
     homes.reset((member.name, member.name, 1.0) for member in members(MEMBERS_COUNT))
     rng = random.Random(setup.seed)
     keys = [(rng.getrandbits(64), rng.randrange(64)) for _ in range(KEYS_COUNT)]
     ways: dict[str, Callable[[int, int], object]] = {
         "homes": lambda key, part: next(homes.order(placement_key(key, part))),
-        "table": lambda key, part: today.lookup("video", None, 7, key, part),
+        "table": lambda key, part: default.lookup("video", None, 7, key, part),
         "table, 3 copies": lambda key, part: copied.lookup("video", None, 7, key, part),
     }
     times_by_way: dict[str, list[float]] = {name: [] for name in ways}
     for round_number in range(rounds + 1):
-        for name, lookup in ways.items():  # one after the other, so that all run on the same load
+        for name, lookup in ways.items():  # in turn, so that all run under the same machine load
             found = nanoseconds(lookup, keys)
             if round_number:  # the first one fills the caches
                 times_by_way[name].append(found)
